--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -31,9 +31,12 @@
 
 def delay() -> None:
     """The same load with copies and without, in turn, on a disk that flushes and on one in memory: OPEN to UP."""
+
     async def one(copies: int, memory: bool) -> dict[str, list[float]]:
         with tempfile.TemporaryDirectory(dir="/dev/shm" if memory else None) as folder:
-            rig = Rig(Plan(balancers=3, lasts_s=10, flows_per_s=150, copies=copies), Path(folder) / "rig")
+            rig = Rig(
+                Plan(balancers=3, lasts_s=10, flows_per_s=150, copies=copies), Path(folder) / "rig"
+            )
             try:
                 await rig.begin()
                 assert await rig.whole() is not None
@@ -41,15 +44,24 @@
                     await rig.copies_whole()
                     rig.quiet = False
                 await rig.play()
-                return {kind: sorted((f.answered - f.asked) / 1e6 for f in rig.flows if f.answer == "UP" and f.effect == kind)
-                        for kind in ("once-only", "repeatable")}
+                return {
+                    kind: sorted(
+                        (f.answered - f.asked) / 1e6
+                        for f in rig.flows
+                        if f.answer == "UP" and f.effect == kind
+                    )
+                    for kind in ("once-only", "repeatable")
+                }
             finally:
                 await rig.end()
+
     for turn in range(5):
         for copies, memory in ((3, False), (3, True), (0, False)):
             took = asyncio.run(one(copies, memory))
-            said = "; ".join(f"{kind} {len(t)}: p50 {statistics.median(t):.2f} p99 {t[int(len(t) * 0.99)]:.2f} ms"
-                             for kind, t in took.items())
+            said = "; ".join(
+                f"{kind} {len(t)}: p50 {statistics.median(t):.2f} p99 {t[int(len(t) * 0.99)]:.2f} ms"
+                for kind, t in took.items()
+            )
             print(f"{turn} copies {copies} {'memory' if memory else 'disk'}  {said}", flush=True)
 
 
@@ -59,7 +71,7 @@
     def happen(self, now: int, event: tuple) -> None:
         if event[0] != "fill":
             return super().happen(now, event)
-        until = time.time_ns() // HELD * HELD + 2 * HELD       # the same at all
+        until = time.time_ns() // HELD * HELD + 2 * HELD  # the same at all
         for first in range(0, event[1], 20_000):
             values = []
             for number in range(first, min(first + 20_000, event[1])):
@@ -76,8 +88,13 @@
 
 def member(table: str) -> None:
     """Reads what to do from its input: `claim N SECONDS [ID]` with so many out at a time, `fill N`."""
-    fleet = Fleet(FleetTable(**json.loads(table)), lambda settings: "", {"serviceTypes": []}, lambda view: fleet.acted(view.version),
-                  lambda: None)
+    fleet = Fleet(
+        FleetTable(**json.loads(table)),
+        lambda settings: "",
+        {"serviceTypes": []},
+        lambda view: fleet.acted(view.version),
+        lambda: None,
+    )
     fleet.copies.__class__ = Filled
     fleet.start()
     for line in sys.stdin:
@@ -105,18 +122,32 @@
                 next_one(number + out)
             else:
                 gate.release()
+
         asked = ident
         if ident == "part":
             at = number << 16
             while part_of(asked := f"{draw[:4]}{at:012x}") != 7:
                 at += 1
-        fleet.copies.put("claim", asked or f"{draw[:8]}{number:08x}", SECOND, fleet.now() + SECOND, reply)
+        fleet.copies.put(
+            "claim", asked or f"{draw[:8]}{number:08x}", SECOND, fleet.now() + SECOND, reply
+        )
+
     for number in range(out):
         next_one(number)
     for _ in range(out):
         gate.acquire(timeout=seconds + 5)
     took.sort()
-    print(json.dumps({"count": len(took), "kinds": kinds, "p50": statistics.median(took), "p99": took[int(len(took) * 0.99)]}), flush=True)
+    print(
+        json.dumps(
+            {
+                "count": len(took),
+                "kinds": kinds,
+                "p50": statistics.median(took),
+                "p99": took[int(len(took) * 0.99)],
+            }
+        ),
+        flush=True,
+    )
 
 
 class Members:
@@ -124,14 +155,29 @@
         self.folder, self.names = folder, names
         places = {name: f"127.0.0.1:{free_port('127.0.0.1')}" for name in names}
         self.places = places
-        self.tables = {name: json.dumps({"fleet": "cost", "name": name, "address": places[name], "folder": str(folder / name),
-                                         "zone": f"z{i % 3}", "first": {v: places[v] for v in names[:voters]}, "copies": {}})
-                       for i, name in enumerate(names)}
+        self.tables = {
+            name: json.dumps(
+                {
+                    "fleet": "cost",
+                    "name": name,
+                    "address": places[name],
+                    "folder": str(folder / name),
+                    "zone": f"z{i % 3}",
+                    "first": {v: places[v] for v in names[:voters]},
+                    "copies": {},
+                }
+            )
+            for i, name in enumerate(names)
+        }
         self.running: dict[str, subprocess.Popen] = {}
 
     def start(self, name: str) -> None:
-        self.running[name] = subprocess.Popen([sys.executable, __file__, "member", self.tables[name]], stdin=subprocess.PIPE,
-                                              stdout=subprocess.PIPE, text=True)
+        self.running[name] = subprocess.Popen(
+            [sys.executable, __file__, "member", self.tables[name]],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
 
     def say(self, name: str, line: str) -> None:
         self.running[name].stdin.write(line + "\n")
@@ -142,7 +188,13 @@
         while time.monotonic() < until:
             try:
                 ok, body = tool.call(list(self.places.values()), "cost", "copies", None, 2.0)
-                if ok and len(body["parts"]) == 64 and not body["lacking"] and not body["changing"] and len(body["able"]) >= least:
+                if (
+                    ok
+                    and len(body["parts"]) == 64
+                    and not body["lacking"]
+                    and not body["changing"]
+                    and len(body["able"]) >= least
+                ):
                     return body
             except Exception:
                 pass
@@ -164,19 +216,28 @@
                 for name in members.names:
                     members.start(name)
                 members.whole(least=count)
-                time.sleep(8)       # joined ones take over their parts
+                time.sleep(8)  # joined ones take over their parts
                 members.whole(least=count)
                 for out, ident in ((1, ""), (64, ""), (64, "hot"), (64, "part")):
                     for name in members.names:
                         members.say(name, f"claim {out} 5 {ident}")
-                    found = [json.loads(members.running[name].stdout.readline()) for name in members.names]
-                    print(f"{count} members, {out} out at each {ident}: {sum(f['count'] for f in found) / 5:.0f} claims a second, "
-                          f"p50 {statistics.median(f['p50'] for f in found):.2f} ms, p99 {max(f['p99'] for f in found):.1f} ms, "
-                          f"{[f['kinds'] for f in found]}", flush=True)
+                    found = [
+                        json.loads(members.running[name].stdout.readline())
+                        for name in members.names
+                    ]
+                    print(
+                        f"{count} members, {out} out at each {ident}: {sum(f['count'] for f in found) / 5:.0f} claims a second, "
+                        f"p50 {statistics.median(f['p50'] for f in found):.2f} ms, p99 {max(f['p99'] for f in found):.1f} ms, "
+                        f"{[f['kinds'] for f in found]}",
+                        flush=True,
+                    )
                 local = tool.call([members.places["m0"]], "cost", "copies_local", None, 5.0)[1]
                 size = sum(f.stat().st_size for f in (Path(folder) / "m0").glob("copies.*"))
-                print(f"   m0 holds {local['ids']} ids, {size / max(local['ids'], 1):.0f} bytes on disk for each, "
-                      f"{local['counts']['written'] / local['counts']['flushes']:.1f} records a flush", flush=True)
+                print(
+                    f"   m0 holds {local['ids']} ids, {size / max(local['ids'], 1):.0f} bytes on disk for each, "
+                    f"{local['counts']['written'] / local['counts']['flushes']:.1f} records a flush",
+                    flush=True,
+                )
             finally:
                 members.end()
 
@@ -193,14 +254,24 @@
             members.whole(least=4)
 
             def memory(name: str) -> int:
-                return int(next(line for line in open(f"/proc/{members.running[name].pid}/status") if line.startswith("VmRSS")).split()[1])
+                return int(
+                    next(
+                        line
+                        for line in open(f"/proc/{members.running[name].pid}/status")
+                        if line.startswith("VmRSS")
+                    ).split()[1]
+                )
+
             before = memory("m0")
             for name in members.names:
                 members.say(name, "fill 1000000")
             for name in members.names:
                 assert members.running[name].stdout.readline() == "filled\n"
             local = tool.call([members.places["m0"]], "cost", "copies_local", None, 20.0)[1]
-            print(f"m0 holds {local['ids']} ids: {(memory('m0') - before) * 1024 / local['ids']:.0f} bytes of memory for each", flush=True)
+            print(
+                f"m0 holds {local['ids']} ids: {(memory('m0') - before) * 1024 / local['ids']:.0f} bytes of memory for each",
+                flush=True,
+            )
             members.say("m0", "claim 8 40")
             time.sleep(5)
             members.running["m3"].send_signal(signal.SIGKILL)
@@ -208,12 +279,19 @@
             shutil.rmtree(Path(folder) / "m3")
             began = time.monotonic()
             members.start("m3")
-            time.sleep(3)           # until who leads has seen it gone
+            time.sleep(3)  # until who leads has seen it gone
             members.whole(within=120, least=4)
             took = time.monotonic() - began
             print(f"three copies of all parts again {took:.1f} s after the kill", flush=True)
-            held = [tool.call([where], "cost", "copies_local", None, 20.0)[1] for where in members.places.values()]
-            print("ids held in whole parts, by member:", [sum(p[4] for p in one["parts"] if p[2]) for one in held], flush=True)
+            held = [
+                tool.call([where], "cost", "copies_local", None, 20.0)[1]
+                for where in members.places.values()
+            ]
+            print(
+                "ids held in whole parts, by member:",
+                [sum(p[4] for p in one["parts"] if p[2]) for one in held],
+                flush=True,
+            )
             print("claims meanwhile:", members.running["m0"].stdout.readline().strip(), flush=True)
         finally:
             members.end()
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -25,6 +25,7 @@
 
 def flows() -> None:
     """The same load in turn at balancers that agree and at the same ones without an operator file: p50 and p99 of OPEN to UP."""
+
     async def one(fleet: bool) -> list[float]:
         with tempfile.TemporaryDirectory() as folder:
             rig = Rig(Plan(balancers=3, lasts_s=8, flows_per_s=120), Path(folder) / "rig")
@@ -38,21 +39,34 @@
                 else:
                     await asyncio.sleep(3)
                 await rig.play()
-                sizes = [int(next(line for line in open(f"/proc/{p.popen.pid}/status") if line.startswith("VmRSS")).split()[1])
-                         for p in rig.processes.values()]
+                sizes = [
+                    int(
+                        next(
+                            line
+                            for line in open(f"/proc/{p.popen.pid}/status")
+                            if line.startswith("VmRSS")
+                        ).split()[1]
+                    )
+                    for p in rig.processes.values()
+                ]
                 print("fleet" if fleet else "alone", "resident KB", sizes)
                 return sorted((f.answered - f.asked) / 1e6 for f in rig.flows if f.answer == "UP")
             finally:
                 await rig.end()
+
     for turn in range(5):
         for fleet in (True, False):
             took = asyncio.run(one(fleet))
-            print(f"{turn} {'fleet' if fleet else 'alone'} flows {len(took)} p50 {statistics.median(took):.2f} ms "
-                  f"p99 {took[int(len(took) * 0.99)]:.2f} ms", flush=True)
+            print(
+                f"{turn} {'fleet' if fleet else 'alone'} flows {len(took)} p50 {statistics.median(took):.2f} ms "
+                f"p99 {took[int(len(took) * 0.99)]:.2f} ms",
+                flush=True,
+            )
 
 
 def commands() -> None:
     """Servers out and back, as fast as the fleet agrees, from 1 and from 8 callers at a time."""
+
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
             rig = Rig(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
@@ -67,21 +81,29 @@
                         nonlocal count
                         while time.monotonic() < until:
                             began = time.monotonic()
-                            result, _ = await rig.command("n1", "out" if count % 2 else "back", server=f"x-{number}")
+                            result, _ = await rig.command(
+                                "n1", "out" if count % 2 else "back", server=f"x-{number}"
+                            )
                             assert result == "yes"
                             took.append((time.monotonic() - began) * 1000)
                             count += 1
+
                     await asyncio.gather(*(caller(i) for i in range(callers)))
                     took.sort()
-                    print(f"{callers} callers: {count / 5:.0f} a second, p50 {statistics.median(took):.1f} ms, "
-                          f"p99 {took[int(len(took) * 0.99)]:.1f} ms", flush=True)
+                    print(
+                        f"{callers} callers: {count / 5:.0f} a second, p50 {statistics.median(took):.1f} ms, "
+                        f"p99 {took[int(len(took) * 0.99)]:.1f} ms",
+                        flush=True,
+                    )
             finally:
                 await rig.end()
+
     asyncio.run(run())
 
 
 def leaderless() -> None:
     """The leader killed, ten times: how long until a command is agreed again, and what the others' clients see meanwhile."""
+
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
             rig = Rig(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
@@ -104,10 +126,13 @@
                 refused = sum(f.answer != "UP" for f in rig.flows)
                 asked = len(rig.flows)
                 gaps.sort()
-                print(f"ten leaders killed: agreed again after {gaps[0]:.2f} to {gaps[-1]:.2f} s, median {statistics.median(gaps):.2f}; "
-                      f"{refused} of {asked} flows at the others not established")
+                print(
+                    f"ten leaders killed: agreed again after {gaps[0]:.2f} to {gaps[-1]:.2f} s, median {statistics.median(gaps):.2f}; "
+                    f"{refused} of {asked} flows at the others not established"
+                )
             finally:
                 await rig.end()
+
     asyncio.run(run())
 
 
@@ -118,8 +143,11 @@
         world.run(20 * SECOND, check=False)
         before, size = world.words, world.bytes
         world.run(10 * SECOND, check=False)
-        print(f"{voters + followers} members: {(world.words - before) / 10:.0f} words a second, "
-              f"{(world.bytes - size) / 10 / 1024:.0f} KB a second", flush=True)
+        print(
+            f"{voters + followers} members: {(world.words - before) / 10:.0f} words a second, "
+            f"{(world.bytes - size) / 10 / 1024:.0f} KB a second",
+            flush=True,
+        )
 
 
 MEMBERS = (Member("a#1", True),)
@@ -135,7 +163,9 @@
     chance = random.Random()
     while True:
         index += 1
-        store.write(Work(entries=[(index, Entry(1, DATA, b"%d" % index + bytes(chance.randrange(2000))))]))
+        store.write(
+            Work(entries=[(index, Entry(1, DATA, b"%d" % index + bytes(chance.randrange(2000))))])
+        )
         os.write(1, b"%d\n" % index)
         if index - base > 40:
             base = index
@@ -144,12 +174,17 @@
 
 def kills() -> None:
     """1,000 kills of a process that writes: everything that it had said is there."""
+
     def one(number: int) -> int:
         chance, done, last = random.Random(number), 0, 0
         with tempfile.TemporaryDirectory() as folder:
             for _ in range(125):
-                process = subprocess.Popen([sys.executable, __file__, "writer", folder], stdout=subprocess.PIPE)
-                begun = process.stdout.readline()       # it writes now; a process that starts has nothing to lose
+                process = subprocess.Popen(
+                    [sys.executable, __file__, "writer", folder], stdout=subprocess.PIPE
+                )
+                begun = (
+                    process.stdout.readline()
+                )  # it writes now; a process that starts has nothing to lose
                 time.sleep(chance.uniform(0, 0.06))
                 process.send_signal(signal.SIGKILL)
                 said = (begun + process.communicate()[0]).split()
@@ -159,6 +194,7 @@
                 assert have >= last, f"{last} was acknowledged, {have} are there"
                 last, done = have, done + 1
         return last
+
     with ThreadPoolExecutor(8) as pool:
         entries = list(pool.map(one, range(8)))
     print(f"1000 kills, {sum(entries)} entries, nothing acknowledged lost")
@@ -168,4 +204,10 @@
     if sys.argv[1:2] == ["writer"]:
         writer(sys.argv[2])
     for name in sys.argv[1:] or ["flows", "commands", "leaderless", "words", "kills"]:
-        {"flows": flows, "commands": commands, "leaderless": leaderless, "words": words, "kills": kills}[name]()
+        {
+            "flows": flows,
+            "commands": commands,
+            "leaderless": leaderless,
+            "words": words,
+            "kills": kills,
+        }[name]()
--- a/benchmarks/operated.py
+++ b/benchmarks/operated.py
@@ -24,13 +24,26 @@
 
     def write(self, number: int, name: str) -> None:
         super().write(number, name)
-        (self.processes[name].folder / "operator.toml").write_text("")      # balancers agree on nothing here
+        (self.processes[name].folder / "operator.toml").write_text(
+            ""
+        )  # balancers agree on nothing here
 
     def second(self) -> tuple[subprocess.Popen, tuple[str, int]]:
         p, admin = self.processes["n0"], self.free()
         with open(p.folder / "log", "ab") as log:
-            return subprocess.Popen(self.words, cwd=self.tree, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=os.environ | {
-                "TMPDIR": str(p.folder), "PROXY_CONFIG": str(p.folder / "config.json"), "PROXY_ADMIN_ADDR": "%s:%d" % admin}), admin
+            return subprocess.Popen(
+                self.words,
+                cwd=self.tree,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=os.environ
+                | {
+                    "TMPDIR": str(p.folder),
+                    "PROXY_CONFIG": str(p.folder / "config.json"),
+                    "PROXY_ADMIN_ADDR": "%s:%d" % admin,
+                },
+            ), admin
 
 
 async def call(where: tuple[str, int], line: bytes) -> tuple[str, float]:
@@ -77,9 +90,11 @@
         await asyncio.sleep(2)
         answers = Counter(flow.answer for flow in rig.flows)
         late = sum(flow.answered > flow.due for flow in rig.flows)
-        print(f"{UPGRADES} upgrades under {RATE} flows a second: answers {dict(answers)}, {late} late; turned back unheard "
-              f"{sum(answers[how] for how in ('refused', 'reset', 'end', 'none'))}; ready after {statistics.median(took):.2f} s "
-              f"({min(took):.2f} to {max(took):.2f}), the old one gone {statistics.median(left):.2f} s after SIGTERM (at most {max(left):.2f})")
+        print(
+            f"{UPGRADES} upgrades under {RATE} flows a second: answers {dict(answers)}, {late} late; turned back unheard "
+            f"{sum(answers[how] for how in ('refused', 'reset', 'end', 'none'))}; ready after {statistics.median(took):.2f} s "
+            f"({min(took):.2f} to {max(took):.2f}), the old one gone {statistics.median(left):.2f} s after SIGTERM (at most {max(left):.2f})"
+        )
     finally:
         if younger is not None:
             younger.kill()
@@ -94,7 +109,12 @@
         admin = rig.processes["n0"].admin
         await ready(admin)
         rig.spawn(rig.load(50))
-        waits: dict[str, list[float]] = {"check": [], "vars": [], "set-down s-0": [], "set-up s-0": []}
+        waits: dict[str, list[float]] = {
+            "check": [],
+            "vars": [],
+            "set-down s-0": [],
+            "set-up s-0": [],
+        }
         odd: Counter[str] = Counter()
         over = asyncio.Event()
 
@@ -103,8 +123,11 @@
                 for line, waited in waits.items():
                     said, took = await call(admin, line.encode())
                     waited.append(took)
-                    odd[f"{line}: {said[:40]}"] += not (said == "OK" or line == "vars" and said.startswith("{"))
+                    odd[f"{line}: {said[:40]}"] += not (
+                        said == "OK" or line == "vars" and said.startswith("{")
+                    )
                     await asyncio.sleep(0.02)
+
         # Set-down and set-up by several callers in turn: each is a yes, twice is once.
         callers = [rig.spawn(caller()) for _ in range(CALLERS)]
         hung = [await asyncio.open_connection(*admin) for _ in range(8)]
@@ -115,11 +138,15 @@
         for _, writer in hung:
             writer.close()
         rig.quiet = True
-        print(f"{CROWDS} crowds of {CROWD} at once, {CALLERS} callers, 8 that hang; not as they should be: {dict(+odd)}")
+        print(
+            f"{CROWDS} crowds of {CROWD} at once, {CALLERS} callers, 8 that hang; not as they should be: {dict(+odd)}"
+        )
         for line, waited in waits.items():
             waited.sort()
-            print(f"| `{line}` | {len(waited)} | {statistics.median(waited) * 1e3:.1f} | {waited[int(len(waited) * 0.99)] * 1e3:.0f} | "
-                  f"{waited[-1] * 1e3:.0f} |")
+            print(
+                f"| `{line}` | {len(waited)} | {statistics.median(waited) * 1e3:.1f} | {waited[int(len(waited) * 0.99)] * 1e3:.0f} | "
+                f"{waited[-1] * 1e3:.0f} |"
+            )
         print(dict(Counter(flow.answer for flow in rig.flows)))
     finally:
         await rig.end()
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -26,7 +26,9 @@
     return ["r1", OLD, NEW, waves, hold_s, flows, 8.0, 0.01, 1.5, 120.0]
 
 
-def released(w: Releases, hold_s: float, flows: int, most_s: int = 3600, burst: bool = False) -> tuple[Any, float, int]:
+def released(
+    w: Releases, hold_s: float, flows: int, most_s: int = 3600, burst: bool = False
+) -> tuple[Any, float, int]:
     """The state at its end, how many virtual seconds it took, and its waves."""
     w.start()
     w.run(30 * SECOND, check=False)
@@ -35,22 +37,35 @@
     w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
     while w.now - began < most_s * SECOND:
         w.run(SECOND, check=False)
-        if burst:       # half as many again, for a fifth of the time, a lost server's failures at all alike for a tenth
+        if burst:  # half as many again, for a fifth of the time, a lost server's failures at all alike for a tenth
             w.rate = rate * 3 // 2 if chance.random() < 0.2 else rate
             w.lost_share = 0.2 if chance.random() < 0.1 else 0.0
         state = w.release()
-        if state is not None and state.release is not None and (state.halted or state.release.phase != "running"):
+        if (
+            state is not None
+            and state.release is not None
+            and (state.halted or state.release.phase != "running")
+        ):
             return state, (w.now - began) / SECOND, len(plan[3])
     return w.release(), float("inf"), len(plan[3])
 
 
 def lengths(*only: int) -> None:
     """Of the sizes named; two hundred take some minutes of processor time."""
-    print("| balancers | bound | waves | s of the release | most out at once | words a second | while idle |\n| --- | --- | --- | --- | --- | --- | --- |")
+    print(
+        "| balancers | bound | waves | s of the release | most out at once | words a second | while idle |\n| --- | --- | --- | --- | --- | --- | --- |"
+    )
     for members, bound in ((6, 1), (6, 2), (50, 1), (50, 5), (200, 5), (200, 20)):
         if only and members not in only:
             continue
-        w = Releases(1, 5 if members > 6 else 3, members - (5 if members > 6 else 3), bound, zones=4 if members > 6 else 2, rate=5)
+        w = Releases(
+            1,
+            5 if members > 6 else 3,
+            members - (5 if members > 6 else 3),
+            bound,
+            zones=4 if members > 6 else 2,
+            rate=5,
+        )
         w.start()
         w.run(30 * SECOND, check=False)
         before = w.words
@@ -59,12 +74,20 @@
         plan = planned(w, 10.0, 20)
         began, before = w.now, w.words
         w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
-        while w.now - began < 7200 * SECOND and ((s := w.release()) is None or s.release is None or s.release.phase == "running" and not s.halted):
+        while w.now - began < 7200 * SECOND and (
+            (s := w.release()) is None
+            or s.release is None
+            or s.release.phase == "running"
+            and not s.halted
+        ):
             w.run(2 * SECOND, check=False)
         took = (w.now - began) / SECOND
         end = w.release()
-        print(f"| {members} | {bound} | {len(plan[3])} | {took:.0f} ({end.release.phase}{', halted' if end.halted else ''}) | {w.most_out} | "
-              f"{(w.words - before) / took:.0f} | {idle:.0f} |", flush=True)
+        print(
+            f"| {members} | {bound} | {len(plan[3])} | {took:.0f} ({end.release.phase}{', halted' if end.halted else ''}) | {w.most_out} | "
+            f"{(w.words - before) / took:.0f} | {idle:.0f} |",
+            flush=True,
+        )
 
 
 def bad() -> None:
@@ -76,11 +99,18 @@
             assert state.halted is not None, (kind, seed)
             statuses = [s for s in state.release.members.values() if s in ("new", "failed")]
             changed.append(len(statuses))
-            new = [m for m in w.machines.values() if any(r.version == NEW for r in m.running.values())]
-            harmed.append(sum(r.served[2] for m in new for r in m.running.values() if r.version == NEW))
+            new = [
+                m for m in w.machines.values() if any(r.version == NEW for r in m.running.values())
+            ]
+            harmed.append(
+                sum(r.served[2] for m in new for r in m.running.values() if r.version == NEW)
+            )
             noticed.append(took)
-        print(f"{kind}: halted in {len(noticed)} of 10, after {statistics.median(noticed):.0f} s ({min(noticed):.0f} to {max(noticed):.0f}) from its "
-              f"begin, at most {max(changed)} changed, {statistics.median(harmed):.0f} flows failed there ({min(harmed)} to {max(harmed)})", flush=True)
+        print(
+            f"{kind}: halted in {len(noticed)} of 10, after {statistics.median(noticed):.0f} s ({min(noticed):.0f} to {max(noticed):.0f}) from its "
+            f"begin, at most {max(changed)} changed, {statistics.median(harmed):.0f} flows failed there ({min(harmed)} to {max(harmed)})",
+            flush=True,
+        )
 
 
 def good() -> None:
@@ -93,7 +123,10 @@
 
 
 def lost(rig: Rig) -> dict[str, int]:
-    return {kind: sum(f.answer == kind for f in rig.flows) for kind in sorted({f.answer for f in rig.flows})}
+    return {
+        kind: sum(f.answer == kind for f in rig.flows)
+        for kind in sorted({f.answer for f in rig.flows})
+    }
 
 
 async def by_loop(kind: str, folder: Path) -> dict[str, int]:
@@ -137,7 +170,9 @@
 
 
 async def by_release(kind: str, folder: Path) -> dict[str, int]:
-    rig = Machines(Plan(balancers=5, zones=2, flows_per_s=150, agents=True, bound=1), folder / "rig")
+    rig = Machines(
+        Plan(balancers=5, zones=2, flows_per_s=150, agents=True, bound=1), folder / "rig"
+    )
     try:
         await rig.begin()
         await rig.agree_on_bound(await rig.whole())
@@ -162,8 +197,12 @@
 
 def halts() -> None:
     """At seven balancers, two of which may be out: from the yes to a halt, at any moment of a release, to the last one told to leave."""
+
     async def one(seed: int, folder: Path) -> dict[str, Any]:
-        rig = Machines(Plan(balancers=7, voters=3, zones=2, flows_per_s=50, agents=True, bound=2, seed=seed), folder / "rig")
+        rig = Machines(
+            Plan(balancers=7, voters=3, zones=2, flows_per_s=50, agents=True, bound=2, seed=seed),
+            folder / "rig",
+        )
         try:
             await rig.begin()
             await rig.agree_on_bound(await rig.whole())
@@ -175,10 +214,13 @@
             began = time.monotonic()
             await rig.turn_back("n0")
             report = await rig.verdict()
-            return {key: report[key] for key in ("broken", "halt_to_last_out_s", "most_out", "ended", "told_to_leave")} \
-                | {"back_in_s": round(time.monotonic() - began, 1)}
+            return {
+                key: report[key]
+                for key in ("broken", "halt_to_last_out_s", "most_out", "ended", "told_to_leave")
+            } | {"back_in_s": round(time.monotonic() - began, 1)}
         finally:
             await rig.end()
+
     for seed in range(6):
         with tempfile.TemporaryDirectory() as folder:
             print(seed, asyncio.run(one(seed, Path(folder))), flush=True)
@@ -187,4 +229,11 @@
 if __name__ == "__main__":
     logging.getLogger("cypresswalk").setLevel(logging.CRITICAL)
     for name in sys.argv[1:]:
-        {"lengths": lengths, "lengths200": lambda: lengths(200), "bad": bad, "good": good, "loop": loop, "halts": halts}[name]()
+        {
+            "lengths": lengths,
+            "lengths200": lambda: lengths(200),
+            "bad": bad,
+            "good": good,
+            "loop": loop,
+            "halts": halts,
+        }[name]()
--- a/cypresswalk/agreement/log.py
+++ b/cypresswalk/agreement/log.py
@@ -1,14 +1,16 @@
 """One member's log: a snapshot's place, then entries. Knows no disk."""
 
-from cypresswalk.agreement.words import CHANGE, Entry, Members
 import msgspec
 
+from cypresswalk.agreement.words import CHANGE, Entry, Members
+
 members_form = msgspec.msgpack.Decoder(Members)
 encode = msgspec.msgpack.encode
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
     """All that was agreed up to `index`: the members then, and the state as its owner put it."""
+
     index: int
     term: int
     members: Members
@@ -44,7 +46,10 @@
         return self.changes[-1][1] if self.changes else self.snapshot.members
 
     def members_at(self, index: int) -> Members:
-        return next((members for at, members in reversed(self.changes) if at <= index), self.snapshot.members)
+        return next(
+            (members for at, members in reversed(self.changes) if at <= index),
+            self.snapshot.members,
+        )
 
     def term(self, index: int) -> int | None:
         """None where it is not known any more, or not yet."""
@@ -55,7 +60,7 @@
 
     def between(self, low: int, high: int) -> list[Entry]:
         """From `low` to `high`, both included."""
-        return self.entries[max(low - self.first, 0):max(high - self.first + 1, 0)]
+        return self.entries[max(low - self.first, 0) : max(high - self.first + 1, 0)]
 
     def append(self, entry: Entry) -> int:
         self.entries.append(entry)
@@ -64,7 +69,7 @@
 
     def cut(self, index: int) -> None:
         """Nothing stays from `index` on."""
-        del self.entries[max(index - self.first, 0):]
+        del self.entries[max(index - self.first, 0) :]
         while self.changes and self.changes[-1][0] >= index:
             self.changes.pop()
 
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -12,27 +12,47 @@
 from random import Random
 
 from cypresswalk.agreement.log import Log, Snapshot, encode
-from cypresswalk.agreement.words import (CHANGE, DATA, NOTHING, AnyWord, Append, AppendAnswer, Disowned, Entry,
-                                         Members, Piece, PieceAnswer, TakeOver, Vote, VoteAnswer)
+from cypresswalk.agreement.words import (
+    CHANGE,
+    DATA,
+    NOTHING,
+    AnyWord,
+    Append,
+    AppendAnswer,
+    Disowned,
+    Entry,
+    Members,
+    Piece,
+    PieceAnswer,
+    TakeOver,
+    Vote,
+    VoteAnswer,
+)
 
 MILLISECOND = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    beat: int = 150 * MILLISECOND       # a tenth of the shortest election: a few lost beats are no reason for one
-    election: int = 1_000 * MILLISECOND # the least without a leader; the longest is twice that
-    follow: int = 750 * MILLISECOND     # the beat of those that only follow: two hundred of them cost 270 words a second
-    resend: int = 400 * MILLISECOND     # an append unanswered for so long goes again: two flushes on a busy disk
-    entries: int = 64                   # in one append
-    size: int = 256 << 10               # bytes in one append, or piece of a snapshot
-    waiting: int = 256                  # entries not agreed yet: beyond them a proposal is refused at once
+    beat: int = (
+        150 * MILLISECOND
+    )  # a tenth of the shortest election: a few lost beats are no reason for one
+    election: int = 1_000 * MILLISECOND  # the least without a leader; the longest is twice that
+    follow: int = (
+        750 * MILLISECOND
+    )  # the beat of those that only follow: two hundred of them cost 270 words a second
+    resend: int = (
+        400 * MILLISECOND
+    )  # an append unanswered for so long goes again: two flushes on a busy disk
+    entries: int = 64  # in one append
+    size: int = 256 << 10  # bytes in one append, or piece of a snapshot
+    waiting: int = 256  # entries not agreed yet: beyond them a proposal is refused at once
     waiting_size: int = 4 << 20
 
 
 class Role(Enum):
     FOLLOWER = "follower"
-    ASKING = "asking"           # whether an election would be won, in no new term yet
+    ASKING = "asking"  # whether an election would be won, in no new term yet
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -48,6 +68,7 @@
 @dataclass(slots=True)
 class Kept:
     """What stands on disk."""
+
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
     term: int = 0
@@ -57,33 +78,58 @@
 @dataclass(slots=True)
 class Work:
     """In this order: write and flush, `Node.written`, send, apply."""
+
     vote: tuple[int, str] | None = None
-    snapshot: Snapshot | None = None    # with it everything on disk is written anew
-    cut: int | None = None              # nothing of the log stays from here on
+    snapshot: Snapshot | None = None  # with it everything on disk is written anew
+    cut: int | None = None  # nothing of the log stays from here on
     entries: list[tuple[int, Entry]] = field(default_factory=list)
     words: list[tuple[str, AnyWord]] = field(default_factory=list)
-    install: Snapshot | None = None     # a state to begin from, before `agreed`
+    install: Snapshot | None = None  # a state to begin from, before `agreed`
     agreed: list[tuple[int, Entry]] = field(default_factory=list)
-    reads: list[tuple[object, int]] = field(default_factory=list)      # tokens, and what must be applied before
+    reads: list[tuple[object, int]] = field(
+        default_factory=list
+    )  # tokens, and what must be applied before
     disowned: bool = False
 
     @property
     def writes(self) -> bool:
-        return self.vote is not None or self.snapshot is not None or self.cut is not None or bool(self.entries)
+        return (
+            self.vote is not None
+            or self.snapshot is not None
+            or self.cut is not None
+            or bool(self.entries)
+        )
 
 
 class Progress:
     """What the leader knows of another member."""
-    __slots__ = ("match", "next", "busy_to", "sent_at", "heard_at", "answered", "sure", "beat_at", "piece")
+
+    __slots__ = (
+        "match",
+        "next",
+        "busy_to",
+        "sent_at",
+        "heard_at",
+        "answered",
+        "sure",
+        "beat_at",
+        "piece",
+    )
 
     def __init__(self, next_: int, now: int):
         self.match, self.next = 0, next_
-        self.busy_to = 0                # an append up to here is out; one at a time holds back what a slow one can't take
+        self.busy_to = (
+            0  # an append up to here is out; one at a time holds back what a slow one can't take
+        )
         self.sent_at = self.heard_at = now
-        self.answered = 0               # the latest round answered
-        self.sure: int | None = None    # from this round on a no means that it lost what it acknowledged
+        self.answered = 0  # the latest round answered
+        self.sure: int | None = (
+            None  # from this round on a no means that it lost what it acknowledged
+        )
         self.beat_at = now
-        self.piece: tuple[Snapshot, int] | None = None     # the snapshot it gets, and how much of it it has
+        self.piece: tuple[Snapshot, int] | None = (
+            None  # the snapshot it gets, and how much of it it has
+        )
 
 
 class Node:
@@ -93,15 +139,15 @@
         self.log = Log(kept.snapshot, kept.entries)
         self.commit = self.given = kept.snapshot.index
         self.role, self.leader = Role.FOLLOWER, ""
-        self.heard_at: int | None = None        # when a leader was last heard
+        self.heard_at: int | None = None  # when a leader was last heard
         self.due_at = self.again(now)
         self.votes: dict[str, bool] = {}
         self.peers: dict[str, Progress] = {}
         self.round = 0
-        self.reads: list[tuple[object, int, int]] = []      # token, round, index
+        self.reads: list[tuple[object, int, int]] = []  # token, round, index
         self.durable = self.log.last
         self.incoming: tuple[int, int, bytearray] | None = None
-        self.leaving: str | None = None         # whom leadership goes to
+        self.leaving: str | None = None  # whom leadership goes to
         self.leaving_until = 0
         self.work = Work()
         self.fresh_vote = False
@@ -147,7 +193,7 @@
     def campaign(self, now: int, forced: bool = False) -> None:
         self.become(self.term + 1, Role.CANDIDATE)
         self.due_at = self.again(now)
-        self.votes = {}         # its own counts once it is on disk
+        self.votes = {}  # its own counts once it is on disk
         self.vote_for(self.me)
         self.call(Vote(self.term, self.log.last, self.log.last_term, False, forced))
 
@@ -208,8 +254,12 @@
 
     def asked_to_vote(self, now: int, source: str, word: Vote) -> None:
         # Guards a leader that is heard against a member that does not hear it, or was removed (thesis, 4.2.3).
-        content = (self.role is Role.LEADER
-                   or self.heard_at is not None and now - self.heard_at < self.timing.election and self.leader != "")
+        content = (
+            self.role is Role.LEADER
+            or self.heard_at is not None
+            and now - self.heard_at < self.timing.election
+            and self.leader != ""
+        )
         fits = (word.last_term, word.last_index) >= (self.log.last_term, self.log.last)
         if word.early:
             granted = word.term > self.term and fits and not content
@@ -248,7 +298,7 @@
         log, before, entries = self.log, word.before_index, word.entries
         if before < log.snapshot.index:
             # What the snapshot holds is agreed, and so alike.
-            entries = entries[log.snapshot.index - before:]
+            entries = entries[log.snapshot.index - before :]
             before = log.snapshot.index
         elif log.term(before) != word.before_term:
             self.say(source, AppendAnswer(self.term, False, self.try_next(before), word.round))
@@ -259,7 +309,9 @@
                 continue
             if known is not None:
                 if number <= self.commit:
-                    raise Harmed(f"entry {number} of term {known} is agreed, the leader of term {word.term} has {entry.term}")
+                    raise Harmed(
+                        f"entry {number} of term {known} is agreed, the leader of term {word.term} has {entry.term}"
+                    )
                 self.cut(number)
             log.append(entry)
         last = before + len(entries)
@@ -325,14 +377,19 @@
     def take_lead(self, now: int) -> None:
         self.role, self.leader, self.leaving = Role.LEADER, self.me, None
         self.due_at = now + self.timing.beat
-        self.peers = {m.id: Progress(self.log.last + 1, now) for m in self.log.members if m.id != self.me}
+        self.peers = {
+            m.id: Progress(self.log.last + 1, now) for m in self.log.members if m.id != self.me
+        }
         # What earlier terms left counts as agreed only under an entry of this one (Raft, 5.4.2).
         self.log.append(Entry(self.term, NOTHING, b""))
         self.spread(now)
 
     def lead(self, now: int) -> None:
         voters = self.voters
-        near = sum(v == self.me or v in self.peers and now - self.peers[v].heard_at < self.timing.election for v in voters)
+        near = sum(
+            v == self.me or v in self.peers and now - self.peers[v].heard_at < self.timing.election
+            for v in voters
+        )
         # Guards clients against a leader that is cut off and goes on taking what it can't have agreed (check-quorum).
         if near < self.majority(len(voters)):
             self.follow(now, self.term, "")
@@ -361,21 +418,39 @@
             snapshot, offset = peer.piece or (self.log.snapshot, 0)
             peer.piece = snapshot, offset
             peer.busy_to, peer.sent_at = snapshot.index, now
-            data = snapshot.data[offset:offset + self.timing.size]
-            self.say(ident, Piece(self.term, snapshot.index, snapshot.term, snapshot.members, offset, data,
-                                  offset + len(data) >= len(snapshot.data), self.round))
+            data = snapshot.data[offset : offset + self.timing.size]
+            self.say(
+                ident,
+                Piece(
+                    self.term,
+                    snapshot.index,
+                    snapshot.term,
+                    snapshot.members,
+                    offset,
+                    data,
+                    offset + len(data) >= len(snapshot.data),
+                    self.round,
+                ),
+            )
             return
         entries: list[Entry] = []
         if free and peer.next <= self.log.last:
             size = 0
-            for entry in self.log.between(peer.next, min(self.log.last, peer.next + self.timing.entries - 1)):
+            for entry in self.log.between(
+                peer.next, min(self.log.last, peer.next + self.timing.entries - 1)
+            ):
                 size += len(entry.data)
                 if entries and size > self.timing.size:
                     break
                 entries.append(entry)
             peer.busy_to, peer.sent_at = peer.next + len(entries) - 1, now
         before = peer.next - 1
-        self.say(ident, Append(self.term, before, self.log.term(before), tuple(entries), self.commit, self.round))
+        self.say(
+            ident,
+            Append(
+                self.term, before, self.log.term(before), tuple(entries), self.commit, self.round
+            ),
+        )
 
     def answered(self, now: int, source: str, word: AppendAnswer) -> None:
         peer = self.peers.get(source)
@@ -387,7 +462,10 @@
             if peer.piece and peer.match >= peer.piece[0].index:
                 peer.piece = None
             if peer.next != peer.match + 1 or peer.sure is None:
-                peer.next, peer.sure = peer.match + 1, self.round + 1 if peer.sure is None else peer.sure
+                peer.next, peer.sure = (
+                    peer.match + 1,
+                    self.round + 1 if peer.sure is None else peer.sure,
+                )
             if peer.match >= peer.busy_to:
                 peer.busy_to = 0
             self.settle(now)
@@ -418,19 +496,31 @@
         voters = self.voters
         if not voters:
             return
-        have = sorted((self.durable if v == self.me else self.peers[v].match if v in self.peers else 0 for v in voters),
-                      reverse=True)
+        have = sorted(
+            (
+                self.durable if v == self.me else self.peers[v].match if v in self.peers else 0
+                for v in voters
+            ),
+            reverse=True,
+        )
         index = have[len(voters) // 2]
         if index > self.commit and self.log.term(index) == self.term:
             self.commit = index
             self.spread(now)
-            if self.me not in voters and self.log.changes and self.log.changes[-1][0] <= self.commit:
+            if (
+                self.me not in voters
+                and self.log.changes
+                and self.log.changes[-1][0] <= self.commit
+            ):
                 self.name_heir(now)
                 self.follow(now, self.term, "")
 
     def name_heir(self, now: int) -> None:
-        best = max((v for v in self.voters if v != self.me and v in self.peers),
-                   key=lambda v: (self.peers[v].match, v), default=None)
+        best = max(
+            (v for v in self.voters if v != self.me and v in self.peers),
+            key=lambda v: (self.peers[v].match, v),
+            default=None,
+        )
         if best is not None and self.peers[best].match == self.log.last:
             self.say(best, TakeOver(self.term))
 
@@ -438,7 +528,9 @@
         voters = self.voters
         while self.reads:
             token, round_, index = self.reads[0]
-            near = sum(v == self.me or v in self.peers and self.peers[v].answered >= round_ for v in voters)
+            near = sum(
+                v == self.me or v in self.peers and self.peers[v].answered >= round_ for v in voters
+            )
             if near < self.majority(len(voters)):
                 return
             self.reads.pop(0)
@@ -456,7 +548,10 @@
         """Its place in the log and term: agreed once that entry with that term comes as agreed."""
         self.must_lead()
         waiting = self.log.between(self.commit + 1, self.log.last)
-        if len(waiting) >= self.timing.waiting or sum(len(e.data) for e in waiting) + len(data) > self.timing.waiting_size:
+        if (
+            len(waiting) >= self.timing.waiting
+            or sum(len(e.data) for e in waiting) + len(data) > self.timing.waiting_size
+        ):
             raise Busy("too much waits to be agreed")
         index = self.log.append(Entry(self.term, DATA, data))
         self.spread(now)
@@ -502,9 +597,17 @@
     def hand_over(self, now: int) -> str | None:
         """Before a planned stop; to whom."""
         self.must_lead()
-        best = max((v for v in self.voters if v != self.me and v in self.peers
-                    and now - self.peers[v].heard_at < self.timing.election),
-                   key=lambda v: (self.peers[v].match, v), default=None)
+        best = max(
+            (
+                v
+                for v in self.voters
+                if v != self.me
+                and v in self.peers
+                and now - self.peers[v].heard_at < self.timing.election
+            ),
+            key=lambda v: (self.peers[v].match, v),
+            default=None,
+        )
         if best is None:
             return None
         self.leaving, self.leaving_until = best, now + self.timing.election
@@ -529,13 +632,19 @@
         start = self.durable + 1
         if work.snapshot is not None:
             work.vote, start, work.cut = (self.term, self.voted), self.log.first, None
-        work.entries = list(enumerate(self.log.between(start, self.log.last), max(start, self.log.first)))
+        work.entries = list(
+            enumerate(self.log.between(start, self.log.last), max(start, self.log.first))
+        )
         if self.install is not None:
             work.install, self.install = self.install, None
         if self.commit > self.given:
-            work.agreed = list(enumerate(self.log.between(self.given + 1, self.commit), self.given + 1))
+            work.agreed = list(
+                enumerate(self.log.between(self.given + 1, self.commit), self.given + 1)
+            )
             self.given = self.commit
-        if not (work.writes or work.words or work.agreed or work.reads or work.install or work.disowned):
+        if not (
+            work.writes or work.words or work.agreed or work.reads or work.install or work.disowned
+        ):
             return None
         self.work, self.fresh_vote = Work(), False
         return work
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -26,13 +26,16 @@
 NEXT, PREFIX, WITNESS, LOST = "next", "log.", "witness", "lost."
 MAGIC, VERSION = b"CWAGREE\n", 1
 RECORD = struct.Struct("<IBI16s")
-LARGEST = 256 << 20         # of a file: a snapshot and what the bounds of a log let stand beside it, many times over
-SECTOR = 512                # what a disk writes whole or not at all
+LARGEST = (
+    256 << 20
+)  # of a file: a snapshot and what the bounds of a log let stand beside it, many times over
+SECTOR = 512  # what a disk writes whole or not at all
 LIFE, SNAPSHOT, VOTE, ENTRY, CUT = range(1, 6)
 
 
 class Life(msgspec.Struct, frozen=True, array_like=True):
     """Whose file it is. `boot` counts its starts."""
+
     fleet: str
     group: str
     member: str
@@ -41,7 +44,7 @@
 
 class Witness(msgspec.Struct, frozen=True, array_like=True):
     member: str
-    files: list[tuple[int, int]]        # the number of a log file and its inode
+    files: list[tuple[int, int]]  # the number of a log file and its inode
 
 
 class Files(Protocol):
@@ -49,11 +52,11 @@
 
     def names(self) -> list[str]: ...
     def read(self, name: str, most: int) -> bytes: ...
-    def write(self, name: str, data: bytes) -> None: ...        # created or emptied, written, flushed
-    def add(self, name: str, data: bytes) -> None: ...          # at its end, flushed
-    def inode(self, name: str) -> int: ...                      # the same while the file is the same
+    def write(self, name: str, data: bytes) -> None: ...  # created or emptied, written, flushed
+    def add(self, name: str, data: bytes) -> None: ...  # at its end, flushed
+    def inode(self, name: str) -> int: ...  # the same while the file is the same
     def rename(self, name: str, to: str) -> None: ...
-    def flush(self) -> None: ...                                # the folder itself
+    def flush(self) -> None: ...  # the folder itself
     def remove(self, name: str) -> None: ...
 
 
@@ -68,8 +71,13 @@
 witnesses = msgspec.msgpack.Decoder(Witness)
 votes = msgspec.msgpack.Decoder(tuple[int, str])
 numbered = msgspec.msgpack.Decoder(tuple[int, Entry])
-FORMS = {LIFE: msgspec.msgpack.Decoder(Life), SNAPSHOT: msgspec.msgpack.Decoder(Snapshot), VOTE: votes, ENTRY: numbered,
-         CUT: msgspec.msgpack.Decoder(int)}
+FORMS = {
+    LIFE: msgspec.msgpack.Decoder(Life),
+    SNAPSHOT: msgspec.msgpack.Decoder(Snapshot),
+    VOTE: votes,
+    ENTRY: numbered,
+    CUT: msgspec.msgpack.Decoder(int),
+}
 
 
 def first_key(number: int) -> bytes:
@@ -92,7 +100,7 @@
     # Reading.
 
     def numbers(self) -> list[int]:
-        found = [name[len(PREFIX):] for name in self.files.names() if name.startswith(PREFIX)]
+        found = [name[len(PREFIX) :] for name in self.files.names() if name.startswith(PREFIX)]
         return sorted((int(text) for text in found if text.isdecimal()), reverse=True)
 
     def load(self, fleet: str, name: str, told: Callable[[str], None]) -> Kept | None:
@@ -109,7 +117,9 @@
         kept, sound = self.decode(file, data, fleet, name)
         self.check_witness(file)
         if sound < len(data):
-            told(f"{file}: {len(data) - sound} bytes of a record that was never acknowledged are cut off")
+            told(
+                f"{file}: {len(data) - sound} bytes of a record that was never acknowledged are cut off"
+            )
         return kept
 
     def check_witness(self, file: str) -> None:
@@ -121,7 +131,10 @@
             raise Damaged(f"{WITNESS}: {error}") from None
         if data[:16] != blake2b(data[16:], digest_size=16).digest():
             raise Damaged(f"{WITNESS}: the checksum is wrong")
-        if witness.member != self.life.member or (self.number, self.files.inode(file)) not in witness.files:
+        if (
+            witness.member != self.life.member
+            or (self.number, self.files.inode(file)) not in witness.files
+        ):
             raise Damaged(f"{file}: it was put back from a copy")
 
     def set_aside(self) -> None:
@@ -133,14 +146,16 @@
         for number in self.numbers():
             self.files.rename(f"{PREFIX}{number}", f"{LOST}{number}")
         self.files.flush()
-        self.number = max([self.number, *(int(n[len(LOST):]) for n in names if n[len(LOST):].isdecimal())])
+        self.number = max(
+            [self.number, *(int(n[len(LOST) :]) for n in names if n[len(LOST) :].isdecimal())]
+        )
         self.life, self.broken = None, False
 
     def decode(self, file: str, data: bytes, fleet: str, name: str) -> tuple[Kept, int]:
         head = MAGIC + struct.pack("<H", VERSION)
-        if data[:len(MAGIC)] != MAGIC:
+        if data[: len(MAGIC)] != MAGIC:
             raise Damaged(f"{file}: no log")
-        version, = struct.unpack_from("<H", data, len(MAGIC)) if len(data) >= len(head) else (0,)
+        (version,) = struct.unpack_from("<H", data, len(MAGIC)) if len(data) >= len(head) else (0,)
         if version > VERSION:
             raise Foreign(f"{file}: version {version}, this program reads up to {VERSION}")
         at, key = len(head), first_key(self.number)
@@ -160,7 +175,9 @@
             if kind == LIFE:
                 life = value
                 if life.fleet != fleet or life.member.partition("#")[0] != name:
-                    raise Foreign(f"{file}: it is of {life.member.partition('#')[0]!r} in fleet {life.fleet!r}")
+                    raise Foreign(
+                        f"{file}: it is of {life.member.partition('#')[0]!r} in fleet {life.fleet!r}"
+                    )
             elif kind == SNAPSHOT:
                 kept = Kept(value)
             elif kept is None:
@@ -168,7 +185,7 @@
             elif kind == VOTE:
                 kept.term, kept.voted = value
             elif kind == CUT:
-                del kept.entries[max(value - kept.snapshot.index - 1, 0):]
+                del kept.entries[max(value - kept.snapshot.index - 1, 0) :]
             elif value[0] != kept.snapshot.index + len(kept.entries) + 1:
                 raise Damaged(f"{file}: entry {value[0]} out of its place")
             else:
@@ -183,11 +200,22 @@
     def begin(self, life: Life, kept: Kept) -> None:
         """A whole new file. At each start too: so a torn tail goes for good, and `boot` is on disk before a word is said."""
         self.life = life
-        self.whole(kept.snapshot, (kept.term, kept.voted), list(enumerate(kept.entries, kept.snapshot.index + 1)))
-
-    def whole(self, snapshot: Snapshot, vote: tuple[int, str], entries: list[tuple[int, Entry]]) -> None:
+        self.whole(
+            kept.snapshot,
+            (kept.term, kept.voted),
+            list(enumerate(kept.entries, kept.snapshot.index + 1)),
+        )
+
+    def whole(
+        self, snapshot: Snapshot, vote: tuple[int, str], entries: list[tuple[int, Entry]]
+    ) -> None:
         number = self.number + 1
-        parts = [(LIFE, self.life), (SNAPSHOT, snapshot), (VOTE, vote), *((ENTRY, entry) for entry in entries)]
+        parts = [
+            (LIFE, self.life),
+            (SNAPSHOT, snapshot),
+            (VOTE, vote),
+            *((ENTRY, entry) for entry in entries),
+        ]
         data, key = self.records(parts, first_key(number))
         with Guard(self):
             self.files.write(NEXT, MAGIC + struct.pack("<H", VERSION) + data)
@@ -242,7 +270,7 @@
     if at + RECORD.size > len(data):
         return None
     length, kind, crc, seal = RECORD.unpack_from(data, at)
-    body = data[at + RECORD.size:at + RECORD.size + length]
+    body = data[at + RECORD.size : at + RECORD.size + length]
     if crc != head_sum(length, kind) or len(body) != length or sealed(key, kind, body) != seal:
         return None
     return kind, body, seal
@@ -255,7 +283,11 @@
         return True
     length, kind, crc, _ = RECORD.unpack_from(data, at)
     # A length that damage made up would have an acknowledged record pass for the beginning of a longer one.
-    return crc == head_sum(length, kind) and at + RECORD.size + length > len(data) or unwritten(data, at)
+    return (
+        crc == head_sum(length, kind)
+        and at + RECORD.size + length > len(data)
+        or unwritten(data, at)
+    )
 
 
 def head_sum(length: int, kind: int) -> int:
--- a/cypresswalk/agreement/words.py
+++ b/cypresswalk/agreement/words.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-NOTHING, DATA, CHANGE = 0, 1, 2     # kinds of an entry
+NOTHING, DATA, CHANGE = 0, 1, 2  # kinds of an entry
 
 
 class Word(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -11,6 +11,7 @@
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
     """`id` is name and incarnation: a member that lost its disk is another one."""
+
     id: str
     voter: bool
     address: str = ""
@@ -32,6 +33,7 @@
 
 class Vote(Word, frozen=True):
     """`early`: asked before the term is begun (pre-vote). `forced`: the leader itself hands over."""
+
     term: int
     last_index: int
     last_term: int
@@ -47,6 +49,7 @@
 
 class Append(Word, frozen=True):
     """`round` is answered with the answer: it shows that its receiver still followed when that round came."""
+
     term: int
     before_index: int
     before_term: int
@@ -57,6 +60,7 @@
 
 class AppendAnswer(Word, frozen=True):
     """`index`: where the logs are alike up to, or on a no where to try next."""
+
     term: int
     alike: bool
     index: int
@@ -65,6 +69,7 @@
 
 class Piece(Word, frozen=True):
     """A part of a snapshot, in order; the last one installs it."""
+
     term: int
     index: int
     index_term: int
@@ -78,17 +83,19 @@
 class PieceAnswer(Word, frozen=True):
     term: int
     index: int
-    offset: int         # bytes that it has
+    offset: int  # bytes that it has
     round: int
 
 
 class TakeOver(Word, frozen=True):
     """The leader leaves as planned: its receiver has all that is agreed and calls an election at once."""
+
     term: int
 
 
 class Disowned(Word, frozen=True):
     """What its receiver acknowledged it does not have any more: its folder was put back from an older copy, or lost a part."""
+
     term: int
 
 
--- a/cypresswalk/benchlink/host.py
+++ b/cypresswalk/benchlink/host.py
@@ -5,15 +5,38 @@
 from cypresswalk.benchlink.wire import Reader, WireError, entry, settings, span
 from cypresswalk.choice import Balancer
 from cypresswalk.hosting import current, pack_hint, unpack_hint
-from cypresswalk.model import (Abort, Connect, Flow, ListForm, Move, Outcome, Probe, Reject, Subscribe, Tell,
-                               Wake)
+from cypresswalk.model import (
+    Abort,
+    Connect,
+    Flow,
+    ListForm,
+    Move,
+    Outcome,
+    Probe,
+    Reject,
+    Subscribe,
+    Tell,
+    Wake,
+)
 
 FORMS = {0: ListForm.DELTA, 1: ListForm.FULL, 2: ListForm.CACHED, 3: ListForm.FAILED}
-OUTCOMES = {100: Outcome.OK, 301: Outcome.ERROR, 302: Outcome.FULL, 303: Outcome.TIMEOUT,
-            304: Outcome.CONNECT_FAILED, 305: Outcome.RESET, 306: Outcome.CANCELLED, 307: Outcome.MOOT}
+OUTCOMES = {
+    100: Outcome.OK,
+    301: Outcome.ERROR,
+    302: Outcome.FULL,
+    303: Outcome.TIMEOUT,
+    304: Outcome.CONNECT_FAILED,
+    305: Outcome.RESET,
+    306: Outcome.CANCELLED,
+    307: Outcome.MOOT,
+}
 CODE, U16, U32, U64 = (struct.Struct("<" + c) for c in "BHIQ")
 INIT, SYNC = struct.Struct("<QI"), struct.Struct("<BQI")
-FLOW, ACCEPTED, REPLY = struct.Struct("<QHHQddQB"), struct.Struct("<QIdB"), struct.Struct("<QIBdBHB")
+FLOW, ACCEPTED, REPLY = (
+    struct.Struct("<QHHQddQB"),
+    struct.Struct("<QIdB"),
+    struct.Struct("<QIBdBHB"),
+)
 PROBE, PEER, UPDATE = struct.Struct("<dIHB"), struct.Struct("<HH"), struct.Struct("<QfBIB")
 
 
@@ -28,9 +51,9 @@
         broken: dict[int, str] = {}
         who = None
         for _ in range(count):
-            code, = reader.take(CODE, "record code")
+            (code,) = reader.take(CODE, "record code")
             if code == 12:
-                who, = reader.take(U16, "About")
+                (who,) = reader.take(U16, "About")
                 continue
             if who is None:
                 raise WireError(f"record {code} at byte {reader.at - 1} comes before any About")
@@ -47,7 +70,9 @@
             raise WireError(f"{len(body) - reader.at} bytes follow the last record")
         out: list[bytes] = []
         for who in active:
-            records = [] if who in broken or who not in self.instances else self.pull(now, who, broken)
+            records = (
+                [] if who in broken or who not in self.instances else self.pull(now, who, broken)
+            )
             if who in broken:
                 records.append(text(9, broken[who]))
             if records:
@@ -87,8 +112,15 @@
         types = balancer.settings.service_types
         if qos >= len(types):
             raise WireError(f"flow {ident}: no service type {qos}")
-        return Flow(ident, types[qos], group or key or ident, span(until, "giveUpAt"), customer,
-                    grouped=bool(group), again=bool(bits & (2 | 16)))
+        return Flow(
+            ident,
+            types[qos],
+            group or key or ident,
+            span(until, "giveUpAt"),
+            customer,
+            grouped=bool(group),
+            again=bool(bits & (2 | 16)),
+        )
 
     def arrival(self, who, reader, now):
         balancer = self.balancer(who)
@@ -97,7 +129,7 @@
     def resumption(self, who, reader, now):
         balancer = self.balancer(who)
         flow = self.flow(balancer, reader)
-        ident, = reader.take(U32, "server")
+        (ident,) = reader.take(U32, "server")
         server = balancer.servers.get(ident)
         if server is not None:
             return balancer.resumed, flow, server
@@ -152,9 +184,20 @@
             return balancer.delay_told, balancer.servers[server], span(level, "delay")
 
 
-EVENTS = {0: Host.started, 1: Host.sync, 2: Host.arrival, 3: Host.accepted, 4: Host.reply, 5: Host.hangup,
-          6: Host.timer, 7: Host.probe_done, 8: Host.datagram, 9: Host.torn_down, 10: Host.resumption,
-          11: Host.update}
+EVENTS = {
+    0: Host.started,
+    1: Host.sync,
+    2: Host.arrival,
+    3: Host.accepted,
+    4: Host.reply,
+    5: Host.hangup,
+    6: Host.timer,
+    7: Host.probe_done,
+    8: Host.datagram,
+    9: Host.torn_down,
+    10: Host.resumption,
+    11: Host.update,
+}
 ISSUE, BOUNCE, SLEEP, TELL = (struct.Struct("<" + c) for c in ("BQdI", "BQd", "BdQ", "BHH"))
 
 
--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -32,7 +32,7 @@
             left = len(self.data) - self.at
             raise WireError(f"{what} at byte {self.at}: {count} bytes needed, {left} left")
         self.at += count
-        return self.data[self.at - count:self.at]
+        return self.data[self.at - count : self.at]
 
 
 def span(milliseconds: float, what: str) -> int:
@@ -46,8 +46,14 @@
     cell, since, _, server, zone, weight, state = reader.take(ENTRY, "list entry")
     if state not in STATES:
         raise WireError(f"list entry before byte {reader.at}: unknown state {state}")
-    return Server(id=server, zone=zone, cell=cell, weight=sound_weight(weight),
-                  since=span(since, "start time"), state=STATES[state])
+    return Server(
+        id=server,
+        zone=zone,
+        cell=cell,
+        weight=sound_weight(weight),
+        since=span(since, "start time"),
+        state=STATES[state],
+    )
 
 
 def settings(text: bytes) -> Settings:
--- a/cypresswalk/choice.py
+++ b/cypresswalk/choice.py
@@ -15,16 +15,34 @@
 from itertools import chain, islice
 from zlib import crc32
 
-from cypresswalk.model import (SECOND, Abort, Connect, Decision, Effect, Flow, ListForm, Move, Outcome, Probe,
-                               Reject, Scope, Server, Settings, State, Subscribe, Tell, Wake)
-
-RISE, FALL = 2, 3              # the article's example, after HAProxy
-NORMAL = 5 * SECOND            # the article's interval at full health
-FAST = 1 * SECOND              # degraded or unknown: the design's
-DOWN = 10 * SECOND             # down: the design's
-JITTER = 0.1                   # the article's 10%
-
-TABLE_SIZE = 1021              # prime; fills give each of seventy servers 14 or 15 slots: even to 7%
+from cypresswalk.model import (
+    SECOND,
+    Abort,
+    Connect,
+    Decision,
+    Effect,
+    Flow,
+    ListForm,
+    Move,
+    Outcome,
+    Probe,
+    Reject,
+    Scope,
+    Server,
+    Settings,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
+)
+
+RISE, FALL = 2, 3  # the article's example, after HAProxy
+NORMAL = 5 * SECOND  # the article's interval at full health
+FAST = 1 * SECOND  # degraded or unknown: the design's
+DOWN = 10 * SECOND  # down: the design's
+JITTER = 0.1  # the article's 10%
+
+TABLE_SIZE = 1021  # prime; fills give each of seventy servers 14 or 15 slots: even to 7%
 
 
 def mix(number: int) -> int:
@@ -59,6 +77,7 @@
 
 class Decaying:
     """A sum whose parts fade with the time constant `tau`; brought up to date when it is read."""
+
     __slots__ = ("tau", "total", "at")
 
     def __init__(self, tau: int, now: int):
@@ -102,24 +121,29 @@
         self.settings = settings
         self.servers: dict[int, Server] = {}
         self.flows: dict[int, Flow] = {}
-        self.waiting, self.held = deque(), deque()      # flows
-        self.freed, self.stale, self.members = False, True, []      # the tables' servers
+        self.waiting, self.held = deque(), deque()  # flows
+        self.freed, self.stale, self.members = False, True, []  # the tables' servers
         self.tables: list[tuple[list[Server], list[Server]]] = []
-        self.walks: dict[tuple[int, int], list[Server]] = {}     # their servers from a slot on
-        self.customers, self.keys = Counter(), Counter()     # flows held, by customer and by key
+        self.walks: dict[tuple[int, int], list[Server]] = {}  # their servers from a slot on
+        self.customers, self.keys = Counter(), Counter()  # flows held, by customer and by key
         self.seed, self.draws, self.entered, self.started = seed, 0, 0, now
-        self.dealt_until = 0                # until then no cold server is dealt anything
-        self.to_ask: list[Server] = []      # probes that a flow waits for
+        self.dealt_until = 0  # until then no cold server is dealt anything
+        self.to_ask: list[Server] = []  # probes that a flow waits for
         self.to_tell: list[tuple[Server, float]] = []
-        self.probes: list[tuple[int, int, Server]] = []      # a heap, by the probe clock
-        self.doubted: dict[Server, None] = {}      # something was heard of them: flows there may have to move
-        self.next_home, self.homing = now, None     # the server of another zone whose next flow comes home
+        self.probes: list[tuple[int, int, Server]] = []  # a heap, by the probe clock
+        self.doubted: dict[
+            Server, None
+        ] = {}  # something was heard of them: flows there may have to move
+        self.next_home, self.homing = (
+            now,
+            None,
+        )  # the server of another zone whose next flow comes home
         # Of other zones: sound servers in a row that left a connect unanswered, and when one may try again.
         self.ways: dict[int, tuple[int, int]] = {}
         self.next_wake = self.asks_failed = 0
-        self.next_look = now          # when a server next wants a probe or gives up a flow
+        self.next_look = now  # when a server next wants a probe or gives up a flow
         self.next_ask = now if settings.list_asked else None
-        self.silenced: dict[Flow, None] = {}      # to be moved: nothing comes back on them
+        self.silenced: dict[Flow, None] = {}  # to be moved: nothing comes back on them
         # Half a minute: long enough that a burst does not pass for capacity in the cold budget.
         self.carried, self.borne = Decaying(30 * SECOND, now), Decaying(30 * SECOND, now)
         # Ten seconds of set-ups: long against one set-up, short against a trouble.
@@ -128,22 +152,29 @@
         # that came up; and, while errors are most of it, when a flow goes in any case.
         self.denied, self.erred, self.took = (Decaying(10 * SECOND, now) for _ in range(3))
         self.next_trial = self.next_borne = now
-        self.taken = self.further = None        # counts of flows, and of connects beyond their first
+        self.taken = self.further = None  # counts of flows, and of connects beyond their first
         self.resettled(now, settings)
         # Half a minute: a balancer among hundreds sees a few flows in it.
         self.arrivals, self.hints = Decaying(30 * SECOND, now), Decaying(30 * SECOND, now)
-        self.probe_time, self.probe_time_at = 0, now      # the clock that probes go by; see `probe_clock`
+        self.probe_time, self.probe_time_at = (
+            0,
+            now,
+        )  # the clock that probes go by; see `probe_clock`
 
     # What has happened.
 
     def resettled(self, now: int, settings: Settings) -> None:
         """Other settings from now on; flows that are held go by those that they came under."""
-        window, before, self.settings = settings.further_window, self.settings.further_window, settings
+        window, before, self.settings = (
+            settings.further_window,
+            self.settings.further_window,
+            settings,
+        )
         if not window:
             self.taken = self.further = None
         elif self.taken is None or window != before:
             self.taken, self.further = Counted(window, now), Counted(window, now)
-            if now > self.started:      # what went before is not known by this window
+            if now > self.started:  # what went before is not known by this window
                 self.spent_elsewhere(now)
         targets = [t.message_target for t in settings.service_types if t.message_target]
         self.message_target = min(targets, default=0)
@@ -172,7 +203,9 @@
                 # time, and not at all where probes are cheap. Guards against a grown fleet that stands empty.
                 stretch = self.stretch(now)
                 spread = (1 - 1 / stretch) / stretch if server.fresh else 1.0
-                self.probe_at(server, self.probe_clock(now) + int(self.jittered(FAST, 0.9) * spread))
+                self.probe_at(
+                    server, self.probe_clock(now) + int(self.jittered(FAST, 0.9) * spread)
+                )
             else:
                 back = server.state is State.GONE and entry.state is State.READY
                 if back or entry.since != server.since:
@@ -316,7 +349,7 @@
 
     def judge_connect(self, now: int, server: Server, outcome: Outcome, took: int) -> None:
         if outcome is Outcome.FULL:
-            server.full_until = now + SECOND      # a second: a queue of new connections empties in less
+            server.full_until = now + SECOND  # a second: a queue of new connections empties in less
         elif outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET):
             server.misses += 1
             if server.misses == 1 and server.zone != self.settings.zone:
@@ -388,7 +421,9 @@
         self.freed = True
         was_up = self.up(server)
         # The very first probe settles an unknown server either way.
-        server.health = min(server.health + 1, RISE + FALL - 1) if passed else max(server.health - 1, 0)
+        server.health = (
+            min(server.health + 1, RISE + FALL - 1) if passed else max(server.health - 1, 0)
+        )
         server.fresh = server.fresh and not passed
         server.known = True
         if load is not None:
@@ -431,7 +466,11 @@
     def news(self, now: int, server: Server, strain: float, hearers: float = 0.0) -> None:
         """Tells the others that a server is strained, or such as have no flow there would send it more. Where
         many hear the same, as many of them tell, by chance, as the price allows."""
-        if not self.settings.peers or self.settings.instances < 2 or now - server.told_at < TELL_EVERY:
+        if (
+            not self.settings.peers
+            or self.settings.instances < 2
+            or now - server.told_at < TELL_EVERY
+        ):
             return
         price = self.settings.peer_price * HINT_PART * (self.settings.instances - 1)
         left = (self.arrivals.read(now) + 1) * HINT_POINTS - self.hints.read(now) * price
@@ -448,7 +487,9 @@
         server.strain, server.strain_at = strain, now
         if strain >= STRAINED:
             # As many as have flows there.
-            self.news(now, server, strain, len(self.flows) * self.settings.instances / len(self.servers))
+            self.news(
+                now, server, strain, len(self.flows) * self.settings.instances / len(self.servers)
+            )
         if strain >= SHED:
             self.cut(now, server)
         elif strain >= STRAINED:
@@ -485,8 +526,11 @@
             return Subscribe()
         if now >= self.next_look and (decision := self.look(now)) is not None:
             return decision
-        due = min([self.next_look] + [self.next_ask] * (self.next_ask is not None)
-                  + [flow.due(now) for flow in self.held])
+        due = min(
+            [self.next_look]
+            + [self.next_ask] * (self.next_ask is not None)
+            + [flow.due(now) for flow in self.held]
+        )
         if not self.next_wake or due < self.next_wake:
             self.next_wake = due
             return Wake(due - now)
@@ -502,14 +546,21 @@
             if at == server.next_probe and not server.probing and server.state is not State.GONE:
                 server.probing = True
                 return Probe(server)
-        due = now + 60 * SECOND       # nothing to do: any time will do
+        due = now + 60 * SECOND  # nothing to do: any time will do
         if self.probes:
             due = now + 1 + int((self.probes[0][0] - clock) * self.stretch(now))
         if self.settings.zone_price >= max(HOMING * self.settings.move_price, DEAR_CROSSING):
             if now >= self.next_home:
-                far = [s for s in self.servers.values() if s.zone != self.settings.zone for _ in s.flows]
+                far = [
+                    s
+                    for s in self.servers.values()
+                    if s.zone != self.settings.zone
+                    for _ in s.flows
+                ]
                 # No faster than new flows come: guards servers against a fleet that comes home at once.
-                rate = min(len(far) / HOMING_SPREAD, (self.arrivals.read(now) + 1) / self.arrivals.tau)
+                rate = min(
+                    len(far) / HOMING_SPREAD, (self.arrivals.read(now) + 1) / self.arrivals.tau
+                )
                 self.next_home, self.homing = now + int(1 / max(rate, 1 / SECOND)), None
                 if self.draw() < rate * SECOND and self.near_easy(now):
                     self.homing = far[self.draws % len(far)]
@@ -549,14 +600,20 @@
         # against the jam in which hundreds of balancers set up, by turns, what the servers cannot hold.
         # Where the nearest pool has fewer the next one's count: guards against rejects beside idle servers.
         places = chain.from_iterable(self.walk(table, flow.key) for table, _ in self.pools())
-        if flow.again and flow.grouped and all(
-                s.strain >= SHED and self.strained(now, s) for s in islice(places, CHOICES)):
+        if (
+            flow.again
+            and flow.grouped
+            and all(s.strain >= SHED and self.strained(now, s) for s in islice(places, CHOICES))
+        ):
             return self.give_up(now, flow)
         # Guards what all servers stand on, as a store that each set-up asks, against clients that come
         # back at once: twice what was taken goes (as published for clients of an overloaded service).
         erred, took = self.erred.read(now) - MISSES, self.took.read(now)
-        if erred > took and (not flow.last.never_ran if flow.tried else
-                             now < self.next_trial and self.draw() < (erred - took) / (erred + took)):
+        if erred > took and (
+            not flow.last.never_ran
+            if flow.tried
+            else now < self.next_trial and self.draw() < (erred - took) / (erred + took)
+        ):
             self.erred.add(now, not flow.tried)
             return self.give_up(now, flow)
         server = self.pick(now, flow)
@@ -594,11 +651,19 @@
         """The final answer, at once. A reject only where another try does no harm."""
         self.forget(flow)
         self.denied.add(now, 1)
-        harmless = (flow.may_have_run is None or flow.type.effect is Effect.REPEATABLE
-                    or flow.type.effect is Effect.REFERENCED and flow.type.scope is Scope.ALL)
+        harmless = (
+            flow.may_have_run is None
+            or flow.type.effect is Effect.REPEATABLE
+            or flow.type.effect is Effect.REFERENCED
+            and flow.type.scope is Scope.ALL
+        )
         if not harmless:
             return Abort(flow)
-        wait = min(flow.type.setup_target, self.settings.max_retry_after) if self.settings.retry_after else 0
+        wait = (
+            min(flow.type.setup_target, self.settings.max_retry_after)
+            if self.settings.retry_after
+            else 0
+        )
         return Reject(flow, wait)
 
     def affords(self, now: int) -> bool:
@@ -654,13 +719,19 @@
         pools = self.pools()
         # Guards against a server put back by hand that stays empty: of its small part few are its own keys.
         for server in (s for _, servers in pools for s in servers if s.owed):
-            if (server not in flow.tried and self.in_scope(flow, server)
-                    and self.admits(now, server, flow, True) and self.sound(now, server, flow, True)):
+            if (
+                server not in flow.tried
+                and self.in_scope(flow, server)
+                and self.admits(now, server, flow, True)
+                and self.sound(now, server, flow, True)
+            ):
                 return server
         for table, servers in pools:
             home, spare = table[mix(flow.key) % TABLE_SIZE], None
             stands = [s for s in servers if flow.key in s.groups] if flow.grouped else []
-            for place, server in enumerate(chain([home], stands, self.walk(table, flow.key)), -len(stands)):
+            for place, server in enumerate(
+                chain([home], stands, self.walk(table, flow.key)), -len(stands)
+            ):
                 if flow.grouped and place > CHOICES and (spare or last):
                     break
                 # Being over the mean alone sends nobody to a cold server: its budget is for its own share.
@@ -669,8 +740,9 @@
                 if self.in_scope(flow, server) and self.admits(now, server, flow, server is home):
                     if server not in flow.tried and self.sound(now, server, flow, server is home):
                         load = self.load(server, flow) / server.weight
-                        if (load * server.weight <= PASS_OVER_FLOOR
-                                or load <= PASS_OVER * self.mean(now, servers)):
+                        if load * server.weight <= PASS_OVER_FLOOR or load <= PASS_OVER * self.mean(
+                            now, servers
+                        ):
                             return server
                         spare = spare or server
                     last = last or server
@@ -687,9 +759,15 @@
             return None
         for table, _ in self.pools():
             for server in self.walk(table, flow.key):
-                if (self.cold(now, server) and server not in flow.tried and self.in_scope(flow, server)
-                        and now >= server.full_until and len(server.out) <= min(server.answers, IN_FLIGHT - 1)
-                        and server.misses < MISSES and not self.strained(now, server)):
+                if (
+                    self.cold(now, server)
+                    and server not in flow.tried
+                    and self.in_scope(flow, server)
+                    and now >= server.full_until
+                    and len(server.out) <= min(server.answers, IN_FLIGHT - 1)
+                    and server.misses < MISSES
+                    and not self.strained(now, server)
+                ):
                     part = self.warmed(now, server) * self.borne.read(now) * server.weight
                     # What it was found to bear, where flows from here stand there: that grows as it warms.
                     # Guards against clients rejected for ten seconds beside it once no warm server can tell.
@@ -697,7 +775,10 @@
                         part = max(part, self.limit(now, server))
                     load = self.load(server, flow)
                     # Half of it in a window: a set-up asks work of its own.
-                    if load <= min(part, self.limit(now, server)) and server.filled.read(now) + 1 <= part / 2:
+                    if (
+                        load <= min(part, self.limit(now, server))
+                        and server.filled.read(now) + 1 <= part / 2
+                    ):
                         server.filled.add(now, 1)
                         return server
         return None
@@ -723,7 +804,9 @@
             # All are asked for again and again while none admits anything: that order is made up once.
             if len(self.walks) >= WALKS:
                 self.walks.clear()
-            order = self.walks[id(table), slot] = list(dict.fromkeys(chain(table[slot:], table[:slot])))
+            order = self.walks[id(table), slot] = list(
+                dict.fromkeys(chain(table[slot:], table[:slot]))
+            )
         yield from islice(order, len(first), None)
 
     def in_scope(self, flow: Flow, server: Server) -> bool:
@@ -751,7 +834,9 @@
         s, age = self.settings, min(max(now - server.since, 0), self.settings.cold)
         return s.cold_share + (1 - s.cold_share) * age / s.cold
 
-    def fits(self, limit: float, server: Server, flow: Flow, without: float, with_it: float) -> bool:
+    def fits(
+        self, limit: float, server: Server, flow: Flow, without: float, with_it: float
+    ) -> bool:
         """Whether that flow may be among what the limit leaves. Where one flow is more than the limit has
         left, the part is kept by a hash of key and server, mostly: so hundreds of balancers with a flow each
         yield the same groups to the same next servers, and in the sum as much as one that held them all."""
@@ -767,8 +852,11 @@
     def mean(self, now: int, servers: list[Server]) -> float:
         """This balancer's connections for each unit of weight, on the pool's sound servers: counting others,
         or other pools, all sound ones could be over and flows would cross zones or land on a bad one."""
-        sound = [s for s in servers
-                 if s.misses < MISSES and now >= s.full_until and not self.strained(now, s)]
+        sound = [
+            s
+            for s in servers
+            if s.misses < MISSES and now >= s.full_until and not self.strained(now, s)
+        ]
         return sum(map(self.load, sound)) / sum(s.weight for s in sound) if sound else 0.0
 
     def admits(self, now: int, server: Server, flow: Flow, home: bool) -> bool:
@@ -785,7 +873,11 @@
             if not self.fits(limit, server, flow, load, with_it):
                 return False
         # Of a cold server's flows a part. In flight: one more than it has answered.
-        return not self.cold(now, server) or server in flow.admitted and len(server.out) <= server.answers
+        return (
+            not self.cold(now, server)
+            or server in flow.admitted
+            and len(server.out) <= server.answers
+        )
 
     def sound(self, now: int, server: Server, flow: Flow, home: bool) -> bool:
         """Guards against a server that passes probes and serves none, and slow ones' full share. Of its keys
@@ -796,7 +888,9 @@
             return False
         if max(server.misses, server.errors) >= MISSES and (now < server.trial_at or server.out):
             return False
-        return not self.strained(now, server) or home and self.rank(server, flow) < 1 - server.strain
+        return (
+            not self.strained(now, server) or home and self.rank(server, flow) < 1 - server.strain
+        )
 
     def way_lost(self, server: Server) -> bool:
         return self.ways.get(server.zone, (0, 0))[0] >= LOST_WAY
@@ -856,8 +950,10 @@
             flow, pause = self.release(server), SHED_EVERY
             load = self.load(server)
             alone = flow.grouped and server.groups[flow.key] == 1
-            if self.fits(self.limit(now, server), server, flow, load - 1 - GROUP_WORK * alone, load):
-                return None      # until a further cut
+            if self.fits(
+                self.limit(now, server), server, flow, load - 1 - GROUP_WORK * alone, load
+            ):
+                return None  # until a further cut
         elif server is self.homing:
             self.homing, flow, pause = None, self.release(server), SHED_EVERY
         else:
@@ -871,18 +967,24 @@
         near = [s for s in self.servers.values() if s.zone == self.settings.zone and self.up(s)]
         return bool(near) and all(
             now - s.strain_at > STRAIN_HOLD and s.misses < MISSES and self.limit(now, s) == math.inf
-            for s in near)
+            for s in near
+        )
 
     def release(self, server: Server) -> Flow:
         """A flow beyond its customer's share before others, the smallest group first, since a group asks its
         own work wherever any of it stands; of equals the one that yields first at all balancers."""
         shares = self.settings.shares if self.settings.overage_payoff < 1 else []
-        over = {customer for customer, count in self.customers.items()
-                if customer < len(shares) and count * self.settings.instances > shares[customer]}
+        over = {
+            customer
+            for customer, count in self.customers.items()
+            if customer < len(shares) and count * self.settings.instances > shares[customer]
+        }
         ranked = [(f.customer not in over, server.groups[f.key]) for f in server.flows]
         first = min(ranked)
-        return max((f for f, place in zip(server.flows, ranked) if place == first),
-                   key=lambda f: self.rank(server, f))
+        return max(
+            (f for f, place in zip(server.flows, ranked) if place == first),
+            key=lambda f: self.rank(server, f),
+        )
 
     def jittered(self, span: int, part: float) -> int:
         return int(span * (1 + part * (2 * self.draw() - 1)))
@@ -892,43 +994,57 @@
         return crc32(self.draws.to_bytes(8, "little"), self.seed & 0xFFFFFFFF) / 0xFFFFFFFF
 
 
-WALKS = 256                   # of 1021 slots: with two hundred servers half a megabyte
-SLOTS = 32                    # of a window: three in a hundred of it are counted against the balancer
-PROBE_POINTS = 0.01           # what probes may cost of a flow's worth: little beside what a bad server costs
-DEAR_CROSSING = 0.03          # points a crossing: above it keeping groups whole across zones cannot pay
-HOMING = 3                    # a move costs its client a gap besides its price
-HOMING_SPREAD = 8 * SECOND    # a near server must have time to say that it has enough
-PASS_OVER = 1.5               # well over the mean; nearer to it, groups are scattered for little balance
-PASS_OVER_FLOOR = 10          # a few flows with a group each: below that a count says nothing
-LOST_WAY = 3                  # FALL of the health counter: three in a row, here of servers
-MISSES = 2                    # one miss may be chance; the second puts a server that passes probes aside
-WORN, EASE = 0.5, 0.97         # halfway to the target a few leave each second: waiting shrinks no pile
-CUT = 0.85                    # one step back under what was too much, as additive-increase limits often take
-DRAIN = 4 * SECOND            # messages wait behind a pile; what stays leaves room to work it off in that
-KEEP_LEAST, HOPELESS = 0.5, 12 * SECOND  # a cut takes about half; all where messages wait thrice as long
-DROPS, DROPS_TAU = 1.5, 5 * SECOND    # two within three seconds: a full server drops each one that is new
-SETTLED = 2 * SECOND          # a flow dropped within this time of its connect was among the newest
-CUT_EVERY = 1 * SECOND        # a step takes effect before the next is judged
-LIMIT_GROWTH = 30 * SECOND    # and is forgotten at three percent a second: loads change within seconds
-TRIAL = 2 * SECOND            # how often one flow tries it: rarely against a time-out, often against trouble
-YIELDED = 1e9                 # flows: more than any budget, for longer than the process still lives
-BORNE = 10 * SECOND           # thrice the time in which a server that has too much says so
-LEAST_USUAL = 1.0             # flows a window: less than one can't be dealt
-OTHERS = 0.33                 # of it: with 0.45 one fleet of 64 in the ramp model still went over the rule
-TELLS_BY = 3 * SECOND         # so seldom, hundreds of balancers together overload nothing
-STRAINED = 0.3                # of the shortest message target: the served share starts to fall
-LOAD_EASY = 0.7               # reported load that needs no care yet; capacity itself is a target missed
-CHOICES = 3                   # places of a group: with more, as servers are strained in turn, it goes to most
-GROUP_WORK = 2                # told nowhere: as much as a few connections, else groups were not worth keeping
-SAME_KEY = 0.8                # of that hash; the rest lets a group too big for any one server be split
-COPY_ROOM = 0.75              # of the limit: the rest is for the groups that stand there already
-IN_FLIGHT = 4                 # set-ups out at a server: about one a core; more only wait there for each other
-STRAIN_HOLD = 3 * SECOND      # notes come each second: three missed ones are no news
-HINT_PART = 6 / 256           # of a full message, by which messages are priced
-HINT_POINTS = 0.02            # what all hints may cost of a flow's worth
-TELL_POINTS = 0.05            # what one word of a server's strain may cost, told a flow: one or two tellers
-TELL_EVERY = 2 * SECOND       # within STRAIN_HOLD, or the others would come back before the next word
-SHED = 1.0                    # messages miss their target from here on
-OUT_WITHIN = 2 * SECOND        # flows leave a server taken out by hand in that: it is about to be restarted
-LOST_SPREAD = 2 * SECOND      # a lost server's flows come back over this time (as the logarithm), not at once
-SHED_EVERY = SECOND // 20     # what is over a limit goes within a second or two, not in one burst of set-ups
+WALKS = 256  # of 1021 slots: with two hundred servers half a megabyte
+SLOTS = 32  # of a window: three in a hundred of it are counted against the balancer
+PROBE_POINTS = 0.01  # what probes may cost of a flow's worth: little beside what a bad server costs
+DEAR_CROSSING = 0.03  # points a crossing: above it keeping groups whole across zones cannot pay
+HOMING = 3  # a move costs its client a gap besides its price
+HOMING_SPREAD = 8 * SECOND  # a near server must have time to say that it has enough
+PASS_OVER = 1.5  # well over the mean; nearer to it, groups are scattered for little balance
+PASS_OVER_FLOOR = 10  # a few flows with a group each: below that a count says nothing
+LOST_WAY = 3  # FALL of the health counter: three in a row, here of servers
+MISSES = 2  # one miss may be chance; the second puts a server that passes probes aside
+WORN, EASE = 0.5, 0.97  # halfway to the target a few leave each second: waiting shrinks no pile
+CUT = 0.85  # one step back under what was too much, as additive-increase limits often take
+DRAIN = 4 * SECOND  # messages wait behind a pile; what stays leaves room to work it off in that
+KEEP_LEAST, HOPELESS = (
+    0.5,
+    12 * SECOND,
+)  # a cut takes about half; all where messages wait thrice as long
+DROPS, DROPS_TAU = (
+    1.5,
+    5 * SECOND,
+)  # two within three seconds: a full server drops each one that is new
+SETTLED = 2 * SECOND  # a flow dropped within this time of its connect was among the newest
+CUT_EVERY = 1 * SECOND  # a step takes effect before the next is judged
+LIMIT_GROWTH = (
+    30 * SECOND
+)  # and is forgotten at three percent a second: loads change within seconds
+TRIAL = 2 * SECOND  # how often one flow tries it: rarely against a time-out, often against trouble
+YIELDED = 1e9  # flows: more than any budget, for longer than the process still lives
+BORNE = 10 * SECOND  # thrice the time in which a server that has too much says so
+LEAST_USUAL = 1.0  # flows a window: less than one can't be dealt
+OTHERS = 0.33  # of it: with 0.45 one fleet of 64 in the ramp model still went over the rule
+TELLS_BY = 3 * SECOND  # so seldom, hundreds of balancers together overload nothing
+STRAINED = 0.3  # of the shortest message target: the served share starts to fall
+LOAD_EASY = 0.7  # reported load that needs no care yet; capacity itself is a target missed
+CHOICES = 3  # places of a group: with more, as servers are strained in turn, it goes to most
+GROUP_WORK = 2  # told nowhere: as much as a few connections, else groups were not worth keeping
+SAME_KEY = 0.8  # of that hash; the rest lets a group too big for any one server be split
+COPY_ROOM = 0.75  # of the limit: the rest is for the groups that stand there already
+IN_FLIGHT = 4  # set-ups out at a server: about one a core; more only wait there for each other
+STRAIN_HOLD = 3 * SECOND  # notes come each second: three missed ones are no news
+HINT_PART = 6 / 256  # of a full message, by which messages are priced
+HINT_POINTS = 0.02  # what all hints may cost of a flow's worth
+TELL_POINTS = 0.05  # what one word of a server's strain may cost, told a flow: one or two tellers
+TELL_EVERY = 2 * SECOND  # within STRAIN_HOLD, or the others would come back before the next word
+SHED = 1.0  # messages miss their target from here on
+OUT_WITHIN = (
+    2 * SECOND
+)  # flows leave a server taken out by hand in that: it is about to be restarted
+LOST_SPREAD = (
+    2 * SECOND
+)  # a lost server's flows come back over this time (as the logarithm), not at once
+SHED_EVERY = (
+    SECOND // 20
+)  # what is over a limit goes within a second or two, not in one burst of set-ups
--- a/cypresswalk/cli/faults.py
+++ b/cypresswalk/cli/faults.py
@@ -17,22 +17,45 @@
 
 
 @click.command()
-@click.option("--listen", required=True, callback=address, metavar="HOST:PORT", help="Where to listen; port 0: any.")
-@click.option("--to", required=True, callback=address, metavar="HOST:PORT", help="Where connections go on to.")
+@click.option(
+    "--listen",
+    required=True,
+    callback=address,
+    metavar="HOST:PORT",
+    help="Where to listen; port 0: any.",
+)
+@click.option(
+    "--to", required=True, callback=address, metavar="HOST:PORT", help="Where connections go on to."
+)
 @click.option("--plan", type=click.Path(), help="TOML file of faults; none: all passes as it is.")
-@click.option("--replay", type=click.Path(), help="A record: its faults at their places, in place of a plan.")
-@click.option("--seed", default=0, show_default=True, help="Where the plan leaves something to chance.")
-@click.option("--record", type=click.Path(), help="Where to write, at the end, what was done, as JSON lines.")
+@click.option(
+    "--replay", type=click.Path(), help="A record: its faults at their places, in place of a plan."
+)
+@click.option(
+    "--seed", default=0, show_default=True, help="Where the plan leaves something to chance."
+)
+@click.option(
+    "--record", type=click.Path(), help="Where to write, at the end, what was done, as JSON lines."
+)
 @click.option("--udp", is_flag=True, help="Datagrams instead of connections.")
 @click.option("--quiet", is_flag=True, help="No line for each fault as it strikes.")
-def faults(listen: tuple, to: tuple, plan: str | None, replay: str | None, seed: int, record: str | None, udp: bool,
-           quiet: bool) -> int:
+def faults(
+    listen: tuple,
+    to: tuple,
+    plan: str | None,
+    replay: str | None,
+    seed: int,
+    record: str | None,
+    udp: bool,
+    quiet: bool,
+) -> int:
     """Sits between sockets and does to the bytes what a plan says.
 
     Faults are bound to the connection's number and to byte offsets, so the same seed strikes at the same places. Each
     is printed as a JSON line; Ctrl-C ends it, writes the record and names what was never reached."""
     from cypresswalk.faults import plan as plans
     from cypresswalk.faults.proxy import DatagramProxy, Proxy
+
     if plan and replay:
         raise Refusal("--plan and --replay: one of them only")
     wanted = plans.read_record(replay) if replay else plans.read(plan) if plan else plans.Plan()
--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -19,6 +19,7 @@
     def call(self, name: str, args: dict[str, Any] | None = None) -> Any:
         """The body of a yes. Raises Refusal with the reason for a no."""
         from cypresswalk.fleet import tool
+
         try:
             ok, body = tool.call(self.addresses, self.fleet, name, args, self.span)
         except tool.Unsure as error:
@@ -29,21 +30,35 @@
 
     def command(self, name: str, **args: Any) -> Any:
         from cypresswalk.fleet import tool
+
         return self.call(name, tool.command(tool.who(), **args))
 
 
 def said_unsure(why: str) -> int:
-    click.echo(f"unsure: {why}\nIt may or may not come into force. `cypresswalk fleet settings show` and `fleet status` tell.", err=True)
+    click.echo(
+        f"unsure: {why}\nIt may or may not come into force. `cypresswalk fleet settings show` and `fleet status` tell.",
+        err=True,
+    )
     return UNSURE
 
 
 @click.group()
-@click.option("--operator", envvar="PROXY_OPERATOR", help="An operator file with [fleet]: whom to ask, of which fleet.")
-@click.option("--at", metavar="HOST:PORT[,HOST:PORT...]", help="Whom to ask, in place of those in the operator file.")
+@click.option(
+    "--operator",
+    envvar="PROXY_OPERATOR",
+    help="An operator file with [fleet]: whom to ask, of which fleet.",
+)
+@click.option(
+    "--at",
+    metavar="HOST:PORT[,HOST:PORT...]",
+    help="Whom to ask, in place of those in the operator file.",
+)
 @click.option("--fleet", "name", help="Its name, with --at.")
 @click.option("--seconds", default=5.0, show_default=True, help="How long to wait for an answer.")
 @click.pass_context
-def fleet(context: click.Context, operator: str | None, at: str | None, name: str | None, seconds: float) -> None:
+def fleet(
+    context: click.Context, operator: str | None, at: str | None, name: str | None, seconds: float
+) -> None:
     """Asks and tells balancers that agree (docs/operators/fleet.md).
 
     Exit codes: 0 done, 2 refused or nobody could be asked, 4 no answer: it may or may not come into force."""
@@ -57,10 +72,14 @@
     if not operator:
         raise Refusal("--operator or --at: whom to ask")
     from cypresswalk import operator as operators
+
     table = operators.read(operator).fleet
     if table is None:
         raise Refusal(f"{operator}: it has no [fleet]")
-    addresses = [table.address, *(where for where in table.first.values() if where != table.address)]
+    addresses = [
+        table.address,
+        *(where for where in table.first.values() if where != table.address),
+    ]
     context.obj = Asked(addresses, table.fleet, seconds)
 
 
@@ -73,11 +92,16 @@
     if plain:
         click.echo(json.dumps(body, indent=1))
         return
-    click.echo(f"group {body['group']}  leader {body['leader'].partition('#')[0]}  term {body['term']}  version {body['version']}"
-               f"  settings of version {body['settings_version']}  list {body['list_generation']}")
+    click.echo(
+        f"group {body['group']}  leader {body['leader'].partition('#')[0]}  term {body['term']}  version {body['version']}"
+        f"  settings of version {body['settings_version']}  list {body['list_generation']}"
+    )
     if body["pending"]:
         click.echo(f"pending: an offer by {body['pending'][1]}")
-    standing = {name: "" if count is None else f"; {count} flows stand there" for name, count in body["standing"].items()}
+    standing = {
+        name: "" if count is None else f"; {count} flows stand there"
+        for name, count in body["standing"].items()
+    }
     for name, (by, at) in sorted(body["out"].items()):
         click.echo(f"server {name} is out, by {by}{standing.get(name, '')}")
     for name in body["held_out"]:
@@ -87,7 +111,9 @@
     for name, why in sorted(body["servers_bad"].items()):
         click.echo(f"server {name} is {why}")
     if body["halted"]:
-        click.echo(f"HALTED by {body['halted'][0]}: {body['halted'][2]}; nothing more goes out until `fleet resume`")
+        click.echo(
+            f"HALTED by {body['halted'][0]}: {body['halted'][2]}; nothing more goes out until `fleet resume`"
+        )
     for name, why in sorted(body["seen_out"].items()):
         click.echo(f"balancer {name} is out: {why}")
     for name, (by, _, why) in sorted(body["away"].items()):
@@ -95,12 +121,26 @@
     if body["parts_without_copies"]:
         click.echo(f"no copy is heard of parts {body['parts_without_copies']}: `fleet copies`")
     for m in sorted(body["members"], key=lambda m: (not m["voter"], m["name"])):
-        acts = "acts on nothing yet" if m["acts_on"] is None else f"acts on {m['acts_on']} for {m['since_s']:.1f} s"
-        marks = [text for text, on in (("leads", m["leads"]), ("no lease", m["lapsed"]), (f"{m['behind']} entries behind", m["behind"] > 0),
-                                       (f"unheard for {m['heard_s']:.1f} s", m["heard_s"] > 2),
-                                       (f"gave up its identity {m['wipes']} times", m["wipes"])) if on]
-        click.echo(f"  {m['name']:<16} {'voter' if m['voter'] else 'follows':<8} {m['zone'] or '-':<8} {m['address']:<22} {acts}"
-                   + (f"  ({', '.join(marks)})" if marks else ""))
+        acts = (
+            "acts on nothing yet"
+            if m["acts_on"] is None
+            else f"acts on {m['acts_on']} for {m['since_s']:.1f} s"
+        )
+        marks = [
+            text
+            for text, on in (
+                ("leads", m["leads"]),
+                ("no lease", m["lapsed"]),
+                (f"{m['behind']} entries behind", m["behind"] > 0),
+                (f"unheard for {m['heard_s']:.1f} s", m["heard_s"] > 2),
+                (f"gave up its identity {m['wipes']} times", m["wipes"]),
+            )
+            if on
+        ]
+        click.echo(
+            f"  {m['name']:<16} {'voter' if m['voter'] else 'follows':<8} {m['zone'] or '-':<8} {m['address']:<22} {acts}"
+            + (f"  ({', '.join(marks)})" if marks else "")
+        )
 
 
 @fleet.command()
@@ -118,6 +158,7 @@
 def loaded(path: str) -> dict[str, Any]:
     """The shared part of a balancer's configuration, or a file of that part alone. Raises Refusal."""
     from cypresswalk.fleet.binding import SHARED, shared
+
     try:
         with open(path, "rb") as file:
             data = json.load(file)
@@ -128,7 +169,9 @@
     if isinstance(data.get("settings"), dict):
         return shared(data["settings"])
     if unknown := sorted(set(data) - set(SHARED)):
-        raise Refusal(f"{path}: {', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED)})")
+        raise Refusal(
+            f"{path}: {', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED)})"
+        )
     return data
 
 
@@ -143,19 +186,26 @@
     for version, values in body["kept"]:
         if version == number:
             return version, values
-    raise Refusal(f"version {number}: no settings of that version are kept; there are "
-                  + ", ".join(str(version) for version, _ in body["kept"]))
+    raise Refusal(
+        f"version {number}: no settings of that version are kept; there are "
+        + ", ".join(str(version) for version, _ in body["kept"])
+    )
 
 
 @settings.command()
 @click.argument("file")
-@click.option("--config", envvar="PROXY_CONFIG", help="A balancer's configuration to check it with; none: the file's own form alone.")
+@click.option(
+    "--config",
+    envvar="PROXY_CONFIG",
+    help="A balancer's configuration to check it with; none: the file's own form alone.",
+)
 def check(file: str, config: str | None) -> None:
     """Whether a balancer with this configuration could act on them."""
     values = loaded(file)
     if config:
         from cypresswalk.fleet.binding import objection
         from cypresswalk.net.config import ConfigError, read
+
         try:
             why = objection(read(config)["settings"], values)
         except (ConfigError, KeyError) as error:
@@ -167,7 +217,9 @@
 
 @settings.command()
 @click.argument("file")
-@click.option("--on", "base", type=int, help="The version that it was made on; none: the newest now.")
+@click.option(
+    "--on", "base", type=int, help="The version that it was made on; none: the newest now."
+)
 @click.pass_obj
 def offer(asked: Asked, file: str, base: int | None) -> None:
     """Makes them the newest, if nobody has changed the settings since, and every balancer can read them."""
@@ -194,7 +246,9 @@
 def diff(asked: Asked, file: str, number: int | None) -> None:
     """What a file would change."""
     version, values = of_version(asked, number)
-    for line in difflib.unified_diff(text(values), text(loaded(file)), f"version {version}", file, lineterm="", n=2):
+    for line in difflib.unified_diff(
+        text(values), text(loaded(file)), f"version {version}", file, lineterm="", n=2
+    ):
         click.echo(line)
 
 
@@ -203,6 +257,7 @@
 def history(asked: Asked) -> None:
     """Who did what when, the newest last."""
     from datetime import datetime
+
     for version, by, at, what in asked.call("history")["history"]:
         when = datetime.fromtimestamp(at / 1000).isoformat(" ", "seconds") if at else "-"
         click.echo(f"{version:>6}  {when:<19}  {by}: {what}")
@@ -230,16 +285,32 @@
         return
     if not body["copies"]:
         raise Refusal("the leader keeps no copies: its operator file has no [fleet.copies]")
-    click.echo(f"{len(body['parts'])} parts, {body['copies']} copies asked for, {body['least']} needed; "
-               f"{len(body['lacking'])} lack copies, {len(body['changing'])} are being changed, {len(body['lost'])} have none left")
+    click.echo(
+        f"{len(body['parts'])} parts, {body['copies']} copies asked for, {body['least']} needed; "
+        f"{len(body['lacking'])} lack copies, {len(body['changing'])} are being changed, {len(body['lost'])} have none left"
+    )
     for part, view, holders in body["parts"]:
-        marks = [text for text, on in (
-            (f"LOST for {body['lost'].get(str(part), 0)} s: claims refused", str(part) in body["lost"]),
-            ("no copy heard", part in body["away"] and str(part) not in body["lost"]),
-            (f"lacks copies for {body['lacking'].get(str(part), 0)} s", str(part) in body["lacking"]),
-            ("being changed", str(part) in body["changing"])) if on]
-        click.echo(f"  part {part:<3} view {view:<4} " + ", ".join(h.partition("#")[0] for h in holders)
-                   + (f"  ({'; '.join(marks)})" if marks else ""))
+        marks = [
+            text
+            for text, on in (
+                (
+                    f"LOST for {body['lost'].get(str(part), 0)} s: claims refused",
+                    str(part) in body["lost"],
+                ),
+                ("no copy heard", part in body["away"] and str(part) not in body["lost"]),
+                (
+                    f"lacks copies for {body['lacking'].get(str(part), 0)} s",
+                    str(part) in body["lacking"],
+                ),
+                ("being changed", str(part) in body["changing"]),
+            )
+            if on
+        ]
+        click.echo(
+            f"  part {part:<3} view {view:<4} "
+            + ", ".join(h.partition("#")[0] for h in holders)
+            + (f"  ({'; '.join(marks)})" if marks else "")
+        )
 
 
 @copies.command("check")
@@ -247,6 +318,7 @@
 def copies_check(asked: Asked) -> None:
     """Asks every holder and compares what they have. Exit code 1 if any part is not alike at all its holders, three times over."""
     from time import sleep
+
     lines, places = [], set()
     for look in range(3):
         lines = compared(asked)
@@ -255,7 +327,7 @@
         if not places:
             click.echo("every part is whole and alike at all its holders")
             return
-        sleep(2)        # claims go on: what is on its way to a copy differs for a moment
+        sleep(2)  # claims go on: what is on its way to a copy differs for a moment
     for line in (line for line in lines if line.partition(":")[0] in places):
         click.echo(line)
     raise click.exceptions.Exit(1)
@@ -263,11 +335,14 @@
 
 def compared(asked: Asked) -> list[str]:
     from cypresswalk.fleet import tool
+
     status, body = asked.call("status"), asked.call("copies")
     told, missing = {}, []
     for member in status["members"]:
         try:
-            ok, local = tool.call([member["address"]], asked.fleet, "copies_local", None, asked.span)
+            ok, local = tool.call(
+                [member["address"]], asked.fleet, "copies_local", None, asked.span
+            )
         except (tool.Unsure, Refusal) as error:
             missing.append(f"{member['name']}: {error}")
             continue
@@ -282,8 +357,12 @@
 def renew(asked: Asked, parts: tuple[int, ...], yes: bool) -> None:
     """Lets parts of which no copy is left begin with nothing, before their time has passed: what was claimed there may run again."""
     from cypresswalk.fleet import tool
+
     if not yes:
-        click.confirm("Ids claimed in these parts within the last minutes may run a second time. Begin with nothing?", abort=True)
+        click.confirm(
+            "Ids claimed in these parts within the last minutes may run a second time. Begin with nothing?",
+            abort=True,
+        )
     click.echo(asked.call("copies_renew", {"parts": list(parts), "by": tool.who()})["why"])
 
 
@@ -294,9 +373,12 @@
 
 def planned(asked: Asked, path: str) -> list[Any]:
     from cypresswalk.rollout import plan
+
     status = asked.call("status")
     members = {m["name"]: m["zone"] for m in status["members"] if m["name"] not in status["left"]}
-    return plan.read(path, members, {name: str(zone) for name, zone, *_ in asked.call("show")["servers"]})
+    return plan.read(
+        path, members, {name: str(zone) for name, zone, *_ in asked.call("show")["servers"]}
+    )
 
 
 @release.command("plan")
@@ -331,13 +413,20 @@
         click.echo("there is no release")
         return
     plan, by, _, phase, wave, members, said = body["release"]
-    click.echo(f"release {plan[0]} by {by}: {plan[1]} -> {plan[2]}, {phase}, wave {wave} of {len(plan[3])}"
-               + (f"; HALTED by {body['halted'][0]}: {body['halted'][2]}" if body["halted"] else ""))
+    click.echo(
+        f"release {plan[0]} by {by}: {plan[1]} -> {plan[2]}, {phase}, wave {wave} of {len(plan[3])}"
+        + (f"; HALTED by {body['halted'][0]}: {body['halted'][2]}" if body["halted"] else "")
+    )
     if body["waits"]:
         click.echo(f"  {body['waits']}")
     for number, names in enumerate(plan[3]):
-        click.echo(f"  wave {number}: " + ", ".join(f"{name} {members[name]}" + (f" ({said[name]})" if said.get(name) else "")
-                                                    for name in names))
+        click.echo(
+            f"  wave {number}: "
+            + ", ".join(
+                f"{name} {members[name]}" + (f" ({said[name]})" if said.get(name) else "")
+                for name in names
+            )
+        )
 
 
 def named(asked: Asked) -> str:
@@ -371,30 +460,71 @@
 @fleet.command(context_settings={"ignore_unknown_options": True})
 @click.option("--member", help="Its balancer's name in the fleet.")
 @click.option("--server", help="In place of it, a server's id as the list names it.")
-@click.option("--root", required=True, type=click.Path(exists=True, file_okay=False), help="Where versions stand, a folder each.")
+@click.option(
+    "--root",
+    required=True,
+    type=click.Path(exists=True, file_okay=False),
+    help="Where versions stand, a folder each.",
+)
 @click.option("--folder", required=True, type=click.Path(), help="Its own, for what it is doing.")
 @click.option("--first", required=True, help="The version to run if it has run none yet.")
-@click.option("--admin", nargs=2, help="A balancer's two addresses for calls, HOST:PORT: one for each of two processes side by side.")
+@click.option(
+    "--admin",
+    nargs=2,
+    help="A balancer's two addresses for calls, HOST:PORT: one for each of two processes side by side.",
+)
 @click.option("--answers", help="A server's address, HOST:PORT, where it answers PING.")
 @click.argument("command", nargs=-1, required=True)
 @click.pass_obj
-def agent(asked: Asked, member: str | None, server: str | None, root: str, folder: str, first: str, admin: tuple[str, str] | None,
-          answers: str | None, command: tuple[str, ...]) -> None:
+def agent(
+    asked: Asked,
+    member: str | None,
+    server: str | None,
+    root: str,
+    folder: str,
+    first: str,
+    admin: tuple[str, str] | None,
+    answers: str | None,
+    command: tuple[str, ...],
+) -> None:
     """Runs a balancer, or a server, by COMMAND in the folder of its version, and changes it when a release says so."""
     import logging
     import signal
     from pathlib import Path
+
     from cypresswalk.rollout.agent import Agent
     from cypresswalk.rollout.duty import Duty
     from cypresswalk.rollout.serving import ServerDuty
-    if not (member and admin and not server and not answers or server and answers and not member and not admin):
+
+    if not (
+        member
+        and admin
+        and not server
+        and not answers
+        or server
+        and answers
+        and not member
+        and not admin
+    ):
         raise Refusal("--member with --admin, or --server with --answers")
-    logging.basicConfig(level=logging.INFO, format="ts=%(created).3f level=%(levelname)s %(message)s")
-    made = Agent(member or server, asked.fleet, asked.addresses, Path(root), Path(folder), first, admin or (answers, answers),
-                 list(command), Duty if member else ServerDuty)
+    logging.basicConfig(
+        level=logging.INFO, format="ts=%(created).3f level=%(levelname)s %(message)s"
+    )
+    made = Agent(
+        member or server,
+        asked.fleet,
+        asked.addresses,
+        Path(root),
+        Path(folder),
+        first,
+        admin or (answers, answers),
+        list(command),
+        Duty if member else ServerDuty,
+    )
 
     def stop(*_: object) -> None:
         made.over = True
+
     signal.signal(signal.SIGTERM, stop)
     made.run()
 
@@ -422,7 +552,9 @@
 def taken(asked: Asked, name: str, ident: str, **more: Any) -> None:
     """The yes means that every balancer acts on it, or may act no more."""
     body = asked.command(name, server=ident, **more)
-    asked.span = max(asked.span, 130.0)     # twice the longest time that may be stated, and an election
+    asked.span = max(
+        asked.span, 130.0
+    )  # twice the longest time that may be stated, and an election
     asked.call("settled", {"version": body["version"]})
     click.echo(f"{ident} is {'out' if name == 'out' else 'back'} at every balancer ({body['why']})")
 
@@ -430,11 +562,18 @@
 @server.command()
 @click.argument("ident")
 @click.option("--force", is_flag=True, help="Beyond the bounds too; recorded.")
-@click.option("--empty", type=float, default=0.0, metavar="SECONDS", help="Wait so long until no flow stands there.")
+@click.option(
+    "--empty",
+    type=float,
+    default=0.0,
+    metavar="SECONDS",
+    help="Wait so long until no flow stands there.",
+)
 @click.pass_obj
 def down(asked: Asked, ident: str, force: bool, empty: float) -> None:
     """Takes it out at every balancer; after the yes nothing new goes there and it may be switched off once it is empty."""
     from time import monotonic, sleep
+
     taken(asked, "out", ident, forced=force)
     until = monotonic() + empty
     while empty:
@@ -443,7 +582,9 @@
             click.echo("no flow stands there")
             return
         if monotonic() > until:
-            raise Refusal(f"{'an unknown number of' if standing is None else standing} flows stand there after {empty:g} s")
+            raise Refusal(
+                f"{'an unknown number of' if standing is None else standing} flows stand there after {empty:g} s"
+            )
         sleep(0.5)
 
 
@@ -495,16 +636,21 @@
 @fleet.command()
 @click.argument("folder")
 @click.option("--fleet", "name", required=True, help="The fleet's name.")
-@click.option("--name", "member", required=True, help="The balancer whose folder it is; it must not run.")
+@click.option(
+    "--name", "member", required=True, help="The balancer whose folder it is; it must not run."
+)
 @click.option("--yes", is_flag=True, help="Do not ask.")
 def recover(folder: str, name: str, member: str, yes: bool) -> None:
     """Most voters are lost for good: begins a new group from this one's folder and fences the old group off.
 
     What only the lost ones had is lost. Never while most voters of the old group may still run somewhere: both groups would act."""
     from cypresswalk.fleet import tool
+
     if not yes:
-        click.echo("The members of the old group that still run will give up what they have and join this one. If most voters of the\n"
-                   "old group run on somewhere, two groups act side by side, and rules of both are in force at once.")
+        click.echo(
+            "The members of the old group that still run will give up what they have and join this one. If most voters of the\n"
+            "old group run on somewhere, two groups act side by side, and rules of both are in force at once."
+        )
         click.confirm("Are most voters lost for good?", abort=True)
     done = tool.recover(os.path.abspath(folder), name, member, tool.who())
     click.echo(json.dumps(done, indent=1))
--- a/cypresswalk/cli/main.py
+++ b/cypresswalk/cli/main.py
@@ -17,6 +17,7 @@
 def main() -> int:
     """Exit codes: 0 done, 1 a rule was broken, 2 input that can't be used, 3 a day that says nothing."""
     from cypresswalk.cli import faults, fleet, lab, state
+
     commands.add_command(faults.faults)
     commands.add_command(fleet.fleet)
     commands.add_command(lab.lab)
--- a/cypresswalk/copies/claimer.py
+++ b/cypresswalk/copies/claimer.py
@@ -11,10 +11,10 @@
 from cypresswalk.copies.words import Answered, Claim, Ended
 
 MILLISECOND = 1_000_000
-AGAIN = 25 * MILLISECOND        # "again" was answered: the next view is a round trip or two away
-UNANSWERED = 80 * MILLISECOND   # a copy whose flush takes long is no reason for another word
-MOST = 4_096                    # claims that wait; beyond them one is refused at once
-ENDS = 16_384                   # ends that wait; beyond them the oldest is not told: the id is held to its time as it is
+AGAIN = 25 * MILLISECOND  # "again" was answered: the next view is a round trip or two away
+UNANSWERED = 80 * MILLISECOND  # a copy whose flush takes long is no reason for another word
+MOST = 4_096  # claims that wait; beyond them one is refused at once
+ENDS = 16_384  # ends that wait; beyond them the oldest is not told: the id is held to its time as it is
 END_AGAIN, END_SPAN = 500 * MILLISECOND, 20_000 * MILLISECOND
 
 
@@ -23,7 +23,7 @@
     ident: str
     by: str
     span: int
-    how: str                # of an end; empty for a claim
+    how: str  # of an end; empty for a claim
     until: int
     again_at: int
     reply: Callable[[Answer, str], None] | None
@@ -31,11 +31,11 @@
 
 class Claimer:
     def __init__(self):
-        self.me = ""        # while empty nobody can be asked
+        self.me = ""  # while empty nobody can be asked
         self.primaries: dict[int, str] = {}
         self.pending: dict[int, Pending] = {}
         self.claims = self.numbers = 0
-        self.out: list[tuple[str, object]] = []     # to whom, what
+        self.out: list[tuple[str, object]] = []  # to whom, what
         self.next_at = 1 << 62
         self.counts = {"granted": 0, "held": 0, "refused": 0, "late": 0}
 
@@ -43,7 +43,9 @@
         """From now on under that name. `by` is never the same for two claims: a balancer that starts anew knows none of before."""
         self.me = f"{me}/{boot}"
 
-    def claim(self, now: int, ident: str, span: int, until: int, reply: Callable[[Answer, str], None]) -> None:
+    def claim(
+        self, now: int, ident: str, span: int, until: int, reply: Callable[[Answer, str], None]
+    ) -> None:
         """`reply` is called once, no later than `until` (and a look later): the answer, and by what name it was asked for."""
         if self.claims >= MOST:
             self.counts["refused"] += 1
@@ -65,11 +67,16 @@
     def ask(self, now: int, number: int, pending: Pending) -> None:
         part = part_of(pending.ident)
         primary = self.primaries.get(part)
-        pending.again_at = now + (AGAIN if primary is None else END_AGAIN if pending.how else UNANSWERED)
+        pending.again_at = now + (
+            AGAIN if primary is None else END_AGAIN if pending.how else UNANSWERED
+        )
         if primary is not None and self.me:
             pending.by = pending.by or f"{self.me}.{number}"
-            word = Ended(number, part, pending.ident, pending.by, pending.how) if pending.how else \
-                Claim(number, part, pending.ident, pending.by, pending.span)
+            word = (
+                Ended(number, part, pending.ident, pending.by, pending.how)
+                if pending.how
+                else Claim(number, part, pending.ident, pending.by, pending.span)
+            )
             self.out.append((primary, word))
         self.next_at = min(self.next_at, pending.again_at, pending.until)
 
--- a/cypresswalk/copies/claims.py
+++ b/cypresswalk/copies/claims.py
@@ -16,25 +16,44 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from cypresswalk.copies.words import (Begun, Bring, Brought, Compare, Copied, Copy, Differs, Fetch, Fetched, Got, Kept, PartWord,
-                                      Record, Seal, Sealed, Shut, Stand, encode)
-
-MOST = 1_000_000        # ids at one holder, 250 bytes each: beyond them a primary refuses claims; none is forgotten before its time
-SPILL = 2               # times that may come as copies from primaries that hold less
-PIECE = 4_000           # records in one answer to a fetch: some 300 KB
-UNDERWAY = 4_096        # records of one part that copies have not confirmed
-BUCKET = 34             # bits of nanoseconds: 17 s
-UNLIKE = 4              # buckets that one holder tells of at a time
-ASKERS = 64             # that wait for one id at a time
+from cypresswalk.copies.words import (
+    Begun,
+    Bring,
+    Brought,
+    Compare,
+    Copied,
+    Copy,
+    Differs,
+    Fetch,
+    Fetched,
+    Got,
+    Kept,
+    PartWord,
+    Record,
+    Seal,
+    Sealed,
+    Shut,
+    Stand,
+    encode,
+)
+
+MOST = 1_000_000  # ids at one holder, 250 bytes each: beyond them a primary refuses claims; none is forgotten before its time
+SPILL = 2  # times that may come as copies from primaries that hold less
+PIECE = 4_000  # records in one answer to a fetch: some 300 KB
+UNDERWAY = 4_096  # records of one part that copies have not confirmed
+BUCKET = 34  # bits of nanoseconds: 17 s
+UNLIKE = 4  # buckets that one holder tells of at a time
+ASKERS = 64  # that wait for one id at a time
 
 
 @dataclass(slots=True)
 class Copying:
     """A record on its way to the other holders."""
+
     record: Record
     missing: set[str]
     askers: list[object]
-    since: int              # by the owner's clock
+    since: int  # by the owner's clock
 
 
 @dataclass(slots=True)
@@ -43,20 +62,27 @@
     holders: tuple[str, ...] = ()
     sealed: bool = False
     whole: bool = False
-    brought: int = 0        # the view for which all was brought here, before it began
+    brought: int = 0  # the view for which all was brought here, before it began
     records: dict[str, Record] = field(default_factory=dict)
-    ends: list[tuple[int, str]] = field(default_factory=list)       # a heap: until when ids are held
-    sums: dict[int, int] = field(default_factory=dict)              # by bucket: what its records come to, in any order
-    sure: set[str] = field(default_factory=set)     # ids that all holders of this view have, as this primary has seen since it started
+    ends: list[tuple[int, str]] = field(default_factory=list)  # a heap: until when ids are held
+    sums: dict[int, int] = field(
+        default_factory=dict
+    )  # by bucket: what its records come to, in any order
+    sure: set[str] = field(
+        default_factory=set
+    )  # ids that all holders of this view have, as this primary has seen since it started
     waiting: dict[int, Copying] = field(default_factory=dict)
-    copying: dict[str, int] = field(default_factory=dict)           # ids on their way: the latest number
-    coming: tuple[int, str, list[Record]] | None = None             # what is being fetched: for which view, from whom
+    copying: dict[str, int] = field(default_factory=dict)  # ids on their way: the latest number
+    coming: tuple[int, str, list[Record]] | None = (
+        None  # what is being fetched: for which view, from whom
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
     """`kind`: "granted", "held" (by whom, and how that ended), "again" (not now or not here) and "refused" (why; nothing was
     granted)."""
+
     kind: str
     by: str = ""
     how: str = ""
@@ -86,14 +112,22 @@
         self.give_up(part, "another view of its holders has begun")
         # Whole: all that a holder of the view just before has, or that was brought for this one. Guards against one that was away for a
         # view and takes what it had before for all there is.
-        stays = self.me in holders and (part.brought == view or part.whole and view == part.view + 1 and self.me in part.holders)
+        stays = self.me in holders and (
+            part.brought == view or part.whole and view == part.view + 1 and self.me in part.holders
+        )
         self.enter(part, view, holders, stays)
         self.out.append(("write", Begun(number, view, holders, stays)))
 
     def enter(self, part: Part, view: int, holders: tuple[str, ...], whole: bool) -> None:
         if not whole and part.brought <= view:
-            self.replace(part, [])      # what was brought for a later view stays for that one
-        part.view, part.holders, part.sealed, part.whole, part.sure = view, holders, False, whole, set()
+            self.replace(part, [])  # what was brought for a later view stays for that one
+        part.view, part.holders, part.sealed, part.whole, part.sure = (
+            view,
+            holders,
+            False,
+            whole,
+            set(),
+        )
 
     def replace(self, part: Part, records: list[Record]) -> None:
         self.held -= len(part.records)
@@ -118,7 +152,9 @@
     def count(self, part: Part, record: Record) -> None:
         """In or out: of what comes twice nothing stays."""
         bucket = record.until >> BUCKET
-        total = part.sums.get(bucket, 0) ^ int.from_bytes(blake2b(encode(record), digest_size=7).digest(), "big")
+        total = part.sums.get(bucket, 0) ^ int.from_bytes(
+            blake2b(encode(record), digest_size=7).digest(), "big"
+        )
         if total:
             part.sums[bucket] = total
         else:
@@ -168,11 +204,15 @@
     def leads(self, part: Part) -> bool:
         return part.whole and not part.sealed and part.holders[:1] == (self.me,)
 
-    def claim(self, now: int, number: int, ident: str, by: str, until: int, token: object, at: int = 0) -> None:
+    def claim(
+        self, now: int, number: int, ident: str, by: str, until: int, token: object, at: int = 0
+    ) -> None:
         """Asked again by the same one: the same answer. `now`, `until`: wall time; `at`: the owner's clock."""
         part = self.part(number)
         if not self.leads(part):
-            self.out.append(("answer", token, Answer("again", why="not the primary of that part now")))
+            self.out.append(
+                ("answer", token, Answer("again", why="not the primary of that part now"))
+            )
             return
         self.forget(now, part)
         known = part.records.get(ident)
@@ -195,12 +235,16 @@
             return
         self.record(number, part, Record(ident, by, until, "out"), [token], at)
 
-    def ended(self, now: int, number: int, ident: str, by: str, how: str, token: object, at: int = 0) -> None:
+    def ended(
+        self, now: int, number: int, ident: str, by: str, how: str, token: object, at: int = 0
+    ) -> None:
         """How it ended, by whom it was granted to. From "out" once; "unknown" may become what is found out."""
         part = self.part(number)
         known = part.records.get(ident)
         if not self.leads(part):
-            self.out.append(("answer", token, Answer("again", why="not the primary of that part now")))
+            self.out.append(
+                ("answer", token, Answer("again", why="not the primary of that part now"))
+            )
         elif known is None or known.by != by:
             self.out.append(("answer", token, Answer("refused", why="not held here by that one")))
         elif known.how == how or known.how not in ("out", "unknown"):
@@ -208,7 +252,9 @@
         else:
             self.record(number, part, Record(ident, by, known.until, how), [token], at)
 
-    def record(self, number: int, part: Part, record: Record, tokens: list[object], at: int) -> None:
+    def record(
+        self, number: int, part: Part, record: Record, tokens: list[object], at: int
+    ) -> None:
         self.numbers += 1
         self.put(part, record)
         self.out.append(("write", Kept(number, record)))
@@ -226,7 +272,9 @@
             part.sure.add(record.ident)
         for token in tokens:
             granted = same and record.how == "out"
-            self.out.append(("answer", token, Answer("granted" if granted else "held", record.by, record.how)))
+            self.out.append(
+                ("answer", token, Answer("granted" if granted else "held", record.by, record.how))
+            )
 
     def again(self, number: int, before: int = 1 << 62) -> set[str]:
         """What was sent before that and is not copied yet is sent once more. Whom it waits for."""
@@ -262,18 +310,29 @@
     def compared(self, now: int, source: str, part: Part, word: Compare) -> None:
         # What ends about now goes at each holder by its own clock.
         soon = now >> BUCKET
-        unlike = [b for b in part.sums.keys() | word.sums.keys() if b > soon and part.sums.get(b) != word.sums.get(b)]
+        unlike = [
+            b
+            for b in part.sums.keys() | word.sums.keys()
+            if b > soon and part.sums.get(b) != word.sums.get(b)
+        ]
         for bucket in sorted(unlike)[:UNLIKE]:
-            records = [record for record in part.records.values() if record.until >> BUCKET == bucket]
-            self.out.append(("send", source, Differs(word.part, part.view, bucket, records[:PIECE])))
+            records = [
+                record for record in part.records.values() if record.until >> BUCKET == bucket
+            ]
+            self.out.append(
+                ("send", source, Differs(word.part, part.view, bucket, records[:PIECE]))
+            )
 
     def differs(self, part: Part, word: Differs, at: int) -> None:
         """The primary's word is the one that counts: what was granted, all have alike."""
         theirs = {record.ident: record for record in word.records}
         unlike = [record for ident, record in theirs.items() if ident not in part.records]
-        unlike += [record for record in part.records.values()
-                   if record.until >> BUCKET == word.bucket and theirs.get(record.ident) != record]
-        for record in unlike[:UNDERWAY - len(part.waiting)]:
+        unlike += [
+            record
+            for record in part.records.values()
+            if record.until >> BUCKET == word.bucket and theirs.get(record.ident) != record
+        ]
+        for record in unlike[: UNDERWAY - len(part.waiting)]:
             if record.ident not in part.copying:
                 self.record(word.part, part, record, [], at)
 
@@ -284,14 +343,23 @@
         part = self.part(word.part)
         match word:
             case Copy():
-                if (word.view == part.view and part.whole and not part.sealed and self.me in part.holders[1:]
-                        and source == part.holders[0]
-                        and (self.held < SPILL * self.most or word.record.ident in part.records)):
+                if (
+                    word.view == part.view
+                    and part.whole
+                    and not part.sealed
+                    and self.me in part.holders[1:]
+                    and source == part.holders[0]
+                    and (self.held < SPILL * self.most or word.record.ident in part.records)
+                ):
                     self.put(part, word.record)
                     self.out.append(("write", Kept(word.part, word.record)))
                     self.out.append(("send", source, Copied(word.part, word.view, word.number)))
             case Copied():
-                copying = part.waiting.get(word.number) if word.view == part.view and not part.sealed else None
+                copying = (
+                    part.waiting.get(word.number)
+                    if word.view == part.view and not part.sealed
+                    else None
+                )
                 if copying is not None:
                     copying.missing.discard(source)
                     if not copying.missing:
@@ -299,18 +367,36 @@
                         if part.copying.get(copying.record.ident) == word.number:
                             del part.copying[copying.record.ident]
                         self.settle(part, copying.record, copying.askers)
-            case Compare() if word.view == part.view and part.whole and not part.sealed and part.holders[:1] == (source,):
+            case Compare() if (
+                word.view == part.view
+                and part.whole
+                and not part.sealed
+                and part.holders[:1] == (source,)
+            ):
                 self.compared(now, source, part, word)
-            case Differs() if word.view == part.view and self.leads(part) and source in part.holders:
+            case Differs() if (
+                word.view == part.view and self.leads(part) and source in part.holders
+            ):
                 self.differs(part, word, at)
             case Fetch():
                 if part.sealed and part.whole and word.view == part.view + 1:
                     records = list(part.records.values())
-                    self.out.append(("send", source, Fetched(word.part, word.view, word.offset, len(records),
-                                                             records[word.offset:word.offset + PIECE])))
+                    self.out.append(
+                        (
+                            "send",
+                            source,
+                            Fetched(
+                                word.part,
+                                word.view,
+                                word.offset,
+                                len(records),
+                                records[word.offset : word.offset + PIECE],
+                            ),
+                        )
+                    )
             case Fetched():
                 self.fetched(source, part, word)
-            case Seal() if word.view == part.view:      # one that is behind has nothing to say of it
+            case Seal() if word.view == part.view:  # one that is behind has nothing to say of it
                 sound = self.seal(word.part, word.view)
                 self.out.append(("send", source, Sealed(word.part, word.view, sound)))
             case Bring():
@@ -319,7 +405,11 @@
                     self.out.append(("send", source, Brought(word.part, word.view)))
 
     def fetched(self, source: str, part: Part, word: Fetched) -> None:
-        if part.coming is None or part.coming[:2] != (word.view, source) or word.offset != len(part.coming[2]):
+        if (
+            part.coming is None
+            or part.coming[:2] != (word.view, source)
+            or word.offset != len(part.coming[2])
+        ):
             return
         records = part.coming[2]
         records += word.records
@@ -334,7 +424,12 @@
         """For a view that has not begun here: what it held before is of no use beside a sealed one's."""
         part = self.part(number)
         late = view == part.view and self.me in part.holders and not part.whole
-        if late or view > part.view and part.brought < view and not (part.whole and self.me in part.holders):
+        if (
+            late
+            or view > part.view
+            and part.brought < view
+            and not (part.whole and self.me in part.holders)
+        ):
             self.replace(part, records)
             part.brought, part.whole = view, part.whole or late
             self.out.append(("write", Got(number, view, records, late)))
@@ -358,9 +453,16 @@
                     self.replace(part, value.records)
                     part.brought, part.whole = value.view, part.whole or value.late
                 case Stand():
-                    part.view, part.holders, part.sealed = value.view, tuple(value.holders), value.sealed
+                    part.view, part.holders, part.sealed = (
+                        value.view,
+                        tuple(value.holders),
+                        value.sealed,
+                    )
                     part.whole, part.brought = value.whole, value.brought
 
     def stands(self) -> list[Stand]:
         """What a new file begins with."""
-        return [Stand(number, p.view, p.holders, p.sealed, p.whole, p.brought) for number, p in sorted(self.parts.items())]
+        return [
+            Stand(number, p.view, p.holders, p.sealed, p.whole, p.brought)
+            for number, p in sorted(self.parts.items())
+        ]
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -16,38 +16,68 @@
 from cypresswalk.copies.claims import BUCKET, MOST, Holder
 from cypresswalk.copies.places import PARTS
 from cypresswalk.copies.store import Log, Lost
-from cypresswalk.copies.words import SKEW, Answered, AnyWord, Bring, Brought, Bundle, Claim, Ended, Fetched, PartWord, Ping, Pong, Sealed, Slow
+from cypresswalk.copies.words import (
+    SKEW,
+    Answered,
+    AnyWord,
+    Bring,
+    Brought,
+    Bundle,
+    Claim,
+    Ended,
+    Fetched,
+    PartWord,
+    Ping,
+    Pong,
+    Sealed,
+    Slow,
+)
 
 log = logging.getLogger(__name__)
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 TICK = SECOND // 10
-AGAIN = 150 * MILLISECOND       # a copy that is not confirmed goes out once more
-SLOW = 700 * MILLISECOND        # and after so long who leads hears of it
+AGAIN = 150 * MILLISECOND  # a copy that is not confirmed goes out once more
+SLOW = 700 * MILLISECOND  # and after so long who leads hears of it
 FORGET = SECOND
-PING = 2 * SECOND               # under what the links wait before they dial anew
-COMPARE = 5 * SECOND            # between two comparisons of a part's holders
-DISK_AGAIN = 1.0                # seconds until a folder that failed is read anew
-STARTS = 3                      # that may have ended between the agreed log's start and this one's
-AT_ONCE = 512                   # events taken before they are flushed
+PING = 2 * SECOND  # under what the links wait before they dial anew
+COMPARE = 5 * SECOND  # between two comparisons of a part's holders
+DISK_AGAIN = 1.0  # seconds until a folder that failed is read anew
+STARTS = 3  # that may have ended between the agreed log's start and this one's
+AT_ONCE = 512  # events taken before they are flushed
 
 
 class Copies:
-    def __init__(self, files: Files, now: Callable[[], int], wall: Callable[[], int], send: Callable[[str, Bundle], None],
-                 to_leader: Callable[[list[AnyWord]], None], holds: Callable[[bool], None], most: int = MOST):
+    def __init__(
+        self,
+        files: Files,
+        now: Callable[[], int],
+        wall: Callable[[], int],
+        send: Callable[[str, Bundle], None],
+        to_leader: Callable[[list[AnyWord]], None],
+        holds: Callable[[bool], None],
+        most: int = MOST,
+    ):
         """`send` and `to_leader` never wait; `holds` is told when this holder begins to hold and when its disk has failed."""
-        self.files, self.now, self.wall, self.send, self.to_leader, self.holds = files, now, wall, send, to_leader, holds
+        self.files, self.now, self.wall, self.send, self.to_leader, self.holds = (
+            files,
+            now,
+            wall,
+            send,
+            to_leader,
+            holds,
+        )
         self.most = most
         self.queue: SimpleQueue = SimpleQueue()
         self.log = Log(files)
         self.holder = Holder("")
         self.claimer = Claimer()
         self.identity: tuple[str, int] | None = None
-        self.sound = False              # what it has is what its disk has
-        self.views: dict[int, tuple[int, tuple[str, ...]]] = {}      # as agreed
+        self.sound = False  # what it has is what its disk has
+        self.views: dict[int, tuple[int, tuple[str, ...]]] = {}  # as agreed
         self.sealed_at: dict[int, int] = {}
         self.compare_at: dict[int, int] = {}
         self.tick_at = self.forget_at = self.ping_at = 0
-        self.again_at = 0               # when the folder is read anew
+        self.again_at = 0  # when the folder is read anew
         self.trouble = ""
         self.counts: Counter[str] = Counter()
         self.over, self.ended = Event(), Event()
@@ -68,7 +98,9 @@
             wait = min(self.tick_at, self.claimer.due()) - self.now()
             events = []
             try:
-                events.append(self.queue.get(timeout=wait / SECOND) if wait > 0 else self.queue.get_nowait())
+                events.append(
+                    self.queue.get(timeout=wait / SECOND) if wait > 0 else self.queue.get_nowait()
+                )
                 while len(events) < AT_ONCE:
                     events.append(self.queue.get_nowait())
             except Empty:
@@ -131,15 +163,36 @@
             case _ if not self.sound:
                 self.counts["words_unsound"] += 1
             case Claim():
-                if 0 <= word.part < PARTS and 0 <= word.span <= 1 << 56 and len(word.ident) <= 64 and len(word.by) <= 200:
+                if (
+                    0 <= word.part < PARTS
+                    and 0 <= word.span <= 1 << 56
+                    and len(word.ident) <= 64
+                    and len(word.by) <= 200
+                ):
                     wall = self.wall()
-                    self.holder.claim(wall, word.part, word.ident, word.by, wall + word.span + SKEW, (source, word.number), now)
+                    self.holder.claim(
+                        wall,
+                        word.part,
+                        word.ident,
+                        word.by,
+                        wall + word.span + SKEW,
+                        (source, word.number),
+                        now,
+                    )
                 else:
                     self.counts["words_odd"] += 1
             case Ended() if 0 <= word.part < PARTS:
-                self.holder.ended(self.wall(), word.part, word.ident, word.by, word.how, (source, word.number), now)
+                self.holder.ended(
+                    self.wall(),
+                    word.part,
+                    word.ident,
+                    word.by,
+                    word.how,
+                    (source, word.number),
+                    now,
+                )
             case Bring() if word.view <= self.views.get(word.part, (0,))[0]:
-                self.counts["words_late"] += 1      # of a view that is agreed already
+                self.counts["words_late"] += 1  # of a view that is agreed already
             case PartWord() if 0 <= word.part < PARTS:
                 self.holder.heard(source, word, self.wall(), now)
             case _:
@@ -188,12 +241,19 @@
     def begin(self, now: int) -> None:
         """What the folder holds of this member, or nothing."""
         member, boot = self.identity
-        self.holder, self.sound, self.again_at = Holder(member, self.most), False, now + int(DISK_AGAIN * SECOND)
+        self.holder, self.sound, self.again_at = (
+            Holder(member, self.most),
+            False,
+            now + int(DISK_AGAIN * SECOND),
+        )
         self.log = Log(self.files)
         try:
             try:
-                written = self.log.load(member, tuple(range(boot - STARTS, boot + 1)),
-                                        lambda text: log.warning("event=copies_cut why=%s", text))
+                written = self.log.load(
+                    member,
+                    tuple(range(boot - STARTS, boot + 1)),
+                    lambda text: log.warning("event=copies_cut why=%s", text),
+                )
                 self.holder.restore(written)
             except Lost as error:
                 log.error("event=copies_lost member=%s why=%s", member, error)
@@ -241,14 +301,16 @@
                 if what == "send":
                     to, word = words
                     if isinstance(word, Fetched):
-                        self.send(to, Bundle([word]))       # long enough for a frame of its own
+                        self.send(to, Bundle([word]))  # long enough for a frame of its own
                     else:
                         sends[to].append(word)
                 elif what == "leader":
                     self.to_leader(words)
                 elif what == "answer":
                     (to, number), answer = words
-                    sends[to].append(Answered(number, answer.kind, answer.by, answer.how, answer.why))
+                    sends[to].append(
+                        Answered(number, answer.kind, answer.by, answer.how, answer.why)
+                    )
             local = sends.pop(me, [])
             for to, words in sends.items():
                 self.counts["bundles"] += 1
@@ -257,7 +319,7 @@
                 return
             for word in local:
                 if isinstance(word, Sealed | Brought):
-                    self.to_leader([word])      # who leads is this member
+                    self.to_leader([word])  # who leads is this member
                 else:
                     self.heard(now, me, word)
 
@@ -270,7 +332,29 @@
         for number in sorted(self.views):
             part = self.holder.part(number)
             if self.holder.me in self.views[number][1]:
-                sums = {str(bucket): f"{total:014x}" for bucket, total in sorted(part.sums.items()) if bucket > soon}
-                parts.append([number, part.view, part.whole, part.sealed, len(part.records), len(part.waiting), sums])
-        return {"sound": self.sound, "trouble": self.trouble, "soon": soon, "parts": parts, "waiting": self.claimer.claims,
-                "ids": self.holder.held, "most": self.most, "counts": dict(self.counts) | self.claimer.counts}
+                sums = {
+                    str(bucket): f"{total:014x}"
+                    for bucket, total in sorted(part.sums.items())
+                    if bucket > soon
+                }
+                parts.append(
+                    [
+                        number,
+                        part.view,
+                        part.whole,
+                        part.sealed,
+                        len(part.records),
+                        len(part.waiting),
+                        sums,
+                    ]
+                )
+        return {
+            "sound": self.sound,
+            "trouble": self.trouble,
+            "soon": soon,
+            "parts": parts,
+            "waiting": self.claimer.claims,
+            "ids": self.holder.held,
+            "most": self.most,
+            "counts": dict(self.counts) | self.claimer.counts,
+        }
--- a/cypresswalk/copies/places.py
+++ b/cypresswalk/copies/places.py
@@ -3,14 +3,14 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-PARTS = 64          # of the ids: with 200 members each holds about one part, with 3 all of them
+PARTS = 64  # of the ids: with 200 members each holds about one part, with 3 all of them
 
 
 def part_of(ident: str) -> int:
     return blake2b(ident.encode("utf-8", "surrogateescape"), digest_size=8).digest()[0] % PARTS
 
 
-@lru_cache(maxsize=1 << 15)     # two hundred members, each looked at five times a second by who leads
+@lru_cache(maxsize=1 << 15)  # two hundred members, each looked at five times a second by who leads
 def weight(part: int, member: str) -> int:
     return int.from_bytes(blake2b(f"{part}/{member}".encode(), digest_size=8).digest(), "big")
 
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -14,14 +14,23 @@
 
 import msgspec
 
-from cypresswalk.agreement.store import MAGIC, RECORD, Files, Guard, first_key, record_at, sealed_record, torn
+from cypresswalk.agreement.store import (
+    MAGIC,
+    RECORD,
+    Files,
+    Guard,
+    first_key,
+    record_at,
+    sealed_record,
+    torn,
+)
 from cypresswalk.copies.words import Begun, Got, Kept, Shut, Stand, encode
 
 PREFIX = "copies."
 HEAD, BATCH = 1, 2
-SEGMENT = 16 << 20          # bytes after which a new file is begun
-LARGEST = 1 << 30           # of a file: a part brought here whole stands in one batch
-TOTAL = 8 << 30             # of all; beyond them the disk counts as full
+SEGMENT = 16 << 20  # bytes after which a new file is begun
+LARGEST = 1 << 30  # of a file: a part brought here whole stands in one batch
+TOTAL = 8 << 30  # of all; beyond them the disk counts as full
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
@@ -29,7 +38,7 @@
     member: str
     boot: int
     stands: list[Stand]
-    before: tuple[int, int] = (0, 0)    # a file that was cut off when this one was begun, and where
+    before: tuple[int, int] = (0, 0)  # a file that was cut off when this one was begun, and where
 
 
 heads = msgspec.msgpack.Decoder(Head)
@@ -47,11 +56,11 @@
         self.files, self.broken = files, False
         self.number, self.key, self.size = 0, b"", 0
         self.member, self.boot = "", 0
-        self.ends: dict[int, int] = {}      # by file: until when its latest id is held
+        self.ends: dict[int, int] = {}  # by file: until when its latest id is held
         self.cut: tuple[int, int] = (0, 0)
 
     def numbers(self) -> list[int]:
-        found = [name[len(PREFIX):] for name in self.files.names() if name.startswith(PREFIX)]
+        found = [name[len(PREFIX) :] for name in self.files.names() if name.startswith(PREFIX)]
         return sorted(int(text) for text in found if text.isdecimal())
 
     # Reading.
@@ -69,20 +78,24 @@
                 raise Lost(f"{PREFIX}{self.cut[0]}: damaged at byte {self.cut[1]}")
             self.cut = (number, sound) if cut else (0, 0)
             if number == numbers[-1] and (head.member, head.boot in boots) != (member, True):
-                raise Lost(f"{PREFIX}{number}: it is of {head.member}, start {head.boot}, not of {member}, start {boots[0]}")
+                raise Lost(
+                    f"{PREFIX}{number}: it is of {head.member}, start {head.boot}, not of {member}, start {boots[0]}"
+                )
             if not written:
                 written += head.stands
             written += values
             self.ends[number] = max((end_of(value) for value in values), default=0)
             if cut:
-                told(f"{PREFIX}{number}: {cut} bytes of a batch that was never acknowledged are cut off")
+                told(
+                    f"{PREFIX}{number}: {cut} bytes of a batch that was never acknowledged are cut off"
+                )
         return written
 
     def read(self, number: int) -> tuple[Head, list[Any], int, int]:
         """Also how many bytes are sound, and how many are not."""
         name = f"{PREFIX}{number}"
         data = self.files.read(name, LARGEST)
-        if data[:len(MAGIC)] != MAGIC:
+        if data[: len(MAGIC)] != MAGIC:
             raise Lost(f"{name}: no file of copies")
         at, key, head, values = len(MAGIC), first_key(number), None, []
         while at < len(data):
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -19,6 +19,7 @@
 
 class Named(toml.Table):
     """A fault at a stated place."""
+
     connection: int | list[int] | Literal["all"] = "all"
     direction: Direction = "both"
     kind: Kind
@@ -31,7 +32,12 @@
     @field_validator("connection")
     @classmethod
     def counted_from_one(cls, value: int | list[int] | str) -> int | list[int] | str:
-        if any(number < 1 for number in ([value] if isinstance(value, int) else value if isinstance(value, list) else [])):
+        if any(
+            number < 1
+            for number in (
+                [value] if isinstance(value, int) else value if isinstance(value, list) else []
+            )
+        ):
             raise ValueError("connections count from 1")
         return value
 
@@ -40,7 +46,9 @@
         needs = self.needs.get(self.kind, set())
         given = {name for name in ("size", "ms", "rate") if getattr(self, name)}
         if self.kind is Kind.SPLIT:
-            needs = {"size"} | given & {"ms"}       # a gap may be left out: then reads split where the kernel lets them
+            needs = {"size"} | given & {
+                "ms"
+            }  # a gap may be left out: then reads split where the kernel lets them
         if missing := needs - given:
             raise ValueError(f"{self.kind.value} needs {' and '.join(sorted(missing))} above 0")
         if extra := given - needs:
@@ -49,25 +57,29 @@
 
     def strikes(self, connection: int) -> bool:
         where = self.connection
-        return where == "all" or where == connection or isinstance(where, list) and connection in where
+        return (
+            where == "all" or where == connection or isinstance(where, list) and connection in where
+        )
 
 
 class NamedDatagram(Named):
     """The same for UDP: `connection` is the peer, `at` the datagram's number in that direction, from 0."""
+
     needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
 
 
 class Drawn(toml.Table):
     """Faults by chance: each direction of each connection gets one of the kinds with that chance."""
+
     needs: ClassVar[dict[Kind, set[str]]] = NEEDS
     chance: float = Field(gt=0, le=1)
     kinds: list[Kind] = Field(min_length=1)
     direction: Direction = "both"
-    within: int = Field(4096, ge=1, le=1 << 30)         # the offset is below this
+    within: int = Field(4096, ge=1, le=1 << 30)  # the offset is below this
     size: tuple[int, int] = (1, 16)
     ms: tuple[int, int] = (1, 50)
     rate: tuple[int, int] = (1000, 100_000)
-    first: int = Field(1, ge=1)                         # connections from this number on
+    first: int = Field(1, ge=1)  # connections from this number on
 
     @field_validator("size", "ms", "rate")
     @classmethod
@@ -79,6 +91,7 @@
 
 class DrawnDatagram(Drawn):
     """Each datagram is struck with that chance; `within` has no meaning here."""
+
     needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
 
 
@@ -90,10 +103,12 @@
 
     @model_validator(mode="after")
     def kinds(self) -> "Plan":
-        for name, kinds, entries in (("fault", STREAMS, [[f.kind] for f in self.fault]),
-                                     ("random", STREAMS, [r.kinds for r in self.random]),
-                                     ("datagram", DATAGRAMS, [[f.kind] for f in self.datagram]),
-                                     ("random_datagram", DATAGRAMS, [r.kinds for r in self.random_datagram])):
+        for name, kinds, entries in (
+            ("fault", STREAMS, [[f.kind] for f in self.fault]),
+            ("random", STREAMS, [r.kinds for r in self.random]),
+            ("datagram", DATAGRAMS, [[f.kind] for f in self.datagram]),
+            ("random_datagram", DATAGRAMS, [r.kinds for r in self.random_datagram]),
+        ):
             for i, asked in enumerate(entries):
                 for kind in asked:
                     if kind not in kinds:
@@ -106,7 +121,9 @@
         faults = []
         for i, spec in enumerate(self.fault):
             for way in ways(spec.direction) if spec.strikes(number) else ():
-                faults.append(at_place(spec, number, way, spec.at, Random(f"{seed}/named/{i}/{number}/{way}")))
+                faults.append(
+                    at_place(spec, number, way, spec.at, Random(f"{seed}/named/{i}/{number}/{way}"))
+                )
         for i, spec in enumerate(self.random):
             for way in ways(spec.direction) if number >= spec.first else ():
                 chance = Random(f"{seed}/random/{i}/{number}/{way}")
@@ -119,7 +136,9 @@
         faults = []
         for i, spec in enumerate(self.datagram):
             if spec.strikes(peer) and way in ways(spec.direction) and spec.at == number:
-                faults.append(at_place(spec, peer, way, number, Random(f"{seed}/datagram/{i}/{peer}/{way}")))
+                faults.append(
+                    at_place(spec, peer, way, number, Random(f"{seed}/datagram/{i}/{peer}/{way}"))
+                )
         for i, spec in enumerate(self.random_datagram):
             if way in ways(spec.direction) and peer >= spec.first:
                 chance = Random(f"{seed}/random_datagram/{i}/{peer}/{way}/{number}")
@@ -147,8 +166,14 @@
     kind = chance.choice(spec.kinds)
     values = {name: chance.randint(*getattr(spec, name)) for name in ("size", "ms", "rate")}
     needs = spec.needs.get(kind, set())
-    return Fault(number, way, at, kind, **{name: value if name in needs else 0 for name, value in values.items()},
-                 mask=mask(kind, chance))
+    return Fault(
+        number,
+        way,
+        at,
+        kind,
+        **{name: value if name in needs else 0 for name, value in values.items()},
+        mask=mask(kind, chance),
+    )
 
 
 class Replay:
@@ -192,10 +217,11 @@
                     faults.append(Fault(**Line.model_validate(json.loads(text)).model_dump()))
                 except ValidationError as error:
                     first = error.errors()[0]
-                    raise Refusal(f"{path}: line {number}: {toml.field(first['loc'])}: {toml.said(first)}") from None
+                    raise Refusal(
+                        f"{path}: line {number}: {toml.field(first['loc'])}: {toml.said(first)}"
+                    ) from None
                 except (ValueError, RecursionError) as error:
                     raise Refusal(f"{path}: line {number}: not JSON: {error}") from None
     except (OSError, UnicodeDecodeError) as error:
         raise Refusal(f"{path}: {error}") from None
     return Replay(faults)
-
--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -17,9 +17,9 @@
 
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
-HELD = 256 << 10            # bytes that one direction may hold: four times what one read brings
-DATAGRAMS_HELD = 4096       # datagrams on their way: a delay of a second at a few thousand a second
-PEERS = 1024                # of one UDP proxy: each has a socket of its own
+HELD = 256 << 10  # bytes that one direction may hold: four times what one read brings
+DATAGRAMS_HELD = 4096  # datagrams on their way: a delay of a second at a few thousand a second
+PEERS = 1024  # of one UDP proxy: each has a socket of its own
 AT_ONCE = struct.pack("ii", 1, 0)
 
 
@@ -43,7 +43,7 @@
         self.source: asyncio.Transport | None = None
         self.sink: asyncio.Transport | None = None
         self.stuffed = self.paused = False
-        self.finished = False           # an end of stream has gone out this way
+        self.finished = False  # an end of stream has gone out this way
         self.timer: asyncio.TimerHandle | None = None
 
     def take_in(self, steps: list[Step]) -> None:
@@ -92,7 +92,7 @@
             case Finish():
                 self.finished = True
                 if self.sink.is_closing():
-                    self.link.close()       # nobody is left to hear of it
+                    self.link.close()  # nobody is left to hear of it
                 elif self.sink.can_write_eof():
                     self.sink.write_eof()
                 self.link.finished()
@@ -155,7 +155,6 @@
             self.into.broken()
         self.link.lost()
 
-
     def read_rest(self) -> None:
         """A write met a reset: what had come before that still waits in the kernel, and the event loop would throw it
         away. Guards against losing an answer that a client of its own would have read."""
@@ -173,11 +172,17 @@
     def __init__(self, proxy: "Proxy", number: int):
         self.proxy, self.number, self.clock, self.over = proxy, number, proxy.clock, False
         faults = proxy.plan.for_connection(number, proxy.seed)
-        ways = {way: Way(self, Stream([f for f in faults if f.direction == way], self.strike), proxy.loop)
-                for way in ("up", "down")}
+        ways = {
+            way: Way(
+                self, Stream([f for f in faults if f.direction == way], self.strike), proxy.loop
+            )
+            for way in ("up", "down")
+        }
         self.up, self.down = ways["up"], ways["down"]
         self.transports: list[asyncio.Transport] = []
-        self.ports: list[int] = []      # by which each end knows the connection: its caller's, then the proxy's own
+        self.ports: list[
+            int
+        ] = []  # by which each end knows the connection: its caller's, then the proxy's own
         self.open = 0
 
     def strike(self, fault: Fault) -> None:
@@ -201,7 +206,9 @@
 
     async def dial(self) -> None:
         try:
-            await self.proxy.loop.create_connection(lambda: Side(self, self.down, self.up), *self.proxy.to)
+            await self.proxy.loop.create_connection(
+                lambda: Side(self, self.down, self.up), *self.proxy.to
+            )
         except OSError as error:
             log.info("connection=%d not_connected=%s", self.number, error)
             self.reset()
@@ -229,8 +236,15 @@
 class Proxy:
     """`await start()`, then `address` is where it listens; `await stop()` resets what still runs."""
 
-    def __init__(self, listen: Address, to: Address, plan: Plan | Replay, seed: int, clock: Callable[[], int],
-                 told: Callable[[Fault, list[int]], None] = lambda fault, ports: None):
+    def __init__(
+        self,
+        listen: Address,
+        to: Address,
+        plan: Plan | Replay,
+        seed: int,
+        clock: Callable[[], int],
+        told: Callable[[Fault, list[int]], None] = lambda fault, ports: None,
+    ):
         self.listen, self.to, self.plan, self.seed, self.clock = listen, to, plan, seed, clock
         self.record, self.told = Record(), told
         self.links: dict[Link, None] = {}
@@ -249,13 +263,17 @@
         self.links[link] = None
         return Side(link, link.up, link.down)
 
-    def impose(self, kind: Kind, direction: str, size: int = 0, ms: int = 0, rate: int = 0, mask: int = 1) -> None:
+    def impose(
+        self, kind: Kind, direction: str, size: int = 0, ms: int = 0, rate: int = 0, mask: int = 1
+    ) -> None:
         """From now on, wherever each connection is, and on each that comes: for faults by time, which a plan of bytes can't say."""
         self.plan = Imposed(self.plan, (kind, direction, size, ms, rate, mask))
         for link in list(self.links):
             for way in ways(direction):
                 towards = link.up if way == "up" else link.down
-                towards.strike(Fault(link.number, way, towards.stream.at, kind, size, ms, rate, mask))
+                towards.strike(
+                    Fault(link.number, way, towards.stream.at, kind, size, ms, rate, mask)
+                )
 
     def lift(self) -> None:
         """All that was imposed. Connections that bytes were taken out of can't go on: they are reset."""
@@ -282,7 +300,10 @@
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
         kind, direction, *more = self.what
-        return [*self.plan.for_connection(number, seed), *(Fault(number, way, 0, kind, *more) for way in ways(direction))]
+        return [
+            *self.plan.for_connection(number, seed),
+            *(Fault(number, way, 0, kind, *more) for way in ways(direction)),
+        ]
 
 
 class Inner(asyncio.DatagramProtocol):
@@ -303,7 +324,10 @@
         self.early.clear()
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
-        self.proxy.send(self.down.feed(self.proxy.clock(), data), lambda d: self.proxy.transport.sendto(d, self.peer))
+        self.proxy.send(
+            self.down.feed(self.proxy.clock(), data),
+            lambda d: self.proxy.transport.sendto(d, self.peer),
+        )
 
     def say(self, data: bytes) -> None:
         if self.transport is None:
@@ -315,8 +339,15 @@
 class DatagramProxy(asyncio.DatagramProtocol):
     """The same for UDP: peers count in the order in which they first spoke, datagrams for each peer and direction."""
 
-    def __init__(self, listen: Address, to: Address, plan: Plan | Replay, seed: int, clock: Callable[[], int],
-                 told: Callable[[Fault, list[int]], None] = lambda fault, ports: None):
+    def __init__(
+        self,
+        listen: Address,
+        to: Address,
+        plan: Plan | Replay,
+        seed: int,
+        clock: Callable[[], int],
+        told: Callable[[Fault, list[int]], None] = lambda fault, ports: None,
+    ):
         self.listen, self.to, self.plan, self.seed, self.clock = listen, to, plan, seed, clock
         self.record, self.told = Record(), told
         self.peers: dict[Address, Inner] = {}
@@ -334,7 +365,9 @@
 
     async def start(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.transport, _ = await self.loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
+        self.transport, _ = await self.loop.create_datagram_endpoint(
+            lambda: self, local_addr=self.listen
+        )
         self.address = self.transport.get_extra_info("sockname")[:2]
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
@@ -345,7 +378,8 @@
                 return
             inner = self.peers[sender] = Inner(self, sender, len(self.peers) + 1)
             task = self.loop.create_task(
-                self.loop.create_datagram_endpoint(lambda: inner, remote_addr=self.to))
+                self.loop.create_datagram_endpoint(lambda: inner, remote_addr=self.to)
+            )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         self.send(inner.up.feed(self.clock(), data), inner.say)
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -43,7 +43,11 @@
                 if number == "all":
                     continue
                 if number > connections:
-                    lines.append(f"{spec.kind.value} at {spec.at}: connection {number} never came, {connections} did")
+                    lines.append(
+                        f"{spec.kind.value} at {spec.at}: connection {number} never came, {connections} did"
+                    )
                 elif (number, spec.kind, spec.at) not in done:
-                    lines.append(f"{spec.kind.value} at {spec.at}: connection {number} never came that far")
+                    lines.append(
+                        f"{spec.kind.value} at {spec.at}: connection {number} never came that far"
+                    )
         return lines
--- a/cypresswalk/faults/running.py
+++ b/cypresswalk/faults/running.py
@@ -14,8 +14,15 @@
 
     Calls made to the proxy itself must be made by its loop: `on_loop` does."""
 
-    def __init__(self, to: Address, plan: Plan | Replay | None = None, seed: int = 0,
-                 listen: Address = ("127.0.0.1", 0), udp: bool = False, clock: Callable[[], int] = time.monotonic_ns):
+    def __init__(
+        self,
+        to: Address,
+        plan: Plan | Replay | None = None,
+        seed: int = 0,
+        listen: Address = ("127.0.0.1", 0),
+        udp: bool = False,
+        clock: Callable[[], int] = time.monotonic_ns,
+    ):
         self.proxy = (DatagramProxy if udp else Proxy)(listen, to, plan or Plan(), seed, clock)
         self.ready, self.stopping = Event(), asyncio.Event()
         self.error: OSError | None = None
--- a/cypresswalk/faults/stream.py
+++ b/cypresswalk/faults/stream.py
@@ -22,12 +22,14 @@
 @dataclass(frozen=True, slots=True)
 class Finish:
     """An end of stream for the receiver, once all before it has gone out."""
+
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
     """An end of stream for both sides, and nothing more passes."""
+
     at: int
 
 
@@ -44,17 +46,20 @@
     before its time."""
 
     def __init__(self, faults: Iterable[Fault], done: Callable[[Fault], None]):
-        self.faults, self.done = sorted(faults, key=lambda f: (f.at, f.kind not in ENDS, f.place)), done
-        self.at = 0                     # bytes that have come in
-        self.free = 0                   # nothing goes out before
+        self.faults, self.done = (
+            sorted(faults, key=lambda f: (f.at, f.kind not in ENDS, f.place)),
+            done,
+        )
+        self.at = 0  # bytes that have come in
+        self.free = 0  # nothing goes out before
         self.latency = 0
         self.rate = 0
-        self.split: tuple[int, int, int] | None = None      # from which offset, size, gap
-        self.join: tuple[int, int] | None = None            # size, the longest wait
+        self.split: tuple[int, int, int] | None = None  # from which offset, size, gap
+        self.join: tuple[int, int] | None = None  # size, the longest wait
         self.joined, self.joined_since = bytearray(), 0
         self.dropping = 0
         self.garbling, self.chance = 0, Random(0)
-        self.over = False               # an end has gone out: what still comes is swallowed
+        self.over = False  # an end has gone out: what still comes is swallowed
 
     def start(self, now: int) -> list[Step]:
         """Before the first byte: faults at offset 0 that end something strike here."""
@@ -97,14 +102,23 @@
     def ends(self, now: int, steps: list[Step]) -> None:
         """Those that end something strike as soon as their offset is reached: between a line's last byte and its answer
         too. Guards against a cut that waits for a byte which never comes."""
-        while not self.over and self.faults and self.faults[0].at <= self.at and self.faults[0].kind in ENDS:
+        while (
+            not self.over
+            and self.faults
+            and self.faults[0].at <= self.at
+            and self.faults[0].kind in ENDS
+        ):
             fault = self.faults.pop(0)
             self.done(fault)
             self.over = True
             self.release(now, steps)
             when = max(now + self.latency, self.free)
             if fault.kind is not Kind.BLACK_HOLE:
-                steps.append({Kind.CUT: Reset, Kind.TRUNCATE: Close, Kind.HALF_CLOSE: Finish}[fault.kind](when))
+                steps.append(
+                    {Kind.CUT: Reset, Kind.TRUNCATE: Close, Kind.HALF_CLOSE: Finish}[fault.kind](
+                        when
+                    )
+                )
 
     def strike(self, now: int) -> None:
         """The others strike the byte at their offset, when it comes."""
@@ -138,7 +152,9 @@
             count = min(self.garbling, len(piece))
             self.garbling -= count
             # From 1 on: each byte differs from what it was.
-            piece = bytes(byte ^ self.chance.randint(1, 255) for byte in piece[:count]) + piece[count:]
+            piece = (
+                bytes(byte ^ self.chance.randint(1, 255) for byte in piece[:count]) + piece[count:]
+            )
         if not piece:
             return
         if self.join:
@@ -189,7 +205,7 @@
                 case Kind.DUPLICATE:
                     steps = steps * 2
                 case Kind.TRUNCATE:
-                    steps = [Write(step.at, step.data[:len(step.data) // 2]) for step in steps]
+                    steps = [Write(step.at, step.data[: len(step.data) // 2]) for step in steps]
                 case Kind.GARBLE:
                     steps = [Write(step.at, garbled(step.data, fault)) for step in steps]
                 case Kind.SWAP:
--- a/cypresswalk/fleet/agreed.py
+++ b/cypresswalk/fleet/agreed.py
@@ -13,12 +13,14 @@
 from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.bounds import why_not
 
-REMEMBERED = 512        # ids of commands carried out, with what came of them: a caller asks again within seconds
-HISTORY = 200           # records of who did what when
-SETTINGS_KEPT = 20      # settings that can be gone back to
-SERVERS = "servers"      # a release's kind
-LIST_MOST = 20_000      # servers in an agreed list
-OUT_MOST = 10_000       # servers out by hand
+REMEMBERED = (
+    512  # ids of commands carried out, with what came of them: a caller asks again within seconds
+)
+HISTORY = 200  # records of who did what when
+SETTINGS_KEPT = 20  # settings that can be gone back to
+SERVERS = "servers"  # a release's kind
+LIST_MOST = 20_000  # servers in an agreed list
+OUT_MOST = 10_000  # servers out by hand
 
 
 # Id, zone, cell, state, weight, its latest start in nanoseconds. No address: that may differ from one balancer to the next.
@@ -27,6 +29,7 @@
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """`ident` is drawn by whoever asks; `by` names that person or balancer, `at` is its wall clock in milliseconds."""
+
     ident: str
     by: str
     at: int
@@ -34,6 +37,7 @@
 
 class Offer(Command, frozen=True):
     """`base`: the version that last changed the settings, as the caller read it."""
+
     base: int
     settings: dict[str, Any]
 
@@ -44,12 +48,14 @@
 
 class Refuse(Command, frozen=True):
     """`why`: a line for each balancer that can't read it."""
+
     offer: str
     why: list[str]
 
 
 class Out(Command, frozen=True):
     """`forced`: beyond the bounds too. `seen`: servers that who leads takes for out, with why."""
+
     server: str
     forced: bool = False
     seen: dict[str, str] = {}
@@ -61,11 +67,13 @@
 
 class Seen(Command, frozen=True):
     """Servers that most balancers that act have seen ready since they came back, each with the version in which it did."""
+
     servers: dict[str, int]
 
 
 class Listing(Command, frozen=True):
     """A list of servers as a majority of voters got it; only a later generation of the same source takes its place."""
+
     generation: int
     epoch: int
     servers: list[Listed]
@@ -77,17 +85,20 @@
 
 class Note(Command, frozen=True):
     """Something done by force at one balancer, for the record."""
+
     what: str
 
 
 class Desire(Command, frozen=True):
     """Which names are to vote, and which are to leave."""
+
     voters: list[str]
     left: list[str]
 
 
 class Leave(Command, frozen=True):
     """A balancer is to go out. `zones`: all members by name; `seen`: those that who leads takes for out, with why."""
+
     name: str
     why: str
     forced: bool
@@ -97,28 +108,33 @@
 
 class Return(Command, frozen=True):
     """It was seen ready again, and can no longer go out by that grant. `granted`: as `State.away` has it; another one stays."""
+
     name: str
     granted: tuple[str, int, str]
 
 
 class Halt(Command, frozen=True):
     """Nothing more goes out, by any call, until a person resumes."""
+
     why: str
 
 
 class Resume(Command, frozen=True):
     """`halts`: as the caller read it, so that a word on its way for long does not end a halt that came after it."""
+
     halts: int
 
 
 class Begin(Command, frozen=True):
     """A release. `known`: all members by name."""
+
     plan: releases.Plan
     known: list[str]
 
 
 class Go(Command, frozen=True):
     """The next balancer of the release may be changed. `zones`, `seen` as for Leave; `boot`: how often it has started, 0 if unknown."""
+
     name: str
     zones: dict[str, str]
     seen: dict[str, str]
@@ -127,6 +143,7 @@
 
 class Began(Command, frozen=True):
     """By its agent, before it does anything. `zones`, `seen` as for Leave: whoever was lost since its turn was agreed counts."""
+
     name: str
     to: str
     zones: dict[str, str]
@@ -135,6 +152,7 @@
 
 class Came(Command, frozen=True):
     """By its agent: which version runs now."""
+
     name: str
     runs: str
     why: str
@@ -142,6 +160,7 @@
 
 class Unused(Command, frozen=True):
     """A server's turn that its agent has not begun: it is in again."""
+
     name: str
 
 
@@ -151,6 +170,7 @@
 
 class TurnBack(Command, frozen=True):
     """`release`: its name, so that a word on its way for long does not turn the next one."""
+
     release: str
 
 
@@ -161,17 +181,43 @@
 
 class Place(Command, frozen=True):
     """Parts of the ids, by number: the next view of each, and its holders, the primary first."""
+
     parts: dict[int, tuple[int, tuple[str, ...]]]
 
 
 class Fence(Command, frozen=True):
     """The group begun by hand after most voters were lost: words of the groups named are not heard any more."""
+
     groups: list[str]
     what: str
 
 
-AnyCommand = (Offer | Activate | Refuse | Out | Back | Listing | Renew | Note | Desire | Fence | Place | Leave | Return | Halt | Resume
-              | Begin | Go | Began | Came | Held | TurnBack | Pause | Seen | Unused)
+AnyCommand = (
+    Offer
+    | Activate
+    | Refuse
+    | Out
+    | Back
+    | Listing
+    | Renew
+    | Note
+    | Desire
+    | Fence
+    | Place
+    | Leave
+    | Return
+    | Halt
+    | Resume
+    | Begin
+    | Go
+    | Began
+    | Came
+    | Held
+    | TurnBack
+    | Pause
+    | Seen
+    | Unused
+)
 commands = msgspec.msgpack.Decoder(AnyCommand)
 encode = msgspec.msgpack.encode
 
@@ -195,23 +241,31 @@
     settings_version: int = 0
     settings: dict[str, Any] = {}
     pending: Pending | None = None
-    out: dict[str, tuple[str, int]] = {}            # server: who took it out, and when
+    out: dict[str, tuple[str, int]] = {}  # server: who took it out, and when
     list_epoch: int = 0
     list_generation: int = -1
     list_version: int = 0
     servers: list[Listed] = []
-    kept: list[tuple[int, dict[str, Any]]] = []     # settings by version, the latest last
+    kept: list[tuple[int, dict[str, Any]]] = []  # settings by version, the latest last
     history: list[Record] = []
-    done: list[tuple[str, bool, str]] = []          # ids of commands, the latest last, and what came of each
+    done: list[
+        tuple[str, bool, str]
+    ] = []  # ids of commands, the latest last, and what came of each
     voters: list[str] = []
     left: list[str] = []
     fenced: list[str] = []
-    away: dict[str, tuple[str, int, str]] = {}      # balancers that may go out or are: by whom, when, why
+    away: dict[
+        str, tuple[str, int, str]
+    ] = {}  # balancers that may go out or are: by whom, when, why
     release: releases.Release | None = None
-    halted: tuple[str, int, str] | None = None      # by whom, when, why
-    halts: int = 0                                  # how often anybody has halted
-    parts: dict[int, tuple[int, tuple[str, ...]]] = {}     # of the ids: the view of each, and its holders
-    coming: dict[str, int] = {}                     # servers that are in again and not seen ready yet: since which version
+    halted: tuple[str, int, str] | None = None  # by whom, when, why
+    halts: int = 0  # how often anybody has halted
+    parts: dict[
+        int, tuple[int, tuple[str, ...]]
+    ] = {}  # of the ids: the view of each, and its holders
+    coming: dict[
+        str, int
+    ] = {}  # servers that are in again and not seen ready yet: since which version
 
 
 states = msgspec.msgpack.Decoder(State)
@@ -221,7 +275,9 @@
     def __init__(self, data: bytes = b""):
         """Raises msgspec.DecodeError where `data` is no state."""
         self.state = states.decode(data) if data else State()
-        self.done: OrderedDict[str, tuple[bool, str]] = OrderedDict((i, (ok, why)) for i, ok, why in self.state.done)
+        self.done: OrderedDict[str, tuple[bool, str]] = OrderedDict(
+            (i, (ok, why)) for i, ok, why in self.state.done
+        )
 
     def dump(self) -> bytes:
         self.state.done = [(ident, *result) for ident, result in self.done.items()]
@@ -247,7 +303,10 @@
         match command:
             case Offer(base=base, settings=settings):
                 if base != s.settings_version:
-                    return False, f"stale: it was made on version {base}, version {s.settings_version} is the newest"
+                    return (
+                        False,
+                        f"stale: it was made on version {base}, version {s.settings_version} is the newest",
+                    )
                 if s.pending is not None:
                     return False, f"held: an offer by {s.pending.by} is being looked at"
                 s.pending = Pending(command.ident, command.by, command.at, settings)
@@ -279,18 +338,34 @@
                     return False, why
                 s.out[server] = command.by, command.at
                 s.coming.pop(server, None)
-                self.next(command.by, command.at, f"server {server} out" + (f" by force: {why}" if why else ""))
+                self.next(
+                    command.by,
+                    command.at,
+                    f"server {server} out" + (f" by force: {why}" if why else ""),
+                )
                 return True, f"version {s.version}"
             case Back(server=server):
                 if s.out.pop(server, None) is None:
-                    return True, f"release {s.release.plan.name} has it out" if server in self.held_out() else "it was not out"
+                    return (
+                        True,
+                        f"release {s.release.plan.name} has it out"
+                        if server in self.held_out()
+                        else "it was not out",
+                    )
                 self.next(command.by, command.at, f"server {server} back")
                 if server in self.held_out():
-                    return True, f"version {s.version}; release {s.release.plan.name} has it out still"
+                    return (
+                        True,
+                        f"version {s.version}; release {s.release.plan.name} has it out still",
+                    )
                 s.coming[server] = s.version
                 return True, f"version {s.version}"
             case Seen(servers=servers):
-                s.coming = {server: version for server, version in s.coming.items() if servers.get(server) != version}
+                s.coming = {
+                    server: version
+                    for server, version in s.coming.items()
+                    if servers.get(server) != version
+                }
                 return True, "noted"
             case Listing(generation=generation, epoch=epoch, servers=servers):
                 # Guards against a list agent that is behind, and a word that overtook another: never back.
@@ -311,7 +386,11 @@
                 return True, "noted"
             case Desire(voters=voters, left=left):
                 s.voters, s.left = voters, left
-                self.note(command.by, command.at, f"voters {', '.join(voters)}" + (f"; left {', '.join(left)}" if left else ""))
+                self.note(
+                    command.by,
+                    command.at,
+                    f"voters {', '.join(voters)}" + (f"; left {', '.join(left)}" if left else ""),
+                )
                 return True, "noted"
             case Leave(name=name, zones=zones, seen=seen):
                 why = self.balancer_bound(name, zones, seen)
@@ -322,7 +401,11 @@
                 if why and not command.forced:
                     return False, why
                 s.away[name] = command.by, command.at, command.why
-                self.note(command.by, command.at, f"balancer {name} out ({command.why})" + (f" by force: {why}" if why else ""))
+                self.note(
+                    command.by,
+                    command.at,
+                    f"balancer {name} out ({command.why})" + (f" by force: {why}" if why else ""),
+                )
                 return True, "it may go out"
             case Halt(why=why):
                 self.halt(command.by, command.at, why)
@@ -331,10 +414,13 @@
                 if s.halted is None:
                     return True, "nothing was halted"
                 if halts != s.halts:
-                    return False, f"halted again meanwhile; {self.said_halted()}. Look, and resume again"
+                    return (
+                        False,
+                        f"halted again meanwhile; {self.said_halted()}. Look, and resume again",
+                    )
                 s.halted = None
                 if s.release is not None:
-                    s.release.boots = {}        # starts count from here on
+                    s.release.boots = {}  # starts count from here on
                 self.note(command.by, command.at, "resumed")
                 return True, "resumed"
             case Begin() | Go() | Began() | Came() | Held() | TurnBack() | Pause() | Unused():
@@ -343,9 +429,17 @@
                 after = self.held_out()
                 if result[0] and s.release.plan.kind == SERVERS and not isinstance(command, Began):
                     # Balancers act on it: whom it has out is a part of the version.
-                    self.next(command.by, command.at, f"release {s.release.plan.name}: {len(after)} servers out")
+                    self.next(
+                        command.by,
+                        command.at,
+                        f"release {s.release.plan.name}: {len(after)} servers out",
+                    )
                     s.coming |= dict.fromkeys(before - after - set(s.out), s.version)
-                    s.coming = {server: version for server, version in s.coming.items() if server not in after}
+                    s.coming = {
+                        server: version
+                        for server, version in s.coming.items()
+                        if server not in after
+                    }
                     if isinstance(command, Go):
                         s.release.outs[command.name] = s.version
                 return result
@@ -360,7 +454,11 @@
                 return True, "back"
             case Place(parts=parts):
                 # The next view of each and no other: two leaders that both looked at one view make one.
-                made = {part: place for part, place in parts.items() if place[0] == s.parts.get(part, (0,))[0] + 1}
+                made = {
+                    part: place
+                    for part, place in parts.items()
+                    if place[0] == s.parts.get(part, (0,))[0] + 1
+                }
                 s.parts = s.parts | made
                 return True, f"{len(made)} of {len(parts)}"
             case Fence(groups=groups, what=what):
@@ -372,9 +470,20 @@
         by, _, why = self.state.halted
         return f"halted by {by}: {why}"
 
-    def balancer_bound(self, name: str, zones: dict[str, str], seen: dict[str, str], heals: bool = False) -> str:
-        granted = {who: f"{why}, by {by}" for who, (by, _, why) in self.state.away.items() if who in zones}
-        return why_not(self.state.settings.get("bounds", {}).get("balancers", {}), zones, granted, seen, name, heals)
+    def balancer_bound(
+        self, name: str, zones: dict[str, str], seen: dict[str, str], heals: bool = False
+    ) -> str:
+        granted = {
+            who: f"{why}, by {by}" for who, (by, _, why) in self.state.away.items() if who in zones
+        }
+        return why_not(
+            self.state.settings.get("bounds", {}).get("balancers", {}),
+            zones,
+            granted,
+            seen,
+            name,
+            heals,
+        )
 
     def change_bound(self, name: str, zones: dict[str, str], seen: dict[str, str]) -> str:
         """On the way back one that is surely out is healed by it, or what a bad version has done to more than the bound allows could never
@@ -382,12 +491,16 @@
         if self.state.release.plan.kind == SERVERS:
             fallen = name in seen or self.state.release.members.get(name) == "failed"
             return self.server_bound(name, seen, self.state.release.phase == "back" and fallen)
-        return self.balancer_bound(name, zones, seen, self.state.release.phase == "back" and seen.get(name) in SURELY)
+        return self.balancer_bound(
+            name, zones, seen, self.state.release.phase == "back" and seen.get(name) in SURELY
+        )
 
     def on_release(self, command: AnyCommand) -> tuple[bool, str]:
         s, by, at = self.state, command.by, command.at
         if isinstance(command, Begin):
-            known = [name for name, *_ in s.servers] if command.plan.kind == SERVERS else command.known
+            known = (
+                [name for name, *_ in s.servers] if command.plan.kind == SERVERS else command.known
+            )
             begun, why = releases.begin(command.plan, by, at, s.release, known)
             if begun is None:
                 return False, why
@@ -401,7 +514,9 @@
             return False, f"release {now.plan.name} by {now.by} has come since"
         match command:
             case Go(name=name, zones=zones, seen=seen, boot=boot):
-                why = releases.may_go(now, name, s.halted is not None) or self.change_bound(name, zones, seen)
+                why = releases.may_go(now, name, s.halted is not None) or self.change_bound(
+                    name, zones, seen
+                )
                 if now.plan.kind == SERVERS:
                     if not why:
                         releases.go(now, name, boot)
@@ -412,7 +527,9 @@
                     releases.go(now, name, boot)
                     s.away[name] = by, at, f"release {now.plan.name}"
             case Began(name=name, to=to, zones=zones, seen=seen):
-                why = releases.began(now, name, to, s.halted is not None) or self.change_bound(name, zones, seen)
+                why = releases.began(now, name, to, s.halted is not None) or self.change_bound(
+                    name, zones, seen
+                )
                 if not why:
                     now.members[name] = "changing"
             case Came(name=name, runs=runs, why=told):
@@ -422,19 +539,32 @@
                 self.note(by, at, f"{name} runs {runs or 'nothing'}: {now.members.get(name)}")
                 return True, bad or "noted"
             case Unused(name=name):
-                why = "" if now.plan.kind == SERVERS and now.members.get(name) == "out" else f"{name} is {now.members.get(name)}"
+                why = (
+                    ""
+                    if now.plan.kind == SERVERS and now.members.get(name) == "out"
+                    else f"{name} is {now.members.get(name)}"
+                )
                 if not why:
                     releases.returned(now, name)
             case Held(wave=wave):
                 why = releases.held(now, wave)
                 if not why:
-                    self.note(by, at, f"release {now.plan.name}: wave {wave} has held" + (", done" if now.phase == "done" else ""))
+                    self.note(
+                        by,
+                        at,
+                        f"release {now.plan.name}: wave {wave} has held"
+                        + (", done" if now.phase == "done" else ""),
+                    )
             case TurnBack():
                 why = releases.turn_back(now)
                 if not why:
                     self.note(by, at, f"release {now.plan.name}: back")
             case Pause(on=on):
-                why = "" if now.phase == ("running" if on else "paused") else f"the release is {now.phase}"
+                why = (
+                    ""
+                    if now.phase == ("running" if on else "paused")
+                    else f"the release is {now.phase}"
+                )
                 if not why:
                     now.phase = "paused" if on else "running"
                     self.note(by, at, f"release {now.plan.name}: {now.phase}")
@@ -452,7 +582,9 @@
         now = self.state.release
         if now is None or now.plan.kind != SERVERS:
             return set()
-        return {name for name, status in now.members.items() if status in ("out", "changing", "failed")}
+        return {
+            name for name, status in now.members.items() if status in ("out", "changing", "failed")
+        }
 
     def all_out(self) -> set[str]:
         """Servers that nothing new is to go to, whatever the list says."""
@@ -469,7 +601,9 @@
         if not scopes:
             return ""
         listed = {name: state for name, _, _, state, _, _ in s.servers if state != "ready"}
-        granted = dict.fromkeys(s.coming, "not seen ready again") | {name: f"release {s.release.plan.name}" for name in self.held_out()}
+        granted = dict.fromkeys(s.coming, "not seen ready again") | {
+            name: f"release {s.release.plan.name}" for name in self.held_out()
+        }
         granted |= {name: f"by {by}" for name, (by, _) in s.out.items()}
         return why_not(scopes, self.server_zones(), granted, seen | listed, server, heals)
 
@@ -478,4 +612,6 @@
         self.note(by, at, what)
 
     def note(self, by: str, at: int, what: str) -> None:
-        self.state.history = [*self.state.history, Record(self.state.version, by, at, what)][-HISTORY:]
+        self.state.history = [*self.state.history, Record(self.state.version, by, at, what)][
+            -HISTORY:
+        ]
