--- a/cypresswalk/fleet/binding.py
+++ b/cypresswalk/fleet/binding.py
@@ -34,14 +34,35 @@
 
 log = logging.getLogger(__name__)
 # Of the settings in the balancer's file, those that decide where flows may go and how many; the rest says who it is.
-SHARED = ("serviceTypes", "tenants", "limits", "rules", "deductions", "extra", "overagePayoff", "instances", "bounds")
+SHARED = (
+    "serviceTypes",
+    "tenants",
+    "limits",
+    "rules",
+    "deductions",
+    "extra",
+    "overagePayoff",
+    "instances",
+    "bounds",
+)
 # What is built into the program at its start: another value there is refused, not half followed.
-FIXED = (("limits", "dialTimeout"), ("extra", "groups"), ("extra", "tellsLoad"), ("extra", "tellsDelay"))
-SPARE = 50_000_000          # nanoseconds beyond its share that a flow waits for word of its claim
-CALL_SPAN = 0.7             # seconds: a caller at `admin_addr` waits one
-TOLD_MOST = 1000            # servers told of at a time: the first by name, the same at all balancers
+FIXED = (
+    ("limits", "dialTimeout"),
+    ("extra", "groups"),
+    ("extra", "tellsLoad"),
+    ("extra", "tellsDelay"),
+)
+SPARE = 50_000_000  # nanoseconds beyond its share that a flow waits for word of its claim
+CALL_SPAN = 0.7  # seconds: a caller at `admin_addr` waits one
+TOLD_MOST = 1000  # servers told of at a time: the first by name, the same at all balancers
 UP, REJECTED, FELL, TOOK = range(4)
-ENDS = {Outcome.FULL: REJECTED, Outcome.ERROR: FELL, Outcome.TIMEOUT: FELL, Outcome.CONNECT_FAILED: FELL, Outcome.RESET: FELL}
+ENDS = {
+    Outcome.FULL: REJECTED,
+    Outcome.ERROR: FELL,
+    Outcome.TIMEOUT: FELL,
+    Outcome.CONNECT_FAILED: FELL,
+    Outcome.RESET: FELL,
+}
 TIGHTNESS = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}
 
 
@@ -76,7 +97,11 @@
         return str(error) or type(error).__name__
     if "bounds" in settings and (why := bounds.objection(settings["bounds"])):
         return why
-    if decoded.instances < 1 or decoded.max_connects < 1 or min(k.setup_target for k in decoded.service_types) <= 0:
+    if (
+        decoded.instances < 1
+        or decoded.max_connects < 1
+        or min(k.setup_target for k in decoded.service_types) <= 0
+    ):
         return "instances, maxConnects, setupTarget: each above 0"
     for part, name in FIXED:
         if (params.get(part) or {}).get(name) != (own.get(part) or {}).get(name):
@@ -85,34 +110,52 @@
 
 
 class Binding:
-    def __init__(self, table: FleetTable, config: Config, core: Core, post: Callable[..., None], registry: Callable[[], Registry]):
+    def __init__(
+        self,
+        table: FleetTable,
+        config: Config,
+        core: Core,
+        post: Callable[..., None],
+        registry: Callable[[], Registry],
+    ):
         self.core, self.registry, self.post = core, registry, post
         self.params = read(config.path)["settings"]
-        self.fleet = Fleet(table, lambda settings: objection(self.params, settings), shared(self.params),
-                           lambda view: post(self.act_on, view), lambda: post(self.leased))
+        self.fleet = Fleet(
+            table,
+            lambda settings: objection(self.params, settings),
+            shared(self.params),
+            lambda view: post(self.act_on, view),
+            lambda: post(self.leased),
+        )
         self.version = 0
         self.settings_version = 0
         self.list_version = 0
-        self.out: set[str] = set()          # by the fleet
-        self.here: set[str] = set()         # by force, at this balancer alone
+        self.out: set[str] = set()  # by the fleet
+        self.here: set[str] = set()  # by force, at this balancer alone
         self.list_agreed: dict[int, tuple[State, int]] | None = None
         # What this balancer's own agent says, by number.
         self.own: dict[int, tuple[Server, Address]] = {
-            server.id: (as_listed(server), core.addresses[server.id]) for server in core.balancer.servers.values()
-            if server.id in core.addresses}
+            server.id: (as_listed(server), core.addresses[server.id])
+            for server in core.balancer.servers.values()
+            if server.id in core.addresses
+        }
         self.told: tuple[int, bytes] = (-1, b"")
         self.who = table.name
         self.settings: dict[str, Any] | None = None
         self.places = dict(core.customers)  # customers' numbers, which flows that are held count by
         if self.fleet.copies is not None:
             core.claims = Claims(core, self.fleet, post, table.copies.share)
-            if core.phase is not Phase.STARTING:        # else the process before this one tells what it spent
+            if (
+                core.phase is not Phase.STARTING
+            ):  # else the process before this one tells what it spent
                 core.balancer.succeeds(core.balancer.started)
-        self.took = 0           # the sum of set-ups, nanoseconds
+        self.took = 0  # the sum of set-ups, nanoseconds
         self.last_served = (0, 0, 0, 0)
         self.fleet.served = self.served
-        self.watch = False      # servers are being changed
-        self.by_server: dict[int, list[int]] = {}       # connects brought up, rejected, failed, and their set-ups' sum
+        self.watch = False  # servers are being changed
+        self.by_server: dict[
+            int, list[int]
+        ] = {}  # connects brought up, rejected, failed, and their set-ups' sum
         self.fleet.servers = self.of_servers
         self.fleet.ready = lambda: core.ready and self.fleet.may_act()
         core.agreement = self
@@ -122,10 +165,12 @@
         """By the fleet's thread: what this process has answered since it began."""
         counts = self.core.figures.counts
         try:
-            up, rejected, failed = (sum(counts[end].values()) for end in ("fulfilled", "throttled", "faulted"))
+            up, rejected, failed = (
+                sum(counts[end].values()) for end in ("fulfilled", "throttled", "faulted")
+            )
             self.last_served = up, rejected, failed, self.took
         except RuntimeError:
-            pass        # a service type was added meanwhile
+            pass  # a service type was added meanwhile
         return self.last_served
 
     # What this balancer sees of servers.
@@ -151,11 +196,22 @@
             if server.barred and server.flows:
                 standing[name] = len(server.flows) + len(server.out)
             # Out by hand or not: so one that comes back bad is known to be.
-            ready = not server.fresh and server.misses < MISSES and (server.health >= RISE or not server.known)
+            ready = (
+                not server.fresh
+                and server.misses < MISSES
+                and (server.health >= RISE or not server.known)
+            )
             if server.state is State.READY and not ready:
                 bad.append(name)
-        served = {registry.names[ident]: tuple(counts) for ident, counts in list(self.by_server.items())[:TOLD_MOST]
-                  if ident in registry.names} if self.watch else {}
+        served = (
+            {
+                registry.names[ident]: tuple(counts)
+                for ident, counts in list(self.by_server.items())[:TOLD_MOST]
+                if ident in registry.names
+            }
+            if self.watch
+            else {}
+        )
         return OfServers(sorted(bad)[:TOLD_MOST], standing, served)
 
     # The lease.
@@ -177,7 +233,9 @@
         if view.settings_version > self.settings_version:
             why = objection(self.params, view.settings)
             if why:
-                log.error(event("agreed_settings_unreadable", version=view.settings_version, why=why))
+                log.error(
+                    event("agreed_settings_unreadable", version=view.settings_version, why=why)
+                )
                 return
             self.settle(now, view.settings)
             self.settings_version = view.settings_version
@@ -199,13 +257,15 @@
         params, core = merged(self.params, agreed), self.core
         settings = decode_settings(params)
         kinds = {kind["name"]: i for i, kind in enumerate(params["serviceTypes"])}
-        places = self.places        # a name keeps the number it had
+        places = self.places  # a name keeps the number it had
         names = [tenant["name"] for tenant in params.get("tenants") or []]
         for name in names:
             places.setdefault(name, len(places))
         shares = dict(zip(names, settings.shares))
         if shares:
-            settings.shares = [shares.get(name, float("inf")) for name in sorted(places, key=places.get)]
+            settings.shares = [
+                shares.get(name, float("inf")) for name in sorted(places, key=places.get)
+            ]
         core.balancer.resettled(now, settings)
         self.settings = agreed
         core.service_types, core.customers = kinds, {name: places[name] for name in names}
@@ -217,19 +277,35 @@
     # Two processes of this balancer side by side (net/handover.py): one part in the fleet, one lease.
 
     def handed(self) -> dict[str, Any]:
-        return {"until": self.fleet.until, "version": self.version, "settings_version": self.settings_version,
-                "settings": self.settings, "out": sorted(self.out), "here": sorted(self.here),
-                "list_version": self.list_version,
-                "list": None if self.list_agreed is None else [[i, s.value, since] for i, (s, since) in self.list_agreed.items()]}
+        return {
+            "until": self.fleet.until,
+            "version": self.version,
+            "settings_version": self.settings_version,
+            "settings": self.settings,
+            "out": sorted(self.out),
+            "here": sorted(self.here),
+            "list_version": self.list_version,
+            "list": None
+            if self.list_agreed is None
+            else [[i, s.value, since] for i, (s, since) in self.list_agreed.items()],
+        }
 
     def inherit(self, now: int, told: dict[str, Any]) -> None:
         """From the process before this one, which has the part in the fleet still: its lease serves both until it ends.
         Raises KeyError, TypeError or ValueError, having changed nothing, where what it tells is odd."""
         until, version = int(told["until"]), int(told["version"])
-        list_agreed = None if told["list"] is None else {int(i): (State(s), int(since)) for i, s, since in told["list"]}
-        out, here, settings = {str(s) for s in told["out"]}, {str(s) for s in told["here"]}, told["settings"]
+        list_agreed = (
+            None
+            if told["list"] is None
+            else {int(i): (State(s), int(since)) for i, s, since in told["list"]}
+        )
+        out, here, settings = (
+            {str(s) for s in told["out"]},
+            {str(s) for s in told["here"]},
+            told["settings"],
+        )
         if version < self.version or settings is not None and objection(self.params, settings):
-            return      # without that lease it waits until it has its own part
+            return  # without that lease it waits until it has its own part
         if settings is not None and int(told["settings_version"]) > self.settings_version:
             self.settle(now, settings)
             self.settings_version = int(told["settings_version"])
@@ -248,7 +324,9 @@
             self.list_agreed[server_number(ident)] = State(state), since
         self.core.listed(now, ListForm.DELTA, [])
 
-    def listed(self, now: int, form: ListForm, entries: list[tuple[Server, Address]]) -> tuple[ListForm, list]:
+    def listed(
+        self, now: int, form: ListForm, entries: list[tuple[Server, Address]]
+    ) -> tuple[ListForm, list]:
         """What this balancer's own agent told becomes what it acts on: of both lists the tighter word."""
         for server, where in entries:
             self.own[server.id] = as_listed(server), where
@@ -263,7 +341,10 @@
             state, since = self.tighter(ident, server)
             known = self.core.balancer.servers.get(ident)
             before = known and (known.state, known.since, known.zone, known.cell, known.weight)
-            if before != (state, since, server.zone, server.cell, server.weight) or self.core.addresses.get(ident) != where:
+            if (
+                before != (state, since, server.zone, server.cell, server.weight)
+                or self.core.addresses.get(ident) != where
+            ):
                 made = as_listed(server)
                 made.state, made.since = state, since
                 effective.append((made, where))
@@ -278,8 +359,11 @@
     def report(self) -> None:
         """To the leader, which compares what the voters were told."""
         registry = self.registry()
-        servers = sorted((registry.names[s.id], s.zone, s.cell, s.state.value, float(s.weight), s.since)
-                         for s, _ in self.own.values() if s.state is not State.GONE and s.id in registry.names)
+        servers = sorted(
+            (registry.names[s.id], s.zone, s.cell, s.state.value, float(s.weight), s.since)
+            for s, _ in self.own.values()
+            if s.state is not State.GONE and s.id in registry.names
+        )
         digest = blake2b(msgspec.msgpack.encode(servers), digest_size=16).digest()
         if (registry.version, digest) != self.told and registry.version > 0:
             self.told = registry.version, digest
@@ -295,16 +379,25 @@
         if call.name == "drain-off" and self.core.drained:
             self.core.act(now, call)
             # Its place is free once it is seen ready; until then a restart must not drain it anew.
-            self.fleet.call("go_out", self.out_args(CALLED_BACK, True), lambda ok, body: None, 600.0)
+            self.fleet.call(
+                "go_out", self.out_args(CALLED_BACK, True), lambda ok, body: None, 600.0
+            )
             return True
         if call.name == "drain-on-here":
             self.core.act(now, call)
-            self.fleet.call("go_out", self.out_args(f"{DRAINED} by force at it alone", True), lambda ok, body: None, 600.0)
+            self.fleet.call(
+                "go_out",
+                self.out_args(f"{DRAINED} by force at it alone", True),
+                lambda ok, body: None,
+                600.0,
+            )
             return True
         if call.name not in ("set-down", "set-up", "set-down-here", "set-up-here"):
             return False
         if not self.fleet.started.is_set():
-            call.answers.put(b"ERR this process has no part in the fleet yet; call another balancer\r\n")
+            call.answers.put(
+                b"ERR this process has no part in the fleet yet; call another balancer\r\n"
+            )
             return True
         if call.name.endswith("-here"):
             self.by_force(now, call)
@@ -312,31 +405,48 @@
         if call.name == "set-down" and server_number(call.server) not in self.core.balancer.servers:
             self.core.reply(call, "no list has named that server")
             return True
-        args = {"ident": uuid.uuid4().hex, "by": f"{self.who} (call)", "at": time.time_ns() // 1_000_000, "server": call.server}
+        args = {
+            "ident": uuid.uuid4().hex,
+            "by": f"{self.who} (call)",
+            "at": time.time_ns() // 1_000_000,
+            "server": call.server,
+        }
 
         def reply(ok: bool, body: Any) -> None:
             self.post(self.agreed, call, ok, body)
+
         self.fleet.call("out" if call.name == "set-down" else "back", args, reply, CALL_SPAN)
         return True
 
     def out_args(self, why: str, forced: bool) -> dict[str, Any]:
-        return {"ident": uuid.uuid4().hex, "by": f"{self.who} (call)", "at": time.time_ns() // 1_000_000, "member": self.who,
-                "why": why, "forced": forced}
+        return {
+            "ident": uuid.uuid4().hex,
+            "by": f"{self.who} (call)",
+            "at": time.time_ns() // 1_000_000,
+            "member": self.who,
+            "why": why,
+            "forced": forced,
+        }
 
     def ask_out(self, call: Call, forced: bool) -> None:
         """This balancer may go out only with the fleet's yes, and only at once: what it was granted is another's again later."""
         if not self.fleet.started.is_set():
-            call.answers.put(b"ERR this process has no part in the fleet yet; call again in a moment\r\n")
+            call.answers.put(
+                b"ERR this process has no part in the fleet yet; call again in a moment\r\n"
+            )
             return
         asked = self.fleet.now()
 
         def reply(ok: bool, body: Any) -> None:
             self.post(self.may_go, call, asked, ok, body)
+
         self.fleet.call("go_out", self.out_args(DRAINED, forced), reply, CALL_SPAN)
 
     def may_go(self, now: int, call: Call, asked: int, ok: bool, body: Any) -> None:
         if not ok:
-            self.core.reply(call, f"not granted: {body.get('why', body) if isinstance(body, dict) else body}")
+            self.core.reply(
+                call, f"not granted: {body.get('why', body) if isinstance(body, dict) else body}"
+            )
         elif self.fleet.now() - asked > GO:
             self.core.reply(call, "the grant came too late to be used; ask again")
         else:
@@ -345,7 +455,9 @@
     def agreed(self, now: int, call: Call, ok: bool, body: Any) -> None:
         """The yes comes after the fleet's and this balancer's own: it acts already on what it has agreed to."""
         if not ok:
-            self.core.reply(call, f"not agreed: {body.get('why', body) if isinstance(body, dict) else body}")
+            self.core.reply(
+                call, f"not agreed: {body.get('why', body) if isinstance(body, dict) else body}"
+            )
             return
         if call.name == "set-down":
             self.out.add(call.server)
@@ -364,8 +476,17 @@
             if not down and call.server in self.out:
                 self.core.obey(now, Call("set-down", call.server), known=True)
                 why = "out by the fleet still: `set-up` ends that"
-            self.fleet.call("note", {"ident": uuid.uuid4().hex, "by": self.who, "at": time.time_ns() // 1_000_000,
-                                     "what": f"{call.name} {call.server} at {self.who} alone"}, lambda ok, body: None, 600.0)
+            self.fleet.call(
+                "note",
+                {
+                    "ident": uuid.uuid4().hex,
+                    "by": self.who,
+                    "at": time.time_ns() // 1_000_000,
+                    "what": f"{call.name} {call.server} at {self.who} alone",
+                },
+                lambda ok, body: None,
+                600.0,
+            )
         self.core.reply(call, why)
 
 
@@ -376,7 +497,7 @@
     def __init__(self, core: Core, fleet: Fleet, post: Callable[..., None], share: float):
         self.core, self.fleet, self.post, self.share = core, fleet, post, share
         self.waiting: dict[Session, None] = {}
-        self.granted: dict[Flow, str] = {}      # under what name
+        self.granted: dict[Flow, str] = {}  # under what name
 
     def ask(self, now: int, session: Session) -> None:
         flow = session.flow
@@ -392,6 +513,7 @@
 
         def reply(answer: Answer, by: str) -> None:
             self.post(self.answered, session, answer, by)
+
         self.fleet.copies.put("claim", ident_of(flow), held, self.fleet.now() + left, reply)
 
     def answered(self, now: int, session: Session, answer: Answer, by: str) -> None:
@@ -401,7 +523,7 @@
         core.counters.add("claims_" + answer.kind)
         if answer.kind == "granted":
             self.granted[flow] = by
-            if session.over or late:        # its client has left, or has its answer
+            if session.over or late:  # its client has left, or has its answer
                 self.finish(flow, "never")
             elif core.close_at is not None and now >= core.close_at or not core.may_act():
                 core.end(now, session, core.come_back(flow))
@@ -411,7 +533,9 @@
             pass
         elif answer.kind == "held" and answer.how != "never":
             core.counters.add("flows_claimed_elsewhere")
-            core.end(now, session, FAILED)      # it runs, or may have run: not again, and no word that a repeat does no harm
+            core.end(
+                now, session, FAILED
+            )  # it runs, or may have run: not again, and no word that a repeat does no harm
         else:
             core.end(now, session, core.come_back(flow))
 
@@ -432,4 +556,11 @@
 
 def as_listed(server: Server) -> Server:
     """What a list says of it, without what this balancer has learned."""
-    return Server(id=server.id, zone=server.zone, cell=server.cell, weight=server.weight, since=server.since, state=server.state)
+    return Server(
+        id=server.id,
+        zone=server.zone,
+        cell=server.cell,
+        weight=server.weight,
+        since=server.since,
+        state=server.state,
+    )
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -15,7 +15,8 @@
 
 from cypresswalk.agreement.node import Harmed, Kept, Timing
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.copies.words import Brought, Bundle, Sealed, Slow, Word as CopyWord
+from cypresswalk.copies.words import Brought, Bundle, Sealed, Slow
+from cypresswalk.copies.words import Word as CopyWord
 from cypresswalk.fleet.links import STACK, Answers, Links
 from cypresswalk.fleet.member import About, Member, Strange, View
 from cypresswalk.fleet.placing import Placing
@@ -26,11 +27,11 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-LOCK_AGAIN = 0.05           # seconds: the process before this one ends soon
-DISK_AGAIN, DISK_AGAIN_MOST = 1.0, 15.0     # seconds until a folder that failed is tried anew
-AT_ONCE = 256               # events taken before time passes and effects go out
-COPIES_END = 3.0            # seconds that the copies' thread may take to end
-TOOL_SPAN = 5.0             # seconds that a tool's call may take if it says nothing else
+LOCK_AGAIN = 0.05  # seconds: the process before this one ends soon
+DISK_AGAIN, DISK_AGAIN_MOST = 1.0, 15.0  # seconds until a folder that failed is tried anew
+AT_ONCE = 256  # events taken before time passes and effects go out
+COPIES_END = 3.0  # seconds that the copies' thread may take to end
+TOOL_SPAN = 5.0  # seconds that a tool's call may take if it says nothing else
 
 
 def clock() -> int:
@@ -44,12 +45,33 @@
 
 
 class Fleet:
-    def __init__(self, table: FleetTable, check: Callable[[dict], str], own: dict[str, Any],
-                 agreed: Callable[[View], None], leased: Callable[[], None], now: Callable[[], int] = clock):
+    def __init__(
+        self,
+        table: FleetTable,
+        check: Callable[[dict], str],
+        own: dict[str, Any],
+        agreed: Callable[[View], None],
+        leased: Callable[[], None],
+        now: Callable[[], int] = clock,
+    ):
         """`agreed` and `leased` are called by the fleet's thread: with a view to act on, and when a lease begins anew."""
-        self.table, self.check, self.own, self.agreed, self.leased, self.now = table, check, own, agreed, leased, now
-        self.about = About(table.fleet, table.name, table.address, table.zone, tuple(sorted(table.first.items())),
-                           int(table.stated_s * SECOND), Timing())
+        self.table, self.check, self.own, self.agreed, self.leased, self.now = (
+            table,
+            check,
+            own,
+            agreed,
+            leased,
+            now,
+        )
+        self.about = About(
+            table.fleet,
+            table.name,
+            table.address,
+            table.zone,
+            tuple(sorted(table.first.items())),
+            int(table.stated_s * SECOND),
+            Timing(),
+        )
         self.queue: SimpleQueue = SimpleQueue()
         self.chance = Random(int.from_bytes(os.urandom(16), "little"))
         self.member: Member | None = None
@@ -57,16 +79,22 @@
         self.disk = Disk(table.folder)
         self.life = self.chance.getrandbits(63)
         self.boot = 0
-        self.until = 0                  # of the lease; read by the deciding thread
-        self.inherited = 0              # of a lease that an earlier member of this process, or the process before it, was granted
+        self.until = 0  # of the lease; read by the deciding thread
+        self.inherited = 0  # of a lease that an earlier member of this process, or the process before it, was granted
         self.acts_on = 0
         self.trouble = ""
         self.wipes = 0
         self.started = Event()
         self.over = Event()
         self.ended = Event()
-        self.links = Links(address(table.listen or table.address), table.fleet, lambda *event: self.queue.put(event),
-                           self.queue.qsize, self.hello, self.group)
+        self.links = Links(
+            address(table.listen or table.address),
+            table.fleet,
+            lambda *event: self.queue.put(event),
+            self.queue.qsize,
+            self.hello,
+            self.group,
+        )
         # Wall time as it was at the start, and what has passed since: guards against a clock that jumps.
         base = time.time_ns() - self.now()
         self.wall: Callable[[], int] = lambda: base + self.now()
@@ -74,12 +102,22 @@
         if table.copies is not None:
             # Imported here alone: who keeps no copies pays nothing.
             from cypresswalk.copies.driver import Copies
-            self.copies = Copies(self.disk, self.now, self.wall, self.send_copies, self.tell_leader,
-                                 lambda holds: self.queue.put(("holds", holds)), table.copies.most_ids)
+
+            self.copies = Copies(
+                self.disk,
+                self.now,
+                self.wall,
+                self.send_copies,
+                self.tell_leader,
+                lambda holds: self.queue.put(("holds", holds)),
+                table.copies.most_ids,
+            )
         self.served: Callable[[], tuple[int, int, int, int]] = lambda: (0, 0, 0, 0)
-        self.ready: Callable[[], bool | None] = lambda: None    # asked by the fleet's thread
+        self.ready: Callable[[], bool | None] = lambda: None  # asked by the fleet's thread
         self.servers: Callable[[], OfServers] = OfServers
-        self.places: dict[str, str] = {}        # addresses that others named: one that just joined knows no members yet
+        self.places: dict[
+            str, str
+        ] = {}  # addresses that others named: one that just joined knows no members yet
         self.names = {where: name for name, where in table.first.items()}
 
     # For any thread.
@@ -92,7 +130,9 @@
         if self.copies is not None:
             start_thread(self.copies.run, SECOND, STACK)
 
-    def call(self, name: str, args: dict[str, Any], reply: Callable[[bool, Any], None], span: float) -> None:
+    def call(
+        self, name: str, args: dict[str, Any], reply: Callable[[bool, Any], None], span: float
+    ) -> None:
         self.queue.put(("call", name, args, reply, span))
 
     def inherit(self, until: int, version: int) -> None:
@@ -117,8 +157,17 @@
 
     def hello(self, to: str) -> Hello:
         member = self.member
-        return Hello(PROTOCOL, self.table.fleet, "member", member.group if member else "", member.id if member else "", self.boot,
-                     self.life, self.table.address, to)
+        return Hello(
+            PROTOCOL,
+            self.table.fleet,
+            "member",
+            member.group if member else "",
+            member.id if member else "",
+            self.boot,
+            self.life,
+            self.table.address,
+            to,
+        )
 
     def group(self) -> str:
         return self.member.group if self.member else ""
@@ -150,7 +199,9 @@
                 pause = min(2 * pause, DISK_AGAIN_MOST)
         if self.copies is not None:
             self.copies.stop()
-            self.copies.ended.wait(COPIES_END)      # nothing is written once another process has the folder
+            self.copies.ended.wait(
+                COPIES_END
+            )  # nothing is written once another process has the folder
         self.links.end()
         self.disk.unlock()
         self.ended.set()
@@ -164,9 +215,21 @@
             except Empty:
                 return
             if event[0] == "call":
-                event[3](False, {"why": f"this balancer's part in the fleet has stopped: {self.trouble}", "unsure": False})
+                event[3](
+                    False,
+                    {
+                        "why": f"this balancer's part in the fleet has stopped: {self.trouble}",
+                        "unsure": False,
+                    },
+                )
             elif event[0] == "tool" and isinstance(event[2], Call):
-                event[3].send(Result(event[2].number, False, {"why": f"its part in the fleet has stopped: {self.trouble}"}))
+                event[3].send(
+                    Result(
+                        event[2].number,
+                        False,
+                        {"why": f"its part in the fleet has stopped: {self.trouble}"},
+                    )
+                )
 
     def say_trouble(self, what: str, why: str) -> None:
         if why != self.trouble:
@@ -177,7 +240,7 @@
         """The process before this one has it until it ends: two never vote as one."""
         said = ""
         if self.disk.held is not None:
-            return True         # this thread has failed in an unforeseen way and begins anew: the lock is this process's still
+            return True  # this thread has failed in an unforeseen way and begins anew: the lock is this process's still
         while not self.over.is_set():
             try:
                 os.makedirs(self.table.folder, mode=0o700, exist_ok=True)
@@ -199,7 +262,11 @@
         store = self.store = Store(self.disk)
         kept, why = None, ""
         try:
-            kept = store.load(self.table.fleet, self.table.name, lambda text: log.warning("event=fleet_log_cut why=%s", text))
+            kept = store.load(
+                self.table.fleet,
+                self.table.name,
+                lambda text: log.warning("event=fleet_log_cut why=%s", text),
+            )
         except Damaged as error:
             why = str(error)
         if kept is not None:
@@ -243,11 +310,21 @@
     def make(self, ident: str, group: str, kept: Kept | None) -> None:
         copies = self.table.copies
         placing = Placing(ident, copies.copies, copies.least) if copies is not None else None
-        self.member = Member(self.about, ident, group, kept, self.now(), self.chance, self.check, self.own, placing)
-        self.member.ready, self.member.served, self.member.servers = self.ready, self.served, self.servers
+        self.member = Member(
+            self.about, ident, group, kept, self.now(), self.chance, self.check, self.own, placing
+        )
+        self.member.ready, self.member.served, self.member.servers = (
+            self.ready,
+            self.served,
+            self.servers,
+        )
         self.member.boot = self.boot
         self.member.wall = lambda: self.wall() // 1_000_000
-        self.member.wipes, self.member.acts_on, self.inherited = self.wipes, self.acts_on, self.until
+        self.member.wipes, self.member.acts_on, self.inherited = (
+            self.wipes,
+            self.acts_on,
+            self.until,
+        )
         if self.copies is not None:
             # Another incarnation holds nothing of what this one held.
             self.copies.put("identity", ident, self.boot)
@@ -273,7 +350,7 @@
         member.passed(self.now())
         self.carry_out(member)
         if self.member is not member:
-            member = self.member        # it gave up its identity
+            member = self.member  # it gave up its identity
             self.carry_out(member)
         self.renew(member)
         while member.views:
@@ -326,7 +403,11 @@
         if ":" in to:
             name, ident, where = self.names.get(to, ""), "", to
         else:
-            name, ident, where = to.partition("#")[0], to, member.address_of(to) or self.places.get(to, "")
+            name, ident, where = (
+                to.partition("#")[0],
+                to,
+                member.address_of(to) or self.places.get(to, ""),
+            )
         where = self.table.via.get(name, where)
         if where:
             self.links.send(address(where), ident, frame)
@@ -371,11 +452,16 @@
         if to_leader:
             member.holder_said(now, source, to_leader)
         if len(to_leader) < len(bundle.words):
-            self.copies.put("words", source, [word for word in bundle.words if not isinstance(word, Sealed | Brought | Slow)])
+            self.copies.put(
+                "words",
+                source,
+                [word for word in bundle.words if not isinstance(word, Sealed | Brought | Slow)],
+            )
 
     def tool(self, now: int, member: Member, frame: Call, answers: Answers) -> None:
         def reply(ok: bool, body: Any) -> None:
             answers.send(Result(frame.number, ok, body))
+
         if frame.name == "local":
             reply(True, self.local(now, member))
             return
@@ -392,9 +478,20 @@
     def local(self, now: int, member: Member) -> dict[str, Any]:
         """What this balancer knows by itself, asked of nobody."""
         node = member.node
-        return {"id": member.id, "group": member.group, "leader": member.leader, "role": node.role.value if node else "none",
-                "term": node.term if node else 0, "index": node.commit if node else -1, "last": node.log.last if node else -1,
-                "version": member.agreed.state.version, "acts_on": member.acts_on,
-                "lease_s": round((self.until - now) / SECOND, 3), "may_act": self.may_act(), "boot": self.boot,
-                "wipes": self.wipes, "counts": dict(self.links.counts),
-                "members": [[m.id, m.voter, m.address, m.zone] for m in member.members]}
+        return {
+            "id": member.id,
+            "group": member.group,
+            "leader": member.leader,
+            "role": node.role.value if node else "none",
+            "term": node.term if node else 0,
+            "index": node.commit if node else -1,
+            "last": node.log.last if node else -1,
+            "version": member.agreed.state.version,
+            "acts_on": member.acts_on,
+            "lease_s": round((self.until - now) / SECOND, 3),
+            "may_act": self.may_act(),
+            "boot": self.boot,
+            "wipes": self.wipes,
+            "counts": dict(self.links.counts),
+            "members": [[m.id, m.voter, m.address, m.zone] for m in member.members],
+        }
--- a/cypresswalk/fleet/founding.py
+++ b/cypresswalk/fleet/founding.py
@@ -7,26 +7,41 @@
 
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.node import Busy, Kept
-from cypresswalk.agreement.words import Member as One, Members
+from cypresswalk.agreement.words import Member as One
+from cypresswalk.agreement.words import Members
 from cypresswalk.fleet.words import Hail, HailAnswer
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-FRESH = 2 * SECOND              # an answer to a hail says nothing about later
-LOST = 3 * SECOND               # a member that heard no leader for so long looks for one as if it had none
-MEMBERS = 207                   # seven voters and two hundred that follow
+FRESH = 2 * SECOND  # an answer to a hail says nothing about later
+LOST = 3 * SECOND  # a member that heard no leader for so long looks for one as if it had none
+MEMBERS = 207  # seven voters and two hundred that follow
 
 
 class Founding:
     def look_for_group(self, now: int) -> None:
         node = self.node
-        if node is not None and (self.leads or node.heard_at is not None and now - node.heard_at < LOST
-                                 and any(m.id == self.id for m in self.members)):
+        if node is not None and (
+            self.leads
+            or node.heard_at is not None
+            and now - node.heard_at < LOST
+            and any(m.id == self.id for m in self.members)
+        ):
             return
-        hail = Hail(self.id, self.group, self.about.address, self.about.zone, self.about.first_digest, self.about.founder)
+        hail = Hail(
+            self.id,
+            self.group,
+            self.about.address,
+            self.about.zone,
+            self.about.first_digest,
+            self.about.founder,
+        )
         seen = {self.about.address}
-        for address in [address for _, address in self.about.first] + [m.address for m in self.members] \
-                + [m.address for _, answer in self.hails.values() for m in answer.members]:
+        for address in (
+            [address for _, address in self.about.first]
+            + [m.address for m in self.members]
+            + [m.address for _, answer in self.hails.values() for m in answer.members]
+        ):
             if address and address not in seen:
                 seen.add(address)
                 self.sends.append((address, hail))
@@ -38,13 +53,24 @@
         if not self.about.founder or any(name < self.about.name for name in others):
             return
         answers = [self.hails.get(name) for name in others]
-        if any(a is None or now - a[0] > FRESH or a[1].group or a[1].first != self.about.first_digest for a in answers):
+        if any(
+            a is None or now - a[0] > FRESH or a[1].group or a[1].first != self.about.first_digest
+            for a in answers
+        ):
             return
         addresses = dict(self.about.first)
-        members = (One(self.id, True, self.about.address, self.about.zone),
-                   *(One(a[1].members[0].id, True, addresses[name], a[1].members[0].zone)
-                     for name, a in zip(others, answers)))
-        self.adopt(now, f"{self.about.fleet}-{self.chance.getrandbits(64):016x}", Snapshot(0, 0, members, b""))
+        members = (
+            One(self.id, True, self.about.address, self.about.zone),
+            *(
+                One(a[1].members[0].id, True, addresses[name], a[1].members[0].zone)
+                for name, a in zip(others, answers)
+            ),
+        )
+        self.adopt(
+            now,
+            f"{self.about.fleet}-{self.chance.getrandbits(64):016x}",
+            Snapshot(0, 0, members, b""),
+        )
         log.info("event=founded group=%s members=%s", self.group, ",".join(m.id for m in members))
 
     def adopt(self, now: int, group: str, snapshot: Snapshot) -> None:
@@ -56,8 +82,18 @@
     def hailed(self, now: int, hail: Hail) -> None:
         name = hail.id.partition("#")[0]
         refused = ""
-        if self.node is None and hail.founder and self.about.founder and hail.first != self.about.first_digest:
-            self.once("first_members_differ", here=self.about.first_digest, there=hail.first, member=hail.id)
+        if (
+            self.node is None
+            and hail.founder
+            and self.about.founder
+            and hail.first != self.about.first_digest
+        ):
+            self.once(
+                "first_members_differ",
+                here=self.about.first_digest,
+                there=hail.first,
+                member=hail.id,
+            )
             refused = "the first members in its table are others than in mine"
         elif name == self.about.name and hail.id != self.id:
             refused = "that name is mine"
@@ -69,7 +105,9 @@
                 except Busy:
                     pass
                 return
-            refused = self.may_join(now, name, hail) if not hail.group else "it belongs to another group"
+            refused = (
+                self.may_join(now, name, hail) if not hail.group else "it belongs to another group"
+            )
         self.answer_hail(hail, refused)
 
     def answer_hail(self, hail: Hail, refused: str = "", replaced: bool = False) -> None:
@@ -78,8 +116,21 @@
             members: Members = (One(self.id, False, self.about.address, self.about.zone),)
         else:
             members = self.members
-        self.sends.append((hail.address, HailAnswer(hail.id, self.group, self.about.first_digest, members, self.leader, refused,
-                                                    replaced, self.agreed.state.fenced)))
+        self.sends.append(
+            (
+                hail.address,
+                HailAnswer(
+                    hail.id,
+                    self.group,
+                    self.about.first_digest,
+                    members,
+                    self.leader,
+                    refused,
+                    replaced,
+                    self.agreed.state.fenced,
+                ),
+            )
+        )
 
     def may_join(self, now: int, name: str, hail: Hail) -> str:
         if name in self.agreed.state.left:
@@ -89,7 +140,12 @@
         for member in self.members:
             peer = self.node.peers.get(member.id)
             # Guards against two processes of one name that replace each other in turn.
-            if member.name == name and peer is not None and peer.answered and now - peer.heard_at < FRESH:
+            if (
+                member.name == name
+                and peer is not None
+                and peer.answered
+                and now - peer.heard_at < FRESH
+            ):
                 return "a balancer of that name is heard still"
         self.joining[name] = now, hail
         return ""
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -8,7 +8,7 @@
 Invariants: L1 nobody acts later than `span` after it asked; L2 nobody acts on less than it was granted on; L3 who is told that a
 balancer has lapsed is told so only after it has stopped to act, by whatever clock within the bound."""
 
-DRIFT = 0.02        # two clocks differ in pace by no more: quartz stays under 0.0002, a clock being slewed under 0.0005
+DRIFT = 0.02  # two clocks differ in pace by no more: quartz stays under 0.0002, a clock being slewed under 0.0005
 
 
 def held_for(stated: int) -> int:
@@ -28,10 +28,10 @@
         self.span = held_for(stated)
         # No number that a process before this one used: what names one says when it was said (fleet/places.py).
         self.number = now
-        self.latest = 0                     # number of the latest granted
-        self.out: dict[int, int] = {}       # number of an ask: when it was asked
-        self.asked_at: int | None = None    # of the latest granted
-        self.version = 0                    # what it was granted on
+        self.latest = 0  # number of the latest granted
+        self.out: dict[int, int] = {}  # number of an ask: when it was asked
+        self.asked_at: int | None = None  # of the latest granted
+        self.version = 0  # what it was granted on
 
     def ask(self, now: int) -> int:
         self.number += 1
@@ -47,7 +47,11 @@
 
     def until(self, acts_on: int) -> int:
         """0 where it holds none, or one on a later version than it has."""
-        return self.asked_at + self.span if self.asked_at is not None and acts_on >= self.version else 0
+        return (
+            self.asked_at + self.span
+            if self.asked_at is not None and acts_on >= self.version
+            else 0
+        )
 
 
 class Given:
@@ -58,7 +62,7 @@
         # What the leader before gave is not known: nobody counts as lapsed before all of it has run out.
         self.unknown_until = now + self.span
         self.granted_at: dict[str, int] = {}
-        self.acts_on: dict[str, int] = {}       # as each last said
+        self.acts_on: dict[str, int] = {}  # as each last said
 
     def said(self, member: str, acts_on: int) -> None:
         self.acts_on[member] = acts_on
@@ -67,7 +71,10 @@
         self.granted_at[member] = now
 
     def lapsed(self, now: int, member: str) -> bool:
-        return now >= self.unknown_until and now >= self.granted_at.get(member, now - self.span) + self.span
+        return (
+            now >= self.unknown_until
+            and now >= self.granted_at.get(member, now - self.span) + self.span
+        )
 
     def may_act_below(self, now: int, version: int, members: list[str]) -> list[str]:
         """Those that may act still on an older version than that."""
--- a/cypresswalk/fleet/links.py
+++ b/cypresswalk/fleet/links.py
@@ -10,25 +10,40 @@
 from queue import Empty, SimpleQueue
 from threading import Event, Lock
 
-from cypresswalk.fleet.words import PROTOCOL, AnyFrame, FrameError, Frames, Hail, HailAnswer, Hello, Refused, Result, pack
+from cypresswalk.fleet.words import (
+    PROTOCOL,
+    AnyFrame,
+    FrameError,
+    Frames,
+    Hail,
+    HailAnswer,
+    Hello,
+    Refused,
+    Result,
+    pack,
+)
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.net.link import dial, timeval
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-STACK = 512 * 1024          # the serializer needs more than the drivers' stacks
+STACK = 512 * 1024  # the serializer needs more than the drivers' stacks
 READ = 64 << 10
-CONNECTIONS = 512           # that others have here at a time: two hundred members, their tools and what just ends
-WAITING = 256               # frames to one address; beyond them the oldest goes, since words may be lost
-WAITING_SIZE = 8 << 20      # and bytes
-QUEUED = 4096               # events that wait for the fleet's thread; beyond them connections are not read
+CONNECTIONS = (
+    512  # that others have here at a time: two hundred members, their tools and what just ends
+)
+WAITING = 256  # frames to one address; beyond them the oldest goes, since words may be lost
+WAITING_SIZE = 8 << 20  # and bytes
+QUEUED = 4096  # events that wait for the fleet's thread; beyond them connections are not read
 DIAL = SECOND
-FIRST = 2 * SECOND          # a connection that has not said who it is by then is closed
-IDLE = 30 * SECOND          # and one that says nothing for so long
-UNHEARD = 3 * SECOND        # of whom nothing is heard for so long is dialled anew: guards against a way that swallows bytes
+FIRST = 2 * SECOND  # a connection that has not said who it is by then is closed
+IDLE = 30 * SECOND  # and one that says nothing for so long
+UNHEARD = (
+    3 * SECOND
+)  # of whom nothing is heard for so long is dialled anew: guards against a way that swallows bytes
 PAUSE, PAUSE_MOST = SECOND // 10, SECOND
-UNACKED = 4000              # milliseconds: what the other machine's kernel has not acknowledged by then ends the connection
-TOOL_CALLS = 16             # of one tool at a time
+UNACKED = 4000  # milliseconds: what the other machine's kernel has not acknowledged by then ends the connection
+TOOL_CALLS = 16  # of one tool at a time
 
 
 class Out:
@@ -40,7 +55,7 @@
         self.size = 0
         self.used_at = time.monotonic_ns()
         self.ended = False
-        self.kept: bytes | None = None      # what is to go first on the next connection
+        self.kept: bytes | None = None  # what is to go first on the next connection
         self.gate = Lock()
 
     def send(self, data: bytes) -> None:
@@ -83,7 +98,11 @@
             while (data := self.next()) is not None:
                 self.look(sock, frames)
                 now = time.monotonic_ns()
-                if self.links.group() != group or now - max(since, self.links.heard_at.get(self.to, 0)) > UNHEARD and self.to:
+                if (
+                    self.links.group() != group
+                    or now - max(since, self.links.heard_at.get(self.to, 0)) > UNHEARD
+                    and self.to
+                ):
                     self.kept = data
                     return
                 sock.sendall(data)
@@ -121,14 +140,30 @@
 
 
 class Links:
-    def __init__(self, listen: tuple[str, int], fleet: str, post: Callable[..., None], queued: Callable[[], int],
-                 hello: Callable[[str], Hello], group: Callable[[], str]):
-        self.listen_at, self.fleet, self.post, self.queued, self.hello, self.group = listen, fleet, post, queued, hello, group
+    def __init__(
+        self,
+        listen: tuple[str, int],
+        fleet: str,
+        post: Callable[..., None],
+        queued: Callable[[], int],
+        hello: Callable[[str], Hello],
+        group: Callable[[], str],
+    ):
+        self.listen_at, self.fleet, self.post, self.queued, self.hello, self.group = (
+            listen,
+            fleet,
+            post,
+            queued,
+            hello,
+            group,
+        )
         self.outs: dict[tuple[tuple[str, int], str], Out] = {}
         self.gate = Lock()
         self.counts: Counter[str] = Counter()
-        self.heard_at: dict[str, int] = {}          # by id
-        self.lives: dict[str, tuple[int, int]] = {} # by id: its latest start, and the life drawn at it
+        self.heard_at: dict[str, int] = {}  # by id
+        self.lives: dict[
+            str, tuple[int, int]
+        ] = {}  # by id: its latest start, and the life drawn at it
         self.connections: dict[socket.socket, None] = {}
         self.sock: socket.socket | None = None
         self.over = Event()
@@ -201,7 +236,7 @@
             self.counts["frames_odd"] += 1
             log.info("event=frame_odd why=%s", str(error)[:200])
         except (OSError, struct.error):
-            pass        # the other side is gone, or silent
+            pass  # the other side is gone, or silent
         finally:
             self.connections.pop(sock, None)
             sock.close()
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -16,9 +16,11 @@
 import msgspec
 
 from cypresswalk.agreement.node import Busy, Kept, Node, Role, Timing, Work
-from cypresswalk.agreement.words import DATA, Entry, Member as One, Members, Word
+from cypresswalk.agreement.words import DATA, Entry, Members, Word
+from cypresswalk.agreement.words import Member as One
 from cypresswalk.copies.words import SKEW
-from cypresswalk.fleet import agreed as state, telling
+from cypresswalk.fleet import agreed as state
+from cypresswalk.fleet import telling
 from cypresswalk.fleet.agreed import Agreed, AnyCommand
 from cypresswalk.fleet.founding import FRESH, Founding
 from cypresswalk.fleet.leases import Given, Held
@@ -32,18 +34,25 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-HAIL = SECOND // 2              # how often one without a group looks for one
-TEND = SECOND // 5              # how often a leader looks after members and offers
-AGAIN = SECOND // 2             # a call unanswered for so long goes to whoever leads by then
-CALLS = 1000                    # waiting here at a time; beyond them a call is refused at once
-COMPACT = 512                   # entries agreed since the last snapshot: it is taken anew
-BEHIND = 16                     # entries that one may lack and count as caught up
-DRAINED = "drained"             # so begins the reason of one that is to stay out until it is called back
+HAIL = SECOND // 2  # how often one without a group looks for one
+TEND = SECOND // 5  # how often a leader looks after members and offers
+AGAIN = SECOND // 2  # a call unanswered for so long goes to whoever leads by then
+CALLS = 1000  # waiting here at a time; beyond them a call is refused at once
+COMPACT = 512  # entries agreed since the last snapshot: it is taken anew
+BEHIND = 16  # entries that one may lack and count as caught up
+DRAINED = "drained"  # so begins the reason of one that is to stay out until it is called back
 CALLED_BACK = "called back"
-WAITS_MOST = 20                 # times the longest connect timeout: the longest that a client may ask for (net/core.py)
+WAITS_MOST = (
+    20  # times the longest connect timeout: the longest that a client may ask for (net/core.py)
+)
 VOTERS = 7
-TELLS = {"status": telling.status, "show": telling.show, "history": telling.history, "copies": telling.copies,
-         "release": telling.release}
+TELLS = {
+    "status": telling.status,
+    "show": telling.show,
+    "history": telling.history,
+    "copies": telling.copies,
+    "release": telling.release,
+}
 Reply = Callable[[bool, Any], None]
 
 
@@ -57,8 +66,8 @@
     name: str
     address: str
     zone: str
-    first: tuple[tuple[str, str], ...]      # names and addresses of the first members
-    stated: int                             # nanoseconds for which two may act on contradicting versions
+    first: tuple[tuple[str, str], ...]  # names and addresses of the first members
+    stated: int  # nanoseconds for which two may act on contradicting versions
     timing: Timing = Timing()
 
     @property
@@ -74,28 +83,33 @@
 @dataclass(frozen=True, slots=True)
 class View:
     """What the deciding thread is to act on."""
+
     version: int
     settings_version: int
     settings: dict[str, Any]
     out: tuple[str, ...]
     list_version: int
     servers: tuple
-    away: tuple[str, ...] = ()      # balancers that were drained by call
-    watch: bool = False             # servers are being changed: what each answers is to be told
+    away: tuple[str, ...] = ()  # balancers that were drained by call
+    watch: bool = False  # servers are being changed: what each answers is to be told
 
 
 @dataclass(slots=True)
 class Step:
     """In this order: `begin` or the work written and flushed, `Member.written`, send, `Member.apply`."""
-    begin: tuple[str, Kept] | None = None       # a new file, of that group
+
+    begin: tuple[str, Kept] | None = None  # a new file, of that group
     work: Work | None = None
-    sends: list[tuple[str, AnyFrame]] = field(default_factory=list)     # to a member's id, or an address with a colon
-    reborn: str = ""                            # why this identity is given up; the rest is void
+    sends: list[tuple[str, AnyFrame]] = field(
+        default_factory=list
+    )  # to a member's id, or an address with a colon
+    reborn: str = ""  # why this identity is given up; the rest is void
 
 
 @dataclass(slots=True)
 class Waiting:
     """A call that somebody here asked."""
+
     name: str
     args: dict[str, Any]
     reply: Reply
@@ -105,11 +119,28 @@
 
 
 class Member(Founding):
-    def __init__(self, about: About, ident: str, group: str, kept: Kept | None, now: int, chance: Random,
-                 check: Callable[[dict], str], own: dict[str, Any] | None = None, placing: Placing | None = None):
+    def __init__(
+        self,
+        about: About,
+        ident: str,
+        group: str,
+        kept: Kept | None,
+        now: int,
+        chance: Random,
+        check: Callable[[dict], str],
+        own: dict[str, Any] | None = None,
+        placing: Placing | None = None,
+    ):
         """`check`: why this balancer could not act on those settings, or nothing. `own`: those of its file, offered where the
         fleet has none yet. Raises msgspec.DecodeError where what was kept is no state."""
-        self.about, self.id, self.group, self.chance, self.check, self.own = about, ident, group, chance, check, own
+        self.about, self.id, self.group, self.chance, self.check, self.own = (
+            about,
+            ident,
+            group,
+            chance,
+            check,
+            own,
+        )
         self.node: Node | None = None
         self.agreed, self.applied = Agreed(), -1
         self.sends: list[tuple[str, AnyFrame]] = []
@@ -117,37 +148,49 @@
         self.reborn = ""
         self.held = Held(about.stated, now)
         self.ask_at, self.hail_at, self.tend_at = now, now, now
-        self.hails: dict[str, tuple[int, HailAnswer]] = {}      # answers, by name
-        self.joining: dict[str, tuple[int, Hail]] = {}          # at the leader: who wants in, by name
+        self.hails: dict[str, tuple[int, HailAnswer]] = {}  # answers, by name
+        self.joining: dict[str, tuple[int, Hail]] = {}  # at the leader: who wants in, by name
         self.given: Given | None = None
-        self.objections: dict[str, tuple[str, str]] = {}        # by member: the offer it looked at, why not
-        self.reports: dict[str, tuple[int, bytes]] = {}         # by member: its list
+        self.objections: dict[
+            str, tuple[str, str]
+        ] = {}  # by member: the offer it looked at, why not
+        self.reports: dict[str, tuple[int, bytes]] = {}  # by member: its list
         self.wipes = 0
         self.wiped: dict[str, int] = {}
         self.acts_on = 0
-        self.acting: dict[str, tuple[int, int]] = {}            # by member: the version it acts on, heard first when
+        self.acting: dict[
+            str, tuple[int, int]
+        ] = {}  # by member: the version it acts on, heard first when
         self.list_told: tuple[int, bytes, list] = (-1, b"", [])
         self.calls: dict[int, Waiting] = {}
         self.numbers = 0
-        self.results: dict[str, list[Reply]] = {}               # at the leader: who waits for which command
-        self.settling: list[tuple[int, int, Reply]] = []        # who waits until all act on a version, until when
+        self.results: dict[str, list[Reply]] = {}  # at the leader: who waits for which command
+        self.settling: list[
+            tuple[int, int, Reply]
+        ] = []  # who waits until all act on a version, until when
         self.said: set[str] = set()
         self.led_before = False
         self.views: list[View] = []
         self.viewed: tuple | None = None
-        self.placing = placing                                  # where copies of claims lie, if this balancer keeps any
+        self.placing = placing  # where copies of claims lie, if this balancer keeps any
         self.holds = False
-        self.ready: Callable[[], bool | None] = lambda: None    # of this balancer, as its deciding thread has it
+        self.ready: Callable[[], bool | None] = lambda: (
+            None
+        )  # of this balancer, as its deciding thread has it
         self.served: Callable[[], tuple[int, int, int, int]] = lambda: (0, 0, 0, 0)
         self.servers: Callable[[], OfServers] = OfServers
-        self.wards = Wards(about.stated)                        # at the leader
-        self.boot = 0                                           # how often it has started under this identity
-        self.boots: dict[str, int] = {}                         # at the leader, by name
-        self.figures: dict[str, tuple[Served, int]] = {}        # and what each has served, and when it said so
+        self.wards = Wards(about.stated)  # at the leader
+        self.boot = 0  # how often it has started under this identity
+        self.boots: dict[str, int] = {}  # at the leader, by name
+        self.figures: dict[
+            str, tuple[Served, int]
+        ] = {}  # and what each has served, and when it said so
         self.releasing = Releasing()
-        self.places = Places(about.stated)                      # at the leader
-        self.wall: Callable[[], int] = lambda: 0                # milliseconds, for people
-        self.placed: list[dict[int, tuple[int, tuple[str, ...]]]] = []     # views of parts, for whoever keeps copies here
+        self.places = Places(about.stated)  # at the leader
+        self.wall: Callable[[], int] = lambda: 0  # milliseconds, for people
+        self.placed: list[
+            dict[int, tuple[int, tuple[str, ...]]]
+        ] = []  # views of parts, for whoever keeps copies here
         if kept is not None:
             self.start(kept, now)
 
@@ -158,7 +201,9 @@
         key = what + repr(sorted(words.items()))
         if key not in self.said and len(self.said) < 1000:
             self.said.add(key)
-            log.warning("event=%s %s", what, " ".join(f"{name}={value}" for name, value in words.items()))
+            log.warning(
+                "event=%s %s", what, " ".join(f"{name}={value}" for name, value in words.items())
+            )
 
     # What is known.
 
@@ -187,7 +232,9 @@
             due.append(self.node.due())
         if self.leads:
             due.append(self.tend_at)
-        due += [min(w.again_at, w.until) for w in self.calls.values()] + [until for _, until, _ in self.settling]
+        due += [min(w.again_at, w.until) for w in self.calls.values()] + [
+            until for _, until, _ in self.settling
+        ]
         return min(due)
 
     # Time.
@@ -209,9 +256,15 @@
         for number, waiting in list(self.calls.items()):
             if now >= waiting.until:
                 del self.calls[number]
-                said = "it may or may not come into force; ask for the state" if waiting.sent and waiting.name != "status" \
+                said = (
+                    "it may or may not come into force; ask for the state"
+                    if waiting.sent and waiting.name != "status"
                     else "nothing was done"
-                waiting.reply(False, {"why": f"the fleet did not answer in time; {said}", "unsure": waiting.sent})
+                )
+                waiting.reply(
+                    False,
+                    {"why": f"the fleet did not answer in time; {said}", "unsure": waiting.sent},
+                )
             elif now >= waiting.again_at:
                 self.pass_on(now, number, waiting)
         self.look_settled(now)
@@ -229,7 +282,12 @@
         if self.placing is not None:
             self.placing.turned(now)
         self.tend_at = now
-        log.info("event=%s term=%d member=%s", "leading" if self.leads else "following", self.node.term, self.id)
+        log.info(
+            "event=%s term=%d member=%s",
+            "leading" if self.leads else "following",
+            self.node.term,
+            self.id,
+        )
 
     # Leases.
 
@@ -242,8 +300,21 @@
         offer = pending.offer if pending else ""
         objection = self.check(pending.settings)[:300] if pending else ""
         generation, digest, _ = self.list_told
-        ask = Ask(self.held.ask(now), self.acts_on, offer, objection, generation, digest, self.wipes, self.holds, self.ready(),
-                  self.served(), self.boot, self.held.latest, self.servers())
+        ask = Ask(
+            self.held.ask(now),
+            self.acts_on,
+            offer,
+            objection,
+            generation,
+            digest,
+            self.wipes,
+            self.holds,
+            self.ready(),
+            self.served(),
+            self.boot,
+            self.held.latest,
+            self.servers(),
+        )
         if self.leads:
             self.asked(now, self.id, ask)
         else:
@@ -268,7 +339,7 @@
         try:
             self.node.read(now, ("lease", source, ask.number))
         except Busy:
-            pass        # it asks again
+            pass  # it asks again
 
     def granted(self, now: int, grant: Grant) -> None:
         self.held.granted(grant.number, grant.version)
@@ -277,7 +348,7 @@
         """The deciding thread acts on it now."""
         if version > self.acts_on:
             self.acts_on = version
-            self.ask_at = now       # so that those who wait for all to act on it hear of it
+            self.ask_at = now  # so that those who wait for all to act on it hear of it
 
     def told_list(self, now: int, generation: int, digest: bytes, servers: list) -> None:
         self.list_told = generation, digest, servers
@@ -296,7 +367,7 @@
             self.tend_coming(now)
             self.tend_release(now)
         except Busy:
-            pass        # at the next look
+            pass  # at the next look
 
     def propose(self, now: int, command: AnyCommand) -> None:
         self.node.propose(now, state.encode(command))
@@ -304,21 +375,39 @@
     def tend_offer(self, now: int) -> None:
         s = self.agreed.state
         if s.pending is None:
-            if s.settings_version == 0 and self.own is not None and f"first:{self.group}" not in self.agreed.done \
-                    and self.node.log.term(self.node.commit) == self.node.term:
-                self.propose(now, state.Offer(f"first:{self.group}", self.about.name, self.wall(), 0, self.own))
+            if (
+                s.settings_version == 0
+                and self.own is not None
+                and f"first:{self.group}" not in self.agreed.done
+                and self.node.log.term(self.node.commit) == self.node.term
+            ):
+                self.propose(
+                    now,
+                    state.Offer(f"first:{self.group}", self.about.name, self.wall(), 0, self.own),
+                )
             return
         offer = s.pending.offer
-        why = [f"{member.partition('#')[0]}: {text}" for member, (seen, text) in sorted(self.objections.items())
-               if seen == offer and text]
+        why = [
+            f"{member.partition('#')[0]}: {text}"
+            for member, (seen, text) in sorted(self.objections.items())
+            if seen == offer and text
+        ]
         mine = self.check(s.pending.settings)
         if mine and not any(line.startswith(f"{self.about.name}:") for line in why):
             why.append(f"{self.about.name}: {mine}"[:400])
         if why:
-            self.propose(now, state.Refuse(f"refuse:{offer}", self.about.name, s.pending.at, offer, why))
-        elif all(self.objections.get(m.id, ("",))[0] == offer or m.id == self.id or self.given.lapsed(now, m.id)
-                 for m in self.members):
-            self.propose(now, state.Activate(f"activate:{offer}", self.about.name, s.pending.at, offer))
+            self.propose(
+                now, state.Refuse(f"refuse:{offer}", self.about.name, s.pending.at, offer, why)
+            )
+        elif all(
+            self.objections.get(m.id, ("",))[0] == offer
+            or m.id == self.id
+            or self.given.lapsed(now, m.id)
+            for m in self.members
+        ):
+            self.propose(
+                now, state.Activate(f"activate:{offer}", self.about.name, s.pending.at, offer)
+            )
 
     def tend_list(self, now: int) -> None:
         """A list that a majority of the voters got from their own agents, the same to the byte. Guards against one agent that
@@ -330,8 +419,17 @@
         voters = self.node.voters
         alike = sum(v == self.id or self.reports.get(v) == (generation, digest) for v in voters)
         if alike >= self.node.majority(len(voters)):
-            self.propose(now, state.Listing(f"list:{s.list_epoch}:{generation}", self.about.name, self.wall(), generation, s.list_epoch,
-                                            servers))
+            self.propose(
+                now,
+                state.Listing(
+                    f"list:{s.list_epoch}:{generation}",
+                    self.about.name,
+                    self.wall(),
+                    generation,
+                    s.list_epoch,
+                    servers,
+                ),
+            )
 
     def tend_members(self, now: int) -> None:
         members = self.node.log.members
@@ -339,7 +437,12 @@
         desired = self.agreed.state.voters
         if not desired:
             if self.node.log.term(self.node.commit) == self.node.term:
-                self.propose(now, state.Desire(f"voters:{self.group}", self.about.name, self.wall(), sorted(names), []))
+                self.propose(
+                    now,
+                    state.Desire(
+                        f"voters:{self.group}", self.about.name, self.wall(), sorted(names), []
+                    ),
+                )
             return
         wanted = self.next_members(now, members, desired)
         if wanted is not None:
@@ -351,15 +454,22 @@
     def seen_out(self, now: int) -> dict[str, str]:
         unheard = {m.id for m in self.members if not self.hears(now, m.id)}
         # Who leads no more knows of nobody's lease.
-        lapsed = {ident for ident in unheard if self.given is not None and self.given.lapsed(now, ident)}
+        lapsed = {
+            ident for ident in unheard if self.given is not None and self.given.lapsed(now, ident)
+        }
         return self.places.seen_out(now, self.members, self.agreed.state.left, unheard, lapsed)
 
     def tend_away(self, now: int) -> None:
         s = self.agreed.state
         doing = s.release.members if s.release is not None else {}
-        free = self.places.tend(now, s.away, {name for name in s.away if doing.get(name) == "changing"},
-                                {name for name in s.away if doing.get(name) == "out"}, self.seen_out(now),
-                                {m.name for m in self.members})
+        free = self.places.tend(
+            now,
+            s.away,
+            {name for name in s.away if doing.get(name) == "changing"},
+            {name for name in s.away if doing.get(name) == "out"},
+            self.seen_out(now),
+            {m.name for m in self.members},
+        )
         if free is not None:
             self.propose(now, state.Return(*self.head("return"), *free))
 
@@ -369,26 +479,36 @@
 
     def bad_servers(self, now: int) -> dict[str, str]:
         """Raises Busy where a bound rests on it and nobody can tell yet."""
-        if not self.wards.can_tell(now, self.idents()) and self.agreed.state.settings.get("bounds", {}).get("servers"):
+        if not self.wards.can_tell(now, self.idents()) and self.agreed.state.settings.get(
+            "bounds", {}
+        ).get("servers"):
             raise Busy(telling.UNTOLD)
         return self.wards.bad(now, self.idents())
 
     def standing(self, now: int, server: str) -> int | None:
         """Flows at a server of all balancers that may act; None where one of them has not said."""
-        acting = {ident for ident in self.idents() if self.given is None or not self.given.lapsed(now, ident)}
+        acting = {
+            ident
+            for ident in self.idents()
+            if self.given is None or not self.given.lapsed(now, ident)
+        }
         return self.wards.standing(now, acting, server)
 
     def tend_coming(self, now: int) -> None:
         s = self.agreed.state
         self.wards.keep(self.idents())
         if s.coming:
-            ready = self.wards.ready_again(now, self.idents(), s.coming, {name for name, *_ in s.servers})
+            ready = self.wards.ready_again(
+                now, self.idents(), s.coming, {name for name, *_ in s.servers}
+            )
             if ready:
                 self.propose(now, state.Seen(*self.head("seen"), ready))
 
     def settled(self, version: int, now: int) -> bool:
         """Whether every balancer acts on that version, or acts no more."""
-        return self.given is not None and not self.given.may_act_below(now, version, [m.id for m in self.members])
+        return self.given is not None and not self.given.may_act_below(
+            now, version, [m.id for m in self.members]
+        )
 
     def head(self, what: str, by: str = "") -> tuple[str, str, int]:
         """Of a command that the leader proposes by itself."""
@@ -400,10 +520,19 @@
             return
         if s.release.plan.kind == state.SERVERS:
             seen, zones = self.bad_servers(now), {}
-            served, out, away, boots = self.wards.served, set(seen) - set(s.coming), self.agreed.held_out() | set(s.coming), {}
+            served, out, away, boots = (
+                self.wards.served,
+                set(seen) - set(s.coming),
+                self.agreed.held_out() | set(s.coming),
+                {},
+            )
         else:
             seen, zones = self.seen_out(now), self.zones()
-            served = {name: figures for name, (figures, at) in self.figures.items() if now - at <= self.about.stated}
+            served = {
+                name: figures
+                for name, (figures, at) in self.figures.items()
+                if now - at <= self.about.stated
+            }
             out, away, boots = set(seen), set(s.away), self.boots
         do = self.releasing.tend(now, s.release, s.halted is not None, served, out, away, boots)
         if do is None:
@@ -422,9 +551,15 @@
     def tend_copies(self, now: int) -> None:
         s = self.agreed.state
         if self.placing is None or self.node.log.term(self.node.commit) != self.node.term:
-            return      # what leaders before it agreed on is not all known here
-        proposals, sends = self.placing.tend(now, self.members, s.parts, s.left, lambda ident: self.hears(now, ident),
-                                             longest_held(s.settings))
+            return  # what leaders before it agreed on is not all known here
+        proposals, sends = self.placing.tend(
+            now,
+            self.members,
+            s.parts,
+            s.left,
+            lambda ident: self.hears(now, ident),
+            longest_held(s.settings),
+        )
         self.sends += sends
         if proposals:
             self.propose(now, state.Place(*self.head("place"), proposals))
@@ -432,7 +567,11 @@
     def hears(self, now: int, ident: str) -> bool:
         peer = self.node.peers.get(ident)
         # Voters are beaten five times as often.
-        return ident == self.id or peer is not None and now - peer.heard_at < (FRESH // 2 if ident in self.node.voters else FRESH)
+        return (
+            ident == self.id
+            or peer is not None
+            and now - peer.heard_at < (FRESH // 2 if ident in self.node.voters else FRESH)
+        )
 
     def holder_said(self, now: int, source: str, words: list) -> None:
         """To who leads, of copies."""
@@ -443,36 +582,60 @@
 
     def next_members(self, now: int, members: Members, desired: list[str]) -> Members | None:
         """The next step, one at a time, towards who should vote and who should be there."""
-        newest = {m.name: m for m in members}       # a later incarnation stands behind an earlier one
+        newest = {m.name: m for m in members}  # a later incarnation stands behind an earlier one
         gone = [m for m in members if m.name in self.agreed.state.left or newest[m.name] is not m]
         # One that leaves stays while copies lie there alone or with others: they are taken elsewhere first.
         held = {h for _, there in self.agreed.state.parts.values() for h in there}
-        gone = [m for m in gone if newest[m.name] is not m or m.voter or m.id not in held or not self.hears(now, m.id)]
+        gone = [
+            m
+            for m in gone
+            if newest[m.name] is not m or m.voter or m.id not in held or not self.hears(now, m.id)
+        ]
         if any(not m.voter for m in gone):
             return tuple(m for m in members if m.voter or m not in gone)
         # All that wait at once: a change goes to every member, and two hundred that start together would make two hundred.
         joining, self.joining = self.joining, {}
-        new = [One(hail.id, False, hail.address, hail.zone) for at, hail in joining.values()
-               if now - at < FRESH and not any(m.id == hail.id for m in members)]
+        new = [
+            One(hail.id, False, hail.address, hail.zone)
+            for at, hail in joining.values()
+            if now - at < FRESH and not any(m.id == hail.id for m in members)
+        ]
         if new:
             return (*members, *new)
         for name in desired:
             member = newest.get(name)
-            if member is not None and not member.voter and member not in gone and self.caught_up(now, member.id):
-                return tuple(One(m.id, True, m.address, m.zone) if m is member else m for m in members)
+            if (
+                member is not None
+                and not member.voter
+                and member not in gone
+                and self.caught_up(now, member.id)
+            ):
+                return tuple(
+                    One(m.id, True, m.address, m.zone) if m is member else m for m in members
+                )
         ready = {m.name for m in members if m.voter and newest[m.name] is m}
         for member in members:
             # A voter goes once another stands for it; or at once where it was told to leave, as long as others stay.
             spare = member.voter and (member in gone or member.name not in desired)
-            if spare and (member.name in ready and member in gone or all(n in ready for n in desired if n in newest)):
+            if spare and (
+                member.name in ready
+                and member in gone
+                or all(n in ready for n in desired if n in newest)
+            ):
                 if sum(m.voter for m in members) > 1:
-                    return tuple(One(m.id, False, m.address, m.zone) if m is member else m for m in members)
+                    return tuple(
+                        One(m.id, False, m.address, m.zone) if m is member else m for m in members
+                    )
         return None
 
     def caught_up(self, now: int, ident: str) -> bool:
         peer = self.node.peers.get(ident)
-        return (peer is not None and peer.sure is not None and now - peer.heard_at < FRESH
-                and peer.match >= self.node.commit - BEHIND)
+        return (
+            peer is not None
+            and peer.sure is not None
+            and now - peer.heard_at < FRESH
+            and peer.match >= self.node.commit - BEHIND
+        )
 
     # Frames.
 
@@ -488,15 +651,19 @@
             case Grant():
                 self.granted(now, frame)
             case Call():
+
                 def reply(ok: bool, body: Any) -> None:
                     self.sends.append((source, Result(frame.number, ok, body)))
+
                 if self.leads:
                     self.lead_call(now, frame.name, frame.args, reply)
                 else:
                     reply(False, {"why": "not the leader", "again": True})
             case Result():
                 waiting = self.calls.get(frame.number)
-                if waiting is not None and not (isinstance(frame.body, dict) and frame.body.get("again")):
+                if waiting is not None and not (
+                    isinstance(frame.body, dict) and frame.body.get("again")
+                ):
                     del self.calls[frame.number]
                     waiting.reply(frame.ok, frame.body)
             case Word() if self.node is not None:
@@ -523,6 +690,7 @@
                     waiting.again_at = min(waiting.again_at, now + AGAIN)
                 elif self.calls.pop(number, None) is not None:
                     waiting.reply(ok, body)
+
             self.lead_call(now, waiting.name, waiting.args, reply)
         elif self.leader:
             waiting.again_at = now + AGAIN
@@ -550,19 +718,39 @@
 
     def command(self, now: int, name: str, args: dict[str, Any]) -> AnyCommand:
         """Raises ValueError where it could never be carried out."""
-        kinds = {"offer": state.Offer, "out": state.Out, "back": state.Back, "note": state.Note, "renew": state.Renew,
-                 "halt": state.Halt, "resume": state.Resume, "release_came": state.Came,
-                 "release_back": state.TurnBack, "release_pause": state.Pause}
+        kinds = {
+            "offer": state.Offer,
+            "out": state.Out,
+            "back": state.Back,
+            "note": state.Note,
+            "renew": state.Renew,
+            "halt": state.Halt,
+            "resume": state.Resume,
+            "release_came": state.Came,
+            "release_back": state.TurnBack,
+            "release_pause": state.Pause,
+        }
         if name in ("join", "leave", "replace"):
             return self.desire(name, args)
         if name == "release_begin":
             plan = msgspec.convert(args["plan"], Plan)
-            return state.Begin(str(args["ident"]), str(args["by"]), int(args["at"]), plan,
-                               sorted({m.name for m in self.members if m.name not in self.agreed.state.left}))
+            return state.Begin(
+                str(args["ident"]),
+                str(args["by"]),
+                int(args["at"]),
+                plan,
+                sorted({m.name for m in self.members if m.name not in self.agreed.state.left}),
+            )
         if name in ("go_out", "release_began"):
             head = str(args["ident"]), str(args["by"]), int(args["at"]), str(args["member"])
             if name == "go_out":
-                return state.Leave(*head, str(args["why"]), bool(args.get("forced")), self.zones(), self.seen_out(now))
+                return state.Leave(
+                    *head,
+                    str(args["why"]),
+                    bool(args.get("forced")),
+                    self.zones(),
+                    self.seen_out(now),
+                )
             release = self.agreed.state.release
             if release is None or release.plan.kind != state.SERVERS:
                 return state.Began(*head, str(args["to"]), self.zones(), self.seen_out(now))
@@ -574,7 +762,9 @@
         if name == "out":
             # Under a halt it is refused whatever is seen, and its caller is to hear of that.
             whatever = args.get("forced") or self.agreed.state.halted
-            args = args | {"seen": self.wards.bad(now, self.idents()) if whatever else self.bad_servers(now)}
+            args = args | {
+                "seen": self.wards.bad(now, self.idents()) if whatever else self.bad_servers(now)
+            }
         command = kinds[name](**args)
         return msgspec.convert(msgspec.to_builtins(command), type(command))
 
@@ -585,7 +775,9 @@
         have = [part for part in parts if part not in self.placing.away]
         if have or not parts:
             raise ValueError(f"parts {have} have copies" if have else "no part named")
-        self.propose(now, state.Note(*self.head("renew", by), f"copies begun anew with nothing: {parts}"))
+        self.propose(
+            now, state.Note(*self.head("renew", by), f"copies begun anew with nothing: {parts}")
+        )
         self.placing.renewed.update(parts)
         reply(True, {"why": f"{len(parts)} parts begin anew"})
 
@@ -638,11 +830,21 @@
     def look_settled(self, now: int) -> None:
         waiting, self.settling = self.settling, []
         for version, until, reply in waiting:
-            below = self.given.may_act_below(now, version, [m.id for m in self.members]) if self.given else []
+            below = (
+                self.given.may_act_below(now, version, [m.id for m in self.members])
+                if self.given
+                else []
+            )
             if self.given and not below:
                 reply(True, {"version": version})
             elif now >= until:
-                reply(False, {"why": "may act on an older version still: " + ", ".join(below), "unsure": False})
+                reply(
+                    False,
+                    {
+                        "why": "may act on an older version still: " + ", ".join(below),
+                        "unsure": False,
+                    },
+                )
             else:
                 self.settling.append((version, until, reply))
 
@@ -653,7 +855,9 @@
             return Step(reborn=self.reborn)
         work = self.node.take() if self.node is not None else None
         if work is not None and work.disowned:
-            return Step(reborn="it lacks what it had acknowledged: its folder was put back from an older copy, or lost a part")
+            return Step(
+                reborn="it lacks what it had acknowledged: its folder was put back from an older copy, or lost a part"
+            )
         step = Step(self.begin, work, self.sends)
         self.sends, self.begin = [], None
         if work is not None:
@@ -692,7 +896,13 @@
             self.answer(command, result, reply)
         if isinstance(command, state.Place):
             # Each view by itself: a holder that skipped one would not know that it has all.
-            self.placed.append({part: place for part, place in command.parts.items() if self.agreed.state.parts.get(part) == place})
+            self.placed.append(
+                {
+                    part: place
+                    for part, place in command.parts.items()
+                    if self.agreed.state.parts.get(part) == place
+                }
+            )
             self.tend_at = now
             if self.leads:
                 # Those that only follow would hear at their next beat that it is agreed, and claims there wait for them.
@@ -701,9 +911,12 @@
         if isinstance(command, state.Activate | state.Refuse):
             for reply in self.results.pop(f"end:{command.offer}", ()):
                 ok, why = result
-                reply(ok and isinstance(command, state.Activate), {"why": why, "version": self.agreed.state.version})
+                reply(
+                    ok and isinstance(command, state.Activate),
+                    {"why": why, "version": self.agreed.state.version},
+                )
         if isinstance(command, state.Offer) and result[0] and self.agreed.state.pending:
-            self.ask_at = now       # says at once whether it can be read here
+            self.ask_at = now  # says at once whether it can be read here
 
     def confirmed(self, now: int, token: tuple) -> None:
         """Nothing agreed before this was asked is missing here."""
@@ -732,9 +945,23 @@
         if self.applied < 0 or self.viewed == (s.version,):
             return
         self.viewed = (s.version,)
-        watch = s.release is not None and s.release.plan.kind == state.SERVERS and s.release.phase in UNFINISHED
-        self.views.append(View(s.version, s.settings_version, s.settings, tuple(sorted(self.agreed.all_out())), s.list_version,
-                               tuple(s.servers), tuple(name for name, (_, _, why) in s.away.items() if why.startswith(DRAINED)), watch))
+        watch = (
+            s.release is not None
+            and s.release.plan.kind == state.SERVERS
+            and s.release.phase in UNFINISHED
+        )
+        self.views.append(
+            View(
+                s.version,
+                s.settings_version,
+                s.settings,
+                tuple(sorted(self.agreed.all_out())),
+                s.list_version,
+                tuple(s.servers),
+                tuple(name for name, (_, _, why) in s.away.items() if why.startswith(DRAINED)),
+                watch,
+            )
+        )
 
 
 def longest_held(settings: dict[str, Any]) -> int:
--- a/cypresswalk/fleet/places.py
+++ b/cypresswalk/fleet/places.py
@@ -11,11 +11,16 @@
 from cypresswalk.agreement.words import Member as One
 
 SECOND = 1_000_000_000
-GO = 2 * SECOND                 # within which a balancer that may go out goes, or not at all
-USED = 3 * SECOND               # after which it has, by any clock within the bound on drift
-UNUSED = 10 * SECOND            # after which an agent that has not begun gives its turn up
-UNKNOWN, UNHEARD, UNREADY, LAPSED = "has not said that it is ready", "not heard", "not ready", "not heard, its lease is over"
-SURELY = (UNREADY, LAPSED)      # the others may be in all the same
+GO = 2 * SECOND  # within which a balancer that may go out goes, or not at all
+USED = 3 * SECOND  # after which it has, by any clock within the bound on drift
+UNUSED = 10 * SECOND  # after which an agent that has not begun gives its turn up
+UNKNOWN, UNHEARD, UNREADY, LAPSED = (
+    "has not said that it is ready",
+    "not heard",
+    "not ready",
+    "not heard, its lease is over",
+)
+SURELY = (UNREADY, LAPSED)  # the others may be in all the same
 
 Granted = tuple[str, int, str]  # by whom, when, why: as agreed
 
@@ -23,18 +28,21 @@
 @dataclass(slots=True)
 class Place:
     """Of one balancer, by one grant."""
+
     granted: Granted
-    settled: int                # when it can no longer go out by it
-    leases: deque = field(default_factory=lambda: deque(maxlen=16))     # numbers of those given since
-    back: bool = False          # it was ready then
+    settled: int  # when it can no longer go out by it
+    leases: deque = field(default_factory=lambda: deque(maxlen=16))  # numbers of those given since
+    back: bool = False  # it was ready then
     begun: bool = False
 
 
 class Places:
     def __init__(self, stated: int):
         self.stated = stated
-        self.said: dict[str, tuple[bool | None, int]] = {}      # by id: whether it is ready, as it last said, and when
-        self.places: dict[str, Place] = {}                      # by name
+        self.said: dict[
+            str, tuple[bool | None, int]
+        ] = {}  # by id: whether it is ready, as it last said, and when
+        self.places: dict[str, Place] = {}  # by name
 
     # What balancers say.
 
@@ -52,8 +60,14 @@
 
     # What follows.
 
-    def seen_out(self, now: int, members: Iterable[One], left: Collection[str], unheard: Collection[str],
-                 lapsed: Collection[str]) -> dict[str, str]:
+    def seen_out(
+        self,
+        now: int,
+        members: Iterable[One],
+        left: Collection[str],
+        unheard: Collection[str],
+        lapsed: Collection[str],
+    ) -> dict[str, str]:
         """Members that are out whatever anybody granted, with why. What nobody can tell counts as out. `unheard`, `lapsed`: by id."""
         out = {}
         for m in members:
@@ -67,18 +81,29 @@
             elif not ready:
                 out[m.name] = UNREADY
             else:
-                out.pop(m.name, None)       # a later incarnation of one that was lost
+                out.pop(m.name, None)  # a later incarnation of one that was lost
         return out
 
-    def tend(self, now: int, away: dict[str, Granted], begun: Collection[str], waiting: Collection[str], out: Collection[str],
-             there: Collection[str]) -> tuple[str, Granted] | None:
+    def tend(
+        self,
+        now: int,
+        away: dict[str, Granted],
+        begun: Collection[str],
+        waiting: Collection[str],
+        out: Collection[str],
+        there: Collection[str],
+    ) -> tuple[str, Granted] | None:
         """The next whose place is free, and the grant that ends. `begun`: those whose agents work on them, two processes side by side,
         ready all the while; `waiting`: those whose agents have not begun; `there`: names of members."""
-        self.places = {name: place for name, place in self.places.items() if away.get(name) == place.granted}
+        self.places = {
+            name: place for name, place in self.places.items() if away.get(name) == place.granted
+        }
         for name, granted in away.items():
             place = self.places.get(name)
             if place is None:
-                place = self.places[name] = Place(granted, now + (UNUSED if name in waiting else USED))
+                place = self.places[name] = Place(
+                    granted, now + (UNUSED if name in waiting else USED)
+                )
             if name in begun or place.begun:
                 # What its old process said, and was told until it ended, says nothing of the new one.
                 place.settled, place.back, place.begun = now, False, name in begun
--- a/cypresswalk/fleet/placing.py
+++ b/cypresswalk/fleet/placing.py
@@ -18,12 +18,12 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-SETTLE = 5 * SECOND             # fewer members than copies: so long the first placement waits for more
-AGAIN = 3 * SECOND // 10        # a word unanswered for so long goes out once more
-STUCK = 10 * SECOND             # a change that has come no further goes on with whom it has
-BAD = 10 * SECOND               # a holder that a primary could not reach is left out of that part for so long
-AT_ONCE = 6                     # parts that are made up elsewhere at a time
-STARTED = 2                     # of them begun at one look, five of which a second go by
+SETTLE = 5 * SECOND  # fewer members than copies: so long the first placement waits for more
+AGAIN = 3 * SECOND // 10  # a word unanswered for so long goes out once more
+STUCK = 10 * SECOND  # a change that has come no further goes on with whom it has
+BAD = 10 * SECOND  # a holder that a primary could not reach is left out of that part for so long
+AT_ONCE = 6  # parts that are made up elsewhere at a time
+STARTED = 2  # of them begun at one look, five of which a second go by
 
 Views = dict[int, tuple[int, tuple[str, ...]]]
 
@@ -31,34 +31,35 @@
 @dataclass(slots=True)
 class Change:
     """From view `view` to the next."""
+
     view: int
     target: tuple[str, ...]
     since: int
-    source: str = ""                # the holder that is sealed, once it has said so
-    asked: str = ""                 # whom to seal
+    source: str = ""  # the holder that is sealed, once it has said so
+    asked: str = ""  # whom to seal
     whole: set[str] = field(default_factory=set)
     said_at: dict[str, int] = field(default_factory=dict)
     proposed_at: int = -1 << 62
-    new: bool = False               # begins with nothing
+    new: bool = False  # begins with nothing
 
 
 class Placing:
     def __init__(self, me: str, copies: int, least: int):
         self.me, self.copies, self.least = me, copies, least
-        self.lost: dict[int, int] = {}          # parts without any copy: since when
-        self.away: set[int] = set()             # parts of which no copy is heard
-        self.renewed: set[int] = set()          # of these, those that an operator lets begin with nothing
+        self.lost: dict[int, int] = {}  # parts without any copy: since when
+        self.away: set[int] = set()  # parts of which no copy is heard
+        self.renewed: set[int] = set()  # of these, those that an operator lets begin with nothing
         self.said_lost: set[int] = set()
         self.turned(0)
 
     def turned(self, now: int) -> None:
         """Leads from now on, or no more: nothing of before is known."""
         self.began = now
-        self.able: dict[str, bool] = {}         # members that hold copies, as they told
+        self.able: dict[str, bool] = {}  # members that hold copies, as they told
         self.changes: dict[int, Change] = {}
-        self.empty: set[tuple[int, int, str]] = set()       # part, view, holder: that has not all of it
-        self.bad: dict[tuple[int, str], int] = {}           # part, holder: until when it is left out
-        self.lacking: dict[int, int] = {}       # parts with fewer copies than asked for: since when
+        self.empty: set[tuple[int, int, str]] = set()  # part, view, holder: that has not all of it
+        self.bad: dict[tuple[int, str], int] = {}  # part, holder: until when it is left out
+        self.lacking: dict[int, int] = {}  # parts with fewer copies than asked for: since when
         self.lost.clear()
         self.away.clear()
         self.renewed.clear()
@@ -78,10 +79,12 @@
                 self.empty.add((word.part, view, source))
             case Slow(who=who) if word.view == view:
                 if (word.part, who) not in self.bad:
-                    log.info("event=copy_left_out part=%d holder=%s told_by=%s", word.part, who, source)
+                    log.info(
+                        "event=copy_left_out part=%d holder=%s told_by=%s", word.part, who, source
+                    )
                 self.bad[word.part, who] = now + BAD
             case Sealed() if word.view == view and source in there:
-                if change is None:      # by a leader before this one
+                if change is None:  # by a leader before this one
                     change = self.changes[word.part] = Change(view, (), now)
                 change.source = change.source or source
             case Brought() if change is not None and word.view == change.view + 1:
@@ -89,8 +92,15 @@
 
     # What is to be done.
 
-    def tend(self, now: int, members: Members, views: Views, left: list[str], heard: Callable[[str], bool], longest: int) \
-            -> tuple[Views, list[tuple[str, AnyWord]]]:
+    def tend(
+        self,
+        now: int,
+        members: Members,
+        views: Views,
+        left: list[str],
+        heard: Callable[[str], bool],
+        longest: int,
+    ) -> tuple[Views, list[tuple[str, AnyWord]]]:
         """Views to propose, and words to send. `heard`: whether a member was heard lately; `longest`: for how long an id is held."""
         sends: list[tuple[str, AnyWord]] = []
         there = {m.id: m.zone for m in members}
@@ -108,18 +118,28 @@
             change = self.changes.get(part)
             able = {ident: zone for ident, zone in usable.items() if (part, ident) not in self.bad}
             wanted = holders(part, able, self.copies)
-            whole = [h for h in now_there if h in alive and (part, view, h) not in self.empty and (part, h) not in self.bad]
+            whole = [
+                h
+                for h in now_there
+                if h in alive and (part, view, h) not in self.empty and (part, h) not in self.bad
+            ]
             # A holder that comes back whole ends a beginning with nothing.
             if change is not None and (change.view != view or change.new and whole):
                 del self.changes[part]
                 change = None
             self.note_lacking(now, part, len(whole))
             if change is None:
-                change = self.next_change(now, part, view, now_there, whole, wanted, there, usable, wait, longest)
+                change = self.next_change(
+                    now, part, view, now_there, whole, wanted, there, usable, wait, longest
+                )
                 if change is None:
                     continue
                 if not change.new and any(h not in whole for h in change.target):
-                    making = sum(any(h not in views[p][1] for h in c.target) for p, c in self.changes.items() if p in views)
+                    making = sum(
+                        any(h not in views[p][1] for h in c.target)
+                        for p, c in self.changes.items()
+                        if p in views
+                    )
                     if making >= AT_ONCE or begun >= STARTED:
                         continue
                     begun += 1
@@ -136,10 +156,23 @@
         else:
             self.lacking.pop(part, None)
 
-    def next_change(self, now: int, part: int, view: int, now_there: tuple[str, ...], whole: list[str], wanted: tuple[str, ...],
-                    there: dict[str, str], usable: dict[str, str], wait: bool, longest: int) -> Change | None:
+    def next_change(
+        self,
+        now: int,
+        part: int,
+        view: int,
+        now_there: tuple[str, ...],
+        whole: list[str],
+        wanted: tuple[str, ...],
+        there: dict[str, str],
+        usable: dict[str, str],
+        wait: bool,
+        longest: int,
+    ) -> Change | None:
         if view == 0:
-            return Change(0, wanted, now, new=True) if len(wanted) >= self.least and not wait else None
+            return (
+                Change(0, wanted, now, new=True) if len(wanted) >= self.least and not wait else None
+            )
         if not whole:
             return self.without_copies(now, part, view, now_there, wanted, there, longest)
         self.lost.pop(part, None)
@@ -147,14 +180,28 @@
         self.renewed.discard(part)
         self.said_lost.discard(part)
         if len(whole) < len(now_there) and len(whole) >= self.least:
-            return Change(view, tuple(whole), now)      # at once, and claims go on; the copy is made up after that
+            return Change(
+                view, tuple(whole), now
+            )  # at once, and claims go on; the copy is made up after that
         leaves = any(h not in usable for h in now_there)
-        if set(wanted) != set(now_there) and len(wanted) >= self.least and (len(wanted) >= len(whole) or leaves):
+        if (
+            set(wanted) != set(now_there)
+            and len(wanted) >= self.least
+            and (len(wanted) >= len(whole) or leaves)
+        ):
             return Change(view, wanted, now)
         return None
 
-    def without_copies(self, now: int, part: int, view: int, now_there: tuple[str, ...], wanted: tuple[str, ...], there: dict[str, str],
-                       longest: int) -> Change | None:
+    def without_copies(
+        self,
+        now: int,
+        part: int,
+        view: int,
+        now_there: tuple[str, ...],
+        wanted: tuple[str, ...],
+        there: dict[str, str],
+        longest: int,
+    ) -> Change | None:
         """No holder of it is heard. One that is a member still and has not said that it has nothing may come back whole."""
         self.away.add(part)
         gone = all(h not in there or (part, view, h) in self.empty for h in now_there)
@@ -162,19 +209,34 @@
             since = self.lost.setdefault(part, now)
             if part not in self.said_lost:
                 self.said_lost.add(part)
-                log.error("event=all_copies_lost part=%d view=%d claims_refused_for_s=%.0f", part, view, longest / SECOND)
+                log.error(
+                    "event=all_copies_lost part=%d view=%d claims_refused_for_s=%.0f",
+                    part,
+                    view,
+                    longest / SECOND,
+                )
         if part in self.renewed or gone and now - since > longest:
             if len(wanted) >= self.least:
                 return Change(view, wanted, now, new=True)
         return None
 
-    def drive(self, now: int, part: int, change: Change, whole: list[str], wanted: tuple[str, ...], alive: set[str],
-              sends: list[tuple[str, AnyWord]]) -> tuple[str, ...]:
+    def drive(
+        self,
+        now: int,
+        part: int,
+        change: Change,
+        whole: list[str],
+        wanted: tuple[str, ...],
+        alive: set[str],
+        sends: list[tuple[str, AnyWord]],
+    ) -> tuple[str, ...]:
         """Goes one step further; the next view's holders once each has all."""
+
         def say(to: str, word: AnyWord) -> None:
             if now - change.said_at.get(to, -1 << 62) >= AGAIN:
                 change.said_at[to] = now
                 sends.append((to, word))
+
         if change.new:
             change.target = change.target if set(change.target) <= alive else wanted
             for name in change.target:
@@ -195,17 +257,32 @@
         missing = [name for name in change.target if name not in whole and name not in change.whole]
         for name in missing:
             say(name, Bring(part, change.view + 1, change.source))
-        if missing and now - change.since > STUCK and len(change.target) - len(missing) >= self.least:
+        if (
+            missing
+            and now - change.since > STUCK
+            and len(change.target) - len(missing) >= self.least
+        ):
             return tuple(name for name in change.target if name not in missing)
         return () if missing else change.target
 
     # What it tells.
 
     def told(self, now: int, views: Views) -> dict[str, Any]:
-        return {"copies": self.copies, "least": self.least,
-                "parts": [[part, view, list(there)] for part, (view, there) in sorted(views.items())],
-                "lacking": {part: round((now - since) / SECOND, 1) for part, since in sorted(self.lacking.items())},
-                "lost": {part: round((now - since) / SECOND, 1) for part, since in sorted(self.lost.items())},
-                "away": sorted(self.away),
-                "changing": {part: [list(c.target), sorted(c.whole), c.source] for part, c in sorted(self.changes.items())},
-                "able": sorted(ident for ident, able in self.able.items() if able)}
+        return {
+            "copies": self.copies,
+            "least": self.least,
+            "parts": [[part, view, list(there)] for part, (view, there) in sorted(views.items())],
+            "lacking": {
+                part: round((now - since) / SECOND, 1)
+                for part, since in sorted(self.lacking.items())
+            },
+            "lost": {
+                part: round((now - since) / SECOND, 1) for part, since in sorted(self.lost.items())
+            },
+            "away": sorted(self.away),
+            "changing": {
+                part: [list(c.target), sorted(c.whole), c.source]
+                for part, c in sorted(self.changes.items())
+            },
+            "able": sorted(ident for ident, able in self.able.items() if able),
+        }
--- a/cypresswalk/fleet/tool.py
+++ b/cypresswalk/fleet/tool.py
@@ -9,13 +9,24 @@
 from cypresswalk.agreement.log import Log, Snapshot
 from cypresswalk.agreement.node import Kept
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.agreement.words import DATA, Member as One
+from cypresswalk.agreement.words import DATA
+from cypresswalk.agreement.words import Member as One
 from cypresswalk.fleet.agreed import Agreed, Record
-from cypresswalk.fleet.words import PROTOCOL, AnyFrame, Call, FrameError, Frames, Hello, Refused, Result, pack
+from cypresswalk.fleet.words import (
+    PROTOCOL,
+    AnyFrame,
+    Call,
+    FrameError,
+    Frames,
+    Hello,
+    Refused,
+    Result,
+    pack,
+)
 from cypresswalk.refusal import Refusal
 from cypresswalk.state.disk import Disk
 
-RECOVERED = 1000        # versions skipped, so that none of the new group has the number of one that the old one had in force
+RECOVERED = 1000  # versions skipped, so that none of the new group has the number of one that the old one had in force
 DIAL = 1.0
 
 
@@ -23,7 +34,13 @@
     """What was asked for may or may not come into force; `show` tells."""
 
 
-def call(addresses: list[str], fleet: str, name: str, args: dict[str, Any] | None = None, span: float = 5.0) -> tuple[bool, Any]:
+def call(
+    addresses: list[str],
+    fleet: str,
+    name: str,
+    args: dict[str, Any] | None = None,
+    span: float = 5.0,
+) -> tuple[bool, Any]:
     """Asks the first that answers, whichever it is: it passes on to the leader. Raises Refusal where nobody could be asked, Unsure
     where one was asked and no answer came."""
     said, sent = [], False
@@ -35,8 +52,12 @@
         host, _, port = where.rpartition(":")
         try:
             with socket.create_connection((host, int(port)), timeout=min(DIAL, left)) as sock:
-                hello = Hello(PROTOCOL, fleet, "tool", "", f"tool#{uuid.uuid4().hex[:8]}", 0, 0, "", "")
-                sock.sendall(pack(hello) + pack(Call(1, name, (args or {}) | {"span": max(left - 0.2, 0.2)})))
+                hello = Hello(
+                    PROTOCOL, fleet, "tool", "", f"tool#{uuid.uuid4().hex[:8]}", 0, 0, "", ""
+                )
+                sock.sendall(
+                    pack(hello) + pack(Call(1, name, (args or {}) | {"span": max(left - 0.2, 0.2)}))
+                )
                 sent = True
                 sock.settimeout(left + 1.0)
                 frame = first(sock)
@@ -74,12 +95,18 @@
     for ident, local in told.items():
         for number, view, whole, shut, _, _, sums in local.get("parts", ()):
             # Guards against ids whose time ends between two answers: on a busy fleet there are always some.
-            held.setdefault(number, {})[ident] = [view, whole, shut], {b: total for b, total in sums.items() if int(b) > soon}
+            held.setdefault(number, {})[ident] = (
+                [view, whole, shut],
+                {b: total for b, total in sums.items() if int(b) > soon},
+            )
     lines = []
     for part, view, holders in parts:
         found = [held.get(part, {}).get(holder, ([], {})) for holder in holders]
         if any(shape != [view, True, False] or sums != found[0][1] for shape, sums in found):
-            lines.append(f"part {part}, view {view}: " + "; ".join(f"{h.partition('#')[0]} {f}" for h, f in zip(holders, found)))
+            lines.append(
+                f"part {part}, view {view}: "
+                + "; ".join(f"{h.partition('#')[0]} {f}" for h, f in zip(holders, found))
+            )
     return lines
 
 
@@ -111,15 +138,34 @@
         state, old = agreed.state, store.life
         state.version += RECOVERED
         state.pending, state.voters, state.fenced = None, [name], [*state.fenced, old.group][-20:]
-        state.history.append(Record(state.version, by, time.time_ns() // 1_000_000, f"group {old.group} given up; {name} begins anew"))
+        state.history.append(
+            Record(
+                state.version,
+                by,
+                time.time_ns() // 1_000_000,
+                f"group {old.group} given up; {name} begins anew",
+            )
+        )
         last, term = kept.snapshot.index + len(kept.entries), max(kept.term, kept.snapshot.term) + 1
         group = f"{fleet}-{uuid.uuid4().hex[:16]}"
-        before = next((m for m in Log(kept.snapshot, kept.entries).members if m.id == old.member), None)
-        mine = One(old.member, True, before.address if before else "", before.zone if before else "")
-        store.begin(Life(fleet, group, old.member, old.boot + 1),
-                    Kept(Snapshot(last, term, (mine,), agreed.dump()), [], term, ""))
+        before = next(
+            (m for m in Log(kept.snapshot, kept.entries).members if m.id == old.member), None
+        )
+        mine = One(
+            old.member, True, before.address if before else "", before.zone if before else ""
+        )
+        store.begin(
+            Life(fleet, group, old.member, old.boot + 1),
+            Kept(Snapshot(last, term, (mine,), agreed.dump()), [], term, ""),
+        )
     except OSError as error:
         raise Refusal(f"{folder}: {error}") from None
     finally:
         disk.unlock()
-    return {"group": group, "fenced": old.group, "member": old.member, "version": state.version, "out": sorted(state.out)}
+    return {
+        "group": group,
+        "fenced": old.group,
+        "member": old.member,
+        "version": state.version,
+        "out": sorted(state.out),
+    }
--- a/cypresswalk/fleet/wards.py
+++ b/cypresswalk/fleet/wards.py
@@ -17,31 +17,44 @@
 @dataclass(frozen=True, slots=True)
 class Word:
     at: int
-    version: int        # that its balancer acted on
+    version: int  # that its balancer acted on
     said: OfServers
 
 
 @dataclass
 class Wards:
-    fresh: int                                                  # nanoseconds for which a word counts
-    words: dict[str, Word] = field(default_factory=dict)        # by member's id
-    counts: dict[str, dict[str, Served]] = field(default_factory=dict)      # of each member's latest word
-    served: dict[str, Served] = field(default_factory=dict)     # by server: all that has been added since this one leads
+    fresh: int  # nanoseconds for which a word counts
+    words: dict[str, Word] = field(default_factory=dict)  # by member's id
+    counts: dict[str, dict[str, Served]] = field(
+        default_factory=dict
+    )  # of each member's latest word
+    served: dict[str, Served] = field(
+        default_factory=dict
+    )  # by server: all that has been added since this one leads
 
     def asked(self, now: int, ident: str, version: int, said: OfServers) -> None:
         self.words[ident] = Word(now, version, said)
-        before, self.counts[ident] = self.counts.get(ident), {name: Served(*four) for name, four in said.served.items()}
+        before, self.counts[ident] = (
+            self.counts.get(ident),
+            {name: Served(*four) for name, four in said.served.items()},
+        )
         if before is None:
-            return      # what it had counted before this leader looked is of no one time
+            return  # what it had counted before this leader looked is of no one time
         for name, figures in self.counts[ident].items():
-            self.served[name] = self.served.get(name, Served()) + figures.since(before.get(name, Served()))
+            self.served[name] = self.served.get(name, Served()) + figures.since(
+                before.get(name, Served())
+            )
 
     def keep(self, members: Collection[str]) -> None:
         self.words = {ident: word for ident, word in self.words.items() if ident in members}
         self.counts = {ident: counts for ident, counts in self.counts.items() if ident in members}
 
     def heard(self, now: int, members: Collection[str]) -> list[Word]:
-        return [word for ident, word in self.words.items() if ident in members and now - word.at <= self.fresh]
+        return [
+            word
+            for ident, word in self.words.items()
+            if ident in members and now - word.at <= self.fresh
+        ]
 
     def can_tell(self, now: int, members: Collection[str]) -> bool:
         return 2 * len(self.heard(now, members)) > len(members)
@@ -52,9 +65,15 @@
         for word in heard:
             for name in word.said.bad:
                 by[name] = by.get(name, 0) + 1
-        return {name: BAD.format(count, len(heard)) for name, count in sorted(by.items()) if 2 * count >= len(heard)}
+        return {
+            name: BAD.format(count, len(heard))
+            for name, count in sorted(by.items())
+            if 2 * count >= len(heard)
+        }
 
-    def ready_again(self, now: int, members: Collection[str], coming: dict[str, int], listed: Collection[str]) -> dict[str, int]:
+    def ready_again(
+        self, now: int, members: Collection[str], coming: dict[str, int], listed: Collection[str]
+    ) -> dict[str, int]:
         """Of those that came back in a version, those that most balancers, in words said since they act on it, hold for ready; and those
         that are no more."""
         heard, found = self.heard(now, members), {}
@@ -67,4 +86,8 @@
     def standing(self, now: int, members: Collection[str], name: str) -> int | None:
         """Flows there; None where one of those that act is not heard: a new leader, too, must not take silence for none."""
         heard = self.heard(now, members)
-        return sum(word.said.standing.get(name, 0) for word in heard) if len(heard) == len(members) else None
+        return (
+            sum(word.said.standing.get(name, 0) for word in heard)
+            if len(heard) == len(members)
+            else None
+        )
--- a/cypresswalk/fleet/words.py
+++ b/cypresswalk/fleet/words.py
@@ -11,57 +11,71 @@
 
 import msgspec
 
-from cypresswalk.agreement.words import (Append, AppendAnswer, Disowned, Members, Piece, PieceAnswer, TakeOver, Vote, VoteAnswer,
-                                         Word)
+from cypresswalk.agreement.words import (
+    Append,
+    AppendAnswer,
+    Disowned,
+    Members,
+    Piece,
+    PieceAnswer,
+    TakeOver,
+    Vote,
+    VoteAnswer,
+    Word,
+)
 from cypresswalk.copies.words import Bundle
 
 PROTOCOL = 2
-LARGEST = 8 << 20           # an append or piece and its envelope take 300 KB; a list of 20,000 servers 3 MB
+LARGEST = 8 << 20  # an append or piece and its envelope take 300 KB; a list of 20,000 servers 3 MB
 HEAD = struct.Struct("<II")
 
 
 class Hello(Word, frozen=True):
     """`to` is whom the dialler means; empty where it does not know."""
+
     protocol: int
     fleet: str
-    kind: str           # "member" or "tool"
+    kind: str  # "member" or "tool"
     group: str
     id: str
     boot: int
-    life: int           # drawn at each start
+    life: int  # drawn at each start
     address: str
     to: str
 
 
 class Refused(Word, frozen=True):
     """`code`: "fleet", "protocol", "group", "replaced", "fenced", "full", "twice"."""
+
     code: str
     why: str
 
 
 class Hail(Word, frozen=True):
     """By one that belongs to no group yet, or lost it."""
+
     id: str
     group: str
     address: str
     zone: str
-    first: str          # of the first members, as its table has them
-    founder: bool       # one of them
+    first: str  # of the first members, as its table has them
+    founder: bool  # one of them
 
 
 class HailAnswer(Word, frozen=True):
     id: str
-    group: str          # empty for one that belongs to none itself
+    group: str  # empty for one that belongs to none itself
     first: str
     members: Members
     leader: str
     refused: str
-    replaced: bool      # the leader, sure to lead still: this id is no member of its group (any more)
-    fenced: list[str]   # groups that its own took the place of, by an operator's word
+    replaced: bool  # the leader, sure to lead still: this id is no member of its group (any more)
+    fenced: list[str]  # groups that its own took the place of, by an operator's word
 
 
 class Found(Word, frozen=True):
     """The group begins with these, if its receiver belongs to none."""
+
     group: str
     members: Members
 
@@ -70,6 +84,7 @@
     """What a balancer has to say of servers. `bad`: in service by its list and not ready for flows, by its own probes and connects,
     whether or not they are out by hand; `standing`: its flows at those that are out; `served`: of each, connects brought up, rejected and
     failed since this process began, and their set-ups' sum, while a release of servers is under way."""
+
     bad: list[str] = []
     standing: dict[str, int] = {}
     served: dict[str, tuple[int, int, int, int]] = {}
@@ -77,18 +92,24 @@
 
 class Ask(Word, frozen=True):
     """For a lease, and what its sender has to tell the leader meanwhile."""
+
     number: int
-    version: int        # that it acts on
-    offer: str          # the pending one it has looked at
-    objection: str      # why it can't read that, or empty
-    generation: int     # of the list that it was told by its own agent
+    version: int  # that it acts on
+    offer: str  # the pending one it has looked at
+    objection: str  # why it can't read that, or empty
+    generation: int  # of the list that it was told by its own agent
     digest: bytes
-    wipes: int          # how often its folder was found damaged or put back
-    holds: bool = False # copies of what others claimed
-    ready: bool | None = None   # flows that came now would be placed; None: nobody has said
-    served: tuple[int, int, int, int] = (0, 0, 0, 0)    # flows up, rejected, failed since its process began, and their set-ups' sum
-    boot: int = 0       # how often it has started
-    lease: int = 0      # number of the latest that it was granted: what this word says was so after that was given
+    wipes: int  # how often its folder was found damaged or put back
+    holds: bool = False  # copies of what others claimed
+    ready: bool | None = None  # flows that came now would be placed; None: nobody has said
+    served: tuple[int, int, int, int] = (
+        0,
+        0,
+        0,
+        0,
+    )  # flows up, rejected, failed since its process began, and their set-ups' sum
+    boot: int = 0  # how often it has started
+    lease: int = 0  # number of the latest that it was granted: what this word says was so after that was given
     servers: OfServers = OfServers()
 
 
@@ -109,8 +130,26 @@
     body: Any
 
 
-AnyFrame = (Hello | Refused | Hail | HailAnswer | Found | Ask | Grant | Call | Result | Vote | VoteAnswer | Append | AppendAnswer
-            | Piece | PieceAnswer | TakeOver | Disowned | Bundle)
+AnyFrame = (
+    Hello
+    | Refused
+    | Hail
+    | HailAnswer
+    | Found
+    | Ask
+    | Grant
+    | Call
+    | Result
+    | Vote
+    | VoteAnswer
+    | Append
+    | AppendAnswer
+    | Piece
+    | PieceAnswer
+    | TakeOver
+    | Disowned
+    | Bundle
+)
 frames = msgspec.msgpack.Decoder(AnyFrame)
 encode = msgspec.msgpack.encode
 
@@ -144,8 +183,8 @@
             raise FrameError(f"a frame of {length} bytes")
         if len(self.buffer) < HEAD.size + length:
             return None
-        data = bytes(self.buffer[HEAD.size:HEAD.size + length])
-        del self.buffer[:HEAD.size + length]
+        data = bytes(self.buffer[HEAD.size : HEAD.size + length])
+        del self.buffer[: HEAD.size + length]
         if crc32(data) != check:
             raise FrameError("its checksum is wrong")
         try:
--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -6,9 +6,12 @@
 from cypresswalk.choice import Balancer
 from cypresswalk.model import Effect, Flow, Scope, Server, ServiceType, Settings
 
-EFFECTS = {"idempotent": Effect.REPEATABLE, "deduplicated": Effect.REFERENCED,
-           "at_most_once": Effect.ONCE_ONLY}
-HINT = struct.Struct("<Ie")     # a server and its strain, told to the other instances
+EFFECTS = {
+    "idempotent": Effect.REPEATABLE,
+    "deduplicated": Effect.REFERENCED,
+    "at_most_once": Effect.ONCE_ONLY,
+}
+HINT = struct.Struct("<Ie")  # a server and its strain, told to the other instances
 
 
 class SettingsError(Exception):
@@ -35,29 +38,45 @@
         targets = extra.get("messageAim", [])
         fields = params["stats"]["fields"] if params["stats"]["via"] != "silent" else []
         return Settings(
-            instances=params["instances"], zone=params["zone"],
+            instances=params["instances"],
+            zone=params["zone"],
             service_types=[
-                ServiceType(EFFECTS[t["semantics"]], Scope(t.get("group", "all")),
-                            nanoseconds(t.get("window", 0.0), "window"),
-                            nanoseconds(t["setupTarget"], "setupTarget"),
-                            nanoseconds(targets[i] if i < len(targets) else 0.0, "messageAim"))
-                for i, t in enumerate(params["serviceTypes"])],
-            max_connects=limits["maxConnects"], retry_after=limits["retryAfter"],
-            max_retry_after=nanoseconds(limits["maxRetryAfter"], "maxRetryAfter"), probes=limits["probes"],
-            moves=params["family"] == "conn", list_asked=params["discovery"] == "on_request",
-            ask_within=nanoseconds(rules["askWithin"], "askWithin"), cold=nanoseconds(rules["cold"], "cold"),
-            cold_share=rules["coldShare"], fall_window=nanoseconds(rules["fall"], "fall"),
-            overload_factor=rules["overloadFactor"], zone_price=params["deductions"].get("crossZone", 0.0),
+                ServiceType(
+                    EFFECTS[t["semantics"]],
+                    Scope(t.get("group", "all")),
+                    nanoseconds(t.get("window", 0.0), "window"),
+                    nanoseconds(t["setupTarget"], "setupTarget"),
+                    nanoseconds(targets[i] if i < len(targets) else 0.0, "messageAim"),
+                )
+                for i, t in enumerate(params["serviceTypes"])
+            ],
+            max_connects=limits["maxConnects"],
+            retry_after=limits["retryAfter"],
+            max_retry_after=nanoseconds(limits["maxRetryAfter"], "maxRetryAfter"),
+            probes=limits["probes"],
+            moves=params["family"] == "conn",
+            list_asked=params["discovery"] == "on_request",
+            ask_within=nanoseconds(rules["askWithin"], "askWithin"),
+            cold=nanoseconds(rules["cold"], "cold"),
+            cold_share=rules["coldShare"],
+            fall_window=nanoseconds(rules["fall"], "fall"),
+            overload_factor=rules["overloadFactor"],
+            zone_price=params["deductions"].get("crossZone", 0.0),
             move_price=params["deductions"].get("moves", 0.0),
             probe_price=params["deductions"].get("probe", 0.0),
-            peers=limits.get("peerMessages", False), peer_price=params["deductions"].get("peer", 0.0),
+            peers=limits.get("peerMessages", False),
+            peer_price=params["deductions"].get("peer", 0.0),
             # A customer may come without a share: then nothing of it is beyond one.
-            shares=[math.inf if share is None else share
-                    for share in extra.get("tenantQuotaConnections") or []],
+            shares=[
+                math.inf if share is None else share
+                for share in extra.get("tenantQuotaConnections") or []
+            ],
             overage_payoff=params.get("overagePayoff", 1.0),
             load_index=fields.index("x0") if "x0" in fields else -1,
-            further_window=nanoseconds(figure(rules, "lookBack"), "lookBack"), further_free=figure(rules, "budgetFree"),
-            further_part=figure(rules, "extraRatio"))
+            further_window=nanoseconds(figure(rules, "lookBack"), "lookBack"),
+            further_free=figure(rules, "budgetFree"),
+            further_part=figure(rules, "extraRatio"),
+        )
     except KeyError as error:
         raise SettingsError(f"settings: {error} is missing or unknown") from None
     except (TypeError, ValueError, AttributeError) as error:
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).parents[2]
 EFFECTS = {"repeatable": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
-SET_DEATH_SIGNAL = 1        # of prctl(2)
+SET_DEATH_SIGNAL = 1  # of prctl(2)
 
 
 def die_with_parent() -> None:
@@ -31,24 +31,56 @@
     shares = sum(c.share for c in experiment.customers)
     capacity = sum(m.count * m.cores * m.speed * m.per_core for m in experiment.servers)
     return {
-        "me": me, "instances": len(tables), "zone": experiment.zones.index(tables[me].zone), "azs": experiment.zones,
-        "family": "conn", "discovery": "on_request" if experiment.list_service.asked else "pushed",
-        "limits": {"maxConnects": settings.max_connects, "retryAfter": settings.retry_after,
-                   "maxRetryAfter": settings.max_retry_after_ms, "probes": settings.probes,
-                   "dialTimeout": settings.dial_timeout_ms, "peerMessages": settings.peers},
-        "rules": {"askWithin": 10_000.0, "cold": max(m.cold_s for m in experiment.servers) * 1000,
-                  "coldShare": min(m.cold_share for m in experiment.servers), "fall": settings.fall_ms,
-                  "overloadFactor": settings.overload_factor},
-        "deductions": {"crossZone": settings.zone_price, "moves": settings.move_price, "probe": settings.probe_price,
-                       "peer": 0.01},
-        "stats": {"via": "probes", "fields": ["x0"]} if settings.reports_load else {"via": "silent", "fields": []},
-        "extra": {"groups": bool(experiment.clients.groups), "tellsDelay": True,
-                  "messageAim": [t.message_target_ms for t in experiment.types],
-                  "tenantQuotaConnections": [c.share / shares * capacity for c in experiment.customers]},
+        "me": me,
+        "instances": len(tables),
+        "zone": experiment.zones.index(tables[me].zone),
+        "azs": experiment.zones,
+        "family": "conn",
+        "discovery": "on_request" if experiment.list_service.asked else "pushed",
+        "limits": {
+            "maxConnects": settings.max_connects,
+            "retryAfter": settings.retry_after,
+            "maxRetryAfter": settings.max_retry_after_ms,
+            "probes": settings.probes,
+            "dialTimeout": settings.dial_timeout_ms,
+            "peerMessages": settings.peers,
+        },
+        "rules": {
+            "askWithin": 10_000.0,
+            "cold": max(m.cold_s for m in experiment.servers) * 1000,
+            "coldShare": min(m.cold_share for m in experiment.servers),
+            "fall": settings.fall_ms,
+            "overloadFactor": settings.overload_factor,
+        },
+        "deductions": {
+            "crossZone": settings.zone_price,
+            "moves": settings.move_price,
+            "probe": settings.probe_price,
+            "peer": 0.01,
+        },
+        "stats": {"via": "probes", "fields": ["x0"]}
+        if settings.reports_load
+        else {"via": "silent", "fields": []},
+        "extra": {
+            "groups": bool(experiment.clients.groups),
+            "tellsDelay": True,
+            "messageAim": [t.message_target_ms for t in experiment.types],
+            "tenantQuotaConnections": [c.share / shares * capacity for c in experiment.customers],
+        },
         "overagePayoff": 0.2,
         "tenants": [{"name": c.name} for c in experiment.customers],
-        "serviceTypes": [{"name": t.name, "semantics": EFFECTS[t.effect], "group": t.scope, "window": t.window_ms,
-                          "setupTarget": t.setup_target_ms, "giveUp": t.timeout_ms} for t in experiment.types]}
+        "serviceTypes": [
+            {
+                "name": t.name,
+                "semantics": EFFECTS[t.effect],
+                "group": t.scope,
+                "window": t.window_ms,
+                "setupTarget": t.setup_target_ms,
+                "giveUp": t.timeout_ms,
+            }
+            for t in experiment.types
+        ],
+    }
 
 
 def own_host() -> str:
@@ -67,15 +99,38 @@
 class Balancer:
     """One balancer's process, over its starts on a day."""
 
-    def __init__(self, name: str, number: int, table: Balancers, experiment: Experiment, variant: Variant, tree: Path,
-                 folder: Path, relay: tuple[str, int], command: list[str] | None = None):
-        self.name, self.number, self.table, self.variant, self.tree = name, number, table, variant, tree
+    def __init__(
+        self,
+        name: str,
+        number: int,
+        table: Balancers,
+        experiment: Experiment,
+        variant: Variant,
+        tree: Path,
+        folder: Path,
+        relay: tuple[str, int],
+        command: list[str] | None = None,
+    ):
+        self.name, self.number, self.table, self.variant, self.tree = (
+            name,
+            number,
+            table,
+            variant,
+            tree,
+        )
         self.settings = variant.settings or experiment.settings
         self.params = params(experiment, self.settings, number)
         host = own_host()
-        self.address, self.peer = (host, free_port(host)), (host, free_port(host, socket.SOCK_DGRAM))
+        self.address, self.peer = (
+            (host, free_port(host)),
+            (host, free_port(host, socket.SOCK_DGRAM)),
+        )
         self.relay, self.starts = relay, 0
-        module = ["cypresswalk"] if variant.policy == "product" else ["cypresswalk.lab.baselines", variant.policy]
+        module = (
+            ["cypresswalk"]
+            if variant.policy == "product"
+            else ["cypresswalk.lab.baselines", variant.policy]
+        )
         self.command = command or [sys.executable, "-B", "-m", *module]
         self.folder, self.operator = folder, folder / f"{name}.operator.toml"
         self.config, self.log = folder / f"{name}.json", folder / f"{name}.log"
@@ -84,34 +139,58 @@
         self.expected_end = False
 
     def write(self, discovery: tuple[str, int], known: dict, seed: int) -> None:
-        data = {"name": self.name, "listen": "%s:%d" % self.address, "discovery": "%s:%d" % discovery,
-                "seed": f"{seed:016x}", "limits": {"cores": 1.0, "memory_mb": self.table.memory_mb,
-                                                   "sockets": self.table.sockets},
-                "known": known, "settings": self.params}
+        data = {
+            "name": self.name,
+            "listen": "%s:%d" % self.address,
+            "discovery": "%s:%d" % discovery,
+            "seed": f"{seed:016x}",
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": self.table.memory_mb,
+                "sockets": self.table.sockets,
+            },
+            "known": known,
+            "settings": self.params,
+        }
         if self.settings.peers:
-            data |= {"peer_listen": "%s:%d" % self.peer, "peers_all": "%s:%d" % self.relay, "peers": []}
+            data |= {
+                "peer_listen": "%s:%d" % self.peer,
+                "peers_all": "%s:%d" % self.relay,
+                "peers": [],
+            }
         new = self.config.with_suffix(".new")
         new.write_text(json.dumps(data))
         os.replace(new, self.config)
 
     def environment(self) -> dict[str, str]:
         """Of the platform's variables only what the lab says; an operator file where the variant asks for one."""
-        plain = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"}
+        plain = {
+            k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
+        }
         plain["PROXY_CONFIG"] = str(self.config.absolute())
         if self.settings.state:
             kept = (self.folder / f"{self.name}.state").absolute()
             if not self.starts:
-                shutil.rmtree(kept, ignore_errors=True)     # a day begins without a past
+                shutil.rmtree(kept, ignore_errors=True)  # a day begins without a past
             kept.mkdir(exist_ok=True)
-            self.operator.write_text(f'[state]\nfolder = "{kept}"\nevery_s = {self.settings.state_every_s}\n')
+            self.operator.write_text(
+                f'[state]\nfolder = "{kept}"\nevery_s = {self.settings.state_every_s}\n'
+            )
             plain["PROXY_OPERATOR"] = str(self.operator.absolute())
         return plain
 
     def start(self) -> None:
         with open(self.log, "ab" if self.starts else "wb") as log:
             self.process = subprocess.Popen(
-                self.command, cwd=self.tree, stderr=log, stdout=log, stdin=subprocess.DEVNULL,
-                env=self.environment(), preexec_fn=die_with_parent, start_new_session=True)
+                self.command,
+                cwd=self.tree,
+                stderr=log,
+                stdout=log,
+                stdin=subprocess.DEVNULL,
+                env=self.environment(),
+                preexec_fn=die_with_parent,
+                start_new_session=True,
+            )
         self.seen, self.expected_end = psutil.Process(self.process.pid), False
         self.starts += 1
 
@@ -152,7 +231,11 @@
             if "event=start" in line:
                 total, run = {k: total.get(k, 0) + run.get(k, 0) for k in total | run}, {}
             elif "event=counters" in line or "event=end" in line:
-                run = {k: int(v) for k, _, v in (w.partition("=") for w in line.split()) if v.isdecimal()}
+                run = {
+                    k: int(v)
+                    for k, _, v in (w.partition("=") for w in line.split())
+                    if v.isdecimal()
+                }
         return {k: total.get(k, 0) + run.get(k, 0) for k in total | run}
 
 
--- a/cypresswalk/lab/baselines.py
+++ b/cypresswalk/lab/baselines.py
@@ -30,7 +30,11 @@
     """Of its own: a balancer sees no other's."""
 
     def pick(self, now: int, flow: Flow, pressed: bool = False) -> Server | None:
-        return min(self.candidates(flow), key=lambda s: (len(s.out) + len(s.flows)) / s.weight, default=None)
+        return min(
+            self.candidates(flow),
+            key=lambda s: (len(s.out) + len(s.flows)) / s.weight,
+            default=None,
+        )
 
 
 class PlainMaglev(Plain):
--- a/cypresswalk/lab/figures.py
+++ b/cypresswalk/lab/figures.py
@@ -14,8 +14,8 @@
 from cypresswalk.lab.seen import Event
 from cypresswalk.lab.world import MILLISECOND, SECOND
 
-LONGEST = 60_000_000        # microseconds, of a histogram
-WINDOW = 10                 # seconds: the worst that follow one another
+LONGEST = 60_000_000  # microseconds, of a histogram
+WINDOW = 10  # seconds: the worst that follow one another
 PERCENTILES = (50, 90, 99, 99.9, 100)
 
 
@@ -32,7 +32,9 @@
 class Stand:
     since: int
     until: int
-    echoes: list[tuple[int, float]] = field(default_factory=list)      # when, and how many milliseconds it took
+    echoes: list[tuple[int, float]] = field(
+        default_factory=list
+    )  # when, and how many milliseconds it took
 
 
 @dataclass(slots=True)
@@ -71,7 +73,9 @@
             match event.what:
                 case "comes":
                     until = min(event.at + words["life_ms"] * MILLISECOND, self.day.ended)
-                    self.people[words["person"]] = PersonSeen(words["type"], words["customer"], event.at, until)
+                    self.people[words["person"]] = PersonSeen(
+                        words["type"], words["customer"], event.at, until
+                    )
                 case "sent":
                     self.sent += 1
                     person_of[event.flow], sent_at[event.flow] = words["person"], event.at
@@ -103,22 +107,44 @@
     def count(self) -> None:
         for person in self.people.values():
             kind = self.types[person.type]
-            spread(self.asked[person.type], person.comes - self.day.began, person.until - self.day.began, kind.payoff)
+            spread(
+                self.asked[person.type],
+                person.comes - self.day.began,
+                person.until - self.day.began,
+                kind.payoff,
+            )
             for stand in person.stands.values():
-                spread(self.standing, stand.since - self.day.began, stand.until - self.day.began, 1.0)
-                for since, until in good(stand, person.until, kind.message_target_ms, self.experiment.clients.line_ms):
-                    spread(self.served[person.type], since - self.day.began, until - self.day.began, kind.payoff)
+                spread(
+                    self.standing, stand.since - self.day.began, stand.until - self.day.began, 1.0
+                )
+                for since, until in good(
+                    stand, person.until, kind.message_target_ms, self.experiment.clients.line_ms
+                ):
+                    spread(
+                        self.served[person.type],
+                        since - self.day.began,
+                        until - self.day.began,
+                        kind.payoff,
+                    )
 
     # What comes of it.
 
-    def service(self, types: list[str] | None = None, since: int = 0, until: int | None = None) -> float:
+    def service(
+        self, types: list[str] | None = None, since: int = 0, until: int | None = None
+    ) -> float:
         names = types or list(self.types)
         asked = sum(sum(self.asked[name][since:until]) for name in names)
         return sum(sum(self.served[name][since:until]) for name in names) / asked if asked else 1.0
 
     def worst(self) -> float:
         seconds = len(self.standing) - 1
-        return min((self.service(since=at, until=at + WINDOW) for at in range(max(seconds - WINDOW + 1, 1))), default=1.0)
+        return min(
+            (
+                self.service(since=at, until=at + WINDOW)
+                for at in range(max(seconds - WINDOW + 1, 1))
+            ),
+            default=1.0,
+        )
 
     def course(self) -> list[float]:
         return [self.service(since=at, until=at + 1) for at in range(len(self.standing) - 1)]
@@ -140,19 +166,37 @@
             for name, value in counted.items():
                 counters[name] += value
         return {
-            "experiment": self.day.experiment, "variant": self.day.variant, "seed": self.day.seed, "void": self.day.void,
-            "broken": self.day.broken, "breaches": self.day.breaches, "service": self.service(), "worst_10_s": self.worst(),
+            "experiment": self.day.experiment,
+            "variant": self.day.variant,
+            "seed": self.day.seed,
+            "void": self.day.void,
+            "broken": self.day.broken,
+            "breaches": self.day.breaches,
+            "service": self.service(),
+            "worst_10_s": self.worst(),
             "by_type": {name: self.service([name]) for name in self.types},
-            "setup_ms": percentiles(setups), "message_ms": percentiles(messages),
-            "setup_hdr": setups.encode().decode(), "message_hdr": messages.encode().decode(),
-            "clients": len(self.people), "flows": self.sent, "answers": dict(self.answers),
-            "connects_a_flow": self.attempts / max(self.sent, 1), "moves": self.moves, "nobody": self.nobody,
-            "probes": counters.get("probes_sent", 0), "bad": self.bad, "bad_unanswered": self.bad_owed,
+            "setup_ms": percentiles(setups),
+            "message_ms": percentiles(messages),
+            "setup_hdr": setups.encode().decode(),
+            "message_hdr": messages.encode().decode(),
+            "clients": len(self.people),
+            "flows": self.sent,
+            "answers": dict(self.answers),
+            "connects_a_flow": self.attempts / max(self.sent, 1),
+            "moves": self.moves,
+            "nobody": self.nobody,
+            "probes": counters.get("probes_sent", 0),
+            "bad": self.bad,
+            "bad_unanswered": self.bad_owed,
             "memory_mb": max((p["memory_mb"] for p in peaks.values()), default=0.0),
             "descriptors": max((p["descriptors"] for p in peaks.values()), default=0),
-            "cpu_s": sum(p["cpu_s"] for p in peaks.values()), "balancers": peaks, "lateness_ms": self.day.lateness_ms,
-            "course": [round(v, 4) for v in self.course()], "standing": [round(v, 2) for v in self.standing[:-1]],
-            "samples": [(s, n, round(m / 2**20, 2), d) for s, n, m, d, _ in self.day.samples]}
+            "cpu_s": sum(p["cpu_s"] for p in peaks.values()),
+            "balancers": peaks,
+            "lateness_ms": self.day.lateness_ms,
+            "course": [round(v, 4) for v in self.course()],
+            "standing": [round(v, 2) for v in self.standing[:-1]],
+            "samples": [(s, n, round(m / 2**20, 2), d) for s, n, m, d, _ in self.day.samples],
+        }
 
 
 def spread(into: list[float], since: int, until: int, worth: float) -> None:
--- a/cypresswalk/lab/front.py
+++ b/cypresswalk/lab/front.py
@@ -6,7 +6,7 @@
 class Front:
     def __init__(self, zone: str, balancers: list[str], chance: Random):
         self.zone, self.chance = zone, chance
-        self.members = dict.fromkeys(balancers, False)      # whether it is believed to serve
+        self.members = dict.fromkeys(balancers, False)  # whether it is believed to serve
         self.turn = 0
 
     def serves(self, balancer: str) -> None:
--- a/cypresswalk/lab/listing.py
+++ b/cypresswalk/lab/listing.py
@@ -11,7 +11,7 @@
 class Entry:
     server: str
     life: Life
-    started_ms: int             # wall time, as the platform's list tells it; 0: long ago
+    started_ms: int  # wall time, as the platform's list tells it; 0: long ago
 
 
 class Listing:
@@ -27,7 +27,7 @@
     def between(self, since: int, until: int) -> list[Entry]:
         """The latest word on each server that changed after one version and up to another."""
         latest: dict[str, Entry] = {}
-        for entry in self.changes[max(since, 0):until]:
+        for entry in self.changes[max(since, 0) : until]:
             latest.pop(entry.server, None)
             latest[entry.server] = entry
         return list(latest.values())
--- a/cypresswalk/lab/oracle.py
+++ b/cypresswalk/lab/oracle.py
@@ -13,7 +13,7 @@
 from cypresswalk.lab.seen import Event
 from cypresswalk.lab.world import MILLISECOND, SECOND, turnover
 
-SLACK = 50 * MILLISECOND        # the platform's own: each limit is that much longer on sockets
+SLACK = 50 * MILLISECOND  # the platform's own: each limit is that much longer on sockets
 NEVER = 1 << 62
 
 
@@ -28,7 +28,7 @@
 class ServerRule:
     zone: str
     cell: int
-    capacity: float             # loads, when warm
+    capacity: float  # loads, when warm
     cold_share: float
     cold: int
 
@@ -48,11 +48,27 @@
     def of(experiment: Experiment) -> "Rules":
         settings = experiment.settings
         return Rules(
-            {t.name: TypeRule(t.effect, t.scope, int(t.window_ms * MILLISECOND)) for t in experiment.types},
-            {name: ServerRule(m.zone, m.cell, m.cores * m.speed * m.per_core, m.cold_share, int(m.cold_s * SECOND))
-             for m in experiment.servers for name in names_of(m)},
-            settings.max_connects, int(settings.drain_grace_ms * MILLISECOND), settings.overload_factor,
-            int(settings.fall_ms * MILLISECOND), turnover(experiment))
+            {
+                t.name: TypeRule(t.effect, t.scope, int(t.window_ms * MILLISECOND))
+                for t in experiment.types
+            },
+            {
+                name: ServerRule(
+                    m.zone,
+                    m.cell,
+                    m.cores * m.speed * m.per_core,
+                    m.cold_share,
+                    int(m.cold_s * SECOND),
+                )
+                for m in experiment.servers
+                for name in names_of(m)
+            },
+            settings.max_connects,
+            int(settings.drain_grace_ms * MILLISECOND),
+            settings.overload_factor,
+            int(settings.fall_ms * MILLISECOND),
+            turnover(experiment),
+        )
 
 
 @dataclass(slots=True)
@@ -72,7 +88,7 @@
 class Attempt:
     event: Event
     reply: Event | None = None
-    over: int = NEVER           # when it was no longer out; a connect that stands is no longer out either
+    over: int = NEVER  # when it was no longer out; a connect that stands is no longer out either
     may_have_run: bool = True
     broke: Event | None = None
     let_go: Event | None = None
@@ -94,23 +110,29 @@
     ended: Event | None = None
     attempts: list[Attempt] = field(default_factory=list)
     lines: list[Event] = field(default_factory=list)
-    struck: bool = False        # a fault of the lab's own was put on one of its connections
+    struck: bool = False  # a fault of the lab's own was put on one of its connections
 
 
 class Oracle:
     def __init__(self, events: Iterable[Event], rules: Rules):
         self.events, self.rules = sorted(events, key=lambda e: e.at), rules
         self.flows: dict[str, FlowSeen] = defaultdict(FlowSeen)
-        self.downs: dict[str, list[int]] = defaultdict(list)        # balancers' deaths
-        self.mute: dict[str, list[tuple[int, str]]] = defaultdict(list)    # of servers, when they stopped answering
+        self.downs: dict[str, list[int]] = defaultdict(list)  # balancers' deaths
+        self.mute: dict[str, list[tuple[int, str]]] = defaultdict(
+            list
+        )  # of servers, when they stopped answering
         self.told: dict[tuple[str, str], list[tuple[int, str]]] = defaultdict(list)
         self.starts: dict[str, list[int]] = defaultdict(list)
-        self.versions: dict[str, int] = {}      # the latest of the list that each balancer was told
+        self.versions: dict[str, int] = {}  # the latest of the list that each balancer was told
         self.end = NEVER
         self.said_again: set[tuple[str, str]] = set()
-        self.strangers: list[Event] = []        # attempts for a bad client's copy of an id, at a balancer that can't know
+        self.strangers: list[
+            Event
+        ] = []  # attempts for a bad client's copy of an id, at a balancer that can't know
         self.breaches: list[Breach] = []
-        self.struck = {(e.who, port) for e in self.events if e.what == "fault" for port in e.words["ports"]}
+        self.struck = {
+            (e.who, port) for e in self.events if e.what == "fault" for port in e.words["ports"]
+        }
         for event in self.events:
             self.read(event)
 
@@ -183,8 +205,13 @@
         for ident, flow in self.flows.items():
             if not flow.sent:
                 for attempt in flow.attempts:
-                    self.breach("one answer", ident, attempt.at, "a server was sent what no client had sent",
-                                [attempt.event])
+                    self.breach(
+                        "one answer",
+                        ident,
+                        attempt.at,
+                        "a server was sent what no client had sent",
+                        [attempt.event],
+                    )
                 continue
             self.one_answer(ident, flow)
             self.one_effect(ident, flow)
@@ -210,24 +237,59 @@
         if len(flow.answers) > 1:
             self.breach("one answer", ident, flow.answers[1].at, "a second final answer", evidence)
         if not flow.answers:
-            over = min(deadline, flow.ended.at if flow.ended else NEVER, flow.left.at if flow.left else NEVER)
-            excused = (flow.struck or flow.left is not None or self.end < deadline or self.died(sent.who, sent.at, over))
+            over = min(
+                deadline,
+                flow.ended.at if flow.ended else NEVER,
+                flow.left.at if flow.left else NEVER,
+            )
+            excused = (
+                flow.struck
+                or flow.left is not None
+                or self.end < deadline
+                or self.died(sent.who, sent.at, over)
+            )
             if not excused:
                 how = flow.ended.words["how"] if flow.ended and flow.ended.at < deadline else None
-                said = f"its connection ended ({how}) with no answer" if how else "no final answer in time"
+                said = (
+                    f"its connection ended ({how}) with no answer"
+                    if how
+                    else "no final answer in time"
+                )
                 self.breach("one answer", ident, over, said, evidence + [flow.ended] * bool(how))
             return
         answer = flow.answers[0]
         if answer.at > deadline:
             late = (answer.at - deadline + slack) / MILLISECOND
-            self.breach("one answer", ident, answer.at, f"answered {late:.0f} ms after its connect timeout", evidence)
+            self.breach(
+                "one answer",
+                ident,
+                answer.at,
+                f"answered {late:.0f} ms after its connect timeout",
+                evidence,
+            )
         for attempt in flow.attempts:
             if attempt.at > answer.at + slack:
-                self.breach("one answer", ident, attempt.at, "a server was sent it after its final answer", evidence)
+                self.breach(
+                    "one answer",
+                    ident,
+                    attempt.at,
+                    "a server was sent it after its final answer",
+                    evidence,
+                )
         if answer.words["kind"] == "up":
-            given = [a for a in flow.attempts if a.reply and a.reply.words.get("receipt") == answer.words["line"]]
+            given = [
+                a
+                for a in flow.attempts
+                if a.reply and a.reply.words.get("receipt") == answer.words["line"]
+            ]
             if not given:
-                self.breach("one answer", ident, answer.at, "established with what no server gave for it", evidence)
+                self.breach(
+                    "one answer",
+                    ident,
+                    answer.at,
+                    "established with what no server gave for it",
+                    evidence,
+                )
 
     # Rule two.
 
@@ -235,11 +297,22 @@
         rule = self.rules.types[flow.sent[0].words["type"]]
         evidence = [e for a in flow.attempts for e in (a.event, a.reply, a.let_go, a.broke) if e]
         if len(flow.attempts) > self.rules.max_connects:
-            self.breach("no effect twice", ident, flow.attempts[-1].at,
-                        f"{len(flow.attempts)} connects of {self.rules.max_connects} allowed", evidence)
+            self.breach(
+                "no effect twice",
+                ident,
+                flow.attempts[-1].at,
+                f"{len(flow.attempts)} connects of {self.rules.max_connects} allowed",
+                evidence,
+            )
         for before, after in zip(flow.attempts, flow.attempts[1:]):
             if before.over > after.at + self.rules.slack:
-                self.breach("no effect twice", ident, after.at, "a second connect while one was out", evidence)
+                self.breach(
+                    "no effect twice",
+                    ident,
+                    after.at,
+                    "a second connect while one was out",
+                    evidence,
+                )
         ran: Attempt | None = None
         for attempt in flow.attempts:
             if ran is not None and rule.effect != "repeatable":
@@ -247,46 +320,98 @@
             if ran is None and attempt.may_have_run:
                 ran = attempt
         for answer in flow.answers:
-            harmless = rule.effect == "repeatable" or rule.effect == "referenced" and rule.scope == "all"
-            if answer.words["kind"] == "busy" and not harmless and ran is not None and ran.at <= answer.at:
-                self.breach("no effect twice", ident, answer.at, "rejected, though it may have run", evidence + [answer])
-
-    def sent_again(self, ident: str, rule: TypeRule, ran: Attempt, again: Attempt, evidence: list[Event]) -> None:
+            harmless = (
+                rule.effect == "repeatable" or rule.effect == "referenced" and rule.scope == "all"
+            )
+            if (
+                answer.words["kind"] == "busy"
+                and not harmless
+                and ran is not None
+                and ran.at <= answer.at
+            ):
+                self.breach(
+                    "no effect twice",
+                    ident,
+                    answer.at,
+                    "rejected, though it may have run",
+                    evidence + [answer],
+                )
+
+    def sent_again(
+        self, ident: str, rule: TypeRule, ran: Attempt, again: Attempt, evidence: list[Event]
+    ) -> None:
         if rule.effect == "once-only":
-            self.breach("no effect twice", ident, again.at, "sent again, though it may have run", evidence)
+            self.breach(
+                "no effect twice", ident, again.at, "sent again, though it may have run", evidence
+            )
             return
         if again.at > ran.at + rule.window + self.rules.slack:
             self.breach("no effect twice", ident, again.at, "sent again after its window", evidence)
         here, there = self.rules.servers[ran.server], self.rules.servers[again.server]
-        if rule.scope == "zone" and here.zone != there.zone or rule.scope == "cell" and here.cell != there.cell:
-            self.breach("no effect twice", ident, again.at, "sent again outside its group", evidence)
+        if (
+            rule.scope == "zone"
+            and here.zone != there.zone
+            or rule.scope == "cell"
+            and here.cell != there.cell
+        ):
+            self.breach(
+                "no effect twice", ident, again.at, "sent again outside its group", evidence
+            )
 
     # Standing connections.
 
     def whole_lines(self, ident: str, flow: FlowSeen) -> None:
         numbers = {a.event.words["number"] for a in flow.attempts}
-        sides = {e.words["side"]: e for e in flow.lines if e.words["side"] == "client" or e.words["number"] in numbers}
+        sides = {
+            e.words["side"]: e
+            for e in flow.lines
+            if e.words["side"] == "client" or e.words["number"] in numbers
+        }
         client, server = sides.get("client"), sides.get("server")
         # What the lab itself garbles or cuts is not the balancer's; one answer and one effect are owed all the same.
         if client is None or server is None or flow.struck:
             return
         how = flow.ended.words["how"] if flow.ended else None
-        for way, said, heard, all_owed in (("up", client, server, how == "own"), ("down", server, client, how == "bye")):
+        for way, said, heard, all_owed in (
+            ("up", client, server, how == "own"),
+            ("down", server, client, how == "bye"),
+        ):
             words, got = said.words["said"], heard.words["heard"]
-            if got != words[:len(got)]:
-                self.breach("lines", ident, heard.at, f"{way}: heard {got} of what was said {words}", [said, heard])
+            if got != words[: len(got)]:
+                self.breach(
+                    "lines",
+                    ident,
+                    heard.at,
+                    f"{way}: heard {got} of what was said {words}",
+                    [said, heard],
+                )
             elif all_owed and len(got) < len(words) and not self.excused(flow, flow.ended.at):
-                self.breach("lines", ident, heard.at, f"{way}: {len(words) - len(got)} of {len(words)} lines lost at an "
-                                                      "orderly end", [said, heard])
+                self.breach(
+                    "lines",
+                    ident,
+                    heard.at,
+                    f"{way}: {len(words) - len(got)} of {len(words)} lines lost at an orderly end",
+                    [said, heard],
+                )
         if how in ("end", "reset") and not self.excused(flow, flow.ended.at):
-            self.breach("lines", ident, flow.ended.at, "cut off without MOVE from a server that still answered",
-                        [flow.ended, *(a.event for a in flow.attempts)])
+            self.breach(
+                "lines",
+                ident,
+                flow.ended.at,
+                "cut off without MOVE from a server that still answered",
+                [flow.ended, *(a.event for a in flow.attempts)],
+            )
 
     def excused(self, flow: FlowSeen, until: int) -> bool:
         """Whether a server's or a balancer's end explains that of the connection."""
         last = flow.attempts[-1]
         muted = any(last.at - SECOND <= at <= until for at, _ in self.mute[last.server])
-        return last.broke is not None or muted or self.end <= until or self.died(flow.sent[0].who, last.at, until)
+        return (
+            last.broke is not None
+            or muted
+            or self.end <= until
+            or self.died(flow.sent[0].who, last.at, until)
+        )
 
     # Rule three.
 
@@ -302,8 +427,10 @@
                     since -= 1
                 late = attempt.at - told[since][0] - self.rules.grace - self.rules.slack
                 if late > 0:
-                    said = (f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace after it was told "
-                            f"{told[since][1]} at {told[since][0] / 1e9:.3f} s")
+                    said = (
+                        f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace after it was told "
+                        f"{told[since][1]} at {told[since][0] / 1e9:.3f} s"
+                    )
                     self.breach("drains", ident, attempt.at, said, [attempt.event])
 
     # Rule four.
@@ -316,7 +443,9 @@
         for server, starts in self.starts.items():
             rule, events = self.rules.servers[server], sorted(sent[server], key=lambda e: e.at)
             for start in starts:
-                self.one_start(server, rule, start, [e for e in events if start <= e.at < start + rule.cold])
+                self.one_start(
+                    server, rule, start, [e for e in events if start <= e.at < start + rule.cold]
+                )
 
     def one_start(self, server: str, rule: ServerRule, start: int, events: list[Event]) -> None:
         first, load = 0, 0.0
@@ -326,11 +455,24 @@
                 load -= events[first].words["load"]
                 first += 1
             warm = rule.cold_share + (1 - rule.cold_share) * (event.at - start) / rule.cold
-            budget = self.rules.overload_factor * rule.capacity * warm * self.rules.turnover * self.rules.fall / SECOND
+            budget = (
+                self.rules.overload_factor
+                * rule.capacity
+                * warm
+                * self.rules.turnover
+                * self.rules.fall
+                / SECOND
+            )
             within = [e for e in events[first:] if e.at <= event.at]
             if load > max(budget, 1.0) and len(within) > 1:
-                self.breach("cold", event.flow, event.at, f"{server}, started at {start / 1e9:.3f} s, was sent loads of "
-                            f"{load:.1f} within the rule's time, {budget:.1f} are allowed", within)
+                self.breach(
+                    "cold",
+                    event.flow,
+                    event.at,
+                    f"{server}, started at {start / 1e9:.3f} s, was sent loads of "
+                    f"{load:.1f} within the rule's time, {budget:.1f} are allowed",
+                    within,
+                )
                 return
 
 
--- a/cypresswalk/lab/people.py
+++ b/cypresswalk/lab/people.py
@@ -18,19 +18,20 @@
 @dataclass(slots=True)
 class Person:
     """One client, from the moment it comes until it has had its time or has given up."""
+
     number: int
-    comes: int                  # since the day's start
+    comes: int  # since the day's start
     type: ServiceType
     customer: str
     group: str
     zone: str
-    life: int                   # how long it wants to be served, all connections together
+    life: int  # how long it wants to be served, all connections together
     load: float
-    leaves: int                 # 0: stays; else it goes so long after its first line
+    leaves: int  # 0: stays; else it goes so long after its first line
     ignores: bool
     chance: Random = field(repr=False)
-    tries: int = 0              # since it last stood
-    connections: int = 0        # begun so far: the number of its next id
+    tries: int = 0  # since it last stood
+    connections: int = 0  # begun so far: the number of its next id
 
     def ident(self) -> str:
         self.connections += 1
@@ -57,21 +58,41 @@
 class People:
     def __init__(self, experiment: Experiment, seed: int):
         self.experiment, self.seed = experiment, seed
-        self.types, self.type_sums = experiment.types, list(accumulate(t.share for t in experiment.types))
+        self.types, self.type_sums = (
+            experiment.types,
+            list(accumulate(t.share for t in experiment.types)),
+        )
         self.customers = experiment.customers
         self.customer_sums = list(accumulate(c.share for c in experiment.customers))
 
     def person(self, number: int, comes: int) -> Person:
         chance, habits = Random(f"{self.seed}/person/{number}"), self.experiment.clients
         kind = self.types[bisect(self.type_sums, chance.random() * self.type_sums[-1])]
-        customer = self.customers[bisect(self.customer_sums, chance.random() * self.customer_sums[-1])].name
+        customer = self.customers[
+            bisect(self.customer_sums, chance.random() * self.customer_sums[-1])
+        ].name
         group = f"{customer}-{chance.randrange(habits.groups)}" if habits.groups else ""
         zone = chance.choice([table.zone for table in self.experiment.balancer_tables()])
         life = int(chance.uniform(*kind.life_s) * SECOND)
         load = chance.uniform(*kind.load)
-        leaves = int(chance.random() * kind.setup_target_ms * MILLISECOND) + 1 if chance.random() < habits.leaves else 0
-        return Person(number, comes, kind, customer, group, zone, life, load, leaves,
-                      chance.random() < habits.ignores, chance)
+        leaves = (
+            int(chance.random() * kind.setup_target_ms * MILLISECOND) + 1
+            if chance.random() < habits.leaves
+            else 0
+        )
+        return Person(
+            number,
+            comes,
+            kind,
+            customer,
+            group,
+            zone,
+            life,
+            load,
+            leaves,
+            chance.random() < habits.ignores,
+            chance,
+        )
 
     def arrivals(self) -> Iterator[int]:
         """When clients come: a Poisson process whose rate follows the course (thinned, Lewis and Shedler 1979)."""
@@ -91,7 +112,9 @@
             if trouble.kind == "burst":
                 moments += [int(trouble.at_s * SECOND)] * int(trouble.amount)
         # Numbers go by the plain course first: a burst in one variant of a file changes nobody else.
-        return sorted((self.person(i, at) for i, at in enumerate(moments)), key=lambda p: (p.comes, p.number))
+        return sorted(
+            (self.person(i, at) for i, at in enumerate(moments)), key=lambda p: (p.comes, p.number)
+        )
 
     def bad(self) -> list[tuple[int, str, str]]:
         """Bad clients: when, of what sort, in which zone."""
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -23,26 +23,33 @@
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, grown, named
 from cypresswalk.refusal import Refusal
 
-READY = 30 * SECOND             # balancers answer PING by then, or the day can't be played
-LATE = 50 * MILLISECOND         # what the rules grant beyond each limit: a lab later than that can't tell who was late
-LATE_SHARE = 0.01               # of its ticks
-LATE_MOST = 400 * MILLISECOND   # once: a tenth of the connect timeouts' order, and enough to void a verdict
-STOP_SPAN = 3.7                 # seconds between SIGTERM and SIGKILL, as the platform has it at the least
-SAMPLE = 0.5                    # seconds between two looks at what balancers cost
+READY = 30 * SECOND  # balancers answer PING by then, or the day can't be played
+LATE = (
+    50 * MILLISECOND
+)  # what the rules grant beyond each limit: a lab later than that can't tell who was late
+LATE_SHARE = 0.01  # of its ticks
+LATE_MOST = (
+    400 * MILLISECOND
+)  # once: a tenth of the connect timeouts' order, and enough to void a verdict
+STOP_SPAN = 3.7  # seconds between SIGTERM and SIGKILL, as the platform has it at the least
+SAMPLE = 0.5  # seconds between two looks at what balancers cost
 
 
 @dataclass(slots=True)
 class Day:
     """What came of one day."""
+
     experiment: str
     variant: str
     seed: int
     began: int = 0
     ended: int = 0
-    void: str = ""              # why it says nothing
+    void: str = ""  # why it says nothing
     breaches: list[str] = field(default_factory=list)
-    broken: dict[str, int] = field(default_factory=dict)        # by rule
-    samples: list[tuple[float, str, int, int, float]] = field(default_factory=list)   # second, balancer, RSS, fds, CPU s
+    broken: dict[str, int] = field(default_factory=dict)  # by rule
+    samples: list[tuple[float, str, int, int, float]] = field(
+        default_factory=list
+    )  # second, balancer, RSS, fds, CPU s
     counters: dict[str, dict[str, int]] = field(default_factory=dict)
     lateness_ms: dict[str, float] = field(default_factory=dict)
     events: list[seen.Event] = field(default_factory=list)
@@ -60,11 +67,17 @@
         yield ROOT
         return
     try:
-        packed = subprocess.run(["git", "archive", "--format=tar", variant.revision, "--", "cypresswalk"], cwd=ROOT,
-                                capture_output=True, check=True).stdout
+        packed = subprocess.run(
+            ["git", "archive", "--format=tar", variant.revision, "--", "cypresswalk"],
+            cwd=ROOT,
+            capture_output=True,
+            check=True,
+        ).stdout
     except (OSError, subprocess.CalledProcessError) as error:
         said = getattr(error, "stderr", b"").decode(errors="replace").strip().splitlines()
-        raise Refusal(f"variant {variant.name}: revision {variant.revision!r}: {said[0] if said else error}") from None
+        raise Refusal(
+            f"variant {variant.name}: revision {variant.revision!r}: {said[0] if said else error}"
+        ) from None
     folder = Path(tempfile.mkdtemp(prefix="cypresswalk-revision-"))
     try:
         with tarfile.open(fileobj=BytesIO(packed)) as files:
@@ -75,8 +88,15 @@
 
 
 class Play:
-    def __init__(self, experiment: Experiment, variant: Variant, seed: int, folder: Path, files: Path,
-                 command: list[str] | None = None):
+    def __init__(
+        self,
+        experiment: Experiment,
+        variant: Variant,
+        seed: int,
+        folder: Path,
+        files: Path,
+        command: list[str] | None = None,
+    ):
         self.experiment, self.variant, self.seed, self.folder = experiment, variant, seed, folder
         self.stage = Stage(experiment, seed)
         self.day = Day(experiment.name, variant.name, seed)
@@ -113,19 +133,39 @@
             if not driver.model.running:
                 driver.close()
             stage.spawn(driver.work())
-        transport, relay = await loop.create_datagram_endpoint(lambda: Relay(stage), local_addr=("127.0.0.1", 0))
+        transport, relay = await loop.create_datagram_endpoint(
+            lambda: Relay(stage), local_addr=("127.0.0.1", 0)
+        )
         self.relay = relay
-        for number, (name, table) in enumerate(zip(stage.balancers, self.experiment.balancer_tables())):
-            balancer = self.balancers[name] = Balancer(name, number, table, self.experiment, self.variant, self.files,
-                                                       self.folder, transport.get_extra_info("sockname")[:2], self.command)
+        for number, (name, table) in enumerate(
+            zip(stage.balancers, self.experiment.balancer_tables())
+        ):
+            balancer = self.balancers[name] = Balancer(
+                name,
+                number,
+                table,
+                self.experiment,
+                self.variant,
+                self.files,
+                self.folder,
+                transport.get_extra_info("sockname")[:2],
+                self.command,
+            )
             relay.members.append(balancer.peer)
-            stage.addresses[name] = await stage.behind(balancer.address, self.experiment.between.clients, "client")
+            stage.addresses[name] = await stage.behind(
+                balancer.address, self.experiment.between.clients, "client"
+            )
             await self.new_agent(name, len(stage.listing.changes))
             self.start_balancer(name)
         await asyncio.gather(*(self.ready(name) for name in self.balancers))
 
     async def new_agent(self, name: str, version: int) -> None:
-        agent = Agent(self.stage.listing, self.experiment, Random(f"{self.seed}/agent/{name}/{version}"), version)
+        agent = Agent(
+            self.stage.listing,
+            self.experiment,
+            Random(f"{self.seed}/agent/{name}/{version}"),
+            version,
+        )
         driver = AgentDriver(self.stage, name, agent)
         await driver.listen()
         self.agents[name] = driver
@@ -135,9 +175,13 @@
         whole = stage.listing.whole(agent.version)
         # The list it starts with tells it too: guards one that goes by that from being blamed for an older word.
         for entry in whole:
-            stage.note("told", who=name, server=entry.server, life=entry.life.value, version=agent.version)
+            stage.note(
+                "told", who=name, server=entry.server, life=entry.life.value, version=agent.version
+            )
         entries = [stage.entry(entry, name) for entry in whole]
-        self.balancers[name].write(self.agents[name].address, known(agent, entries), self.seeds.getrandbits(64))
+        self.balancers[name].write(
+            self.agents[name].address, known(agent, entries), self.seeds.getrandbits(64)
+        )
         self.balancers[name].start()
 
     async def ready(self, name: str) -> None:
@@ -197,7 +241,11 @@
                 code = balancer.crashed()
                 if code is not None:
                     event = self.stage.note("balancer_down", who=name, code=code)
-                    self.crashes.append(Breach("crash", "", event.at, f"{name} ended with exit code {code}", [event]))
+                    self.crashes.append(
+                        Breach(
+                            "crash", "", event.at, f"{name} ended with exit code {code}", [event]
+                        )
+                    )
                     balancer.expected_end = True
                     self.stage.spawn(self.noticed(name))
                     self.start_balancer(name)
@@ -210,16 +258,27 @@
         return [self.stage.drivers[name] for name in named(self.experiment, names)]
 
     def named_balancers(self, names: list[str]) -> list[str]:
-        return [b for b in self.balancers if any(n in (b, self.stage.balancer_zone[b], "all") for n in names)]
+        return [
+            b
+            for b in self.balancers
+            if any(n in (b, self.stage.balancer_zone[b], "all") for n in names)
+        ]
 
     def listed(self, name: str, life: Life, started_ms: int = 0) -> None:
         life_of(self.stage, name, life, started_ms, lambda: list(self.agents.values()))
 
     async def strike(self, trouble: Trouble) -> None:
-        self.stage.note("trouble", who=trouble.kind, servers=trouble.servers, balancers=trouble.balancers)
+        self.stage.note(
+            "trouble", who=trouble.kind, servers=trouble.servers, balancers=trouble.balancers
+        )
         span = trouble.for_s or self.experiment.seconds
         if trouble.kind in SERVER_TROUBLES:
-            await asyncio.gather(*(getattr(self, trouble.kind)(d, trouble, span) for d in self.named(trouble.servers)))
+            await asyncio.gather(
+                *(
+                    getattr(self, trouble.kind)(d, trouble, span)
+                    for d in self.named(trouble.servers)
+                )
+            )
         elif trouble.kind == "release":
             for driver in self.named(trouble.servers):
                 await self.drain(driver, trouble, 1.0)
@@ -233,7 +292,9 @@
             self.clients.cut(trouble.amount)
         elif trouble.kind in ("balancer_kill", "balancer_stop", "reload"):
             work = getattr(self, trouble.kind)
-            await asyncio.gather(*(work(name, span) for name in self.named_balancers(trouble.balancers)))
+            await asyncio.gather(
+                *(work(name, span) for name in self.named_balancers(trouble.balancers))
+            )
 
     async def crash(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
         """Dies with resets; the list hears of it late; it returns cold."""
@@ -321,7 +382,7 @@
         notice = self.experiment.front.notice_ms
         starts = self.balancers[name].starts
         await asyncio.sleep(self.chance.uniform(*notice) / 1000)
-        if self.balancers[name].starts == starts:       # not back already
+        if self.balancers[name].starts == starts:  # not back already
             self.stage.fronts[self.stage.balancer_zone[name]].gone(name)
 
     async def balancer_kill(self, name: str, span: float) -> None:
@@ -367,25 +428,40 @@
         day, stage = self.day, self.stage
         day.events = stage.events
         breaches = self.crashes + judge(stage.events, Rules.of(self.experiment))
-        breaches += [Breach("cold", "", e.at, f"{e.who} fell over: pushed beyond its budget while cold", [e])
-                     for e in stage.events if e.what == "fell"]
+        breaches += [
+            Breach("cold", "", e.at, f"{e.who} fell over: pushed beyond its budget while cold", [e])
+            for e in stage.events
+            if e.what == "fell"
+        ]
         day.breaches = [str(b) for b in breaches[:50]]
         for breach in breaches:
             day.broken[breach.rule] = day.broken.get(breach.rule, 0) + 1
         day.counters = {name: balancer.counters() for name, balancer in self.balancers.items()}
         late = sorted(stage.lateness) or [0]
         share = sum(l > LATE for l in late) / len(late)
-        day.lateness_ms = {"median": late[len(late) // 2] / 1e6, "p99": late[len(late) * 99 // 100] / 1e6,
-                           "most": late[-1] / 1e6, "share_late": round(share, 5)}
+        day.lateness_ms = {
+            "median": late[len(late) // 2] / 1e6,
+            "p99": late[len(late) * 99 // 100] / 1e6,
+            "most": late[-1] / 1e6,
+            "share_late": round(share, 5),
+        }
         if stage.faults:
             day.void = f"the lab itself failed: {stage.faults[0]}"
         elif share > LATE_SHARE or late[-1] > LATE_MOST:
-            day.void = (f"the lab itself was late: {late[-1] / 1e6:.0f} ms at most, {share:.1%} of its ticks by over "
-                        f"{LATE / 1e6:.0f} ms")
-
-
-def play_day(experiment: Experiment, variant: Variant, seed: int, folder: Path,
-             told: Callable[[float], None] = lambda second: None, command: list[str] | None = None) -> Day:
+            day.void = (
+                f"the lab itself was late: {late[-1] / 1e6:.0f} ms at most, {share:.1%} of its ticks by over "
+                f"{LATE / 1e6:.0f} ms"
+            )
+
+
+def play_day(
+    experiment: Experiment,
+    variant: Variant,
+    seed: int,
+    folder: Path,
+    told: Callable[[float], None] = lambda second: None,
+    command: list[str] | None = None,
+) -> Day:
     """Plays it and leaves events, day and logs in the folder. Raises Refusal where it can't begin. `command` starts
     another program in the balancers' place, by the same platform's rules."""
     folder.mkdir(parents=True, exist_ok=True)
--- a/cypresswalk/lab/seen.py
+++ b/cypresswalk/lab/seen.py
@@ -10,6 +10,7 @@
 class Event:
     """`at`: nanoseconds of the lab's clock. `who`: the balancer or server that it is about. What each kind carries in
     `words` stands beside its name in KINDS."""
+
     at: int
     what: str
     flow: str = ""
@@ -17,8 +18,10 @@
     words: dict = field(default_factory=dict)
 
     def line(self) -> str:
-        return json.dumps({"at": self.at, "what": self.what, "flow": self.flow, "who": self.who} | self.words,
-                          separators=(",", ":"))
+        return json.dumps(
+            {"at": self.at, "what": self.what, "flow": self.flow, "who": self.who} | self.words,
+            separators=(",", ":"),
+        )
 
     def __str__(self) -> str:
         words = " ".join(f"{name}={value}" for name, value in self.words.items())
@@ -37,10 +40,15 @@
     "broke": "the server ended that connection: number, how",
     "lines": "of one side of a connection that stood: side (client, server), said, heard, number",
     "told": "a list agent wrote this to the balancer: server, life, version of the list",
-    "balancer_up": "", "balancer_down": "", "server_up": "cold start", "server_down": "", "server_mute": "",
+    "balancer_up": "",
+    "balancer_down": "",
+    "server_up": "cold start",
+    "server_down": "",
+    "server_mute": "",
     "echo": "a line came back: took_ms, person",
     "fault": "the fault tool struck a connection: who (client, server: which side of the balancers), ports, kind",
-    "day_ended": ""}
+    "day_ended": "",
+}
 
 
 def save(events: Iterable[Event], path: Path) -> None:
@@ -54,5 +62,9 @@
     with open(path, encoding="utf-8") as file:
         for line in file:
             words = json.loads(line)
-            events.append(Event(words.pop("at"), words.pop("what"), words.pop("flow"), words.pop("who"), words))
+            events.append(
+                Event(
+                    words.pop("at"), words.pop("what"), words.pop("flow"), words.pop("who"), words
+                )
+            )
     return events
