--- a/cypresswalk/lab/stage.py
+++ b/cypresswalk/lab/stage.py
@@ -23,11 +23,17 @@
 from cypresswalk.lab.seen import Event
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
 
-LINE = 8192                 # the longest line that a stand-in reads: twice the protocol's
-TICK = 20 * MILLISECOND     # how often the lab looks how late it is itself
-BEAT = 2 * SECOND           # an empty line on a watch
+LINE = 8192  # the longest line that a stand-in reads: twice the protocol's
+TICK = 20 * MILLISECOND  # how often the lab looks how late it is itself
+BEAT = 2 * SECOND  # an empty line on a watch
 AT_ONCE = struct.pack("ii", 1, 0)
-ENDS = (ConnectionError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError, OSError)
+ENDS = (
+    ConnectionError,
+    asyncio.IncompleteReadError,
+    asyncio.LimitOverrunError,
+    ValueError,
+    OSError,
+)
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -55,15 +61,23 @@
         self.servers = servers_of(experiment, seed)
         self.listing: Listing = first_list(list(self.servers.values()))
         self.balancers = experiment.balancer_names()
-        self.balancer_zone = dict(zip(self.balancers, (t.zone for t in experiment.balancer_tables())))
+        self.balancer_zone = dict(
+            zip(self.balancers, (t.zone for t in experiment.balancer_tables()))
+        )
         self.people = People(experiment, seed)
         zones = dict.fromkeys(self.balancer_zone.values())
-        self.fronts = {zone: Front(zone, [b for b in self.balancers if self.balancer_zone[b] == zone],
-                                   Random(f"{seed}/front/{zone}")) for zone in zones}
-        self.addresses: dict[str, tuple[str, int]] = {}         # where clients reach each balancer
+        self.fronts = {
+            zone: Front(
+                zone,
+                [b for b in self.balancers if self.balancer_zone[b] == zone],
+                Random(f"{seed}/front/{zone}"),
+            )
+            for zone in zones
+        }
+        self.addresses: dict[str, tuple[str, int]] = {}  # where clients reach each balancer
         self.numbers = count(1)
         self.tasks: set[asyncio.Task] = set()
-        self.faults: list[str] = []                             # of the lab itself: a day with one says nothing
+        self.faults: list[str] = []  # of the lab itself: a day with one says nothing
         self.lateness: list[int] = []
         self.began = 0
         self.proxies: list[Proxy] = []
@@ -76,8 +90,16 @@
         """An address with the fault tool before that one; the same address where the plan holds nothing."""
         if plan == Plan():
             return to
-        proxy = Proxy(("127.0.0.1", 0), to, plan, self.seed + len(self.proxies), self.now,
-                      lambda fault, ports: self.note("fault", who=side, ports=list(ports), kind=fault.kind.value))
+        proxy = Proxy(
+            ("127.0.0.1", 0),
+            to,
+            plan,
+            self.seed + len(self.proxies),
+            self.now,
+            lambda fault, ports: self.note(
+                "fault", who=side, ports=list(ports), kind=fault.kind.value
+            ),
+        )
         await proxy.start()
         self.proxies.append(proxy)
         return proxy.address
@@ -120,13 +142,21 @@
         """In the platform's form, with the address that this balancer reaches the server by."""
         server = self.servers[entry.server]
         m = server.machines
-        return {"instanceId": server.name, "hostPort": "%s:%d" % self.drivers[server.name].shown[balancer],
-                "zone": m.zone, "machineType": m.name, "cell": m.cell, "lifecycle": entry.life.value, "weight": m.weight,
-                "startedAtMs": entry.started_ms}
+        return {
+            "instanceId": server.name,
+            "hostPort": "%s:%d" % self.drivers[server.name].shown[balancer],
+            "zone": m.zone,
+            "machineType": m.name,
+            "cell": m.cell,
+            "lifecycle": entry.life.value,
+            "weight": m.weight,
+            "startedAtMs": entry.started_ms,
+        }
 
 
 class Conn:
     """A connection that stands at a server."""
+
     __slots__ = ("number", "flow", "writer", "said", "heard", "last", "broken")
 
     def __init__(self, number: int, flow: str, writer: asyncio.StreamWriter):
@@ -147,7 +177,9 @@
     def __init__(self, stage: Stage, model: Server):
         self.stage, self.model = stage, model
         self.ports: dict[str, int] = {}
-        self.shown: dict[str, tuple[str, int]] = {}     # the addresses in the list: with faults before them, if any
+        self.shown: dict[
+            str, tuple[str, int]
+        ] = {}  # the addresses in the list: with faults before them, if any
         self.listeners: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
         self.standing: dict[int, Conn] = {}
@@ -157,21 +189,35 @@
         """At the same ports as before, once it had some. A port that another process took is the lab's fault."""
         for balancer in self.stage.balancers:
             try:
-                listener = await asyncio.start_server(partial(self.accept, balancer), "127.0.0.1",
-                                                      self.ports.get(balancer, 0), backlog=512, limit=LINE)
+                listener = await asyncio.start_server(
+                    partial(self.accept, balancer),
+                    "127.0.0.1",
+                    self.ports.get(balancer, 0),
+                    backlog=512,
+                    limit=LINE,
+                )
             except OSError as error:
-                self.stage.faults.append(f"{self.model.name} can't listen at {self.ports.get(balancer)}: {error}")
+                self.stage.faults.append(
+                    f"{self.model.name} can't listen at {self.ports.get(balancer)}: {error}"
+                )
                 return
             if balancer not in self.ports:
                 self.ports[balancer] = listener.sockets[0].getsockname()[1]
-                self.shown[balancer] = await self.stage.behind(("127.0.0.1", self.ports[balancer]),
-                                                               self.stage.experiment.between.servers, "server")
+                self.shown[balancer] = await self.stage.behind(
+                    ("127.0.0.1", self.ports[balancer]),
+                    self.stage.experiment.between.servers,
+                    "server",
+                )
             self.listeners.append(listener)
 
-    def accept(self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def accept(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.stage.spawn(self.serve(balancer, reader, writer))
 
-    async def serve(self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.writers.add(writer)
         try:
             nodelay(writer)
@@ -182,7 +228,9 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def talk(self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def talk(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         model, stage = self.model, self.stage
         while line := await reader.readline():
             word = line.split(b" ", 1)[0].strip()
@@ -199,25 +247,45 @@
                 stage.note("odd_line", who=model.name, balancer=balancer, line=repr(line[:80]))
                 return
 
-    async def opened(self, balancer: str, words: list[str], reader: asyncio.StreamReader,
-                     writer: asyncio.StreamWriter) -> None:
+    async def opened(
+        self,
+        balancer: str,
+        words: list[str],
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
         model, stage, number = self.model, self.stage, next(self.stage.numbers)
         values = dict(pair.split("=", 1) for pair in words[3].split(","))
         flow, load = words[1], float(values.get("h", 1))
-        stage.note("attempt", flow, model.name, balancer=balancer, number=number, load=load,
-                   port=writer.get_extra_info("peername")[1])
+        stage.note(
+            "attempt",
+            flow,
+            model.name,
+            balancer=balancer,
+            number=number,
+            load=load,
+            port=writer.get_extra_info("peername")[1],
+        )
         reply, wait = model.open(stage.now(), number, load, values.get("g", ""))
         if model.fallen:
             return self.fall()
         try:
-            gone = reply is not Reply.SILENT and await self.gone(reader, wait + 3 * stage.way(balancer, model))
+            gone = reply is not Reply.SILENT and await self.gone(
+                reader, wait + 3 * stage.way(balancer, model)
+            )
             if not gone and (reply is Reply.SILENT or model.silent or model.hangs):
-                while await reader.read(LINE):      # it fell silent in the meantime, or was so before
+                while await reader.read(LINE):  # it fell silent in the meantime, or was so before
                     pass
                 gone = True
             if gone or not model.running:
                 # A crash in the middle of a set-up ends it as well: the oracle must not take it for one still out.
-                stage.note("let_go" if model.running else "broke", flow, model.name, number=number, how="reset")
+                stage.note(
+                    "let_go" if model.running else "broke",
+                    flow,
+                    model.name,
+                    number=number,
+                    how="reset",
+                )
                 return
             receipt = f"UP r{number}"
             stage.note("reply", flow, model.name, number=number, kind=reply.value, receipt=receipt)
@@ -261,7 +329,15 @@
             if not conn.broken:
                 stage.note("let_go", conn.flow, model.name, number=conn.number)
             self.standing.pop(conn.number, None)
-            stage.note("lines", conn.flow, model.name, side="server", said=conn.said, heard=conn.heard, number=conn.number)
+            stage.note(
+                "lines",
+                conn.flow,
+                model.name,
+                side="server",
+                said=conn.said,
+                heard=conn.heard,
+                number=conn.number,
+            )
 
     def end(self, conn: Conn, how: str) -> None:
         """The server ends a connection: with BYE or MOVE and an end, or by a reset."""
@@ -316,7 +392,11 @@
             if number in self.standing:
                 self.end(self.standing[number], "reset")
                 self.model.closed(self.stage.now(), number)
-            if self.stage.now() // (250 * MILLISECOND) % 4 or not self.standing or self.model.line(self.stage.now()) is None:
+            if (
+                self.stage.now() // (250 * MILLISECOND) % 4
+                or not self.standing
+                or self.model.line(self.stage.now()) is None
+            ):
                 continue
             late = self.model.delay(self.stage.now()) / MILLISECOND
             if late > enough or self.told_late:
@@ -334,7 +414,9 @@
         self.address = ("127.0.0.1", 0)
 
     async def listen(self) -> None:
-        self.listener = await asyncio.start_server(lambda r, w: self.stage.spawn(self.serve(r, w)) and None, "127.0.0.1", 0, limit=LINE)
+        self.listener = await asyncio.start_server(
+            lambda r, w: self.stage.spawn(self.serve(r, w)) and None, "127.0.0.1", 0, limit=LINE
+        )
         self.address = self.listener.sockets[0].getsockname()[:2]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -344,7 +426,9 @@
             query = head.split(b" ")[1].decode().partition("?")[2]
             values = dict(pair.partition("=")[::2] for pair in query.split("&"))
             since = int(values.get("since") or 0)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+            )
             while True:
                 if not self.agent.silent and (since < self.agent.version or since == 0):
                     since = self.say(writer, since)
@@ -367,12 +451,25 @@
 
     def say(self, writer: asyncio.StreamWriter, since: int) -> int:
         whole, entries, version = self.agent.answer(since)
-        line = json.dumps({"generation": version, "reset": whole, "instances":
-                           [self.stage.entry(entry, self.balancer) for entry in entries]}).encode() + b"\n"
+        line = (
+            json.dumps(
+                {
+                    "generation": version,
+                    "reset": whole,
+                    "instances": [self.stage.entry(entry, self.balancer) for entry in entries],
+                }
+            ).encode()
+            + b"\n"
+        )
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
         for entry in entries:
-            self.stage.note("told", who=self.balancer, server=entry.server, life=entry.life.value,
-                            version=version)
+            self.stage.note(
+                "told",
+                who=self.balancer,
+                server=entry.server,
+                life=entry.life.value,
+                version=version,
+            )
         return version
 
     async def learn(self, version: int) -> None:
@@ -411,7 +508,9 @@
                 self.lost += 1
                 continue
             self.passed += 1
-            asyncio.get_running_loop().call_later(span(self.chance, net.peers_ms) / SECOND, self.arrive, data, member)
+            asyncio.get_running_loop().call_later(
+                span(self.chance, net.peers_ms) / SECOND, self.arrive, data, member
+            )
 
     def arrive(self, data: bytes, member: tuple[str, int]) -> None:
         if not self.transport.is_closing():
@@ -423,21 +522,30 @@
 
     def __init__(self, stage: Stage):
         self.stage = stage
-        self.open: dict[str, asyncio.StreamWriter] = {}         # of flows that stand
-        self.latest = ""                                        # the id said last, for bad clients to say again
+        self.open: dict[str, asyncio.StreamWriter] = {}  # of flows that stand
+        self.latest = ""  # the id said last, for bad clients to say again
 
     async def live(self, person: Person, began: int) -> None:
         stage = self.stage
         await stage.sleep_until(began + person.comes)
         end, marks = stage.now() + person.life, ""
-        stage.note("comes", who=person.zone, person=person.number, type=person.type.name, customer=person.customer,
-                   life_ms=person.life // MILLISECOND)
+        stage.note(
+            "comes",
+            who=person.zone,
+            person=person.number,
+            type=person.type.name,
+            customer=person.customer,
+            life_ms=person.life // MILLISECOND,
+        )
         while stage.now() < end:
             stood, advice = await self.once(person, end, marks)
             if stood == "own":
                 break
-            wait = person.after_break(stage.experiment.clients) if stood else \
-                person.after_reject(stage.experiment.clients, advice)
+            wait = (
+                person.after_break(stage.experiment.clients)
+                if stood
+                else person.after_reject(stage.experiment.clients, advice)
+            )
             if wait is None:
                 break
             marks = ",again=1" if stood else ",r=1"
@@ -459,18 +567,34 @@
         group = f",g={person.group}" if person.group else ""
         try:
             nodelay(writer)
-            writer.write(f"OPEN {ident} k{person.number} c={kind.name},t={person.customer},d={kind.timeout_ms:g}"
-                         f",h={person.load:.3f}{group}{marks}\r\n".encode())
+            writer.write(
+                f"OPEN {ident} k{person.number} c={kind.name},t={person.customer},d={kind.timeout_ms:g}"
+                f",h={person.load:.3f}{group}{marks}\r\n".encode()
+            )
             self.latest = ident
-            stage.note("sent", ident, balancer, type=kind.name, wait_ms=kind.timeout_ms, person=person.number,
-                       port=writer.get_extra_info("sockname")[1])
+            stage.note(
+                "sent",
+                ident,
+                balancer,
+                type=kind.name,
+                wait_ms=kind.timeout_ms,
+                person=person.number,
+                port=writer.get_extra_info("sockname")[1],
+            )
             return await self.answered(person, ident, balancer, end, reader, writer)
         finally:
             self.open.pop(ident, None)
             writer.close()
 
-    async def answered(self, person: Person, ident: str, balancer: str, end: int, reader: asyncio.StreamReader,
-                       writer: asyncio.StreamWriter) -> tuple[str, int | None]:
+    async def answered(
+        self,
+        person: Person,
+        ident: str,
+        balancer: str,
+        end: int,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> tuple[str, int | None]:
         stage = self.stage
         # Somewhat longer than it waits: an answer that comes late is seen to be late.
         limit = person.type.timeout_ms / 1000 + 0.3
@@ -484,29 +608,46 @@
             stage.note("ended", ident, balancer, how="reset")
             return "", None
         text = line.decode("ascii", "replace").rstrip("\r\n")
-        if not line.endswith(b"\n"):         # nothing, or the part of an answer that a cut left
+        if not line.endswith(b"\n"):  # nothing, or the part of an answer that a cut left
             stage.note("ended", ident, balancer, how="end")
             return "", None
-        kind = "up" if text.startswith("UP ") else "busy" if text.split(" ")[0] == "BUSY" else "failed"
+        kind = (
+            "up" if text.startswith("UP ") else "busy" if text.split(" ")[0] == "BUSY" else "failed"
+        )
         stage.note("answer", ident, balancer, kind=kind, line=text, person=person.number)
         if kind == "up":
             self.open[ident] = writer
             return await self.stand(person, ident, balancer, end, reader, writer), None
         await self.second(ident, balancer, reader)
         told = text.split(" ")[1:]
-        return "", int(told[0]) * MILLISECOND if kind == "busy" and told and told[0].isdecimal() else None
+        return "", int(told[0]) * MILLISECOND if kind == "busy" and told and told[
+            0
+        ].isdecimal() else None
 
     async def second(self, ident: str, balancer: str, reader: asyncio.StreamReader) -> None:
         """After a no, the end; a further line would be a second answer."""
         try:
             line = await asyncio.wait_for(reader.readline(), 1)
             if line:
-                self.stage.note("answer", ident, balancer, kind="failed", line=line.decode("ascii", "replace").strip())
+                self.stage.note(
+                    "answer",
+                    ident,
+                    balancer,
+                    kind="failed",
+                    line=line.decode("ascii", "replace").strip(),
+                )
         except (asyncio.TimeoutError, *ENDS):
             pass
 
-    async def stand(self, person: Person, ident: str, balancer: str, end: int, reader: asyncio.StreamReader,
-                    writer: asyncio.StreamWriter) -> str:
+    async def stand(
+        self,
+        person: Person,
+        ident: str,
+        balancer: str,
+        end: int,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> str:
         stage, every = self.stage, int(self.stage.experiment.clients.line_ms * MILLISECOND)
         said, heard, asked = [], [], {}
         person.tries, how = 0, "own"
@@ -521,7 +662,9 @@
                     next_line = max(next_line + every, now)
                     continue
                 try:
-                    line = await asyncio.wait_for(reader.readline(), (min(next_line, end) - now) / SECOND)
+                    line = await asyncio.wait_for(
+                        reader.readline(), (min(next_line, end) - now) / SECOND
+                    )
                 except asyncio.TimeoutError:
                     continue
                 if not line:
@@ -536,8 +679,13 @@
                     how = "bye"
                     break
                 if text in asked:
-                    stage.note("echo", ident, balancer, took_ms=(stage.now() - asked.pop(text)) / MILLISECOND,
-                               person=person.number)
+                    stage.note(
+                        "echo",
+                        ident,
+                        balancer,
+                        took_ms=(stage.now() - asked.pop(text)) / MILLISECOND,
+                        person=person.number,
+                    )
             if how == "own":
                 writer.write_eof()
                 while line := await asyncio.wait_for(reader.readline(), 1):
@@ -546,7 +694,13 @@
             pass
         except ENDS:
             # A reset after its own end changes nothing for it.
-            how = how if how != "own" or stage.now() >= end else "cut" if writer.transport.is_closing() else "reset"
+            how = (
+                how
+                if how != "own" or stage.now() >= end
+                else "cut"
+                if writer.transport.is_closing()
+                else "reset"
+            )
         stage.note("ended", ident, balancer, how=how, person=person.number)
         stage.note("lines", ident, balancer, side="client", said=said, heard=heard, number=0)
         return how
@@ -585,18 +739,34 @@
             answer = "reset"
         finally:
             writer.close()
-        stage.note("bad", who=balancer, sort=sort, answer=answer, took_ms=(stage.now() - began) / MILLISECOND)
+        stage.note(
+            "bad",
+            who=balancer,
+            sort=sort,
+            answer=answer,
+            took_ms=(stage.now() - began) / MILLISECOND,
+        )
 
     def odd(self, sort: str, number: int) -> bytes:
-        kind, customer = self.stage.experiment.types[0].name, self.stage.experiment.customers[0].name
+        kind, customer = (
+            self.stage.experiment.types[0].name,
+            self.stage.experiment.customers[0].name,
+        )
         good = f"OPEN x{number} k1 c={kind},t={customer},d=1000\r\n".encode()
-        return {"silent": b"", "garbage": b"\x00\xff\x17GET / HTTP/1.1\r\n", "half a line": good[:len(good) // 2],
-                "flood": good * 200, "unknown type": good.replace(kind.encode(), b"no-such-type"),
-                "endless line": b"OPEN " + b"a" * 20_000,
-                "twice": good.replace(b"x%d" % number, self.latest.encode() or b"x0")}[sort]
-
-
-def life_of(stage: Stage, name: str, life: Life, started_ms: int, agents: Callable[[], list[AgentDriver]]) -> None:
+        return {
+            "silent": b"",
+            "garbage": b"\x00\xff\x17GET / HTTP/1.1\r\n",
+            "half a line": good[: len(good) // 2],
+            "flood": good * 200,
+            "unknown type": good.replace(kind.encode(), b"no-such-type"),
+            "endless line": b"OPEN " + b"a" * 20_000,
+            "twice": good.replace(b"x%d" % number, self.latest.encode() or b"x0"),
+        }[sort]
+
+
+def life_of(
+    stage: Stage, name: str, life: Life, started_ms: int, agents: Callable[[], list[AgentDriver]]
+) -> None:
     """Something changed: the list knows, and each agent learns of it late."""
     version = stage.listing.change(name, life, started_ms)
     for agent in agents():
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/together/explore.py
@@ -9,12 +9,35 @@
 
 from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, World
 
-QUIET = 40 * SECOND         # in which a fleet without faults must be whole: leases, a dead voter's replacement, a slow disk's pause
+QUIET = (
+    40 * SECOND
+)  # in which a fleet without faults must be whole: leases, a dead voter's replacement, a slow disk's pause
 
 # How often each kind of thing is drawn.
-KINDS = {"cut": 6, "cut_one_way": 6, "heal": 6, "isolate": 3, "slow_way": 4, "kill": 5, "kill_writing": 6, "start": 10, "freeze": 4, "wipe": 2,
-         "put_back": 2, "copy": 3, "disk_fails": 2, "disk_full": 2, "disk_well": 6, "out": 8, "back": 4, "offer": 6, "show": 4,
-         "refuses": 1, "settled": 3, "hand_over": 2}
+KINDS = {
+    "cut": 6,
+    "cut_one_way": 6,
+    "heal": 6,
+    "isolate": 3,
+    "slow_way": 4,
+    "kill": 5,
+    "kill_writing": 6,
+    "start": 10,
+    "freeze": 4,
+    "wipe": 2,
+    "put_back": 2,
+    "copy": 3,
+    "disk_fails": 2,
+    "disk_full": 2,
+    "disk_well": 6,
+    "out": 8,
+    "back": 4,
+    "offer": 6,
+    "show": 4,
+    "refuses": 1,
+    "settled": 3,
+    "hand_over": 2,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +46,7 @@
     who: str
     other: str
     number: int
-    then: int           # nanoseconds until the next
+    then: int  # nanoseconds until the next
 
 
 @dataclass(slots=True)
@@ -45,8 +68,13 @@
     for _ in range(acts):
         who, other = chance.sample(names, 2) if len(names) > 1 else (names[0], names[0])
         # A second thing within the reaction time to the first, as often as not.
-        then = int(chance.choice((chance.uniform(0, 0.3), chance.uniform(0, 2), chance.uniform(0, 8))) * SECOND)
-        plan.append(Act(chance.choices(kinds, weights)[0], who, other, chance.randrange(1 << 30), then))
+        then = int(
+            chance.choice((chance.uniform(0, 0.3), chance.uniform(0, 2), chance.uniform(0, 8)))
+            * SECOND
+        )
+        plan.append(
+            Act(chance.choices(kinds, weights)[0], who, other, chance.randrange(1 << 30), then)
+        )
     return plan
 
 
@@ -55,7 +83,7 @@
         self.world = world
         self.copies: dict[str, dict] = {}
         self.idents = 0
-        self.promised: dict[str, tuple[str, int]] = {}      # ident: what, the version named
+        self.promised: dict[str, tuple[str, int]] = {}  # ident: what, the version named
         self.lost: dict[str, str] = {}  # names whose disk was lost, and their ids before
 
     def play(self, act: Act) -> None:
@@ -69,7 +97,9 @@
             case "cut_one_way":
                 w.cuts.add((p.name, other.name))
             case "isolate":
-                w.cuts |= {pair for q in w.processes for pair in ((p.name, q), (q, p.name)) if q != p.name}
+                w.cuts |= {
+                    pair for q in w.processes for pair in ((p.name, q), (q, p.name)) if q != p.name
+                }
             case "slow_way":
                 w.slow[p.name, other.name] = int((0.3, 1, 2, 4)[act.number % 4] * SECOND)
             case "heal":
@@ -105,7 +135,11 @@
             case "out" | "back":
                 self.ask(p, act.kind, {"server": f"s{act.number % 4}"})
             case "offer":
-                base = 0 if p.fleet is None or p.fleet.member is None else p.fleet.member.agreed.state.settings_version
+                base = (
+                    0
+                    if p.fleet is None or p.fleet.member is None
+                    else p.fleet.member.agreed.state.settings_version
+                )
                 self.ask(p, "offer", {"base": base, "settings": {"mark": act.number % 50}})
             case "show":
                 self.show(p)
@@ -118,16 +152,31 @@
         """One disk at a time, and only while all the others have theirs and are whole members: what is promised is promised for
         that. (More lost at once stop the fleet; a test of its own shows that they do nothing worse.)"""
         leader = self.world.leader()
-        if leader is None or leader.fleet.member.node.log.term(leader.fleet.member.node.commit) != leader.fleet.member.node.term:
+        if (
+            leader is None
+            or leader.fleet.member.node.log.term(leader.fleet.member.node.commit)
+            != leader.fleet.member.node.term
+        ):
             return False
         voters = {m.id for m in leader.fleet.member.members if m.voter}
-        running = {q.fleet.member.id: q for q in self.world.processes.values() if q.fleet is not None and q.fleet.member is not None}
+        running = {
+            q.fleet.member.id: q
+            for q in self.world.processes.values()
+            if q.fleet is not None and q.fleet.member is not None
+        }
         # A loss is over once the new incarnation is a voter, or follows, and the old one is no member any more.
         for name, old in list(self.lost.items()):
             if not any(m.id == old for m in leader.fleet.member.members):
                 del self.lost[name]
         fresh = all(q.disk.files for q in self.world.processes.values())
-        if self.lost or not fresh or leader is p or p.disk.failing or p.disk.full or not voters <= {*running, *self.down(running)}:
+        if (
+            self.lost
+            or not fresh
+            or leader is p
+            or p.disk.failing
+            or p.disk.full
+            or not voters <= {*running, *self.down(running)}
+        ):
             return False
         if p.fleet is None or p.fleet.member is None:
             return False
@@ -136,7 +185,11 @@
 
     def down(self, running: dict) -> set[str]:
         """Ids of processes that do not run now; their disks are theirs."""
-        return {q.disk_id for q in self.world.processes.values() if q.fleet is None or q.fleet.member is None}
+        return {
+            q.disk_id
+            for q in self.world.processes.values()
+            if q.fleet is None or q.fleet.member is None
+        }
 
     def ask(self, at: Process, name: str, args: dict[str, Any]) -> None:
         self.idents += 1
@@ -146,14 +199,24 @@
             self.world.count(f"{name}: {'yes' if ok else 'no'}")
             if ok:
                 self.promised[ident] = name, body.get("version", 0)
-        self.world.call(at, name, {"ident": ident, "by": "explorer", "at": self.world.now // MILLISECOND} | args, 6 * SECOND, told)
+
+        self.world.call(
+            at,
+            name,
+            {"ident": ident, "by": "explorer", "at": self.world.now // MILLISECOND} | args,
+            6 * SECOND,
+            told,
+        )
 
     def show(self, at: Process) -> None:
         floor = max((version for _, version in self.promised.values()), default=0)
 
         def told(ok: bool, body: Any) -> None:
             if ok and body["version"] < floor:
-                raise Broken(f"A7: version {body['version']} was shown, {floor} had been promised before it was asked for")
+                raise Broken(
+                    f"A7: version {body['version']} was shown, {floor} had been promised before it was asked for"
+                )
+
         self.world.call(at, "show", {}, 6 * SECOND, told)
 
     def settled(self, at: Process) -> None:
@@ -161,9 +224,14 @@
 
         def told(ok: bool, body: Any) -> None:
             self.world.count(f"settled: {'yes' if ok else 'no'}")
-            behind = [q.name for q in self.world.processes.values() if q.acts and q.acts_on < version]
+            behind = [
+                q.name for q in self.world.processes.values() if q.acts and q.acts_on < version
+            ]
             if ok and behind:
-                raise Broken(f"L3: told that all act on {version} or not at all, {', '.join(behind)} act on less")
+                raise Broken(
+                    f"L3: told that all act on {version} or not at all, {', '.join(behind)} act on less"
+                )
+
         self.world.call(at, "settled", {"version": version, "span": 12}, 12 * SECOND, told)
 
     def finish(self) -> None:
@@ -189,7 +257,10 @@
         newest = member.agreed.state.version
         for p in w.processes.values():
             if not p.acts or p.acts_on != newest:
-                raise Broken(f"{p.name} does not act on version {newest} though all faults were lifted: " + states(w))
+                raise Broken(
+                    f"{p.name} does not act on version {newest} though all faults were lifted: "
+                    + states(w)
+                )
         voters = sorted(m.name for m in member.members if m.voter)
         if voters != sorted(member.agreed.state.voters) or len(member.members) != len(w.processes):
             raise Broken(f"members are not whole: {member.members}")
@@ -202,18 +273,37 @@
 
 def states(w: World) -> str:
     return "; ".join(
-        f"{p.name}: " + ("down" if p.fleet is None else "stopped" if p.fleet.member is None else
-                         f"{p.fleet.member.id[-4:]} {p.fleet.member.node and (p.fleet.member.node.role.value, p.fleet.member.node.term, p.fleet.member.node.commit, p.fleet.member.node.log.last)}"
-                         f" acts {p.acts} on {p.acts_on} members {[(m.id[:2] + m.id[-4:], m.voter) for m in p.fleet.member.members]}")
-        for p in w.processes.values())
+        f"{p.name}: "
+        + (
+            "down"
+            if p.fleet is None
+            else "stopped"
+            if p.fleet.member is None
+            else f"{p.fleet.member.id[-4:]} {p.fleet.member.node and (p.fleet.member.node.role.value, p.fleet.member.node.term, p.fleet.member.node.commit, p.fleet.member.node.log.last)}"
+            f" acts {p.acts} on {p.acts_on} members {[(m.id[:2] + m.id[-4:], m.voter) for m in p.fleet.member.members]}"
+        )
+        for p in w.processes.values()
+    )
 
 
-def run_seed(seed: int, acts: int = 100, voters: int = 3, followers: int = 1, plan: list[Act] | None = None,
-             world: type[World] = World) -> Outcome:
+def run_seed(
+    seed: int,
+    acts: int = 100,
+    voters: int = 3,
+    followers: int = 1,
+    plan: list[Act] | None = None,
+    world: type[World] = World,
+) -> Outcome:
     chance = Random(f"{seed}/shape")
     logging.getLogger("cypresswalk.fleet").setLevel(logging.CRITICAL)
-    w = world(seed, voters, followers, loss=chance.choice((0.0, 0.02, 0.2)), double=chance.choice((0.0, 0.1)),
-              delay=(MILLISECOND // 5, chance.choice((2, 20, 300)) * MILLISECOND))
+    w = world(
+        seed,
+        voters,
+        followers,
+        loss=chance.choice((0.0, 0.02, 0.2)),
+        double=chance.choice((0.0, 0.1)),
+        delay=(MILLISECOND // 5, chance.choice((2, 20, 300)) * MILLISECOND),
+    )
     for p in w.processes.values():
         p.rate = chance.uniform(0.99, 1.01)
     outcome, player = Outcome(seed), Player(w)
@@ -227,7 +317,12 @@
         player.finish()
     except Broken as error:
         outcome.broken = f"seed {seed}, at {w.now / SECOND:.3f} s: {error}"
-    outcome.steps, outcome.situations, outcome.longest, outcome.history = w.steps, w.situations, w.longest, w.history
+    outcome.steps, outcome.situations, outcome.longest, outcome.history = (
+        w.steps,
+        w.situations,
+        w.longest,
+        w.history,
+    )
     outcome.acked = len(player.promised)
     return outcome
 
@@ -238,7 +333,7 @@
     while True:
         at = 0
         while at < len(plan):
-            shorter = plan[:at] + plan[at + size:]
+            shorter = plan[:at] + plan[at + size :]
             if run_seed(seed, plan=shorter, world=world).broken:
                 plan = shorter
             else:
--- a/cypresswalk/lab/together/judges.py
+++ b/cypresswalk/lab/together/judges.py
@@ -14,13 +14,14 @@
 @dataclass(frozen=True, slots=True)
 class Op:
     """A call on the settings. `result`: "yes", "no" or "unsure"; an unsure one may have come into force, or may yet."""
-    kind: str               # "offer" or "show"
+
+    kind: str  # "offer" or "show"
     began: int
     ended: int
     result: str
-    base: int = 0           # of an offer
-    value: int = 0          # offered or shown
-    version: int = 0        # made or shown
+    base: int = 0  # of an offer
+    value: int = 0  # offered or shown
+    version: int = 0  # made or shown
 
 
 def linearizable(ops: list[Op], first: tuple[int, int]) -> str:
@@ -60,20 +61,27 @@
 
 
 def possible(ops: list[Op], after: int) -> list[int]:
-    return sorted({op.version for op in ops if op.version > after} | {op.base for op in ops if op.base > after} | {after + 1})
+    return sorted(
+        {op.version for op in ops if op.version > after}
+        | {op.base for op in ops if op.base > after}
+        | {after + 1}
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Down:
     """A server taken out for all: asked for, agreed, put back again (asked for)."""
+
     server: str
     asked: int
     agreed: int
-    settled: int = FOREVER      # when it was said that no balancer sends there any more
+    settled: int = FOREVER  # when it was said that no balancer sends there any more
     back: int = FOREVER
 
 
-def contradiction(downs: list[Down], opens: list[tuple[int, str, str]], stated: int, slack: int) -> tuple[int, list[str]]:
+def contradiction(
+    downs: list[Down], opens: list[tuple[int, str, str]], stated: int, slack: int
+) -> tuple[int, list[str]]:
     """The longest time after which a balancer still sent something new to a server that the fleet had agreed is out, and what breaks
     the stated time or a yes. `opens`: when, server, balancer."""
     longest, broken = 0, []
@@ -83,14 +91,22 @@
                 continue
             longest = max(longest, at - down.agreed)
             if at > down.agreed + stated + slack:
-                broken.append(f"{balancer} sent to {server} {(at - down.agreed) / 1e9:.3f} s after all had agreed that it is out")
+                broken.append(
+                    f"{balancer} sent to {server} {(at - down.agreed) / 1e9:.3f} s after all had agreed that it is out"
+                )
             if at > down.settled + slack:
-                broken.append(f"{balancer} sent to {server} {(at - down.settled) / 1e9:.3f} s after the yes for all balancers")
+                broken.append(
+                    f"{balancer} sent to {server} {(at - down.settled) / 1e9:.3f} s after the yes for all balancers"
+                )
     return longest, broken
 
 
 def forgotten(downs: list[Down], out: set[str]) -> list[str]:
-    return [f"{d.server} was taken out with a yes and is not out at the end" for d in downs if d.back == FOREVER and d.server not in out]
+    return [
+        f"{d.server} was taken out with a yes and is not out at the end"
+        for d in downs
+        if d.back == FOREVER and d.server not in out
+    ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +115,7 @@
     effect: str
     asked: int
     due: int
-    answer: str             # the first line, or "end", "reset", "none"
+    answer: str  # the first line, or "end", "reset", "none"
     answered: int
     balancer: str
 
@@ -114,22 +130,39 @@
         if flow.answer in ("end", "reset", "none"):
             broken.append(f"flow {flow.ident} at {flow.balancer} got no answer ({flow.answer})")
         elif flow.answered > flow.due + slack:
-            broken.append(f"flow {flow.ident} at {flow.balancer} was answered {(flow.answered - flow.due) / 1e9:.3f} s late")
+            broken.append(
+                f"flow {flow.ident} at {flow.balancer} was answered {(flow.answered - flow.due) / 1e9:.3f} s late"
+            )
     return broken
 
 
 def excused(flow: Flow, harmed: dict[str, list[tuple[int, int]]], slack: int) -> bool:
     last = max(flow.due, flow.answered)
-    return any(begin - slack <= last and flow.asked <= end + slack for begin, end in harmed.get(flow.balancer, ()))
-
-
-def four_rules(seen: Iterable[Event], rules: oracle.Rules, flows: list[Flow], harmed: dict[str, list[tuple[int, int]]],
-               slack: int) -> list[str]:
+    return any(
+        begin - slack <= last and flow.asked <= end + slack
+        for begin, end in harmed.get(flow.balancer, ())
+    )
+
+
+def four_rules(
+    seen: Iterable[Event],
+    rules: oracle.Rules,
+    flows: list[Flow],
+    harmed: dict[str, list[tuple[int, int]]],
+    slack: int,
+) -> list[str]:
     """The lab's own oracle over the fleet: rules 1 and 2 flow by flow, 3 by what each balancer's own list told, 4 over the sum of
     all. A flow that a balancer held while the rig froze or killed it counts as its client's that left."""
     lost = {flow.ident for flow in flows if excused(flow, harmed, slack)}
-    events = [Event(e.at, "left", e.flow, e.who, e.words) if e.what == "answer" and e.flow in lost else e for e in seen]
-    events += [Event(flow.asked, "left", flow.ident, flow.balancer, {}) for flow in flows if flow.ident in lost]
+    events = [
+        Event(e.at, "left", e.flow, e.who, e.words) if e.what == "answer" and e.flow in lost else e
+        for e in seen
+    ]
+    events += [
+        Event(flow.asked, "left", flow.ident, flow.balancer, {})
+        for flow in flows
+        if flow.ident in lost
+    ]
     return [str(breach) for breach in oracle.judge(events, rules)]
 
 
@@ -141,11 +174,19 @@
     how: str
 
 
-KNOWN = 8 * 1_000_000_000       # after so long whoever leads must know who is lost: heard last, an election, a read's age
+KNOWN = (
+    8 * 1_000_000_000
+)  # after so long whoever leads must know who is lost: heard last, an election, a read's age
 
 
-def out_at_once(own: list[Span], lost: list[Span], went: list[tuple[int, str, str]], most: int, turned: list[int],
-                slack: int) -> tuple[int, int, list[str]]:
+def out_at_once(
+    own: list[Span],
+    lost: list[Span],
+    went: list[tuple[int, str, str]],
+    most: int,
+    turned: list[int],
+    slack: int,
+) -> tuple[int, int, list[str]]:
     """How many were out at most by the program's own doing, and with those that were lost, and what breaks the bound. `own`: drained, or
     being changed; `lost`: fronts that answered nobody; `went`: when who was told to go, and how; `turned`: when the way back was asked for.
     A look may be `slack` late, so that two that follow each other seem to overlap by it."""
@@ -155,20 +196,36 @@
         away = {s.balancer for s in lost if s.begin <= at < s.end - slack}
         most_own, most_all = max(most_own, len(out)), max(most_all, len(out | away))
         if len(out) > most:
-            broken.append(f"{', '.join(sorted(out))} are out at once by the program's doing, {most} may be")
+            broken.append(
+                f"{', '.join(sorted(out))} are out at once by the program's doing, {most} may be"
+            )
     for at, name, how in went:
         # Being changed without having been told to go is out to nobody; drained is.
-        out = {other for when, other, _ in went if when < at and other != name
-               and any(s.balancer == other and s.begin <= when <= at < s.end - slack for s in own)}
+        out = {
+            other
+            for when, other, _ in went
+            if when < at
+            and other != name
+            and any(s.balancer == other and s.begin <= when <= at < s.end - slack for s in own)
+        }
         away = {s.balancer for s in lost if s.begin < at - KNOWN and s.end > at + slack} - {name}
-        healed = any(when < at for when in turned) and any(s.balancer == name and s.begin < at and s.end > at - KNOWN for s in lost)
+        healed = any(when < at for when in turned) and any(
+            s.balancer == name and s.begin < at and s.end > at - KNOWN for s in lost
+        )
         if away and not healed and len(out | away | {name}) > most:
-            broken.append(f"{name} went out ({how}) while {', '.join(sorted(out | away))} were out or lost, {most} may be")
+            broken.append(
+                f"{name} went out ({how}) while {', '.join(sorted(out | away))} were out or lost, {most} may be"
+            )
     return most_own, most_all, list(dict.fromkeys(broken))
 
 
-def halted(went: list[tuple[int, str, str]], halts: list[tuple[int, int]], resumes: list[int], turned: list[int],
-           slack: int) -> tuple[int, list[str]]:
+def halted(
+    went: list[tuple[int, str, str]],
+    halts: list[tuple[int, int]],
+    resumes: list[int],
+    turned: list[int],
+    slack: int,
+) -> tuple[int, list[str]]:
     """The longest time from a halt's yes to the last one that went out all the same, and what came too late. `halts`: when each was asked
     for and agreed; a resume that was asked for later may have ended it."""
     longest, broken = 0, []
@@ -178,7 +235,9 @@
             if agreed < at < until and (how == "drain" or not any(when < at for when in turned)):
                 longest = max(longest, at - agreed)
                 if at > agreed + slack:
-                    broken.append(f"{name} went out ({how}) {(at - agreed) / 1e9:.2f} s after a yes to a halt")
+                    broken.append(
+                        f"{name} went out ({how}) {(at - agreed) / 1e9:.2f} s after a yes to a halt"
+                    )
     return longest, broken
 
 
@@ -188,4 +247,8 @@
     for ident, effect, server in runs:
         if effect == "once-only":
             counts[ident].append(server)
-    return [f"once-only flow {ident} ran at {', '.join(servers)}" for ident, servers in counts.items() if len(servers) > 1]
+    return [
+        f"once-only flow {ident} ran at {', '.join(servers)}"
+        for ident, servers in counts.items()
+        if len(servers) > 1
+    ]
--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/together/machines.py
@@ -17,9 +17,9 @@
 from cypresswalk.lab.together.stage import SECOND, SLACK, Process, Rig
 from cypresswalk.rollout.bounds import allowed
 
-LOOK = 0.1              # seconds between two looks at what an agent is doing
-FRONT = 0.3             # and at a balancer's front
-HOME = 90.0             # seconds for a release to come to its end once all faults are lifted, and HOME_EACH for each balancer
+LOOK = 0.1  # seconds between two looks at what an agent is doing
+FRONT = 0.3  # and at a balancer's front
+HOME = 90.0  # seconds for a release to come to its end once all faults are lifted, and HOME_EACH for each balancer
 HOME_EACH = 8.0
 FIRST = "v0"
 
@@ -27,7 +27,7 @@
 BAD = {
     "rejects": "Core.place = lambda self, now, session: self.end(now, session, core.BUSY)",
     "aborts": "place = Core.place\nCore.place = lambda self, now, session: (self.end(now, session, core.FAILED) if session.flow.id % 10 == 0\n"
-              "                                             else place(self, now, session))",
+    "                                             else place(self, now, session))",
     "slow": "place = Core.place\nCore.place = lambda self, now, session: self.at(now + 30_000_000, lambda at, s: s.over or place(self, at, s), session)",
     "falls": "import os, threading\nthreading.Timer(10, os._exit, (1,)).start()",
     "never_ready": "Core.may_act = lambda self: False",
@@ -40,9 +40,15 @@
     if kind == "good":
         (root / name).symlink_to(tree)
         return
-    shutil.copytree(tree / "cypresswalk", root / name / "cypresswalk", ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(
+        tree / "cypresswalk",
+        root / name / "cypresswalk",
+        ignore=shutil.ignore_patterns("__pycache__"),
+    )
     with open(root / name / "cypresswalk/service/program.py", "a") as file:
-        file.write(f"\n\nfrom cypresswalk.net import core\nfrom cypresswalk.net.core import Core\n{BAD[kind]}\n")
+        file.write(
+            f"\n\nfrom cypresswalk.net import core\nfrom cypresswalk.net.core import Core\n{BAD[kind]}\n"
+        )
 
 
 class Released(Rig):
@@ -53,12 +59,12 @@
         self.root = folder / "versions"
         self.runs, self.kinds = FIRST, {FIRST: "good"}
         self.releases = 0
-        self.own: list[judges.Span] = []        # out, or being changed, by the program's doing
+        self.own: list[judges.Span] = []  # out, or being changed, by the program's doing
         self.open_own: dict[tuple[str, str], int] = {}
-        self.lost: list[judges.Span] = []       # fronts that answered nobody
+        self.lost: list[judges.Span] = []  # fronts that answered nobody
         self.open_lost: dict[str, int] = {}
         self.halts: list[tuple[int, int]] = []  # asked, and the yes
-        self.resumes: list[int] = []            # asked
+        self.resumes: list[int] = []  # asked
         self.turned: list[int] = []
         self.wall = time.time() - time.monotonic()
 
@@ -72,13 +78,19 @@
         if not answers:
             self.open_lost[name] = began
         elif name in self.open_lost:
-            self.lost.append(judges.Span(name, self.open_lost.pop(name), time.monotonic_ns(), "lost"))
+            self.lost.append(
+                judges.Span(name, self.open_lost.pop(name), time.monotonic_ns(), "lost")
+            )
 
     def spans(self) -> tuple[list[judges.Span], list[judges.Span]]:
         """Own and lost, those also that have not ended."""
         now = time.monotonic_ns()
-        return (self.own + [judges.Span(name, begin, now, how) for (name, how), begin in self.open_own.items()],
-                self.lost + [judges.Span(name, begin, now, "lost") for name, begin in self.open_lost.items()])
+        return (
+            self.own
+            + [judges.Span(name, begin, now, how) for (name, how), begin in self.open_own.items()],
+            self.lost
+            + [judges.Span(name, begin, now, "lost") for name, begin in self.open_lost.items()],
+        )
 
     def said_at(self, log: Path, *words: str) -> list[tuple[int, str]]:
         """When an agent said one of them."""
@@ -86,8 +98,13 @@
             lines = log.read_text(errors="replace").splitlines()
         except OSError:
             return []
-        return [(int((float(line[3:].split()[0]) - self.wall) * SECOND), word)
-                for line in lines if line.startswith("ts=") for word in words if f"event={word}" in line]
+        return [
+            (int((float(line[3:].split()[0]) - self.wall) * SECOND), word)
+            for line in lines
+            if line.startswith("ts=")
+            for word in words
+            if f"event={word}" in line
+        ]
 
     async def people(self, step: Step, who: str) -> bool:
         """Whether it is theirs to do."""
@@ -101,7 +118,11 @@
             case "resume":
                 self.spawn(self.resume(who))
             case "pause" | "unpause":
-                self.spawn(self.command(who, "release_pause", release=self.last_name, on=step.do == "pause"))
+                self.spawn(
+                    self.command(
+                        who, "release_pause", release=self.last_name, on=step.do == "pause"
+                    )
+                )
             case _:
                 return False
         return True
@@ -137,8 +158,8 @@
     def __init__(self, plan: Plan, folder: Path, **more: Any):
         super().__init__(plan, folder, **more)
         self.program = self.words
-        self.second: dict[str, str] = {}        # each balancer's other address for calls
-        self.steps: dict[str, str] = {}         # what each agent was last seen doing
+        self.second: dict[str, str] = {}  # each balancer's other address for calls
+        self.steps: dict[str, str] = {}  # what each agent was last seen doing
         self.fronts: dict[str, bool] = {}
         self.drained: set[str] = set()
         self.drains: list[tuple[int, str]] = []
@@ -158,9 +179,29 @@
             build(self.root, self.tree, FIRST, "good")
         if name not in self.second:
             self.second[name] = "%s:%d" % self.free()
-        self.words = [sys.executable, "-B", "-m", "cypresswalk", "fleet", "--operator", str(p.folder / "operator.toml"), "agent",
-                      "--member", name, "--root", str(self.root), "--folder", str(p.folder / "agent"), "--first", FIRST,
-                      "--admin", "%s:%d" % p.admin, self.second[name], "--", *self.program]
+        self.words = [
+            sys.executable,
+            "-B",
+            "-m",
+            "cypresswalk",
+            "fleet",
+            "--operator",
+            str(p.folder / "operator.toml"),
+            "agent",
+            "--member",
+            name,
+            "--root",
+            str(self.root),
+            "--folder",
+            str(p.folder / "agent"),
+            "--first",
+            FIRST,
+            "--admin",
+            "%s:%d" % p.admin,
+            self.second[name],
+            "--",
+            *self.program,
+        ]
         super().start(name, **environment)
 
     def doing(self, name: str) -> dict[str, Any]:
@@ -194,7 +235,7 @@
                 pass
 
     def kill(self, name: str) -> None:
-        super().kill(name)      # the agent, which could start another
+        super().kill(name)  # the agent, which could start another
         self.signal(name, signal.SIGKILL)
 
     def kill_agent(self, name: str) -> None:
@@ -227,7 +268,10 @@
             self.signal(name, signal.SIGKILL)
         self.read_logs()
         with open(self.folder / "out.jsonl", "w") as file:
-            file.writelines(json.dumps([s.balancer, s.begin, s.end, s.how]) + "\n" for s in [*self.own, *self.lost])
+            file.writelines(
+                json.dumps([s.balancer, s.begin, s.end, s.how]) + "\n"
+                for s in [*self.own, *self.lost]
+            )
         await super().end()
 
     # Who is out.
@@ -268,7 +312,9 @@
         """When agents told balancers to leave, and found that one had ended by itself."""
         told, fell = [], []
         for name in self.names:
-            for at, word in self.said_at(self.processes[name].folder / "log", "told_to_leave", "ended_by_itself"):
+            for at, word in self.said_at(
+                self.processes[name].folder / "log", "told_to_leave", "ended_by_itself"
+            ):
                 (told if word == "told_to_leave" else fell).append((at, name))
         return sorted(told), sorted(fell)
 
@@ -306,10 +352,33 @@
         build(self.root, self.tree, to, step.build)
         self.kinds[to] = step.build
         names = self.chance.sample(self.names, len(self.names)) if step.mixed else self.names
-        waves = [names[:1], names[1:]] if len(names) < 8 else [names[:2], names[2:len(names) // 3], names[len(names) // 3:]]
-        plan = [self.last_name, since, to, [w for w in waves if w], step.hold_s, step.flows, 10.0, 0.05, 4.0, 60.0]
+        waves = (
+            [names[:1], names[1:]]
+            if len(names) < 8
+            else [names[:2], names[2 : len(names) // 3], names[len(names) // 3 :]]
+        )
+        plan = [
+            self.last_name,
+            since,
+            to,
+            [w for w in waves if w],
+            step.hold_s,
+            step.flows,
+            10.0,
+            0.05,
+            4.0,
+            60.0,
+        ]
         result, body = await self.command(step.who or self.names[0], "release_begin", plan=plan)
-        self.note("told", call="release", name=self.last_name, to=to, build=step.build, result=result, body=str(body)[:200])
+        self.note(
+            "told",
+            call="release",
+            name=self.last_name,
+            to=to,
+            build=step.build,
+            result=result,
+            body=str(body)[:200],
+        )
         return result
 
     async def call_balancer(self, name: str, line: str) -> str:
@@ -358,10 +427,19 @@
                     await self.resume(self.names[0])
                 elif over:
                     doing = [self.doing(name) for name in self.names]
-                    if not body["away"] and not body["seen_out"] and all(d.get("version") == self.runs and not d["step"] for d in doing):
-                        return {"home_in_s": round(time.monotonic() - began, 1), "ended": release[3] if release else "none"}
+                    if (
+                        not body["away"]
+                        and not body["seen_out"]
+                        and all(d.get("version") == self.runs and not d["step"] for d in doing)
+                    ):
+                        return {
+                            "home_in_s": round(time.monotonic() - began, 1),
+                            "ended": release[3] if release else "none",
+                        }
                 elif release[3] == "paused":
-                    await self.command(self.names[0], "release_pause", release=release[0][0], on=False)
+                    await self.command(
+                        self.names[0], "release_pause", release=release[0][0], on=False
+                    )
                 elif release[3] == "running" and body["halted"]:
                     if self.kinds[release[0][2]] == "good" and not self.turned:
                         await self.resume(self.names[0])
@@ -374,19 +452,32 @@
         end = await self.home()
         self.quiet = True
         told, fell = self.read_logs()
-        for at, name in fell:       # by the build's fault, or the rig's
+        for at, name in fell:  # by the build's fault, or the rig's
             self.processes[name].harmed.append((at - 4 * SECOND, at + SECOND))
         report = await super().verdict() | end
         own, lost = self.spans()
         most = allowed(self.plan.bound, len(self.names)) if self.plan.bound else len(self.names)
-        went = sorted([(at, name, "release") for at, name in told] + [(at, name, "drain") for at, name in self.drains])
-        most_own, most_all, broken = judges.out_at_once(own, lost, went, most, self.turned, SLACK + self.late + int(LOOK * SECOND))
-        last, found = judges.halted(went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + SLACK + self.late)
+        went = sorted(
+            [(at, name, "release") for at, name in told]
+            + [(at, name, "drain") for at, name in self.drains]
+        )
+        most_own, most_all, broken = judges.out_at_once(
+            own, lost, went, most, self.turned, SLACK + self.late + int(LOOK * SECOND)
+        )
+        last, found = judges.halted(
+            went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + SLACK + self.late
+        )
         report["broken"] += broken + found + ([f"not home: {end}"] if "not_home" in end else [])
         for name in self.names:
             for log in ("log", "agent/balancer.log"):
                 file = self.processes[name].folder / log
                 if file.exists() and "Traceback" in file.read_text(errors="replace"):
                     report["broken"].append(f"{name}: a traceback in its {log}")
-        return report | {"most_out": most_own, "most_out_and_lost": most_all, "bound": most, "told_to_leave": len(told),
-                         "halts": len(self.halts), "halt_to_last_out_s": round(last / SECOND, 2)}
+        return report | {
+            "most_out": most_own,
+            "most_out_and_lost": most_all,
+            "bound": most,
+            "told_to_leave": len(told),
+            "halts": len(self.halts),
+            "halt_to_last_out_s": round(last / SECOND, 2),
+        }
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -14,23 +14,52 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.fleet.places import GO
 from cypresswalk.fleet.member import CALLED_BACK, DRAINED
-from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet, World
+from cypresswalk.fleet.places import GO
+from cypresswalk.lab.together.virtual import (
+    MILLISECOND,
+    SECOND,
+    Broken,
+    Process,
+    VirtualFleet,
+    World,
+)
 from cypresswalk.rollout.bounds import allowed
-from cypresswalk.rollout.duty import USE, Ask, Check, Doing, Draw, Duty, End, Now, Runs, Save, Start, Started, Wait
-
-KNOWN = 8 * SECOND      # so long after one was lost that whoever leads must know: heard last, a link's delay, a read's age
+from cypresswalk.rollout.duty import (
+    USE,
+    Ask,
+    Check,
+    Doing,
+    Draw,
+    Duty,
+    End,
+    Now,
+    Runs,
+    Save,
+    Start,
+    Started,
+    Wait,
+)
+
+KNOWN = (
+    8 * SECOND
+)  # so long after one was lost that whoever leads must know: heard last, a link's delay, a read's age
 HALTED = int((USE + 0.1) * SECOND)
 OLD, NEW = "v1", "v2"
 # Builds: what part of its flows one fails, how many milliseconds a set-up takes it, when it falls over, whether it is ever ready.
-BUILDS = {"good": (0.0, 3, None, True), "aborts": (0.1, 3, None, True), "slow": (0.0, 9, None, True), "falls": (0.0, 3, 10.0, True),
-          "never_ready": (0.0, 3, None, False)}
+BUILDS = {
+    "good": (0.0, 3, None, True),
+    "aborts": (0.1, 3, None, True),
+    "slow": (0.0, 9, None, True),
+    "falls": (0.0, 3, 10.0, True),
+    "never_ready": (0.0, 3, None, False),
+}
 
 
 @dataclass
 class Running:
     """A process of a balancer."""
+
     pid: int
     version: str
     admin: str
@@ -47,16 +76,16 @@
         self.world, self.process, self.name = world, process, process.name
         self.chance = Random(f"{world.seed}/machine/{process.name}")
         self.running: dict[int, Running] = {}
-        self.last = 0                       # pid of the one started last
-        self.owner = 0                      # which of them has the part in the fleet
+        self.last = 0  # pid of the one started last
+        self.owner = 0  # which of them has the part in the fleet
         self.saved = Doing()
         self.duty: Duty | None = None
         self.work: Any = None
-        self.life = 0                       # of the agent: words to an earlier one are void
-        self.die_in: int | None = None      # steps until the agent dies
+        self.life = 0  # of the agent: words to an earlier one are void
+        self.die_in: int | None = None  # steps until the agent dies
         self.drained = False
-        self.lost_at: int | None = None     # since when it serves nobody, by no call
-        self.in_at: int | None = None       # since when it serves
+        self.lost_at: int | None = None  # since when it serves nobody, by no call
+        self.in_at: int | None = None  # since when it serves
         process.set_up = self.set_up
 
     def set_up(self, fleet: VirtualFleet) -> None:
@@ -70,8 +99,14 @@
 
     def ready(self) -> bool:
         p, one = self.process, self.running.get(self.owner)
-        return one is not None and not self.drained and not one.leaving and p.fleet is not None and p.fleet.may_act() \
+        return (
+            one is not None
+            and not self.drained
+            and not one.leaving
+            and p.fleet is not None
+            and p.fleet.may_act()
             and self.build(one.version)[3]
+        )
 
     def serves(self) -> bool:
         return self.ready() and self.world.now >= self.process.frozen_until
@@ -82,16 +117,25 @@
             return 0, 0, 0, 0
         bad, took, _, _ = self.build(one.version)
         bad += self.world.lost_share
-        for _ in range(int(self.world.rate * (self.world.now - one.counted) / SECOND) if self.ready() else 0):
+        for _ in range(
+            int(self.world.rate * (self.world.now - one.counted) / SECOND) if self.ready() else 0
+        ):
             failed = self.chance.random() < bad + 0.003
             one.served[2 if failed else 0] += 1
-            one.served[3] += 0 if failed else int(took * MILLISECOND * self.chance.uniform(0.5, 1.5))
+            one.served[3] += (
+                0 if failed else int(took * MILLISECOND * self.chance.uniform(0.5, 1.5))
+            )
         one.counted = self.world.now
         return tuple(one.served)
 
     def start(self, version: str, admin: str) -> int:
         self.world.pids += 1
-        one = Running(self.world.pids, version, admin, self.world.now + int(self.chance.uniform(0.3, 1.5) * SECOND))
+        one = Running(
+            self.world.pids,
+            version,
+            admin,
+            self.world.now + int(self.chance.uniform(0.3, 1.5) * SECOND),
+        )
         self.running[one.pid] = one
         self.last = one.pid
         self.world.later(one.ready_at - self.world.now, lambda: self.begun(one))
@@ -130,10 +174,15 @@
         if one is not None and not one.leaving:
             self.world.goes_out(self, "release")
             one.leaving = True
-            self.world.later(int(self.chance.uniform(0.1, 6) * SECOND), lambda: self.gone(pid, True))
+            self.world.later(
+                int(self.chance.uniform(0.1, 6) * SECOND), lambda: self.gone(pid, True)
+            )
 
     def check(self, admin: str) -> str:
-        one = next((o for o in self.running.values() if o.admin == admin and o.ready_at <= self.world.now), None)
+        one = next(
+            (o for o in self.running.values() if o.admin == admin and o.ready_at <= self.world.now),
+            None,
+        )
         if one is None:
             return "check: refused"
         if one.leaving:
@@ -141,7 +190,11 @@
         if self.drained:
             return "ERR drained, 4 servers to place flows on"
         p = self.process
-        return "" if self.build(one.version)[3] and p.fleet is not None and p.fleet.may_act() else "ERR starting"
+        return (
+            ""
+            if self.build(one.version)[3] and p.fleet is not None and p.fleet.may_act()
+            else "ERR starting"
+        )
 
     def lose(self) -> None:
         """Its processes end, and its agent."""
@@ -166,7 +219,9 @@
     def go_on(self, life: int, answer: Any) -> None:
         while life == self.life and self.work is not None:
             if self.world.now < self.process.frozen_until:
-                self.world.later(self.process.frozen_until - self.world.now, lambda: self.go_on(life, answer))
+                self.world.later(
+                    self.process.frozen_until - self.world.now, lambda: self.go_on(life, answer)
+                )
                 return
             if self.die_in is not None:
                 self.die_in -= 1
@@ -213,10 +268,20 @@
                 over.append(True)
                 # After a moment: so no answer comes in the middle of the asker's own turn.
                 self.world.later(MILLISECOND, lambda: self.go_on(life, (ok, body)))
+
         self.world.later(5 * SECOND, lambda: told(False, {"why": "no answer"}))
         whom = [self.process, *(p for p in self.world.processes.values() if p is not self.process)]
-        at = next((p for p in whom if p.fleet is not None and p.fleet.member is not None and self.world.now >= p.frozen_until
-                   and (self.name, p.name) not in self.world.cuts), None)
+        at = next(
+            (
+                p
+                for p in whom
+                if p.fleet is not None
+                and p.fleet.member is not None
+                and self.world.now >= p.frozen_until
+                and (self.name, p.name) not in self.world.cuts
+            ),
+            None,
+        )
         if at is None:
             told(False, {"why": "nobody answers"})
         else:
@@ -230,7 +295,12 @@
 
     def drain(self) -> None:
         p = self.process
-        if p.fleet is None or p.fleet.member is None or self.world.now < p.frozen_until or self.drained:
+        if (
+            p.fleet is None
+            or p.fleet.member is None
+            or self.world.now < p.frozen_until
+            or self.drained
+        ):
             return
         asked = p.clock()
 
@@ -239,16 +309,35 @@
                 self.world.goes_out(self, "drain")
                 self.drained = True
                 self.world.look(self)
-        self.world.call(p, "go_out", self.world.command(f"{self.name} (call)", {"member": self.name, "why": DRAINED, "forced": False}),
-                        SECOND * 7 // 10, told)
+
+        self.world.call(
+            p,
+            "go_out",
+            self.world.command(
+                f"{self.name} (call)", {"member": self.name, "why": DRAINED, "forced": False}
+            ),
+            SECOND * 7 // 10,
+            told,
+        )
 
     def call_back(self) -> None:
         p = self.process
-        if self.drained and p.fleet is not None and p.fleet.member is not None and self.world.now >= p.frozen_until:
+        if (
+            self.drained
+            and p.fleet is not None
+            and p.fleet.member is not None
+            and self.world.now >= p.frozen_until
+        ):
             self.drained = False
-            self.world.call(p, "go_out", self.world.command(f"{self.name} (call)",
-                                                            {"member": self.name, "why": CALLED_BACK, "forced": True}),
-                            600 * SECOND, lambda ok, body: None)
+            self.world.call(
+                p,
+                "go_out",
+                self.world.command(
+                    f"{self.name} (call)", {"member": self.name, "why": CALLED_BACK, "forced": True}
+                ),
+                600 * SECOND,
+                lambda ok, body: None,
+            )
 
     @property
     def being_changed(self) -> bool:
@@ -256,18 +345,27 @@
 
 
 class Releases(World):
-    def __init__(self, seed: int, voters: int = 3, followers: int = 3, bound: Any = 2, build: str = "good", zones: int = 2, rate: int = 20,
-                 **more: Any):
+    def __init__(
+        self,
+        seed: int,
+        voters: int = 3,
+        followers: int = 3,
+        bound: Any = 2,
+        build: str = "good",
+        zones: int = 2,
+        rate: int = 20,
+        **more: Any,
+    ):
         super().__init__(seed, voters, followers, zones=zones, **more)
         self.bound, self.build, self.rate = bound, build, rate
         self.most = allowed(bound, voters + followers)
         self.pids = self.idents = 0
         self.machines = {name: Machine(self, p) for name, p in self.processes.items()}
         self.own = {"mark": 0, "bounds": {"balancers": {"all": bound}}}
-        self.halts: list[int] = []          # yeses to a halt that nobody has ended
+        self.halts: list[int] = []  # yeses to a halt that nobody has ended
         self.resumed_at = -1
-        self.turned_at: int | None = None   # the way back was asked for
-        self.lost_share = 0.0               # of all flows that fail, at whichever balancer
+        self.turned_at: int | None = None  # the way back was asked for
+        self.lost_share = 0.0  # of all flows that fail, at whichever balancer
         self.most_out = 0
         self.went = 0
 
@@ -300,24 +398,54 @@
         self.went += 1
         self.count(f"goes out: {how}")
         self.note(f"{machine.name} goes out: {how}")
-        lost = [m.name for m in self.machines.values() if m.lost_at is not None and self.now - m.lost_at > KNOWN and not m.serves()]
-        own = {m.name for m in self.machines.values() if m.drained or m.being_changed and m is not machine
-               and any(one.leaving for one in m.running.values())}
+        lost = [
+            m.name
+            for m in self.machines.values()
+            if m.lost_at is not None and self.now - m.lost_at > KNOWN and not m.serves()
+        ]
+        own = {
+            m.name
+            for m in self.machines.values()
+            if m.drained
+            or m.being_changed
+            and m is not machine
+            and any(one.leaving for one in m.running.values())
+        }
         # On the way back one that was just seen out is healed by going out.
-        healed = self.turned_at is not None and how == "release" and (machine.in_at is None or self.now - machine.in_at < KNOWN)
+        healed = (
+            self.turned_at is not None
+            and how == "release"
+            and (machine.in_at is None or self.now - machine.in_at < KNOWN)
+        )
         if not healed and len(own | set(lost) | {machine.name}) > self.most:
-            raise Broken(f"B2: {machine.name} goes out ({how}), {', '.join(sorted(own))} are out and {', '.join(lost)} lost; "
-                         f"{self.most} may be")
-        if self.halts and self.now - self.halts[0] > HALTED and (how == "drain" or self.turned_at is None) and machine.serves():
-            raise Broken(f"H: {machine.name} goes out ({how}) {(self.now - self.halts[0]) / SECOND:.1f} s after a yes to a halt")
+            raise Broken(
+                f"B2: {machine.name} goes out ({how}), {', '.join(sorted(own))} are out and {', '.join(lost)} lost; "
+                f"{self.most} may be"
+            )
+        if (
+            self.halts
+            and self.now - self.halts[0] > HALTED
+            and (how == "drain" or self.turned_at is None)
+            and machine.serves()
+        ):
+            raise Broken(
+                f"H: {machine.name} goes out ({how}) {(self.now - self.halts[0]) / SECOND:.1f} s after a yes to a halt"
+            )
 
     # What operators do.
 
-    def tell(self, name: str, args: dict[str, Any] | None = None, told: Callable[[bool, Any], None] = lambda ok, body: None,
-             span: int = 6 * SECOND) -> None:
+    def tell(
+        self,
+        name: str,
+        args: dict[str, Any] | None = None,
+        told: Callable[[bool, Any], None] = lambda ok, body: None,
+        span: int = 6 * SECOND,
+    ) -> None:
         live = [p for p in self.live() if self.now >= p.frozen_until]
         if live:
-            self.call(self.chance.choice(live), name, self.command("explorer", args or {}), span, told)
+            self.call(
+                self.chance.choice(live), name, self.command("explorer", args or {}), span, told
+            )
 
     def halt(self) -> None:
         asked = self.now
@@ -325,6 +453,7 @@
         def told(ok: bool, body: Any) -> None:
             self.halts += [self.now] if ok and asked > self.resumed_at else []
             self.note(f"halt: {ok} {body}")
+
         self.tell("halt", {"why": "by hand"}, told)
 
     def resume(self) -> None:
@@ -334,6 +463,7 @@
                 self.halts.clear()
                 self.resumed_at = self.now
                 self.tell("resume", {"halts": body["halts"]})
+
         self.tell("release", told=read)
 
     def turn_back(self) -> None:
@@ -345,9 +475,29 @@
         return leader.fleet.member.agreed.state if leader is not None else None
 
 
-KINDS = {"cut": 5, "cut_one_way": 5, "isolate": 3, "slow_way": 3, "heal": 8, "kill": 4, "kill_process": 5, "start": 10, "freeze": 5, "kill_agent": 6,
-         "agent_at_step": 8, "start_agent": 10, "halt": 2, "resume": 5, "pause": 1, "unpause": 3, "back": 0.6, "drain": 5, "undrain": 6,
-         "hand_over": 4, "kill_leader": 3}
+KINDS = {
+    "cut": 5,
+    "cut_one_way": 5,
+    "isolate": 3,
+    "slow_way": 3,
+    "heal": 8,
+    "kill": 4,
+    "kill_process": 5,
+    "start": 10,
+    "freeze": 5,
+    "kill_agent": 6,
+    "agent_at_step": 8,
+    "start_agent": 10,
+    "halt": 2,
+    "resume": 5,
+    "pause": 1,
+    "unpause": 3,
+    "back": 0.6,
+    "drain": 5,
+    "undrain": 6,
+    "hand_over": 4,
+    "kill_leader": 3,
+}
 
 
 @dataclass(slots=True)
@@ -374,7 +524,9 @@
         case "cut_one_way":
             w.cuts.add((machine.name, other.name))
         case "isolate":
-            w.cuts |= {pair for q in w.processes for pair in ((p.name, q), (q, p.name)) if q != p.name}
+            w.cuts |= {
+                pair for q in w.processes for pair in ((p.name, q), (q, p.name)) if q != p.name
+            }
         case "slow_way":
             w.slow[machine.name, other.name] = int(chance.choice((0.1, 0.5, 1.0)) * SECOND)
         case "heal":
@@ -415,17 +567,32 @@
 
 def plan_for(names: list[str], chance: Random, hold_s: float = 4.0, canary: int = 1) -> list:
     names = chance.sample(names, len(names))
-    waves = [names[:canary], names[canary:canary + len(names) // 2], names[canary + len(names) // 2:]]
+    waves = [
+        names[:canary],
+        names[canary : canary + len(names) // 2],
+        names[canary + len(names) // 2 :],
+    ]
     return ["r1", OLD, NEW, [wave for wave in waves if wave], hold_s, 150, 8.0, 0.02, 1.8, 60.0]
 
 
-def run_seed(seed: int, acts: int = 60, build: str = "", world: type[Releases] = Releases) -> Outcome:
+def run_seed(
+    seed: int, acts: int = 60, build: str = "", world: type[Releases] = Releases
+) -> Outcome:
     chance = Random(f"{seed}/release")
-    for part in ("fleet", "rollout"):       # of these alone: guards what others log in this process
+    for part in ("fleet", "rollout"):  # of these alone: guards what others log in this process
         logging.getLogger(f"cypresswalk.{part}").setLevel(logging.CRITICAL)
-    build = build or chance.choice(("good", "good", "good", "aborts", "slow", "falls", "never_ready"))
-    w = world(seed, 3, chance.choice((0, 2, 3, 4)), chance.choice((1, 1, 2, {"share": 0.4, "least": 1})), build,
-              loss=chance.choice((0.0, 0.02)), delay=(MILLISECOND // 5, chance.choice((2, 20, 100)) * MILLISECOND))
+    build = build or chance.choice(
+        ("good", "good", "good", "aborts", "slow", "falls", "never_ready")
+    )
+    w = world(
+        seed,
+        3,
+        chance.choice((0, 2, 3, 4)),
+        chance.choice((1, 1, 2, {"share": 0.4, "least": 1})),
+        build,
+        loss=chance.choice((0.0, 0.02)),
+        delay=(MILLISECOND // 5, chance.choice((2, 20, 100)) * MILLISECOND),
+    )
     for p in w.processes.values():
         p.rate = chance.uniform(0.99, 1.01)
     outcome = Outcome(seed)
@@ -438,7 +605,14 @@
         for _ in range(acts):
             act(w, chance.choices(kinds, weights)[0], chance)
             # A second thing within the reaction time to the first, as often as not.
-            w.run(int(chance.choice((chance.uniform(0, 0.3), chance.uniform(0, 2), chance.uniform(0, 8))) * SECOND))
+            w.run(
+                int(
+                    chance.choice(
+                        (chance.uniform(0, 0.3), chance.uniform(0, 2), chance.uniform(0, 8))
+                    )
+                    * SECOND
+                )
+            )
         outcome.end = finish(w)
         outcome.took = w.now - began
     except Broken as error:
@@ -473,18 +647,44 @@
                 return "never begun"
         elif release.phase in ("done", "backed"):
             wanted = NEW if release.phase == "done" else OLD
-            if not state.away and all(m.serves() and not m.being_changed for m in w.machines.values()):
+            if not state.away and all(
+                m.serves() and not m.being_changed for m in w.machines.values()
+            ):
                 runs = {m.name: m.running[m.owner].version for m in w.machines.values()}
                 if set(runs.values()) != {wanted}:
                     raise Broken(f"E: the release is {release.phase}, and these run: {runs}")
                 return release.phase
         elif release.phase == "paused":
             w.tell("release_pause", {"release": "r1", "on": False})
-        elif release.phase == "running" and w.build != "good" and (state.halted or w.now > end - span * 3 // 4):
+        elif (
+            release.phase == "running"
+            and w.build != "good"
+            and (state.halted or w.now > end - span * 3 // 4)
+        ):
             w.turn_back()
-        if state.halted and (w.build == "good" or release is None or release.phase in ("done", "backed")):
+        if state.halted and (
+            w.build == "good" or release is None or release.phase in ("done", "backed")
+        ):
             w.resume()
     member = w.leader().fleet.member if w.leader() is not None else None
-    raise Broken("E: no end: " + (repr((state.release, state.away, state.halted, member.releasing.last, member.seen_out(member.tend_at)))
-                                  if state and member else "no leader")
-                 + "; " + "; ".join(f"{m.name} {m.saved} {sorted(m.running)} {m.serves()} {m.drained}" for m in w.machines.values()))
+    raise Broken(
+        "E: no end: "
+        + (
+            repr(
+                (
+                    state.release,
+                    state.away,
+                    state.halted,
+                    member.releasing.last,
+                    member.seen_out(member.tend_at),
+                )
+            )
+            if state and member
+            else "no leader"
+        )
+        + "; "
+        + "; ".join(
+            f"{m.name} {m.saved} {sorted(m.running)} {m.serves()} {m.drained}"
+            for m in w.machines.values()
+        )
+    )
--- a/cypresswalk/lab/together/serving.py
+++ b/cypresswalk/lab/together/serving.py
@@ -21,7 +21,7 @@
 from cypresswalk.refusal import Refusal
 
 CHANGING = ("emptying", "starting", "undoing")
-STANDS = 3.0            # seconds that a client stays at most
+STANDS = 3.0  # seconds that a client stays at most
 
 
 class Programs(Servers):
@@ -41,9 +41,9 @@
         self.servers.host = "127.201." + self.host.split(".", 2)[2]
         self.agents_of: dict[str, subprocess.Popen | None] = {}
         self.steps: dict[str, str] = {}
-        self.read: dict[str, int] = {}          # of each server's file, how far
+        self.read: dict[str, int] = {}  # of each server's file, how far
         self.begun: set[str] = set()
-        self.cut_off = 0                        # flows that stood at servers when they were told to end
+        self.cut_off = 0  # flows that stood at servers when they were told to end
 
     def free_beside(self) -> int:
         _, port = self.free()
@@ -75,14 +75,48 @@
         place, host = self.place(name), self.servers.host
         ports = ",".join(str(self.servers.ports[name, balancer]) for balancer in self.names)
         at = ",".join("%s:%d" % self.processes[n].fleet for n in self.names)
-        words = [sys.executable, "-B", "-m", "cypresswalk", "fleet", "--at", at, "--fleet", "rig", "agent", "--server", name,
-                 "--answers", f"{host}:{self.servers.ports[name, self.names[0]]}", "--root", str(self.root), "--folder",
-                 str(place / "agent"), "--first", FIRST, "--", sys.executable, "-B", "-m", "cypresswalk.lab.together.standin", name, host,
-                 ports, str(place / "said.jsonl")]
+        words = [
+            sys.executable,
+            "-B",
+            "-m",
+            "cypresswalk",
+            "fleet",
+            "--at",
+            at,
+            "--fleet",
+            "rig",
+            "agent",
+            "--server",
+            name,
+            "--answers",
+            f"{host}:{self.servers.ports[name, self.names[0]]}",
+            "--root",
+            str(self.root),
+            "--folder",
+            str(place / "agent"),
+            "--first",
+            FIRST,
+            "--",
+            sys.executable,
+            "-B",
+            "-m",
+            "cypresswalk.lab.together.standin",
+            name,
+            host,
+            ports,
+            str(place / "said.jsonl"),
+        ]
         with open(place / "log", "ab") as log:
-            self.agents_of[name] = subprocess.Popen(words, cwd=self.tree, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                                                    preexec_fn=die_with_parent, start_new_session=True,
-                                                    env=os.environ | {"PYTHONPATH": str(self.tree)})
+            self.agents_of[name] = subprocess.Popen(
+                words,
+                cwd=self.tree,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                preexec_fn=die_with_parent,
+                start_new_session=True,
+                env=os.environ | {"PYTHONPATH": str(self.tree)},
+            )
 
     def kill_agent(self, name: str) -> None:
         agent = self.agents_of.get(name)
@@ -147,7 +181,9 @@
             answers, writer, began = False, None, time.monotonic_ns()
             try:
                 async with asyncio.timeout(1.0):
-                    reader, writer = await asyncio.open_connection(self.servers.host, self.servers.ports[name, self.names[0]])
+                    reader, writer = await asyncio.open_connection(
+                        self.servers.host, self.servers.ports[name, self.names[0]]
+                    )
                     writer.write(b"PING\r\n")
                     answers = await reader.readline() == b"PONG\r\n"
             except (OSError, TimeoutError):
@@ -184,14 +220,38 @@
             case "open":
                 event["balancer"] = self.names[event["balancer"]]
                 self.events.append(event)
-                self.seen.append(Event(at, "attempt", flow, server, {"balancer": event["balancer"], "number": event["number"], "load": 1.0}))
+                self.seen.append(
+                    Event(
+                        at,
+                        "attempt",
+                        flow,
+                        server,
+                        {"balancer": event["balancer"], "number": event["number"], "load": 1.0},
+                    )
+                )
             case "reply":
-                self.seen.append(Event(at, "reply", flow, server, {"number": event["number"], "kind": event["kind"], "receipt": f"UP r{flow}"}))
+                self.seen.append(
+                    Event(
+                        at,
+                        "reply",
+                        flow,
+                        server,
+                        {
+                            "number": event["number"],
+                            "kind": event["kind"],
+                            "receipt": f"UP r{flow}",
+                        },
+                    )
+                )
             case "gone":
-                self.seen.append(Event(at, "let_go", flow, server, {"number": event["number"], "how": "end"}))
+                self.seen.append(
+                    Event(at, "let_go", flow, server, {"number": event["number"], "how": "end"})
+                )
             case "started":
                 self.events.append(event)
-                if server in self.begun:        # their first start was long ago, as far as anybody is told
+                if (
+                    server in self.begun
+                ):  # their first start was long ago, as far as anybody is told
                     self.seen.append(Event(at, "server_up", "", server))
                     self.agents.changes.append((server, "in_service", event["wall_ms"]))
                 self.begun.add(server)
@@ -206,7 +266,7 @@
         if answer == "UP":
             try:
                 async with asyncio.timeout(self.chance.uniform(0, STANDS)):
-                    await reader.readline()     # MOVE, or its end
+                    await reader.readline()  # MOVE, or its end
             except TimeoutError:
                 pass
 
@@ -219,7 +279,9 @@
         self.first = status["settings_version"], 0
         result, body = await self.ask(self.names[0], "show")
         settings = body["settings"] | {"bounds": {"servers": {"all": self.plan.server_bound}}}
-        result, body = await self.command(self.names[0], "offer", base=body["settings_version"], settings=settings)
+        result, body = await self.command(
+            self.names[0], "offer", base=body["settings_version"], settings=settings
+        )
         if result != "yes":
             raise Refusal(f"the bound was not agreed: {body}")
         self.first = int(body["why"].removeprefix("version ")), 0
@@ -228,11 +290,35 @@
         self.releases += 1
         since, to = self.runs, f"v{self.releases}"
         self.build(to, step.build)
-        names = self.chance.sample(self.servers.names, len(self.servers.names)) if step.mixed else self.servers.names
-        plan = [self.last_name, since, to, [w for w in (names[:1], names[1:]) if w], step.hold_s, step.flows, 10.0, 0.05, 6.0, 60.0,
-                "servers", 10.0]
+        names = (
+            self.chance.sample(self.servers.names, len(self.servers.names))
+            if step.mixed
+            else self.servers.names
+        )
+        plan = [
+            self.last_name,
+            since,
+            to,
+            [w for w in (names[:1], names[1:]) if w],
+            step.hold_s,
+            step.flows,
+            10.0,
+            0.05,
+            6.0,
+            60.0,
+            "servers",
+            10.0,
+        ]
         result, body = await self.command(step.who or self.names[0], "release_begin", plan=plan)
-        self.note("told", call="release", name=self.last_name, to=to, build=step.build, result=result, body=str(body)[:200])
+        self.note(
+            "told",
+            call="release",
+            name=self.last_name,
+            to=to,
+            build=step.build,
+            result=result,
+            body=str(body)[:200],
+        )
         return result
 
     async def do(self, step: Step) -> None:
@@ -271,17 +357,29 @@
                     await self.resume(self.names[0])
                 elif over:
                     doing = [self.doing(name) for name in self.servers.names]
-                    if not body["coming"] and not body["servers_bad"] and all(d.get("version") == self.runs and not d["step"] for d in doing):
-                        return {"home_in_s": round(time.monotonic() - began, 1), "ended": release[3] if release else "none"}
+                    if (
+                        not body["coming"]
+                        and not body["servers_bad"]
+                        and all(d.get("version") == self.runs and not d["step"] for d in doing)
+                    ):
+                        return {
+                            "home_in_s": round(time.monotonic() - began, 1),
+                            "ended": release[3] if release else "none",
+                        }
                 elif release[3] == "paused":
-                    await self.command(self.names[0], "release_pause", release=release[0][0], on=False)
+                    await self.command(
+                        self.names[0], "release_pause", release=release[0][0], on=False
+                    )
                 elif release[3] == "running" and body["halted"]:
                     if self.kinds[release[0][2]] == "good" and not self.turned:
                         await self.resume(self.names[0])
                     else:
                         await self.turn_back(self.names[0])
             await asyncio.sleep(0.5)
-        return {"not_home": str(body)[:1500], "doing": [self.doing(name) for name in self.servers.names]}
+        return {
+            "not_home": str(body)[:1500],
+            "doing": [self.doing(name) for name in self.servers.names],
+        }
 
     async def verdict(self) -> dict[str, Any]:
         end = await self.home()
@@ -291,19 +389,42 @@
         report = await super().verdict() | end
         own, lost = self.spans()
         slack = SLACK + self.late + int(LOOK * SECOND)
-        went = sorted((at, name, "release") for name in self.servers.names
-                      for at, _ in self.said_at(self.place(name) / "log", "told_to_leave"))
-        lost_alone = [s for s in lost if not any(o.balancer == s.balancer and o.begin - slack <= s.begin and s.end <= o.end + slack for o in own)]
-        most_own, most_all, broken = judges.out_at_once(own, lost_alone, went, self.plan.server_bound, self.turned, slack)
-        last, found = judges.halted(went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + slack)
+        went = sorted(
+            (at, name, "release")
+            for name in self.servers.names
+            for at, _ in self.said_at(self.place(name) / "log", "told_to_leave")
+        )
+        lost_alone = [
+            s
+            for s in lost
+            if not any(
+                o.balancer == s.balancer and o.begin - slack <= s.begin and s.end <= o.end + slack
+                for o in own
+            )
+        ]
+        most_own, most_all, broken = judges.out_at_once(
+            own, lost_alone, went, self.plan.server_bound, self.turned, slack
+        )
+        last, found = judges.halted(
+            went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + slack
+        )
         opens = [(e["at"], e["server"], e["balancer"]) for e in self.events if e["what"] == "open"]
         for name, begin, stop in ((s.balancer, s.begin, s.end) for s in own):
             late = [e for e in opens if e[1] == name and begin + slack < e[0] < stop - slack]
             broken += [f"{late[0][2]} sent to {name} while it was being changed"] if late else []
         report["broken"] += broken + found + ([f"not home: {end}"] if "not_home" in end else [])
-        report["broken"] += [f"{name}: a traceback in its agent's log" for name in self.servers.names
-                             if "Traceback" in (self.place(name) / "log").read_text(errors="replace")]
+        report["broken"] += [
+            f"{name}: a traceback in its agent's log"
+            for name in self.servers.names
+            if "Traceback" in (self.place(name) / "log").read_text(errors="replace")
+        ]
         if self.cut_off:
             report["broken"].append(f"{self.cut_off} flows stood at servers that were told to end")
-        return report | {"most_out": most_own, "most_out_and_lost": most_all, "bound": self.plan.server_bound, "told_to_leave": len(went),
-                         "halts": len(self.halts), "halt_to_last_out_s": round(last / SECOND, 2)}
+        return report | {
+            "most_out": most_own,
+            "most_out_and_lost": most_all,
+            "bound": self.plan.server_bound,
+            "told_to_leave": len(went),
+            "halts": len(self.halts),
+            "halt_to_last_out_s": round(last / SECOND, 2),
+        }
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/together/stage.py
@@ -30,23 +30,47 @@
 from cypresswalk.refusal import Refusal
 
 SECOND = 1_000_000_000
-READY = 30.0            # seconds for all to begin
-CALL = 4.0              # seconds that a call may take
-LISTED = SECOND         # until most voters have told the leader of a new list
-DOWN = 0.3              # seconds that a server's restart takes
-SLACK = SECOND // 4     # this machine's own lateness, measured and told beside each run
-TYPES = [{"name": "view", "semantics": "idempotent", "setupTarget": 300.0, "giveUp": 1500.0},
-         {"name": "book", "semantics": "at_most_once", "setupTarget": 300.0, "giveUp": 1500.0}]
+READY = 30.0  # seconds for all to begin
+CALL = 4.0  # seconds that a call may take
+LISTED = SECOND  # until most voters have told the leader of a new list
+DOWN = 0.3  # seconds that a server's restart takes
+SLACK = SECOND // 4  # this machine's own lateness, measured and told beside each run
+TYPES = [
+    {"name": "view", "semantics": "idempotent", "setupTarget": 300.0, "giveUp": 1500.0},
+    {"name": "book", "semantics": "at_most_once", "setupTarget": 300.0, "giveUp": 1500.0},
+]
 EFFECTS = {"view": "repeatable", "book": "once-only"}
-OVERLOAD, FALL, COLD, COLD_SHARE, CONNECTS = 3.0, 2.0, 5.0, 0.2, 3     # of the settings
+OVERLOAD, FALL, COLD, COLD_SHARE, CONNECTS = 3.0, 2.0, 5.0, 0.2, 3  # of the settings
 
 
 def params(me: int, count: int, mark: int = 0) -> dict[str, Any]:
-    return {"me": me, "instances": count, "zone": 0, "azs": ["a"], "family": "conn", "discovery": "pushed",
-            "limits": {"maxConnects": CONNECTS, "retryAfter": True, "maxRetryAfter": 1000.0, "probes": True, "dialTimeout": 150.0},
-            "rules": {"askWithin": 10000.0, "cold": COLD * 1000, "coldShare": COLD_SHARE, "fall": FALL * 1000, "overloadFactor": OVERLOAD},
-            "deductions": {"probe": 0.001 * (mark + 1)}, "stats": {"via": "silent", "fields": []}, "extra": {},
-            "tenants": [], "serviceTypes": TYPES}
+    return {
+        "me": me,
+        "instances": count,
+        "zone": 0,
+        "azs": ["a"],
+        "family": "conn",
+        "discovery": "pushed",
+        "limits": {
+            "maxConnects": CONNECTS,
+            "retryAfter": True,
+            "maxRetryAfter": 1000.0,
+            "probes": True,
+            "dialTimeout": 150.0,
+        },
+        "rules": {
+            "askWithin": 10000.0,
+            "cold": COLD * 1000,
+            "coldShare": COLD_SHARE,
+            "fall": FALL * 1000,
+            "overloadFactor": OVERLOAD,
+        },
+        "deductions": {"probe": 0.001 * (mark + 1)},
+        "stats": {"via": "silent", "fields": []},
+        "extra": {},
+        "tenants": [],
+        "serviceTypes": TYPES,
+    }
 
 
 class Servers:
@@ -55,7 +79,9 @@
     def __init__(self, rig: "Rig", count: int):
         self.rig, self.host = rig, rig.beside
         self.names = [f"s-{i}" for i in range(count)]
-        self.ports: dict[tuple[str, str], int] = {}         # by server and balancer: so that it is known who sent
+        self.ports: dict[
+            tuple[str, str], int
+        ] = {}  # by server and balancer: so that it is known who sent
         self.open: dict[str, set[asyncio.StreamWriter]] = {name: set() for name in self.names}
         self.down: set[str] = set()
 
@@ -63,11 +89,16 @@
         for name in self.names:
             for balancer in self.rig.names:
                 server = await asyncio.start_server(
-                    lambda r, w, name=name, balancer=balancer: self.serve(name, balancer, r, w), self.rig.beside, 0)
+                    lambda r, w, name=name, balancer=balancer: self.serve(name, balancer, r, w),
+                    self.rig.beside,
+                    0,
+                )
                 self.rig.closing.append(server)
                 self.ports[name, balancer] = server.sockets[0].getsockname()[1]
 
-    async def serve(self, name: str, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, name: str, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         rig, flow = self.rig, ""
         rig.numbers += 1
         number = rig.numbers
@@ -78,8 +109,17 @@
                 if words[:1] == ["PING"]:
                     writer.write(b"PONG\r\n")
                 elif words[:1] == ["OPEN"] and len(words) > 2:
-                    kind, flow = dict(w.partition("=")[::2] for w in words[3].split(",")).get("c", ""), words[1]
-                    rig.note("open", server=name, balancer=balancer, flow=flow, effect=EFFECTS.get(kind, "?"))
+                    kind, flow = (
+                        dict(w.partition("=")[::2] for w in words[3].split(",")).get("c", ""),
+                        words[1],
+                    )
+                    rig.note(
+                        "open",
+                        server=name,
+                        balancer=balancer,
+                        flow=flow,
+                        effect=EFFECTS.get(kind, "?"),
+                    )
                     rig.see("attempt", flow, name, balancer=balancer, number=number, load=1.0)
                     writer.write(f"UP r{flow}\r\n".encode())
                     rig.see("reply", flow, name, number=number, kind="up", receipt=f"UP r{flow}")
@@ -89,7 +129,9 @@
             pass
         finally:
             if flow:
-                rig.see("broke" if name in self.down else "let_go", flow, name, number=number, how="end")
+                rig.see(
+                    "broke" if name in self.down else "let_go", flow, name, number=number, how="end"
+                )
             self.open[name].discard(writer)
             writer.close()
 
@@ -110,13 +152,19 @@
 
     def __init__(self, rig: "Rig"):
         self.rig, self.ports = rig, {}
-        self.changes: list[tuple[str, str, int]] = []   # server, state, start (ms): in the order in which the list learned of it
-        self.lagging: dict[str, int] = {}   # balancer: how many changes its agent knows
+        self.changes: list[
+            tuple[str, str, int]
+        ] = []  # server, state, start (ms): in the order in which the list learned of it
+        self.lagging: dict[str, int] = {}  # balancer: how many changes its agent knows
         self.lying: set[str] = set()
 
     @property
     def draining(self) -> set[str]:
-        return {name for name, (state, _) in self.latest(len(self.changes)).items() if state != "in_service"}
+        return {
+            name
+            for name, (state, _) in self.latest(len(self.changes)).items()
+            if state != "in_service"
+        }
 
     def latest(self, known: int) -> dict[str, tuple[str, int]]:
         return {name: (state, started) for name, state, started in self.changes[:known]}
@@ -126,7 +174,9 @@
 
     async def start(self) -> None:
         for balancer in self.rig.names:
-            server = await asyncio.start_server(lambda r, w, b=balancer: self.serve(b, r, w), self.rig.beside, 0)
+            server = await asyncio.start_server(
+                lambda r, w, b=balancer: self.serve(b, r, w), self.rig.beside, 0
+            )
             self.rig.closing.append(server)
             self.ports[balancer] = server.sockets[0].getsockname()[1]
 
@@ -137,11 +187,26 @@
             if balancer in self.lying:
                 state = "in_service"
             self.rig.see("told", who=balancer, server=name, life=state, version=known)
-            entries.append({"instanceId": name, "hostPort": f"{self.rig.servers.host}:{self.rig.servers.ports[name, balancer]}", "zone": "a",
-                            "machineType": "m", "cell": 1, "lifecycle": state, "weight": 1.0, "startedAtMs": started})
-        return json.dumps({"generation": 1 + known, "reset": whole, "instances": entries}).encode() + b"\n"
-
-    async def serve(self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            entries.append(
+                {
+                    "instanceId": name,
+                    "hostPort": f"{self.rig.servers.host}:{self.rig.servers.ports[name, balancer]}",
+                    "zone": "a",
+                    "machineType": "m",
+                    "cell": 1,
+                    "lifecycle": state,
+                    "weight": 1.0,
+                    "startedAtMs": started,
+                }
+            )
+        return (
+            json.dumps({"generation": 1 + known, "reset": whole, "instances": entries}).encode()
+            + b"\n"
+        )
+
+    async def serve(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -158,8 +223,13 @@
                 if now > known:
                     names = list(dict.fromkeys(name for name, *_ in self.changes[known:now]))
                     data, known = self.told(balancer, now, names, False), now
-        except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass        # the balancer is gone, or the day is over
+        except (
+            OSError,
+            asyncio.IncompleteReadError,
+            asyncio.LimitOverrunError,
+            asyncio.CancelledError,
+        ):
+            pass  # the balancer is gone, or the day is over
         finally:
             writer.close()
 
@@ -167,6 +237,7 @@
 @dataclass
 class Process:
     """One balancer over its starts."""
+
     name: str
     listen: tuple[str, int]
     admin: tuple[str, int]
@@ -175,7 +246,9 @@
     popen: subprocess.Popen | None = None
     starts: int = 0
     frozen: bool = False
-    harmed: list[tuple[int, int]] = field(default_factory=list)     # from when until when it was killed, frozen or stopped
+    harmed: list[tuple[int, int]] = field(
+        default_factory=list
+    )  # from when until when it was killed, frozen or stopped
 
     def harm(self, span: int = 0) -> None:
         now = time.monotonic_ns()
@@ -183,7 +256,13 @@
 
 
 class Rig:
-    def __init__(self, plan: Plan, folder: Path, tree: Path | None = None, started: Callable[[list[str]], list[str]] | None = None):
+    def __init__(
+        self,
+        plan: Plan,
+        folder: Path,
+        tree: Path | None = None,
+        started: Callable[[list[str]], list[str]] | None = None,
+    ):
         """`started` may put other words in the place of the command that starts a balancer."""
         self.plan, self.folder = plan, folder
         self.tree = tree or Path(__file__).parents[3]
@@ -197,28 +276,34 @@
         self.ports: set[int] = set()
         self.names = [f"n{i}" for i in range(plan.balancers)]
         self.events: list[dict] = []
-        self.seen: list[Event] = []         # what the oracle reads
-        self.repeated: set[str] = set()     # ids that clients say twice, which the oracle's one answer a flow does not fit
-        self.numbers = 0                    # of connections at servers
+        self.seen: list[Event] = []  # what the oracle reads
+        self.repeated: set[str] = (
+            set()
+        )  # ids that clients say twice, which the oracle's one answer a flow does not fit
+        self.numbers = 0  # of connections at servers
         self.closing: list = []
         self.chance = Random(f"{plan.seed}/rig")
         self.servers, self.agents = Servers(self, plan.servers), Agents(self)
         self.processes: dict[str, Process] = {}
         self.proxies: dict[tuple[str, str], Proxy] = {}
         self.flows: list[judges.Flow] = []
-        self.outs: list[tuple[str, int, int, int, int]] = []        # server, asked, agreed, version, settled
-        self.backs: list[tuple[str, int, int | None, str]] = []     # server, asked, version, what was told
+        self.outs: list[
+            tuple[str, int, int, int, int]
+        ] = []  # server, asked, agreed, version, settled
+        self.backs: list[
+            tuple[str, int, int | None, str]
+        ] = []  # server, asked, version, what was told
         self.ops: list[judges.Op] = []
-        self.listed_out: list[tuple[str, int]] = []                 # servers that the list took out, and when
+        self.listed_out: list[tuple[str, int]] = []  # servers that the list took out, and when
         self.copies: dict[str, Path] = {}
-        self.late = 0           # nanoseconds that this loop was behind at worst
+        self.late = 0  # nanoseconds that this loop was behind at worst
         self.tasks: set[asyncio.Task] = set()
         self.pool = ThreadPoolExecutor(16)
         self.idents = 0
         self.healed = 0
         self.quiet = False
-        self.faults: list[str] = []         # of the rig itself
-        self.first = (0, 0)                 # the version of the settings at the beginning, and its mark
+        self.faults: list[str] = []  # of the rig itself
+        self.first = (0, 0)  # the version of the settings at the beginning, and its mark
 
     def note(self, what: str, **words: object) -> None:
         self.events.append({"at": time.monotonic_ns(), "what": what} | words)
@@ -237,12 +322,18 @@
             place = self.folder / name
             place.mkdir()
             self.processes[name] = Process(name, self.free(), self.free(), self.free(), place)
-        voters = self.names[:self.plan.voters]
+        voters = self.names[: self.plan.voters]
         for source in self.names:
             for target in self.names:
                 # Two that only follow say nothing to each other.
                 if source != target and (source in voters or target in voters):
-                    proxy = Proxy((self.beside, 0), self.processes[target].fleet, NoFaults(), self.plan.seed, time.monotonic_ns)
+                    proxy = Proxy(
+                        (self.beside, 0),
+                        self.processes[target].fleet,
+                        NoFaults(),
+                        self.plan.seed,
+                        time.monotonic_ns,
+                    )
                     await proxy.start()
                     self.proxies[source, target] = proxy
         for number, name in enumerate(self.names):
@@ -258,30 +349,69 @@
         return self.host, port
 
     def write(self, number: int, name: str) -> None:
-        p, voters = self.processes[name], self.names[:self.plan.voters]
-        config = {"name": name, "listen": "%s:%d" % p.listen, "discovery": f"{self.beside}:{self.agents.ports[name]}",
-                  "admin_addr": "%s:%d" % p.admin, "seed": f"{number + 1:016x}",
-                  "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024}, "known": {"generation": 0, "reset": True, "instances": []},
-                  "settings": params(number, len(self.names))}
+        p, voters = self.processes[name], self.names[: self.plan.voters]
+        config = {
+            "name": name,
+            "listen": "%s:%d" % p.listen,
+            "discovery": f"{self.beside}:{self.agents.ports[name]}",
+            "admin_addr": "%s:%d" % p.admin,
+            "seed": f"{number + 1:016x}",
+            "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
+            "known": {"generation": 0, "reset": True, "instances": []},
+            "settings": params(number, len(self.names)),
+        }
         (p.folder / "config.json").write_text(json.dumps(config))
-        lines = ["[fleet]", 'fleet = "rig"', f'name = "{name}"', 'address = "%s:%d"' % p.fleet, f'folder = "{p.folder / "kept"}"',
-                 f'zone = "z{number % self.plan.zones}"', f"stated_s = {self.plan.stated_s}", "[fleet.first]",
-                 *(f'{v} = "%s:%d"' % self.processes[v].fleet for v in voters), "[fleet.via]",
-                 *(f'{t} = "%s:%d"' % proxy.address for (s, t), proxy in self.proxies.items() if s == name)]
+        lines = [
+            "[fleet]",
+            'fleet = "rig"',
+            f'name = "{name}"',
+            'address = "%s:%d"' % p.fleet,
+            f'folder = "{p.folder / "kept"}"',
+            f'zone = "z{number % self.plan.zones}"',
+            f"stated_s = {self.plan.stated_s}",
+            "[fleet.first]",
+            *(f'{v} = "%s:%d"' % self.processes[v].fleet for v in voters),
+            "[fleet.via]",
+            *(
+                f'{t} = "%s:%d"' % proxy.address
+                for (s, t), proxy in self.proxies.items()
+                if s == name
+            ),
+        ]
         if self.plan.copies:
-            lines += ["[fleet.copies]", f"copies = {self.plan.copies}", f"least = {min(self.plan.copies, 2)}"]
+            lines += [
+                "[fleet.copies]",
+                f"copies = {self.plan.copies}",
+                f"least = {min(self.plan.copies, 2)}",
+            ]
         (p.folder / "operator.toml").write_text("\n".join(lines) + "\n")
 
     def start(self, name: str, **environment: str) -> None:
         p = self.processes[name]
-        plain = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k not in ("PYTHONPATH", "TMPDIR")}
+        plain = {
+            k: v
+            for k, v in os.environ.items()
+            if not k.startswith("PROXY_") and k not in ("PYTHONPATH", "TMPDIR")
+        }
         with open(p.folder / "log", "ab") as log:
-            p.popen = subprocess.Popen(self.words, cwd=self.tree, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                                       preexec_fn=die_with_parent, start_new_session=True,
-                                       env=plain | {"TMPDIR": str(p.folder), "PROXY_CONFIG": str(p.folder / "config.json"),
-                                                    "PROXY_OPERATOR": str(p.folder / "operator.toml"),
-                                                    "TOGETHER_CLOCK": str(self.plan.clocks.get(name, 0.0)),
-                                                    "TOGETHER_DISK": str(p.folder / "disk")} | environment)
+            p.popen = subprocess.Popen(
+                self.words,
+                cwd=self.tree,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                preexec_fn=die_with_parent,
+                start_new_session=True,
+                env=plain
+                | {
+                    "TMPDIR": str(p.folder),
+                    "PROXY_CONFIG": str(p.folder / "config.json"),
+                    "PROXY_OPERATOR": str(p.folder / "operator.toml"),
+                    "TOGETHER_CLOCK": str(self.plan.clocks.get(name, 0.0)),
+                    "TOGETHER_DISK": str(p.folder / "disk"),
+                }
+                | environment,
+            )
         p.starts += 1
         p.frozen = False
         self.note("start", who=name)
@@ -332,34 +462,54 @@
 
     # The fleet's calls.
 
-    async def ask(self, name: str, what: str, args: dict[str, Any] | None = None, span: float = CALL) -> tuple[str, Any]:
-        """"yes", "no" or "unsure", and the body."""
+    async def ask(
+        self, name: str, what: str, args: dict[str, Any] | None = None, span: float = CALL
+    ) -> tuple[str, Any]:
+        """ "yes", "no" or "unsure", and the body."""
+
         def call() -> tuple[str, Any]:
             try:
-                ok, body = tool.call(["%s:%d" % self.processes[name].fleet], "rig", what, args, span)
+                ok, body = tool.call(
+                    ["%s:%d" % self.processes[name].fleet], "rig", what, args, span
+                )
                 return ("yes" if ok else "no"), body
             except Refusal as error:
                 return "no", {"why": str(error)}
             except tool.Unsure as error:
                 return "unsure", {"why": str(error)}
+
         return await asyncio.get_running_loop().run_in_executor(self.pool, call)
 
     async def command(self, name: str, what: str, **args: Any) -> tuple[str, Any]:
         self.idents += 1
-        return await self.ask(name, what, {"ident": f"rig:{self.idents}", "by": "rig", "at": time.time_ns() // 1_000_000} | args)
+        return await self.ask(
+            name,
+            what,
+            {"ident": f"rig:{self.idents}", "by": "rig", "at": time.time_ns() // 1_000_000} | args,
+        )
 
     async def whole(self, span: float = 0, names: list[str] | None = None) -> dict | None:
         """The status once every balancer named is a member that acts on the newest version under a lease; None if that never comes."""
-        until = time.monotonic() + (span or READY + len(self.names))       # fifty interpreters start on a few cores
+        until = time.monotonic() + (
+            span or READY + len(self.names)
+        )  # fifty interpreters start on a few cores
         names = names or self.names
         while time.monotonic() < until:
             for name in names:
                 result, body = await self.ask(name, "status", span=1.0)
                 if result == "yes":
-                    fit = {m["name"] for m in body["members"] if m["acts_on"] == body["version"] and not m["lapsed"]}
+                    fit = {
+                        m["name"]
+                        for m in body["members"]
+                        if m["acts_on"] == body["version"] and not m["lapsed"]
+                    }
                     voters = {m["name"] for m in body["members"] if m["voter"]}
-                    if set(names) <= fit and body["settings_version"] and sorted(voters) == body["voters"] \
-                            and len(body["members"]) == len({m["name"] for m in body["members"]}):
+                    if (
+                        set(names) <= fit
+                        and body["settings_version"]
+                        and sorted(voters) == body["voters"]
+                        and len(body["members"]) == len({m["name"] for m in body["members"]})
+                    ):
                         local = [await self.ask(n, "local", span=1.0) for n in names]
                         if all(r == "yes" and b["may_act"] for r, b in local):
                             return body
@@ -373,22 +523,36 @@
         if self.plan.bound:
             result, body = await self.ask(self.names[0], "show")
             settings = body["settings"] | {"bounds": {"balancers": {"all": self.plan.bound}}}
-            result, body = await self.command(self.names[0], "offer", base=body["settings_version"], settings=settings)
+            result, body = await self.command(
+                self.names[0], "offer", base=body["settings_version"], settings=settings
+            )
             if result != "yes":
                 raise Refusal(f"the bound was not agreed: {body}")
             self.first = int(body["why"].removeprefix("version ")), 0
 
     async def copies_whole(self, span: float = READY) -> tuple[Any, bool]:
         """What the leader says of copies, and whether each part lies whole and alike at as many holders as asked for."""
-        self.quiet = True       # holders are compared at different moments
+        self.quiet = True  # holders are compared at different moments
         until, body = time.monotonic() + span, None
         while time.monotonic() < until:
             result, body = await self.ask(await self.leader(), "copies", span=1.0)
-            if result == "yes" and body["parts"] and not body["lacking"] and not body["away"] and not body["changing"]:
+            if (
+                result == "yes"
+                and body["parts"]
+                and not body["lacking"]
+                and not body["away"]
+                and not body["changing"]
+            ):
                 result, status = await self.ask(await self.leader(), "status", span=1.0)
-                told = {m["id"]: (await self.ask(m["name"], "copies_local", span=1.0))[1] for m in status.get("members", ())}
+                told = {
+                    m["id"]: (await self.ask(m["name"], "copies_local", span=1.0))[1]
+                    for m in status.get("members", ())
+                }
                 lines = tool.unlike(body["parts"], told)
-                if not lines and all(len(there) == min(self.plan.copies, len(self.names)) for _, _, there in body["parts"]):
+                if not lines and all(
+                    len(there) == min(self.plan.copies, len(self.names))
+                    for _, _, there in body["parts"]
+                ):
                     return body, True
                 body = {"unlike": lines} | body
             await asyncio.sleep(0.2)
@@ -412,7 +576,13 @@
             kind = "book" if number % 5 == 0 else "view"
             if kind == "book" and self.chance.random() < self.plan.repeats:
                 self.repeated.add(f"f{number}")
-                self.spawn(self.again(f"f{number}", self.chance.choice(self.names), self.chance.choice((0, 0, 0.05, 0.5, 2, 5))))
+                self.spawn(
+                    self.again(
+                        f"f{number}",
+                        self.chance.choice(self.names),
+                        self.chance.choice((0, 0, 0.05, 0.5, 2, 5)),
+                    )
+                )
             self.spawn(self.flow(f"f{number}", name, kind))
 
     async def again(self, ident: str, name: str, after: float) -> None:
@@ -430,11 +600,17 @@
                 line = (await reader.readline()).decode().rstrip("\r\n")
                 answer = line.split(" ")[0] or "end"
                 if line:
-                    self.see("answer", ident, name, kind={"UP": "up", "BUSY": "busy"}.get(answer, "failed"), line=line)
+                    self.see(
+                        "answer",
+                        ident,
+                        name,
+                        kind={"UP": "up", "BUSY": "busy"}.get(answer, "failed"),
+                        line=line,
+                    )
             answered = time.monotonic_ns()
             await self.stays(reader, answer)
         except ConnectionRefusedError:
-            answer = "refused"          # nobody took it
+            answer = "refused"  # nobody took it
         except OSError as error:
             answer = "reset" if isinstance(error, ConnectionResetError) else "none"
         except TimeoutError:
@@ -443,8 +619,18 @@
             answered = answered or time.monotonic_ns()
             if writer is not None:
                 writer.close()
-        self.flows.append(judges.Flow(ident, EFFECTS[kind], asked, asked + wait * 1_000_000, answer, answered, name))
-        self.note("answer", flow=ident, balancer=name, answer=answer, took_ms=round((answered - asked) / 1e6, 1))
+        self.flows.append(
+            judges.Flow(
+                ident, EFFECTS[kind], asked, asked + wait * 1_000_000, answer, answered, name
+            )
+        )
+        self.note(
+            "answer",
+            flow=ident,
+            balancer=name,
+            answer=answer,
+            took_ms=round((answered - asked) / 1e6, 1),
+        )
 
     async def stays(self, reader: asyncio.StreamReader, answer: str) -> None:
         """A client that has its answer goes."""
@@ -462,7 +648,11 @@
 
     async def do(self, step: Step) -> None:
         who = await self.leader() if step.who == "leader" else step.who
-        other = step.other if step.other != who or not who else self.names[(self.names.index(who) + 1) % len(self.names)]
+        other = (
+            step.other
+            if step.other != who or not who
+            else self.names[(self.names.index(who) + 1) % len(self.names)]
+        )
         self.note("step", do=step.do, who=who, other=other)
         p = self.processes.get(who)
         match step.do:
@@ -568,13 +758,15 @@
             p.popen = None
         self.note("left", who=p.name)
         if self.healed > healed and p.popen is None:
-            self.start(p.name)      # all was to run again while it was still leaving
+            self.start(p.name)  # all was to run again while it was still leaving
 
     async def hand(self, name: str, what: str, server: str) -> None:
         asked = time.monotonic_ns()
         result, body = await self.command(name, "back" if what == "back" else "out", server=server)
         agreed = time.monotonic_ns()
-        self.note("told", call=what, at_balancer=name, server=server, result=result, body=str(body)[:200])
+        self.note(
+            "told", call=what, at_balancer=name, server=server, result=result, body=str(body)[:200]
+        )
         made = str(body.get("why", "")).removeprefix("version ") if result == "yes" else ""
         version = int(made) if made.isdecimal() else None
         if what == "back":
@@ -584,25 +776,47 @@
             self.outs.append((server, asked, agreed, version, judges.FOREVER))
             if what == "server_down":
                 result, body = await self.ask(name, "settled", {"version": version}, span=15.0)
-                self.note("told", call="settled", server=server, result=result, body=str(body)[:200])
+                self.note(
+                    "told", call="settled", server=server, result=result, body=str(body)[:200]
+                )
                 if result == "yes":
                     self.outs[place] = (server, asked, agreed, version, time.monotonic_ns())
 
     def rules(self) -> Rules:
         """A server bears what its share of the plan's flows is: the least that its cold budget can be dealt by."""
         borne = max(self.plan.flows_per_s / self.plan.servers, 1.0)
-        kinds = {t["name"]: TypeRule(EFFECTS[t["name"]], "all", int(t["giveUp"] * 1_000_000)) for t in TYPES}
-        servers = {name: ServerRule("a", 1, borne, COLD_SHARE, int(COLD * SECOND)) for name in self.servers.names}
-        return Rules(kinds, servers, CONNECTS, 0, OVERLOAD, int(FALL * SECOND), 1.0, SLACK + self.late)
+        kinds = {
+            t["name"]: TypeRule(EFFECTS[t["name"]], "all", int(t["giveUp"] * 1_000_000))
+            for t in TYPES
+        }
+        servers = {
+            name: ServerRule("a", 1, borne, COLD_SHARE, int(COLD * SECOND))
+            for name in self.servers.names
+        }
+        return Rules(
+            kinds, servers, CONNECTS, 0, OVERLOAD, int(FALL * SECOND), 1.0, SLACK + self.late
+        )
 
     def downs(self) -> list[judges.Down]:
         """Each out that was agreed lasts until the next return of that server in the order of versions was asked for. A return that
         may or may not have come into force ends it too: from then on nobody knows. A yes can be told long after it was agreed."""
         found = []
         for server, asked, agreed, version, settled in self.outs:
-            ends = [at for other, at, made, result in self.backs
-                    if other == server and (made is not None and made > version or made is None and result != "yes" and at > asked)]
-            found.append(judges.Down(server, asked, agreed, settled, min(ends, default=judges.FOREVER)))
+            ends = [
+                at
+                for other, at, made, result in self.backs
+                if other == server
+                and (
+                    made is not None
+                    and made > version
+                    or made is None
+                    and result != "yes"
+                    and at > asked
+                )
+            ]
+            found.append(
+                judges.Down(server, asked, agreed, settled, min(ends, default=judges.FOREVER))
+            )
         return found
 
     async def offer(self, name: str) -> None:
@@ -610,21 +824,34 @@
         if result != "yes":
             return
         base, mark = body["settings_version"], self.chance.randrange(1 << 20)
-        settings = {k: v for k, v in params(0, len(self.names), mark).items() if k in body["settings"]}
+        settings = {
+            k: v for k, v in params(0, len(self.names), mark).items() if k in body["settings"]
+        }
         began = time.monotonic_ns()
         result, body = await self.command(name, "offer", base=base, settings=settings)
         ended = time.monotonic_ns()
         version = int(str(body.get("why", "")).removeprefix("version ")) if result == "yes" else 0
         self.ops.append(judges.Op("offer", began, ended, result, base, mark, version))
-        self.note("told", call="offer", at_balancer=name, base=base, result=result, body=str(body)[:200])
+        self.note(
+            "told", call="offer", at_balancer=name, base=base, result=result, body=str(body)[:200]
+        )
 
     async def show(self, name: str) -> None:
         began = time.monotonic_ns()
         result, body = await self.ask(name, "show", span=2.0)
         if result == "yes":
             price = body["settings"].get("deductions", {}).get("probe", 0)
-            self.ops.append(judges.Op("show", began, time.monotonic_ns(), "yes", 0, round(price / 0.001) - 1,
-                                      body["settings_version"]))
+            self.ops.append(
+                judges.Op(
+                    "show",
+                    began,
+                    time.monotonic_ns(),
+                    "yes",
+                    0,
+                    round(price / 0.001) - 1,
+                    body["settings_version"],
+                )
+            )
 
     # The verdict.
 
@@ -632,14 +859,19 @@
         broken = []
         whole = await self.whole()
         if whole is None:
-            broken.append("the fleet is not whole again though all faults were lifted: " + json.dumps(
-                [(n, (await self.ask(n, "local", span=1.0))[1]) for n in self.names], default=str)[:1500])
+            broken.append(
+                "the fleet is not whole again though all faults were lifted: "
+                + json.dumps(
+                    [(n, (await self.ask(n, "local", span=1.0))[1]) for n in self.names],
+                    default=str,
+                )[:1500]
+            )
         out = set()
         if whole is not None:
             result, body = await self.ask(self.names[0], "show")
             out = set(body["out"]) if result == "yes" else out
             broken += judges.forgotten(self.downs(), out)
-        self.see("day_ended")       # what is under way now is not waited for
+        self.see("day_ended")  # what is under way now is not waited for
         opens = [(e["at"], e["server"], e["balancer"]) for e in self.events if e["what"] == "open"]
         stated = int(self.plan.stated_s * SECOND)
         longest, found = judges.contradiction(self.downs(), opens, stated, SLACK + self.late)
@@ -652,22 +884,52 @@
         broken += [why] if why else []
         harmed = {name: p.harmed for name, p in self.processes.items()}
         broken += judges.answers(self.flows, harmed, SLACK + self.late)
-        broken += judges.ran_twice([(e["flow"], e["effect"], e["server"]) for e in self.events if e["what"] == "open"])
-        broken += judges.four_rules([e for e in self.seen if e.flow not in self.repeated], self.rules(), self.flows, harmed, SLACK + self.late)
+        broken += judges.ran_twice(
+            [(e["flow"], e["effect"], e["server"]) for e in self.events if e["what"] == "open"]
+        )
+        broken += judges.four_rules(
+            [e for e in self.seen if e.flow not in self.repeated],
+            self.rules(),
+            self.flows,
+            harmed,
+            SLACK + self.late,
+        )
         broken += [f"the rig: {fault}" for fault in self.faults]
-        crashed = [name for name, p in self.processes.items() if p.popen is not None and p.popen.poll() not in (None, 0)]
-        broken += [f"{name} ended by itself, code {self.processes[name].popen.poll()}" for name in crashed]
+        crashed = [
+            name
+            for name, p in self.processes.items()
+            if p.popen is not None and p.popen.poll() not in (None, 0)
+        ]
+        broken += [
+            f"{name} ended by itself, code {self.processes[name].popen.poll()}" for name in crashed
+        ]
         if self.plan.copies:
             status, copies = await self.copies_whole()
-            broken += [] if copies else [f"copies are not whole again: {json.dumps(status, default=str)[:1500]}"]
+            broken += (
+                []
+                if copies
+                else [f"copies are not whole again: {json.dumps(status, default=str)[:1500]}"]
+            )
             told = [await self.ask(n, "copies_local", span=1.0) for n in self.names]
-            (self.folder / "copies.json").write_text(json.dumps([body for _, body in told], default=str))
-        answers = {kind: sum(f.answer == kind for f in self.flows) for kind in sorted({f.answer for f in self.flows})}
-        return {"broken": broken, "longest_contradiction_s": round(longest / SECOND, 3), "stated_s": self.plan.stated_s,
-                "answers": answers, "calls": {"offers": sum(op.kind == "offer" for op in self.ops),
-                                              "offers_yes": sum(op.kind == "offer" and op.result == "yes" for op in self.ops),
-                                              "taken_out": len(self.outs)},
-                "machine_late_ms": round(self.late / 1e6, 1)}
+            (self.folder / "copies.json").write_text(
+                json.dumps([body for _, body in told], default=str)
+            )
+        answers = {
+            kind: sum(f.answer == kind for f in self.flows)
+            for kind in sorted({f.answer for f in self.flows})
+        }
+        return {
+            "broken": broken,
+            "longest_contradiction_s": round(longest / SECOND, 3),
+            "stated_s": self.plan.stated_s,
+            "answers": answers,
+            "calls": {
+                "offers": sum(op.kind == "offer" for op in self.ops),
+                "offers_yes": sum(op.kind == "offer" and op.result == "yes" for op in self.ops),
+                "taken_out": len(self.outs),
+            },
+            "machine_late_ms": round(self.late / 1e6, 1),
+        }
 
 
 async def played(plan: Plan, folder: Path, **more: Any) -> dict[str, Any]:
@@ -698,5 +960,9 @@
     """What a person reads first: faults, calls and what they were told, and balancers' own words, in order."""
     events = [json.loads(line) for line in (folder / "history.jsonl").read_text().splitlines()]
     begin = events[0]["at"] if events else 0
-    return [f"{(e['at'] - begin) / SECOND:8.3f} {e['what']} " + " ".join(f"{k}={v}" for k, v in e.items() if k not in ("at", "what"))
-            for e in events if e["what"] not in ("open", "answer")]
+    return [
+        f"{(e['at'] - begin) / SECOND:8.3f} {e['what']} "
+        + " ".join(f"{k}={v}" for k, v in e.items() if k not in ("at", "what"))
+        for e in events
+        if e["what"] not in ("open", "answer")
+    ]
--- a/cypresswalk/lab/together/standin.py
+++ b/cypresswalk/lab/together/standin.py
@@ -20,9 +20,17 @@
         self.standing = self.number = 0
 
     def say(self, what: str, **words: object) -> None:
-        os.write(self.out, (json.dumps({"at": time.monotonic_ns(), "what": what, "server": self.name} | words) + "\n").encode())
+        os.write(
+            self.out,
+            (
+                json.dumps({"at": time.monotonic_ns(), "what": what, "server": self.name} | words)
+                + "\n"
+            ).encode(),
+        )
 
-    async def serve(self, place: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(
+        self, place: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         stands, flow, number = False, "", ""
         try:
             while line := await reader.readline():
@@ -30,10 +38,18 @@
                 if words[:1] == ["PING"]:
                     writer.write(b"PONG\r\n")
                 elif words[:1] == ["OPEN"] and len(words) > 3:
-                    kind = dict(word.partition("=")[::2] for word in words[3].split(",")).get("c", "")
+                    kind = dict(word.partition("=")[::2] for word in words[3].split(",")).get(
+                        "c", ""
+                    )
                     self.number += 1
                     flow, number = words[1], f"{os.getpid()}-{self.number}"
-                    self.say("open", balancer=place, flow=flow, number=number, effect=EFFECTS.get(kind, "?"))
+                    self.say(
+                        "open",
+                        balancer=place,
+                        flow=flow,
+                        number=number,
+                        effect=EFFECTS.get(kind, "?"),
+                    )
                     if self.build == "aborts" and self.number % 4 == 0:
                         self.say("reply", flow=flow, number=number, kind="error")
                         writer.write(b"ERR\r\n")
@@ -58,7 +74,9 @@
         loop.add_signal_handler(signal.SIGTERM, over.set)
         if self.build != "never_ready":
             for place, port in enumerate(self.ports):
-                await asyncio.start_server(lambda r, w, place=place: self.serve(place, r, w), self.host, port)
+                await asyncio.start_server(
+                    lambda r, w, place=place: self.serve(place, r, w), self.host, port
+                )
         self.say("started", wall_ms=time.time_ns() // 1_000_000)
         if self.build == "falls":
             loop.call_later(4, os._exit, 1)
--- a/cypresswalk/lab/together/started.py
+++ b/cypresswalk/lab/together/started.py
@@ -15,8 +15,7 @@
 from cypresswalk.service.program import Program, main
 from cypresswalk.state.disk import Disk
 
-
-SLOW = 2.0      # seconds that a write takes
+SLOW = 2.0  # seconds that a write takes
 
 
 class UnsoundDisk(Disk):
@@ -34,12 +33,16 @@
         if word == "disk_slow":
             time.sleep(SLOW)
             return None
-        return OSError(28, "no space left on device") if word == "disk_full" else OSError(5, "input/output error")
+        return (
+            OSError(28, "no space left on device")
+            if word == "disk_full"
+            else OSError(5, "input/output error")
+        )
 
     def put(self, name: str, data: bytes, how: int) -> None:
         if error := self.trouble():
             if how & os.O_APPEND:
-                super().put(name, data[:self.chance.randrange(len(data) + 1)], how)
+                super().put(name, data[: self.chance.randrange(len(data) + 1)], how)
             raise error
         super().put(name, data, how)
 
@@ -62,7 +65,10 @@
         began = driver.clock()
         fleet.now = clock = lambda: driver.clock() + int((driver.clock() - began) * off)
         if fleet.copies is not None:
-            fleet.copies.files, fleet.copies.now = fleet.disk, clock        # its wall time follows fleet.now by itself
+            fleet.copies.files, fleet.copies.now = (
+                fleet.disk,
+                clock,
+            )  # its wall time follows fleet.now by itself
 
 
 if __name__ == "__main__":
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -17,12 +17,12 @@
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.links import Links
 from cypresswalk.fleet.member import Strange, View
-from cypresswalk.fleet.words import Hail, HailAnswer, frames, encode
+from cypresswalk.fleet.words import Hail, HailAnswer, encode, frames
 from cypresswalk.operator import FleetTable
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-EPOCH = 1_800_000_000 * SECOND      # of everybody's wall clock
+EPOCH = 1_800_000_000 * SECOND  # of everybody's wall clock
 
 
 class Broken(Exception):
@@ -39,16 +39,20 @@
     def __init__(self, chance: Random):
         self.chance = chance
         self.files: dict[str, tuple[bytes, int]] = {}
-        self.unflushed: list[tuple[str, str, tuple[bytes, int] | None]] = []     # renames: what stood there before
+        self.unflushed: list[
+            tuple[str, str, tuple[bytes, int] | None]
+        ] = []  # renames: what stood there before
         self.inodes = 1
         self.held = None
-        self.kill_in: int | None = None     # operations until the process dies in the middle of one
+        self.kill_in: int | None = None  # operations until the process dies in the middle of one
         self.failing = self.full = False
 
     def step(self) -> bool:
         """Whether the process dies in this operation."""
         if self.failing or self.full:
-            raise OSError(28 if self.full else 5, "no space left" if self.full else "input/output error")
+            raise OSError(
+                28 if self.full else 5, "no space left" if self.full else "input/output error"
+            )
         if self.kill_in is not None:
             self.kill_in -= 1
             return self.kill_in < 0
@@ -73,12 +77,14 @@
     def write(self, name: str, data: bytes) -> None:
         dies = self.step()
         inode = self.files[name][1] if name in self.files else self.new_inode()
-        self.files[name] = (data[:self.chance.randrange(len(data) + 1)] if dies else data), inode
+        self.files[name] = (data[: self.chance.randrange(len(data) + 1)] if dies else data), inode
         if dies:
             raise Killed
 
     def add(self, name: str, data: bytes) -> None:
-        before, inode = self.files[name]        # KeyError: the folder is gone, which is an OSError for a real one
+        before, inode = self.files[
+            name
+        ]  # KeyError: the folder is gone, which is an OSError for a real one
         if self.failing:
             # What a failed flush covered may be there or not, or in part.
             self.files[name] = before + self.torn(data, len(before)), inode
@@ -90,7 +96,7 @@
     def torn(self, data: bytes, at: int) -> bytes:
         """`data` was to stand from `at` on: the file's end came to the disk in part, or whole with sectors of nothing."""
         if self.chance.random() < 0.5:
-            return data[:self.chance.randrange(len(data) + 1)]
+            return data[: self.chance.randrange(len(data) + 1)]
         out, borders = b"", [0, *range(SECTOR - at % SECTOR, len(data), SECTOR), len(data)]
         for low, high in zip(borders, borders[1:]):
             out += data[low:high] if self.chance.random() < 0.5 else bytes(high - low)
@@ -135,7 +141,11 @@
 
     def put_back(self, files: dict[str, tuple[bytes, int]], whole_disk: bool) -> None:
         """From a backup: each file is a new one; or the whole disk as it was, inodes and all."""
-        self.files = dict(files) if whole_disk else {name: (data, self.new_inode()) for name, (data, _) in files.items()}
+        self.files = (
+            dict(files)
+            if whole_disk
+            else {name: (data, self.new_inode()) for name, (data, _) in files.items()}
+        )
 
     def wipe(self) -> None:
         self.files, self.unflushed = {}, []
@@ -145,11 +155,18 @@
     """Sends into the world in place of sockets; whom it hears it asks who he is as the real ones do."""
 
     def __init__(self, world: "World", process: "Process", fleet: Fleet):
-        super().__init__(("127.0.0.1", 0), fleet.table.fleet, lambda *event: None, lambda: 0, fleet.hello, fleet.group)
+        super().__init__(
+            ("127.0.0.1", 0),
+            fleet.table.fleet,
+            lambda *event: None,
+            lambda: 0,
+            fleet.hello,
+            fleet.group,
+        )
         self.world, self.process = world, process
 
     def start(self) -> None:
-        self.sock = self        # it listens
+        self.sock = self  # it listens
 
     def end(self) -> None: ...
 
@@ -159,7 +176,9 @@
 
 class VirtualFleet(Fleet):
     def __init__(self, world: "World", process: "Process"):
-        super().__init__(process.table, process.check, world.own, process.act_on, lambda: None, process.clock)
+        super().__init__(
+            process.table, process.check, world.own, process.act_on, lambda: None, process.clock
+        )
         self.process = process
         self.disk = process.disk
         self.chance = Random(f"{world.seed}/{process.name}/{process.starts}")
@@ -178,12 +197,12 @@
         self.starts = 0
         self.frozen_until = 0
         self.rate, self.base = 1.0, world.chance.randrange(10**15)
-        self.waiting: list[tuple] = []      # events while it is frozen
-        self.disk_id = ""                   # whose its folder was when it last ran
+        self.waiting: list[tuple] = []  # events while it is frozen
+        self.disk_id = ""  # whose its folder was when it last ran
         self.acts_on = 0
         self.again_at = 0
-        self.looked_at: int | None = None   # when the world next looks whether it is due
-        self.refuses: set[int] = set()      # settings marked so it can't read
+        self.looked_at: int | None = None  # when the world next looks whether it is due
+        self.refuses: set[int] = set()  # settings marked so it can't read
         self.set_up: Callable[[VirtualFleet], None] = lambda fleet: None
 
     def clock(self) -> int:
@@ -201,7 +220,9 @@
 
     @property
     def acts(self) -> bool:
-        return self.fleet is not None and self.world.now >= self.frozen_until and self.fleet.may_act()
+        return (
+            self.fleet is not None and self.world.now >= self.frozen_until and self.fleet.may_act()
+        )
 
     def start(self) -> None:
         self.starts += 1
@@ -272,8 +293,17 @@
 class World:
     """`fleet_class` and the like may be replaced by planted mistakes."""
 
-    def __init__(self, seed: int, voters: int = 3, followers: int = 0, stated_s: float = 5.0, loss: float = 0.0,
-                 double: float = 0.0, delay: tuple[int, int] = (MILLISECOND // 5, 5 * MILLISECOND), zones: int = 0):
+    def __init__(
+        self,
+        seed: int,
+        voters: int = 3,
+        followers: int = 0,
+        stated_s: float = 5.0,
+        loss: float = 0.0,
+        double: float = 0.0,
+        delay: tuple[int, int] = (MILLISECOND // 5, 5 * MILLISECOND),
+        zones: int = 0,
+    ):
         self.seed, self.chance = seed, Random(f"{seed}/world")
         self.now = 0
         self.loss, self.double, self.delay = loss, double, delay
@@ -282,11 +312,25 @@
         names = [f"n{i}" for i in range(voters + followers)]
         self.addresses = {name: f"127.0.0.1:{1000 + i}" for i, name in enumerate(names)}
         first = {name: self.addresses[name] for name in names[:voters]}
-        self.processes = {name: Process(self, FleetTable(
-            fleet="f", name=name, address=self.addresses[name], folder="/none", first=first, stated_s=stated_s,
-            zone=f"z{i % zones}" if zones else "")) for i, name in enumerate(names)}
-        self.by_address = {address: self.processes[name] for name, address in self.addresses.items()}
-        self.cuts: set[tuple[str, str]] = set()     # from, to
+        self.processes = {
+            name: Process(
+                self,
+                FleetTable(
+                    fleet="f",
+                    name=name,
+                    address=self.addresses[name],
+                    folder="/none",
+                    first=first,
+                    stated_s=stated_s,
+                    zone=f"z{i % zones}" if zones else "",
+                ),
+            )
+            for i, name in enumerate(names)
+        }
+        self.by_address = {
+            address: self.processes[name] for name, address in self.addresses.items()
+        }
+        self.cuts: set[tuple[str, str]] = set()  # from, to
         self.slow: dict[tuple[str, str], int] = {}  # from, to: how much later all arrives
         self.coming: list[tuple[int, int, Process, object, bytes]] = []
         self.dues: list[tuple[int, int, Process]] = []
@@ -303,7 +347,7 @@
         self.votes: dict[tuple[str, int], str] = {}
         self.given: dict[str, int] = {}
         self.active_at: dict[int, int] = {0: 0}
-        self.longest = 0        # nanoseconds that two acted on contradicting versions
+        self.longest = 0  # nanoseconds that two acted on contradicting versions
 
     def count(self, what: str) -> None:
         self.situations[what] += 1
@@ -325,8 +369,18 @@
         for _ in range(2 if self.chance.random() < self.double else 1):
             if self.chance.random() >= self.loss:
                 self.entered += 1
-                heappush(self.coming, (self.now + self.chance.randint(*self.delay) + self.slow.get((source.name, target.name), 0),
-                                       self.entered, target, hello, data))
+                heappush(
+                    self.coming,
+                    (
+                        self.now
+                        + self.chance.randint(*self.delay)
+                        + self.slow.get((source.name, target.name), 0),
+                        self.entered,
+                        target,
+                        hello,
+                        data,
+                    ),
+                )
 
     def arrive(self, target: Process, hello: object, data: bytes) -> None:
         fleet = target.fleet
@@ -337,8 +391,14 @@
             self.count(f"refused: {refused.code}")
             sender = self.by_address.get(hello.address)
             # A process that has ended since hears of nothing.
-            if refused.code == "put-back" and sender is not None and sender.fleet is not None and sender.fleet.life == hello.life \
-                    and (sender.name, target.name) not in self.cuts and sender.fleet.hello("").id == hello.id:
+            if (
+                refused.code == "put-back"
+                and sender is not None
+                and sender.fleet is not None
+                and sender.fleet.life == hello.life
+                and (sender.name, target.name) not in self.cuts
+                and sender.fleet.hello("").id == hello.id
+            ):
                 sender.turn([("refused", fleet.member.id, refused)])
             return
         frame = frames.decode(data)
@@ -355,7 +415,10 @@
     def run(self, span: int, check: bool = True) -> None:
         end, began = self.now + span, self.steps
         while True:
-            if self.steps - began > 400 * (self.now - end + span) // SECOND * len(self.processes) + 50_000:
+            if (
+                self.steps - began
+                > 400 * (self.now - end + span) // SECOND * len(self.processes) + 50_000
+            ):
                 raise Broken("no end: the fleet goes on without time passing")
             due, process = self.next_due()
             timer = self.timers[0][0] if self.timers else 1 << 62
@@ -403,7 +466,9 @@
 
     def look_at(self, process: Process, due: int | None = None) -> None:
         due = process.due() if due is None else due
-        if process.looked_at is None or due < process.looked_at:     # else the look that stands comes first, and looks further
+        if (
+            process.looked_at is None or due < process.looked_at
+        ):  # else the look that stands comes first, and looks further
             process.looked_at = due
             self.entered += 1
             heappush(self.dues, (due, self.entered, process))
@@ -417,7 +482,9 @@
         self.look_at(process)
 
     def live(self) -> list[Process]:
-        return [p for p in self.processes.values() if p.fleet is not None and p.fleet.member is not None]
+        return [
+            p for p in self.processes.values() if p.fleet is not None and p.fleet.member is not None
+        ]
 
     def leader(self) -> Process | None:
         leaders = [p for p in self.live() if p.fleet.member.leads]
@@ -440,15 +507,21 @@
             if node.voted and node.work.vote is None and not node.fresh_vote:
                 before = self.votes.setdefault((member.id, node.term), node.voted)
                 if before != node.voted:
-                    raise Broken(f"A5: {member.id} votes for {before} and {node.voted} in term {node.term}")
+                    raise Broken(
+                        f"A5: {member.id} votes for {before} and {node.voted} in term {node.term}"
+                    )
             seen = self.given.get(member.id, -1)
             if node.given > seen:
                 self.given[member.id] = node.given
                 for index in range(max(seen + 1, node.log.first), node.given + 1):
                     entry = node.log.between(index, index)[0]
-                    before = self.log.setdefault((member.group, index), (entry.term, entry.kind, entry.data))
+                    before = self.log.setdefault(
+                        (member.group, index), (entry.term, entry.kind, entry.data)
+                    )
                     if before != (entry.term, entry.kind, entry.data):
-                        raise Broken(f"A3: entry {index} was agreed in term {before[0]}, {member.id} has one of term {entry.term}")
+                        raise Broken(
+                            f"A3: entry {index} was agreed in term {before[0]}, {member.id} has one of term {entry.term}"
+                        )
                 version = member.agreed.state.version
                 if version not in self.active_at:
                     for number in range(max(self.active_at) + 1, version + 1):
@@ -459,8 +532,10 @@
                 late = self.now - self.active_at[process.acts_on + 1]
                 self.longest = max(self.longest, late)
                 if late > self.stated:
-                    raise Broken(f"L: {process.name} acts on version {process.acts_on}, {process.acts_on + 1} has been in force "
-                                 f"for {late / SECOND:.3f} s")
+                    raise Broken(
+                        f"L: {process.name} acts on version {process.acts_on}, {process.acts_on + 1} has been in force "
+                        f"for {late / SECOND:.3f} s"
+                    )
 
     def fingerprint(self) -> bytes:
         """Of who is in what state towards whom, without times: for counting what was met."""
@@ -468,15 +543,42 @@
         for p in self.processes.values():
             m = p.fleet.member if p.fleet is not None else None
             n = m.node if m is not None else None
-            shape.append((p.fleet is None, m is None, n and (n.role.value, n.term - max(
-                (q.fleet.member.node.term for q in self.live() if q.fleet.member.node), default=0), n.log.last - n.commit,
-                len(n.log.members), n.is_voter(), n.leader.partition("#")[0], bool(n.incoming)), p.acts, p.acts_on,
-                self.now < p.frozen_until, p.disk.failing or p.disk.full))
+            shape.append(
+                (
+                    p.fleet is None,
+                    m is None,
+                    n
+                    and (
+                        n.role.value,
+                        n.term
+                        - max(
+                            (q.fleet.member.node.term for q in self.live() if q.fleet.member.node),
+                            default=0,
+                        ),
+                        n.log.last - n.commit,
+                        len(n.log.members),
+                        n.is_voter(),
+                        n.leader.partition("#")[0],
+                        bool(n.incoming),
+                    ),
+                    p.acts,
+                    p.acts_on,
+                    self.now < p.frozen_until,
+                    p.disk.failing or p.disk.full,
+                )
+            )
         return hashlib.blake2b(repr((shape, sorted(self.cuts))).encode(), digest_size=8).digest()
 
     # What operators do.
 
-    def call(self, at: Process, name: str, args: dict[str, Any], span: int, told: Callable[[bool, Any], None]) -> None:
+    def call(
+        self,
+        at: Process,
+        name: str,
+        args: dict[str, Any],
+        span: int,
+        told: Callable[[bool, Any], None],
+    ) -> None:
         if at.fleet is None or at.fleet.member is None:
             told(False, {"why": "it does not run"})
             return
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -20,9 +20,16 @@
 
 class Traced(Core):
     def opened(self, now, session, opening):
-        say(now, "open", opening.ident, opening.values.get("c"), opening.values.get("d"), opening.values.get("g"),
+        say(
+            now,
+            "open",
+            opening.ident,
+            opening.values.get("c"),
+            opening.values.get("d"),
+            opening.values.get("g"),
             "again" if opening.values.get("again") or opening.values.get("r") else "first",
-            opening.values.get("at", ""))
+            opening.values.get("at", ""),
+        )
         super().opened(now, session, opening)
 
     def connect(self, now, session, server, number, until):
@@ -30,13 +37,28 @@
         super().connect(now, session, server, number, until)
 
     def up(self, now, leg: Leg):
-        say(now, "up", leg.session.opening.ident, name(leg.server), leg.number, (now - leg.sent) // 1000)
+        say(
+            now,
+            "up",
+            leg.session.opening.ident,
+            name(leg.server),
+            leg.number,
+            (now - leg.sent) // 1000,
+        )
         super().up(now, leg)
 
     def ended(self, now, leg: Leg, outcome):
         if leg.session.leg is leg and not leg.session.over:
-            say(now, "ended", leg.session.opening.ident, name(leg.server), leg.number, outcome.name,
-                "standing" if leg.session.standing else "setup", (now - leg.sent) // 1000)
+            say(
+                now,
+                "ended",
+                leg.session.opening.ident,
+                name(leg.server),
+                leg.number,
+                outcome.name,
+                "standing" if leg.session.standing else "setup",
+                (now - leg.sent) // 1000,
+            )
         super().ended(now, leg, outcome)
 
     def left(self, now, session):
@@ -50,8 +72,15 @@
 
     def move(self, now, flow):
         leg = self.sessions[flow].leg
-        say(now, "move", leg.session.opening.ident, name(leg.server), f"misses={leg.server.misses}",
-            f"health={leg.server.health}", f"limit={leg.server.limit:.1f}")
+        say(
+            now,
+            "move",
+            leg.session.opening.ident,
+            name(leg.server),
+            f"misses={leg.server.misses}",
+            f"health={leg.server.health}",
+            f"limit={leg.server.limit:.1f}",
+        )
         super().move(now, flow)
 
     def probed(self, now, server, passed, load):
@@ -69,8 +98,15 @@
         super().hint(now, message)
 
     def listed(self, now, form, entries, older=False):
-        say(now, "listed", form.name, *[f"{name(s)}:{s.state.value}:{s.zone}:{s.weight:g}:{s.since}:{a[0]}:{a[1]}"
-                                        for s, a in entries])
+        say(
+            now,
+            "listed",
+            form.name,
+            *[
+                f"{name(s)}:{s.state.value}:{s.zone}:{s.weight:g}:{s.since}:{a[0]}:{a[1]}"
+                for s, a in entries
+            ],
+        )
         super().listed(now, form, entries, older)
 
     def list_failed(self, now):
@@ -109,7 +145,15 @@
     core = Traced(config, drivers, *words)
     core.drivers = Said(drivers, core)
     core.now = 0
-    say(0, "settings", config.settings, config.limits, config.groups, config.tells_load, config.tells_delay)
+    say(
+        0,
+        "settings",
+        config.settings,
+        config.limits,
+        config.groups,
+        config.tells_load,
+        config.tells_delay,
+    )
     return core
 
 
--- a/cypresswalk/lab/world.py
+++ b/cypresswalk/lab/world.py
@@ -38,19 +38,29 @@
 class Server:
     """Its host tells what comes and when, and carries out what it answers."""
 
-    def __init__(self, name: str, machines: Machines, chance: Random, overload_factor: float, fall: int, turnover: float):
+    def __init__(
+        self,
+        name: str,
+        machines: Machines,
+        chance: Random,
+        overload_factor: float,
+        fall: int,
+        turnover: float,
+    ):
         """`fall` and `overload_factor` are the rule on cold servers; `turnover` is how many loads one place of load
         serves a second, at this experiment's mix of types."""
         self.name, self.machines, self.chance = name, machines, chance
         self.overload_factor, self.fall, self.turnover = overload_factor, fall, turnover
         self.cold_share, self.cold = machines.cold_share, int(machines.cold_s * SECOND)
         self.life = Life.SERVING
-        self.running, self.started = True, 0        # 0: long ago
+        self.running, self.started = True, 0  # 0: long ago
         self.standing: dict[int, Standing] = {}
         self.asked = 0.0
         self.groups: Counter[str] = Counter()
-        self.pile, self.pile_at = 0.0, 0            # seconds of the whole machine's work
-        self.sent: deque[tuple[int, float]] = deque()       # loads sent within the rule's time, while cold
+        self.pile, self.pile_at = 0.0, 0  # seconds of the whole machine's work
+        self.sent: deque[tuple[int, float]] = (
+            deque()
+        )  # loads sent within the rule's time, while cold
         self.fallen = False
         # Troubles.
         self.silent = self.hangs = False
@@ -83,7 +93,9 @@
 
     def add_work(self, now: int, core_seconds: float) -> None:
         m = self.machines
-        self.pile += core_seconds / (m.cores * m.speed * self.warmth(now) / self.slowness * max(1 - self.taken, 0.01))
+        self.pile += core_seconds / (
+            m.cores * m.speed * self.warmth(now) / self.slowness * max(1 - self.taken, 0.01)
+        )
 
     def delay(self, now: int) -> int:
         """What a line waits now: its own service, longer as the cores fill, and the pile."""
@@ -190,22 +202,35 @@
 def servers_of(experiment: Experiment, seed: int) -> dict[str, Server]:
     rule = experiment.settings
     speed = turnover(experiment)
-    servers = {name: Server(name, machines, Random(f"{seed}/server/{name}"), rule.overload_factor,
-                            int(rule.fall_ms * MILLISECOND), speed)
-               for machines in experiment.servers for name in names_of(machines)}
+    servers = {
+        name: Server(
+            name,
+            machines,
+            Random(f"{seed}/server/{name}"),
+            rule.overload_factor,
+            int(rule.fall_ms * MILLISECOND),
+            speed,
+        )
+        for machines in experiment.servers
+        for name in names_of(machines)
+    }
     for trouble in experiment.trouble:
         if trouble.kind == "grow":
             for name in grown(experiment, trouble):
-                servers[name].running = False       # switched off until then
+                servers[name].running = False  # switched off until then
     return servers
 
 
 def grown(experiment: Experiment, trouble: Trouble) -> list[str]:
     """The servers that a `grow` brings: so many of those named, the last ones first."""
-    return named(experiment, trouble.servers)[::-1][:int(trouble.amount)]
+    return named(experiment, trouble.servers)[::-1][: int(trouble.amount)]
 
 
 def named(experiment: Experiment, names: list[str]) -> list[str]:
     """Servers by their own names, their kind's, their zone's, or `all`."""
-    return [server for machines in experiment.servers for server in names_of(machines)
-            if any(name in (server, machines.name, machines.zone, "all") for name in names)]
+    return [
+        server
+        for machines in experiment.servers
+        for server in names_of(machines)
+        if any(name in (server, machines.name, machines.zone, "all") for name in names)
+    ]
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -25,8 +25,8 @@
         """Raises OSError where nobody may listen there."""
         self.core, self.inbox, self.limits = core, inbox, limits
         self.sock = socket.create_server(address, backlog=limits.backlog)
-        self.waiting: dict[Link, None] = {}     # callers whose line is not whole, the oldest first
-        self.calling = 0                        # callers that hold a descriptor
+        self.waiting: dict[Link, None] = {}  # callers whose line is not whole, the oldest first
+        self.calling = 0  # callers that hold a descriptor
         self.using = Lock()
 
     def run(self) -> None:
@@ -65,7 +65,7 @@
                 link.shut(socket.SHUT_WR)
                 self.drain(link)
         except OSError:
-            pass                # the caller is gone
+            pass  # the caller is gone
         finally:
             with self.using:
                 self.waiting.pop(link, None)
@@ -74,7 +74,11 @@
 
     def answer(self, link: Link) -> bytes:
         """Nothing for a caller that left without a word."""
-        caller, until, said = Caller(self.limits.line), self.inbox.clock() + self.limits.call_line, False
+        caller, until, said = (
+            Caller(self.limits.line),
+            self.inbox.clock() + self.limits.call_line,
+            False,
+        )
         try:
             while True:
                 link.read_within(max(until - self.inbox.clock(), MILLISECOND))
--- a/cypresswalk/net/beside.py
+++ b/cypresswalk/net/beside.py
@@ -22,7 +22,7 @@
 from cypresswalk.net.registry import number_of
 
 log = logging.getLogger(__name__)
-PATH_MOST = 100         # bytes: a Unix socket's path may have 107
+PATH_MOST = 100  # bytes: a Unix socket's path may have 107
 
 
 class Channel:
@@ -93,13 +93,17 @@
 class Beside:
     """Where the process that serves waits for one that is to succeed it."""
 
-    def __init__(self, folder: str | None, name: str, listen: Address, inbox: Inbox, limits: Limits):
+    def __init__(
+        self, folder: str | None, name: str, listen: Address, inbox: Inbox, limits: Limits
+    ):
         self.inbox, self.limits = inbox, limits
         self.name = f"{name} {listen[0]}:{listen[1]}"
         self.folder, self.file = folder, f"cypresswalk-{number_of(self.name):x}"
         self.sock: socket.socket | None = None
         self.waiting = Lock()
-        self.turn: int | None = None        # held from this process's look for another until another can find it
+        self.turn: int | None = (
+            None  # held from this process's look for another until another can find it
+        )
 
     @contextmanager
     def path(self, file: str) -> Iterator[str]:
@@ -130,7 +134,7 @@
                 with self.path(self.file) as path:
                     sock.connect(path)
             except (FileNotFoundError, ConnectionRefusedError):
-                sock.close()        # nobody is there, or one that was killed
+                sock.close()  # nobody is there, or one that was killed
                 return None
             except OSError as error:
                 sock.close()
@@ -139,11 +143,13 @@
             channel = Channel(sock, self.inbox, self.limits)
             sock.settimeout(self.limits.bind / SECOND)
             try:
-                sock.sendall(json.dumps({"hello": {"version": VERSION, "name": self.name}}).encode() + b"\n")
+                sock.sendall(
+                    json.dumps({"hello": {"version": VERSION, "name": self.name}}).encode() + b"\n"
+                )
                 welcome = channel.message()
                 if welcome and welcome.get("welcome") == VERSION and channel.descriptors:
                     sock.settimeout(None)
-                    self.end_turn()     # whoever starts now is refused by the one that both have found
+                    self.end_turn()  # whoever starts now is refused by the one that both have found
                     return channel
                 why = (welcome or {}).get("refused", "no welcome")
             except (OSError, ProtocolError) as error:
@@ -161,7 +167,11 @@
         other, both would listen, and the first to end would take the place of the other's socket along. The kernel ends the
         turn of one that dies."""
         try:
-            turn = os.open(os.path.join(self.folder, self.file + ".turn"), os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+            turn = os.open(
+                os.path.join(self.folder, self.file + ".turn"),
+                os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC,
+                0o600,
+            )
         except OSError as error:
             log.warning(event("handover_turn_none", why=error))
             return
@@ -200,7 +210,7 @@
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             with self.path(beside) as path:
                 self.sock.bind(path)
-                os.chmod(path, 0o600)       # whoever speaks here is handed the clients
+                os.chmod(path, 0o600)  # whoever speaks here is handed the clients
             self.sock.listen(4)
             # In one step over what an earlier process left: there is never a moment without a name.
             os.rename(os.path.join(self.folder, beside), os.path.join(self.folder, self.file))
@@ -228,7 +238,11 @@
         channel.sock.settimeout(self.limits.list_retry / SECOND)
         hello = (channel.message() or {}).get("hello")
         channel.sock.settimeout(None)
-        if not isinstance(hello, dict) or hello.get("version") != VERSION or hello.get("name") != self.name:
+        if (
+            not isinstance(hello, dict)
+            or hello.get("version") != VERSION
+            or hello.get("name") != self.name
+        ):
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
         channel.start(side)
--- a/cypresswalk/net/buffer.py
+++ b/cypresswalk/net/buffer.py
@@ -4,6 +4,7 @@
 class Buffer:
     """Bytes that came and are not yet used. Grows as needed; what is left is moved to the front, in place,
     once the used part outweighs it, so that the space is used again."""
+
     __slots__ = ("data", "start")
 
     def __init__(self):
@@ -26,9 +27,9 @@
 
     def take(self, count: int) -> bytes:
         end = self.start + count
-        taken = bytes(memoryview(self.data)[self.start:end])
+        taken = bytes(memoryview(self.data)[self.start : end])
         self.start = end
         if 2 * self.start >= len(self.data):
-            del self.data[:self.start]
+            del self.data[: self.start]
             self.start = 0
         return taken
--- a/cypresswalk/net/calls.py
+++ b/cypresswalk/net/calls.py
@@ -8,15 +8,18 @@
 from cypresswalk.net.lines import NAME, Lines, ProtocolError
 
 PLAIN = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
-WITH_ID = frozenset((b"set-down", b"set-up", b"set-down-here", b"set-up-here"))     # the latter: where balancers agree
+WITH_ID = frozenset(
+    (b"set-down", b"set-up", b"set-down-here", b"set-up-here")
+)  # the latter: where balancers agree
 
 
 @dataclass(slots=True)
 class Call:
     """Answered once: by the deciding thread, or by the caller's own thread that has waited enough; then it has no effect."""
+
     name: str
-    server: str = ""                    # the id as the list has it, where the call names one
-    begun: Lock = field(default_factory=Lock)           # taken for good by the side that decides about it
+    server: str = ""  # the id as the list has it, where the call names one
+    begun: Lock = field(default_factory=Lock)  # taken for good by the side that decides about it
     answers: SimpleQueue = field(default_factory=SimpleQueue)
 
     def begin(self) -> bool:
@@ -65,4 +68,6 @@
             if not NAME.fullmatch(ident):
                 raise ProtocolError("that is no id of a server")
             return Call(words[0].decode(), ident)
-        raise ProtocolError("no such call; there are check, vars, set-down ID, set-up ID, drain-on and drain-off")
+        raise ProtocolError(
+            "no such call; there are check, vars, set-down ID, set-up ID, drain-on and drain-off"
+        )
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -10,9 +10,9 @@
 from cypresswalk.net.config import Address
 from cypresswalk.net.core import BUSY, FAILED, Core, Session
 from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.lines import Lines, Opening, ProtocolError, opening
 from cypresswalk.net.link import Link, pass_end_on
-from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.logs import event
 
 log = logging.getLogger(__name__)
@@ -21,13 +21,20 @@
 class Client:
     """One client's connection; its thread runs `run`."""
 
-    def __init__(self, sock: socket.socket, core: Core, inbox: Inbox, limits: Limits, silent: "dict[Client, None]"):
-        self.silent = silent            # those at the door that have not said their line
+    def __init__(
+        self,
+        sock: socket.socket,
+        core: Core,
+        inbox: Inbox,
+        limits: Limits,
+        silent: "dict[Client, None]",
+    ):
+        self.silent = silent  # those at the door that have not said their line
         self.link, self.core, self.inbox, self.limits = Link(sock, limits), core, inbox, limits
         self.session = Session(self)
         self.since, self.opened, self.unwanted = inbox.clock(), False, False
         self.lines, self.passing = Lines(limits.line), Lock()
-        self.server = None              # the ServerLink, once lines pass
+        self.server = None  # the ServerLink, once lines pass
 
     def run(self) -> None:
         reset = odd = False
@@ -45,11 +52,14 @@
         finally:
             self.link.done.set()
             if self.opened:
-                self.inbox.post(self.core.impatient if odd and self.server is None else self.core.left, self.session)
+                self.inbox.post(
+                    self.core.impatient if odd and self.server is None else self.core.left,
+                    self.session,
+                )
             elif odd:
                 # Nothing was sent on for it: to one that was only in the way, coming again does no harm.
                 self.link.send_now(BUSY if self.unwanted else FAILED)
-                if not self.unwanted:       # with both ways shut the kernel resets what still comes
+                if not self.unwanted:  # with both ways shut the kernel resets what still comes
                     self.link.shut(socket.SHUT_WR)
             if self.server is not None:
                 pass_end_on(reset, self.server.link, self.limits)
@@ -93,7 +103,7 @@
         """Its place is needed. Its thread finds an end and answers; what came just then gets a reject, not an end alone.
         Whoever has spoken stays: its thread may be late."""
         if not self.passing.acquire(blocking=False):
-            return False        # it has spoken; its thread may be writing to a server that reads nothing
+            return False  # it has spoken; its thread may be writing to a server that reads nothing
         try:
             if self.opened or self.unwanted or self.link.has_come():
                 return False
@@ -150,16 +160,23 @@
 
 
 class Listener:
-    def __init__(self, address: Address, core: Core, inbox: Inbox, limits: Limits, shared: bool = False,
-                 sock: socket.socket | None = None):
+    def __init__(
+        self,
+        address: Address,
+        core: Core,
+        inbox: Inbox,
+        limits: Limits,
+        shared: bool = False,
+        sock: socket.socket | None = None,
+    ):
         """`shared`: another process may accept at the same address, and `sock` may be the socket that it passed on."""
         self.core, self.inbox, self.limits, self.shared = core, inbox, limits, shared
-        self.taking = True              # cleared where the other process accepts in this one's place
+        self.taking = True  # cleared where the other process accepts in this one's place
         # Clients beyond wait in the backlog. Guards against running out of descriptors in mid-flow.
         self.room = Semaphore(limits.flows + limits.at_door)
         self.clients: dict[Client, None] = {}
-        self.silent: dict[Client, None] = {}        # the oldest first
-        self.ends_at: int | None = None         # the door shuts then, for good
+        self.silent: dict[Client, None] = {}  # the oldest first
+        self.ends_at: int | None = None  # the door shuts then, for good
         self.closed = False
         self.sock = sock or self.listen(address)
 
@@ -167,7 +184,9 @@
         until = self.inbox.clock() + self.limits.bind
         while True:
             try:
-                return socket.create_server(address, backlog=self.limits.backlog, reuse_port=self.shared)
+                return socket.create_server(
+                    address, backlog=self.limits.backlog, reuse_port=self.shared
+                )
             except OSError:
                 if self.inbox.clock() > until:
                     raise
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Config:
-    path: str                           # of the file it was read from
+    path: str  # of the file it was read from
     name: str
     listen: Address
     discovery: Address
@@ -26,15 +26,15 @@
     settings: Settings
     limits: Limits
     zones: dict[str, int]
-    service_types: dict[str, int]       # by name, their place in the settings
+    service_types: dict[str, int]  # by name, their place in the settings
     customers: dict[str, int]
-    groups: bool                        # `g` names a group whose members share work, not a single client
-    tells_load: bool                    # LOAD lines tell a connection's load,
-    tells_delay: bool                   # how long a message takes at the server, or both
-    load_fields: list[str]              # of the load reports that probes bring, if any
+    groups: bool  # `g` names a group whose members share work, not a single client
+    tells_load: bool  # LOAD lines tell a connection's load,
+    tells_delay: bool  # how long a message takes at the server, or both
+    load_fields: list[str]  # of the load reports that probes bring, if any
     peer_listen: Address | None
     peers_all: Address | None
-    admin: Address | None               # where operators call; without it all that they may ask for is off
+    admin: Address | None  # where operators call; without it all that they may ask for is off
 
 
 def address(text: str, what: str) -> Address:
@@ -86,11 +86,16 @@
     admin = environment.get("PROXY_ADMIN_ADDR") or data.get("admin_addr")
     admin = address(admin, "admin_addr") if admin else None
     limits = Limits(
-        sockets=int(data["limits"]["sockets"]), memory=int(data["limits"]["memory_mb"]) << 20,
+        sockets=int(data["limits"]["sockets"]),
+        memory=int(data["limits"]["memory_mb"]) << 20,
         dial=nanoseconds(params["limits"]["dialTimeout"], "dialTimeout"),
-        longest=max((nanoseconds(t["giveUp"], "giveUp") for t in params["serviceTypes"]), default=SECOND),
+        longest=max(
+            (nanoseconds(t["giveUp"], "giveUp") for t in params["serviceTypes"]), default=SECOND
+        ),
         # A third of the shortest target is no strain yet.
-        delay_long=min(targets, default=SECOND) // 3, operated=admin is not None)
+        delay_long=min(targets, default=SECOND) // 3,
+        operated=admin is not None,
+    )
     extra = params.get("extra", {})
     peers = settings.peers and data.get("peer_listen")
     return Config(
@@ -98,14 +103,20 @@
         name=environment.get("PROXY_NAME") or data["name"],
         listen=address(environment.get("PROXY_LISTEN") or data["listen"], "listen"),
         discovery=address(environment.get("PROXY_DISCOVERY") or data["discovery"], "discovery"),
-        seed=int(data["seed"], 16), known=data.get("known") or {"instances": []},
-        settings=settings, limits=limits,
+        seed=int(data["seed"], 16),
+        known=data.get("known") or {"instances": []},
+        settings=settings,
+        limits=limits,
         zones={name: i for i, name in enumerate(params["azs"])},
         service_types={t["name"]: i for i, t in enumerate(params["serviceTypes"])},
         customers={t["name"]: i for i, t in enumerate(params.get("tenants") or [])},
         groups=bool(extra.get("groups")),
-        tells_load=bool(extra.get("tellsLoad")), tells_delay=bool(extra.get("tellsDelay")),
+        tells_load=bool(extra.get("tellsLoad")),
+        tells_delay=bool(extra.get("tellsDelay")),
         load_fields=params["stats"]["fields"] if settings.load_index >= 0 else [],
         peer_listen=address(data["peer_listen"], "peer_listen") if peers else None,
-        peers_all=address(data["peers_all"], "peers_all") if peers and data.get("peers_all") else None,
-        admin=admin)
+        peers_all=address(data["peers_all"], "peers_all")
+        if peers and data.get("peers_all")
+        else None,
+        admin=admin,
+    )
