--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -4,14 +4,29 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
-from heapq import heappop, heappush
 from enum import Enum
+from heapq import heappop, heappush
 from typing import Protocol
 
 from cypresswalk.choice import Balancer
 from cypresswalk.hosting import current, nanoseconds, pack_hint, unpack_hint
-from cypresswalk.model import (SECOND, Abort, Connect, Effect, Flow, ListForm, Move, Outcome, Probe, Reject, Server,
-                               State, Subscribe, Tell, Wake)
+from cypresswalk.model import (
+    SECOND,
+    Abort,
+    Connect,
+    Effect,
+    Flow,
+    ListForm,
+    Move,
+    Outcome,
+    Probe,
+    Reject,
+    Server,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
+)
 from cypresswalk.net.calls import Call
 from cypresswalk.net.config import Address, Config
 from cypresswalk.net.counters import Counters
@@ -23,52 +38,66 @@
 from cypresswalk.net.registry import number_of, server_number
 
 FAILED, BUSY = b"ERR\r\n", b"BUSY\r\n"
-WAITS_MOST = 20     # times the longest connect timeout: what waits longer has no clock, or means no good
+WAITS_MOST = (
+    20  # times the longest connect timeout: what waits longer has no clock, or means no good
+)
 log = logging.getLogger(__name__)
 
 
 class Phase(Enum):
     """Of this process. From one to the next by an operator's call or a signal, never by itself."""
-    STARTING = "starting"   # beside an older process that serves still: places nothing
+
+    STARTING = "starting"  # beside an older process that serves still: places nothing
     SERVING = "serving"
-    DRAINED = "drained"     # by hand: says no to PING, sends its clients away, and may be called back
-    LEAVING = "leaving"     # a planned stop: goes on answering until it ends
+    DRAINED = "drained"  # by hand: says no to PING, sends its clients away, and may be called back
+    LEAVING = "leaving"  # a planned stop: goes on answering until it ends
 
 
 class Session:
     """A client's connection, from its first line to its end."""
+
     __slots__ = ("opening", "flow", "leg", "standing", "over", "link")
 
     def __init__(self, link: object):
         self.opening: Opening | None = None
         self.flow: Flow | None = None
-        self.leg: Leg | None = None         # the latest connect on its behalf
-        self.standing = False               # lines pass
-        self.over = False                   # answered with a no, moved, or ended
-        self.link = link                    # the driver's
+        self.leg: Leg | None = None  # the latest connect on its behalf
+        self.standing = False  # lines pass
+        self.over = False  # answered with a no, moved, or ended
+        self.link = link  # the driver's
 
 
 class Leg:
     """One connect to a server."""
+
     __slots__ = ("session", "server", "number", "sent", "latest", "gauge", "asked_at", "link")
 
-    def __init__(self, session: Session, server: Server, number: int, sent: int, latest: int, gauge: "Gauge"):
-        self.session, self.server, self.number, self.sent, self.gauge = session, server, number, sent, gauge
-        self.latest = latest                # its line goes out before then or not at all
-        self.asked_at = 0                   # when the oldest line went out that nothing came back for
-        self.link: object = None            # the driver's
+    def __init__(
+        self, session: Session, server: Server, number: int, sent: int, latest: int, gauge: "Gauge"
+    ):
+        self.session, self.server, self.number, self.sent, self.gauge = (
+            session,
+            server,
+            number,
+            sent,
+            gauge,
+        )
+        self.latest = latest  # its line goes out before then or not at all
+        self.asked_at = 0  # when the oldest line went out that nothing came back for
+        self.link: object = None  # the driver's
 
 
 class Gauge:
     """What lines say of one server's delay, where it does not tell that itself. Thinned out to what the module
     uses: one word a second while messages take long, and the first that does not."""
+
     __slots__ = ("server", "enough", "every", "told_at", "long", "way", "answered")
 
     def __init__(self, server: Server, enough: int, every: int):
         self.server, self.enough, self.every = server, enough, every
         self.told_at, self.long = 0, False
-        self.way: int | None = None         # the shortest set-up seen: the network's part of a delay
-        self.answered = 0                   # when the latest line went out that something came back for
+        self.way: int | None = None  # the shortest set-up seen: the network's part of a delay
+        self.answered = 0  # when the latest line went out that something came back for
 
     def set_up(self, took: int) -> None:
         self.way = took if self.way is None else min(self.way, took)
@@ -104,31 +133,45 @@
 
 
 class Core:
-    def __init__(self, config: Config, drivers: Drivers, counters: Counters, now: int,
-                 policy: type[Balancer] = Balancer):
+    def __init__(
+        self,
+        config: Config,
+        drivers: Drivers,
+        counters: Counters,
+        now: int,
+        policy: type[Balancer] = Balancer,
+    ):
         self.limits, self.drivers, self.counters = config.limits, drivers, counters
         self.service_types, self.customers = config.service_types, config.customers
         self.groups = config.groups
         self.notes = Notes(config.tells_load, config.tells_delay, self.limits)
         self.balancer = policy(config.settings, config.seed, now)
         self.addresses: dict[int, Address] = {}
-        self.withheld: dict[int, tuple[int, Server, Address]] = {}      # believed from then on
+        self.withheld: dict[int, tuple[int, Server, Address]] = {}  # believed from then on
         self.gauges: dict[int, Gauge] = {}
         self.sessions: dict[Flow, Session] = {}
-        self.seen: OrderedDict[int, None] = OrderedDict()       # the latest ids, the oldest first
+        self.seen: OrderedDict[int, None] = OrderedDict()  # the latest ids, the oldest first
         self.timers: list[tuple[int, int, Callable, tuple]] = []
         self.entered = 0
         self.phase = Phase.SERVING
-        self.ready = False              # flows can be placed
-        self.close_at: int | None = None        # no flow is answered later: this process is drained or leaves
-        self.departures = 0             # rounds of moving all clients; a new one, or a call back, ends the one before
+        self.ready = False  # flows can be placed
+        self.close_at: int | None = (
+            None  # no flow is answered later: this process is drained or leaves
+        )
+        self.departures = (
+            0  # rounds of moving all clients; a new one, or a call back, ends the one before
+        )
         self.figures = Figures(self.service_types)
-        self.side = None                # what stands beside this process, where operators upgrade it under load
-        self.agreement = None           # what balancers have agreed, where they do (cypresswalk/fleet/)
-        self.lease: Callable[[], bool] | None = None        # there: whether this one may act now. Asked at each decision,
+        self.side = None  # what stands beside this process, where operators upgrade it under load
+        self.agreement = None  # what balancers have agreed, where they do (cypresswalk/fleet/)
+        self.lease: Callable[[], bool] | None = (
+            None  # there: whether this one may act now. Asked at each decision,
+        )
         # not by a timer: guards against a process that was frozen and wakes with a queue full of work.
-        self.claims = None              # ids that must not run twice lie on further machines (cypresswalk/copies/)
-        self.drained = False            # by hand; stays so over an upgrade
+        self.claims = (
+            None  # ids that must not run twice lie on further machines (cypresswalk/copies/)
+        )
+        self.drained = False  # by hand; stays so over an upgrade
         self.stopped = False
         self.hear(now)
 
@@ -136,9 +179,14 @@
 
     def opened(self, now: int, session: Session, opening: Opening) -> None:
         values, settings = opening.values, self.balancer.settings
-        kind, customer = self.service_types.get(values.get("c")), self.customers.get(values.get("t"), 0)
+        kind, customer = (
+            self.service_types.get(values.get("c")),
+            self.customers.get(values.get("t"), 0),
+        )
         wait = nanoseconds(float(values.get("d", 0)), "d")
-        unknown = kind is None or (values.get("t") not in self.customers if self.customers else "t" in values)
+        unknown = kind is None or (
+            values.get("t") not in self.customers if self.customers else "t" in values
+        )
         # Guards servers, and what is known of their health, against lines that they would turn away.
         if unknown or not 0 < wait <= WAITS_MOST * self.limits.longest and "at" not in values:
             return self.refuse(now, session, "opening_odd", line=opening.line(0)[:200])
@@ -153,8 +201,15 @@
             self.seen.popitem(last=False)
         if self.close_at is not None:
             until = min(until, self.close_at)
-        flow = Flow(ident, settings.service_types[kind], key, until, customer, grouped=bool(group),
-                    again=values.get("r") == "1" or values.get("again") == "1")
+        flow = Flow(
+            ident,
+            settings.service_types[kind],
+            key,
+            until,
+            customer,
+            grouped=bool(group),
+            again=values.get("r") == "1" or values.get("again") == "1",
+        )
         session.opening, session.flow = opening, flow
         if "at" in values:
             self.counters.add("flows_handed_over")
@@ -223,7 +278,7 @@
             self.sessions[flow] = session
             self.balancer.resumed(now, flow, leg.server)
         elif current(self.balancer, flow.id, leg.number) is not flow or now >= flow.until:
-            self.drivers.drop(leg)      # the timer that is due gives it up
+            self.drivers.drop(leg)  # the timer that is due gives it up
             return
         else:
             self.balancer.established(now, flow, now - leg.sent)
@@ -265,7 +320,9 @@
         if session.leg is not None and not session.standing:
             self.drivers.drop(session.leg)
         if self.claims is not None and flow is not None and not session.standing:
-            self.claims.finish(flow, "never" if flow.may_have_run is None and session.leg is None else "unknown")
+            self.claims.finish(
+                flow, "never" if flow.may_have_run is None and session.leg is None else "unknown"
+            )
         if flow is not None and self.sessions.pop(flow, None) is not None:
             self.counters.add("flows_left")
             self.balancer.left(now, flow)
@@ -287,7 +344,9 @@
         self.counters.add("delays")
         self.balancer.delay_told(now, server, delay)
 
-    def listed(self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool = False) -> None:
+    def listed(
+        self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool = False
+    ) -> None:
         self.counters.add("lists")
         if self.agreement is not None:
             form, entries = self.agreement.listed(now, form, entries)
@@ -298,7 +357,9 @@
             self.addresses[server.id] = address
         self.balancer.listed(now, form, [server for server, _ in entries])
         self.settle()
-        if form is not ListForm.DELTA or any(server.state is not State.READY for server, _ in entries):
+        if form is not ListForm.DELTA or any(
+            server.state is not State.READY for server, _ in entries
+        ):
             self.recall(now, lambda server: server.state is not State.READY)
 
     def recall(self, now: int, leaves: Callable[[Server], bool]) -> None:
@@ -306,13 +367,23 @@
         an operator's yes, since a dial takes its time."""
         for session in list(self.sessions.values()):
             leg = session.leg
-            if leg is not None and not session.standing and leaves(leg.server) and self.drivers.recall(leg):
+            if (
+                leg is not None
+                and not session.standing
+                and leaves(leg.server)
+                and self.drivers.recall(leg)
+            ):
                 self.ended(now, leg, Outcome.MOOT)
 
     def settle(self) -> None:
         # Of two processes at one door the elder says yes for both: guards against a front that hears a no in between.
         beside = self.side is not None and self.side.other is not None
-        here = self.phase is Phase.SERVING or self.phase is Phase.LEAVING and beside and not self.drained
+        here = (
+            self.phase is Phase.SERVING
+            or self.phase is Phase.LEAVING
+            and beside
+            and not self.drained
+        )
         self.ready = here and self.placeable() > 0
 
     def may_act(self) -> bool:
@@ -339,8 +410,12 @@
         """Whether an older list brings back, without a start since, a server that drains or is gone: that waits until the
         address has caught up. Guards against new flows there after all; of two addresses the newer may know less."""
         known = self.balancer.servers.get(server.id)
-        back = (known is not None and known.state is not State.READY and server.state is State.READY
-                and server.since <= known.since)
+        back = (
+            known is not None
+            and known.state is not State.READY
+            and server.state is State.READY
+            and server.since <= known.since
+        )
         if back:
             self.withheld[server.id] = now + self.limits.list_settles, server, address
             self.at(now + self.limits.list_settles, self.believe, server.id)
@@ -354,8 +429,13 @@
     def taken_back(self, entries: list[tuple[Server, Address]]) -> list[tuple[Server, Address]]:
         """Of an address's last words those that have servers drain or go, but for such as have started again since."""
         known = self.balancer.servers
-        return [(server, address) for server, address in entries
-                if server.state is not State.READY and server.id in known and server.since >= known[server.id].since]
+        return [
+            (server, address)
+            for server, address in entries
+            if server.state is not State.READY
+            and server.id in known
+            and server.since >= known[server.id].since
+        ]
 
     def list_failed(self, now: int) -> None:
         self.counters.add("lists_failed")
@@ -430,7 +510,7 @@
                 case Move(flow):
                     self.move(now, flow)
                 case Probe() if self.succeeded():
-                    pass        # the other process probes for both
+                    pass  # the other process probes for both
                 case Probe(server):
                     self.counters.add("probes_sent")
                     self.drivers.probe(server, self.addresses[server.id])
@@ -445,8 +525,9 @@
     def connect(self, now: int, session: Session, server: Server, number: int, until: int) -> None:
         gauge = self.gauges.get(server.id)
         if gauge is None:
-            gauge = self.gauges[server.id] = Gauge(server, max(self.limits.delay_long, self.limits.own_delay),
-                                                    self.limits.told_every)
+            gauge = self.gauges[server.id] = Gauge(
+                server, max(self.limits.delay_long, self.limits.own_delay), self.limits.told_every
+            )
         flow = session.flow
         latest = until if flow.may_have_run is None else min(until, flow.repeats_until())
         leg = session.leg = Leg(session, server, number, now, latest, gauge)
@@ -458,9 +539,14 @@
     def end(self, now: int, session: Session, line: bytes) -> None:
         session.over = True
         if self.claims is not None and session.flow is not None:
-            self.claims.finish(session.flow, "never" if session.flow.may_have_run is None and session.leg is None else "unknown")
+            self.claims.finish(
+                session.flow,
+                "never" if session.flow.may_have_run is None and session.leg is None else "unknown",
+            )
         if session.flow is not None:
-            self.figures.ended("faulted" if line == FAILED else "throttled", session.opening.values["c"])
+            self.figures.ended(
+                "faulted" if line == FAILED else "throttled", session.opening.values["c"]
+            )
         self.drivers.answer(session, line)
         self.at(now + self.limits.linger, self.close, session)
 
@@ -486,7 +572,12 @@
         # the balancer before this one is often away still, with nobody to go to.
         # One that stands beside this one is there: the longer the moves take, the less they press on anyone.
         beside = self.side is not None and self.side.other is not None
-        self.depart(now, Phase.LEAVING, self.limits.leave_first if beside else max(span // 2, self.limits.leave_first), span)
+        self.depart(
+            now,
+            Phase.LEAVING,
+            self.limits.leave_first if beside else max(span // 2, self.limits.leave_first),
+            span,
+        )
         self.drivers.close_door(self.close_at)
         if self.side is not None:
             self.side.hand_over(now)
@@ -496,7 +587,13 @@
         self.departures += 1
         self.settle()
         standing = sum(session.standing for session in self.sessions.values())
-        log.info(event("stop" if phase is Phase.LEAVING else "drain", standing=standing, seconds=span / SECOND))
+        log.info(
+            event(
+                "stop" if phase is Phase.LEAVING else "drain",
+                standing=standing,
+                seconds=span / SECOND,
+            )
+        )
         for flow, session in self.sessions.items():
             if not session.standing and flow.until > self.close_at:
                 flow.until = self.close_at
@@ -556,7 +653,9 @@
             log.info(event("call", call=call.name, server=call.server, refused=why or "no"))
         call.answers.put(b"ERR " + why.encode() + b"\r\n" if why else b"OK\r\n")
 
-    def obey(self, now: int, call: Call, forwarded: bool = False, known: bool = False) -> str | None:
+    def obey(
+        self, now: int, call: Call, forwarded: bool = False, known: bool = False
+    ) -> str | None:
         """Why not, if not. `forwarded`: it was called at the process beside this one, whose list names the server if it is
         `known`; that process answers for both."""
         match call.name:
@@ -564,12 +663,17 @@
                 beside = self.phase is Phase.STARTING and self.side.informed and not self.drained
                 if (beside or self.phase is Phase.SERVING) and self.placeable() and self.may_act():
                     return None
-                return (f"{self.phase.value}, {self.placeable()} servers to place flows on"
-                        + ("" if self.may_act() else ", no lease of the fleet's"))
+                return f"{self.phase.value}, {self.placeable()} servers to place flows on" + (
+                    "" if self.may_act() else ", no lease of the fleet's"
+                )
             case "set-down-here" | "set-up-here" | "drain-on-here" if self.agreement is None:
                 return "balancers agree on nothing here; set-down and set-up are this one's alone"
             case "drain-on" | "drain-on-here" | "drain-off" if self.phase is Phase.LEAVING:
-                return None if forwarded or self.side is not None and self.side.other else "this process is leaving"
+                return (
+                    None
+                    if forwarded or self.side is not None and self.side.other
+                    else "this process is leaving"
+                )
             case "drain-on" | "drain-on-here" | "drain-off" if self.phase is Phase.STARTING:
                 self.drained = call.name != "drain-off"
             case "drain-on" | "drain-on-here":
@@ -588,7 +692,9 @@
                     # The other process knows it already; until this one's list names it, it is gone and out.
                     self.balancer.listed(now, ListForm.DELTA, [Server(id=number, state=State.GONE)])
                 server = self.balancer.servers[number]
-                self.bar(now, server) if call.name.startswith("set-down") else self.unbar(now, server)
+                self.bar(now, server) if call.name.startswith("set-down") else self.unbar(
+                    now, server
+                )
         return None
 
     def placeable(self) -> int:
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -25,17 +25,25 @@
     Where it must be asked for, the module says when, but what can be heard waits for nobody longer than `list_told` allows.
     Once another address has taken its place it only has what is taken back: a drain that it told stays told."""
 
-    def __init__(self, address: Address, registry: Registry, core: Core, inbox: Inbox, limits: Limits,
-                 asked: bool, floor: int = 0):
-        self.floor = floor              # the version that the address before had reached
+    def __init__(
+        self,
+        address: Address,
+        registry: Registry,
+        core: Core,
+        inbox: Inbox,
+        limits: Limits,
+        asked: bool,
+        floor: int = 0,
+    ):
+        self.floor = floor  # the version that the address before had reached
         self.address, self.registry, self.core, self.inbox = address, registry, core, inbox
         self.limits, self.asked = limits, asked
-        self.wanted = Event()           # there is reason to call now
+        self.wanted = Event()  # there is reason to call now
         self.jitter = random.Random(core.balancer.seed)
-        self.heard = False              # something came on the latest connection
-        self.due = 0                    # when the connection counts as broken if no more has come whole
+        self.heard = False  # something came on the latest connection
+        self.due = 0  # when the connection counts as broken if no more has come whole
         self.gate, self.sock = Lock(), None
-        self.ended = False              # set by the deciding thread, which asks it at each word from here
+        self.ended = False  # set by the deciding thread, which asks it at each word from here
 
     def run(self) -> None:
         pause, again = self.limits.list_retry, False
@@ -53,10 +61,18 @@
                     why = error or type(error).__name__
                     log.warning(event("list_failed", why=why, version=self.registry.version))
             self.inbox.post(self.fail)
-            pause = self.limits.list_retry if self.heard else min(2 * pause, self.limits.list_retry_most)
+            pause = (
+                self.limits.list_retry
+                if self.heard
+                else min(2 * pause, self.limits.list_retry_most)
+            )
             # A watch that fell silent has used up most of the time in which a change must be known.
-            wait = 0 if silent and self.heard else self.limits.list_retry_most if self.asked else pause
-            again = not self.ended and not self.wanted.wait(wait * self.jitter.uniform(0.7, 1.3) / SECOND)
+            wait = (
+                0 if silent and self.heard else self.limits.list_retry_most if self.asked else pause
+            )
+            again = not self.ended and not self.wanted.wait(
+                wait * self.jitter.uniform(0.7, 1.3) / SECOND
+            )
 
     def follow(self) -> None:
         self.heard = False
@@ -71,7 +87,9 @@
                         return
                     self.sock = sock
                 sock.settimeout(self.left())
-                sock.sendall(request(host, f"/registry/instances?follow=1&since={self.registry.version}"))
+                sock.sendall(
+                    request(host, f"/registry/instances?follow=1&since={self.registry.version}")
+                )
                 self.read(sock)
             finally:
                 with self.gate:
@@ -103,7 +121,9 @@
 
     # By the deciding thread.
 
-    def tell(self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool) -> None:
+    def tell(
+        self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool
+    ) -> None:
         if self.ended:
             # It was read before its end, or just then: what it takes back binds, the rest is for the new address to say.
             form, entries = ListForm.DELTA, self.core.taken_back(entries)
@@ -126,5 +146,5 @@
                 try:
                     self.sock.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    pass        # the other side was first
+                    pass  # the other side was first
         self.wanted.set()
--- a/cypresswalk/net/figures.py
+++ b/cypresswalk/net/figures.py
@@ -5,7 +5,7 @@
 
 from cypresswalk.model import State
 
-ENDS = ("fulfilled", "throttled", "faulted")        # brought up, refused, failed
+ENDS = ("fulfilled", "throttled", "faulted")  # brought up, refused, failed
 
 
 class Figures:
@@ -25,7 +25,8 @@
             "relayed": core.counters.counts["connects_written"],
             "open_requests": len(core.sessions),
             "registry_entries": len(listed),
-            "out_of_rotation": sum(balancer.avoided(now, server) for server in listed)}
+            "out_of_rotation": sum(balancer.avoided(now, server) for server in listed),
+        }
 
     def text(self, now: int, core: object) -> bytes:
         return json.dumps(self.told(now, core), separators=(",", ":")).encode() + b"\r\nEND\r\n"
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -25,7 +25,7 @@
 from cypresswalk.net.registry import server_number
 
 VERSION = 1
-CHUNK = 200             # servers, or ids by the tenfold, in one message: well under the longest line
+CHUNK = 200  # servers, or ids by the tenfold, in one message: well under the longest line
 COUNTS = ("since", "health", "misses", "errors", "failed", "answers")
 TIMES = ("trial_at", "strain_at", "full_until", "cut_at", "told_at", "barred_at")
 FLAGS = ("known", "fresh", "barred", "owed")
@@ -58,22 +58,44 @@
     balancer = core.balancer
     list_address, version = drivers.list_at()
     agreed = {} if core.agreement is None else {"agreed": core.agreement.handed()}
-    yield {"state": agreed | {"now": now, "list": list_address, "version": version, "drained": core.drained,
-                     "started": balancer.started, "sums": {name: fading(getattr(balancer, name)) for name in OWN_SUMS}}}
-    told = [server_told(server, core, drivers) for server in balancer.servers.values() if server.id in core.addresses]
+    yield {
+        "state": agreed
+        | {
+            "now": now,
+            "list": list_address,
+            "version": version,
+            "drained": core.drained,
+            "started": balancer.started,
+            "sums": {name: fading(getattr(balancer, name)) for name in OWN_SUMS},
+        }
+    }
+    told = [
+        server_told(server, core, drivers)
+        for server in balancer.servers.values()
+        if server.id in core.addresses
+    ]
     for start in range(0, len(told), CHUNK):
-        yield {"servers": told[start:start + CHUNK]}
+        yield {"servers": told[start : start + CHUNK]}
     ids = list(core.seen)
     for start in range(0, len(ids), 10 * CHUNK):
-        yield {"ids": ids[start:start + 10 * CHUNK]}
+        yield {"ids": ids[start : start + 10 * CHUNK]}
     yield {"end": True}
 
 
 def server_told(server: Server, core: Core, drivers: Drivers) -> dict:
     told = {name: getattr(server, name) for name in COUNTS + TIMES + FLAGS + PARTS}
-    return told | {name: fading(getattr(server, name)) for name in SUMS} | {
-        "name": drivers.names()[server.id], "address": "%s:%d" % core.addresses[server.id], "zone": server.zone,
-        "cell": server.cell, "weight": server.weight, "state": server.state.value}
+    return (
+        told
+        | {name: fading(getattr(server, name)) for name in SUMS}
+        | {
+            "name": drivers.names()[server.id],
+            "address": "%s:%d" % core.addresses[server.id],
+            "zone": server.zone,
+            "cell": server.cell,
+            "weight": server.weight,
+            "state": server.state.value,
+        }
+    )
 
 
 class Told:
@@ -89,11 +111,33 @@
     def read(self) -> tuple[list[tuple[Server, Address, str, dict]], list[int], dict[str, list]]:
         """Raises ProtocolError where anything in it is odd."""
         try:
-            int(self.state["now"]), int(self.state["version"]), str(self.state["list"]), int(self.state["started"])
-            sums = {name: pair(self.state["sums"][name]) for name in OWN_SUMS if name in self.state["sums"]}
-            return [server_read(told) for told in self.servers], [int(ident) for ident in self.ids], sums
-        except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as error:
-            raise ProtocolError(f"what the other process told: {type(error).__name__} {error}") from None
+            (
+                int(self.state["now"]),
+                int(self.state["version"]),
+                str(self.state["list"]),
+                int(self.state["started"]),
+            )
+            sums = {
+                name: pair(self.state["sums"][name])
+                for name in OWN_SUMS
+                if name in self.state["sums"]
+            }
+            return (
+                [server_read(told) for told in self.servers],
+                [int(ident) for ident in self.ids],
+                sums,
+            )
+        except (
+            KeyError,
+            TypeError,
+            ValueError,
+            AttributeError,
+            OverflowError,
+            ConfigError,
+        ) as error:
+            raise ProtocolError(
+                f"what the other process told: {type(error).__name__} {error}"
+            ) from None
 
 
 def pair(sum_: list) -> tuple[float, int]:
@@ -105,16 +149,29 @@
 
 def server_read(told: dict) -> tuple[Server, Address, str, dict]:
     number = server_number(told["name"])
-    server = Server(id=number, zone=int(told["zone"]), cell=int(told["cell"]), weight=float(told["weight"]),
-                    since=int(told["since"]), state=State(told["state"]))
+    server = Server(
+        id=number,
+        zone=int(told["zone"]),
+        cell=int(told["cell"]),
+        weight=float(told["weight"]),
+        since=int(told["since"]),
+        state=State(told["state"]),
+    )
     known = {name: int(told[name]) for name in COUNTS + TIMES if name in told}
     known |= {name: told[name] is True for name in FLAGS if name in told}
     known |= {name: float(told[name]) for name in PARTS if name in told}
-    if min(known.get(name, 0) for name in COUNTS + PARTS) < 0 or math.isnan(known.get("limit", 0)) \
-            or not 0 < server.weight < math.inf:
+    if (
+        min(known.get(name, 0) for name in COUNTS + PARTS) < 0
+        or math.isnan(known.get("limit", 0))
+        or not 0 < server.weight < math.inf
+    ):
         raise ValueError(f"{told['name']}: a figure out of its range")
-    return server, address(told["address"], "address"), told["name"], known | {
-        name: pair(told[name]) for name in SUMS if name in told}
+    return (
+        server,
+        address(told["address"], "address"),
+        told["name"],
+        known | {name: pair(told[name]) for name in SUMS if name in told},
+    )
 
 
 def believe(now: int, core: Core, drivers: Drivers, told: Told) -> None:
@@ -126,10 +183,20 @@
     newer_here = list_address == told.state["list"] and version > told.state["version"]
     for server, _, name, _ in servers:
         drivers.names()[server.id] = name
-    core.addresses |= {server.id: where for server, where, _, _ in servers if server.id not in core.addresses}
-    balancer.listed(now, ListForm.DELTA, [
-        server for server, *_ in servers
-        if (here := balancer.servers.get(server.id)) is None or here.since <= server.since and not newer_here])
+    core.addresses |= {
+        server.id: where for server, where, _, _ in servers if server.id not in core.addresses
+    }
+    balancer.listed(
+        now,
+        ListForm.DELTA,
+        [
+            server
+            for server, *_ in servers
+            if (here := balancer.servers.get(server.id)) is None
+            or here.since <= server.since
+            and not newer_here
+        ],
+    )
     for server, _, _, known in servers:
         here = balancer.servers[server.id]
         # Out by hand is a fact whatever else is newer.
@@ -147,7 +214,7 @@
     balancer.spent_elsewhere(now)
     balancer.started = min(told.state["started"] + later, now)
     balancer.stale = True
-    for ident in ids[-core.limits.ids:]:
+    for ident in ids[-core.limits.ids :]:
         core.seen[ident] = None
     core.settle()
 
@@ -158,16 +225,18 @@
     def __init__(self, core: Core, drivers: Drivers, elder: Other | None = None):
         self.core, self.drivers = core, drivers
         self.other = elder
-        self.younger = elder is not None        # waits for the elder to hand over
+        self.younger = elder is not None  # waits for the elder to hand over
         if self.younger:
             core.phase = Phase.STARTING
             core.settle()
         self.told: Told | None = None
-        self.informed = False           # a whole state has been read
-        self.succeeded = False          # the other accepts clients in this process's place
-        self.held = 0                   # flows that the other holds still, of what both may hold
+        self.informed = False  # a whole state has been read
+        self.succeeded = False  # the other accepts clients in this process's place
+        self.held = 0  # flows that the other holds still, of what both may hold
         self.held_told = -1
-        self.asked: dict[int, tuple[Call, str | None]] = {}     # calls that the other has not confirmed
+        self.asked: dict[
+            int, tuple[Call, str | None]
+        ] = {}  # calls that the other has not confirmed
         self.asked_last = 0
 
     # The elder.
@@ -227,8 +296,18 @@
                 self.tell_held()
             case {"held": int(held)}:
                 self.held = held
-            case {"call": int(number), "name": str(name), "server": str(server), "known": bool(known)}:
-                other.send({"done": number, "why": self.core.obey(now, Call(name, server), forwarded=True, known=known)})
+            case {
+                "call": int(number),
+                "name": str(name),
+                "server": str(server),
+                "known": bool(known),
+            }:
+                other.send(
+                    {
+                        "done": number,
+                        "why": self.core.obey(now, Call(name, server), forwarded=True, known=known),
+                    }
+                )
             case {"done": int(number), "why": why} if number in self.asked:
                 self.confirmed(now, number, why)
 
@@ -259,7 +338,14 @@
             return False
         self.asked_last += 1
         self.asked[self.asked_last] = call, why
-        self.other.send({"call": self.asked_last, "name": call.name, "server": call.server, "known": why is None})
+        self.other.send(
+            {
+                "call": self.asked_last,
+                "name": call.name,
+                "server": call.server,
+                "known": why is None,
+            }
+        )
         self.core.at(now + self.core.limits.call_beside, self.late, self.asked_last)
         return True
 
--- a/cypresswalk/net/http.py
+++ b/cypresswalk/net/http.py
@@ -6,6 +6,7 @@
 
 class Answer:
     """Is fed bytes and gives those of the body. `over` once the body has ended."""
+
     HEAD, SIZE, CHUNK, CHUNK_END, TRAILER, BODY, OVER = range(7)
 
     def __init__(self, longest: int):
@@ -62,7 +63,7 @@
             words = line.split(b" ", 2)
             if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
                 raise ProtocolError(f"no HTTP answer: {line[:60]!r}")
-            self.status, self.left = number(words[1], 10), -1       # without a length: up to the end
+            self.status, self.left = number(words[1], 10), -1  # without a length: up to the end
         elif line:
             name, _, value = line.partition(b":")
             name, value = name.strip().lower(), value.strip().lower()
--- a/cypresswalk/net/inbox.py
+++ b/cypresswalk/net/inbox.py
@@ -18,7 +18,7 @@
     def __init__(self, clock: Clock):
         self.clock = clock
         self.queue: SimpleQueue = SimpleQueue()
-        self.calls: SimpleQueue = SimpleQueue()     # what operators ask, ahead of all that waits
+        self.calls: SimpleQueue = SimpleQueue()  # what operators ask, ahead of all that waits
 
     def post(self, call: Callable, *words: object) -> None:
         """The call is made with the time of this moment, by the deciding thread."""
@@ -27,19 +27,20 @@
     def first(self, call: Callable, *words: object) -> None:
         """Before all that waits. Guards against an operator's call behind a crowd's events: a caller waits a second."""
         self.calls.put((call, words))
-        self.post(nothing)      # whoever waits on the other queue wakes up
+        self.post(nothing)  # whoever waits on the other queue wakes up
 
 
 def nothing(now: int) -> None:
     pass
 
 
-starting = threading.Lock()     # the stack size is the interpreter's, not the call's
+starting = threading.Lock()  # the stack size is the interpreter's, not the call's
 
 
 def start_thread(run: Callable[[], None], again_after: int = 0, stack: int = 0) -> None:
     """On the usual small stack if none is named. Where a pause is given, a run that failed in an unforeseen way
     is begun anew after it: guards against a balancer that lives on but accepts nobody, or follows no list."""
+
     def guarded():
         while True:
             try:
@@ -49,6 +50,7 @@
             if not again_after:
                 return
             time.sleep(again_after / SECOND)
+
     with starting:
         usual = threading.stack_size(stack) if stack else 0
         try:
--- a/cypresswalk/net/lines.py
+++ b/cypresswalk/net/lines.py
@@ -12,6 +12,7 @@
 
 class Lines:
     """Is fed bytes and gives lines: one by one, or all whole ones at once."""
+
     __slots__ = ("buffer", "longest", "scanned")
 
     def __init__(self, longest: int):
@@ -45,6 +46,7 @@
 @dataclass(slots=True)
 class Opening:
     """A client's first line: words in their order, so that it can be sent on with another `d`."""
+
     ident: str
     key: str
     values: dict[str, str]
@@ -57,7 +59,9 @@
 
 
 NAME = re.compile(r"[0-9A-Za-z._:-]{1,64}")
-VALUE = re.compile(r"[!-+.-~-]+")       # what can be printed, but no blank and no comma: those part words and values
+VALUE = re.compile(
+    r"[!-+.-~-]+"
+)  # what can be printed, but no blank and no comma: those part words and values
 
 NUMBER, FLAG = re.compile(r"[0-9]{1,12}([.][0-9]{1,12})?"), re.compile(r"[01]")
 FORMS = {"d": NUMBER, "h": NUMBER, "g": NAME, "at": NAME, "r": FLAG, "again": FLAG}
@@ -69,12 +73,20 @@
         words = line.decode("ascii").split(" ")
     except UnicodeDecodeError:
         raise ProtocolError("a first line that is not ASCII") from None
-    if len(words) not in (3, 4) or words[0] != "OPEN" or not all(NAME.fullmatch(word) for word in words[1:3]):
+    if (
+        len(words) not in (3, 4)
+        or words[0] != "OPEN"
+        or not all(NAME.fullmatch(word) for word in words[1:3])
+    ):
         raise ProtocolError(f"a first line that is no OPEN: {line[:60]!r}")
     values = {}
     for pair in words[3].split(",") if len(words) == 4 else []:
         name, _, value = pair.partition("=")
-        if name in values or not NAME.fullmatch(name) or not FORMS.get(name, VALUE).fullmatch(value):
+        if (
+            name in values
+            or not NAME.fullmatch(name)
+            or not FORMS.get(name, VALUE).fullmatch(value)
+        ):
             raise ProtocolError(f"a first line with {pair[:60]!r} in its list")
         values[name] = value
     return Opening(words[1], words[2], values)
--- a/cypresswalk/net/link.py
+++ b/cypresswalk/net/link.py
@@ -8,7 +8,9 @@
 from cypresswalk.net.config import Address
 from cypresswalk.net.limits import Limits
 
-OTHER_END_CLOSED = frozenset((6, 7, 8, 9, 11))      # Linux: TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
+OTHER_END_CLOSED = frozenset(
+    (6, 7, 8, 9, 11)
+)  # Linux: TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
 AT_ONCE = struct.pack("ii", 1, 0)
 
 
@@ -33,11 +35,12 @@
 class Link:
     """A descriptor may be given out anew the moment it is closed: nobody may be about to use it then. Writing
     takes `busy`, which may be held long; closing and ending take `gate`, which is held for a moment only."""
+
     __slots__ = ("sock", "busy", "gate", "done")
 
     def __init__(self, sock: socket.socket, limits: Limits):
         self.sock, self.busy, self.gate = sock, Lock(), Lock()
-        self.done = Event()         # its reader has come to the end
+        self.done = Event()  # its reader has come to the end
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
@@ -56,7 +59,7 @@
             try:
                 self.sock.send(data, socket.MSG_DONTWAIT)
             except OSError:
-                pass        # the client is gone; its reader tells
+                pass  # the client is gone; its reader tells
 
     def has_come(self) -> bool:
         """Whether something waits to be read, were it the end."""
--- a/cypresswalk/net/logs.py
+++ b/cypresswalk/net/logs.py
@@ -40,7 +40,11 @@
 def quoted(value: object) -> str:
     text = str(value)
     plain = text and all(c.isprintable() and c not in ' "=' for c in text)
-    return text if plain else '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
+    return (
+        text
+        if plain
+        else '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
+    )
 
 
 def event(name: str, **values: object) -> str:
--- a/cypresswalk/net/notes.py
+++ b/cypresswalk/net/notes.py
@@ -14,7 +14,7 @@
 
     def __init__(self):
         self.first = True
-        self.lately: list[tuple[int, float, bool]] = []     # when, the number, whether it was a delay
+        self.lately: list[tuple[int, float, bool]] = []  # when, the number, whether it was a delay
 
 
 class Notes:
@@ -27,9 +27,13 @@
 
     def __init__(self, loads: bool, delays: bool, limits: Limits):
         self.loads, self.delays = loads, delays
-        self.every, self.jitter, self.longest = limits.told_every, limits.told_jitter, limits.longest
-        self.least = math.inf           # the smallest first load of any connection
-        self.using = Lock()             # every server's thread reads by it
+        self.every, self.jitter, self.longest = (
+            limits.told_every,
+            limits.told_jitter,
+            limits.longest,
+        )
+        self.least = math.inf  # the smallest first load of any connection
+        self.using = Lock()  # every server's thread reads by it
 
     def delay(self, told: Told, now: int, line: bytes) -> int | None:
         """The delay that the line tells, None if it tells something else."""
@@ -47,16 +51,22 @@
                 self.least = min(self.least, number or math.inf)
             return False
         grown = number - self.every / MILLISECOND
-        paced = any(abs(now - at - self.every) <= self.jitter and (was_delay or grown <= before)
-                    for at, before, was_delay in told.lately)
-        delay = 0 < number < self.least / FAR_BELOW or paced and number <= self.longest / MILLISECOND
+        paced = any(
+            abs(now - at - self.every) <= self.jitter and (was_delay or grown <= before)
+            for at, before, was_delay in told.lately
+        )
+        delay = (
+            0 < number < self.least / FAR_BELOW or paced and number <= self.longest / MILLISECOND
+        )
         told.lately = [note for note in told.lately if now - note[0] <= self.every + self.jitter]
         if number <= self.longest / MILLISECOND:
             told.lately.append((now, number, delay))
         return delay
 
 
-FAR_BELOW = 2       # the smallest of a few dozen loads is seldom beaten by as much; a growing delay begins there
+FAR_BELOW = (
+    2  # the smallest of a few dozen loads is seldom beaten by as much; a growing delay begins there
+)
 
 
 def load_number(line: bytes) -> float | None:
--- a/cypresswalk/net/peers.py
+++ b/cypresswalk/net/peers.py
@@ -15,8 +15,16 @@
 
 
 class Peers:
-    def __init__(self, listen: Address, everyone: Address | None, core: Core, inbox: Inbox, limits: Limits,
-                 shared: bool = False, sock: socket.socket | None = None):
+    def __init__(
+        self,
+        listen: Address,
+        everyone: Address | None,
+        core: Core,
+        inbox: Inbox,
+        limits: Limits,
+        shared: bool = False,
+        sock: socket.socket | None = None,
+    ):
         """`shared`: another process may hold the same address, and `sock` may be the one that it passed on."""
         self.everyone, self.core, self.inbox, self.limits = everyone, core, inbox, limits
         self.reading = True
--- a/cypresswalk/net/probes.py
+++ b/cypresswalk/net/probes.py
@@ -96,7 +96,11 @@
     """`qps=3.1,x0=0.5` in the order of the settings' fields, or the numbers alone in that order; none where one is
     missing or odd."""
     named = [word.rpartition("=")[::2] for word in text.replace(",", " ").split()]
-    values = dict(named) if all(name for name, _ in named) else dict(zip(fields, (value for _, value in named)))
+    values = (
+        dict(named)
+        if all(name for name, _ in named)
+        else dict(zip(fields, (value for _, value in named)))
+    )
     try:
         return [float(values[field]) for field in fields]
     except (KeyError, ValueError):
--- a/cypresswalk/net/registry.py
+++ b/cypresswalk/net/registry.py
@@ -58,8 +58,11 @@
             raise ValueError(f"its number is that of {self.names[number]}")
         cell = item.get("cell") or 0
         server = Server(
-            id=number, zone=self.zones.get(item.get("zone"), -1),
+            id=number,
+            zone=self.zones.get(item.get("zone"), -1),
             cell=cell if isinstance(cell, int) else number_of(cell),
             weight=sound_weight(float(item.get("weight") or 1.0)),
-            since=max(nanoseconds(item.get("startedAtMs") or 0, "startedAtMs"), 0), state=state)
+            since=max(nanoseconds(item.get("startedAtMs") or 0, "startedAtMs"), 0),
+            state=state,
+        )
         return server, address(item["hostPort"], "hostPort")
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -14,27 +14,45 @@
 from cypresswalk.net.link import Link, dial, pass_end_on
 from cypresswalk.net.notes import Told, load_number
 
-FIRST = {b"BUSY": Outcome.FULL, b"ERR": Outcome.ERROR, b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED}
+FIRST = {
+    b"BUSY": Outcome.FULL,
+    b"ERR": Outcome.ERROR,
+    b"BYE": Outcome.OK,
+    b"MOVE": Outcome.CANCELLED,
+}
 
 
-UP = re.compile(rb"UP [!-~][ -~]*")      # with its receipt: one without is no server's yes
-OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+UP = re.compile(rb"UP [!-~][ -~]*")  # with its receipt: one without is no server's yes
+OWN_SHORTAGE = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
 
 
 class ServerLink:
     """One connect to a server; its thread runs `run`."""
 
-    def __init__(self, leg: Leg, address: Address, line: bytes, core: Core, inbox: Inbox, limits: Limits, places: Semaphore):
-        self.places = places            # how many may be connected or dialing at once
+    def __init__(
+        self,
+        leg: Leg,
+        address: Address,
+        line: bytes,
+        core: Core,
+        inbox: Inbox,
+        limits: Limits,
+        places: Semaphore,
+    ):
+        self.places = places  # how many may be connected or dialing at once
         self.leg, self.address, self.opening = leg, address, line
         self.core, self.inbox, self.limits = core, inbox, limits
         self.client, self.told = leg.session.link, Told()
         self.lines = Lines(limits.line)
         self.link: Link | None = None
-        self.sending = Lock()           # the first line goes out, or the connect was dropped before. Never held over a
+        self.sending = (
+            Lock()
+        )  # the first line goes out, or the connect was dropped before. Never held over a
         # write: guards the deciding thread against a server that reads nothing
         self.dropped = self.moved = self.sent = False
-        self.verdict = Lock()           # held until the core has said whether UP is passed on
+        self.verdict = Lock()  # held until the core has said whether UP is passed on
         self.verdict.acquire()
 
     def run(self) -> None:
@@ -113,7 +131,7 @@
         try:
             self.link.sock.sendall(self.opening)
         except OSError:
-            self.end(Outcome.CONNECT_FAILED)        # the last byte never went out
+            self.end(Outcome.CONNECT_FAILED)  # the last byte never went out
             return False
         self.core.counters.add("connects_written")
         return True
--- a/cypresswalk/net/values.py
+++ b/cypresswalk/net/values.py
@@ -6,10 +6,10 @@
 from cypresswalk.net.buffer import Buffer
 from cypresswalk.net.lines import ProtocolError
 
-DEEPEST = 32            # a list is four deep; decoding takes stack by the level
+DEEPEST = 32  # a list is four deep; decoding takes stack by the level
 BLANK, LINE_END, OPENING = b" \t\r\n", ord("\n"), ord("{")
 OUTSIDE, INSIDE = re.compile(rb'["{}\[\]]'), re.compile(rb'["\\]')
-EMPTY = object()        # a line without text: the beat while nothing changes
+EMPTY = object()  # a line without text: the beat while nothing changes
 
 
 class Values:
@@ -20,7 +20,7 @@
         self.buffer, self.longest = Buffer(), longest
         self.scanned = self.depth = 0
         self.quoted = False
-        self.line_open = False          # text came on the line that the stream is on
+        self.line_open = False  # text came on the line that the stream is on
 
     def feed(self, data: bytes) -> None:
         self.buffer.add(data)
@@ -50,9 +50,9 @@
             return None
         data, start = self.buffer.data, self.buffer.start
         try:
-            value = json.loads(data[start:start + end])
+            value = json.loads(data[start : start + end])
         except (ValueError, RecursionError):
-            return None         # not a whole one, or more than one: the brackets tell
+            return None  # not a whole one, or more than one: the brackets tell
         if not isinstance(value, dict):
             return None
         self.buffer.take(end)
@@ -63,14 +63,14 @@
         """On to the bracket that closes the object."""
         data, start = self.buffer.data, self.buffer.start
         if data[start] != OPENING:
-            raise ProtocolError(f"no object: {bytes(data[start:start + 60])!r}")
+            raise ProtocolError(f"no object: {bytes(data[start : start + 60])!r}")
         at = start + self.scanned
         while found := (INSIDE if self.quoted else OUTSIDE).search(data, at):
             at, what = found.end(), found.group()
             if what == b'"':
                 self.quoted = not self.quoted
             elif what == b"\\":
-                if at == len(data):         # what it escapes is still to come
+                if at == len(data):  # what it escapes is still to come
                     at -= 1
                     break
                 at += 1
--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -42,16 +42,24 @@
 
 class StateTable(toml.Table):
     """`[state]`: knowledge that outlasts restarts (docs/operators/state.md)."""
+
     folder: Folder
-    every_s: float = Field(5, ge=0.2, le=600)       # between two generations
+    every_s: float = Field(5, ge=0.2, le=600)  # between two generations
 
 
 class CopiesTable(toml.Table):
     """`[fleet.copies]`: ids of flows that must not run twice lie on further machines (docs/operators/fleet.md)."""
-    copies: int = Field(3, ge=1, le=7)          # holders of each part of the ids, in as many zones as there are
-    least: int = Field(2, ge=1, le=7)           # fewer holders grant nothing
-    most_ids: int = Field(1_000_000, ge=1_000, le=20_000_000)   # here: 250 bytes of memory each, twice as many where others hold less
-    share: float = Field(0.5, gt=0, le=1)       # of a flow's setup target: so long it waits for its claim
+
+    copies: int = Field(
+        3, ge=1, le=7
+    )  # holders of each part of the ids, in as many zones as there are
+    least: int = Field(2, ge=1, le=7)  # fewer holders grant nothing
+    most_ids: int = Field(
+        1_000_000, ge=1_000, le=20_000_000
+    )  # here: 250 bytes of memory each, twice as many where others hold less
+    share: float = Field(
+        0.5, gt=0, le=1
+    )  # of a flow's setup target: so long it waits for its claim
 
     @model_validator(mode="after")
     def fits(self) -> "CopiesTable":
@@ -62,17 +70,18 @@
 
 class FleetTable(toml.Table):
     """`[fleet]`: balancers that agree (docs/operators/fleet.md)."""
-    fleet: Name                         # the same at all its balancers
-    name: Name                          # this one's, no other's
-    address: Place                      # where the others reach it
-    folder: Folder                      # its own, on a disk that flushes
+
+    fleet: Name  # the same at all its balancers
+    name: Name  # this one's, no other's
+    address: Place  # where the others reach it
+    folder: Folder  # its own, on a disk that flushes
     zone: str = Field("", max_length=63)
-    first: dict[Name, Place]            # the members that begin the group: the same at all
-    stated_s: float = Field(5, ge=1, le=60)         # no two act on contradicting versions for longer
+    first: dict[Name, Place]  # the members that begin the group: the same at all
+    stated_s: float = Field(5, ge=1, le=60)  # no two act on contradicting versions for longer
     without_lease: Literal["refuse", "hold"] = "refuse"
-    listen: Place | None = None         # where it listens, if that is not `address`
+    listen: Place | None = None  # where it listens, if that is not `address`
     copies: CopiesTable | None = None
-    via: dict[Name, Place] = {}         # where it reaches others, if not at their own addresses
+    via: dict[Name, Place] = {}  # where it reaches others, if not at their own addresses
 
     @model_validator(mode="after")
     def fits(self) -> "FleetTable":
--- a/cypresswalk/rollout/agent.py
+++ b/cypresswalk/rollout/agent.py
@@ -16,16 +16,40 @@
 
 from cypresswalk.fleet import tool
 from cypresswalk.refusal import Refusal
-from cypresswalk.rollout.duty import Ask, Check, Doing, Draw, Duty, End, Now, Runs, Save, Start, Started, Wait, Want
+from cypresswalk.rollout.duty import (
+    Ask,
+    Check,
+    Doing,
+    Draw,
+    Duty,
+    End,
+    Now,
+    Runs,
+    Save,
+    Start,
+    Started,
+    Wait,
+    Want,
+)
 
 log = logging.getLogger(__name__)
 FILE, STARTED = "agent.json", "started"
-SPAN = 4.0              # seconds that a call to the fleet may take
+SPAN = 4.0  # seconds that a call to the fleet may take
 
 
 class Agent:
-    def __init__(self, member: str, fleet: str, addresses: list[str], root: Path, folder: Path, first: str, admins: tuple[str, str],
-                 command: list[str], duty: type[Duty] = Duty):
+    def __init__(
+        self,
+        member: str,
+        fleet: str,
+        addresses: list[str],
+        root: Path,
+        folder: Path,
+        first: str,
+        admins: tuple[str, str],
+        command: list[str],
+        duty: type[Duty] = Duty,
+    ):
         """`member`: the balancer, or the server. `admins`: where it is called; a server has one address, at which it answers PING.
         `root`: where versions stand, a folder each. `command`: what is run there, with its environment as this one's."""
         self.fleet, self.addresses, self.root, self.folder = fleet, addresses, root, folder
@@ -61,7 +85,9 @@
             case Check(admin=admin):
                 return self.check(admin)
             case Ask(name=name, args=args, ident=ident):
-                return self.ask(name, tool.command(self.by, **args) | {"ident": ident} if ident else args)
+                return self.ask(
+                    name, tool.command(self.by, **args) | {"ident": ident} if ident else args
+                )
             case Draw():
                 return uuid.uuid4().hex
             case Wait(seconds=seconds):
@@ -92,11 +118,21 @@
     def start(self, version: str, admin: str) -> int:
         """Raises OSError."""
         tree = (self.root / version).resolve(strict=True)
-        with open(self.folder / "balancer.log", "ab") as out, open(self.folder / STARTED, "wb", buffering=0) as started:
+        with (
+            open(self.folder / "balancer.log", "ab") as out,
+            open(self.folder / STARTED, "wb", buffering=0) as started,
+        ):
             # Before it becomes the balancer: guards against a second one by an agent that died before it knew the first's number.
-            child = subprocess.Popen(self.command, cwd=tree, env=os.environ | {"PROXY_ADMIN_ADDR": admin}, stdin=subprocess.DEVNULL,
-                                     stdout=out, stderr=out, start_new_session=True,
-                                     preexec_fn=lambda: started.write(b"%d" % os.getpid()))
+            child = subprocess.Popen(
+                self.command,
+                cwd=tree,
+                env=os.environ | {"PROXY_ADMIN_ADDR": admin},
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                start_new_session=True,
+                preexec_fn=lambda: started.write(b"%d" % os.getpid()),
+            )
         self.children[child.pid] = child
         log.info("event=started version=%s pid=%d admin=%s", version, child.pid, admin)
         return child.pid
@@ -114,7 +150,9 @@
             return child.poll() is None
         # One that an agent before this one started. Its number may be another's by now: what it runs tells.
         try:
-            return pid > 0 and self.command[-1].encode() in Path(f"/proc/{pid}/cmdline").read_bytes()
+            return (
+                pid > 0 and self.command[-1].encode() in Path(f"/proc/{pid}/cmdline").read_bytes()
+            )
         except OSError:
             return False
 
--- a/cypresswalk/rollout/duty.py
+++ b/cypresswalk/rollout/duty.py
@@ -16,33 +16,35 @@
 from cypresswalk.net.core import Phase
 
 log = logging.getLogger(__name__)
-LOOK = 0.5              # seconds between two looks at the release
-IDLE = 2.0              # while none names it: each look costs who leads a round of the voters
-CHECK = 0.05            # between two looks at a process
-READY = 20.0            # within which a new process must be OK, and the fleet be asked
-STEADY = 1.0            # for so long
-LEAVE = 15.0            # within which an old one must have ended
-USE = 2.0               # within which what was agreed is begun, or not at all
-AGAIN = 2.0             # between two starts of one that ended by itself
+LOOK = 0.5  # seconds between two looks at the release
+IDLE = 2.0  # while none names it: each look costs who leads a round of the voters
+CHECK = 0.05  # between two looks at a process
+READY = 20.0  # within which a new process must be OK, and the fleet be asked
+STEADY = 1.0  # for so long
+LEAVE = 15.0  # within which an old one must have ended
+USE = 2.0  # within which what was agreed is begun, or not at all
+AGAIN = 2.0  # between two starts of one that ended by itself
 SAID_LEAVING = f"ERR {Phase.LEAVING.value}"
 
 
 @dataclass
 class Doing:
     """`version` runs as `pid` and is called at `admin`; while it is changed `to` runs as `young` at the other address."""
+
     version: str = ""
     pid: int = 0
     admin: str = ""
     to: str = ""
     young: int = 0
-    step: str = ""          # "", "beside", "leaving", "told"; a server's are in serving.py
+    step: str = ""  # "", "beside", "leaving", "told"; a server's are in serving.py
     why: str = ""
-    change: str = ""        # which one it is
-    failed: bool = False    # of a server: neither version answers
+    change: str = ""  # which one it is
+    failed: bool = False  # of a server: neither version answers
 
 
 # What it wants done, and what it is sent.
 
+
 @dataclass(frozen=True, slots=True)
 class Save:
     """`doing` flushed to disk."""
@@ -51,6 +53,7 @@
 @dataclass(frozen=True, slots=True)
 class Start:
     """A process of that version: its number and nothing, or 0 and why not."""
+
     version: str
     admin: str
 
@@ -58,6 +61,7 @@
 @dataclass(frozen=True, slots=True)
 class Started:
     """The number of the one started last, if it runs and is not the known one; else 0."""
+
     known: int
 
 
@@ -69,6 +73,7 @@
 @dataclass(frozen=True, slots=True)
 class End:
     """`hard`: killed; else told to leave."""
+
     pid: int
     hard: bool
 
@@ -76,12 +81,14 @@
 @dataclass(frozen=True, slots=True)
 class Check:
     """Nothing, or why it is not ready."""
+
     admin: str
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
     """Of any balancer: whether it was done, and the body. `ident`: of a command, which is carried out once however often it comes."""
+
     name: str
     args: dict[str, Any]
     ident: str = ""
@@ -138,7 +145,7 @@
     def keep_running(self) -> Work:
         doing = self.doing
         if self.started_at is None:
-            self.started_at = yield Now()       # an agent that begins anew knows of no earlier start
+            self.started_at = yield Now()  # an agent that begins anew knows of no earlier start
         if (yield Runs(doing.pid)):
             return
         if doing.pid:
@@ -182,7 +189,7 @@
         asked = yield Now()
         ok, _ = yield Ask("release_began", {"member": self.member, "to": to}, doing.change)
         if not ok:
-            return      # `changing` above, if it was agreed all the same
+            return  # `changing` above, if it was agreed all the same
         doing.to, doing.young, doing.failed = to, 0, False
         if (yield Now()) - asked > USE:
             yield from self.next("told", "the yes came too late to be used")
@@ -193,7 +200,9 @@
         """Guards against a second process beside one that is only beginning: neither would find the other, both would listen, and the one
         without a part in the fleet would reject what came to it."""
         running = yield Runs(self.doing.pid)
-        return running and (yield Check(self.doing.admin)) and (yield Now()) - self.started_at < READY
+        return (
+            running and (yield Check(self.doing.admin)) and (yield Now()) - self.started_at < READY
+        )
 
     def ready(self, admin: str, pid: int) -> Work:
         """Nothing once it has been ready for STEADY, or why it never was."""
@@ -275,7 +284,11 @@
         """Again until the fleet has it."""
         doing = self.doing
         # One ident for all tries: guards the next change against one of them that comes late.
-        ok, body = yield Ask("release_came", {"name": self.member, "runs": self.runs_now(), "why": doing.why}, f"came:{doing.change}")
+        ok, body = yield Ask(
+            "release_came",
+            {"name": self.member, "runs": self.runs_now(), "why": doing.why},
+            f"came:{doing.change}",
+        )
         if ok:
             log.info("event=told version=%s why=%s", doing.version, doing.why or "-")
             doing.to, doing.young, doing.change = "", 0, ""
--- a/cypresswalk/rollout/evidence.py
+++ b/cypresswalk/rollout/evidence.py
@@ -10,14 +10,17 @@
 from cypresswalk.rollout.release import Plan
 
 SECOND = 1_000_000_000
-SURE = 3.0          # standard errors by which a share must be worse: a burst must not halt a release
-LEAST = 30          # flows below which nothing is said to be bad
-SHORTEST = 5 * SECOND   # balancers tell their counts a second or two apart: over less time a loss of all looks like that of one
+SURE = 3.0  # standard errors by which a share must be worse: a burst must not halt a release
+LEAST = 30  # flows below which nothing is said to be bad
+SHORTEST = (
+    5 * SECOND
+)  # balancers tell their counts a second or two apart: over less time a loss of all looks like that of one
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
     """Counts since a balancer's process began: flows brought up, rejected, failed, and the sum of set-ups in nanoseconds."""
+
     up: int = 0
     rejected: int = 0
     failed: int = 0
@@ -25,13 +28,27 @@
 
     def since(self, before: "Served") -> "Served":
         """A process that began anew counts from nothing."""
-        return self if self.up < before.up or self.failed < before.failed or self.rejected < before.rejected else self - before
+        return (
+            self
+            if self.up < before.up or self.failed < before.failed or self.rejected < before.rejected
+            else self - before
+        )
 
     def __sub__(self, other: "Served") -> "Served":
-        return Served(self.up - other.up, self.rejected - other.rejected, self.failed - other.failed, self.took - other.took)
+        return Served(
+            self.up - other.up,
+            self.rejected - other.rejected,
+            self.failed - other.failed,
+            self.took - other.took,
+        )
 
     def __add__(self, other: "Served") -> "Served":
-        return Served(self.up + other.up, self.rejected + other.rejected, self.failed + other.failed, self.took + other.took)
+        return Served(
+            self.up + other.up,
+            self.rejected + other.rejected,
+            self.failed + other.failed,
+            self.took + other.took,
+        )
 
     @property
     def flows(self) -> int:
@@ -43,44 +60,67 @@
 
 
 def judged(plan: Plan, name: str, served: Served, others: Served) -> tuple[str, str]:
-    """"bad", "unknown" or "good" of one balancer, and why."""
+    """ "bad", "unknown" or "good" of one balancer, and why."""
     if served.flows >= LEAST and others.flows >= LEAST:
-        spread = SURE * (max(others.bad * (1 - others.bad), served.bad * (1 - served.bad)) * (1 / served.flows + 1 / others.flows)) ** 0.5
+        spread = (
+            SURE
+            * (
+                max(others.bad * (1 - others.bad), served.bad * (1 - served.bad))
+                * (1 / served.flows + 1 / others.flows)
+            )
+            ** 0.5
+        )
         if served.bad > others.bad + plan.worse + spread:
-            return "bad", (f"{name} failed or rejected {served.bad:.1%} of {served.flows} flows, the others {others.bad:.1%} "
-                           f"of {others.flows}")
-        if served.up >= LEAST and others.up >= LEAST and served.took / served.up > plan.slower * others.took / others.up:
-            return "bad", (f"{name} took {served.took / served.up / 1e6:.1f} ms for a set-up, the others "
-                           f"{others.took / others.up / 1e6:.1f}")
+            return "bad", (
+                f"{name} failed or rejected {served.bad:.1%} of {served.flows} flows, the others {others.bad:.1%} "
+                f"of {others.flows}"
+            )
+        if (
+            served.up >= LEAST
+            and others.up >= LEAST
+            and served.took / served.up > plan.slower * others.took / others.up
+        ):
+            return "bad", (
+                f"{name} took {served.took / served.up / 1e6:.1f} ms for a set-up, the others "
+                f"{others.took / others.up / 1e6:.1f}"
+            )
     if served.flows < plan.flows:
         return "unknown", f"{name} answered {served.flows} flows of {plan.flows}"
     # Where nobody is left to hold it against, as in a fleet of one: against none that failed.
     if served.bad > others.bad + plan.worse:
         # Guards against a wave that holds just before its flows would tell: worse than it may be, and not surely so, is not good.
-        return "unknown", f"{name} failed or rejected {served.bad:.1%} of {served.flows} flows, the others {others.bad:.1%}: too few to tell"
+        return (
+            "unknown",
+            f"{name} failed or rejected {served.bad:.1%} of {served.flows} flows, the others {others.bad:.1%}: too few to tell",
+        )
     return "good", ""
 
 
 @dataclass(slots=True)
 class Window:
     """Of a changed one: since when it is looked at, what the others had answered by then, and its own since."""
+
     since: int
     old: Served
     held: Served
     own: Served = Served()
-    as_held: Served = Served()      # the part of its own that stands in `held`
+    as_held: Served = Served()  # the part of its own that stands in `held`
 
 
 @dataclass(slots=True)
 class Evidence:
     last: dict[str, Served] = field(default_factory=dict)
-    old: Served = Served()          # all that those not changed have answered
-    held: Served = Served()         # and those of waves that have held
+    old: Served = Served()  # all that those not changed have answered
+    held: Served = Served()  # and those of waves that have held
     windows: dict[str, Window] = field(default_factory=dict)
 
-    def look(self, now: int, members: dict[str, str], wave: Collection[str], served: dict[str, Served]) -> None:
+    def look(
+        self, now: int, members: dict[str, str], wave: Collection[str], served: dict[str, Served]
+    ) -> None:
         """`members`: what each is to the release; whoever is not in it is as good as old."""
-        self.windows = {name: window for name, window in self.windows.items() if members.get(name) == "new"}
+        self.windows = {
+            name: window for name, window in self.windows.items() if members.get(name) == "new"
+        }
         for name, figures in sorted(served.items()):
             grown = figures.since(self.last[name]) if name in self.last else Served()
             self.last[name] = figures
@@ -89,7 +129,7 @@
                 self.old += grown
             elif status == "new":
                 window = self.windows.get(name)
-                if window is None:      # what has grown by now may be its old process's
+                if window is None:  # what has grown by now may be its old process's
                     self.windows[name] = Window(now, self.old, self.held)
                     continue
                 window.own += grown
@@ -119,6 +159,10 @@
         few = []
         for name in names:
             window = self.windows.get(name)
-            how, why = judged(plan, name, window.own, self.others(window)) if window else ("unknown", f"{name}: not heard")
+            how, why = (
+                judged(plan, name, window.own, self.others(window))
+                if window
+                else ("unknown", f"{name}: not heard")
+            )
             few += [why] if how != "good" else []
         return "; ".join(few[:5])
--- a/cypresswalk/rollout/serving.py
+++ b/cypresswalk/rollout/serving.py
@@ -8,7 +8,23 @@
 import logging
 from typing import Any
 
-from cypresswalk.rollout.duty import CHECK, LEAVE, LOOK, READY, Ask, Duty, End, Now, Runs, Save, Start, Started, Wait, Work, target
+from cypresswalk.rollout.duty import (
+    CHECK,
+    LEAVE,
+    LOOK,
+    READY,
+    Ask,
+    Duty,
+    End,
+    Now,
+    Runs,
+    Save,
+    Start,
+    Started,
+    Wait,
+    Work,
+    target,
+)
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +87,11 @@
     def busy(self, turn: dict[str, Any]) -> str:
         """Asked again at the last: guards flows of a balancer that was cut off for so long that nobody waited for its word, and is back."""
         standing = turn["standing"]
-        return "" if standing == 0 else f"{'an unknown number of' if standing is None else standing} flows stand there"
+        return (
+            ""
+            if standing == 0
+            else f"{'an unknown number of' if standing is None else standing} flows stand there"
+        )
 
     def replaced(self, before: int, version: str) -> Work:
         """The process of that version, once the one before has ended, and nothing once it answers; or why it does not."""
@@ -82,7 +102,7 @@
                 yield Wait(CHECK)
             yield End(before, True)
             while (yield Runs(before)):
-                yield Wait(CHECK)       # its address is taken until then
+                yield Wait(CHECK)  # its address is taken until then
             doing.young, why = (yield Started(before)), ""
             if not doing.young:
                 doing.young, why = yield Start(version, doing.admin)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -36,7 +36,9 @@
 class Program:
     """The drivers that the core calls, and the one thread that calls the core."""
 
-    def __init__(self, config: Config, policy: type[Balancer] = Balancer, core: Callable[..., Core] = Core):
+    def __init__(
+        self, config: Config, policy: type[Balancer] = Balancer, core: Callable[..., Core] = Core
+    ):
         self.limits, self.path = config.limits, config.path
         self.clock = Clock()
         self.inbox, self.counters = Inbox(self.clock), Counters()
@@ -55,13 +57,27 @@
         if shared := config.admin is not None:
             sockets = self.operate(config)
         if config.peer_listen is not None:
-            self.peers = Peers(config.peer_listen, config.peers_all, self.core, self.inbox, self.limits, shared,
-                               sockets[1] if len(sockets) > 1 else None)
-        self.listener = Listener(config.listen, self.core, self.inbox, self.limits, shared, sockets[0] if sockets else None)
+            self.peers = Peers(
+                config.peer_listen,
+                config.peers_all,
+                self.core,
+                self.inbox,
+                self.limits,
+                shared,
+                sockets[1] if len(sockets) > 1 else None,
+            )
+        self.listener = Listener(
+            config.listen,
+            self.core,
+            self.inbox,
+            self.limits,
+            shared,
+            sockets[0] if sockets else None,
+        )
         self.keeper = None
         self.binding = None
-        self.reloads = 0                # signals that asked for it
-        self.ends_at = 0                # once all flows are answered: when it ends whoever still reads
+        self.reloads = 0  # signals that asked for it
+        self.ends_at = 0  # once all flows are answered: when it ends whoever still reads
 
     def operate(self, config: Config) -> list[socket.socket]:
         """Operators may call and upgrade it; the sockets that a process before this one has passed on, if there is one.
@@ -69,17 +85,32 @@
         from cypresswalk.net.admin import Admin
         from cypresswalk.net.beside import Beside
         from cypresswalk.net.handover import Side
+
         self.admin = Admin(config.admin, self.core, self.inbox, self.limits)
-        self.beside = Beside(os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits)
+        self.beside = Beside(
+            os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
+        )
         self.elder = self.beside.meet()
         self.core.side = Side(self.core, self, self.elder)
-        return [socket.socket(fileno=number) for number in self.elder.descriptors] if self.elder else []
+        return (
+            [socket.socket(fileno=number) for number in self.elder.descriptors]
+            if self.elder
+            else []
+        )
 
     def keep_state(self, folder: str, every: float, config: Config) -> None:
         """Imported here alone: the platform's balancer has no folder that outlasts it, and no memory for this."""
         from cypresswalk.state.keeper import Keeper
-        self.keeper = Keeper(folder, every, self.core, self.inbox, self.watch.registry, config.name,
-                             "%s:%d" % config.discovery)
+
+        self.keeper = Keeper(
+            folder,
+            every,
+            self.core,
+            self.inbox,
+            self.watch.registry,
+            config.name,
+            "%s:%d" % config.discovery,
+        )
         self.keeper.recover(self.clock())
         # A list that knows less than this balancer was told in its life before is an older one.
         self.watch.floor = self.keeper.floor
@@ -87,7 +118,10 @@
     def join_fleet(self, table: object, config: Config) -> None:
         """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
         from cypresswalk.fleet.binding import Binding
-        self.binding = Binding(table, config, self.core, self.inbox.post, lambda: self.watch.registry)
+
+        self.binding = Binding(
+            table, config, self.core, self.inbox.post, lambda: self.watch.registry
+        )
 
     def run(self) -> None:
         pause = self.limits.fault_pause
@@ -138,7 +172,12 @@
         self.ends_at = self.ends_at or self.clock() + self.limits.leave_end
         if self.listener.closed:
             self.listener.send_off_silent()
-        return self.listener.closed and not self.listener.clients and not self.inbox.queue.qsize() or self.clock() > self.ends_at
+        return (
+            self.listener.closed
+            and not self.listener.clients
+            and not self.inbox.queue.qsize()
+            or self.clock() > self.ends_at
+        )
 
     def guarded(self, call: Callable, now: int, *words: object) -> None:
         """Guards the clients that stand against a fault over one flow."""
@@ -171,14 +210,23 @@
             else:
                 log.error(event("reload_failed", why=error))
             return
-        log.info(event("reload", discovery="%s:%d" % discovery, before="%s:%d" % self.watch.address))
+        log.info(
+            event("reload", discovery="%s:%d" % discovery, before="%s:%d" % self.watch.address)
+        )
         if discovery == self.watch.address:
             self.watch.call()
             return
         old = self.watch
-        new = Watch(discovery, old.registry.elsewhere(), self.core, self.inbox, self.limits, old.asked,
-                    max(old.floor, old.registry.version))
-        new.call()              # what the module has asked for it has asked of any address
+        new = Watch(
+            discovery,
+            old.registry.elsewhere(),
+            self.core,
+            self.inbox,
+            self.limits,
+            old.asked,
+            max(old.floor, old.registry.version),
+        )
+        new.call()  # what the module has asked for it has asked of any address
         start_thread(new.run, self.limits.fault_pause, self.limits.list_stack)
         self.watch = new
         old.end()
@@ -261,6 +309,7 @@
     """What the operator file turns on. Without one nothing of it is imported."""
     from cypresswalk import operator
     from cypresswalk.refusal import Refusal
+
     try:
         asked = operator.read(path)
     except Refusal as refusal:
@@ -271,7 +320,11 @@
         program.join_fleet(asked.fleet, config)
 
 
-def main(policy: type[Balancer] = Balancer, core: Callable[..., Core] = Core, made: type[Program] = Program) -> int:
+def main(
+    policy: type[Balancer] = Balancer,
+    core: Callable[..., Core] = Core,
+    made: type[Program] = Program,
+) -> int:
     """Another policy, core or program than the product's own is for comparison, tracing and faults alone."""
     # Until there is something to reload; its own action would end the start.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
@@ -300,8 +353,15 @@
         program.inbox.post(program.stop)
     signal.signal(signal.SIGHUP, lambda *_: program.inbox.post(program.reload))
     signal.signal(signal.SIGUSR1, lambda *_: program.inbox.post(program.report))
-    log.info(event("start", listen="%s:%d" % config.listen, servers=len(program.core.balancer.servers),
-                   sockets=config.limits.sockets, flows=config.limits.flows))
+    log.info(
+        event(
+            "start",
+            listen="%s:%d" % config.listen,
+            servers=len(program.core.balancer.servers),
+            sockets=config.limits.sockets,
+            flows=config.limits.flows,
+        )
+    )
     program.run()
     log.info(f"event=end {program.counters.line()}")
     logging.shutdown()
--- a/cypresswalk/state/disk.py
+++ b/cypresswalk/state/disk.py
@@ -30,7 +30,9 @@
         """Raises Taken where another process has it, OSError where there is no folder. Held until this process ends."""
         folder = self.folder()
         try:
-            self.held = os.open(LOCK, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600, dir_fd=folder)
+            self.held = os.open(
+                LOCK, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600, dir_fd=folder
+            )
         finally:
             os.close(folder)
         try:
@@ -55,7 +57,9 @@
     def read(self, name: str, most: int) -> bytes:
         folder = self.folder()
         try:
-            file = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=folder)
+            file = os.open(
+                name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=folder
+            )
         finally:
             os.close(folder)
         with os.fdopen(file, "rb") as reader:
@@ -83,7 +87,7 @@
                 raise OSError(22, "not a plain file")
             rest = memoryview(data)
             while rest:
-                rest = rest[writer.write(rest[:1 << 18]):]
+                rest = rest[writer.write(rest[: 1 << 18]) :]
             os.fsync(file)
 
     def inode(self, name: str) -> int:
--- a/cypresswalk/state/form.py
+++ b/cypresswalk/state/form.py
@@ -22,11 +22,13 @@
 FIXED = struct.Struct("<8sHQ")
 DIGEST = 16
 PART = struct.Struct("<cI")
-LARGEST = 64 << 20          # bytes of a file: a hundred thousand ids and servers take a tenth of it
+LARGEST = 64 << 20  # bytes of a file: a hundred thousand ids and servers take a tenth of it
 STATES = {state.value for state in State}
 
 encoder = msgspec.msgpack.Encoder()
-heads, servers, ids = (msgspec.msgpack.Decoder(t) for t in (Head, list[ServerKept], list[tuple[int, int]]))
+heads, servers, ids = (
+    msgspec.msgpack.Decoder(t) for t in (Head, list[ServerKept], list[tuple[int, int]])
+)
 
 
 class FormError(Exception):
@@ -68,10 +70,10 @@
     magic, version, length = FIXED.unpack_from(data)
     if magic != MAGIC:
         raise FormError("no state file")
-    body = data[FIXED.size + DIGEST:]
+    body = data[FIXED.size + DIGEST :]
     if length != len(body):
         raise FormError(f"{len(body)} bytes follow the head, {length} are named there")
-    if digest(data[:FIXED.size], body) != data[FIXED.size:FIXED.size + DIGEST]:
+    if digest(data[: FIXED.size], body) != data[FIXED.size : FIXED.size + DIGEST]:
         raise FormError("the checksum is wrong")
     if version > VERSION:
         raise FormError(f"version {version}, this program reads up to {VERSION}", newer=True)
@@ -90,7 +92,7 @@
         at += PART.size
         if at + length > len(body):
             raise ValueError("a chunk is cut short")
-        yield kind, body[at:at + length]
+        yield kind, body[at : at + length]
         at += length
 
 
@@ -113,8 +115,20 @@
 def check(server: ServerKept) -> None:
     if server.state not in STATES:
         raise ValueError(f"server {server.id}: state {server.state!r}")
-    counts = (server.health, server.misses, server.errors, server.failed, server.answers, server.since)
-    if min(counts) < 0 or math.isnan(server.limit) or server.limit < 0 or not math.isfinite(server.strain):
+    counts = (
+        server.health,
+        server.misses,
+        server.errors,
+        server.failed,
+        server.answers,
+        server.since,
+    )
+    if (
+        min(counts) < 0
+        or math.isnan(server.limit)
+        or server.limit < 0
+        or not math.isfinite(server.strain)
+    ):
         raise ValueError(f"server {server.id}: a figure out of its range")
     if any(not math.isfinite(total) for total, _ in (server.dealt, server.drops)):
         raise ValueError(f"server {server.id}: a sum that is no number")
--- a/cypresswalk/state/keeper.py
+++ b/cypresswalk/state/keeper.py
@@ -16,31 +16,50 @@
 from cypresswalk.net.registry import Registry
 from cypresswalk.state import form, store
 from cypresswalk.state.disk import Disk, Taken
-from cypresswalk.state.kept import (CHUNK, IDS_CHUNK, IDS_KEPT, Head, Recovery, ServerKept, evidence, server_kept,
-                                    sums_kept)
+from cypresswalk.state.kept import (
+    CHUNK,
+    IDS_CHUNK,
+    IDS_KEPT,
+    Head,
+    Recovery,
+    ServerKept,
+    evidence,
+    server_kept,
+    sums_kept,
+)
 
 log = logging.getLogger(__name__)
-IDS_MOST = 100_000          # of the file: five minutes of three hundred flows a second
-IDS_EVERY = SECOND          # how often new ids are copied: no more than a slice comes in between
-PAUSE = 0.001               # seconds between two slices: the deciding thread takes what waits
-STACK = 512 * 1024          # of the keeper's thread: the serializer and the file layer need more than the drivers'
-SLICE_WAIT = 10             # seconds for the deciding thread to come to a slice; longer, it is ending
+IDS_MOST = 100_000  # of the file: five minutes of three hundred flows a second
+IDS_EVERY = SECOND  # how often new ids are copied: no more than a slice comes in between
+PAUSE = 0.001  # seconds between two slices: the deciding thread takes what waits
+STACK = (
+    512 * 1024
+)  # of the keeper's thread: the serializer and the file layer need more than the drivers'
+SLICE_WAIT = 10  # seconds for the deciding thread to come to a slice; longer, it is ending
 
 
 class Keeper:
-    def __init__(self, folder: str, every: float, core: Core, inbox: Inbox, registry: Registry, balancer: str,
-                 list_address: str):
+    def __init__(
+        self,
+        folder: str,
+        every: float,
+        core: Core,
+        inbox: Inbox,
+        registry: Registry,
+        balancer: str,
+        list_address: str,
+    ):
         self.core, self.inbox, self.registry, self.every = core, inbox, registry, every
         self.balancer, self.list_address = balancer, list_address
         self.disk = Disk(folder)
-        self.off = False                        # the folder is another's, or holds what must be left alone
+        self.off = False  # the folder is another's, or holds what must be left alone
         self.number = 0
         self.learned: dict[int, tuple[tuple, int]] = {}
         self.ids: deque[tuple[int, int]] = deque(maxlen=IDS_MOST)
-        self.said = ""                          # the trouble that was logged last
+        self.said = ""  # the trouble that was logged last
         self.writing, self.ended = Lock(), Event()
-        self.floor = 0                          # the list's version in the life before
-        self.longest = 0                        # nanoseconds that one slice took
+        self.floor = 0  # the list's version in the life before
+        self.longest = 0  # nanoseconds that one slice took
 
     # At the start, before anything runs.
 
@@ -68,10 +87,18 @@
         found = list(recovery.ids())
         believed = set(found)
         self.ids.extend((ident, at) for ident, at in kept.ids if ident in believed)
-        for ident in found[-self.core.limits.ids:]:
+        for ident in found[-self.core.limits.ids :]:
             self.core.seen[ident] = None
-        log.info(event("state_recovered", generation=self.number, age=f"{(now - kept.head.taken) / SECOND:.1f}",
-                       servers=len(kept.servers), ids=len(found), **done))
+        log.info(
+            event(
+                "state_recovered",
+                generation=self.number,
+                age=f"{(now - kept.head.taken) / SECOND:.1f}",
+                servers=len(kept.servers),
+                ids=len(found),
+                **done,
+            )
+        )
 
     def unreadable(self, name: str, why: str) -> None:
         log.warning(event("state_file_odd", file=name, why=why))
@@ -112,6 +139,7 @@
             copy(now, *words)
             self.longest = max(self.longest, time.perf_counter_ns() - began)
             done.set()
+
         self.inbox.post(run)
         return done.wait(SLICE_WAIT)
 
@@ -119,12 +147,17 @@
         """One generation."""
         heads: list[Head] = []
         servers: list = []
-        if not self.sliced(lambda now: (heads.append(self.head(now)), servers.extend(self.core.balancer.servers.values()))):
+        if not self.sliced(
+            lambda now: (
+                heads.append(self.head(now)),
+                servers.extend(self.core.balancer.servers.values()),
+            )
+        ):
             return
         parts = [form.part(b"h", heads[0])]
         for at in range(0, len(servers), CHUNK):
             copies: list[ServerKept] = []
-            if not self.sliced(self.copy_servers, servers[at:at + CHUNK], copies):
+            if not self.sliced(self.copy_servers, servers[at : at + CHUNK], copies):
                 return
             parts.append(form.part(b"s", copies))
             time.sleep(PAUSE)
@@ -133,7 +166,7 @@
     def write(self, parts: list[bytes]) -> None:
         ids = list(self.ids)
         for at in range(0, len(ids), IDS_CHUNK):
-            parts.append(form.part(b"i", ids[at:at + IDS_CHUNK]))
+            parts.append(form.part(b"i", ids[at : at + IDS_CHUNK]))
             if not self.ended.is_set():
                 time.sleep(PAUSE)
         with self.writing:
@@ -171,8 +204,15 @@
     def head(self, now: int) -> Head:
         counts = self.core.counters.counts
         taken = max(counts.get("flows_taken", 0), 1)
-        return Head(self.balancer, now, self.core.balancer.started, self.registry.version, self.list_address,
-                    counts.get("flows_again", 0) / taken, sums_kept(self.core.balancer))
+        return Head(
+            self.balancer,
+            now,
+            self.core.balancer.started,
+            self.registry.version,
+            self.list_address,
+            counts.get("flows_again", 0) / taken,
+            sums_kept(self.core.balancer),
+        )
 
     def copy_servers(self, now: int, servers: list, into: list[ServerKept]) -> None:
         for server in servers:
@@ -195,4 +235,3 @@
             if not self.ids or now - self.ids[0][1] <= IDS_KEPT:
                 break
             self.ids.popleft()
-
--- a/cypresswalk/state/kept.py
+++ b/cypresswalk/state/kept.py
@@ -20,16 +20,17 @@
 IDS_KEPT = 300 * SECOND
 # Sums of flows are read beside their own decay; past ten minutes nothing is left of any.
 SUMS_KEPT = 600 * SECOND
-SKEW = 2 * SECOND           # what two readings of wall time may differ by without one being from the future
-HALF_THE_FLEET = 0.5        # more of it put aside by old knowledge than this: none of that is believed
-CHUNK = 250                 # servers in one slice: a tenth of a millisecond
-IDS_CHUNK = 2000            # ids in one slice: a third of a millisecond
+SKEW = 2 * SECOND  # what two readings of wall time may differ by without one being from the future
+HALF_THE_FLEET = 0.5  # more of it put aside by old knowledge than this: none of that is believed
+CHUNK = 250  # servers in one slice: a tenth of a millisecond
+IDS_CHUNK = 2000  # ids in one slice: a third of a millisecond
 
 
 class ServerKept(Struct, array_like=True, forbid_unknown_fields=True):
     """One server. `learned`: when something was last heard of it, by whichever life of the balancer heard it."""
+
     id: int
-    since: int              # its start, as the list told it
+    since: int  # its start, as the list told it
     state: str
     learned: int
     health: int
@@ -43,15 +44,16 @@
     full_until: int
     strain: float
     strain_at: int
-    limit: float            # inf where it has none
+    limit: float  # inf where it has none
     cut_at: int
     delay: int
-    dealt: tuple[float, int]        # a decaying sum: its total, and when that held
+    dealt: tuple[float, int]  # a decaying sum: its total, and when that held
     drops: tuple[float, int]
 
 
 class SumsKept(Struct, forbid_unknown_fields=True):
     """The balancer's own sums, as (total, when)."""
+
     carried: tuple[float, int]
     arrivals: tuple[float, int]
     hints: tuple[float, int]
@@ -61,18 +63,18 @@
 
 class Head(Struct, forbid_unknown_fields=True):
     balancer: str
-    taken: int              # when it was copied
-    started: int            # since when the sums have run
+    taken: int  # when it was copied
+    started: int  # since when the sums have run
     list_version: int
     list_address: str
-    again: float            # the share of flows that came again, as clients marked them
+    again: float  # the share of flows that came again, as clients marked them
     sums: SumsKept
 
 
 class Kept(Struct):
     head: Head
     servers: list[ServerKept]
-    ids: list[tuple[int, int]]      # a flow's id, and when it was served
+    ids: list[tuple[int, int]]  # a flow's id, and when it was served
 
 
 def sum_of(decaying: object) -> tuple[float, int]:
@@ -81,9 +83,27 @@
 
 def server_kept(server: Server, learned: int) -> ServerKept:
     return ServerKept(
-        server.id, server.since, server.state.value, learned, server.health, server.known, server.fresh, server.misses,
-        server.errors, server.failed, server.answers, server.trial_at, server.full_until, server.strain, server.strain_at,
-        server.limit, server.cut_at, server.delay, sum_of(server.dealt), sum_of(server.drops))
+        server.id,
+        server.since,
+        server.state.value,
+        learned,
+        server.health,
+        server.known,
+        server.fresh,
+        server.misses,
+        server.errors,
+        server.failed,
+        server.answers,
+        server.trial_at,
+        server.full_until,
+        server.strain,
+        server.strain_at,
+        server.limit,
+        server.cut_at,
+        server.delay,
+        sum_of(server.dealt),
+        sum_of(server.drops),
+    )
 
 
 def sums_kept(balancer: Balancer) -> SumsKept:
@@ -93,8 +113,21 @@
 def evidence(server: Server) -> tuple:
     """Changes whenever something is heard of the server, and not when time passes. Guards against a loop of restarts that
     writes old knowledge anew as if it had just been learned."""
-    return (server.health, server.known, server.fresh, server.misses, server.errors, server.failed, server.answers,
-            server.strain_at, server.cut_at, server.full_until, server.next_probe, server.since, server.state)
+    return (
+        server.health,
+        server.known,
+        server.fresh,
+        server.misses,
+        server.errors,
+        server.failed,
+        server.answers,
+        server.strain_at,
+        server.cut_at,
+        server.full_until,
+        server.next_probe,
+        server.since,
+        server.state,
+    )
 
 
 def weight(age: int, half: int) -> float:
@@ -115,12 +148,15 @@
     anything until a live list names it. Beliefs go back by weight: counts of misses shrink and vanish; health returns to
     unknown. If what remains would put more than half of the servers in service aside, it is not believed at all: then the
     fault lay nearer than the servers, or the file is from another time."""
+
     kept: Kept
     now: int
-    list_version: int           # of the list that the balancer was started with
+    list_version: int  # of the list that the balancer was started with
     list_address: str
     done: dict[str, int] = field(default_factory=dict)
-    before: dict[int, tuple[tuple, int]] = field(default_factory=dict)     # evidence and when it was learned, by server
+    before: dict[int, tuple[tuple, int]] = field(
+        default_factory=dict
+    )  # evidence and when it was learned, by server
 
     def into(self, balancer: Balancer) -> dict[str, int]:
         """What was taken over, in counts for the log."""
@@ -131,7 +167,9 @@
             if server is None:
                 self.done["unknown"] += 1
             elif server.since != kept.since:
-                self.done["restarted"] += 1         # it started since: what was known is of another process
+                self.done["restarted"] += (
+                    1  # it started since: what was known is of another process
+                )
             else:
                 pairs.append((server, kept))
         for server, kept in pairs:
@@ -145,7 +183,10 @@
 
     def drained(self, server: Server, kept: ServerKept) -> None:
         state = State(kept.state)
-        newer_list = self.list_address == self.kept.head.list_address and self.list_version > self.kept.head.list_version
+        newer_list = (
+            self.list_address == self.kept.head.list_address
+            and self.list_version > self.kept.head.list_version
+        )
         if state is not State.READY and server.state is State.READY and not newer_list:
             server.state = state
             self.done["drains"] += 1
@@ -169,8 +210,15 @@
             server.fresh = kept.fresh
             server.answers = kept.answers
             # These run out by themselves; none may reach further than it would have.
-            server.trial_at, server.full_until = min(kept.trial_at, self.now + SECOND), min(kept.full_until, self.now + SECOND)
-            server.strain, server.strain_at, server.delay = kept.strain, min(kept.strain_at, self.now), kept.delay
+            server.trial_at, server.full_until = (
+                min(kept.trial_at, self.now + SECOND),
+                min(kept.full_until, self.now + SECOND),
+            )
+            server.strain, server.strain_at, server.delay = (
+                kept.strain,
+                min(kept.strain_at, self.now),
+                kept.delay,
+            )
             server.limit, server.cut_at = kept.limit, min(kept.cut_at, self.now)
             restore(server.drops, kept.drops, self.now)
             # What was dealt of a cold server's budget counts on, or a restart would spend it twice.
--- a/cypresswalk/state/store.py
+++ b/cypresswalk/state/store.py
@@ -19,9 +19,9 @@
 
     def names(self) -> list[str]: ...
     def read(self, name: str, most: int) -> bytes: ...
-    def write(self, name: str, data: bytes) -> None: ...        # created or emptied, written, flushed
+    def write(self, name: str, data: bytes) -> None: ...  # created or emptied, written, flushed
     def rename(self, name: str, to: str) -> None: ...
-    def flush(self) -> None: ...                                # the folder itself
+    def flush(self) -> None: ...  # the folder itself
     def remove(self, name: str) -> None: ...
 
 
@@ -31,7 +31,7 @@
 
 def generations(files: Files) -> list[int]:
     """The latest first. Other names are nobody's business."""
-    numbers = [name[len(PREFIX):] for name in files.names() if name.startswith(PREFIX)]
+    numbers = [name[len(PREFIX) :] for name in files.names() if name.startswith(PREFIX)]
     return sorted((int(number) for number in numbers if number.isdecimal()), reverse=True)
 
 
--- a/cypresswalk/toml.py
+++ b/cypresswalk/toml.py
@@ -14,6 +14,7 @@
 
 class Table(BaseModel):
     """A table of such a file: unknown names are errors, since a misspelt one would pass for a default."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
@@ -45,8 +46,12 @@
     try:
         return model.model_validate(data)
     except ValidationError as error:
-        raise Refusal("\n".join(": ".join([source, *([field(e["loc"])] if e["loc"] else []), said(e)])
-                                for e in error.errors())) from None
+        raise Refusal(
+            "\n".join(
+                ": ".join([source, *([field(e["loc"])] if e["loc"] else []), said(e)])
+                for e in error.errors()
+            )
+        ) from None
 
 
 def said(error: dict) -> str:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,11 @@
 
 
 def pytest_addoption(parser):
-    parser.addoption("--faults", metavar="PLAN", help="TOML fault plan to put between the sockets of test_sockets.py")
+    parser.addoption(
+        "--faults",
+        metavar="PLAN",
+        help="TOML fault plan to put between the sockets of test_sockets.py",
+    )
     parser.addoption("--faults-seed", type=int, default=0)
 
 
@@ -18,16 +22,31 @@
         yield
         return
     import test_sockets as tests
+
     running = []
 
     def proxy(host, port):
         """A process of its own: in this one it would share the interpreter's lock with clients and servers."""
-        command = [sys.executable, "-m", "cypresswalk", "faults", "--listen", "127.0.0.1:0", "--to", f"{host}:{port}",
-                   "--plan", path, "--seed", str(request.config.getoption("--faults-seed")), "--quiet"]
+        command = [
+            sys.executable,
+            "-m",
+            "cypresswalk",
+            "faults",
+            "--listen",
+            "127.0.0.1:0",
+            "--to",
+            f"{host}:{port}",
+            "--plan",
+            path,
+            "--seed",
+            str(request.config.getoption("--faults-seed")),
+            "--quiet",
+        ]
         running.append(subprocess.Popen(command, stderr=subprocess.PIPE, text=True))
         told = running[-1].stderr.readline()
         assert told.startswith("listening on "), told
         return "127.0.0.1", int(told.rpartition(":")[2])
+
     listen, start, connect = tests.Listening.listen, tests.Program.__init__, tests.Program.connect
 
     def listen_behind(self):
@@ -41,8 +60,9 @@
 
     def connect_through(self):
         if not hasattr(self, "front"):
-            return connect(self)        # until it answers: the test waits for that by refusals
+            return connect(self)  # until it answers: the test waits for that by refusals
         return tests.Lines(tests.socket.create_connection(self.front))
+
     monkeypatch.setattr(tests.Listening, "listen", listen_behind)
     monkeypatch.setattr(tests.Program, "__init__", start_then_hide)
     monkeypatch.setattr(tests.Program, "connect", connect_through)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,21 +1,61 @@
 """A host that plays by hand what happens to one balancer and checks the rules at every decision."""
 
 from cypresswalk.choice import Balancer
-from cypresswalk.model import (SECOND, Abort, Connect, Effect, Flow, ListForm, Move, Outcome, Probe, Reject, Scope,
-                               Server, ServiceType, Settings, State, Subscribe, Tell, Wake)
+from cypresswalk.model import (
+    SECOND,
+    Abort,
+    Connect,
+    Effect,
+    Flow,
+    ListForm,
+    Move,
+    Outcome,
+    Probe,
+    Reject,
+    Scope,
+    Server,
+    ServiceType,
+    Settings,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
+)
 
 START = 5_000 * SECOND
 
 
 def service(effect=Effect.REPEATABLE, scope=Scope.ALL) -> ServiceType:
-    return ServiceType(effect, scope, window=SECOND, setup_target=SECOND // 2, message_target=SECOND // 10)
+    return ServiceType(
+        effect, scope, window=SECOND, setup_target=SECOND // 2, message_target=SECOND // 10
+    )
 
 
 def settings(**changes) -> Settings:
-    values = dict(instances=1, zone=0, service_types=[service()], max_connects=3, retry_after=False,
-                  max_retry_after=0, probes=True, moves=True, list_asked=False, ask_within=10 * SECOND,
-                  cold=20 * SECOND, cold_share=0.2, fall_window=2 * SECOND, overload_factor=3.0, zone_price=0.0,
-                  move_price=0.0, probe_price=0.0, peers=False, peer_price=0.0, shares=[], overage_payoff=1.0, load_index=-1)
+    values = dict(
+        instances=1,
+        zone=0,
+        service_types=[service()],
+        max_connects=3,
+        retry_after=False,
+        max_retry_after=0,
+        probes=True,
+        moves=True,
+        list_asked=False,
+        ask_within=10 * SECOND,
+        cold=20 * SECOND,
+        cold_share=0.2,
+        fall_window=2 * SECOND,
+        overload_factor=3.0,
+        zone_price=0.0,
+        move_price=0.0,
+        probe_price=0.0,
+        peers=False,
+        peer_price=0.0,
+        shares=[],
+        overage_payoff=1.0,
+        load_index=-1,
+    )
     return Settings(**values | changes)
 
 
@@ -31,7 +71,9 @@
         self.balancer = Balancer(settings(**changes), seed=1, now=self.now)
         self.state: dict[int, State] = {}
         self.open: dict[int, Flow] = {}
-        self.history: dict[int, list] = {}       # flow id: [server, sent, outcome or None] for each connect
+        self.history: dict[
+            int, list
+        ] = {}  # flow id: [server, sent, outcome or None] for each connect
         self.probes, self.connects, self.answers = [], [], {}
         self.asked, self.told = 0, []
         self.wake = None
@@ -47,8 +89,13 @@
 
     def arrive(self, kind=0, key=None, lasts=2 * SECOND, **flow) -> Flow:
         self.last_id += 1
-        flow = Flow(self.last_id, self.balancer.settings.service_types[kind], key or self.last_id, self.now + lasts,
-                    **flow)
+        flow = Flow(
+            self.last_id,
+            self.balancer.settings.service_types[kind],
+            key or self.last_id,
+            self.now + lasts,
+            **flow,
+        )
         self.open[flow.id], self.history[flow.id] = flow, []
         self.balancer.arrived(self.now, flow)
         self.pull()
@@ -75,7 +122,9 @@
         """Plays time up to `span` on: wake-ups, and the time-outs of connects whose flow's time is up."""
         end = self.now + span
         while True:
-            due = [(flow.until, 0, flow.id) for flow in self.open.values()] + ([(self.wake, 1, 0)] if self.wake else [])
+            due = [(flow.until, 0, flow.id) for flow in self.open.values()] + (
+                [(self.wake, 1, 0)] if self.wake else []
+            )
             if not due or min(due)[0] > end:
                 break
             at, what, ident = min(due)
@@ -105,10 +154,18 @@
                     assert flow.id in self.open, "answered twice"
                     assert self.open.pop(flow.id) is flow
                     past = self.history[flow.id]
-                    assert all(outcome is not None for *_, outcome in past), "answered with a connect out"
-                    harmless = (flow.type.effect is Effect.REPEATABLE or all(o.never_ran for *_, o in past)
-                                or flow.type.effect is Effect.REFERENCED and flow.type.scope is Scope.ALL)
-                    assert harmless or isinstance(decision, Abort), "a reject though a repeat may do harm"
+                    assert all(outcome is not None for *_, outcome in past), (
+                        "answered with a connect out"
+                    )
+                    harmless = (
+                        flow.type.effect is Effect.REPEATABLE
+                        or all(o.never_ran for *_, o in past)
+                        or flow.type.effect is Effect.REFERENCED
+                        and flow.type.scope is Scope.ALL
+                    )
+                    assert harmless or isinstance(decision, Abort), (
+                        "a reject though a repeat may do harm"
+                    )
                     self.answers[flow.id] = type(decision).__name__.lower()
                 case Move(flow):
                     assert flow.established and flow.id in self.balancer.flows
@@ -137,36 +194,79 @@
             assert flow.type.effect is Effect.REFERENCED, "a once-only flow may run twice"
             first, sent = ran[0]
             assert self.now < sent + flow.type.window, "past the window"
-            alike = {Scope.ALL: True, Scope.ZONE: first.zone == server.zone, Scope.CELL: first.cell == server.cell}
+            alike = {
+                Scope.ALL: True,
+                Scope.ZONE: first.zone == server.zone,
+                Scope.CELL: first.cell == server.cell,
+            }
             assert alike[flow.type.scope], "outside the group that drops repeats"
 
 
 # For the network code.
 
 PARAMS = {
-    "me": 0, "instances": 1, "zone": 0, "azs": ["a", "b"], "family": "conn", "discovery": "pushed",
-    "limits": {"maxConnects": 3, "retryAfter": False, "maxRetryAfter": 0.0, "probes": True, "dialTimeout": 150.0},
-    "rules": {"askWithin": 10000.0, "cold": 5000.0, "coldShare": 0.2, "fall": 2000.0, "overloadFactor": 3.0},
-    "deductions": {}, "stats": {"via": "silent", "fields": []}, "extra": {"groups": True, "tellsDelay": True},
+    "me": 0,
+    "instances": 1,
+    "zone": 0,
+    "azs": ["a", "b"],
+    "family": "conn",
+    "discovery": "pushed",
+    "limits": {
+        "maxConnects": 3,
+        "retryAfter": False,
+        "maxRetryAfter": 0.0,
+        "probes": True,
+        "dialTimeout": 150.0,
+    },
+    "rules": {
+        "askWithin": 10000.0,
+        "cold": 5000.0,
+        "coldShare": 0.2,
+        "fall": 2000.0,
+        "overloadFactor": 3.0,
+    },
+    "deductions": {},
+    "stats": {"via": "silent", "fields": []},
+    "extra": {"groups": True, "tellsDelay": True},
     "tenants": [{"name": "north"}, {"name": "south"}],
-    "serviceTypes": [{"name": "view", "semantics": "idempotent", "setupTarget": 300.0, "giveUp": 1000.0},
-                     {"name": "book", "semantics": "at_most_once", "setupTarget": 300.0, "giveUp": 1000.0}]}
+    "serviceTypes": [
+        {"name": "view", "semantics": "idempotent", "setupTarget": 300.0, "giveUp": 1000.0},
+        {"name": "book", "semantics": "at_most_once", "setupTarget": 300.0, "giveUp": 1000.0},
+    ],
+}
 
 
 def listed(name, address="127.0.0.1:9", lifecycle="in_service", **more) -> dict:
-    return {"instanceId": name, "hostPort": address, "zone": "a", "machineType": "m", "cell": 1,
-            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0} | more
+    return {
+        "instanceId": name,
+        "hostPort": address,
+        "zone": "a",
+        "machineType": "m",
+        "cell": 1,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": 0,
+    } | more
 
 
-def config_data(servers=(), listen="127.0.0.1:0", list_from="127.0.0.1:9", sockets=256, **changes) -> dict:
-    return {"name": "n0", "listen": listen, "discovery": list_from, "seed": "0badcafe",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-            "known": {"generation": 1, "reset": True, "instances": list(servers)}, "settings": PARAMS | changes}
+def config_data(
+    servers=(), listen="127.0.0.1:0", list_from="127.0.0.1:9", sockets=256, **changes
+) -> dict:
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": list_from,
+        "seed": "0badcafe",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+        "known": {"generation": 1, "reset": True, "instances": list(servers)},
+        "settings": PARAMS | changes,
+    }
 
 
 def played(*words, **more):
     """A day of the lab. One on which the machine itself was late says nothing, and is played again."""
     from cypresswalk.lab.play import play_day
+
     for _ in range(3):
         day = play_day(*words, **more)
         if not day.void:
--- a/tests/kill_writer.py
+++ b/tests/kill_writer.py
@@ -9,6 +9,7 @@
 import time
 
 from test_state import make
+
 from cypresswalk.state import form, store
 from cypresswalk.state.disk import Disk
 
@@ -39,7 +40,11 @@
                 print(f"turn {turn}: generation {latest}: {odd}")
                 return 1
             if kept is not None:
-                said = {s.misses for s in kept.servers} | {s.answers for s in kept.servers} | {kept.head.list_version}
+                said = (
+                    {s.misses for s in kept.servers}
+                    | {s.answers for s in kept.servers}
+                    | {kept.head.list_version}
+                )
                 if said != {latest} or len(kept.servers) != 20 + latest % 30 or latest < left:
                     print(f"turn {turn}: generation {latest} holds {said}, {left} stood before")
                     return 1
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -14,6 +14,7 @@
     def careless(self, work):
         work.vote = work.vote if work.snapshot is not None else None
         write(self, work)
+
     patch.setattr(Store, "write", careless)
 
 
@@ -30,11 +31,13 @@
                     self.send(member, to, frame)
                 step.sends = []
             return step
+
         member.take = taken
         try:
             carry_out(self, member)
         finally:
             del member.take
+
     patch.setattr(Fleet, "carry_out", early)
 
 
@@ -43,17 +46,23 @@
         if grant.number in self.held.out:
             self.held.out[grant.number] = now
         self.held.granted(grant.number, grant.version)
+
     patch.setattr(Member, "granted", granted)
 
 
 def lapsed_without_waiting(patch):
-    patch.setattr(Given, "lapsed", lambda self, now, member: now >= self.granted_at.get(member, 0) + self.span // 4)
+    patch.setattr(
+        Given,
+        "lapsed",
+        lambda self, now, member: now >= self.granted_at.get(member, 0) + self.span // 4,
+    )
 
 
 def wiped_voter_under_its_name(patch):
     def blank(self):
         self.boot, self.life = self.starts_of_it, self.chance.getrandbits(63)
         self.make(f"{self.table.name}#0", "", None)
+
     patch.setattr(Fleet, "blank", blank)
     patch.setattr(Fleet, "starts_of_it", property(lambda self: self.process.starts), raising=False)
 
@@ -63,8 +72,13 @@
         self.votes[source] = granted
         if sum(self.votes.values()) >= self.majority(len(self.voters)):
             self.campaign(now) if self.role is Role.ASKING else self.take_lead(now)
+
     patch.setattr(Node, "counted", counted)
-    patch.setattr(Node, "call", lambda self, word: [self.say(m.id, word) for m in self.log.members if m.id != self.me])
+    patch.setattr(
+        Node,
+        "call",
+        lambda self, word: [self.say(m.id, word) for m in self.log.members if m.id != self.me],
+    )
 
 
 def failed_flush_is_forgotten(patch):
@@ -75,6 +89,7 @@
             write(self, work)
         except OSError:
             self.broken = False
+
     patch.setattr(Store, "write", careless)
 
 
@@ -86,6 +101,7 @@
     def careless(self, hello):
         refused = refuse(self, hello)
         return refused if refused is not None and refused.code != "put-back" else None
+
     patch.setattr(Links, "refuse", careless)
 
 
@@ -95,6 +111,7 @@
 
     def careless(self, now, source, word):
         asked(self, now, source, type(word)(word.term, 1 << 60, 1 << 60, word.early, word.forced))
+
     patch.setattr(Node, "asked_to_vote", careless)
 
 
@@ -102,7 +119,13 @@
     settle = Node.settle
 
     def counted(self, now):
-        have = sorted((self.durable if v == self.me else self.peers[v].match if v in self.peers else 0 for v in self.voters))
+        have = sorted(
+            (
+                self.durable if v == self.me else self.peers[v].match if v in self.peers else 0
+                for v in self.voters
+            )
+        )
         self.commit = max(self.commit, have[(len(have) - 1) // 2])
         settle(self, now)
+
     patch.setattr(Node, "settle", counted)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -5,11 +5,12 @@
 import subprocess
 import sys
 from pathlib import Path
+from random import Random
 from zlib import crc32
 
+import planted
 import pytest
 
-import planted
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.node import Busy, Harmed, Kept, Node, Role, Timing, Work
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
@@ -21,7 +22,6 @@
 from cypresswalk.lab.together.explore import plan_of, run_seed, smaller
 from cypresswalk.lab.together.judges import Down, Flow, Op
 from cypresswalk.lab.together.virtual import SECOND, Broken, MemoryDisk, World
-from random import Random
 
 ROOT = Path(__file__).parent.parent
 
@@ -34,10 +34,18 @@
         assert outcome.longest <= 5 * SECOND and len(outcome.states) > 20
 
 
-@pytest.mark.parametrize("mistake, seeds", [
-    (planted.vote_not_flushed, [8, 11]), (planted.answer_before_the_flush, [13]), (planted.lapsed_without_waiting, [18, 25]),
-    (planted.wiped_voter_under_its_name, [14, 48]), (planted.followers_and_removed_are_counted, [0, 8]),
-    (planted.failed_flush_is_forgotten, [1, 8]), (planted.logs_not_compared, [5, 8])])
+@pytest.mark.parametrize(
+    "mistake, seeds",
+    [
+        (planted.vote_not_flushed, [8, 11]),
+        (planted.answer_before_the_flush, [13]),
+        (planted.lapsed_without_waiting, [18, 25]),
+        (planted.wiped_voter_under_its_name, [14, 48]),
+        (planted.followers_and_removed_are_counted, [0, 8]),
+        (planted.failed_flush_is_forgotten, [1, 8]),
+        (planted.logs_not_compared, [5, 8]),
+    ],
+)
 def test_a_planted_mistake_is_found(mistake, seeds, monkeypatch):
     """Else the runs above would show nothing. Seeds that find it; the same ones find nothing in the program as it is."""
     assert not any(run_seed(seed).broken for seed in seeds)
@@ -54,10 +62,21 @@
 
 
 def test_a_seed_is_the_same_run_in_every_process():
-    code = ("from cypresswalk.lab.together.explore import run_seed; o = run_seed(2, acts=30);"
-            "print(o.steps, o.longest, sorted(o.situations.items()), sorted(o.states))")
-    runs = [subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                           env=os.environ | {"PYTHONHASHSEED": seed}).stdout for seed in ("1", "2")]
+    code = (
+        "from cypresswalk.lab.together.explore import run_seed; o = run_seed(2, acts=30);"
+        "print(o.steps, o.longest, sorted(o.situations.items()), sorted(o.states))"
+    )
+    runs = [
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+            env=os.environ | {"PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("1", "2")
+    ]
     assert runs[0] == runs[1] != ""
 
 
@@ -72,7 +91,11 @@
 def ask(world, process, name, **args) -> list:
     told: list = []
     world.entered += 1
-    ident = {"ident": f"{name}/{world.entered}", "by": "test", "at": 0} if name in ("out", "back", "offer") else {}
+    ident = (
+        {"ident": f"{name}/{world.entered}", "by": "test", "at": 0}
+        if name in ("out", "back", "offer")
+        else {}
+    )
     world.call(process, name, ident | args, 6 * SECOND, lambda ok, body: told.append((ok, body)))
     return told
 
@@ -85,7 +108,12 @@
     world.slow[leader.name, holder.name] = 3 * SECOND
     world.run(10 * SECOND)
     assert holder.acts
-    world.cuts |= {pair for q in world.processes for pair in ((holder.name, q), (q, holder.name)) if q != holder.name}
+    world.cuts |= {
+        pair
+        for q in world.processes
+        for pair in ((holder.name, q), (q, holder.name))
+        if q != holder.name
+    }
     told = ask(world, leader, "out", server="s0")
     world.run(12 * SECOND)
     assert told[0][0] and not holder.acts
@@ -109,7 +137,9 @@
     copy = old.disk.copy()
     old.start()
     world.run(4 * SECOND)
-    world.cuts |= {pair for q in (leader, old) for pair in ((third.name, q.name), (q.name, third.name))}
+    world.cuts |= {
+        pair for q in (leader, old) for pair in ((third.name, q.name), (q.name, third.name))
+    }
     told = ask(world, leader, "out", server="s0")
     world.run(SECOND)
     assert told[0][0]
@@ -122,7 +152,10 @@
     leader.start()
     world.run(40 * SECOND)
     assert "s0" in world.leader().fleet.member.agreed.state.out
-    assert all(p.acts for p in world.processes.values()) and len(world.leader().fleet.member.members) == 3
+    assert (
+        all(p.acts for p in world.processes.values())
+        and len(world.leader().fleet.member.members) == 3
+    )
 
 
 def test_a_folder_put_back_from_a_copy_is_another_member(monkeypatch):
@@ -155,13 +188,19 @@
     leader = world.leader()
     world.freeze(leader, 60 * SECOND)
     world.run(5 * SECOND)
-    heir = world.leader() if world.leader() is not leader else max(
-        (p for p in world.live() if p is not leader and p.fleet.member.leads), key=lambda p: p.fleet.member.node.term)
+    heir = (
+        world.leader()
+        if world.leader() is not leader
+        else max(
+            (p for p in world.live() if p is not leader and p.fleet.member.leads),
+            key=lambda p: p.fleet.member.node.term,
+        )
+    )
     told = ask(world, heir, "out", server="s1")
     world.run(20 * SECOND)
     assert told[0][0]
     world.now = leader.frozen_until
-    assert not leader.fleet.may_act()       # at once, before it has heard anything
+    assert not leader.fleet.may_act()  # at once, before it has heard anything
     late = ask(world, leader, "out", server="s2")
     world.run(10 * SECOND)
     assert late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.agreed.state.out)
@@ -192,8 +231,9 @@
 
 def test_first_starts_that_differ_found_nothing():
     world = World(6)
-    world.processes["n1"].table = world.processes["n1"].table.model_copy(update={"first": {
-        "n0": world.addresses["n0"], "n1": world.addresses["n1"]}})
+    world.processes["n1"].table = world.processes["n1"].table.model_copy(
+        update={"first": {"n0": world.addresses["n0"], "n1": world.addresses["n1"]}}
+    )
     world.start()
     world.run(20 * SECOND)
     assert world.leader() is None and not any(p.acts for p in world.processes.values())
@@ -223,7 +263,9 @@
     assert not two[0][0] and "held" in two[0][1]["why"]
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
     world.run(5 * SECOND)
-    assert told[0][0] and all(p.fleet.member.agreed.state.settings == {"mark": 3} for p in world.processes.values())
+    assert told[0][0] and all(
+        p.fleet.member.agreed.state.settings == {"mark": 3} for p in world.processes.values()
+    )
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 4})
     world.run(5 * SECOND)
     assert not told[0][0] and "stale" in told[0][1]["why"]
@@ -233,7 +275,9 @@
     world = begun(9)
     leader = world.leader()
     cut = next(p for p in world.processes.values() if p is not leader)
-    world.cuts |= {pair for q in world.processes for pair in ((cut.name, q), (q, cut.name)) if q != cut.name}
+    world.cuts |= {
+        pair for q in world.processes for pair in ((cut.name, q), (q, cut.name)) if q != cut.name
+    }
     early = ask(world, cut, "out", server="s0")
     world.run(5 * SECOND)
     late = ask(world, cut, "out", server="s1")
@@ -244,19 +288,30 @@
 
 def test_members_leave_and_are_replaced_and_a_follower_far_behind_is_given_a_snapshot():
     world = begun(10, voters=3, followers=2)
-    gone = next(p for p in world.processes.values() if p is not world.leader() and p.name in ("n0", "n1", "n2"))
+    gone = next(
+        p
+        for p in world.processes.values()
+        if p is not world.leader() and p.name in ("n0", "n1", "n2")
+    )
     gone.kill()
     behind = world.processes["n4"]
     behind.kill()
     told: list = []
-    world.call(world.leader(), "replace", {"ident": "r", "by": "t", "at": 0, "member": gone.name, "other": "n3"}, 6 * SECOND,
-               lambda ok, body: told.append(ok))
+    world.call(
+        world.leader(),
+        "replace",
+        {"ident": "r", "by": "t", "at": 0, "member": gone.name, "other": "n3"},
+        6 * SECOND,
+        lambda ok, body: told.append(ok),
+    )
     for i in range(700):
         ask(world, world.leader(), "out" if i % 2 == 0 else "back", server="s0")
         world.run(SECOND // 50, check=i % 50 == 0)
     world.run(10 * SECOND)
     members = {m.name: m.voter for m in world.leader().fleet.member.members}
-    assert told == [True] and gone.name not in members and members["n3"] and sum(members.values()) == 3
+    assert (
+        told == [True] and gone.name not in members and members["n3"] and sum(members.values()) == 3
+    )
     assert world.leader().fleet.member.node.log.snapshot.index > 500
     behind.start()
     gone.start()
@@ -278,10 +333,14 @@
     world.start()
     world.run(15 * SECOND, check=False)
     world.check()
-    assert len(world.leader().fleet.member.members) == 200 and all(p.acts for p in world.processes.values())
+    assert len(world.leader().fleet.member.members) == 200 and all(
+        p.acts for p in world.processes.values()
+    )
     told = ask(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
-    assert told[0][0] and all("s0" in p.fleet.member.agreed.state.out for p in world.processes.values())
+    assert told[0][0] and all(
+        "s0" in p.fleet.member.agreed.state.out for p in world.processes.values()
+    )
 
 
 def node(entries: int = 0) -> Node:
@@ -295,13 +354,15 @@
 
 def test_what_waits_to_be_agreed_has_a_bound_and_a_change_needs_an_agreed_entry_of_the_term():
     made = node()
-    made.durable = 1 << 40      # nothing is written, so nothing is agreed
+    made.durable = 1 << 40  # nothing is written, so nothing is agreed
     for _ in range(8):
         made.propose(0, b"x")
     with pytest.raises(Busy, match="too much"):
         made.propose(0, b"x")
     with pytest.raises(Busy, match="not the leader"):
-        Node("b#1", Kept(Snapshot(0, 0, (Member("a#1", True),), b"")), Timing(), Random(1), 0).propose(0, b"x")
+        Node(
+            "b#1", Kept(Snapshot(0, 0, (Member("a#1", True),), b"")), Timing(), Random(1), 0
+        ).propose(0, b"x")
     with pytest.raises(ValueError):
         made.change(0, (Member("a#1", True), Member("b#1", True), Member("c#1", True)))
 
@@ -311,7 +372,10 @@
 
     def __init__(self):
         members = tuple(Member(name, True) for name in "abcde")
-        self.nodes = {name: Node(name, Kept(Snapshot(0, 0, members, b"")), Timing(entries=1), Random(name), 0) for name in "abcde"}
+        self.nodes = {
+            name: Node(name, Kept(Snapshot(0, 0, members, b"")), Timing(entries=1), Random(name), 0)
+            for name in "abcde"
+        }
         self.now = 0
 
     def pump(self, names: str, passes=lambda source, target, word: True) -> None:
@@ -349,6 +413,7 @@
 
     def without_its_own(source, target, word):
         return not (isinstance(word, Append) and any(entry.term >= later for entry in word.entries))
+
     five.elect("a", "abc", without_its_own)
     for _ in range(8):
         five.now += SECOND // 5
@@ -367,11 +432,12 @@
     assert counted < index and not same
     planted.older_term_committed_by_count(monkeypatch)
     with pytest.raises(Harmed, match=f"entry {index} of term 1 is agreed, the leader of term"):
-        an_entry_of_an_older_term(Five())       # agreed, and then something else
+        an_entry_of_an_older_term(Five())  # agreed, and then something else
 
 
 # Files.
 
+
 def stored(chance=Random(1)) -> tuple[MemoryDisk, Store, Kept]:
     disk = MemoryDisk(chance)
     store = Store(disk)
@@ -395,8 +461,13 @@
                     store.write(Work(entries=[(index, Entry(2, DATA, bytes([index]) * 700))]))
                     acknowledged = index
                     if index == 8:
-                        store.write(Work(vote=(3, "b#1"), snapshot=Snapshot(7, 2, (Member("a#1", True),), b"later"),
-                                         entries=[(8, Entry(2, DATA, bytes([8]) * 700))]))
+                        store.write(
+                            Work(
+                                vote=(3, "b#1"),
+                                snapshot=Snapshot(7, 2, (Member("a#1", True),), b"later"),
+                                entries=[(8, Entry(2, DATA, bytes([8]) * 700))],
+                            )
+                        )
                         term = 3
             except BaseException as error:
                 assert type(error).__name__ == "Killed"
@@ -404,7 +475,10 @@
             kept = reread(disk)
             last = kept.snapshot.index + len(kept.entries)
             assert acknowledged <= last <= acknowledged + 1 and kept.term >= term
-            assert all(e.data == bytes([i]) * 700 for i, e in enumerate(kept.entries, kept.snapshot.index + 1))
+            assert all(
+                e.data == bytes([i]) * 700
+                for i, e in enumerate(kept.entries, kept.snapshot.index + 1)
+            )
 
 
 def test_damage_is_told_from_a_torn_tail_and_a_foreign_file_is_left_alone():
@@ -414,7 +488,7 @@
     data, inode = disk.files["log.1"]
     whole = len(reread(disk).entries)
     for at in range(10, len(data)):
-        disk.files["log.1"] = data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1:], inode
+        disk.files["log.1"] = data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :], inode
         with pytest.raises(Damaged):
             reread(disk)
     for end in range(len(data) - 90, len(data)):
@@ -431,6 +505,7 @@
 
 # Leases and frames.
 
+
 def test_a_lease_is_given_up_by_its_holder_before_its_giver_counts_it_as_lapsed():
     held, given = Held(5 * SECOND, 0), Given(5 * SECOND, 0)
     number = held.ask(100 * SECOND)
@@ -439,14 +514,14 @@
     assert held.until(2) == 0 and 104 * SECOND < held.until(3) < 105 * SECOND
     assert not given.lapsed(105 * SECOND, "a") and given.lapsed(106 * SECOND, "a")
     assert not Given(5 * SECOND, 100 * SECOND).lapsed(104 * SECOND, "a")
-    held.granted(99, 7)         # an answer to nothing that was asked
+    held.granted(99, 7)  # an answer to nothing that was asked
     assert held.until(3) > 0
 
 
 def test_odd_frames_end_a_connection_and_have_no_effect():
     chance = Random(7)
     changed = bytearray(pack(Call(1, "status", {"server": "s-1"})))
-    changed[-1] ^= 1            # another server's name, and a word as good as before
+    changed[-1] ^= 1  # another server's name, and a word as good as before
     frames = Frames()
     frames.feed(bytes(changed))
     with pytest.raises(FrameError, match="checksum"):
@@ -469,32 +544,70 @@
     frames.feed(good[-1:])
     assert frames.frame() == Call(1, "status", {})
 
-    def hello(to: str = "", fleet: str = "f", protocol: int = PROTOCOL, boot: int = 2, life: int = 5) -> Hello:
+    def hello(
+        to: str = "", fleet: str = "f", protocol: int = PROTOCOL, boot: int = 2, life: int = 5
+    ) -> Hello:
         return Hello(protocol, fleet, "member", "g", "b#1", boot, life, "", to)
-    links = Links(("127.0.0.1", 0), "f", lambda *event: None, lambda: 0,
-                  lambda to: Hello(PROTOCOL, "f", "member", "g", "a#1", 1, 1, "", to), lambda: "g")
-    assert links.refuse(hello()) is None and links.refuse(hello(to="a#1")) is None and links.refuse(hello(boot=3, life=6)) is None
-    codes = [links.refuse(odd).code for odd in (hello(fleet="x"), hello(protocol=PROTOCOL + 1), hello(to="a#0"), hello(boot=2, life=7),
-                                                hello(boot=3, life=7))]
+
+    links = Links(
+        ("127.0.0.1", 0),
+        "f",
+        lambda *event: None,
+        lambda: 0,
+        lambda to: Hello(PROTOCOL, "f", "member", "g", "a#1", 1, 1, "", to),
+        lambda: "g",
+    )
+    assert (
+        links.refuse(hello()) is None
+        and links.refuse(hello(to="a#1")) is None
+        and links.refuse(hello(boot=3, life=6)) is None
+    )
+    codes = [
+        links.refuse(odd).code
+        for odd in (
+            hello(fleet="x"),
+            hello(protocol=PROTOCOL + 1),
+            hello(to="a#0"),
+            hello(boot=2, life=7),
+            hello(boot=3, life=7),
+        )
+    ]
     assert codes == ["fleet", "protocol", "replaced", "put-back", "put-back"]
 
 
 # Judges, held against histories that are wrong.
 
+
 def test_judges_find_what_is_wrong_in_a_history():
     offer = Op("offer", 0, 10, "yes", 1, 77, 2)
-    assert not judges.linearizable([offer, Op("show", 5, 20, "yes", 0, 77, 2), Op("show", 1, 4, "yes", 0, 0, 1)], (1, 0))
-    assert judges.linearizable([offer, Op("show", 11, 20, "yes", 0, 0, 1)], (1, 0))             # an old value after a yes
-    assert judges.linearizable([offer, Op("offer", 11, 20, "yes", 1, 78, 3)], (1, 0))           # two on one base
+    assert not judges.linearizable(
+        [offer, Op("show", 5, 20, "yes", 0, 77, 2), Op("show", 1, 4, "yes", 0, 0, 1)], (1, 0)
+    )
+    assert judges.linearizable(
+        [offer, Op("show", 11, 20, "yes", 0, 0, 1)], (1, 0)
+    )  # an old value after a yes
+    assert judges.linearizable(
+        [offer, Op("offer", 11, 20, "yes", 1, 78, 3)], (1, 0)
+    )  # two on one base
     unsure = Op("offer", 0, 10, "unsure", 1, 77, 0)
-    assert not judges.linearizable([unsure, Op("show", 30, 40, "yes", 0, 77, 5)], (1, 0))       # it came into force after all
-    assert not judges.linearizable([unsure, Op("show", 30, 40, "yes", 0, 0, 1)], (1, 0))        # or did not
+    assert not judges.linearizable(
+        [unsure, Op("show", 30, 40, "yes", 0, 77, 5)], (1, 0)
+    )  # it came into force after all
+    assert not judges.linearizable(
+        [unsure, Op("show", 30, 40, "yes", 0, 0, 1)], (1, 0)
+    )  # or did not
     down = [Down("s0", 0, 10 * SECOND, 20 * SECOND)]
-    assert judges.contradiction(down, [(14 * SECOND, "s0", "n1"), (30 * SECOND, "s1", "n1")], 5 * SECOND, 0) == (4 * SECOND, [])
+    assert judges.contradiction(
+        down, [(14 * SECOND, "s0", "n1"), (30 * SECOND, "s1", "n1")], 5 * SECOND, 0
+    ) == (4 * SECOND, [])
     assert judges.contradiction(down, [(16 * SECOND, "s0", "n1")], 5 * SECOND, 0)[1]
     assert len(judges.contradiction(down, [(21 * SECOND, "s0", "n1")], 60 * SECOND, 0)[1]) == 1
     assert judges.forgotten(down, set()) and not judges.forgotten(down, {"s0"})
     flow = Flow("f", "repeatable", 0, SECOND, "end", SECOND // 2, "n0")
-    assert judges.answers([flow], {}, 0) and not judges.answers([flow], {"n0": [(SECOND // 3, SECOND // 2)]}, 0)
+    assert judges.answers([flow], {}, 0) and not judges.answers(
+        [flow], {"n0": [(SECOND // 3, SECOND // 2)]}, 0
+    )
     assert judges.answers([Flow("f", "repeatable", 0, SECOND, "UP", 3 * SECOND, "n0")], {}, 0)
-    assert judges.ran_twice([("f", "once-only", "a"), ("f", "once-only", "b")]) and not judges.ran_twice([("f", "once-only", "a")])
+    assert judges.ran_twice(
+        [("f", "once-only", "a"), ("f", "once-only", "b")]
+    ) and not judges.ran_twice([("f", "once-only", "a")])
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,15 +11,31 @@
 from cypresswalk.benchlink.wire import WireError, settings
 
 ROOT = Path(__file__).parent.parent
-PARAMS = {"me": 0, "instances": 1, "zone": 0, "family": "conn", "discovery": "pushed", "unheard": [1],
-          "limits": {"maxConnects": 3, "retryAfter": False, "maxRetryAfter": 0.0, "probes": False},
-          "rules": {"askWithin": 10000.0, "cold": 5000.0, "coldShare": 0.2, "fall": 2000.0, "overloadFactor": 3.0},
-          "deductions": {}, "stats": {"via": "silent", "fields": []},
-          "serviceTypes": [{"semantics": "idempotent", "setupTarget": 300.0}]}
+PARAMS = {
+    "me": 0,
+    "instances": 1,
+    "zone": 0,
+    "family": "conn",
+    "discovery": "pushed",
+    "unheard": [1],
+    "limits": {"maxConnects": 3, "retryAfter": False, "maxRetryAfter": 0.0, "probes": False},
+    "rules": {
+        "askWithin": 10000.0,
+        "cold": 5000.0,
+        "coldShare": 0.2,
+        "fall": 2000.0,
+        "overloadFactor": 3.0,
+    },
+    "deductions": {},
+    "stats": {"via": "silent", "fields": []},
+    "serviceTypes": [{"semantics": "idempotent", "setupTarget": 300.0}],
+}
 
 
 def run(data: bytes):
-    return subprocess.run([sys.executable, "-m", "cypresswalk.benchlink"], input=data, capture_output=True, cwd=ROOT)
+    return subprocess.run(
+        [sys.executable, "-m", "cypresswalk.benchlink"], input=data, capture_output=True, cwd=ROOT
+    )
 
 
 def batch(*records: bytes, clock=100000.0) -> bytes:
@@ -43,15 +59,18 @@
     assert done.stdout.endswith(b"\x0d\x03\x00" + struct.pack("<BQdI", 0, 5, 150.0, 77))
 
 
-@pytest.mark.parametrize("data, message", [
-    (b"\x01\x00", "header of batch 0: input ended"),
-    (batch(ABOUT)[:-1], "batch 0: input ended"),
-    (batch(ABOUT + b"\x00"), "1 bytes follow"),
-    (batch(ABOUT, b"\xee"), "unknown record code 238"),
-    (batch(ABOUT, init(b"{")), "not JSON"),
-    (batch(ABOUT, init(b"{}")), "'limits' is missing"),
-    (batch(FLOW), "before any About"),
-])
+@pytest.mark.parametrize(
+    "data, message",
+    [
+        (b"\x01\x00", "header of batch 0: input ended"),
+        (batch(ABOUT)[:-1], "batch 0: input ended"),
+        (batch(ABOUT + b"\x00"), "1 bytes follow"),
+        (batch(ABOUT, b"\xee"), "unknown record code 238"),
+        (batch(ABOUT, init(b"{")), "not JSON"),
+        (batch(ABOUT, init(b"{}")), "'limits' is missing"),
+        (batch(FLOW), "before any About"),
+    ],
+)
 def test_malformed_input_is_named_and_ends_with_an_error(data, message):
     done = run(data)
     assert done.returncode == 1 and message in done.stderr.decode()
@@ -64,16 +83,26 @@
 
 def test_ids_no_longer_held_are_no_errors():
     late = b"\x04" + struct.pack("<QIBdBHB", 5, 77, 1, 3.0, 0, 100, 0)
-    done = run(batch(ABOUT, init(json.dumps(PARAMS).encode()), LIST) + batch(ABOUT, late, b"\x05" + struct.pack("<Q", 5)))
+    done = run(
+        batch(ABOUT, init(json.dumps(PARAMS).encode()), LIST)
+        + batch(ABOUT, late, b"\x05" + struct.pack("<Q", 5))
+    )
     assert done.returncode == 0
 
 
-@pytest.mark.parametrize("name, odd", [("budgetFree", -1), ("extraRatio", "much"), ("lookBack", float("inf")), ("extraRatio", True)])
+@pytest.mark.parametrize(
+    "name, odd",
+    [("budgetFree", -1), ("extraRatio", "much"), ("lookBack", float("inf")), ("extraRatio", True)],
+)
 def test_an_odd_figure_of_the_budget_is_named_and_an_absent_one_means_no_such_rule(name, odd):
     assert settings(json.dumps(PARAMS).encode()).further_window == 0
     rules = PARAMS["rules"] | {"budgetFree": 5, "extraRatio": 0.05, "lookBack": 2000.0}
     found = settings(json.dumps(PARAMS | {"rules": rules}).encode())
-    assert (found.further_window, found.further_free, found.further_part) == (2_000_000_000, 5, 0.05)
+    assert (found.further_window, found.further_free, found.further_part) == (
+        2_000_000_000,
+        5,
+        0.05,
+    )
     with pytest.raises(WireError) as error:
         settings(json.dumps(PARAMS | {"rules": rules | {name: odd}}).encode())
     assert name in str(error.value)
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -6,6 +6,7 @@
 from threading import Event
 
 import pytest
+from helpers import PARAMS, START, config_data, listed
 
 from cypresswalk.copies.claims import Answer
 from cypresswalk.fleet.binding import Binding, objection, shared
@@ -20,7 +21,6 @@
 from cypresswalk.net.lines import opening
 from cypresswalk.net.registry import Registry, server_number
 from cypresswalk.operator import FleetTable
-from helpers import PARAMS, START, config_data, listed
 
 
 class Drivers:
@@ -49,16 +49,26 @@
         self.registry = Registry(config.zones)
         _, known = self.registry.decode(config.known)
         self.core.listed(self.now, ListForm.CACHED, known)
-        table = FleetTable(fleet="f", name="n0", address="127.0.0.1:9", folder=str(tmp_path / "kept"), first={"n0": "127.0.0.1:9"},
-                           copies=copies)
-        self.binding = Binding(table, config, self.core, lambda *what: self.posted.append(what), lambda: self.registry)
+        table = FleetTable(
+            fleet="f",
+            name="n0",
+            address="127.0.0.1:9",
+            folder=str(tmp_path / "kept"),
+            first={"n0": "127.0.0.1:9"},
+            copies=copies,
+        )
+        self.binding = Binding(
+            table, config, self.core, lambda *what: self.posted.append(what), lambda: self.registry
+        )
         self.binding.fleet.told_list = lambda *what: self.told.append(what)
         self.binding.fleet.started.set()
         self.may_act = True
         self.core.lease = lambda: self.may_act
 
     def list(self, generation, *entries, reset=False):
-        form, found = self.registry.decode({"generation": generation, "reset": reset, "instances": list(entries)})
+        form, found = self.registry.decode(
+            {"generation": generation, "reset": reset, "instances": list(entries)}
+        )
         self.core.listed(self.now, form, found)
 
     def view(self, version, **changes):
@@ -70,7 +80,11 @@
 
     def open(self, ident, kind="view", **more):
         session = Session(None)
-        self.core.opened(self.now, session, opening(f"OPEN {ident} {ident.encode().hex()} c={kind},t=north,d=900".encode()))
+        self.core.opened(
+            self.now,
+            session,
+            opening(f"OPEN {ident} {ident.encode().hex()} c={kind},t=north,d=900".encode()),
+        )
         self.core.pull(self.now)
         return session
 
@@ -85,20 +99,30 @@
     assert [generation for generation, *_ in bound.told] == [5] and len(bound.told[0][2]) == 3
     bound.view(1, list_version=1, servers=(entry("s-1"), entry("s-2", "draining"), entry("s-4")))
     # Its own agent is behind: it has s-2 in service still, and s-3 is not agreed.
-    assert bound.state("s-1") is State.READY and bound.state("s-2") is State.DRAINING and bound.state("s-3") is State.GONE
+    assert (
+        bound.state("s-1") is State.READY
+        and bound.state("s-2") is State.DRAINING
+        and bound.state("s-3") is State.GONE
+    )
     bound.list(6, listed("s-1", lifecycle="terminating"))
-    assert bound.state("s-1") is State.DRAINING     # what it was told itself binds at once
+    assert bound.state("s-1") is State.DRAINING  # what it was told itself binds at once
     bound.list(7, listed("s-2"), listed("s-3"))
     assert bound.state("s-2") is State.DRAINING and bound.state("s-3") is State.GONE
     bound.view(2, list_version=2, servers=(entry("s-1"), entry("s-2", since=9), entry("s-3")))
-    assert bound.state("s-2") is State.READY and bound.state("s-3") is State.READY and bound.state("s-1") is State.DRAINING
+    assert (
+        bound.state("s-2") is State.READY
+        and bound.state("s-3") is State.READY
+        and bound.state("s-1") is State.DRAINING
+    )
 
 
 def test_settings_change_under_flows_and_what_cannot_be_followed_is_not_acted_on(tmp_path):
     bound = Bound(tmp_path, listed("s-1"))
     first = bound.open("a1", "book")
     params = shared(copy.deepcopy(PARAMS))
-    params["serviceTypes"] = [{"name": "chat", "semantics": "idempotent", "setupTarget": 200.0, "giveUp": 800.0}]
+    params["serviceTypes"] = [
+        {"name": "chat", "semantics": "idempotent", "setupTarget": 200.0, "giveUp": 800.0}
+    ]
     params["tenants"] = [{"name": "south"}, {"name": "north"}, {"name": "west"}]
     acted = []
     bound.binding.fleet.acted = acted.append
@@ -106,18 +130,31 @@
     assert acted == [4] and list(bound.core.service_types) == ["chat"]
     # A customer keeps its number: flows that stand are counted by it.
     assert bound.core.customers == {"north": 0, "south": 1, "west": 2}
-    assert first.flow.type.setup_target == 300_000_000 and bound.open("a2", "chat").flow.type.setup_target == 200_000_000
+    assert (
+        first.flow.type.setup_target == 300_000_000
+        and bound.open("a2", "chat").flow.type.setup_target == 200_000_000
+    )
     assert bound.open("a3", "book").flow is None and bound.drivers.answers[-1] == b"ERR\r\n"
-    bound.view(5, settings_version=5, settings=params | {"limits": params["limits"] | {"dialTimeout": 1.0}})
+    bound.view(
+        5, settings_version=5, settings=params | {"limits": params["limits"] | {"dialTimeout": 1.0}}
+    )
     assert acted == [4] and bound.binding.version == 4
 
 
-@pytest.mark.parametrize("change, says", [
-    ({"me": 3}, "me: not among"), ({"serviceTypes": []}, "none, or a name twice"), ({"limits": {}}, "missing"),
-    ({"rules": None}, "subscriptable"), ({"extra": {"groups": False}}, "extra.groups: takes effect at a start alone"),
-    ({"tenants": [{"name": "a"}, {"name": "a"}]}, "twice"), ({"instances": 0}, "above 0"),
-    ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"giveUp": 0}]}, "giveUp must be above 0"),
-    ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"semantics": "perhaps"}]}, "perhaps")])
+@pytest.mark.parametrize(
+    "change, says",
+    [
+        ({"me": 3}, "me: not among"),
+        ({"serviceTypes": []}, "none, or a name twice"),
+        ({"limits": {}}, "missing"),
+        ({"rules": None}, "subscriptable"),
+        ({"extra": {"groups": False}}, "extra.groups: takes effect at a start alone"),
+        ({"tenants": [{"name": "a"}, {"name": "a"}]}, "twice"),
+        ({"instances": 0}, "above 0"),
+        ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"giveUp": 0}]}, "giveUp must be above 0"),
+        ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"semantics": "perhaps"}]}, "perhaps"),
+    ],
+)
 def test_settings_that_a_balancer_cannot_act_on_are_objected_to(change, says):
     assert says in objection(PARAMS, shared(PARAMS) | change)
     assert not objection(PARAMS, shared(PARAMS)) and objection(PARAMS, [1])
@@ -128,7 +165,11 @@
     held = bound.open("b1")
     assert len(bound.drivers.connects) == 1
     bound.may_act = False
-    assert bound.open("b2").over and bound.drivers.answers == [b"BUSY\r\n"] and len(bound.drivers.connects) == 1
+    assert (
+        bound.open("b2").over
+        and bound.drivers.answers == [b"BUSY\r\n"]
+        and len(bound.drivers.connects) == 1
+    )
     # One that is chosen a server again after the lease has ended goes nowhere.
     leg = bound.drivers.connects[0][0]
     bound.core.ended(bound.now, leg, Outcome.FULL)
@@ -136,7 +177,9 @@
         bound.now += 20_000_000
         bound.core.pass_time(bound.now)
         bound.core.pull(bound.now)
-    assert held.over and len(bound.drivers.connects) == 1 and bound.drivers.answers[-1] == b"BUSY\r\n"
+    assert (
+        held.over and len(bound.drivers.connects) == 1 and bound.drivers.answers[-1] == b"BUSY\r\n"
+    )
     assert bound.core.counters.counts["flows_without_lease"] >= 1 and not bound.core.sessions
 
 
@@ -149,15 +192,20 @@
     assert call.answers.get_nowait() == b"OK\r\n" and calls[0][0] == "note"
     bound.view(1, out=("s-1", "s-2"))
     bound.view(2, out=())
-    barred = {name: bound.core.balancer.servers[server_number(name)].barred for name in ("s-1", "s-2")}
+    barred = {
+        name: bound.core.balancer.servers[server_number(name)].barred for name in ("s-1", "s-2")
+    }
     assert barred == {"s-1": True, "s-2": False}
     call = Call("set-down", "s-2")
     bound.core.called(bound.now, call)
-    assert call.answers.empty()         # the yes comes after the fleet's
+    assert call.answers.empty()  # the yes comes after the fleet's
     calls[-1][2](True, {"version": 3})
     answer, *words = bound.posted[-1]
     answer(bound.now, *words)
-    assert call.answers.get_nowait() == b"OK\r\n" and bound.core.balancer.servers[server_number("s-2")].barred
+    assert (
+        call.answers.get_nowait() == b"OK\r\n"
+        and bound.core.balancer.servers[server_number("s-2")].barred
+    )
     call = Call("set-down", "s-1")
     bound.core.called(bound.now, call)
     calls[-1][2](False, {"why": "nobody answered", "unsure": True})
@@ -169,8 +217,11 @@
 def test_a_fleet_thread_that_failed_in_an_unforeseen_way_begins_anew(tmp_path):
     """Guards against its own lock, held still, passing for another process's."""
     from cypresswalk.fleet import driver
+
     place = f"127.0.0.1:{free_port('127.0.0.1')}"
-    table = FleetTable(fleet="f", name="n0", address=place, folder=str(tmp_path / "kept"), first={"n0": place})
+    table = FleetTable(
+        fleet="f", name="n0", address=place, folder=str(tmp_path / "kept"), first={"n0": place}
+    )
     fleet = driver.Fleet(table, lambda settings: "", {}, lambda view: None, lambda: None)
     turn, failed = fleet.turn, []
 
@@ -179,6 +230,7 @@
             failed.append(True)
             raise ZeroDivisionError
         turn(events)
+
     fleet.turn = once
     fleet.start()
     until = time.monotonic() + 15
@@ -186,7 +238,12 @@
         time.sleep(0.02)
     assert failed and fleet.boot >= 2 and fleet.member.leads
     told = Event()
-    fleet.call("out", {"ident": "1", "by": "test", "at": 0, "server": "s"}, lambda ok, body: ok and told.set(), 5)
+    fleet.call(
+        "out",
+        {"ident": "1", "by": "test", "at": 0, "server": "s"},
+        lambda ok, body: ok and told.set(),
+        5,
+    )
     assert told.wait(6)
     fleet.stop()
     assert fleet.ended.wait(5)
@@ -210,7 +267,7 @@
 def test_a_flow_that_must_not_run_twice_waits_for_its_claim_and_others_do_not(tmp_path):
     bound = claimed(tmp_path)
     bound.open("r1")
-    assert len(bound.drivers.connects) == 1 and not bound.claims        # a repeatable one pays nothing
+    assert len(bound.drivers.connects) == 1 and not bound.claims  # a repeatable one pays nothing
     session = bound.open("o1", "book")
     assert len(bound.drivers.connects) == 1 and len(bound.core.claims.waiting) == 1
     what, ident, held, until, _ = bound.claims[0]
@@ -224,16 +281,30 @@
     assert bound.claims[1] == ("finish", ident, "n0#1/1.1", "ran")
 
 
-@pytest.mark.parametrize("kind, how, line", [
-    ("held", "out", b"ERR\r\n"), ("held", "ran", b"ERR\r\n"), ("held", "unknown", b"ERR\r\n"),
-    ("held", "never", b"BUSY 200\r\n"), ("refused", "", b"BUSY 200\r\n")])
+@pytest.mark.parametrize(
+    "kind, how, line",
+    [
+        ("held", "out", b"ERR\r\n"),
+        ("held", "ran", b"ERR\r\n"),
+        ("held", "unknown", b"ERR\r\n"),
+        ("held", "never", b"BUSY 200\r\n"),
+        ("refused", "", b"BUSY 200\r\n"),
+    ],
+)
 def test_what_is_held_elsewhere_is_answered_as_the_rules_allow(kind, how, line, tmp_path):
     bound = claimed(tmp_path)
-    bound.core.balancer.settings.retry_after, bound.core.balancer.settings.max_retry_after = True, 10**9
+    bound.core.balancer.settings.retry_after, bound.core.balancer.settings.max_retry_after = (
+        True,
+        10**9,
+    )
     session = bound.open("o1", "book")
     session.flow.type.setup_target = 200_000_000
     answer(bound, kind, how)
-    assert bound.drivers.answers == [line] and not bound.drivers.connects and not bound.core.claims.waiting
+    assert (
+        bound.drivers.answers == [line]
+        and not bound.drivers.connects
+        and not bound.core.claims.waiting
+    )
 
 
 def test_a_client_that_leaves_while_its_claim_is_out_has_it_ended_as_never(tmp_path):
@@ -244,11 +315,13 @@
     assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
     session = bound.open("o2", "book")
     answer(bound, "granted", which=2)
-    bound.core.left(bound.now, session)         # its connect is out: nobody knows
+    bound.core.left(bound.now, session)  # its connect is out: nobody knows
     assert bound.claims[3][0::3] == ("finish", "unknown")
 
 
-def test_a_flow_whose_claim_is_never_answered_is_rejected_in_time_and_a_process_that_leaves_waits_for_it(tmp_path):
+def test_a_flow_whose_claim_is_never_answered_is_rejected_in_time_and_a_process_that_leaves_waits_for_it(
+    tmp_path,
+):
     bound = claimed(tmp_path)
     bound.core.stop(bound.now)
     session = bound.open("o1", "book")
@@ -258,21 +331,25 @@
     bound.now += session.flow.type.setup_target // 2
     bound.core.pass_time(bound.now)
     assert bound.drivers.answers == [b"BUSY\r\n"]
-    answer(bound, "granted")            # after all: nothing is sent, and its end is told
+    answer(bound, "granted")  # after all: nothing is sent, and its end is told
     assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
     bound.now += 10 * 10**9
     bound.core.pass_time(bound.now)
     assert bound.core.stopped
 
 
-def test_one_that_was_drained_stays_so_over_a_restart_or_a_lost_machine_until_it_is_called_back(tmp_path):
+def test_one_that_was_drained_stays_so_over_a_restart_or_a_lost_machine_until_it_is_called_back(
+    tmp_path,
+):
     bound = Bound(tmp_path, listed("s-1"))
     bound.view(7, away=("n0", "n2"))
     assert bound.core.drained and not bound.core.ready
-    bound.binding.fleet.call = lambda name, args, reply, span: bound.told.append((name, args["why"]))
+    bound.binding.fleet.call = lambda name, args, reply, span: bound.told.append(
+        (name, args["why"])
+    )
     bound.core.called(bound.now, Call("drain-off"))
     assert bound.told[-1] == ("go_out", "called back")
-    bound.view(8, away=("n0",))         # word of it that is older than the call
+    bound.view(8, away=("n0",))  # word of it that is older than the call
     assert not bound.core.drained and bound.core.ready
     other = Bound(tmp_path, listed("s-1"))
     other.view(7, away=("n2",))
@@ -288,7 +365,9 @@
         first = [bound.open(f"r{i}").flow for i in range(10)]
         bound.now += bound.core.balancer.settings.fall_window
         later = [bound.open(f"q{i}").flow for i in range(10)]
-        admitted[copies is None] = [sum(server in flow.admitted for flow in flows) for flows in (first, later)]
+        admitted[copies is None] = [
+            sum(server in flow.admitted for flow in flows) for flows in (first, later)
+        ]
     assert admitted[False][0] == 0 < admitted[True][0] and admitted[False][1] > 0
 
 
@@ -301,7 +380,7 @@
         bound.core.probed(bound.now, server, False, [])
     assert say().bad == ["s-1"]
     bound.view(1, out=("s-1",), watch=True)
-    assert say().bad == ["s-1"]                 # out by hand or not
+    assert say().bad == ["s-1"]  # out by hand or not
     bound.view(2, watch=True)
     bound.core.probed(bound.now, server, True, [])
     assert say().bad == []
@@ -309,11 +388,18 @@
     at = {session: leg.server for leg, _ in bound.drivers.connects for session in [leg.session]}
     for i, session in enumerate(sessions):
         if session in at:
-            bound.core.up(bound.now + 2_000_000, session.leg) if i % 4 else bound.core.ended(bound.now, session.leg, Outcome.TIMEOUT)
+            bound.core.up(bound.now + 2_000_000, session.leg) if i % 4 else bound.core.ended(
+                bound.now, session.leg, Outcome.TIMEOUT
+            )
     told = say().served
-    assert set(told) <= {"s-1", "s-2"} and sum(up for up, *_ in told.values()) == sum(s.standing for s in sessions) > 4
+    assert (
+        set(told) <= {"s-1", "s-2"}
+        and sum(up for up, *_ in told.values()) == sum(s.standing for s in sessions) > 4
+    )
     failed = sum(session in at for session in sessions[::4])
-    assert sum(fell for _, _, fell, _ in told.values()) == failed > 1 and all(took == up * 2_000_000 for up, _, _, took in told.values())
+    assert sum(fell for _, _, fell, _ in told.values()) == failed > 1 and all(
+        took == up * 2_000_000 for up, _, _, took in told.values()
+    )
     standing = sum(s.standing and at[s] is server for s in sessions)
     bound.view(3, out=("s-1",))
     assert say() == OfServers(say().bad, {"s-1": standing} if standing else {}, {})
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -3,15 +3,15 @@
 import json
 
 import pytest
+from helpers import Ledger, listed
 from hypothesis import given
+from test_net import CUTS, SEEDED, Bench, pieces
 
 from cypresswalk.model import SECOND, ListForm, Outcome
 from cypresswalk.net.calls import Call, Caller
 from cypresswalk.net.core import Phase
 from cypresswalk.net.lines import ProtocolError
 from cypresswalk.net.registry import server_number
-from helpers import Ledger, listed
-from test_net import CUTS, SEEDED, Bench, pieces
 
 
 def said(data, cuts=(4096,)) -> tuple[str, str] | None:
@@ -25,12 +25,32 @@
 @SEEDED
 @given(CUTS)
 def test_a_call_is_read_alike_however_it_is_cut(cuts):
-    assert said(b"set-down s-1\r\n", cuts) == ("set-down", "s-1") and said(b"drain-on\n", cuts) == ("drain-on", "")
+    assert said(b"set-down s-1\r\n", cuts) == ("set-down", "s-1") and said(b"drain-on\n", cuts) == (
+        "drain-on",
+        "",
+    )
     assert said(b"check", cuts) is None
 
 
-@pytest.mark.parametrize("line", [b"", b"chek", b"CHECK", b"check now", b"set-down", b"set-up a b", b"set-down a/b", b"set-down " +
-                                  b"x" * 65, b"\xff\xfe", b"set-down \xff", b"check\r\nvars", b"check\0", b"x" * 5000, b"drain-on s-1"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"chek",
+        b"CHECK",
+        b"check now",
+        b"set-down",
+        b"set-up a b",
+        b"set-down a/b",
+        b"set-down " + b"x" * 65,
+        b"\xff\xfe",
+        b"set-down \xff",
+        b"check\r\nvars",
+        b"check\0",
+        b"x" * 5000,
+        b"drain-on s-1",
+    ],
+)
 def test_what_is_no_call_is_refused_with_a_reason(line):
     with pytest.raises(ProtocolError) as refused:
         said(line + b"\r\n")
@@ -63,10 +83,23 @@
 def test_a_server_out_by_hand_gets_nothing_whatever_the_list_says_until_it_is_put_back():
     bench = Bench(servers=3)
     away = bench.core.balancer.servers[server_number("s-1")]
-    assert ask(bench, "set-down", "s-9") == "ERR" and ask(bench, "set-down", "s-1") == ask(bench, "set-down", "s-1") == "OK"
-    for states in (["in_service"] * 3, ["in_service", "terminated", "in_service"], ["in_service"] * 3):
-        told = [listed(f"s-{i}", lifecycle=state, startedAtMs=7 * (state != "terminated")) for i, state in enumerate(states)]
-        bench.tell(bench.core.listed, *bench.registry.decode({"generation": 2, "reset": True, "instances": told}))
+    assert (
+        ask(bench, "set-down", "s-9") == "ERR"
+        and ask(bench, "set-down", "s-1") == ask(bench, "set-down", "s-1") == "OK"
+    )
+    for states in (
+        ["in_service"] * 3,
+        ["in_service", "terminated", "in_service"],
+        ["in_service"] * 3,
+    ):
+        told = [
+            listed(f"s-{i}", lifecycle=state, startedAtMs=7 * (state != "terminated"))
+            for i, state in enumerate(states)
+        ]
+        bench.tell(
+            bench.core.listed,
+            *bench.registry.decode({"generation": 2, "reset": True, "instances": told}),
+        )
         for server in list(bench.sockets.probes):
             bench.sockets.probes.remove(server)
             bench.tell(bench.core.probed, server, True, [])
@@ -74,14 +107,16 @@
         bench.pass_time(SECOND)
     assert ask(bench, "set-up", "s-1") == "OK"
     bench.pass_time(SECOND // 10)
-    assert away in bench.sockets.probes         # at once, not when its turn comes
+    assert away in bench.sockets.probes  # at once, not when its turn comes
     bench.tell(bench.core.probed, away, True, [])
     assert stand(bench, 1, first=100)[0].server is away
 
 
 def test_with_all_servers_out_by_hand_flows_are_refused_and_it_is_not_ready():
     bench = Bench(servers=2)
-    assert {ask(bench, "set-down", f"s-{i}") for i in range(2)} == {"OK"} and ask(bench, "check") == "ERR"
+    assert {ask(bench, "set-down", f"s-{i}") for i in range(2)} == {"OK"} and ask(
+        bench, "check"
+    ) == "ERR"
     assert bench.sockets.answers[bench.open(1)] == b"BUSY\r\n" and not bench.core.ready
     assert ask(bench, "set-up", "s-0") == "OK" and ask(bench, "check") == "OK"
 
@@ -127,7 +162,9 @@
     ledger.answer_probe(server, True)
     for _ in range(30):
         ledger.arrive()
-    assert ledger.connects[0][1] is server and 1 <= sum(s is server for _, s in ledger.connects) <= 3
+    assert (
+        ledger.connects[0][1] is server and 1 <= sum(s is server for _, s in ledger.connects) <= 3
+    )
 
 
 def test_drained_by_hand_all_are_moved_well_before_four_seconds_and_it_serves_again_when_called():
@@ -136,8 +173,8 @@
     assert ask(bench, "drain-on") == "OK" and not bench.core.ready and ask(bench, "check") == "ERR"
     bench.pass_time(SECOND * 3 // 10)
     assert not bench.sockets.moved
-    late = stand(bench, 1, first=10)            # the front has not heard of the no yet
-    assert late and ask(bench, "drain-on") == "OK"      # again, and no later for it
+    late = stand(bench, 1, first=10)  # the front has not heard of the no yet
+    assert late and ask(bench, "drain-on") == "OK"  # again, and no later for it
     bench.pass_time(SECOND * 6 // 10)
     assert 0 < len(bench.sockets.moved) < 9
     bench.pass_time(SECOND * 22 // 10)
@@ -177,6 +214,10 @@
     bench.tell(bench.core.called, call)
     figures, end = call.answers.get_nowait().decode().split("\r\n")[:2]
     told = json.loads(figures)
-    assert end == "END" and told["fulfilled"] == {"view": 3, "book": 0} and told["faulted"] == {"view": 0, "book": 1}
+    assert (
+        end == "END"
+        and told["fulfilled"] == {"view": 3, "book": 0}
+        and told["faulted"] == {"view": 0, "book": 1}
+    )
     assert told["throttled"] == {"view": 0, "book": 0} and told["open_requests"] == 2
     assert told["registry_entries"] == 2 and told["out_of_rotation"] == 1
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -3,10 +3,10 @@
 from random import Random
 
 import pytest
+from helpers import START, Ledger, entries, service, settings
 
 from cypresswalk.choice import FALL, GROUP_WORK, IN_FLIGHT, RISE, TABLE_SIZE, maglev, mix
 from cypresswalk.model import SECOND, Effect, Flow, ListForm, Outcome, Server, State
-from helpers import START, Ledger, entries, service, settings
 
 
 def settle(ledger, rounds=4):
@@ -138,7 +138,7 @@
     ledgers = [Ledger(1, instances=instances) for me in range(instances)]
     for ledger in ledgers:
         settle(ledger)
-        for _ in range(120):      # one flow ends well every half second: 2 a second at each, 6 in all
+        for _ in range(120):  # one flow ends well every half second: 2 a second at each, 6 in all
             fill(ledger, 1)
             ledger.pass_time(SECOND // 2)
             ledger.end(next(iter(ledger.balancer.servers[7].flows)), Outcome.OK)
@@ -159,7 +159,10 @@
         age = (first - now) / SECOND
         capacity = 6 * min(1.0, share + (1 - share) * age / warm)
         # Dealt by chance: the bench's count, too, leaves a little for that.
-        assert sum(first <= at < first + window * SECOND for at in sent) <= 1.25 * factor * capacity * window + 1
+        assert (
+            sum(first <= at < first + window * SECOND for at in sent)
+            <= 1.25 * factor * capacity * window + 1
+        )
 
 
 def test_many_balancers_with_a_few_flows_each_use_what_a_cold_server_can_take():
@@ -173,11 +176,11 @@
         fill(ledger, 3)
         ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now)])
         ledger.answer_probe(ledger.balancer.servers[99], True)
-        for _ in range(4):      # all that stood comes back, over six seconds
+        for _ in range(4):  # all that stood comes back, over six seconds
             fill(ledger, 1, again=True, grouped=True)
             ledger.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in ledger.connects)
-    assert 4 <= taken <= 14      # a share would be 16
+    assert 4 <= taken <= 14  # a share would be 16
 
 
 def test_errors_from_all_servers_are_no_reason_to_try_them_all_again():
@@ -196,12 +199,13 @@
                 ledger.end(flow, Outcome.ERROR)
             ledger.pass_time(SECOND // 10)
         return len(ledger.connects) - before
+
     answered(10)
-    assert answered(40) < 40            # of 240; one flow now and then tells whether it is over
+    assert answered(40) < 40  # of 240; one flow now and then tells whether it is over
     assert set(ledger.answers[ident] for ident in range(12, ledger.last_id + 1)) == {"reject"}
     ledger.pass_time(20 * SECOND)
     taken = 0
-    for _ in range(100):                # it is over
+    for _ in range(100):  # it is over
         flow = ledger.arrive()
         if flow.id in ledger.open:
             ledger.accept(flow)
@@ -233,7 +237,7 @@
             while flow.id in ledger.open:
                 ledger.end(flow, outcome)
     for outcome in (Outcome.ERROR, Outcome.TIMEOUT):
-        ledger.pass_time(4 * SECOND)        # one is sent to tell whether it is over
+        ledger.pass_time(4 * SECOND)  # one is sent to tell whether it is over
         flow = ledger.arrive()
         ledger.end(flow, outcome)
         assert ledger.answers[flow.id] == "reject" and len(ledger.history[flow.id]) == 1
@@ -320,12 +324,15 @@
             ledger.end(next(iter(server.flows)), Outcome.RESET)
         ledger.pass_time(8 * SECOND)
         fill(ledger, 2)
-    assert all(server.limit == float("inf") for server in ledger.balancer.servers.values()) and not ledger.told
+    assert (
+        all(server.limit == float("inf") for server in ledger.balancer.servers.values())
+        and not ledger.told
+    )
     server = ledger.balancer.servers[7]
     ledger.balancer.delay_told(ledger.now, server, SECOND // 20)
     ledger.pass_time(3 * SECOND // 2)
     ledger.end(next(iter(server.flows)), Outcome.RESET)
-    assert server.limit < len(server.flows)     # strained, the first one counts
+    assert server.limit < len(server.flows)  # strained, the first one counts
 
 
 def test_a_server_that_answers_errors_gets_no_new_flows_and_keeps_what_stands():
@@ -449,8 +456,10 @@
 def test_a_group_counts_once_a_server_and_the_smallest_leaves_first():
     ledger = Ledger(1)
     settle(ledger)
-    flows = [Flow(i, ledger.balancer.settings.service_types[0], key, ledger.now + SECOND, grouped=True)
-             for i, key in enumerate([1, 1, 1, 2], 1)]
+    flows = [
+        Flow(i, ledger.balancer.settings.service_types[0], key, ledger.now + SECOND, grouped=True)
+        for i, key in enumerate([1, 1, 1, 2], 1)
+    ]
     for flow in flows:
         ledger.open[flow.id], ledger.history[flow.id] = flow, []
         ledger.balancer.arrived(ledger.now, flow)
@@ -500,7 +509,7 @@
         if flow.server is near:
             near.flows.pop(flow)
             far.flows[flow], flow.server = None, far
-        for _ in range(180):        # one flow that came in half a minute: as slowly do they go home
+        for _ in range(180):  # one flow that came in half a minute: as slowly do they go home
             if strained:
                 ledger.balancer.delay_told(ledger.now, near, SECOND // 20)
             ledger.pass_time(SECOND)
@@ -533,7 +542,9 @@
         assert 0 < sent <= at_most
         ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now)])
         ledger.pass_time(2 * SECOND)
-        assert 99 in {server.id for server in ledger.probes}, "a new server is of no use before its first probe"
+        assert 99 in {server.id for server in ledger.probes}, (
+            "a new server is of no use before its first probe"
+        )
 
 
 def test_clients_that_come_back_pay_for_no_probes():
@@ -552,8 +563,19 @@
         ledger = Ledger(1, instances=2)
         balancer, server = ledger.balancer, ledger.balancer.servers[7]
         server.limit, server.cut_at = 0.5, ledger.now
-        kept.append({key for key in range(1, 201)
-                     if balancer.fits(balancer.limit(ledger.now, server), server, Flow(key, service(), key, START), 0, 1)})
+        kept.append(
+            {
+                key
+                for key in range(1, 201)
+                if balancer.fits(
+                    balancer.limit(ledger.now, server),
+                    server,
+                    Flow(key, service(), key, START),
+                    0,
+                    1,
+                )
+            }
+        )
     assert kept[0] == kept[1] and 70 < len(kept[0]) < 130
 
 
@@ -592,7 +614,7 @@
     settle(ledger)
     servers = list(ledger.balancer.servers.values())
     for turn in range(36):
-        for server in servers[turn % 2::2]:
+        for server in servers[turn % 2 :: 2]:
             server.strain, server.strain_at = 0.9, ledger.now
         fill(ledger, 1, key=5, grouped=True)
         ledger.pass_time(SECOND // 2)
@@ -656,7 +678,7 @@
 
 def test_a_client_that_comes_back_goes_on_where_a_small_near_pool_alone_misses_its_targets():
     # Guards against rejects beside idle servers of the next zone: with one server near, "all its places" was that one.
-    ledger = Ledger(servers=3, zone_price=0.2)          # ids 7 and 33 in zone 0, 20 in zone 1
+    ledger = Ledger(servers=3, zone_price=0.2)  # ids 7 and 33 in zone 0, 20 in zone 1
     ledger.list(ListForm.DELTA, [Server(id=33, zone=0, state=State.GONE)])
     near = ledger.balancer.servers[7]
     for _ in range(20):
@@ -677,13 +699,17 @@
         ledger.balancer.keep_at(ledger.now, server, 3.0)
     later = ledger.now + 10 * SECOND
     grown = ledger.balancer.limit(later, warm)
-    assert 3 < grown < 5 and ledger.balancer.limit(later, cold) == pytest.approx(3 * grown, rel=0.01)    # 0.2 to 0.6 of it
-    cold.cut_at = cold.since + 30 * SECOND      # warm by then: as any other
+    assert 3 < grown < 5 and ledger.balancer.limit(later, cold) == pytest.approx(
+        3 * grown, rel=0.01
+    )  # 0.2 to 0.6 of it
+    cold.cut_at = cold.since + 30 * SECOND  # warm by then: as any other
     assert ledger.balancer.limit(cold.cut_at + SECOND, cold) < 3.2
 
 
 @pytest.mark.parametrize("strain", [0.0, 0.9])
-def test_instead_of_rejects_cold_servers_are_filled_to_their_part_of_what_warm_ones_held_unless_strained(strain):
+def test_instead_of_rejects_cold_servers_are_filled_to_their_part_of_what_warm_ones_held_unless_strained(
+    strain,
+):
     # Seen on operators' days: cold servers stood empty for ten seconds while each that came was rejected.
     ledger = Ledger(servers=3)
     for _ in range(60):
@@ -706,15 +732,23 @@
                 ledger.accept(flow)
         held.append(len(cold.flows))
         ledger.pass_time(SECOND)
-    if strain:          # what it was told has run out by now: it is the strain alone that keeps flows away
-        assert ledger.balancer.room(ledger.now, Flow(9999, ledger.balancer.settings.service_types[0], 5, ledger.now + SECOND)) is cold
+    if strain:  # what it was told has run out by now: it is the strain alone that keeps flows away
+        assert (
+            ledger.balancer.room(
+                ledger.now,
+                Flow(9999, ledger.balancer.settings.service_types[0], 5, ledger.now + SECOND),
+            )
+            is cold
+        )
         cold.filled.total = 0.0
     ledger.balancer.peer_told(ledger.now, cold, strain)
-    room = ledger.balancer.room(ledger.now, Flow(9999, ledger.balancer.settings.service_types[0], 5, ledger.now + SECOND))
+    room = ledger.balancer.room(
+        ledger.now, Flow(9999, ledger.balancer.settings.service_types[0], 5, ledger.now + SECOND)
+    )
     if strain:
         assert room is None
     else:
-        assert held[0] <= 3 and 6 <= held[5] <= held[-1] <= 16     # a fifth of some 20 at first
+        assert held[0] <= 3 and 6 <= held[5] <= held[-1] <= 16  # a fifth of some 20 at first
 
 
 def test_a_cold_server_is_filled_to_the_limit_found_there_where_own_flows_stand_and_no_warm_server_tells():
@@ -723,15 +757,26 @@
     ledger = Ledger(servers=3)
     balancer = ledger.balancer
     cold, *rest = balancer.servers.values()
-    cold.since, cold.health, cold.known, cold.fresh, cold.answers = ledger.now - 10 * SECOND, 4, True, False, 5
+    cold.since, cold.health, cold.known, cold.fresh, cold.answers = (
+        ledger.now - 10 * SECOND,
+        4,
+        True,
+        False,
+        5,
+    )
     for server in rest:
         balancer.taken_out(ledger.now, server)
 
     def room():
-        return balancer.room(ledger.now, Flow(9999, balancer.settings.service_types[0], 5, ledger.now + SECOND))
+        return balancer.room(
+            ledger.now, Flow(9999, balancer.settings.service_types[0], 5, ledger.now + SECOND)
+        )
+
     balancer.keep_at(ledger.now, cold, 6.0)
     cold.dealt.add(ledger.now, 99)
-    assert balancer.borne.read(ledger.now) < 1 and room() is None       # nothing of its own stands there: nobody's evidence
+    assert (
+        balancer.borne.read(ledger.now) < 1 and room() is None
+    )  # nothing of its own stands there: nobody's evidence
     cold.dealt.total = 0.0
     ledger.accept(ledger.arrive())
     cold.dealt.add(ledger.now, 99)
@@ -754,7 +799,9 @@
     window, used = 2 * SECOND, 0
     for seed in range(6):
         chance = Random(f"{seed}/further")
-        ledger = Ledger(servers=5, further_window=window, further_free=free, further_part=part, max_connects=4)
+        ledger = Ledger(
+            servers=5, further_window=window, further_free=free, further_part=part, max_connects=4
+        )
         taken, further = [], []
         for _ in range(120):
             for _ in range(chance.choice((0, 0, 1, 1, 2, 30))):
@@ -765,11 +812,17 @@
                     if chance.random() < 0.4:
                         ledger.accept(flow)
                     else:
-                        ledger.end(flow, chance.choice((Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.RESET)))
+                        ledger.end(
+                            flow,
+                            chance.choice((Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.RESET)),
+                        )
             further = sorted(sent for tries in ledger.history.values() for _, sent, _ in tries[1:])
             for at in further[-40:]:
                 lately = sum(at - window < one <= at for one in further)
-                assert lately <= free + part * sum(at - window < one <= at for one in taken), (seed, at)
+                assert lately <= free + part * sum(at - window < one <= at for one in taken), (
+                    seed,
+                    at,
+                )
             ledger.pass_time(chance.choice((SECOND // 1000, SECOND // 50, SECOND // 7, 5 * SECOND)))
         assert len(ledger.balancer.further.counts) == len(ledger.balancer.taken.counts) == 33
         used += len(further)
@@ -781,14 +834,20 @@
     flows = [ledger.arrive() for _ in range(3)]
     for flow in flows:
         ledger.end(flow, Outcome.CONNECT_FAILED)
-    assert sorted(ledger.answers.get(flow.id, "out") for flow in flows) == ["out", "reject", "reject"]
+    assert sorted(ledger.answers.get(flow.id, "out") for flow in flows) == [
+        "out",
+        "reject",
+        "reject",
+    ]
     ledger.pass_time(3 * SECOND)
     ledger.balancer.spent_elsewhere(ledger.now)
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert ledger.answers[flow.id] == "reject"
     ledger.pass_time(3 * SECOND)
-    ledger.balancer.resettled(ledger.now, settings(further_window=SECOND, further_free=1))      # another window: nothing is known by it
+    ledger.balancer.resettled(
+        ledger.now, settings(further_window=SECOND, further_free=1)
+    )  # another window: nothing is known by it
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert ledger.answers[flow.id] == "reject"
@@ -801,7 +860,7 @@
 def test_where_one_server_of_another_zone_after_another_does_not_answer_the_way_is_left_and_tried_by_one_flow():
     # Seen on lagos-main, day big-1: as the way between its data centres grew slow each of sixteen balancers lost two
     # connects at each of thirty servers there (498 of 890 in five seconds); those of its own zone answered all the while.
-    ledger = Ledger(servers=12, zone_price=0.0)         # six in zone 0, this one's own, six in zone 1
+    ledger = Ledger(servers=12, zone_price=0.0)  # six in zone 0, this one's own, six in zone 1
     settle(ledger)
 
     def flows(span, step=SECOND // 20):
@@ -818,8 +877,9 @@
             far += sum(server.zone == 1 for _, server in ledger.connects[seen:])
             ledger.pass_time(step)
         return far
-    assert flows(SECOND) <= 4           # three sound servers in a row, not two connects at each of six
-    assert flows(10 * SECOND) <= 8      # a flow every two seconds or so
+
+    assert flows(SECOND) <= 4  # three sound servers in a row, not two connects at each of six
+    assert flows(10 * SECOND) <= 8  # a flow every two seconds or so
     # One that answers ends it; in its own zone no such thing is judged.
     for _ in range(80):
         flow = ledger.arrive()
@@ -848,7 +908,12 @@
     table, _ = balancer.pools()[0]
     for server in rest:
         server.full_until = ledger.now + 60 * SECOND
-    usual = balancer.carried.read(ledger.now) / 0.5 * balancer.settings.fall_window / balancer.carried.tau
+    usual = (
+        balancer.carried.read(ledger.now)
+        / 0.5
+        * balancer.settings.fall_window
+        / balancer.carried.tau
+    )
     sent = []
     for key in range(1000, 1400):
         own = table[mix(key) % TABLE_SIZE] is cold
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from cypresswalk.copies import store
 from cypresswalk.copies.claims import Answer, Holder, Part
+from cypresswalk.copies.driver import Copies
 from cypresswalk.copies.places import PARTS, holders, part_of
-from cypresswalk.copies import store
 from cypresswalk.copies.store import Log, Lost
-from cypresswalk.copies.driver import Copies
 from cypresswalk.copies.words import Begun, Bring, Claim, Copy, Kept, Record, Shut
 from cypresswalk.fleet import tool
 from cypresswalk.lab.together.virtual import MemoryDisk
@@ -58,7 +58,9 @@
                 (ident, by), answer = rest
                 self.answers[answer.kind] += 1
                 if answer.kind == "granted":
-                    assert self.granted.setdefault(ident, by) == by, f"{ident} granted to {self.granted[ident]} and {by}"
+                    assert self.granted.setdefault(ident, by) == by, (
+                        f"{ident} granted to {self.granted[ident]} and {by}"
+                    )
 
     def step(self) -> None:
         chance = self.chance
@@ -82,7 +84,11 @@
         if holder is None:
             return
         if draw < 0.25:
-            known = self.agreed[-1] if chance.random() < 0.5 else self.agreed[min(holder.part(0).view, len(self.agreed) - 1)]
+            known = (
+                self.agreed[-1]
+                if chance.random() < 0.5
+                else self.agreed[min(holder.part(0).view, len(self.agreed) - 1)]
+            )
             holder.begin(0, *known)
         elif draw < 0.50:
             ident, by = f"i{chance.randrange(40)}", f"c{chance.randrange(4)}"
@@ -107,16 +113,35 @@
 
     def others_are_whole(self, name: str) -> bool:
         """A disk is lost while another holder of the newest view, or of what is being changed to, has all: that is promised."""
-        return any(self.lives[n] is not None and self.lives[n].part(0).whole and self.lives[n].part(0).view == self.view
-                   for n in self.now_holders if n != name)
+        return any(
+            self.lives[n] is not None
+            and self.lives[n].part(0).whole
+            and self.lives[n].part(0).view == self.view
+            for n in self.now_holders
+            if n != name
+        )
 
     def change(self) -> None:
         """As the leader does: a sealed holder of the newest view brings all to those of the next, which are told to begin once each has
         it. The next view is agreed only then."""
         if not self.next_holders or not set(self.next_holders) <= set(self.names):
-            self.next_holders, self.whole_in_next = tuple(self.chance.sample(self.names, COPIES)), set()
-        source = next((n for n in self.now_holders if self.lives[n] is not None and (
-            self.lives[n].part(0).sealed and self.lives[n].part(0).view == self.view or self.lives[n].seal(0, self.view))), None)
+            self.next_holders, self.whole_in_next = (
+                tuple(self.chance.sample(self.names, COPIES)),
+                set(),
+            )
+        source = next(
+            (
+                n
+                for n in self.now_holders
+                if self.lives[n] is not None
+                and (
+                    self.lives[n].part(0).sealed
+                    and self.lives[n].part(0).view == self.view
+                    or self.lives[n].seal(0, self.view)
+                )
+            ),
+            None,
+        )
         if source is None:
             self.next_holders = ()
             return
@@ -125,7 +150,12 @@
             part = self.lives[name].part(0) if self.lives[name] is not None else None
             if part is None:
                 continue
-            if part.view == self.view and part.whole and name in self.now_holders or part.brought == self.view + 1:
+            if (
+                part.view == self.view
+                and part.whole
+                and name in self.now_holders
+                or part.brought == self.view + 1
+            ):
                 self.whole_in_next.add(name)
             else:
                 self.whole_in_next.discard(name)
@@ -193,8 +223,15 @@
         self.part(number).whole = self.me in holders
 
 
-@pytest.mark.parametrize("mistake, seeds", [
-    (BeforeTheFlush, [126, 135]), (BeforeTheSecondCopy, [3, 6]), (EmptyHolderBelieved, [0, 5]), (OldViewAccepted, [109])])
+@pytest.mark.parametrize(
+    "mistake, seeds",
+    [
+        (BeforeTheFlush, [126, 135]),
+        (BeforeTheSecondCopy, [3, 6]),
+        (EmptyHolderBelieved, [0, 5]),
+        (OldViewAccepted, [109]),
+    ],
+)
 def test_a_planted_mistake_is_found(mistake, seeds):
     for seed in seeds:
         run(seed)
@@ -207,7 +244,7 @@
     away = Holder("b")
     away.bring(0, 1, "")
     away.begin(0, 1, ("a", "b"))
-    away.begin(0, 3, ("b", "a"))        # the second, in which others granted, it never heard of
+    away.begin(0, 3, ("b", "a"))  # the second, in which others granted, it never heard of
     away.out.clear()
     away.claim(0, 0, "x", "n1", 10, "t")
     assert away.out == [("answer", "t", Answer("again", why="not the primary of that part now"))]
@@ -217,7 +254,7 @@
 
 
 def test_one_that_lost_its_disk_does_not_begin_a_view_that_is_agreed_with_nothing():
-    again = Holder("b")         # the same name, an empty folder
+    again = Holder("b")  # the same name, an empty folder
     again.begin(0, 1, ("b", "a"))
     again.bring(0, 1, "")
     again.claim(0, 0, "x", "n1", 10, "t")
@@ -246,7 +283,9 @@
     primary.claim(0, 0, "x", "n1", 1 << 50, "t")
     with_it.heard("a", next(word for what, to, word in primary.out[1:] if to == "b"))
     for holder in three:
-        holder.begin(0, 2, ("c", "b", "a"))     # its primary never heard of that claim, nobody was granted it
+        holder.begin(
+            0, 2, ("c", "b", "a")
+        )  # its primary never heard of that claim, nobody was granted it
         holder.out.clear()
     for _ in range(4):
         without.compare(0)
@@ -256,7 +295,9 @@
                     what, *rest = source.out.pop(0)
                     if what == "send":
                         next(h for h in three if h.me == rest[0]).heard(source.me, rest[1])
-    assert [sorted(h.part(0).records) for h in three] == [["x"]] * 3 and len({tuple(h.part(0).sums.items()) for h in three}) == 1
+    assert [sorted(h.part(0).records) for h in three] == [["x"]] * 3 and len(
+        {tuple(h.part(0).sums.items()) for h in three}
+    ) == 1
     without.claim(0, 0, "x", "n2", 1 << 50, "t2")
     assert without.out[-1] == ("answer", "t2", Answer("held", "n1", "out"))
     before = dict(primary.part(0).sums)
@@ -280,11 +321,14 @@
     assert write[0] == "write" and to == "b"
     one.out.clear()
     one.claim(0, 0, "x", "n1", 10, "t3")
-    assert not one.out              # not before the copy has it
+    assert not one.out  # not before the copy has it
     two.heard("a", copy)
     assert two.out[0][0] == "write" and two.out[1][:2] == ("send", "a")
     one.heard("b", two.out[1][2])
-    assert one.out == [("answer", "t1", Answer("granted", "n1", "out")), ("answer", "t3", Answer("granted", "n1", "out"))]
+    assert one.out == [
+        ("answer", "t1", Answer("granted", "n1", "out")),
+        ("answer", "t3", Answer("granted", "n1", "out")),
+    ]
     one.out.clear()
     one.ended(0, 0, "x", "n2", "ran", "t4")
     assert one.out.pop()[2].kind == "refused"
@@ -302,7 +346,10 @@
     before = {part: holders(part, members, 3) for part in range(PARTS)}
     assert all(len({members[m] for m in found}) == 3 for found in before.values())
     gone = "m7"
-    after = {part: holders(part, {m: z for m, z in members.items() if m != gone}, 3) for part in range(PARTS)}
+    after = {
+        part: holders(part, {m: z for m, z in members.items() if m != gone}, 3)
+        for part in range(PARTS)
+    }
     assert all(after[part] == before[part] for part in range(PARTS) if gone not in before[part])
     assert holders(1, {"a": "z", "b": "z"}, 3) in (("a", "b"), ("b", "a"))
     counts = [sum(part_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTS)]
@@ -325,12 +372,16 @@
     assert written == [Begun(0, 1, ("a#1",), True), kept("x"), kept("y"), Shut(0, 1)]
     holder = Holder("a#1")
     holder.restore(written)
-    assert holder.part(0).whole and holder.part(0).sealed and set(holder.part(0).records) == {"x", "y"}
+    assert (
+        holder.part(0).whole and holder.part(0).sealed and set(holder.part(0).records) == {"x", "y"}
+    )
     for cut in range(first, len(whole), 7):
         disk.files["copies.1"] = whole[:cut], inode
         assert kept("x") in Log(disk).load("a#1", (1,), lambda text: None)
-    for at in range(len(whole)):        # one byte wrong anywhere: never believed, and never shortened to what passes for whole
-        disk.files["copies.1"] = whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1:], inode
+    for at in range(
+        len(whole)
+    ):  # one byte wrong anywhere: never believed, and never shortened to what passes for whole
+        disk.files["copies.1"] = whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :], inode
         with pytest.raises(Lost):
             Log(disk).load("a#1", (1,), print)
     disk.files["copies.1"] = whole, inode
@@ -339,7 +390,9 @@
             Log(disk).load(member, boots, print)
 
 
-def test_files_go_once_all_in_them_has_been_held_for_its_time_and_a_failed_flush_ends_the_log(monkeypatch):
+def test_files_go_once_all_in_them_has_been_held_for_its_time_and_a_failed_flush_ends_the_log(
+    monkeypatch,
+):
     monkeypatch.setattr(store, "SEGMENT", 200)
     disk = MemoryDisk(Random(1))
     log, holder = Log(disk), Holder("a#1")
@@ -354,7 +407,9 @@
     log.drop(30)
     again = Holder("a#1")
     again.restore(Log(disk).load("a#1", (1,), print))
-    assert {f"i{n}" for n in range(30, 41)} <= set(again.part(0).records) and "i1" not in again.part(0).records
+    assert {f"i{n}" for n in range(30, 41)} <= set(
+        again.part(0).records
+    ) and "i1" not in again.part(0).records
     assert again.part(0).whole and again.part(0).holders == ("a#1",)
     disk.failing = True
     with pytest.raises(OSError):
@@ -382,8 +437,13 @@
 
     def start(self, name: str, boot: int) -> None:
         self.copies[name] = Copies(
-            self.disks[name], lambda: self.now, lambda: self.now + 10**18, lambda to, bundle: self.copies[to].put("words", name, bundle.words),
-            lambda words: None, lambda holds: self.told.append((name, holds)))
+            self.disks[name],
+            lambda: self.now,
+            lambda: self.now + 10**18,
+            lambda to, bundle: self.copies[to].put("words", name, bundle.words),
+            lambda words: None,
+            lambda holds: self.told.append((name, holds)),
+        )
         self.copies[name].put("identity", name, boot)
 
     def place(self, name: str) -> None:
@@ -404,7 +464,13 @@
 
     def claim(self, name: str, ident: str) -> list:
         told: list = []
-        self.copies[name].put("claim", ident, 10**12, self.now + 10**9 // 2, lambda answer, by: told.append((answer.kind, answer.by)))
+        self.copies[name].put(
+            "claim",
+            ident,
+            10**12,
+            self.now + 10**9 // 2,
+            lambda answer, by: told.append((answer.kind, answer.by)),
+        )
         self.turn()
         return told
 
@@ -414,34 +480,41 @@
     assert trio.claim("b#1", "x")[0][0] == "granted" and trio.claim("c#1", "x")[0][0] == "held"
     trio.disks["c#1"].failing = True
     told = trio.claim("b#1", "y")
-    assert told == [] and trio.told[-1] == ("c#1", False)       # not before every copy has it
+    assert told == [] and trio.told[-1] == ("c#1", False)  # not before every copy has it
     trio.turn(1.0)
-    assert told == [("refused", "")]                            # in time, whatever the holders do
+    assert told == [("refused", "")]  # in time, whatever the holders do
     trio.disks["c#1"].failing = False
     trio.turn(2.0)
     assert trio.told[-1] == ("c#1", True)
-    assert "x" in trio.copies["c#1"].holder.part(part_of("x")).records and trio.copies["c#1"].holder.part(part_of("x")).whole
+    assert (
+        "x" in trio.copies["c#1"].holder.part(part_of("x")).records
+        and trio.copies["c#1"].holder.part(part_of("x")).whole
+    )
     assert trio.claim("a#1", "z")[0][0] == "granted"
     trio.turn(6.0)
     told = [[p[1:4] + p[6:] for p in one.told()["parts"]] for one in trio.copies.values()]
     assert told[0] == told[1] == told[2]
-    trio.start("c#1", 2)        # what was cut off once is no damage at the next start
+    trio.start("c#1", 2)  # what was cut off once is no damage at the next start
     trio.place("c#1")
     trio.turn()
-    assert trio.copies["c#1"].holder.part(part_of("x")).whole and not trio.copies["c#1"].counts["lost"]
+    assert (
+        trio.copies["c#1"].holder.part(part_of("x")).whole and not trio.copies["c#1"].counts["lost"]
+    )
 
 
 def test_a_fault_in_the_program_leaves_nothing_in_memory_that_is_not_on_disk(monkeypatch):
     trio = Trio()
     one = trio.copies["a#1"]
     one.put("words", "b#1", [Claim(1, part_of("x"), "x", "b#1/1.1", 10**12)])
+
     def faulty(*words):
-        one.over.set()      # the run below ends after this turn
+        one.over.set()  # the run below ends after this turn
         raise ValueError("a fault")
+
     monkeypatch.setattr(one.log, "write", faulty)
     one.run()
     assert not one.sound and not one.holder.parts
-    assert trio.copies["b#1"].queue.empty()         # no word of what was never flushed
+    assert trio.copies["b#1"].queue.empty()  # no word of what was never flushed
 
 
 def test_a_restart_finds_what_was_flushed_and_files_of_another_start_or_damaged_count_as_lost():
@@ -462,11 +535,30 @@
 
 def test_holders_are_compared_by_what_none_of_them_is_about_to_forget():
     """Each forgets by its own clock, once a second: on a busy fleet there is always one that has and one that has not."""
+
     def local(soon, sums, view=3):
         return {"soon": soon, "parts": [[7, view, True, False, len(sums), 0, sums]]}
+
     parts = [[7, 3, ["a#1", "b#1"]]]
-    assert tool.unlike(parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(11, {"12": "y"})}) == []
-    assert len(tool.unlike(parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(10, {"12": "y"})})) == 1
-    assert len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})})) == 1
-    assert len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)})) == 1
+    assert (
+        tool.unlike(
+            parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(11, {"12": "y"})}
+        )
+        == []
+    )
+    assert (
+        len(
+            tool.unlike(
+                parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(10, {"12": "y"})}
+            )
+        )
+        == 1
+    )
+    assert (
+        len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})})) == 1
+    )
+    assert (
+        len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}))
+        == 1
+    )
     assert len(tool.unlike(parts, {"a#1": local(10, {"12": "y"})})) == 1
