--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,9 +13,13 @@
 from threading import Event, Semaphore, Thread
 
 import pytest
+from helpers import Ledger, config_data, listed
 from hypothesis import given
 from hypothesis import settings as runs
 from hypothesis import strategies as st
+from test_net import CUTS, Bench, pieces
+from test_sockets import ROOT, Discovery, Lines, Listening, Server, changes
+from test_sockets import Program as Started
 
 from cypresswalk.model import SECOND, Effect, Outcome, State
 from cypresswalk.net import servers as servers_module
@@ -33,10 +37,6 @@
 from cypresswalk.net.servers import ServerLink
 from cypresswalk.net.values import EMPTY, Values
 from cypresswalk.service.program import Program
-from helpers import Ledger, config_data, listed
-from test_net import CUTS, Bench, pieces
-from test_sockets import ROOT, Discovery, Lines, Listening, Server, changes
-from test_sockets import Program as Started
 
 LIMITS = Limits(sockets=256, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -52,6 +52,7 @@
     def noted(self, *words, **more):
         make(self, *words, **more)
         made.append(self)
+
     monkeypatch.setattr(Watch, "__init__", noted)
     yield
     for watch in made:
@@ -69,13 +70,25 @@
 # The list.
 
 TEXT = st.text(alphabet='{}[]",:\\ \n\táx', max_size=6)
-OBJECTS = st.recursive(st.one_of(st.integers(0, 99), st.booleans(), st.none(), TEXT),
-                       lambda inner: st.one_of(st.lists(inner, max_size=3), st.dictionaries(TEXT, inner, max_size=3)), max_leaves=8)
+OBJECTS = st.recursive(
+    st.one_of(st.integers(0, 99), st.booleans(), st.none(), TEXT),
+    lambda inner: st.one_of(st.lists(inner, max_size=3), st.dictionaries(TEXT, inner, max_size=3)),
+    max_leaves=8,
+)
 
 
 @SEEDED
-@given(st.lists(st.tuples(st.dictionaries(TEXT, OBJECTS, max_size=4), st.sampled_from([None, 0, 2]),
-                          st.sampled_from([b"\n", b"\r\n", b"", b" \n", b"\n\n", b"\r\n\r\n"])), max_size=6), CUTS)
+@given(
+    st.lists(
+        st.tuples(
+            st.dictionaries(TEXT, OBJECTS, max_size=4),
+            st.sampled_from([None, 0, 2]),
+            st.sampled_from([b"\n", b"\r\n", b"", b" \n", b"\n\n", b"\r\n\r\n"]),
+        ),
+        max_size=6,
+    ),
+    CUTS,
+)
 def test_objects_come_whole_however_they_are_indented_joined_or_cut(told, cuts):
     # Guards against a list on several lines that was taken for a broken one, and asked for again without end.
     data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in told)
@@ -89,12 +102,15 @@
         assert got.count(EMPTY) == sum(end.count(b"\n") - 1 for *_, end in told)
 
 
-@pytest.mark.parametrize("data", [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"])
+@pytest.mark.parametrize(
+    "data",
+    [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"],
+)
 def test_what_is_no_object_is_refused_and_not_kept(data):
     values = Values(900)
     with pytest.raises(ProtocolError):
         for at in range(0, len(data), 90):
-            values.feed(data[at:at + 90])
+            values.feed(data[at : at + 90])
             while values.next() is not None:
                 pass
     assert len(values.buffer) <= 1000
@@ -105,7 +121,7 @@
 
     def __init__(self, step, told=b""):
         self.step, self.told, self.well, self.calls = step, told, Event(), []
-        self.met = Event()              # a call is in the state that the test is about
+        self.met = Event()  # a call is in the state that the test is about
         self.listen()
 
     def serve(self, link):
@@ -203,7 +219,17 @@
         return self.core.balancer.servers[server_number(ident)].state
 
 
-STEPS = [nothing, head_alone, trickle, half_an_object, broken_off, reset, error, beat_then_silent, beat_then_trickle]
+STEPS = [
+    nothing,
+    head_alone,
+    trickle,
+    half_an_object,
+    broken_off,
+    reset,
+    error,
+    beat_then_silent,
+    beat_then_trickle,
+]
 
 
 def test_one_budget_covers_silence_and_any_failed_call():
@@ -211,7 +237,7 @@
     # was begun just before discovery was back, the longest pause after it included.
     assert LIMITS.list_silence + LIMITS.list_call <= LIMITS.list_told
     assert 2 * LIMITS.list_call + LIMITS.list_retry_most * 13 // 10 <= LIMITS.list_told
-    assert LIMITS.list_silence > 2 * 2 * SECOND        # two beats
+    assert LIMITS.list_silence > 2 * 2 * SECOND  # two beats
 
 
 @pytest.mark.parametrize("asked", [False, True])
@@ -225,7 +251,7 @@
     pending = []
     for agent, watching in zip(agents, watchings):
         assert agent.met.wait(5)
-        agent.well.set()                # from now on discovery has it and can be reached
+        agent.well.set()  # from now on discovery has it and can be reached
         pending.append((time.monotonic(), agent, watching))
     while pending:
         for entry in list(pending):
@@ -244,7 +270,7 @@
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
-    waiting = [socket.socket() for _ in range(4)]       # what it has room for, and more: the next hangs
+    waiting = [socket.socket() for _ in range(4)]  # what it has room for, and more: the next hangs
     for sock in waiting:
         sock.setblocking(False)
         sock.connect_ex(full.getsockname())
@@ -265,7 +291,9 @@
     # Guards against a drain that had come, and was dropped because SIGHUP was heard before it.
     watching = Watching(type("At", (), {"address": "127.0.0.1:9"}))
     watch, now = watching.watch, watching.inbox.clock()
-    word = watch.registry.decode(json.loads(changes(listed("s-0", lifecycle="terminating"), listed("s-7"))))
+    word = watch.registry.decode(
+        json.loads(changes(listed("s-0", lifecycle="terminating"), listed("s-7")))
+    )
     assert watching.state() is State.READY
     if order == "told first":
         watch.tell(now, *word, False)
@@ -273,7 +301,9 @@
     else:
         watch.end()
         watch.tell(now, *word, False)
-        assert server_number("s-7") not in watching.core.balancer.servers       # that is the new address's to say
+        assert (
+            server_number("s-7") not in watching.core.balancer.servers
+        )  # that is the new address's to say
     # Nor does an old address bring back what drains.
     watch.tell(now, *watch.registry.decode(json.loads(changes(listed("s-0")))), False)
     assert watching.state() is State.DRAINING
@@ -284,8 +314,13 @@
     bench = Bench(servers=2)
 
     def list_says(lifecycle, older):
-        bench.tell(bench.core.listed, *bench.registry.decode({"instances": [listed("s-0", lifecycle=lifecycle)]}), older)
+        bench.tell(
+            bench.core.listed,
+            *bench.registry.decode({"instances": [listed("s-0", lifecycle=lifecycle)]}),
+            older,
+        )
         return bench.core.balancer.servers[server_number("s-0")].state
+
     list_says("terminating", False)
     assert list_says("in_service", True) is State.DRAINING
     bench.pass_time(3 * SECOND)
@@ -305,9 +340,16 @@
     if order == "drain first":
         bench.sockets.in_dial.add(leg)
     name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == leg.server.id)
-    bench.tell(bench.core.listed, *bench.registry.decode({"instances": [listed(name, lifecycle="terminating")]}))
+    bench.tell(
+        bench.core.listed,
+        *bench.registry.decode({"instances": [listed(name, lifecycle="terminating")]}),
+    )
     now_at = bench.sockets.out[session].server
-    assert (now_at is not leg.server and now_at.state is State.READY) if order == "drain first" else now_at is leg.server
+    assert (
+        (now_at is not leg.server and now_at.state is State.READY)
+        if order == "drain first"
+        else now_at is leg.server
+    )
 
 
 @pytest.fixture
@@ -317,6 +359,7 @@
     def make(*servers, **more):
         programs.append(Started(tmp_path, servers, **more))
         return programs[-1]
+
     yield make
     for program in programs:
         program.process.kill()
@@ -329,23 +372,29 @@
     program = start(away, kept)
     new = Discovery(changes(listed("s-0", away.address, "terminating"), generation=41))
     whole = json.dumps(program.data | {"discovery": new.address})
-    program.reload(whole[:len(whole) // 2])
+    program.reload(whole[: len(whole) // 2])
     if again == "signal":
         program.reload(whole)
     else:
-        program.file.write_text(whole)          # no further signal
+        program.file.write_text(whole)  # no further signal
     until_true(lambda: new.paths, 3)
     assert not away.openings
     for i in range(8):
         until_true(lambda: program.logged("event=reload"))
         assert program.open(f"h{i}").hear() == f"UP rh{i}"
-    assert len(kept.openings) + len(away.openings) == 8 and "reload_failed" not in program.log.read_text()
+    assert (
+        len(kept.openings) + len(away.openings) == 8
+        and "reload_failed" not in program.log.read_text()
+    )
 
 
 def test_a_file_that_stays_unreadable_is_given_up_and_logged_once(start):
     program = start(Server())
     program.reload("{")
-    assert program.logged("event=reload_failed") and program.log.read_text().count("reload_failed") == 1
+    assert (
+        program.logged("event=reload_failed")
+        and program.log.read_text().count("reload_failed") == 1
+    )
     assert program.open("u1").hear() == "UP ru1"
 
 
@@ -370,9 +419,15 @@
             self.paths.append(link.hear().split(" ")[1])
             assert lost.wait(20)
             link.close()
+
     servers = [Server(), Server()]
     watched = Lost(changes(listed("s-0", servers[0].address, "terminating"), generation=9))
-    program = start(*servers, watched=watched, sockets=256, command=("/bin/sh", "-c", f"ulimit -n 256; exec {sys.executable} -m cypresswalk"))
+    program = start(
+        *servers,
+        watched=watched,
+        sockets=256,
+        command=("/bin/sh", "-c", f"ulimit -n 256; exec {sys.executable} -m cypresswalk"),
+    )
     standing = []
     while (flow := program.open(f"d{len(standing)}")).hear().startswith("UP"):
         standing.append(flow)
@@ -386,7 +441,7 @@
     before = len(servers[0].openings)
     for number in range(6):
         assert program.open(f"f{number}").hear().startswith("UP")
-    assert len(servers[0].openings) == before       # its drain was told
+    assert len(servers[0].openings) == before  # its drain was told
     assert "Too many open files" not in program.log.read_text()
     for link in idle + standing:
         link.close()
@@ -402,12 +457,15 @@
 
 # Clients that leave.
 
+
 class Leaving:
     """One connect to a server, its dial held by the test, and nobody who decides: what threads say stays in the queue."""
 
     def __init__(self, monkeypatch, effect=Effect.REPEATABLE):
         self.inbox, self.limits = Inbox(Clock()), replace(LIMITS, dial=SECOND)
-        self.core = Core(build({}, config_data([listed("s-0")])), None, Counters(), self.inbox.clock())
+        self.core = Core(
+            build({}, config_data([listed("s-0")])), None, Counters(), self.inbox.clock()
+        )
         near, self.far = socket.socketpair()
         tcp = socket.create_server(("127.0.0.1", 0))
         self.far = socket.create_connection(tcp.getsockname())
@@ -422,14 +480,26 @@
             self.began.set()
             assert self.go.wait(10)
             return sock
+
         monkeypatch.setattr(servers_module, "dial", held)
         session = self.client.session
         session.opening = opening(b"OPEN a1 7 c=view,t=north,d=900")
         leg = type("Leg", (), {})()
-        leg.session, leg.latest, leg.gauge = session, self.inbox.clock() + 60 * SECOND, type("G", (), {"set_up": lambda *_: None})()
+        leg.session, leg.latest, leg.gauge = (
+            session,
+            self.inbox.clock() + 60 * SECOND,
+            type("G", (), {"set_up": lambda *_: None})(),
+        )
         self.leg = leg
-        self.link = ServerLink(leg, self.server.getsockname(), b"OPEN a1 7 c=view,t=north,d=900\r\n", self.core, self.inbox, self.limits,
-                               Semaphore(1))
+        self.link = ServerLink(
+            leg,
+            self.server.getsockname(),
+            b"OPEN a1 7 c=view,t=north,d=900\r\n",
+            self.core,
+            self.inbox,
+            self.limits,
+            Semaphore(1),
+        )
 
     def run(self):
         self.thread = Thread(target=self.link.run, daemon=True)
@@ -538,10 +608,23 @@
     assert not crossing.thread.is_alive()
 
 
-@pytest.mark.parametrize("answer, outcome", [
-    (b"UP\r\n", Outcome.ERROR), (b"UP \r\n", Outcome.ERROR), (b"UPPER 7\r\n", Outcome.ERROR), (b"UP \x01\x02\r\n", Outcome.ERROR),
-    (b"NO\r\n", Outcome.ERROR), (b"SYNTAX\r\n", Outcome.ERROR), (b"BUSY\r\n", Outcome.FULL), (b"BUS", Outcome.RESET),
-    (b"UP 7", Outcome.RESET), (b"x" * 5000, Outcome.RESET), (b"", Outcome.RESET), (b"BYE\r\n", Outcome.OK)])
+@pytest.mark.parametrize(
+    "answer, outcome",
+    [
+        (b"UP\r\n", Outcome.ERROR),
+        (b"UP \r\n", Outcome.ERROR),
+        (b"UPPER 7\r\n", Outcome.ERROR),
+        (b"UP \x01\x02\r\n", Outcome.ERROR),
+        (b"NO\r\n", Outcome.ERROR),
+        (b"SYNTAX\r\n", Outcome.ERROR),
+        (b"BUSY\r\n", Outcome.FULL),
+        (b"BUS", Outcome.RESET),
+        (b"UP 7", Outcome.RESET),
+        (b"x" * 5000, Outcome.RESET),
+        (b"", Outcome.RESET),
+        (b"BYE\r\n", Outcome.OK),
+    ],
+)
 def test_an_answer_that_is_no_server_s_yes_is_never_passed_on(monkeypatch, answer, outcome):
     crossing = Leaving(monkeypatch)
     crossing.run()
@@ -556,7 +639,7 @@
 def test_decisions_go_on_while_a_server_reads_nothing(monkeypatch):
     # Guards the deciding thread: `drop` and `recall` waited for the first line to be written.
     crossing = Leaving(monkeypatch)
-    crossing.link.opening = b"x" * (64 << 20)      # more than any buffer takes
+    crossing.link.opening = b"x" * (64 << 20)  # more than any buffer takes
     crossing.run()
     crossing.go.set()
     sock, _ = crossing.server.accept()
@@ -565,7 +648,9 @@
     assert not crossing.link.recall()
     crossing.link.drop()
     assert time.monotonic() - began < 1
-    assert crossing.posted()[:1] == [("ended", Outcome.CONNECT_FAILED)]     # its last byte never went out
+    assert crossing.posted()[:1] == [
+        ("ended", Outcome.CONNECT_FAILED)
+    ]  # its last byte never went out
     sock.close()
 
 
@@ -589,11 +674,14 @@
         held.append(program.open(f"n{len(held)}"))
         assert held[-1].hear().startswith("UP")
     at = {line.split(" ")[1]: server for server in (talker, deaf) for line in server.openings}
-    stuck = [next(link for number, link in enumerate(held) if at[f"n{number}"] is server) for server in (talker, deaf)]
-    stuck[0].say("STREAM")              # its client reads none of it
+    stuck = [
+        next(link for number, link in enumerate(held) if at[f"n{number}"] is server)
+        for server in (talker, deaf)
+    ]
+    stuck[0].say("STREAM")  # its client reads none of it
     stuck[1].sock.settimeout(0.5)
     with pytest.raises(TimeoutError):
-        while True:                     # its server reads none of it
+        while True:  # its server reads none of it
             stuck[1].sock.sendall(b"M " + b"x" * 1000 + b"\r\n")
     for number in range(20):
         began = time.monotonic()
@@ -607,6 +695,7 @@
 
     def short(address, span):
         raise OSError(24, "Too many open files")
+
     monkeypatch.setattr(servers_module, "dial", short)
     crossing.run()
     assert crossing.posted() == [("ended", Outcome.MOOT)]
@@ -614,14 +703,19 @@
 
 # The stop.
 
+
 class Here:
     """The program in this process: its threads can be held at a point."""
 
     def __init__(self, tmp_path, *servers, **settings):
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
-        data = config_data([listed(f"s-{i}", s.address) for i, s in enumerate(servers)], "127.0.0.1:%d" % self.address[1],
-                           Discovery().address, **settings)
+        data = config_data(
+            [listed(f"s-{i}", s.address) for i, s in enumerate(servers)],
+            "127.0.0.1:%d" % self.address[1],
+            Discovery().address,
+            **settings,
+        )
         file = tmp_path / "config.json"
         file.write_text(json.dumps(data))
         self.program = Program(build({"PROXY_CONFIG": str(file)}, data))
@@ -656,6 +750,7 @@
         at.set()
         assert go.wait(20)
         take(sock)
+
     program.listener.take = held
     return at, go
 
@@ -724,6 +819,7 @@
                 except OSError:
                     pass
             ends.append(True)
+
     here.program.listener.send_off_silent = crossing
     here.stop()
     assert here.ended()
@@ -751,7 +847,7 @@
     ledger = Ledger(1)
     flows = [ledger.arrive() for _ in range(5)]
     held = [flow for flow in flows if flow.server is None]
-    assert len(held) == 1 and held[0].id in ledger.open       # four set-ups are out; it waits for them
+    assert len(held) == 1 and held[0].id in ledger.open  # four set-ups are out; it waits for them
     held[0].until = ledger.now + 50 * MILLISECOND
     ledger.pull()
     assert ledger.wake <= held[0].until
@@ -763,29 +859,44 @@
 
 def test_a_signal_to_end_is_heeded_from_the_listening_socket_on(tmp_path):
     """Told to end between its first listening and its first decision: who comes in that moment is answered."""
-    code = ("import os, signal, sys; from cypresswalk.service import program as p\n"
-            "class P(p.Program):\n"
-            "    def __init__(self, *words):\n"
-            "        super().__init__(*words)\n"
-            "        os.kill(os.getpid(), signal.SIGTERM)\n"
-            "        sys.stdin.read(1)\n"
-            "sys.exit(p.main(made=P))\n")
+    code = (
+        "import os, signal, sys; from cypresswalk.service import program as p\n"
+        "class P(p.Program):\n"
+        "    def __init__(self, *words):\n"
+        "        super().__init__(*words)\n"
+        "        os.kill(os.getpid(), signal.SIGTERM)\n"
+        "        sys.stdin.read(1)\n"
+        "sys.exit(p.main(made=P))\n"
+    )
     server = Server()
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(config_data([listed("s-0", server.address)], "127.0.0.1:%d" % address[1], Discovery().address)))
-    process = subprocess.Popen((sys.executable, "-c", code), cwd=ROOT, stdin=subprocess.PIPE, stderr=subprocess.DEVNULL,
-                               env=os.environ | {"PROXY_CONFIG": str(file)})
+    file.write_text(
+        json.dumps(
+            config_data(
+                [listed("s-0", server.address)], "127.0.0.1:%d" % address[1], Discovery().address
+            )
+        )
+    )
+    process = subprocess.Popen(
+        (sys.executable, "-c", code),
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        env=os.environ | {"PROXY_CONFIG": str(file)},
+    )
     try:
+
         def accepted():
             try:
                 return Lines(socket.create_connection(address))
             except ConnectionRefusedError:
                 assert process.poll() is None
+
         client = until_true(accepted)
         client.say("OPEN t1 77 c=view,t=north,d=900")
-        process.stdin.write(b"x")       # the start goes on
+        process.stdin.write(b"x")  # the start goes on
         process.stdin.flush()
         assert [client.hear(), client.hear(), client.hear()] == ["UP rt1", "MOVE", ""]
         assert process.wait(8) == 0
@@ -805,6 +916,7 @@
 
 # Outcomes against the connect timeout, in one turn of the queue.
 
+
 @pytest.mark.parametrize("order", ["up first", "late first"])
 def test_up_and_the_connect_timeout_in_one_turn_leave_one_answer(order):
     bench = Bench()
@@ -829,11 +941,21 @@
 
         def end(leg):
             bench.sockets.drop(leg)
-            bench.core.ended(bench.now, leg, chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]))
+            bench.core.ended(
+                bench.now, leg, chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED])
+            )
+
         for session, leg in list(bench.sockets.out.items()):
-            events.append(chance.choice([
-                lambda leg=leg: bench.core.up(bench.now, leg),
-                lambda leg=leg: end(leg), lambda session=session: bench.core.left(bench.now, session), lambda: None]))
+            events.append(
+                chance.choice(
+                    [
+                        lambda leg=leg: bench.core.up(bench.now, leg),
+                        lambda leg=leg: end(leg),
+                        lambda session=session: bench.core.left(bench.now, session),
+                        lambda: None,
+                    ]
+                )
+            )
             if chance.random() < 0.5:
                 events.append(lambda session=session: bench.core.left(bench.now, session))
         chance.shuffle(events)
@@ -851,9 +973,9 @@
     session = bench.open(1, "c=book,t=north,d=900")
     bench.sockets.in_dial.add(bench.sockets.out[session])
     bench.pass_time(SECOND)
-    assert bench.sockets.answers[session] == b"BUSY\r\n"       # once-only: a yes to another try, since nothing ran
+    assert (
+        bench.sockets.answers[session] == b"BUSY\r\n"
+    )  # once-only: a yes to another try, since nothing ran
     other = bench.open(2, "c=book,t=north,d=900")
     bench.pass_time(SECOND)
     assert bench.sockets.answers[other] == b"ERR\r\n"
-
-
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -6,9 +6,9 @@
 from math import sqrt
 
 import pytest
+from helpers import START, Ledger
 
 from cypresswalk.model import SECOND, ListForm, Outcome, Server, State
-from helpers import START, Ledger
 
 TICK = 20_000_000
 WINDOW, FACTOR, COLD, COLD_SHARE = 2 * SECOND, 3.0, 20 * SECOND, 0.2
@@ -43,11 +43,13 @@
 
 
 class Fleet:
-    def __init__(self, seed, balancers=30, servers=12, rate=14.0, uneven=3.0, errors=False, hot=0.0):
+    def __init__(
+        self, seed, balancers=30, servers=12, rate=14.0, uneven=3.0, errors=False, hot=0.0
+    ):
         self.chance = random.Random(f"ramp {seed}")
         self.now, self.count, self.servers = START, balancers, servers
-        self.hot = hot                  # the part of the flows that are of one group
-        self.errors = errors            # a server that is full says so, or answers with an error
+        self.hot = hot  # the part of the flows that are of one group
+        self.errors = errors  # a server that is full says so, or answers with an error
         self.machines = {7 + 13 * i: Machine(7 + 13 * i, 40) for i in range(servers)}
         weights = [self.chance.uniform(1, uneven) for _ in range(balancers)]
         self.rates = [rate * weight / sum(weights) for weight in weights]
@@ -59,10 +61,19 @@
             self.start(me)
 
     def start(self, me):
-        ledger = self.balancers[me] = Moving(0, instances=self.count, overload_factor=FACTOR, fall_window=WINDOW, cold=COLD,
-                                             cold_share=COLD_SHARE, probe_price=0.004)
+        ledger = self.balancers[me] = Moving(
+            0,
+            instances=self.count,
+            overload_factor=FACTOR,
+            fall_window=WINDOW,
+            cold=COLD,
+            cold_share=COLD_SHARE,
+            probe_price=0.004,
+        )
         ledger.now = self.now
-        ledger.balancer = type(ledger.balancer)(ledger.balancer.settings, me + self.chance.randrange(1 << 30), self.now)
+        ledger.balancer = type(ledger.balancer)(
+            ledger.balancer.settings, me + self.chance.randrange(1 << 30), self.now
+        )
         ledger.seen_connects, ledger.resting = 0, {}
         ledger.list(ListForm.CACHED, [self.entry(machine) for machine in self.machines.values()])
         self.carry_on(me, ledger)
@@ -85,13 +96,22 @@
     def carry_on(self, me, ledger):
         """What the balancer has just sent meets the servers a moment later; whom it turned away comes again, anywhere."""
         for flow in list(ledger.open.values()):
-            if flow.server is not None and ledger.history[flow.id][-1][2] is None and (flow.id, len(flow.tried)) not in ledger.resting:
+            if (
+                flow.server is not None
+                and ledger.history[flow.id][-1][2] is None
+                and (flow.id, len(flow.tried)) not in ledger.resting
+            ):
                 ledger.resting[flow.id, len(flow.tried)] = True
                 self.connect(ledger, flow)
         for ident, answer in list(ledger.answers.items()):
             tries = ledger.resting.pop(ident, None)
             if tries is not None and answer == "reject" and tries < 8:
-                self.at(self.now + self.chance.randrange(50, 300) * 1_000_000, self.come_back, tries + 1, False)
+                self.at(
+                    self.now + self.chance.randrange(50, 300) * 1_000_000,
+                    self.come_back,
+                    tries + 1,
+                    False,
+                )
         while ledger.moved:
             _, ident = ledger.moved.pop()
             if ident in self.machines:
@@ -105,7 +125,9 @@
         self.arrive(self.chance.choices(range(self.count), self.rates)[0], again, tries)
 
     def connect(self, ledger, flow):
-        machine = self.machines.get(flow.server.id) or Machine(flow.server.id, 0)       # gone, and not yet told
+        machine = self.machines.get(flow.server.id) or Machine(
+            flow.server.id, 0
+        )  # gone, and not yet told
         if machine.since:
             self.sent_to_cold += 1
             machine.sent.append(self.now)
@@ -115,7 +137,13 @@
             limit = allowed + 2 * sqrt(allowed) + 2
             self.worst = max(self.worst, len(machine.sent) / limit)
             if len(machine.sent) > limit:
-                self.over.append((round((self.now - machine.since) / SECOND, 2), len(machine.sent), round(limit, 1)))
+                self.over.append(
+                    (
+                        round((self.now - machine.since) / SECOND, 2),
+                        len(machine.sent),
+                        round(limit, 1),
+                    )
+                )
         self.at(self.now + TICK, self.answer, ledger, flow, machine)
 
     def answer(self, ledger, flow, machine):
@@ -128,7 +156,9 @@
         else:
             machine.standing += 1
             ledger.accept(flow)
-            self.at(self.now + int(self.chance.expovariate(1 / LIFE)), self.leave, ledger, flow, machine)
+            self.at(
+                self.now + int(self.chance.expovariate(1 / LIFE)), self.leave, ledger, flow, machine
+            )
         self.carry_on(self.balancers.index(ledger), ledger)
 
     def leave(self, ledger, flow, machine, outcome=Outcome.OK):
@@ -157,12 +187,27 @@
             old = self.machines.pop(ident)
             new = self.machines[1000 + ident] = Machine(1000 + ident, old.capacity, self.now)
             for me, ledger in enumerate(self.balancers):
-                for flow in [f for f in ledger.balancer.flows.values() if f.established and f.server.id == ident]:
+                for flow in [
+                    f
+                    for f in ledger.balancer.flows.values()
+                    if f.established and f.server.id == ident
+                ]:
                     if flow.id not in ledger.balancer.flows:
-                        continue            # moved meanwhile
+                        continue  # moved meanwhile
                     ledger.end(flow, Outcome.RESET)
-                    self.at(self.now + self.chance.randrange(50, 1500) * 1_000_000, self.come_back, 0, True)
-                self.at(self.now + self.chance.randrange(1500) * 1_000_000, self.tell, me, new, self.entry(old, State.GONE))
+                    self.at(
+                        self.now + self.chance.randrange(50, 1500) * 1_000_000,
+                        self.come_back,
+                        0,
+                        True,
+                    )
+                self.at(
+                    self.now + self.chance.randrange(1500) * 1_000_000,
+                    self.tell,
+                    me,
+                    new,
+                    self.entry(old, State.GONE),
+                )
 
     def tell(self, me, new, gone):
         ledger = self.balancers[me]
@@ -197,15 +242,27 @@
     return fleet
 
 
-@pytest.mark.parametrize("seed, rate, hot", [(0, 16.0, 0.1), (18, 16.0, 0.1), (49, 16.0, 0.1), (0, 14.0, 0.0), (1, 14.0, 0.0),
-                                             (0, 14.0, 0.1), (1, 14.0, 0.1)])
-def test_thirty_balancers_keep_a_cold_server_within_its_budget_through_a_mass_restart(seed, rate, hot):
+@pytest.mark.parametrize(
+    "seed, rate, hot",
+    [
+        (0, 16.0, 0.1),
+        (18, 16.0, 0.1),
+        (49, 16.0, 0.1),
+        (0, 14.0, 0.0),
+        (1, 14.0, 0.0),
+        (0, 14.0, 0.1),
+        (1, 14.0, 0.1),
+    ],
+)
+def test_thirty_balancers_keep_a_cold_server_within_its_budget_through_a_mass_restart(
+    seed, rate, hot
+):
     # Half of the servers come cold, half of the balancers know nothing, and all that stood there comes back. Seen on
     # the operators' days: a flow a window at least from each of many balancers, while all of them had more to place than
     # was taken, drove cold servers over.
     fleet = played(seed, rate=rate, hot=hot)
     assert not fleet.over, (fleet.worst, fleet.over[:5])
-    assert fleet.sent_to_cold >= 36        # six servers in twelve seconds: they do not stand empty either
+    assert fleet.sent_to_cold >= 36  # six servers in twelve seconds: they do not stand empty either
 
 
 @pytest.mark.parametrize("balancers, rate", [(3, 14.0), (100, 14.0), (30, 4.0)])
--- a/tests/test_fleet_storm.py
+++ b/tests/test_fleet_storm.py
@@ -4,11 +4,11 @@
 from random import Random
 
 import pytest
-
-from cypresswalk.model import SECOND, Outcome
 from helpers import Ledger
 from test_choice import settle
 
+from cypresswalk.model import SECOND, Outcome
+
 TICK = SECOND // 50
 BALANCERS = 30
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -11,6 +11,9 @@
 
 import msgspec
 import pytest
+from test_calls import stand
+from test_handover import Process
+from test_net import Bench
 
 import cypresswalk
 from cypresswalk.agreement import log as agreement_log
@@ -25,9 +28,6 @@
 from cypresswalk.net.registry import server_number
 from cypresswalk.state import form
 from cypresswalk.state import store as state_store
-from test_calls import stand
-from test_handover import Process
-from test_net import Bench
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -59,7 +59,10 @@
             found.append((label, data, frames.frame()))
         return found
     if name == "agreement_records":
-        return [(label, data, agreement_store.FORMS[int(label.split(".")[0])].decode(data)) for label, data in rows(name)]
+        return [
+            (label, data, agreement_store.FORMS[int(label.split(".")[0])].decode(data))
+            for label, data in rows(name)
+        ]
     return [(label, data, DECODE[name](data)) for label, data in rows(name)]
 
 
@@ -91,10 +94,11 @@
 
     def below(cls: type) -> set[type]:
         return {cls}.union(*map(below, cls.__subclasses__()))
+
     ours = {cls for cls in below(msgspec.Struct) if cls.__module__.startswith("cypresswalk.")}
     read = set().union(*(classes_in(value) for name in FILES for _, _, value in decoded(name)))
-    bases = {cls for cls in ours if cls.__subclasses__()}       # stand nowhere by themselves
-    whole = {form.Kept}         # of a file, which is written in parts
+    bases = {cls for cls in ours if cls.__subclasses__()}  # stand nowhere by themselves
+    whole = {form.Kept}  # of a file, which is written in parts
     assert ours - read - bases - whole == set()
 
 
@@ -116,7 +120,9 @@
 
     def __init__(self, name: str):
         folder = GOLDEN / name
-        self.files = {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "inodes.json"}
+        self.files = {
+            path.name: path.read_bytes() for path in folder.iterdir() if path.name != "inodes.json"
+        }
         inodes = folder / "inodes.json"
         self.inodes = json.loads(inodes.read_text()) if inodes.exists() else {}
 
@@ -179,10 +185,18 @@
 def lines() -> dict[str, list[str]]:
     """What goes to servers, clients, operators, the list's source, other balancers and the process beside, in one scripted run."""
     bench = Bench(servers=3)
-    texts = ["OPEN 1f 5 c=view,t=north,d=900", "OPEN 2f 5 c=book,t=south,d=400,r=1,g=desk-1", "OPEN 3f key c=view,t=north,h=2.5"]
+    texts = [
+        "OPEN 1f 5 c=view,t=north,d=900",
+        "OPEN 2f 5 c=book,t=south,d=400,r=1,g=desk-1",
+        "OPEN 3f key c=view,t=north,h=2.5",
+    ]
     to_server = [opening(text.encode()).line(250).decode() for text in texts]
     sent, answers = [], []
-    for number, values in ((0x10, "c=view,t=north,d=900"), (0x11, "c=book,t=south,d=300"), (0x12, "c=odd,t=north,d=300")):
+    for number, values in (
+        (0x10, "c=view,t=north,d=900"),
+        (0x11, "c=book,t=south,d=300"),
+        (0x12, "c=odd,t=north,d=300"),
+    ):
         session = bench.open(number, values)
         if session in bench.sockets.out:
             sent.append(bench.sockets.line.decode())
@@ -209,8 +223,15 @@
     beside += younger.way.back.sent
     younger.settle()
     elder.pass_time(SECOND)
-    return {"opening": to_server, "connects": sent, "answers": answers, "hints": hints, "vars": [figures],
-            "list_request": [request("127.0.0.1:9", "/v1/instances?since=7").decode()], "beside": beside}
+    return {
+        "opening": to_server,
+        "connects": sent,
+        "answers": answers,
+        "hints": hints,
+        "vars": [figures],
+        "list_request": [request("127.0.0.1:9", "/v1/instances?since=7").decode()],
+        "beside": beside,
+    }
 
 
 def test_lines_to_servers_clients_operators_peers_and_the_process_beside_are_byte_for_byte():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,9 +11,14 @@
 from types import SimpleNamespace
 
 import pytest
+from helpers import listed
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
+from test_calls import stand
+from test_net import LIMITS, SEEDED, Bench
+from test_operated import Operated, free_port
+from test_sockets import ROOT, Lines, Program, Server, start  # noqa: F401 (a fixture)
 
 from cypresswalk.model import SECOND, Outcome, State
 from cypresswalk.net.beside import Beside
@@ -24,11 +29,6 @@
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.lines import ProtocolError
 from cypresswalk.net.registry import server_number
-from helpers import listed
-from test_calls import stand
-from test_net import LIMITS, SEEDED, Bench
-from test_operated import Operated, free_port
-from test_sockets import ROOT, Lines, Program, Server, start  # noqa: F401 (a fixture)
 
 
 class Way:
@@ -47,7 +47,7 @@
         done = 0
         while self.sent and done < most:
             message, done = json.loads(self.sent.pop(0)), done + 1
-            if "welcome" not in message:        # read by the driver, before there is a core
+            if "welcome" not in message:  # read by the driver, before there is a core
                 self.to.tell(self.to.core.side.heard, self.back, message)
         return done
 
@@ -110,19 +110,23 @@
     elder.core.balancer.peer_told(elder.now, late, 2.0)
     elder.core.balancer.keep_at(elder.now, late, 3.0)
     younger = Process(elder)
-    assert answer(younger.call("check")) == "ERR"       # it knows nothing yet
+    assert answer(younger.call("check")) == "ERR"  # it knows nothing yet
     younger.settle()
     assert answer(younger.call("check")) == answer(elder.call("check")) == "OK"
     assert (elder.door.accepting, younger.door.accepting) == (True, False)
-    assert not younger.core.ready       # the clients' door is the elder's still
+    assert not younger.core.ready  # the clients' door is the elder's still
     elder.tell(elder.core.stop)
-    assert elder.door.accepting         # until the younger has said that it accepts
+    assert elder.door.accepting  # until the younger has said that it accepts
     younger.settle()
     assert (elder.door.accepting, younger.door.accepting) == (False, True) and younger.core.ready
-    assert elder.core.ready             # its address is served, whoever answers
+    assert elder.core.ready  # its address is served, whoever answers
     here = younger.core.balancer.servers
-    assert here[away.id].barred and here[late.id].strain == 2 and here[late.id].limit == late.limit == 3
-    again = younger.open(3)             # an id that the elder has served
+    assert (
+        here[away.id].barred
+        and here[late.id].strain == 2
+        and here[late.id].limit == late.limit == 3
+    )
+    again = younger.open(3)  # an id that the elder has served
     assert younger.sockets.answers[again] == b"ERR\r\n"
     assert away.id not in {leg.server.id for leg in stand(younger, 9, 20)}
     elder.pass_time(2 * SECOND)
@@ -162,15 +166,22 @@
     younger.settle()
     assert [answer(call) for call in asked] == ["OK", "OK"]
     for process in pair.values():
-        assert process.core.balancer.servers[server_number("s-1")].barred and not (process is younger and process.core.ready)
+        assert process.core.balancer.servers[server_number("s-1")].barred and not (
+            process is younger and process.core.ready
+        )
     unknown = pair[caller].call("set-down", "s-9")
     younger.settle()
     assert answer(unknown) == "ERR"
     # One that a single list names so far is known to both, and out at both.
-    pair["elder"].tell(pair["elder"].core.listed, *pair["elder"].registry.decode({"generation": 2, "instances": [listed("s-7")]}))
+    pair["elder"].tell(
+        pair["elder"].core.listed,
+        *pair["elder"].registry.decode({"generation": 2, "instances": [listed("s-7")]}),
+    )
     known = pair[caller].call("set-down", "s-7")
     younger.settle()
-    assert answer(known) == "OK" and all(p.core.balancer.servers[server_number("s-7")].barred for p in pair.values())
+    assert answer(known) == "OK" and all(
+        p.core.balancer.servers[server_number("s-7")].barred for p in pair.values()
+    )
 
 
 def test_a_call_that_the_other_never_confirms_is_answered_with_no_and_one_whose_other_ends_with_yes():
@@ -189,20 +200,24 @@
     elder = Process()
     younger = Process(elder)
     younger.settle()
-    elder.part(younger)                 # before its yes: a further one may come
+    elder.part(younger)  # before its yes: a further one may come
     assert elder.door.accepting and elder.core.ready
     second = Process(elder)
     second.settle()
     assert answer(elder.call("set-down", "s-2")) is None
     second.settle()
-    second.part(elder)                  # killed before it was told to stop
-    assert second.door.accepting and second.core.ready and second.core.balancer.servers[server_number("s-2")].barred
-    third = Process(second)             # a second upgrade right after the first
+    second.part(elder)  # killed before it was told to stop
+    assert (
+        second.door.accepting
+        and second.core.ready
+        and second.core.balancer.servers[server_number("s-2")].barred
+    )
+    third = Process(second)  # a second upgrade right after the first
     third.settle()
     assert third.core.balancer.servers[server_number("s-2")].barred
     second.tell(second.core.stop)
     third.settle()
-    second.part(third)                  # the new one is killed: the old one takes clients for as long as it lives
+    second.part(third)  # the new one is killed: the old one takes clients for as long as it lives
     assert second.door.accepting
 
 
@@ -242,7 +257,13 @@
 
 def test_a_later_list_and_a_later_start_go_before_the_elder_s_word_and_an_older_list_after_it():
     elder = Process()
-    gone = {"generation": 5, "instances": [listed("s-0", lifecycle="terminated"), listed("s-1", lifecycle="terminating")]}
+    gone = {
+        "generation": 5,
+        "instances": [
+            listed("s-0", lifecycle="terminated"),
+            listed("s-1", lifecycle="terminating"),
+        ],
+    }
     elder.tell(elder.core.listed, *elder.registry.decode(gone))
     for version, states in ((4, (State.GONE, State.DRAINING)), (6, (State.READY, State.READY))):
         elder.door.version = 5
@@ -250,14 +271,28 @@
         younger = Process(elder)
         younger.door.version = version
         younger.settle()
-        assert tuple(younger.core.balancer.servers[server_number(f"s-{i}")].state for i in (0, 1)) == states
-
-
-@pytest.mark.parametrize("spoil", [
-    lambda m: m["state"].pop("now"), lambda m: m["state"].update(version="x"), lambda m: m["servers"][0].update(limit=float("nan")),
-    lambda m: m["servers"][0].update(state="asleep"), lambda m: m["servers"][0].update(address="nowhere"),
-    lambda m: m["servers"][0].update(weight=0), lambda m: m["servers"][0].update(health=-1), lambda m: m["ids"].append("x"),
-    lambda m: m["servers"].append(7), lambda m: m["servers"][0].update(dealt=[float("inf"), 1]), lambda m: m["servers"][0].pop("name")])
+        assert (
+            tuple(younger.core.balancer.servers[server_number(f"s-{i}")].state for i in (0, 1))
+            == states
+        )
+
+
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda m: m["state"].pop("now"),
+        lambda m: m["state"].update(version="x"),
+        lambda m: m["servers"][0].update(limit=float("nan")),
+        lambda m: m["servers"][0].update(state="asleep"),
+        lambda m: m["servers"][0].update(address="nowhere"),
+        lambda m: m["servers"][0].update(weight=0),
+        lambda m: m["servers"][0].update(health=-1),
+        lambda m: m["ids"].append("x"),
+        lambda m: m["servers"].append(7),
+        lambda m: m["servers"][0].update(dealt=[float("inf"), 1]),
+        lambda m: m["servers"][0].pop("name"),
+    ],
+)
 def test_of_a_state_that_is_odd_anywhere_nothing_is_believed(spoil):
     elder = Process()
     stand(elder, 3, 0)
@@ -270,6 +305,7 @@
         told.add({"servers": whole["servers"]})
         told.add({"ids": whole["ids"]})
         return told.read()
+
     whole["servers"][0]["a later field"] = 1
     assert len(told(whole)[0]) == 3
     spoil(whole)
@@ -311,7 +347,10 @@
                 process.open(self.count, f"c={kind},t=south,d=900")
                 break
 
-    @rule(which=st.integers(0, 99), outcome=st.sampled_from([None, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED]))
+    @rule(
+        which=st.integers(0, 99),
+        outcome=st.sampled_from([None, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED]),
+    )
     def end(self, which, outcome):
         for process in self.living():
             legs = list(process.sockets.out.values())
@@ -341,7 +380,9 @@
     def check(self):
         for process in self.living():
             informed = process is self.first or process.core.side.informed
-            assert not informed or self.out == {s.id for s in process.core.balancer.servers.values() if s.barred}
+            assert not informed or self.out == {
+                s.id for s in process.core.balancer.servers.values() if s.barred
+            }
             for session, due in process.due.items():
                 assert session in process.sockets.answers or process.now < due, "no answer in time"
         if self.second is not None and not (self.second.way.sent or self.second.way.back.sent):
@@ -362,6 +403,7 @@
 
 # Over sockets.
 
+
 class Pairs:
     """A program that is started again beside itself, as operators upgrade it."""
 
@@ -371,8 +413,18 @@
     def begin(self, **environment) -> tuple[subprocess.Popen, Operated]:
         port, self.runs = free_port(), self.runs + 1
         log = (self.folder / f"log{self.runs}").open("wb")
-        process = subprocess.Popen((sys.executable, "-m", "cypresswalk"), cwd=ROOT, stderr=log, env=os.environ | {
-            "PROXY_CONFIG": str(self.program.file), "PROXY_ADMIN_ADDR": f"127.0.0.1:{port}", "TMPDIR": str(self.folder)} | environment)
+        process = subprocess.Popen(
+            (sys.executable, "-m", "cypresswalk"),
+            cwd=ROOT,
+            stderr=log,
+            env=os.environ
+            | {
+                "PROXY_CONFIG": str(self.program.file),
+                "PROXY_ADMIN_ADDR": f"127.0.0.1:{port}",
+                "TMPDIR": str(self.folder),
+            }
+            | environment,
+        )
         self.processes.append(process)
         return process, Operated(port)
 
@@ -394,10 +446,15 @@
 
     def make(*servers, folder=tmp_path, **more) -> tuple[Pairs, Operated]:
         port = free_port()
-        program = start(*servers, environment={"PROXY_ADMIN_ADDR": f"127.0.0.1:{port}", "TMPDIR": str(folder)}, **more)
+        program = start(
+            *servers,
+            environment={"PROXY_ADMIN_ADDR": f"127.0.0.1:{port}", "TMPDIR": str(folder)},
+            **more,
+        )
         made.append(Pairs(program, folder))
         made[-1].processes.append(program.process)
         return made[-1], Operated(port)
+
     yield make
     for one in made:
         for process in one.processes:
@@ -409,7 +466,13 @@
     """Clients that come one after another without a pause, and what became of each."""
 
     def __init__(self, program, name, many=2):
-        self.program, self.name, self.ends, self.over, self.standing = program, name, [], Event(), []
+        self.program, self.name, self.ends, self.over, self.standing = (
+            program,
+            name,
+            [],
+            Event(),
+            [],
+        )
         self.threads = [Thread(target=self.run, args=(i,), daemon=True) for i in range(many)]
         for thread in self.threads:
             thread.start()
@@ -460,7 +523,7 @@
     load.stop()
     assert len(load.ends) > 200 and set(load.ends) <= {"BYE", "UP"}
     assert stood > 1 and {link.hear() for link in load.standing[:stood]} == {"MOVE"}
-    assert len(servers[0].openings) == sent         # out by hand over both upgrades
+    assert len(servers[0].openings) == sent  # out by hand over both upgrades
     ids = [line.split(" ")[1] for server in servers for line in server.openings]
     assert len(ids) == len(set(ids))
     for link in load.standing:
@@ -480,25 +543,32 @@
     pair.program.process.wait()
     assert pair.program.open("a2").hear() == "UP ra2"
     assert json.loads(there.call("vars")[0])["out_of_rotation"] == 1
-    third, last = pair.begin()          # over what the killed one left
+    third, last = pair.begin()  # over what the killed one left
     pair.ready(last)
     second.send_signal(signal.SIGTERM)
     assert second.wait(4) == 0 and pair.program.open("a3").hear() == "UP ra3"
 
 
-def test_of_two_that_start_in_the_same_moment_the_second_waits_until_it_can_find_the_first(tmp_path):
+def test_of_two_that_start_in_the_same_moment_the_second_waits_until_it_can_find_the_first(
+    tmp_path,
+):
     """Else both listen, and with one of them goes the place where a third would find the other."""
     clock = Clock()
     inboxes = [Inbox(clock), Inbox(clock)]
-    first, second = (Beside(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes)
+    first, second = (
+        Beside(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
+    )
     assert first.meet() is None
     found = []
     looking = Thread(target=lambda: found.append(second.meet()), daemon=True)
     looking.start()
     looking.join(0.3)
     assert looking.is_alive()
-    side = SimpleNamespace(hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)), heard=None,
-                           parted=lambda now, other: None)
+    side = SimpleNamespace(
+        hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
+        heard=None,
+        parted=lambda now, other: None,
+    )
     first.wait(side)
     call, words = inboxes[0].calls.get(timeout=3)
     call(clock(), *words)
@@ -508,7 +578,9 @@
 
 
 @pytest.mark.parametrize("folder", ["missing", "x" * 120, "file in the way"])
-def test_where_the_folder_is_of_no_use_or_its_name_is_long_it_still_starts_beside(pairs, tmp_path, folder):
+def test_where_the_folder_is_of_no_use_or_its_name_is_long_it_still_starts_beside(
+    pairs, tmp_path, folder
+):
     place = tmp_path / folder
     if folder.startswith("x"):
         place.mkdir()
@@ -529,7 +601,14 @@
     pair, operator = pairs(Server())
     (path,) = [file for file in tmp_path.iterdir() if file.is_socket()]
     assert path.stat().st_mode & 0o077 == 0
-    for said in (b"\xff\n", b"[1]\n", b"{}\n", b'{"hello":{"version":99,"name":"n0"}}\n', b"{" * 9000, b""):
+    for said in (
+        b"\xff\n",
+        b"[1]\n",
+        b"{}\n",
+        b'{"hello":{"version":99,"name":"n0"}}\n',
+        b"{" * 9000,
+        b"",
+    ):
         with socket.socket(socket.AF_UNIX) as sock:
             sock.settimeout(3)
             sock.connect(str(path))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,9 @@
 
 import psutil
 import pytest
-from hypothesis import given, settings, strategies as st
+from helpers import played
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from cypresswalk import toml
 from cypresswalk.lab import report
@@ -26,10 +28,19 @@
 from cypresswalk.lab.stage import Stage
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
 from cypresswalk.refusal import Refusal
-from helpers import played
 
 ROOT = Path(__file__).parent.parent
-MACHINES = Machines(name="m", zone="a", count=1, cores=2, per_core=10, setup_ms=4, cold_share=0.25, cold_s=10, most=50)
+MACHINES = Machines(
+    name="m",
+    zone="a",
+    count=1,
+    cores=2,
+    per_core=10,
+    setup_ms=4,
+    cold_share=0.25,
+    cold_s=10,
+    most=50,
+)
 
 
 def server(**troubles):
@@ -41,9 +52,10 @@
 
 # The server.
 
+
 def test_lines_wait_behind_the_pile_that_grows_beyond_capacity_and_goes_again():
     s = server()
-    for number in range(40):        # twice what 2 cores of 10 carry
+    for number in range(40):  # twice what 2 cores of 10 carry
         s.open(0, number, 1.0, "")
     idle, late = s.line(0), s.line(2 * SECOND)
     assert late > idle + 1.9 * SECOND
@@ -66,7 +78,9 @@
 def test_a_cold_server_can_do_its_share_and_grows_warm():
     s = server()
     s.start(SECOND, SECOND)
-    assert s.capacity(SECOND) == 5 and s.capacity(6 * SECOND) == 12.5 and s.capacity(11 * SECOND) == 20
+    assert (
+        s.capacity(SECOND) == 5 and s.capacity(6 * SECOND) == 12.5 and s.capacity(11 * SECOND) == 20
+    )
     # 2 * 5 loads * 0.1 a second * 2 s = 2 loads: the third within the rule's time topples it.
     assert [s.open(SECOND + n, n, 1.0, "") and s.fallen for n in range(3)] == [False, False, True]
     s = server()
@@ -79,7 +93,10 @@
 def test_troubles_show_as_they_should():
     assert server(hangs=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
     assert server(hangs=True).probe(0) is not None and server(hangs=True).line(0) is None
-    assert server(silent=True).probe(0) is None and server(silent=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
+    assert (
+        server(silent=True).probe(0) is None
+        and server(silent=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
+    )
     assert server(errors=1.0).open(0, 1, 1.0, "")[0] is Reply.ERROR
     assert server(resets=1.0).open(0, 1, 1.0, "")[0] is Reply.RESET
     assert server(life=Life.DRAINING).open(0, 1, 1.0, "")[0] is Reply.BUSY
@@ -94,7 +111,9 @@
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 10**9), st.integers(0, 9)), max_size=60))
+@given(
+    st.lists(st.tuples(st.integers(0, 5), st.integers(0, 10**9), st.integers(0, 9)), max_size=60)
+)
 def test_a_server_accounts_for_all_that_stands_there(steps):
     s, now = server(), 0
     for what, wait, number in steps:
@@ -108,11 +127,15 @@
         else:
             assert s.line(now) >= 0
         assert abs(s.asked - sum(c.load for c in s.standing.values())) < 1e-9
-        assert sum(s.groups.values()) == sum(bool(c.group) for c in s.standing.values()) and s.pile >= 0
+        assert (
+            sum(s.groups.values()) == sum(bool(c.group) for c in s.standing.values())
+            and s.pile >= 0
+        )
 
 
 # The list, the front, the people.
 
+
 def test_an_agent_knows_what_has_reached_it_and_an_older_one_less():
     experiment = small()
     listing = Listing()
@@ -122,7 +145,7 @@
     drained = listing.change("s-0", Life.DRAINING, 0)
     gone = listing.change("s-0", Life.GONE, 0)
     assert agent.answer(2) == (False, [], 2) and not agent.learn(2)
-    assert agent.learn(gone) and not agent.learn(drained)       # late ones come in any order
+    assert agent.learn(gone) and not agent.learn(drained)  # late ones come in any order
     whole, entries, version = agent.answer(2)
     assert (whole, [e.life for e in entries], version) == (False, [Life.GONE], 4)
     assert [e.server for e in agent.answer(0)[1]] == ["s-1"] and agent.answer(9)[0]
@@ -142,18 +165,29 @@
 
 
 def small(**changes) -> Experiment:
-    data = {"name": "small", "seconds": 4, "load": {"course": [[0, 10]]}, "balancers": [{"zone": "north"}],
-            "servers": [{"name": "s", "zone": "north", "count": 3}], "clients": {"line_ms": 200},
-            "list_service": {"late_ms": [50, 200]},
-            "types": [{"name": "view", "share": 1, "life_s": [1, 3]}]}
+    data = {
+        "name": "small",
+        "seconds": 4,
+        "load": {"course": [[0, 10]]},
+        "balancers": [{"zone": "north"}],
+        "servers": [{"name": "s", "zone": "north", "count": 3}],
+        "clients": {"line_ms": 200},
+        "list_service": {"late_ms": [50, 200]},
+        "types": [{"name": "view", "share": 1, "life_s": [1, 3]}],
+    }
     return toml.decode(data | changes, Experiment, "small")
 
 
 def test_the_same_people_come_on_a_seed_whatever_else_is_in_the_file():
-    plain, burst = People(small(), 7), People(small(trouble=[{"kind": "burst", "at_s": 1, "amount": 300}]), 7)
+    plain, burst = (
+        People(small(), 7),
+        People(small(trouble=[{"kind": "burst", "at_s": 1, "amount": 300}]), 7),
+    )
     alike = {(p.number, p.comes, p.life, p.group, p.type.name) for p in plain.all()}
     assert alike < {(p.number, p.comes, p.life, p.group, p.type.name) for p in burst.all()}
-    assert len(burst.all()) == len(alike) + 300 and sum(p.comes == SECOND for p in burst.all()) >= 300
+    assert (
+        len(burst.all()) == len(alike) + 300 and sum(p.comes == SECOND for p in burst.all()) >= 300
+    )
     assert [p.comes for p in People(small(), 8).all()] != [p.comes for p in plain.all()]
     rates = [len(People(small(seconds=100), seed).all()) / 100 for seed in range(5)]
     assert 9 < sum(rates) / 5 < 11
@@ -173,10 +207,17 @@
 
 # Figures.
 
+
 def test_service_counts_only_what_came_back_in_time():
     stand = Stand(0, 5 * SECOND, [(SECOND, 5.0), (2 * SECOND, 900.0), (3 * SECOND, 5.0)])
-    assert good(stand, 10 * SECOND, 100, 500) == [(0, SECOND), (2 * SECOND, 3 * SECOND), (3 * SECOND, 4_100_000_000)]
-    assert good(Stand(0, 9 * SECOND), 9 * SECOND, 100, 500) == [(0, 1_100_000_000)]      # silent ever since
+    assert good(stand, 10 * SECOND, 100, 500) == [
+        (0, SECOND),
+        (2 * SECOND, 3 * SECOND),
+        (3 * SECOND, 4_100_000_000),
+    ]
+    assert good(Stand(0, 9 * SECOND), 9 * SECOND, 100, 500) == [
+        (0, 1_100_000_000)
+    ]  # silent ever since
     into = [0.0] * 3
     spread(into, SECOND // 2, int(2.25 * SECOND), 2.0)
     assert into == [1.0, 2.0, 0.5]
@@ -185,6 +226,7 @@
 def test_a_difference_counts_only_if_all_of_five_seeds_agree():
     def days(values):
         return [{"seed": seed, "v": v} for seed, v in enumerate(values)]
+
     base, of = days([1, 2, 3, 4, 5]), lambda s: s["v"]
     assert report.difference(base, days([2, 3, 4, 5, 6]), of, 1) == "better"
     assert report.difference(base, days([2, 3, 4, 5, 6]), of, -1) == "worse"
@@ -195,24 +237,59 @@
 
 # Files.
 
-@pytest.mark.parametrize("change, said", [
-    ({"seconds": -1}, "seconds: input should be greater than 0, not -1"),
-    ({"sconds": 1}, "sconds: no such field"),
-    ({"servers": []}, "servers: list should have at least 1 item"),
-    ({"servers": [{"name": "s", "zone": "south", "count": 1}]}, "servers[0].zone: 'south' is not one of north"),
-    ({"servers": [{"name": "s", "zone": "north", "count": 1, "cores": 0}]}, "servers[0].cores: input should be greater"),
-    ({"types": [{"name": "v", "share": 1, "effect": "twice"}]}, "types[0].effect: input should be 'repeatable'"),
-    ({"types": [{"name": "v", "share": 1, "life_s": [3, 1]}]}, "types[0].life_s: a range is [least, most]"),
-    ({"types": [{"name": "v", "share": 1}] * 2}, "types: a name stands twice"),
-    ({"load": {"course": [[3, 1], [2, 1]]}}, "load.course: points are [second, rate]"),
-    ({"trouble": [{"kind": "hang", "at_s": 1}]}, "trouble[0]: hang needs servers"),
-    ({"trouble": [{"kind": "hang", "at_s": 1, "servers": ["x"]}]}, "trouble[0].servers: 'x' is not one of all"),
-    ({"trouble": [{"kind": "hang", "at_s": 9, "servers": ["s"]}]}, "trouble[0].at_s: the day ends after 4 s"),
-    ({"trouble": [{"kind": "slow", "at_s": 1, "servers": ["s"]}]}, "trouble[0]: slow needs an amount above 0"),
-    ({"trouble": [{"kind": "reload", "at_s": 1, "balancers": ["b7"]}]}, "trouble[0].balancers: 'b7' is not one of all"),
-    ({"trouble": [{"kind": "explode", "at_s": 1}]}, "trouble[0].kind: input should be 'crash'"),
-    ({"variant": [{"name": "v", "policy": "best"}]}, "variant[0].policy: input should be 'product'"),
-    ({"variant": [{"name": "v", "policy": "random", "revision": "HEAD"}]}, "variant[0]: a revision plays its own")])
+
+@pytest.mark.parametrize(
+    "change, said",
+    [
+        ({"seconds": -1}, "seconds: input should be greater than 0, not -1"),
+        ({"sconds": 1}, "sconds: no such field"),
+        ({"servers": []}, "servers: list should have at least 1 item"),
+        (
+            {"servers": [{"name": "s", "zone": "south", "count": 1}]},
+            "servers[0].zone: 'south' is not one of north",
+        ),
+        (
+            {"servers": [{"name": "s", "zone": "north", "count": 1, "cores": 0}]},
+            "servers[0].cores: input should be greater",
+        ),
+        (
+            {"types": [{"name": "v", "share": 1, "effect": "twice"}]},
+            "types[0].effect: input should be 'repeatable'",
+        ),
+        (
+            {"types": [{"name": "v", "share": 1, "life_s": [3, 1]}]},
+            "types[0].life_s: a range is [least, most]",
+        ),
+        ({"types": [{"name": "v", "share": 1}] * 2}, "types: a name stands twice"),
+        ({"load": {"course": [[3, 1], [2, 1]]}}, "load.course: points are [second, rate]"),
+        ({"trouble": [{"kind": "hang", "at_s": 1}]}, "trouble[0]: hang needs servers"),
+        (
+            {"trouble": [{"kind": "hang", "at_s": 1, "servers": ["x"]}]},
+            "trouble[0].servers: 'x' is not one of all",
+        ),
+        (
+            {"trouble": [{"kind": "hang", "at_s": 9, "servers": ["s"]}]},
+            "trouble[0].at_s: the day ends after 4 s",
+        ),
+        (
+            {"trouble": [{"kind": "slow", "at_s": 1, "servers": ["s"]}]},
+            "trouble[0]: slow needs an amount above 0",
+        ),
+        (
+            {"trouble": [{"kind": "reload", "at_s": 1, "balancers": ["b7"]}]},
+            "trouble[0].balancers: 'b7' is not one of all",
+        ),
+        ({"trouble": [{"kind": "explode", "at_s": 1}]}, "trouble[0].kind: input should be 'crash'"),
+        (
+            {"variant": [{"name": "v", "policy": "best"}]},
+            "variant[0].policy: input should be 'product'",
+        ),
+        (
+            {"variant": [{"name": "v", "policy": "random", "revision": "HEAD"}]},
+            "variant[0]: a revision plays its own",
+        ),
+    ],
+)
 def test_an_odd_experiment_is_refused_by_one_line(change, said):
     with pytest.raises(Refusal) as refusal:
         small(**change)
@@ -222,11 +299,29 @@
 def test_every_wrong_field_is_named_and_the_command_starts_nothing(tmp_path):
     file = tmp_path / "odd.toml"
     file.write_text('name = "odd"\nseconds = 0\n[load]\ncourse = 3\n')
-    run = subprocess.run([sys.executable, "-m", "cypresswalk", "lab", "play", str(file), "--out", str(tmp_path / "out")],
-                         cwd=ROOT, capture_output=True, text=True)
+    run = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "cypresswalk",
+            "lab",
+            "play",
+            str(file),
+            "--out",
+            str(tmp_path / "out"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
     assert run.returncode == 2 and not (tmp_path / "out").exists()
-    assert {line.split(": ")[1] for line in run.stderr.splitlines()} == {"seconds", "servers", "balancers", "types",
-                                                                         "load.course"}
+    assert {line.split(": ")[1] for line in run.stderr.splitlines()} == {
+        "seconds",
+        "servers",
+        "balancers",
+        "types",
+        "load.course",
+    }
 
 
 def test_the_shipped_experiments_are_sound():
@@ -236,67 +331,132 @@
 
 # Short days.
 
+
 def test_a_day_with_a_hanging_server_is_played_and_told(tmp_path):
     file = tmp_path / "hang.toml"
-    file.write_text((ROOT / "experiments/hang.toml").read_text().replace("seconds = 20", "seconds = 5")
-                    .replace("at_s = 5", "at_s = 1").replace("for_s = 9", "for_s = 3"))
-    run = subprocess.run([sys.executable, "-m", "cypresswalk", "lab", "play", str(file), "--out", str(tmp_path)], cwd=ROOT,
-                         capture_output=True, text=True, timeout=60)
+    file.write_text(
+        (ROOT / "experiments/hang.toml")
+        .read_text()
+        .replace("seconds = 20", "seconds = 5")
+        .replace("at_s = 5", "at_s = 1")
+        .replace("for_s = 9", "for_s = 3")
+    )
+    run = subprocess.run(
+        [sys.executable, "-m", "cypresswalk", "lab", "play", str(file), "--out", str(tmp_path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     folder = tmp_path / "hang-product-1"
     summary = json.loads((folder / "report.json").read_text())[0]
     assert run.returncode == 0 and "the rules held" in run.stdout, run.stdout + run.stderr
     assert summary["clients"] > 20 and summary["service"] > 0.8 and summary["memory_mb"] > 10
-    assert (folder / "service.png").stat().st_size > 1000 and "| service |" in (folder / "report.md").read_text()
-    again = subprocess.run([sys.executable, "-m", "cypresswalk", "lab", "verdict", str(file), str(folder)], cwd=ROOT,
-                           capture_output=True, text=True, timeout=60)
+    assert (folder / "service.png").stat().st_size > 1000 and "| service |" in (
+        folder / "report.md"
+    ).read_text()
+    again = subprocess.run(
+        [sys.executable, "-m", "cypresswalk", "lab", "verdict", str(file), str(folder)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert again.returncode == 0 and again.stdout.endswith(" 0 breaches\n")
 
 
 def test_troubles_of_all_kinds_in_one_short_day_keep_the_rules(tmp_path):
     """A drain, a release, a killed, a stopped and a reloaded balancer, a zone's burst, bad clients, lost hints."""
-    day = played(small(
-        seconds=8, zones=["north", "south"], settings={"peers": True, "retry_after": True}, net={"peers_lost": 0.3},
-        servers=[{"name": "s", "zone": "north", "count": 3}, {"name": "t", "zone": "south", "count": 3}],
-        balancers=[{"zone": "north"}, {"zone": "south"}], clients={"line_ms": 200, "bad_per_s": 8, "leaves": 0.05},
-        trouble=[{"kind": "drain", "at_s": 1, "for_s": 2, "servers": ["s-0"]},
-                 {"kind": "release", "at_s": 1, "servers": ["t-0"]},
-                 {"kind": "vanish", "at_s": 1, "for_s": 3, "servers": ["t-1"]},
-                 {"kind": "reload", "at_s": 1.2, "balancers": ["all"]},
-                 {"kind": "neighbour", "at_s": 1, "for_s": 2, "amount": 0.5, "servers": ["t-2"]},
-                 {"kind": "errors", "at_s": 2, "for_s": 2, "amount": 0.3, "servers": ["s-1"]},
-                 {"kind": "slow", "at_s": 2, "for_s": 2, "amount": 3, "servers": ["s-2"]},
-                 {"kind": "list_outage", "at_s": 2.5, "for_s": 1},
-                 {"kind": "balancer_kill", "at_s": 4, "for_s": 0.5, "balancers": ["b0"]},
-                 {"kind": "cut_clients", "at_s": 5, "amount": 0.5}, {"kind": "burst", "at_s": 5.5, "amount": 40},
-                 {"kind": "balancer_stop", "at_s": 6, "for_s": 0.3, "balancers": ["b1"]}]), small().variant[0], 3, tmp_path)
+    day = played(
+        small(
+            seconds=8,
+            zones=["north", "south"],
+            settings={"peers": True, "retry_after": True},
+            net={"peers_lost": 0.3},
+            servers=[
+                {"name": "s", "zone": "north", "count": 3},
+                {"name": "t", "zone": "south", "count": 3},
+            ],
+            balancers=[{"zone": "north"}, {"zone": "south"}],
+            clients={"line_ms": 200, "bad_per_s": 8, "leaves": 0.05},
+            trouble=[
+                {"kind": "drain", "at_s": 1, "for_s": 2, "servers": ["s-0"]},
+                {"kind": "release", "at_s": 1, "servers": ["t-0"]},
+                {"kind": "vanish", "at_s": 1, "for_s": 3, "servers": ["t-1"]},
+                {"kind": "reload", "at_s": 1.2, "balancers": ["all"]},
+                {"kind": "neighbour", "at_s": 1, "for_s": 2, "amount": 0.5, "servers": ["t-2"]},
+                {"kind": "errors", "at_s": 2, "for_s": 2, "amount": 0.3, "servers": ["s-1"]},
+                {"kind": "slow", "at_s": 2, "for_s": 2, "amount": 3, "servers": ["s-2"]},
+                {"kind": "list_outage", "at_s": 2.5, "for_s": 1},
+                {"kind": "balancer_kill", "at_s": 4, "for_s": 0.5, "balancers": ["b0"]},
+                {"kind": "cut_clients", "at_s": 5, "amount": 0.5},
+                {"kind": "burst", "at_s": 5.5, "amount": 40},
+                {"kind": "balancer_stop", "at_s": 6, "for_s": 0.3, "balancers": ["b1"]},
+            ],
+        ),
+        small().variant[0],
+        3,
+        tmp_path,
+    )
     assert day.broken == {} and not day.void, (day.void, day.breaches)
     kinds = {event.what for event in day.events}
-    assert {"told", "server_down", "server_up", "server_mute", "balancer_down", "bad", "left"} <= kinds
-    assert sum(event.what == "balancer_up" for event in day.events) == 3      # two starts and the one after the kill
+    assert {
+        "told",
+        "server_down",
+        "server_up",
+        "server_mute",
+        "balancer_down",
+        "bad",
+        "left",
+    } <= kinds
+    assert (
+        sum(event.what == "balancer_up" for event in day.events) == 3
+    )  # two starts and the one after the kill
     assert Figures(small(seconds=8), day).summary()["answers"]["up"] > 40
 
 
 def test_under_cuts_on_both_sides_the_rules_hold(tmp_path):
     """Cuts at any byte of opening line, answer and first lines: what may have run is not sent again, nobody gets two answers."""
     kinds = {"kinds": ["cut", "half_close", "truncate", "black_hole"], "within": 110}
-    day = played(small(
-        seconds=6, load={"course": [[0, 20]]}, types=[
-            {"name": "view", "share": 1, "life_s": [1, 2]}, {"name": "book", "share": 1, "life_s": [1, 2], "effect": "once-only"},
-            {"name": "note", "share": 1, "life_s": [1, 2], "effect": "referenced"}],
-        between={"clients": {"random": [kinds | {"chance": 0.15}]}, "servers": {"random": [
-            kinds | {"chance": 0.2}, kinds | {"chance": 0.3, "direction": "down", "within": 8}]}}),
-        small().variant[0], 5, tmp_path)
+    day = played(
+        small(
+            seconds=6,
+            load={"course": [[0, 20]]},
+            types=[
+                {"name": "view", "share": 1, "life_s": [1, 2]},
+                {"name": "book", "share": 1, "life_s": [1, 2], "effect": "once-only"},
+                {"name": "note", "share": 1, "life_s": [1, 2], "effect": "referenced"},
+            ],
+            between={
+                "clients": {"random": [kinds | {"chance": 0.15}]},
+                "servers": {
+                    "random": [
+                        kinds | {"chance": 0.2},
+                        kinds | {"chance": 0.3, "direction": "down", "within": 8},
+                    ]
+                },
+            },
+        ),
+        small().variant[0],
+        5,
+        tmp_path,
+    )
     struck = [event for event in day.events if event.what == "fault"]
     assert day.broken == {} and not day.void and len(struck) > 20, (day.void, day.breaches)
     assert {event.who for event in struck} == {"client", "server"}
 
 
 def test_an_earlier_revision_is_played_from_its_own_files(tmp_path):
-    repository = subprocess.run(["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True)
+    repository = subprocess.run(
+        ["git", "rev-parse", "HEAD"], cwd=ROOT, capture_output=True, text=True
+    )
     if repository.returncode:
         pytest.skip("not a git checkout")
     head = repository.stdout.strip()
-    experiment = small(seconds=2, variant=[{"name": "before", "revision": head}, {"name": "odd", "revision": "no-such"}])
+    experiment = small(
+        seconds=2,
+        variant=[{"name": "before", "revision": head}, {"name": "odd", "revision": "no-such"}],
+    )
     day = played(experiment, experiment.variant[0], 1, tmp_path)
     assert day.broken == {} and sum(event.what == "answer" for event in day.events) > 5
     with pytest.raises(Refusal, match="variant odd: revision 'no-such': "):
@@ -304,12 +464,18 @@
 
 
 def test_servers_that_grow_are_off_before_and_cold_after(tmp_path):
-    experiment = small(seconds=7, load={"course": [[0, 20]]}, servers=[{"name": "s", "zone": "north", "count": 3,
-                       "cold_share": 0.9, "cold_s": 5}], trouble=[{"kind": "grow", "at_s": 1, "servers": ["s"], "amount": 1}])
+    experiment = small(
+        seconds=7,
+        load={"course": [[0, 20]]},
+        servers=[{"name": "s", "zone": "north", "count": 3, "cold_share": 0.9, "cold_s": 5}],
+        trouble=[{"kind": "grow", "at_s": 1, "servers": ["s"], "amount": 1}],
+    )
     day = played(experiment, experiment.variant[0], 1, tmp_path)
     up = next(event for event in day.events if event.what == "server_up")
     there = [event.at for event in day.events if event.what == "attempt" and event.who == "s-2"]
-    assert up.who == "s-2" and there and min(there) > up.at and day.broken == {} and not day.void, day.breaches
+    assert up.who == "s-2" and there and min(there) > up.at and day.broken == {} and not day.void, (
+        day.breaches
+    )
 
 
 def test_a_port_that_another_process_took_is_the_labs_fault():
@@ -320,6 +486,7 @@
             driver.ports["b0"] = other.getsockname()[1]
             await driver.listen()
         return stage.faults
+
     faults = asyncio.run(run())
     assert len(faults) == 1 and faults[0].startswith("s-0 can't listen at ")
 
@@ -327,7 +494,12 @@
 def test_each_lab_process_has_an_address_of_its_own():
     """Two days side by side once chose one port: the second day's clients spoke to the first day's balancer."""
     script = "from cypresswalk.lab.balancers import own_host; print(own_host())"
-    hosts = {subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True).stdout for _ in range(3)}
+    hosts = {
+        subprocess.run(
+            [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True
+        ).stdout
+        for _ in range(3)
+    }
     assert len(hosts) == 3 and all(host.startswith("127.") for host in hosts)
 
 
@@ -339,6 +511,7 @@
         if second > 1 and not stalled:
             stalled.append(True)
             time.sleep(0.6)
+
     day = play_day(small(seconds=2), small().variant[0], 1, tmp_path, told=stall)
     assert stalled and day.void.startswith("the lab itself was late: ")
 
@@ -350,8 +523,21 @@
 
 
 def test_ctrl_c_ends_every_child_and_leaves_nothing(tmp_path):
-    process = subprocess.Popen([sys.executable, "-m", "cypresswalk", "lab", "play", "experiments/calm.toml", "--out",
-                                str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+    process = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "cypresswalk",
+            "lab",
+            "play",
+            "experiments/calm.toml",
+            "--out",
+            str(tmp_path),
+        ],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.STDOUT,
+    )
     lab, until = psutil.Process(process.pid), time.monotonic() + 20
     while len(children := lab.children()) < 2 or not list(tmp_path.glob("*/b1.log")):
         assert time.monotonic() < until
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,6 +5,7 @@
 from threading import Event
 
 import pytest
+from helpers import PARAMS, START, config_data, listed
 from hypothesis import given
 from hypothesis import settings as runs
 from hypothesis import strategies as st
@@ -21,10 +22,9 @@
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.lines import Lines, ProtocolError, opening
 from cypresswalk.net.logs import Flood, event
+from cypresswalk.net.notes import Notes, Told
 from cypresswalk.net.probes import load_report
 from cypresswalk.net.registry import Registry, server_number
-from cypresswalk.net.notes import Notes, Told
-from helpers import PARAMS, START, config_data, listed
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 9), min_size=1, max_size=60)
@@ -35,7 +35,7 @@
     at = 0
     while at < len(data):
         for cut in cuts:
-            yield data[at:at + cut]
+            yield data[at : at + cut]
             at += cut
 
 
@@ -61,7 +61,7 @@
         while (line := one.line()) is not None:
             got.append(line.decode())
         part = all_whole.whole()
-        assert not part or part.endswith(b"\n")     # MOVE may be said here
+        assert not part or part.endswith(b"\n")  # MOVE may be said here
         passed += part
     assert got == texts and passed == data
 
@@ -79,11 +79,35 @@
     assert opening(b"OPEN 9b1f 7f3a c=chat").line(5) == b"OPEN 9b1f 7f3a c=chat\r\n"
 
 
-@pytest.mark.parametrize("line", [b"", b"OPEN", b"OPEN a", b"HELLO a b c=d", b"OPEN a b c", b"OPEN a b =d",
-                                  b"OPEN a b c=d e", b"OPEN  b c=d", b"OPEN \xff b c=d", b"OPEN a b c=d,c=e", b"OPEN a/ b c=d",
-                                  b"OPEN a b c=\0", b"OPEN a b c=d\rx", b"OPEN a b c=d,d=-1", b"OPEN a b d=nan", b"OPEN a b d=1e9",
-                                  b"OPEN a b d=1_0", b"OPEN a b d=" + b"9" * 400, b"OPEN a b h=much", b"OPEN a b r=2",
-                                  b"OPEN a b g=", b"OPEN a b at=../x", b"OPEN a b c=d,", b"OPEN " + b"a" * 65 + b" b c=d"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"OPEN",
+        b"OPEN a",
+        b"HELLO a b c=d",
+        b"OPEN a b c",
+        b"OPEN a b =d",
+        b"OPEN a b c=d e",
+        b"OPEN  b c=d",
+        b"OPEN \xff b c=d",
+        b"OPEN a b c=d,c=e",
+        b"OPEN a/ b c=d",
+        b"OPEN a b c=\0",
+        b"OPEN a b c=d\rx",
+        b"OPEN a b c=d,d=-1",
+        b"OPEN a b d=nan",
+        b"OPEN a b d=1e9",
+        b"OPEN a b d=1_0",
+        b"OPEN a b d=" + b"9" * 400,
+        b"OPEN a b h=much",
+        b"OPEN a b r=2",
+        b"OPEN a b g=",
+        b"OPEN a b at=../x",
+        b"OPEN a b c=d,",
+        b"OPEN " + b"a" * 65 + b" b c=d",
+    ],
+)
 def test_an_odd_opening_is_no_opening(line):
     with pytest.raises(ProtocolError):
         opening(line)
@@ -96,33 +120,74 @@
 @given(CUTS)
 def test_http_bodies_come_out_whole_however_they_are_cut(cuts):
     for data, body, over in [
-            (HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\nT: x\r\n\r\n", b"abc0123456789", True),
-            (HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", b"abc", False),
-            (HEAD + b"Content-Length: 4\r\n\r\nabcd", b"abcd", True),
-            (HEAD + b"Content-Length: 0\r\n\r\n", b"", True),
-            (HEAD + b"\r\nup to the end", b"up to the end", False)]:
+        (
+            HEAD
+            + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\nT: x\r\n\r\n",
+            b"abc0123456789",
+            True,
+        ),
+        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", b"abc", False),
+        (HEAD + b"Content-Length: 4\r\n\r\nabcd", b"abcd", True),
+        (HEAD + b"Content-Length: 0\r\n\r\n", b"", True),
+        (HEAD + b"\r\nup to the end", b"up to the end", False),
+    ]:
         answer = Answer(100)
         assert b"".join(answer.feed(piece) for piece in pieces(data, cuts)) == body
         assert answer.over is over and answer.status == 200
 
 
-@pytest.mark.parametrize("data", [b"SSH-2.0\r\n", b"HTTP/1.1 x\r\n", HEAD + b"Content-Length: -1\r\n\r\n",
-                                  HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", b"H" * 200,
-                                  HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"SSH-2.0\r\n",
+        b"HTTP/1.1 x\r\n",
+        HEAD + b"Content-Length: -1\r\n\r\n",
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"H" * 200,
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
+    ],
+)
 def test_what_is_no_http_is_named(data):
     with pytest.raises(ProtocolError):
         Answer(100).feed(data)
 
 
 def test_odd_entries_are_passed_over_and_numbers_come_from_the_names():
-    odd = [7, {}, listed("x", "nowhere"), listed("x", "a.name:9"), listed("x", lifecycle="asleep"), listed("x", weight="much"),
-           listed("x", startedAtMs=float("nan")), listed("x", zone=["a"])]
+    odd = [
+        7,
+        {},
+        listed("x", "nowhere"),
+        listed("x", "a.name:9"),
+        listed("x", lifecycle="asleep"),
+        listed("x", weight="much"),
+        listed("x", startedAtMs=float("nan")),
+        listed("x", zone=["a"]),
+    ]
     registry = Registry({"a": 0, "b": 1})
-    _, entries = registry.decode({"generation": 9, "reset": False, "instances": odd + [
-        listed("s-1", zone="b", startedAtMs=5000, lifecycle="terminating"), listed("s-2", zone="elsewhere", cell="c7")]})
+    _, entries = registry.decode(
+        {
+            "generation": 9,
+            "reset": False,
+            "instances": odd
+            + [
+                listed("s-1", zone="b", startedAtMs=5000, lifecycle="terminating"),
+                listed("s-2", zone="elsewhere", cell="c7"),
+            ],
+        }
+    )
     (first, address), (second, _) = entries
-    assert (first.id, first.zone, first.since, first.state) == (server_number("s-1"), 1, 5 * SECOND, State.DRAINING)
-    assert second.zone not in (0, 1) and first.id < 1 << 32 and address == ("127.0.0.1", 9) and registry.version == 9
+    assert (first.id, first.zone, first.since, first.state) == (
+        server_number("s-1"),
+        1,
+        5 * SECOND,
+        State.DRAINING,
+    )
+    assert (
+        second.zone not in (0, 1)
+        and first.id < 1 << 32
+        and address == ("127.0.0.1", 9)
+        and registry.version == 9
+    )
     for broken in (7, [], {"instances": 7}):
         with pytest.raises(ProtocolError):
             registry.decode(broken)
@@ -131,11 +196,15 @@
 def test_echoes_tell_of_a_slow_server_once_a_second_and_once_when_it_is_over():
     gauge = Gauge(None, enough=50, every=100)
     gauge.set_up(10)
-    assert [gauge.worth_telling(now, took) for now, took in
-            [(0, 40), (1, 90), (2, 95), (101, 99), (102, 30), (103, 30)]] == [None, 80, None, 89, 20, None]
+    assert [
+        gauge.worth_telling(now, took)
+        for now, took in [(0, 40), (1, 90), (2, 95), (101, 99), (102, 30), (103, 30)]
+    ] == [None, 80, None, 89, 20, None]
 
 
-LIMITS = Limits(sockets=100, memory=192 << 20, dial=SECOND, longest=3 * SECOND, delay_long=SECOND // 60)
+LIMITS = Limits(
+    sockets=100, memory=192 << 20, dial=SECOND, longest=3 * SECOND, delay_long=SECOND // 60
+)
 
 
 def test_a_load_line_is_a_delay_where_the_settings_say_so_and_nothing_else_is():
@@ -152,13 +221,21 @@
     def read(told, now, number):
         delay = notes.delay(told, now * SECOND // 1000, b"LOAD %d" % number)
         return delay and delay // 1_000_000
-    assert [read(told, 0, 9000), read(other, 0, 400)] == [None, None]            # as they begin: loads
-    assert [read(told, 700, 300), read(told, 2500, 0)] == [None, None]           # changes of the load
-    assert [read(told, 3000, 90), read(told, 3996, 700)] == [90, 700]            # a pile begins and grows
-    assert [read(told, 4500, 500), read(told, 5000, 1900)] == [None, 1900]       # a load in between
-    assert [read(told, 6000, 3), read(told, 7000, 8000)] == [3, None]            # over; no flow waits for 8 s
-    assert [read(other, 5000, 900), read(other, 5996, 950), read(other, 7010, 990)] == [None, 950, None]
-    assert [read(other, 8000, 300), read(other, 9000, 1400)] == [None, None]     # no pile grows that fast
+
+    assert [read(told, 0, 9000), read(other, 0, 400)] == [None, None]  # as they begin: loads
+    assert [read(told, 700, 300), read(told, 2500, 0)] == [None, None]  # changes of the load
+    assert [read(told, 3000, 90), read(told, 3996, 700)] == [90, 700]  # a pile begins and grows
+    assert [read(told, 4500, 500), read(told, 5000, 1900)] == [None, 1900]  # a load in between
+    assert [read(told, 6000, 3), read(told, 7000, 8000)] == [3, None]  # over; no flow waits for 8 s
+    assert [read(other, 5000, 900), read(other, 5996, 950), read(other, 7010, 990)] == [
+        None,
+        950,
+        None,
+    ]
+    assert [read(other, 8000, 300), read(other, 9000, 1400)] == [
+        None,
+        None,
+    ]  # no pile grows that fast
 
 
 def test_a_load_report_is_read_by_name_or_by_place():
@@ -169,12 +246,17 @@
 
 def test_a_flood_of_log_lines_is_cut_short_and_counted():
     flood = Flood(2)
-    records = [logging.makeLogRecord({"msg": "event=x", "levelno": logging.WARNING, "created": at})
-               for at in (1, 1.5, 1.9, 1.95, 2)]
+    records = [
+        logging.makeLogRecord({"msg": "event=x", "levelno": logging.WARNING, "created": at})
+        for at in (1, 1.5, 1.9, 1.95, 2)
+    ]
     assert [flood.filter(record) for record in records] == [True, True, False, False, True]
     assert records[-1].msg == "event=x left_out=2"
     # Guards against bad clients hiding the counters at the end.
-    plain = [logging.makeLogRecord({"msg": "event=end", "levelno": logging.INFO, "created": 2.5}) for _ in range(4)]
+    plain = [
+        logging.makeLogRecord({"msg": "event=end", "levelno": logging.INFO, "created": 2.5})
+        for _ in range(4)
+    ]
     assert all(flood.filter(record) for record in plain)
 
 
@@ -196,10 +278,14 @@
 
 def test_a_configuration_that_lacks_something_is_named(tmp_path):
     file = tmp_path / "config.json"
-    for text, message in [("{", "PROXY_CONFIG"), ("[]", "not an object"), ("{}", "'settings' is missing"),
-                          (json.dumps(config_data(listen="here")), "listen"),
-                          (json.dumps(config_data(azs=None)), "PROXY_CONFIG"),
-                          (json.dumps(config_data(rules={})), "is missing")]:
+    for text, message in [
+        ("{", "PROXY_CONFIG"),
+        ("[]", "not an object"),
+        ("{}", "'settings' is missing"),
+        (json.dumps(config_data(listen="here")), "listen"),
+        (json.dumps(config_data(azs=None)), "PROXY_CONFIG"),
+        (json.dumps(config_data(rules={})), "is missing"),
+    ]:
         file.write_text(text)
         with pytest.raises(ConfigError, match=message):
             load({"PROXY_CONFIG": str(file)})
@@ -213,12 +299,14 @@
     def __init__(self):
         self.out, self.passing, self.answers, self.moved = {}, {}, {}, set()
         self.legs, self.probes, self.hints, self.asked = [], [], [], 0
-        self.in_dial = set()            # nothing was written on these yet
+        self.in_dial = set()  # nothing was written on these yet
 
     def connect(self, leg, address, line):
         session = leg.session
         assert session not in self.answers and session not in self.out, "a connect too many"
-        assert leg.server.state is State.READY or "at" in session.opening.values, "a connect to a server that drains"
+        assert leg.server.state is State.READY or "at" in session.opening.values, (
+            "a connect to a server that drains"
+        )
         assert not leg.server.barred, "a connect to a server out by hand"
         self.out[session], self.line = leg, line
         self.legs.append(leg)
@@ -303,7 +391,11 @@
     bench.tell(bench.core.up, leg)
     bench.tell(bench.core.ended, leg, Outcome.OK)
     bench.tell(bench.core.left, session)
-    assert bench.sockets.answers[session] == b"UP" and not bench.core.sessions and not bench.core.balancer.flows
+    assert (
+        bench.sockets.answers[session] == b"UP"
+        and not bench.core.sessions
+        and not bench.core.balancer.flows
+    )
 
 
 def test_an_up_that_comes_late_is_not_passed_on():
@@ -314,13 +406,23 @@
     bench.tell(bench.core.up, late)
     assert bench.sockets.answers[session] == b"BUSY\r\n"
     session = bench.open(2)
-    bench.now += SECOND         # it was in the queue when the time was up
+    bench.now += SECOND  # it was in the queue when the time was up
     bench.tell(bench.core.up, bench.sockets.out[session])
     assert bench.sockets.answers[session] == b"BUSY\r\n"
 
 
-@pytest.mark.parametrize("values", ["c=other,t=north,d=9", "c=view,t=east,d=9", "c=view,d=9", "t=north,d=9", "c=view,t=north",
-                                    "c=view,t=north,d=0", "c=view,t=north,d=20001"])
+@pytest.mark.parametrize(
+    "values",
+    [
+        "c=other,t=north,d=9",
+        "c=view,t=east,d=9",
+        "c=view,d=9",
+        "t=north,d=9",
+        "c=view,t=north",
+        "c=view,t=north,d=0",
+        "c=view,t=north,d=20001",
+    ],
+)
 def test_what_the_settings_do_not_name_gets_a_failed_answer(values):
     bench = Bench()
     assert bench.sockets.answers[bench.open(1, values)] == b"ERR\r\n"
@@ -362,7 +464,11 @@
     session = bench.open(1)
     leg = bench.sockets.out[session]
     bench.tell(bench.core.impatient, session)
-    assert bench.sockets.answers[session] == b"ERR\r\n" and not bench.core.sessions and not bench.core.balancer.flows
+    assert (
+        bench.sockets.answers[session] == b"ERR\r\n"
+        and not bench.core.sessions
+        and not bench.core.balancer.flows
+    )
     bench.tell(bench.core.up, leg)
     bench.tell(bench.core.impatient, session)
     assert bench.sockets.answers[session] == b"ERR\r\n"
@@ -370,12 +476,21 @@
 
 def test_limits_follow_from_what_descriptors_there_are():
     for sockets in (256, 588, 1024):
-        limits = Limits(sockets=sockets, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1)
+        limits = Limits(
+            sockets=sockets, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1
+        )
         # A third of them for flows' clients, as many for their servers; door, probes and the rest within what is left.
         assert limits.flows >= sockets // 3
         assert 2 * limits.flows + limits.at_door + limits.kept_probes + 10 <= sockets
-        assert (2 * limits.flows + limits.at_door + limits.links_over + limits.kept_probes + limits.probes_out + limits.fixed
-                <= sockets)
+        assert (
+            2 * limits.flows
+            + limits.at_door
+            + limits.links_over
+            + limits.kept_probes
+            + limits.probes_out
+            + limits.fixed
+            <= sockets
+        )
     # Guards against being killed for memory: there flows are rejected before it is used up.
     short = Limits(sockets=1024, memory=32 << 20, dial=SECOND, longest=SECOND, delay_long=1)
     assert short.flows * short.flow + short.program <= short.memory and short.flows > 150
@@ -387,19 +502,23 @@
 
     def list_says(lifecycle, older, **more):
         entry = listed("s-0", lifecycle=lifecycle, **more)
-        bench.tell(bench.core.listed, *bench.registry.decode({"generation": 9, "instances": [entry]}), older)
+        bench.tell(
+            bench.core.listed,
+            *bench.registry.decode({"generation": 9, "instances": [entry]}),
+            older,
+        )
         return bench.core.balancer.servers[server_number("s-0")].state
 
     assert list_says("terminating", False) is State.DRAINING
     assert list_says("in_service", True) is State.DRAINING
     bench.pass_time(2 * SECOND)
-    assert list_says("terminated", True) is State.GONE          # it has caught up: what waited is void
+    assert list_says("terminated", True) is State.GONE  # it has caught up: what waited is void
     bench.pass_time(9 * SECOND)
     assert list_says("in_service", True) is State.GONE
     bench.pass_time(5 * SECOND)
     assert bench.core.balancer.servers[server_number("s-0")].state is State.READY
     assert list_says("terminating", False) is State.DRAINING
-    assert list_says("in_service", True, startedAtMs=7) is State.READY      # a start since then is news
+    assert list_says("in_service", True, startedAtMs=7) is State.READY  # a start since then is news
 
 
 def test_a_stop_moves_all_standing_clients_evenly_and_answers_the_rest():
@@ -416,7 +535,11 @@
     assert 4 <= len(bench.sockets.moved) <= 6
     late = bench.open(11)
     bench.pass_time(SECOND)
-    assert len(bench.sockets.moved) == 10 and waiting in bench.sockets.answers and late in bench.sockets.answers
+    assert (
+        len(bench.sockets.moved) == 10
+        and waiting in bench.sockets.answers
+        and late in bench.sockets.answers
+    )
     assert bench.core.stopped
 
 
@@ -441,7 +564,7 @@
         bench.tell(bench.core.up, bench.sockets.out[session])
     silent.leg.asked_at = bench.now
     bench.pass_time(SECOND // 2)
-    silent.leg.gauge.answered = bench.now       # to a line of the other
+    silent.leg.gauge.answered = bench.now  # to a line of the other
     bench.pass_time(SECOND)
     assert bench.sockets.moved == {silent} and heard.leg.server is silent.leg.server
     assert heard.leg.server.misses == 0
@@ -460,10 +583,16 @@
         self.bench, self.count, self.left = Bench(servers, sockets=sockets), 0, set()
         self.told_up, self.told_end = set(), set()
 
-    @rule(kind=st.sampled_from(["view", "book"]), group=st.integers(0, 3), at=st.sampled_from(["", ",at=s-1"]))
+    @rule(
+        kind=st.sampled_from(["view", "book"]),
+        group=st.integers(0, 3),
+        at=st.sampled_from(["", ",at=s-1"]),
+    )
     def open(self, kind, group, at):
         self.count += 1
-        session = self.bench.open(self.count, f"c={kind},t=south,d=900" + f",g={group}" * bool(group) + at)
+        session = self.bench.open(
+            self.count, f"c={kind},t=south,d=900" + f",g={group}" * bool(group) + at
+        )
         if at:
             del self.bench.due[session]
 
@@ -471,7 +600,11 @@
 
     @rule(which=st.integers(0, 99))
     def up(self, which):
-        legs = [leg for leg in self.bench.sockets.legs if leg not in self.told_up and leg not in self.told_end]
+        legs = [
+            leg
+            for leg in self.bench.sockets.legs
+            if leg not in self.told_up and leg not in self.told_end
+        ]
         if legs:
             leg = legs[which % len(legs)]
             self.told_up.add(leg)
@@ -500,11 +633,16 @@
             server = self.bench.sockets.probes.pop(which % len(self.bench.sockets.probes))
             self.bench.tell(self.bench.core.probed, server, passed, [])
 
-    @rule(reset=st.booleans(), states=st.lists(st.sampled_from(["in_service", "terminating", "terminated"]), max_size=5))
+    @rule(
+        reset=st.booleans(),
+        states=st.lists(st.sampled_from(["in_service", "terminating", "terminated"]), max_size=5),
+    )
     def relist(self, reset, states):
         entries = [listed(f"s-{i}", lifecycle=state) for i, state in enumerate(states)]
-        self.bench.tell(self.bench.core.listed,
-                        *self.bench.registry.decode({"generation": 2, "reset": reset, "instances": entries}))
+        self.bench.tell(
+            self.bench.core.listed,
+            *self.bench.registry.decode({"generation": 2, "reset": reset, "instances": entries}),
+        )
 
     @rule(tenths=st.integers(0, 12))
     def wait(self, tenths):
@@ -513,7 +651,10 @@
             answered = session in self.bench.sockets.answers or session in self.left
             assert answered or self.bench.now < due, "no answer in time"
 
-    @rule(name=st.sampled_from(["check", "vars", "set-down", "set-up", "drain-on", "drain-off"]), server=st.integers(0, 4))
+    @rule(
+        name=st.sampled_from(["check", "vars", "set-down", "set-up", "drain-on", "drain-off"]),
+        server=st.integers(0, 4),
+    )
     def call(self, name, server):
         self.bench.sockets.in_dial = set(list(self.bench.sockets.out.values())[::2]) - self.told_up
         call = Call(name, f"s-{server}")
--- a/tests/test_operated.py
+++ b/tests/test_operated.py
@@ -9,7 +9,6 @@
 from threading import Thread
 
 import pytest
-
 from helpers import config_data
 from test_sockets import ROOT, Lines, Program, Server, start  # noqa: F401 (a fixture)
 
@@ -42,7 +41,10 @@
 def operated(start):
     def make(*servers, **more) -> tuple[Program, Operated]:
         port = free_port()
-        return start(*servers, environment={"PROXY_ADMIN_ADDR": f"127.0.0.1:{port}"}, **more), Operated(port)
+        return start(
+            *servers, environment={"PROXY_ADMIN_ADDR": f"127.0.0.1:{port}"}, **more
+        ), Operated(port)
+
     return make
 
 
@@ -70,6 +72,7 @@
             link = program.connect()
             link.say(f"OPEN c{i} 77 c=view,t=north,d=900")
             links.append(link)
+
     links, waits = [], []
     clients = Thread(target=crowd)
     clients.start()
@@ -83,7 +86,10 @@
     heard = [link.hear().split(" ")[0] for link in links]
     time.sleep(0.3)
     told = json.loads(operator.call("vars")[0])
-    assert (told["fulfilled"]["view"], told["throttled"]["view"]) == (heard.count("UP"), heard.count("BUSY"))
+    assert (told["fulfilled"]["view"], told["throttled"]["view"]) == (
+        heard.count("UP"),
+        heard.count("BUSY"),
+    )
     assert told["open_requests"] == heard.count("UP") <= told["relayed"]
     for link in links:
         link.close()
@@ -98,24 +104,45 @@
     front = program.connect()
     front.say("PING")
     assert front.hear() == "ERR"
-    assert [(client.hear(), client.hear()) for client in clients] == [("MOVE", "")] * 5 and time.monotonic() - began < 3.5
+    assert [(client.hear(), client.hear()) for client in clients] == [
+        ("MOVE", "")
+    ] * 5 and time.monotonic() - began < 3.5
     assert operator.call("drain-off") == ["OK"]
     front = program.connect()
     front.say("PING")
     assert front.hear() == "PONG" and program.open("e1").hear() == "UP re1"
 
 
-def test_without_the_address_nothing_of_it_is_imported_and_an_unusable_one_ends_the_start(tmp_path, start):
+def test_without_the_address_nothing_of_it_is_imported_and_an_unusable_one_ends_the_start(
+    tmp_path, start
+):
     file = tmp_path / "odd.json"
     file.write_text(json.dumps(config_data()))
-    for odd, says in (("nowhere", "admin_addr: 'nowhere' is no IPv4 address and port"), ("127.0.0.1:1x", "admin_addr"),
-                      ("192.0.2.1:9", "cypresswalk: ")):
-        done = subprocess.run([sys.executable, "-m", "cypresswalk"], cwd=ROOT, capture_output=True, text=True, timeout=20,
-                              env=os.environ | {"PROXY_CONFIG": str(file), "PROXY_ADMIN_ADDR": odd})
+    for odd, says in (
+        ("nowhere", "admin_addr: 'nowhere' is no IPv4 address and port"),
+        ("127.0.0.1:1x", "admin_addr"),
+        ("192.0.2.1:9", "cypresswalk: "),
+    ):
+        done = subprocess.run(
+            [sys.executable, "-m", "cypresswalk"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=20,
+            env=os.environ | {"PROXY_CONFIG": str(file), "PROXY_ADMIN_ADDR": odd},
+        )
         assert done.returncode == 1 and says in done.stderr and done.stderr.count("\n") == 1
-    probe = ("import sys, threading; from cypresswalk.service import program; from cypresswalk.net.config import load;"
-             "import os; p = program.Program(load(dict(os.environ)));"
-             "print(p.admin, [m for m in sys.modules if m.endswith(('net.admin', 'net.handover'))])")
-    done = subprocess.run([sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, timeout=20,
-                          env=os.environ | {"PROXY_CONFIG": str(file)})
+    probe = (
+        "import sys, threading; from cypresswalk.service import program; from cypresswalk.net.config import load;"
+        "import os; p = program.Program(load(dict(os.environ)));"
+        "print(p.admin, [m for m in sys.modules if m.endswith(('net.admin', 'net.handover'))])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", probe],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env=os.environ | {"PROXY_CONFIG": str(file)},
+    )
     assert done.stdout == "None []\n"
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -18,7 +18,12 @@
         self.dead: set[str] = set()
         self.views: dict = {}
         self.left: list[str] = []
-        self.placing, self.now, self.copies, self.least = Placing("m0#1", copies, least), 0, copies, least
+        self.placing, self.now, self.copies, self.least = (
+            Placing("m0#1", copies, least),
+            0,
+            copies,
+            least,
+        )
         self.answers: list = []
         self.tell()
 
@@ -50,7 +55,9 @@
     def look(self, seconds: float = 0.2, longest: int = 60 * SECOND) -> None:
         for _ in range(round(seconds * 5)):
             self.now += SECOND // 5
-            proposals, sends = self.placing.tend(self.now, self.members, self.views, self.left, lambda i: i not in self.dead, longest)
+            proposals, sends = self.placing.tend(
+                self.now, self.members, self.views, self.left, lambda i: i not in self.dead, longest
+            )
             for to, word in sends:
                 if to not in self.dead:
                     self.holders[to].heard("m0#1", word) if not isinstance(word, Sealed) else None
@@ -69,14 +76,24 @@
             self.sound()
             for name, holder in self.holders.items():
                 for part, (view, there) in self.views.items() if name not in self.dead else ():
-                    if name in there and holder.part(part).view == view and not holder.part(part).whole:
+                    if (
+                        name in there
+                        and holder.part(part).view == view
+                        and not holder.part(part).whole
+                    ):
                         self.placing.heard(self.now, name, Slow(part, view, name), self.views)
 
     def sound(self) -> None:
         """Whoever holds a newest view whole has all that was granted there."""
         for part, (view, there) in self.views.items():
-            whole = [set(h.part(part).records) for n, h in self.holders.items()
-                     if n in there and h.part(part).whole and h.part(part).view == view and n not in self.dead]
+            whole = [
+                set(h.part(part).records)
+                for n, h in self.holders.items()
+                if n in there
+                and h.part(part).whole
+                and h.part(part).view == view
+                and n not in self.dead
+            ]
             assert all(records >= self.granted.get(part, set()) for records in whole)
 
     def back(self) -> None:
@@ -100,8 +117,10 @@
                     self.granted.setdefault(part, set()).add(ident)
 
     def copies_whole(self) -> dict[int, int]:
-        return {part: sum(self.holders[n].part(part).whole and n not in self.dead for n in there)
-                for part, (_, there) in self.views.items()}
+        return {
+            part: sum(self.holders[n].part(part).whole and n not in self.dead for n in there)
+            for part, (_, there) in self.views.items()
+        }
 
 
 def test_each_part_lies_at_three_in_as_many_zones_and_is_made_up_elsewhere_when_holders_die():
@@ -111,25 +130,34 @@
     tier.claim_all("x")
     assert len(tier.granted) == PARTS
     tier.dead.add("m1#1")
-    tier.claim_all("y")         # parts that lay there grant nothing now
+    tier.claim_all("y")  # parts that lay there grant nothing now
     tier.look(0.8)
-    tier.claim_all("z")         # and do again at once, with two copies, but for the few that are being made up
+    tier.claim_all(
+        "z"
+    )  # and do again at once, with two copies, but for the few that are being made up
     assert sum("z" in ids for ids in tier.granted.values()) >= PARTS - AT_ONCE
     tier.look(15)
-    assert set(tier.copies_whole().values()) == {3} and not any("m1#1" in there for _, there in tier.views.values())
+    assert set(tier.copies_whole().values()) == {3} and not any(
+        "m1#1" in there for _, there in tier.views.values()
+    )
     tier.dead.add("m2#1")
     tier.look(15)
-    assert set(tier.copies_whole().values()) == {3} and all("x" in ids for ids in tier.granted.values())
+    assert set(tier.copies_whole().values()) == {3} and all(
+        "x" in ids for ids in tier.granted.values()
+    )
     assert not tier.placing.lacking and not tier.placing.lost
-    tier.dead.add("m3#1")       # two are left: fewer than asked for, and enough
+    tier.dead.add("m3#1")  # two are left: fewer than asked for, and enough
     tier.look(5)
     tier.claim_all("w")
-    assert sum("w" in ids for ids in tier.granted.values()) == PARTS and len(tier.placing.lacking) == PARTS
-    tier.dead.add("m4#1")       # one alone grants nothing
+    assert (
+        sum("w" in ids for ids in tier.granted.values()) == PARTS
+        and len(tier.placing.lacking) == PARTS
+    )
+    tier.dead.add("m4#1")  # one alone grants nothing
     tier.look(20)
     tier.claim_all("v")
     assert not any("v" in ids for ids in tier.granted.values())
-    tier.back()                 # all, with their disks
+    tier.back()  # all, with their disks
     tier.look(20)
     assert set(tier.copies_whole().values()) == {3} and not tier.placing.away
 
@@ -138,7 +166,7 @@
     tier = Tier(3)
     tier.look(2)
     tier.claim_all("x")
-    tier.holders["m2#1"] = Holder("m2#1")       # the same name with an empty folder
+    tier.holders["m2#1"] = Holder("m2#1")  # the same name with an empty folder
     for part, (view, there) in tier.views.items():
         tier.holders["m2#1"].begin(part, view, there)
     tier.look(15)
@@ -154,7 +182,9 @@
         tier.holders[there[0]].out.clear()
     tier.new_leader()
     for part, (view, there) in tier.views.items():
-        tier.placing.heard(tier.now, there[0], Sealed(part, view, True), tier.views)     # told until the next view begins
+        tier.placing.heard(
+            tier.now, there[0], Sealed(part, view, True), tier.views
+        )  # told until the next view begins
     tier.look(3)
     tier.claim_all("x")
     assert len(tier.granted) == PARTS
@@ -164,7 +194,11 @@
     tier = Tier(4)
     tier.look(2)
     tier.claim_all("x")
-    for name in ("m1#1", "m2#1", "m3#1"):       # three machines go with their disks, and come back under new incarnations
+    for name in (
+        "m1#1",
+        "m2#1",
+        "m3#1",
+    ):  # three machines go with their disks, and come back under new incarnations
         tier.dead.add(name)
     tier.members = (tier.members[0], *(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3)))
     for m in tier.members[1:]:
@@ -174,9 +208,13 @@
     assert gone and len(gone) < PARTS
     tier.look(40)
     assert set(tier.placing.lost) == gone
-    tier.granted = {part: ids for part, ids in tier.granted.items() if part not in gone}    # what it knew may run again: nobody knows
+    tier.granted = {
+        part: ids for part, ids in tier.granted.items() if part not in gone
+    }  # what it knew may run again: nobody knows
     tier.claim_all("y")
-    assert not any("y" in tier.granted.get(part, ()) for part in gone) and len(tier.granted) == PARTS - len(gone)
+    assert not any("y" in tier.granted.get(part, ()) for part in gone) and len(
+        tier.granted
+    ) == PARTS - len(gone)
     tier.look(30)
     tier.claim_all("z")
     assert all("z" in tier.granted[part] for part in range(PARTS)) and not tier.placing.lost
@@ -188,7 +226,9 @@
     tier.claim_all("x")
     tier.left = ["m3"]
     tier.look(20)
-    assert not any("m3#1" in there for _, there in tier.views.values()) and set(tier.copies_whole().values()) == {3}
+    assert not any("m3#1" in there for _, there in tier.views.values()) and set(
+        tier.copies_whole().values()
+    ) == {3}
     tier.left = []
     tier.look(20)
     assert sum("m3#1" in there for _, there in tier.views.values()) > PARTS // 3
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -25,7 +25,11 @@
     for _ in range(span):
         w.run(SECOND)
         agreed = w.release()
-        if agreed is not None and (agreed.halted or agreed.release is not None and agreed.release.phase not in ("running", "back")):
+        if agreed is not None and (
+            agreed.halted
+            or agreed.release is not None
+            and agreed.release.phase not in ("running", "back")
+        ):
             return agreed
     raise AssertionError(w.history[-30:])
 
@@ -37,13 +41,23 @@
         assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
 
 
-@pytest.mark.parametrize("build, why", [("aborts", "failed or rejected"), ("slow", "ms for a set-up"), ("falls", "began anew by itself"),
-                                        ("never_ready", "ERR starting")])
+@pytest.mark.parametrize(
+    "build, why",
+    [
+        ("aborts", "failed or rejected"),
+        ("slow", "ms for a set-up"),
+        ("falls", "began anew by itself"),
+        ("never_ready", "ERR starting"),
+    ],
+)
 def test_a_bad_build_is_halted_in_the_first_wave(build, why):
     for seed in range(3):
         agreed = until_over(Releases(seed, 3, 3, 2, build))
         assert agreed.halted and why in agreed.halted[2], (seed, agreed.halted)
-        assert sum(status in ("new", "failed") for status in agreed.release.members.values()) <= 1 and agreed.release.wave == 0
+        assert (
+            sum(status in ("new", "failed") for status in agreed.release.members.values()) <= 1
+            and agreed.release.wave == 0
+        )
 
 
 def test_good_ones_are_never_halted():
@@ -55,7 +69,7 @@
 def test_a_fleet_of_one_and_a_zone_of_one_are_changed_where_the_bound_lets_one_go():
     w = Releases(1, 1, 0, {"share": 0.5, "least": 1})
     assert until_over(w).release.phase == "done" and w.machines["n0"].saved.version == NEW
-    w = Releases(1, 1, 0, {"share": 0.5})       # half of one is none
+    w = Releases(1, 1, 0, {"share": 0.5})  # half of one is none
     with pytest.raises(AssertionError):
         until_over(w, 30)
     assert w.machines["n0"].saved.version == OLD and "1 are out" not in w.release().history[-1].what
@@ -63,17 +77,24 @@
 
 def nobody_is_unknown(patch):
     """A new leader counts those it has not heard as ready."""
-    patch.setattr(Places, "seen_out", lambda self, now, members, left, unheard, lapsed: {
-        m.name: "not ready" for m in members if self.said.get(m.id, (True, 0))[0] is False})
+    patch.setattr(
+        Places,
+        "seen_out",
+        lambda self, now, members, left, unheard, lapsed: {
+            m.name: "not ready" for m in members if self.said.get(m.id, (True, 0))[0] is False
+        },
+    )
 
 
 def places_are_free_by_any_word(patch):
     """A word that was on its way for long frees the place of who has gone out since."""
+
     def asked(self, now, ident, ready, lease):
         self.said[ident] = ready, now
         place = self.places.get(ident.partition("#")[0])
         if place is not None:
             place.back = bool(ready)
+
     patch.setattr(Places, "asked", asked)
 
 
@@ -83,51 +104,93 @@
 
 def a_place_is_given_back_while_an_agent_works(patch):
     tend = Places.tend
-    patch.setattr(Places, "tend", lambda self, now, away, begun, waiting, out, there: tend(self, now, away, (), waiting, out, there))
-
-
-@pytest.mark.parametrize("mistake, seed", [
-    (nobody_is_unknown, 3), (places_are_free_by_any_word, 21), (a_place_is_given_back_while_an_agent_works, 19),
-    (nobody_is_asked_before_the_old_one_goes, 0)])
+    patch.setattr(
+        Places,
+        "tend",
+        lambda self, now, away, begun, waiting, out, there: tend(
+            self, now, away, (), waiting, out, there
+        ),
+    )
+
+
+@pytest.mark.parametrize(
+    "mistake, seed",
+    [
+        (nobody_is_unknown, 3),
+        (places_are_free_by_any_word, 21),
+        (a_place_is_given_back_while_an_agent_works, 19),
+        (nobody_is_asked_before_the_old_one_goes, 0),
+    ],
+)
 def test_a_planted_mistake_is_found(mistake, seed, monkeypatch):
     mistake(monkeypatch)
     assert run_seed(seed).broken
 
 
 def test_the_same_seed_gives_the_same_run_whatever_the_hash_seed():
-    code = ("from cypresswalk.lab.together.releases import run_seed; o = run_seed(6, acts=30);"
-            "print(o.broken, o.steps, o.went, o.took, o.end, sorted(o.situations.items()))")
-    told = {subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                           env=os.environ | {"PYTHONHASHSEED": seed}).stdout for seed in ("1", "2")}
+    code = (
+        "from cypresswalk.lab.together.releases import run_seed; o = run_seed(6, acts=30);"
+        "print(o.broken, o.steps, o.went, o.took, o.end, sorted(o.situations.items()))"
+    )
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+            env=os.environ | {"PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("1", "2")
+    }
     assert len(told) == 1 and "goes out: release" in told.pop()
 
 
 def test_an_agent_changes_nothing_while_its_balancer_is_only_beginning():
     """Else two processes listen at one port, and the one without a part in the fleet rejects what comes to it."""
+
     def asked(check: str, since: float) -> list[str]:
         work, said, answer = Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(), [], None
         for _ in range(20):
             want = work.send(answer)
             said += [want.name] if isinstance(want, duty.Ask) else []
-            answer = {duty.Runs: True, duty.Check: check, duty.Draw: "d", duty.Now: since if "turn" in said else 0.0}.get(type(want))
+            answer = {
+                duty.Runs: True,
+                duty.Check: check,
+                duty.Draw: "d",
+                duty.Now: since if "turn" in said else 0.0,
+            }.get(type(want))
             if isinstance(want, duty.Ask):
                 answer = True, {"status": "out", "since": OLD, "to": NEW, "phase": "running"}
             if isinstance(want, duty.Wait) or "release_began" in said:
                 return said
         raise AssertionError(said)
+
     assert asked("ERR starting", 1.0) == ["turn"]
     assert asked("", 1.0) == ["turn", "release_began"]
-    assert asked("ERR starting", 30.0) == ["turn", "release_began"]     # a crash loop must find the way back
+    assert asked("ERR starting", 30.0) == [
+        "turn",
+        "release_began",
+    ]  # a crash loop must find the way back
 
 
 def test_an_agent_that_no_release_names_asks_every_two_seconds_and_at_each_look_while_one_does():
     """Each call costs who leads a round of the voters: of 200 idle agents more words than of all else."""
+
     def asks(status: str) -> int:
-        work, now, count, answer = Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(), 0.0, 0, None
+        work, now, count, answer = (
+            Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(),
+            0.0,
+            0,
+            None,
+        )
         while now < 10:
             want = work.send(answer)
             count += isinstance(want, duty.Ask)
             now += want.seconds if isinstance(want, duty.Wait) else 0.0
-            answer = {duty.Runs: True, duty.Now: now, duty.Ask: (True, {"status": status})}.get(type(want))
+            answer = {duty.Runs: True, duty.Now: now, duty.Ask: (True, {"status": status})}.get(
+                type(want)
+            )
         return count
+
     assert asks("") == 5 and asks("old") == 20
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -8,6 +8,8 @@
 from random import Random
 
 import pytest
+from helpers import PARAMS
+from test_together import ROOT, asked, with_rig
 
 from cypresswalk.agreement.words import Member as One
 from cypresswalk.fleet import agreed as state
@@ -17,30 +19,63 @@
 from cypresswalk.fleet.releasing import Do, Releasing
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
 from cypresswalk.lab.together.machines import Machines
-from cypresswalk.lab.together.plan import Plan as Plan_, Step, read as read_plan
+from cypresswalk.lab.together.plan import Plan as Plan_
+from cypresswalk.lab.together.plan import Step
+from cypresswalk.lab.together.plan import read as read_plan
 from cypresswalk.refusal import Refusal
-from cypresswalk.rollout import bounds, plan as plans, release
+from cypresswalk.rollout import bounds, release
+from cypresswalk.rollout import plan as plans
 from cypresswalk.rollout.bounds import allowed, why_not
 from cypresswalk.rollout.evidence import Evidence, Served, judged
 from cypresswalk.rollout.release import Plan
-from helpers import PARAMS
-from test_together import ROOT, asked, with_rig
 
 
-@pytest.mark.parametrize("bound, of, may", [
-    (2, 10, 2), ({"share": 0.34}, 10, 3), ({"share": 0.25}, 3, 0), ({"share": 0.25, "least": 1}, 3, 1), ({"share": 0.1}, 10, 1),
-    ({"share": 1.0}, 1, 1), ({"share": 0.3}, 10, 3)])
+@pytest.mark.parametrize(
+    "bound, of, may",
+    [
+        (2, 10, 2),
+        ({"share": 0.34}, 10, 3),
+        ({"share": 0.25}, 3, 0),
+        ({"share": 0.25, "least": 1}, 3, 1),
+        ({"share": 0.1}, 10, 1),
+        ({"share": 1.0}, 1, 1),
+        ({"share": 0.3}, 10, 3),
+    ],
+)
 def test_a_bound_is_a_number_or_a_share_rounded_down(bound, of, may):
     assert allowed(bound, of) == may
 
 
 def test_every_wrong_bound_is_named_and_none_comes_into_force():
-    wrong = {"balancers": {"all": 0, "zone": {"share": 2}, "odd": 1}, "servers": {"all": {"share": 0.5, "least": -1}}, "clients": {}}
-    said = objection(PARAMS, {"serviceTypes": PARAMS["serviceTypes"], "limits": PARAMS["limits"], "rules": PARAMS["rules"],
-                              "deductions": {}, "extra": PARAMS["extra"], "tenants": PARAMS["tenants"], "instances": 1, "bounds": wrong})
-    for place in ("balancers.all", "balancers.zone", "balancers.odd", "servers.all", "bounds.clients"):
+    wrong = {
+        "balancers": {"all": 0, "zone": {"share": 2}, "odd": 1},
+        "servers": {"all": {"share": 0.5, "least": -1}},
+        "clients": {},
+    }
+    said = objection(
+        PARAMS,
+        {
+            "serviceTypes": PARAMS["serviceTypes"],
+            "limits": PARAMS["limits"],
+            "rules": PARAMS["rules"],
+            "deductions": {},
+            "extra": PARAMS["extra"],
+            "tenants": PARAMS["tenants"],
+            "instances": 1,
+            "bounds": wrong,
+        },
+    )
+    for place in (
+        "balancers.all",
+        "balancers.zone",
+        "balancers.odd",
+        "servers.all",
+        "bounds.clients",
+    ):
         assert place in said
-    assert not bounds.objection({"balancers": {"all": 1}, "servers": {"zone": {"share": 0.5, "least": 1}}})
+    assert not bounds.objection(
+        {"balancers": {"all": 1}, "servers": {"zone": {"share": 0.5, "least": 1}}}
+    )
 
 
 def test_zones_and_the_whole_are_bounded_each_and_what_is_out_by_itself_counts():
@@ -48,12 +83,22 @@
     scopes = {"all": 3, "zone": 1}
     assert not why_not(scopes, zones, {"a1": "drained"}, {}, "b1")
     assert "of zone a" in why_not(scopes, zones, {}, {"a1": "not heard"}, "a2")
-    assert not why_not(scopes, zones, {}, {"a1": "not heard"}, "a1")        # out already: no further place
-    assert why_not({"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "a1").startswith("2 of 5 are out and 1 may be: b1 (not ready)")
-    assert why_not({"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1")     # it may come back just before it goes
-    assert not why_not({"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1", heals=True)
+    assert not why_not(
+        scopes, zones, {}, {"a1": "not heard"}, "a1"
+    )  # out already: no further place
+    assert why_not({"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "a1").startswith(
+        "2 of 5 are out and 1 may be: b1 (not ready)"
+    )
+    assert why_not(
+        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1"
+    )  # it may come back just before it goes
+    assert not why_not(
+        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1", heals=True
+    )
     assert why_not({"all": 1}, zones, {"a1": "drained"}, {"b1": "not ready"}, "b1", heals=True)
-    assert why_not({"zone": {"share": 0.5}}, {"only": "z"}, {}, {}, "only")     # a zone of one: half of it is none
+    assert why_not(
+        {"zone": {"share": 0.5}}, {"only": "z"}, {}, {}, "only"
+    )  # a zone of one: half of it is none
     assert not why_not({"zone": {"share": 0.5, "least": 1}}, {"only": "z"}, {}, {}, "only")
 
 
@@ -63,49 +108,71 @@
         chance, machine = Random(seed), Agreed()
         names = {f"n{i}": f"z{i % 3}" for i in range(chance.choice((1, 2, 5, 9)))}
         servers = {f"s{i}": i % 2 for i in range(chance.choice((1, 4, 10)))}
-        most = {"balancers": {"all": chance.choice((1, 2, {"share": 0.5})), "zone": 1}, "servers": {"all": {"share": 0.5, "least": 1}}}
+        most = {
+            "balancers": {"all": chance.choice((1, 2, {"share": 0.5})), "zone": 1},
+            "servers": {"all": {"share": 0.5, "least": 1}},
+        }
         machine.state.settings = {"bounds": most}
         away: set[str] = set()
-        coming: set[str] = set()        # servers that are back, and not seen ready yet
+        coming: set[str] = set()  # servers that are back, and not seen ready yet
         for number in range(200):
             head = (f"c{number}", "test", 0)
             who, server = chance.choice(sorted(names)), chance.choice(sorted(servers))
-            kind = chance.choice(("leave", "leave", "return", "out", "out", "back", "seen", "list", "force"))
+            kind = chance.choice(
+                ("leave", "leave", "return", "out", "out", "back", "seen", "list", "force")
+            )
             if kind in ("leave", "force"):
                 seen = {name: "not heard" for name in names if chance.random() < 0.1}
                 command = state.Leave(*head, who, "drained", kind == "force", names, seen)
                 _, (ok, why) = machine.apply(encode(command))
                 gone = (away | set(seen)) - {who}
-                fits = (len(gone) + 1 <= allowed(most["balancers"]["all"], len(names))
-                                       and sum(names[n] == names[who] for n in gone) + 1 <= 1)
+                fits = (
+                    len(gone) + 1 <= allowed(most["balancers"]["all"], len(names))
+                    and sum(names[n] == names[who] for n in gone) + 1 <= 1
+                )
                 assert ok is (fits or kind == "force"), (seed, number, why)
-                assert machine.apply(encode(command))[1] == (ok, why)       # asked again: the same answer, no second place
+                assert machine.apply(encode(command))[1] == (
+                    ok,
+                    why,
+                )  # asked again: the same answer, no second place
                 away |= {who} if ok else set()
             elif kind == "return":
                 held = machine.state.away.get(who, ("other", 0, ""))
-                assert not machine.apply(encode(state.Return(*head[:2], 1, who, ("other", 0, ""))))[1][0]
+                assert not machine.apply(encode(state.Return(*head[:2], 1, who, ("other", 0, ""))))[
+                    1
+                ][0]
                 machine.apply(encode(state.Return(f"r{number}", *head[1:], who, held)))
                 away.discard(who)
             elif kind == "out":
-                before, listed = set(machine.state.out), {n: s for n, _, _, s, _, _ in machine.state.servers}
+                before, listed = (
+                    set(machine.state.out),
+                    {n: s for n, _, _, s, _, _ in machine.state.servers},
+                )
                 bad = {name: "held for bad" for name in servers if chance.random() < 0.1}
                 seen = {n for n, s in listed.items() if s != "ready"} | set(bad)
                 gone = (before | seen | coming) - {server}
                 _, (ok, _) = machine.apply(encode(state.Out(*head, server, False, bad)))
                 coming -= {server} if ok else set()
-                fits = server in before or len(gone & set(listed)) + 1 <= allowed(most["servers"]["all"], len(listed))
+                fits = server in before or len(gone & set(listed)) + 1 <= allowed(
+                    most["servers"]["all"], len(listed)
+                )
                 assert ok is fits, (seed, number)
             elif kind == "back":
                 coming |= {server} & set(machine.state.out)
                 machine.apply(encode(state.Back(*head, server)))
             elif kind == "seen":
                 version = machine.state.coming.get(server, 7)
-                machine.apply(encode(state.Seen(f"s{number}", *head[1:], {server: version - 1})))     # of an earlier return: no matter
+                machine.apply(
+                    encode(state.Seen(f"s{number}", *head[1:], {server: version - 1}))
+                )  # of an earlier return: no matter
                 assert set(machine.state.coming) == coming
                 machine.apply(encode(state.Seen(*head, {server: version})))
                 coming.discard(server)
             else:
-                listing = [(name, zone, 1, "draining" if chance.random() < 0.2 else "ready", 1.0, 0) for name, zone in servers.items()]
+                listing = [
+                    (name, zone, 1, "draining" if chance.random() < 0.2 else "ready", 1.0, 0)
+                    for name, zone in servers.items()
+                ]
                 machine.apply(encode(state.Listing(*head, number, 0, listing)))
             assert set(machine.state.away) == away
 
@@ -114,26 +181,30 @@
     async def test(rig):
         _, body = await rig.ask("n0", "show")
         settings = body["settings"] | {"bounds": {"balancers": {"all": 1}, "servers": {"all": 1}}}
-        assert (await rig.command("n0", "offer", base=body["settings_version"], settings=settings))[0] == "yes"
+        assert (await rig.command("n0", "offer", base=body["settings_version"], settings=settings))[
+            0
+        ] == "yes"
         assert await rig.whole() is not None
         admin = {name: p.admin for name, p in rig.processes.items()}
         await ready(rig)
-        answers = await asyncio.gather(asked(admin["n3"], "drain-on"), asked(admin["n4"], "drain-on"))
+        answers = await asyncio.gather(
+            asked(admin["n3"], "drain-on"), asked(admin["n4"], "drain-on")
+        )
         assert sorted(a[:3] for a in answers) == ["ERR", "OK"], answers
         refused = next(a for a in answers if a != "OK")
         assert "1 of 5 are out and 1 may be" in refused and "drained" in refused
         out = "n3" if answers[0] == "OK" else "n4"
         assert await asked(rig.processes[out].listen, "PING") == "ERR"
         assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
-        assert await asked(admin[out], "drain-on") == "OK"           # twice is once
+        assert await asked(admin[out], "drain-on") == "OK"  # twice is once
         rig.kill(out)
-        rig.start(out)              # a yes to a drain holds over a restart
+        rig.start(out)  # a yes to a drain holds over a restart
         assert await rig.whole() is not None
         assert await asked(rig.processes[out].listen, "PING") == "ERR"
         assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
         assert await asked(admin[out], "drain-off") == "OK"
         await ready(rig)
-        rig.kill("n4")              # by itself: a place that is not there any more
+        rig.kill("n4")  # by itself: a place that is not there any more
         await asyncio.sleep(2.5)
         refused = await asked(admin["n3"], "drain-on")
         assert refused.startswith("ERR not granted") and "n4 (not heard)" in refused
@@ -146,7 +217,10 @@
         # Servers: one may be out.
         # A leader that has just begun grants nothing until most balancers have told it of servers.
         until = time.monotonic() + 10
-        while "did not answer in time" in (said := await asked(admin["n1"], "set-down s-0")) and time.monotonic() < until:
+        while (
+            "did not answer in time" in (said := await asked(admin["n1"], "set-down s-0"))
+            and time.monotonic() < until
+        ):
             pass
         assert said == "OK"
         assert "1 of 4 are out and 1 may be: s-0" in await asked(admin["n2"], "set-down s-1")
@@ -155,30 +229,46 @@
         assert "s-0 (not seen ready again)" in await asked(admin["n2"], "set-down s-1")
         until = time.monotonic() + 15
         while (said := await asked(admin["n2"], "set-down s-1")) != "OK":
-            assert ("s-0 (not seen ready again)" in said or "did not answer in time" in said) and time.monotonic() < until, said
+            assert (
+                "s-0 (not seen ready again)" in said or "did not answer in time" in said
+            ) and time.monotonic() < until, said
         # A halt outranks what the bounds would allow, and leaves the way back open.
         assert await asked(admin["n2"], "set-up s-1") == "OK"
         await rig.do(Step(at_s=0, do="heal"))
         assert await rig.whole() is not None
         await ready(rig)
-        told = await asyncio.gather(rig.command("n1", "halt", why="look at n4"), rig.command("n3", "halt", why="me too"))
-        assert [result for result, _ in told] == ["yes", "yes"] and told[0][1]["why"] == told[1][1]["why"]
-        rig.kill(await rig.leader())        # whoever leads next knows of it
+        told = await asyncio.gather(
+            rig.command("n1", "halt", why="look at n4"), rig.command("n3", "halt", why="me too")
+        )
+        assert [result for result, _ in told] == ["yes", "yes"] and told[0][1]["why"] == told[1][1][
+            "why"
+        ]
+        rig.kill(await rig.leader())  # whoever leads next knows of it
         other = next(name for name in ("n3", "n4") if rig.processes[name].popen is not None)
         until = time.monotonic() + 10
-        while "halted by" not in (said := await asked(admin[other], "drain-on")) and time.monotonic() < until:
+        while (
+            "halted by" not in (said := await asked(admin[other], "drain-on"))
+            and time.monotonic() < until
+        ):
             assert said.startswith("ERR")
-        assert "halted by rig: " in said and "halted by" in await asked(admin[other], "set-down s-2")
+        assert "halted by rig: " in said and "halted by" in await asked(
+            admin[other], "set-down s-2"
+        )
         halts = (await rig.ask(other, "status"))[1]["halts"]
-        assert (await rig.command(other, "resume", halts=halts - 1))[0] == "no"     # said before the second halt, and late
+        assert (await rig.command(other, "resume", halts=halts - 1))[
+            0
+        ] == "no"  # said before the second halt, and late
         assert (await rig.command(other, "resume", halts=halts))[0] == "yes"
         await rig.do(Step(at_s=0, do="heal"))
         assert await rig.whole() is not None
         await ready(rig)
         # Where nothing can be agreed nothing is done.
         await rig.do(Step(at_s=0, do="isolate", who="n2"))
-        assert (await asked(admin["n2"], "drain-on")).startswith("ERR not granted: the fleet did not answer")
+        assert (await asked(admin["n2"], "drain-on")).startswith(
+            "ERR not granted: the fleet did not answer"
+        )
         assert await asked(rig.processes["n2"].listen, "PING") == "PONG"
+
     with_rig(tmp_path, test, balancers=5, flows_per_s=0)
 
 
@@ -198,20 +288,31 @@
     places = Places(5 * second)
 
     def tend(now, away=granted, begun=(), waiting=()):
-        out = places.seen_out(now, [One("n0#1", True, "", ""), One("n1#1", True, "", "")], [], [], [])
-        return places.tend(now, {"n1": away} if away else {}, begun, waiting, set(out) - {"n0"}, names)
-    assert set(places.seen_out(0, [One("n1#1", True, "", "")], [], [], [])) == {"n1"}      # a new leader knows nobody
+        out = places.seen_out(
+            now, [One("n0#1", True, "", ""), One("n1#1", True, "", "")], [], [], []
+        )
+        return places.tend(
+            now, {"n1": away} if away else {}, begun, waiting, set(out) - {"n0"}, names
+        )
+
+    assert set(places.seen_out(0, [One("n1#1", True, "", "")], [], [], [])) == {
+        "n1"
+    }  # a new leader knows nobody
     assert tend(0) is None
     places.leased(second, "n1#1", 10)
-    places.asked(4 * second, "n1#1", True, 10)          # said before it went out, four seconds on the way
+    places.asked(4 * second, "n1#1", True, 10)  # said before it went out, four seconds on the way
     assert tend(4 * second) is None
     places.leased(4 * second, "n1#1", 11)
-    places.asked(5 * second, "n1#1", False, 11)         # it did go
+    places.asked(5 * second, "n1#1", False, 11)  # it did go
     assert tend(5 * second) is None
     places.leased(6 * second, "n1#1", 12)
     places.asked(7 * second, "n1#1", True, 12)
     assert tend(7 * second) == ("n1", granted)
-    again = ("n1 (call)", 8, "drained")                 # it asked anew meanwhile: another grant, nothing known of it
+    again = (
+        "n1 (call)",
+        8,
+        "drained",
+    )  # it asked anew meanwhile: another grant, nothing known of it
     assert tend(8 * second, again) is None
     # A release: the old process is ready all the while, and its words say nothing of the new one.
     places = Places(5 * second)
@@ -232,7 +333,9 @@
 
 # Releases: the state machine and the leader's part against a plain model.
 
-PLAN = Plan("r1", "v1", "v2", [["n0"], ["n1", "n2"], ["n3", "n4", "n5"]], 10.0, 50, 3.0, 0.01, 1.5, 30.0)
+PLAN = Plan(
+    "r1", "v1", "v2", [["n0"], ["n1", "n2"], ["n3", "n4", "n5"]], 10.0, 50, 3.0, 0.01, 1.5, 30.0
+)
 ZONES = {f"n{i}": f"z{i % 3}" for i in range(6)}
 
 
@@ -246,10 +349,10 @@
         self.runs = dict.fromkeys(ZONES, "v1")
         self.served = {name: [0, 0, 0, 0] for name in ZONES}
         self.doing: dict[str, str] = {}
-        self.bad = ""               # a version that fails a tenth of its flows
+        self.bad = ""  # a version that fails a tenth of its flows
         self.slow = ""
         self.dead: set[str] = set()
-        self.unheard: set[str] = set()      # by a new leader
+        self.unheard: set[str] = set()  # by a new leader
         self.most_out = 0
         self.rate = 20
         assert self.say(state.Begin, PLAN, sorted(ZONES))[0]
@@ -271,22 +374,42 @@
             if name in self.dead:
                 continue
             for _ in range(self.rate):
-                failed = runs == self.bad and self.chance.random() < 0.1 or self.chance.random() < 0.005
+                failed = (
+                    runs == self.bad and self.chance.random() < 0.1 or self.chance.random() < 0.005
+                )
                 self.served[name][2 if failed else 0] += 1
-                self.served[name][3] += 0 if failed else 9_000_000 if runs == self.slow else 3_000_000
+                self.served[name][3] += (
+                    0 if failed else 9_000_000 if runs == self.slow else 3_000_000
+                )
         self.unheard = {name for name in sorted(self.unheard) if self.chance.random() < 0.7}
-        seen = dict.fromkeys(self.unheard, "has not said that it is ready") | dict.fromkeys(self.dead, "not heard")
-        do = self.leader.tend(self.now, self.release, self.machine.state.halted is not None,
-                              {name: Served(*s) for name, s in self.served.items() if name not in self.dead}, set(seen),
-                              set(self.machine.state.away), {})
+        seen = dict.fromkeys(self.unheard, "has not said that it is ready") | dict.fromkeys(
+            self.dead, "not heard"
+        )
+        do = self.leader.tend(
+            self.now,
+            self.release,
+            self.machine.state.halted is not None,
+            {name: Served(*s) for name, s in self.served.items() if name not in self.dead},
+            set(seen),
+            set(self.machine.state.away),
+            {},
+        )
         if do is not None:
-            kind, words = {"go": (state.Go, (do.name, ZONES, seen, 0)), "held": (state.Held, (do.wave,)), "halt": (state.Halt, (do.why,))}[do.what]
+            kind, words = {
+                "go": (state.Go, (do.name, ZONES, seen, 0)),
+                "held": (state.Held, (do.wave,)),
+                "halt": (state.Halt, (do.why,)),
+            }[do.what]
             self.say(kind, *words)
         for name, status in list(self.release.members.items()):
             if name in self.dead:
                 continue
             to = "v1" if self.release.phase == "back" else "v2"
-            if status == "out" and self.chance.random() < 0.5 and self.say(state.Began, name, to, ZONES, seen)[0]:
+            if (
+                status == "out"
+                and self.chance.random() < 0.5
+                and self.say(state.Began, name, to, ZONES, seen)[0]
+            ):
                 self.doing[name] = to
             elif status == "changing" and self.chance.random() < 0.3:
                 self.runs[name] = self.doing.get(name, self.runs[name])
@@ -294,7 +417,9 @@
                 self.say(state.Came, name, self.runs[name], "")
             elif status != "changing" and name in self.machine.state.away and status != "out":
                 self.say(state.Return, name, self.machine.state.away[name])
-        changing = {name for name, status in self.release.members.items() if status in ("out", "changing")}
+        changing = {
+            name for name, status in self.release.members.items() if status in ("out", "changing")
+        }
         self.most_out = max(self.most_out, len(changing))
         assert len(changing) <= self.most or self.dead
 
@@ -302,7 +427,11 @@
         end = self.now + int(seconds * 10**9)
         while self.release.phase not in phases and self.now < end:
             self.step()
-        assert self.release.phase in phases, (self.release, self.machine.state.halted, self.leader.last)
+        assert self.release.phase in phases, (
+            self.release,
+            self.machine.state.halted,
+            self.leader.last,
+        )
 
 
 def test_a_good_release_goes_wave_by_wave_within_the_bound_also_with_a_new_leader_each_moment():
@@ -313,10 +442,16 @@
             fleet.step()
             if fleet.chance.random() < 0.03:
                 fleet.other_leads()
-            begun = {n for n, s in fleet.release.members.items() if s != "old" and before[n] == "old"}
+            begun = {
+                n for n, s in fleet.release.members.items() if s != "old" and before[n] == "old"
+            }
             assert all(name in PLAN.waves[fleet.release.wave] for name in begun)
-        assert fleet.release.phase == "done" and set(fleet.runs.values()) == {"v2"} and fleet.most_out <= 2
-        assert fleet.machine.state.halted is None, fleet.machine.state.halted       # no false halt
+        assert (
+            fleet.release.phase == "done"
+            and set(fleet.runs.values()) == {"v2"}
+            and fleet.most_out <= 2
+        )
+        assert fleet.machine.state.halted is None, fleet.machine.state.halted  # no false halt
 
 
 @pytest.mark.parametrize("how", ["bad", "slow"])
@@ -326,10 +461,14 @@
         setattr(fleet, how, "v2")
         while fleet.machine.state.halted is None and fleet.now < 300 * 10**9:
             fleet.step()
-        assert fleet.release.wave == 0 and list(fleet.runs.values()).count("v2") == 1 and "n0" in fleet.machine.state.halted[2]
+        assert (
+            fleet.release.wave == 0
+            and list(fleet.runs.values()).count("v2") == 1
+            and "n0" in fleet.machine.state.halted[2]
+        )
         for _ in range(50):
             fleet.step()
-        assert list(fleet.runs.values()).count("v2") == 1          # it holds
+        assert list(fleet.runs.values()).count("v2") == 1  # it holds
         assert fleet.say(state.TurnBack, "r1")[0]
         fleet.until(("backed",))
         assert set(fleet.runs.values()) == {"v1"}
@@ -351,7 +490,7 @@
         if draw < 0.05 and len(fleet.dead) < 2:
             fleet.dead.add(fleet.chance.choice(sorted(ZONES)))
             if fleet.chance.random() < 0.5:
-                fleet.other_leads()     # it led
+                fleet.other_leads()  # it led
         elif draw < 0.09 and fleet.dead:
             fleet.dead.discard(fleet.chance.choice(sorted(fleet.dead)))
         elif draw < 0.1:
@@ -364,8 +503,12 @@
         halted_at = fleet.machine.state.halted
         fleet.step()
         after = {n for n, s in fleet.release.members.items() if s in ("out", "changing")}
-        if halted_at is not None and fleet.machine.state.halted is not None and fleet.release.phase == "running":
-            assert not after - before       # nothing goes out under a halt
+        if (
+            halted_at is not None
+            and fleet.machine.state.halted is not None
+            and fleet.release.phase == "running"
+        ):
+            assert not after - before  # nothing goes out under a halt
         if after - before:
             assert len(after | fleet.dead) <= fleet.most + len(fleet.dead & after)
     fleet.dead.clear()
@@ -386,6 +529,7 @@
     def careless(now, name):
         returned(now, name)
         now.members[name] = "old" if now.members.get(name) == "changing" else now.members.get(name)
+
     patch.setattr(release, "returned", careless)
     step = Fleet.step
 
@@ -394,32 +538,65 @@
             if self.chance.random() < 0.05:
                 self.say(state.Return, name, self.machine.state.away[name])
         step(self, seconds)
+
     patch.setattr(Fleet, "step", freeing)
 
 
 def the_dead_are_not_counted(patch):
-    patch.setattr(state, "why_not", lambda scopes, zones, granted, seen, who, heals: why_not(scopes, zones, granted, {}, who))
+    patch.setattr(
+        state,
+        "why_not",
+        lambda scopes, zones, granted, seen, who, heals: why_not(scopes, zones, granted, {}, who),
+    )
 
 
 def a_halt_is_forgotten(patch):
     may_go, tend = release.may_go, Releasing.tend
     patch.setattr(release, "may_go", lambda now, name, halted: may_go(now, name, False))
-    patch.setattr("cypresswalk.fleet.releasing.may_go", lambda now, name, halted: may_go(now, name, False))
-    patch.setattr(Releasing, "tend", lambda self, now, what, halted, *words: tend(self, now, what, False, *words))
+    patch.setattr(
+        "cypresswalk.fleet.releasing.may_go", lambda now, name, halted: may_go(now, name, False)
+    )
+    patch.setattr(
+        Releasing,
+        "tend",
+        lambda self, now, what, halted, *words: tend(self, now, what, False, *words),
+    )
 
 
 def waves_do_not_wait(patch):
-    patch.setattr(release, "held", lambda now, wave: setattr(now, "wave", min(now.wave + 1, len(now.plan.waves) - 1)) or "")
+    patch.setattr(
+        release,
+        "held",
+        lambda now, wave: setattr(now, "wave", min(now.wave + 1, len(now.plan.waves) - 1)) or "",
+    )
     hold = Releasing.hold
-    patch.setattr(Releasing, "hold", lambda self, now, what, wave: hold(self, now, what, wave) or Do("held", wave=what.wave))
+    patch.setattr(
+        Releasing,
+        "hold",
+        lambda self, now, what, wave: hold(self, now, what, wave) or Do("held", wave=what.wave),
+    )
 
 
 def unknown_ones_are_taken_for_out(patch):
     """As a new leader once did: who has not said anything yet is out already, and may go."""
-    patch.setattr(state, "why_not", lambda scopes, zones, granted, seen, who, heals: why_not(scopes, zones, granted, seen, who, who in seen))
-
-
-@pytest.mark.parametrize("mistake", [freed_though_it_changes, the_dead_are_not_counted, a_halt_is_forgotten, unknown_ones_are_taken_for_out])
+    patch.setattr(
+        state,
+        "why_not",
+        lambda scopes, zones, granted, seen, who, heals: why_not(
+            scopes, zones, granted, seen, who, who in seen
+        ),
+    )
+
+
+@pytest.mark.parametrize(
+    "mistake",
+    [
+        freed_though_it_changes,
+        the_dead_are_not_counted,
+        a_halt_is_forgotten,
+        unknown_ones_are_taken_for_out,
+    ],
+)
 def test_a_planted_mistake_is_found(mistake, monkeypatch):
     mistake(monkeypatch)
     with pytest.raises(AssertionError):
@@ -441,13 +618,17 @@
     assert fleet.say(state.TurnBack, "r1")[0] and fleet.release.phase == "backed"
     assert fleet.say(state.Begin, PLAN, sorted(ZONES)) == (False, "name: r1 was the last one's")
     file = tmp_path / "r.toml"
-    file.write_text('name = "x"\nsince = "v1"\nto = "v1"\nwaves = [["n0", "n9"], [], ["n0"]]\nhold_s = -1\nworse = 2\n')
+    file.write_text(
+        'name = "x"\nsince = "v1"\nto = "v1"\nwaves = [["n0", "n9"], [], ["n0"]]\nhold_s = -1\nworse = 2\n'
+    )
     with pytest.raises(Refusal) as refusal:
         plans.read(str(file), ZONES, {})
     assert len(str(refusal.value).splitlines()) == 6, refusal.value
     file.write_text('name = "x"\nsince = "v1"\nto = "v2"\nzones = ["z2"]\ncanary = 1\n')
     assert plans.read(str(file), ZONES, {})[3] == [["n2"], ["n5"], ["n0", "n3"], ["n1", "n4"]]
-    file.write_text('name = "x"\nsince = "v1"\nto = "v2"\nkind = "servers"\nempty_s = 9\nwaves = [["s1"], ["n0"]]\n')
+    file.write_text(
+        'name = "x"\nsince = "v1"\nto = "v2"\nkind = "servers"\nempty_s = 9\nwaves = [["s1"], ["n0"]]\n'
+    )
     with pytest.raises(Refusal) as refusal:
         plans.read(str(file), ZONES, {"s1": "0"})
     assert "n0 is not listed; there are s1" in str(refusal.value)
@@ -457,17 +638,25 @@
 def test_a_failed_one_that_did_not_use_its_second_turn_is_failed_still():
     """Else the release would be back with the new version running there."""
     fleet = Fleet(1)
-    assert fleet.say(state.Go, "n0", ZONES, {}, 1)[0] and fleet.say(state.Began, "n0", "v2", ZONES, {})[0]
+    assert (
+        fleet.say(state.Go, "n0", ZONES, {}, 1)[0]
+        and fleet.say(state.Began, "n0", "v2", ZONES, {})[0]
+    )
     fleet.say(state.Came, "n0", "", "its process ended")
     assert fleet.release.members["n0"] == "failed" and fleet.machine.state.halted
     assert fleet.say(state.Resume, 1)[0]
     fleet.say(state.Return, "n0", fleet.machine.state.away["n0"])
     assert fleet.say(state.Go, "n0", ZONES, {}, 2)[0]
-    assert fleet.say(state.Return, "n0", fleet.machine.state.away["n0"])[0] and fleet.release.members["n0"] == "failed"
+    assert (
+        fleet.say(state.Return, "n0", fleet.machine.state.away["n0"])[0]
+        and fleet.release.members["n0"] == "failed"
+    )
     assert fleet.say(state.Go, "n0", ZONES, {}, 2)[0] and fleet.say(state.TurnBack, "r1")[0]
     assert fleet.release.members["n0"] == "failed" and fleet.release.phase == "back"
     # Again and again, or late: one that names another count of halts, or another release, changes nothing.
-    assert not fleet.say(state.Began, "n1", "v2", ZONES, {})[0] and fleet.machine.state.halted is None
+    assert (
+        not fleet.say(state.Began, "n1", "v2", ZONES, {})[0] and fleet.machine.state.halted is None
+    )
     fleet.say(state.Halt, "by hand")
     assert not fleet.say(state.Resume, 1)[0] and fleet.machine.state.halted
 
@@ -477,10 +666,15 @@
 
     def of(up, rejected, failed, ms=3, against=others):
         return judged(PLAN, "n0", Served(up, rejected, failed, up * ms * 1_000_000), against)[0]
+
     assert of(9, 0, 1) == "unknown" and of(200, 0, 2) == "good" and of(180, 0, 20) == "bad"
-    assert of(196, 0, 4) == "unknown"           # two in a hundred, not surely
-    assert of(200, 200, 0) == "bad" and of(200, 0, 0, 9) == "bad" and of(0, 0, 60) == "bad"     # ready, and rejects
-    assert of(200, 0, 0, 9, Served()) == "good" and of(200, 200, 0, 3, Served()) == "unknown"        # nobody to hold it against
+    assert of(196, 0, 4) == "unknown"  # two in a hundred, not surely
+    assert (
+        of(200, 200, 0) == "bad" and of(200, 0, 0, 9) == "bad" and of(0, 0, 60) == "bad"
+    )  # ready, and rejects
+    assert (
+        of(200, 0, 0, 9, Served()) == "good" and of(200, 200, 0, 3, Served()) == "unknown"
+    )  # nobody to hold it against
 
 
 def test_evidence_is_of_the_same_time_at_all_and_of_those_left_when_all_are_changed():
@@ -493,31 +687,49 @@
             now += 10**9
             for name, counts in served.items():
                 failed = round(100 * odd.get(name, share))
-                counts[0], counts[2], counts[3] = counts[0] + 100 - failed, counts[2] + failed, counts[3] + (100 - failed) * 3_000_000
-            evidence.look(now, members, wave, {name: Served(*counts) for name, counts in served.items()})
+                counts[0], counts[2], counts[3] = (
+                    counts[0] + 100 - failed,
+                    counts[2] + failed,
+                    counts[3] + (100 - failed) * 3_000_000,
+                )
+            evidence.look(
+                now, members, wave, {name: Served(*counts) for name, counts in served.items()}
+            )
         return evidence.bad(PLAN, now)
+
     old = {"n0": "old", "n1": "old", "n2": "old"}
     assert not step(60, old, ["n0"])
     served["n0"] = [0, 0, 0, 0]
-    assert not step(6, old | {"n0": "new"}, ["n0"], share=0.4)      # a server is lost to all, as n0 comes: of its flows nearly half
-    assert not step(30, old | {"n0": "new"}, ["n0"], share=0.01) and not evidence.unknown(PLAN, ["n0"])
+    assert not step(
+        6, old | {"n0": "new"}, ["n0"], share=0.4
+    )  # a server is lost to all, as n0 comes: of its flows nearly half
+    assert not step(30, old | {"n0": "new"}, ["n0"], share=0.01) and not evidence.unknown(
+        PLAN, ["n0"]
+    )
     all_new = dict.fromkeys(old, "new")
-    assert not step(30, all_new, ["n1", "n2"], share=0.02) and not evidence.unknown(PLAN, ["n1", "n2"])
+    assert not step(30, all_new, ["n1", "n2"], share=0.02) and not evidence.unknown(
+        PLAN, ["n1", "n2"]
+    )
     assert step(30, all_new, ["n1", "n2"], share=0.02, n2=0.3).startswith("n2 failed or rejected")
 
 
 # With real processes: agents that start them, builds in folders.
 
+
 def test_a_release_changes_real_processes_in_waves_and_a_bad_one_is_halted_and_taken_back(tmp_path):
     async def run():
-        rig = Machines(Plan_(balancers=4, zones=2, flows_per_s=120, agents=True, bound=2), tmp_path / "rig")
+        rig = Machines(
+            Plan_(balancers=4, zones=2, flows_per_s=120, agents=True, bound=2), tmp_path / "rig"
+        )
 
         async def phase(*wanted: str, halted: bool = False, span: float = 70) -> dict:
             until, body = time.monotonic() + span, {}
             while time.monotonic() < until:
                 result, body = await rig.ask(await rig.leader(), "release", span=2.0)
                 if result == "yes" and body["release"]:
-                    changing = [n for n, s in body["release"][5].items() if s in ("out", "changing")]
+                    changing = [
+                        n for n, s in body["release"][5].items() if s in ("out", "changing")
+                    ]
                     assert len(changing) <= 2, body
                     if body["release"][3] in wanted and bool(body["halted"]) is halted:
                         return body
@@ -532,6 +744,7 @@
                     return
                 await asyncio.sleep(0.05)
             raise AssertionError(body)
+
         try:
             await rig.begin()
             await rig.agree_on_bound(await rig.whole())
@@ -541,7 +754,11 @@
             await until(lambda release: release[5]["n0"] == "changing")
             rig.kill_agent("n0")
             rig.start("n0")
-            refused = await rig.command("n1", "release_begin", plan=["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0])
+            refused = await rig.command(
+                "n1",
+                "release_begin",
+                plan=["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0],
+            )
             assert refused[0] == "no" and "r1 by rig is running" in refused[1]["why"]
             # Whoever leads dies in the second wave, and is started again by its agent.
             await until(lambda release: release[4] == 1)
@@ -551,7 +768,10 @@
             assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
             assert await rig.whole() is not None
             boots = [(await rig.ask(n, "local"))[1]["boot"] for n in rig.names]
-            assert all(boot == 2 + (name == leader) for name, boot in zip(rig.names, boots)), (boots, leader)
+            assert all(boot == 2 + (name == leader) for name, boot in zip(rig.names, boots)), (
+                boots,
+                leader,
+            )
             # One that says that it is ready and rejects every flow: found in the first wave, by what it served.
             rig.runs = "v1"
             assert await rig.release(Step(at_s=0, do="release", build="rejects")) == "yes"
@@ -559,47 +779,81 @@
             assert "n0 failed or rejected" in body["halted"][2] and body["release"][4] == 0, body
             assert [rig.doing(n)["version"] for n in rig.names] == ["v2", "v1", "v1", "v1"]
             assert (await rig.command("n2", "release_back", release="r0"))[0] == "no"
-            report = await rig.verdict()        # a person takes it back
+            report = await rig.verdict()  # a person takes it back
             assert not report["broken"] and report["ended"] == "backed", report
             assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
             assert report["answers"].get("UP", 0) > 1000 and report["told_to_leave"] == 6
         finally:
             await rig.end()
+
     asyncio.run(run())
 
 
 def test_releases_of_real_processes_under_plans_drawn_from_seeds(tmp_path):
     """Each in processes of its own, as by hand."""
-    words = [sys.executable, "-m", "cypresswalk", "lab", "together", "--release", "--seconds", "16", "--seed"]
-    runs = [subprocess.Popen([*words, str(seed), "--out", str(tmp_path / str(seed))], cwd=ROOT, stdout=subprocess.PIPE, text=True)
-            for seed in (2, 5, 9)]
+    words = [
+        sys.executable,
+        "-m",
+        "cypresswalk",
+        "lab",
+        "together",
+        "--release",
+        "--seconds",
+        "16",
+        "--seed",
+    ]
+    runs = [
+        subprocess.Popen(
+            [*words, str(seed), "--out", str(tmp_path / str(seed))],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            text=True,
+        )
+        for seed in (2, 5, 9)
+    ]
     for run in runs:
         said, _ = run.communicate(timeout=240)
         assert run.returncode == 0, said[-3000:]
-        report = json.loads(said[said.rindex("\n{"):said.rindex("}") + 1])
-        assert report["ended"] in ("done", "backed") and report["most_out"] <= report["bound"], report
+        report = json.loads(said[said.rindex("\n{") : said.rindex("}") + 1])
+        assert report["ended"] in ("done", "backed") and report["most_out"] <= report["bound"], (
+            report
+        )
 
 
 def test_a_history_with_too_many_out_or_a_halt_that_was_not_kept_is_found():
     s = 10**9
     own = [Span("n0", 10 * s, 20 * s, "changed"), Span("n1", 15 * s, 25 * s, "changed")]
     assert out_at_once(own, [], [], 2, [], 0) == (2, 2, [])
-    assert out_at_once(own, [], [], 1, [], 0)[2] == ["n0, n1 are out at once by the program's doing, 1 may be"]
+    assert out_at_once(own, [], [], 1, [], 0)[2] == [
+        "n0, n1 are out at once by the program's doing, 1 may be"
+    ]
     lost, went = [Span("n2", 2 * s, 40 * s, "lost")], [(18 * s, "n1", "release")]
     assert out_at_once(own[1:], lost, went, 2, [], 0) == (1, 2, [])
-    assert "n1 went out (release) while n2 were out or lost" in out_at_once(own[1:], lost, went, 1, [], 0)[2][0]
-    assert out_at_once(own[1:], [Span("n2", 14 * s, 40 * s, "lost")], went, 1, [], 0)[2] == []     # nobody could know yet
+    assert (
+        "n1 went out (release) while n2 were out or lost"
+        in out_at_once(own[1:], lost, went, 1, [], 0)[2][0]
+    )
+    assert (
+        out_at_once(own[1:], [Span("n2", 14 * s, 40 * s, "lost")], went, 1, [], 0)[2] == []
+    )  # nobody could know yet
     # On the way back one that fell over is healed by it.
-    assert out_at_once(own[1:], [*lost, Span("n1", 3 * s, 40 * s, "lost")], went, 1, [5 * s], 0)[2] == []
+    assert (
+        out_at_once(own[1:], [*lost, Span("n1", 3 * s, 40 * s, "lost")], went, 1, [5 * s], 0)[2]
+        == []
+    )
     assert halted(went, [(15 * s, 16 * s)], [], [], 2 * s) == (2 * s, [])
-    assert halted(went, [(15 * s, 15 * s)], [], [], 2 * s)[1] == ["n1 went out (release) 3.00 s after a yes to a halt"]
-    assert halted(went, [(15 * s, 15 * s)], [16 * s], [], 2 * s)[1] == []       # resumed meanwhile
-    assert halted(went, [(15 * s, 15 * s)], [], [16 * s], 2 * s)[1] == []       # the way back
+    assert halted(went, [(15 * s, 15 * s)], [], [], 2 * s)[1] == [
+        "n1 went out (release) 3.00 s after a yes to a halt"
+    ]
+    assert halted(went, [(15 * s, 15 * s)], [16 * s], [], 2 * s)[1] == []  # resumed meanwhile
+    assert halted(went, [(15 * s, 15 * s)], [], [16 * s], 2 * s)[1] == []  # the way back
 
 
 def test_a_plan_with_releases_and_no_agents_is_refused(tmp_path):
     file = tmp_path / "plan.toml"
-    file.write_text('[[step]]\nat_s = 1\ndo = "release"\n[[step]]\nat_s = 2\ndo = "release"\nbuild = "odd"\n')
+    file.write_text(
+        '[[step]]\nat_s = 1\ndo = "release"\n[[step]]\nat_s = 2\ndo = "release"\nbuild = "odd"\n'
+    )
     with pytest.raises(Refusal) as refusal:
         read_plan(str(file))
     assert "build" in str(refusal.value)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,27 +2,50 @@
 
 from dataclasses import replace
 
+from helpers import Ledger, service
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from cypresswalk.model import SECOND, Effect, ListForm, Outcome, Scope, Server, State
-from helpers import Ledger, service
 
-KINDS = [service(), service(Effect.ONCE_ONLY)] + [service(Effect.REFERENCED, scope) for scope in Scope]
+KINDS = [service(), service(Effect.ONCE_ONLY)] + [
+    service(Effect.REFERENCED, scope) for scope in Scope
+]
 IDENTS = st.integers(0, 6).map(lambda i: 7 + 13 * i)
 
 
 class Run(RuleBasedStateMachine):
-    @initialize(servers=st.integers(0, 5), dear=st.booleans(), asked=st.booleans(), probes=st.booleans(),
-                reports=st.booleans(), price=st.sampled_from([0.0, 0.004]), instances=st.sampled_from([1, 1000]))
+    @initialize(
+        servers=st.integers(0, 5),
+        dear=st.booleans(),
+        asked=st.booleans(),
+        probes=st.booleans(),
+        reports=st.booleans(),
+        price=st.sampled_from([0.0, 0.004]),
+        instances=st.sampled_from([1, 1000]),
+    )
     def start(self, servers, dear, asked, probes, reports, price, instances):
-        self.ledger = Ledger(servers, service_types=KINDS, zone_price=0.1 if dear else 0.0, list_asked=asked,
-                             probes=probes, load_index=0 if reports else -1, probe_price=price, peers=True,
-                             peer_price=price, instances=instances)
-
-    @rule(kind=st.integers(0, len(KINDS) - 1), key=st.integers(1, 9), lasts=st.integers(1, 4),
-          grouped=st.booleans(), again=st.booleans())
+        self.ledger = Ledger(
+            servers,
+            service_types=KINDS,
+            zone_price=0.1 if dear else 0.0,
+            list_asked=asked,
+            probes=probes,
+            load_index=0 if reports else -1,
+            probe_price=price,
+            peers=True,
+            peer_price=price,
+            instances=instances,
+        )
+
+    @rule(
+        kind=st.integers(0, len(KINDS) - 1),
+        key=st.integers(1, 9),
+        lasts=st.integers(1, 4),
+        grouped=st.booleans(),
+        again=st.booleans(),
+    )
     def arrive(self, kind, key, lasts, grouped, again):
         self.ledger.arrive(kind, key, lasts * SECOND // 2, grouped=grouped, again=again)
 
@@ -36,7 +59,10 @@
         else:
             self.ledger.end(flow, outcome)
 
-    @rule(which=st.integers(0, 99), outcome=st.sampled_from([Outcome.OK, Outcome.RESET, Outcome.CANCELLED]))
+    @rule(
+        which=st.integers(0, 99),
+        outcome=st.sampled_from([Outcome.OK, Outcome.RESET, Outcome.CANCELLED]),
+    )
     def close(self, which, outcome):
         standing = [f for f in self.ledger.balancer.flows.values() if f.established]
         if standing:
@@ -52,36 +78,54 @@
     @rule(which=st.integers(0, 99), passed=st.booleans(), load=st.none() | st.floats(0, 3))
     def probe(self, which, passed, load):
         if self.ledger.probes:
-            self.ledger.answer_probe(self.ledger.probes[which % len(self.ledger.probes)], passed, load)
+            self.ledger.answer_probe(
+                self.ledger.probes[which % len(self.ledger.probes)], passed, load
+            )
 
     @rule(which=st.integers(0, 99))
     def silent(self, which):
         standing = [f for f in self.ledger.balancer.flows.values() if f.established]
         if standing:
-            self.ledger.balancer.silent(self.ledger.now, standing[which % len(standing)], which % 2 == 0)
+            self.ledger.balancer.silent(
+                self.ledger.now, standing[which % len(standing)], which % 2 == 0
+            )
             self.ledger.pull()
 
     @rule(ident=IDENTS, delay=st.integers(0, SECOND))
     def slow(self, ident, delay):
         if ident in self.ledger.balancer.servers:
-            self.ledger.balancer.delay_told(self.ledger.now, self.ledger.balancer.servers[ident], delay)
+            self.ledger.balancer.delay_told(
+                self.ledger.now, self.ledger.balancer.servers[ident], delay
+            )
             self.ledger.pull()
 
     @rule(ident=IDENTS, strain=st.floats(0, 10))
     def hint(self, ident, strain):
         if ident in self.ledger.balancer.servers:
-            self.ledger.balancer.peer_told(self.ledger.now, self.ledger.balancer.servers[ident], strain)
+            self.ledger.balancer.peer_told(
+                self.ledger.now, self.ledger.balancer.servers[ident], strain
+            )
             self.ledger.pull()
 
-    @rule(form=st.sampled_from([ListForm.DELTA, ListForm.FULL]), age=st.integers(0, 30),
-          listed=st.dictionaries(IDENTS, st.sampled_from(list(State)), max_size=6))
+    @rule(
+        form=st.sampled_from([ListForm.DELTA, ListForm.FULL]),
+        age=st.integers(0, 30),
+        listed=st.dictionaries(IDENTS, st.sampled_from(list(State)), max_size=6),
+    )
     def relist(self, form, age, listed):
         since = self.ledger.now - age * SECOND if age < 20 else 0
-        rows = [Server(id=ident, zone=ident % 2, cell=ident % 3, since=since, state=state)
-                for ident, state in listed.items() if form is ListForm.DELTA or state is not State.GONE]
+        rows = [
+            Server(id=ident, zone=ident % 2, cell=ident % 3, since=since, state=state)
+            for ident, state in listed.items()
+            if form is ListForm.DELTA or state is not State.GONE
+        ]
         known = self.ledger.balancer.servers
-        rows = [replace(row, zone=known[row.id].zone, cell=known[row.id].cell) if row.id in known else row
-                for row in rows]
+        rows = [
+            replace(row, zone=known[row.id].zone, cell=known[row.id].cell)
+            if row.id in known
+            else row
+            for row in rows
+        ]
         self.ledger.list(form, rows)
 
     @rule()
@@ -99,4 +143,6 @@
 
 
 TestRules = Run.TestCase
-TestRules.settings = runs(derandomize=True, max_examples=150, stateful_step_count=50, deadline=None, database=None)
+TestRules.settings = runs(
+    derandomize=True, max_examples=150, stateful_step_count=50, deadline=None, database=None
+)
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -41,6 +41,7 @@
     def unwanted(self):
         return ""
         yield
+
     patch.setattr(ServerDuty, "unwanted", unwanted)
 
 
@@ -51,17 +52,33 @@
         returned(now, name)
         if now.members.get(name) == "changing":
             now.members[name] = "old"
+
     patch.setattr(state.releases, "returned", careless)
 
 
-@pytest.mark.parametrize("mistake, seed", [(everybody_knows_at_once, 24), (flows_are_not_waited_for, 0), (the_bad_are_not_counted, 1),
-                                           (a_halt_is_not_asked_for, 46), (a_turn_ends_though_its_agent_works, 13)])
+@pytest.mark.parametrize(
+    "mistake, seed",
+    [
+        (everybody_knows_at_once, 24),
+        (flows_are_not_waited_for, 0),
+        (the_bad_are_not_counted, 1),
+        (a_halt_is_not_asked_for, 46),
+        (a_turn_ends_though_its_agent_works, 13),
+    ],
+)
 def test_a_planted_mistake_is_found(mistake, seed, monkeypatch):
     mistake(monkeypatch)
     assert run_seed(seed).broken
 
 
-@pytest.mark.parametrize("build, why", [("aborts", "failed or rejected"), ("falls", "came up and fell over"), ("never_ready", "v1 again: answers")])
+@pytest.mark.parametrize(
+    "build, why",
+    [
+        ("aborts", "failed or rejected"),
+        ("falls", "came up and fell over"),
+        ("never_ready", "v1 again: answers"),
+    ],
+)
 def test_a_bad_build_of_a_server_is_halted_in_the_first_wave(build, why):
     w = Servings(1, 6, 2, build, voters=3, followers=1)
     w.stuck = 0.0
@@ -83,14 +100,21 @@
     wards.asked(0, "n1#1", 4, OfServers(["s0"]))
     assert not wards.can_tell(0, members) and wards.standing(0, members, "s0") is None
     wards.asked(SECOND, "n2#1", 4, OfServers([], {"s0": 3}))
-    assert wards.can_tell(SECOND, members) and wards.standing(SECOND, members, "s0") is None     # n3 may have flows there (seed 357)
+    assert (
+        wards.can_tell(SECOND, members) and wards.standing(SECOND, members, "s0") is None
+    )  # n3 may have flows there (seed 357)
     wards.asked(SECOND, "n3#1", 3, OfServers([]))
-    assert wards.can_tell(SECOND, members) and list(wards.bad(SECOND, members)) == ["s0"]       # two of four; s1 by one alone
+    assert wards.can_tell(SECOND, members) and list(wards.bad(SECOND, members)) == [
+        "s0"
+    ]  # two of four; s1 by one alone
     assert wards.standing(SECOND, members, "s0") == 3
     # Back in version 4: n3 does not act on it yet, so two of four have seen s1 ready.
     assert wards.ready_again(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
     wards.asked(SECOND, "n3#1", 4, OfServers([]))
-    assert wards.ready_again(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {"s1": 4, "s9": 2}       # s9 is listed no more
+    assert wards.ready_again(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
+        "s1": 4,
+        "s9": 2,
+    }  # s9 is listed no more
     assert not wards.can_tell(6 * SECOND + 1, members)
     # What each answered is added up over balancers, a process that began anew counted from nothing.
     wards.asked(7 * SECOND, "n0#1", 4, OfServers(served={"s0": (10, 0, 1, 50)}))
@@ -106,22 +130,39 @@
 
     def say(kind, *words):
         return machine.apply(state.encode(kind(f"c{next(number)}", "test", 0, *words)))[1]
+
     plan = ["r", "v1", "v2", [["s0"], ["s1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers", 5.0]
-    assert "s7 is not listed" in say(state.Begin, state.releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"), [])[1]
+    assert (
+        "s7 is not listed"
+        in say(
+            state.Begin,
+            state.releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
+            [],
+        )[1]
+    )
     assert say(state.Begin, state.releases.Plan(*plan), [])[0] and say(state.Go, "s0", {}, {}, 0)[0]
     assert machine.all_out() == {"s0"} and machine.state.release.outs["s0"] == machine.state.version
-    assert say(state.Out, "s0", False, {})[0] and "1 are out" in say(state.Out, "s1", False, {})[1].replace("1 of 2", "1")
-    assert say(state.Back, "s0")[1].endswith("release r has it out still") and machine.all_out() == {"s0"}
+    assert say(state.Out, "s0", False, {})[0] and "1 are out" in say(state.Out, "s1", False, {})[
+        1
+    ].replace("1 of 2", "1")
+    assert say(state.Back, "s0")[1].endswith(
+        "release r has it out still"
+    ) and machine.all_out() == {"s0"}
     assert say(state.Back, "s0") == (True, "release r has it out")
     assert say(state.Began, "s0", "v2", {}, {})[0] and say(state.Came, "s0", "v2", "")[0]
     assert not machine.all_out() and list(machine.state.coming) == ["s0"]
-    assert not say(state.Out, "s1", False, {})[0]       # s0 is not seen ready yet
+    assert not say(state.Out, "s1", False, {})[0]  # s0 is not seen ready yet
     assert say(state.Seen, machine.state.coming)[0] and say(state.Out, "s1", False, {})[0]
     assert say(state.Back, "s1")[0] and say(state.Seen, machine.state.coming)[0]
-    assert not say(state.Out, "s1", False, {"s0": "held for bad"})[0] and say(state.Out, "s1", True, {"s0": "held for bad"})[0]
+    assert (
+        not say(state.Out, "s1", False, {"s0": "held for bad"})[0]
+        and say(state.Out, "s1", True, {"s0": "held for bad"})[0]
+    )
 
 
-def test_servers_are_changed_by_agents_and_a_bad_build_is_halted_and_taken_back_with_real_processes(tmp_path):
+def test_servers_are_changed_by_agents_and_a_bad_build_is_halted_and_taken_back_with_real_processes(
+    tmp_path,
+):
     async def run():
         plan = Plan(balancers=3, servers=3, flows_per_s=80, server_agents=True, server_bound=1)
         rig = ServerMachines(plan, tmp_path / "rig")
@@ -134,6 +175,7 @@
                     return body
                 await asyncio.sleep(0.1)
             raise AssertionError(body)
+
         try:
             await rig.begin()
             await rig.agree_on_bound(await rig.whole())
@@ -149,14 +191,22 @@
                 await until(lambda body: body["release"][3] == "done")
             assert [rig.doing(name)["version"] for name in rig.servers.names] == ["v1"] * 3
             rig.runs = "v1"
-            assert await rig.release(Step(at_s=0, do="release", build="aborts", hold_s=30, flows=5)) == "yes"
+            assert (
+                await rig.release(Step(at_s=0, do="release", build="aborts", hold_s=30, flows=5))
+                == "yes"
+            )
             body = await until(lambda body: body["halted"])
             assert "s-0 failed or rejected" in body["halted"][2], body["halted"]
-            report = await rig.verdict()        # a person takes it back
-            assert not report["broken"] and report["ended"] == "backed" and report["most_out"] == 1, report
-            assert [rig.doing(name)["version"] for name in rig.servers.names] == ["v1"] * 3 and report["answers"]["UP"] > 500
+            report = await rig.verdict()  # a person takes it back
+            assert (
+                not report["broken"] and report["ended"] == "backed" and report["most_out"] == 1
+            ), report
+            assert [rig.doing(name)["version"] for name in rig.servers.names] == [
+                "v1"
+            ] * 3 and report["answers"]["UP"] > 500
         finally:
             await rig.end()
+
     asyncio.run(run())
 
 
@@ -165,11 +215,23 @@
     w.start()
     w.run(8 * SECOND)
     leader, said = w.leader(), []
-    leader.fleet.member.wards.words.clear()     # as a leader that has just begun
+    leader.fleet.member.wards.words.clear()  # as a leader that has just begun
     ask = {"ident": "a", "by": "test", "at": 0, "server": "s0"}
-    w.call(leader, "out", ask | {"server": "s1"}, 5 * SECOND, lambda ok, body: said.append(("asked", ok)))
-    w.call(leader, "out", ask | {"ident": "b", "forced": True}, SECOND, lambda ok, body: said.append(("forced", ok)))
+    w.call(
+        leader,
+        "out",
+        ask | {"server": "s1"},
+        5 * SECOND,
+        lambda ok, body: said.append(("asked", ok)),
+    )
+    w.call(
+        leader,
+        "out",
+        ask | {"ident": "b", "forced": True},
+        SECOND,
+        lambda ok, body: said.append(("forced", ok)),
+    )
     w.run(SECOND // 2)
     assert said == [("forced", True)] and "server s0 out" in w.release().history[-1].what
-    w.run(4 * SECOND)       # they have told it meanwhile
+    w.run(4 * SECOND)  # they have told it meanwhile
     assert said[1:] == [("asked", True)] and set(w.release().out) == {"s0", "s1"}
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,6 @@
 from threading import Thread
 
 import pytest
-
 from helpers import config_data, listed
 
 ROOT = Path(__file__).parent.parent
@@ -87,7 +86,9 @@
                 self.openings.append(line)
                 if self.how == "silent":
                     continue
-                link.say({"up": "UP r" + line.split(" ")[1], "busy": "BUSY", "err": "ERR"}[self.how])
+                link.say(
+                    {"up": "UP r" + line.split(" ")[1], "busy": "BUSY", "err": "ERR"}[self.how]
+                )
                 if self.how != "up":
                     break
             elif word == "STREAM":
@@ -133,23 +134,40 @@
 
 
 def changes(*entries, generation=2) -> bytes:
-    return json.dumps({"generation": generation, "reset": False, "instances": list(entries)}).encode()
+    return json.dumps(
+        {"generation": generation, "reset": False, "instances": list(entries)}
+    ).encode()
 
 
 class Program:
-    def __init__(self, folder, servers, watched=None, command=(sys.executable, "-m", "cypresswalk"), environment=None,
-                 **settings):
+    def __init__(
+        self,
+        folder,
+        servers,
+        watched=None,
+        command=(sys.executable, "-m", "cypresswalk"),
+        environment=None,
+        **settings,
+    ):
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.discovery = watched or Discovery()
-        data = config_data([listed(f"s-{i}", s.address) for i, s in enumerate(servers)], f"127.0.0.1:{self.port}",
-                           self.discovery.address, **settings)
+        data = config_data(
+            [listed(f"s-{i}", s.address) for i, s in enumerate(servers)],
+            f"127.0.0.1:{self.port}",
+            self.discovery.address,
+            **settings,
+        )
         self.data, self.file = data, folder / "config.json"
         file = self.file
         file.write_text(json.dumps(data))
         self.log = folder / "log"
-        self.process = subprocess.Popen(command, cwd=ROOT, stderr=self.log.open("wb"),
-                                        env=os.environ | {"PROXY_CONFIG": str(file)} | (environment or {}))
+        self.process = subprocess.Popen(
+            command,
+            cwd=ROOT,
+            stderr=self.log.open("wb"),
+            env=os.environ | {"PROXY_CONFIG": str(file)} | (environment or {}),
+        )
         until = time.monotonic() + 10
         while True:
             try:
@@ -191,6 +209,7 @@
     def make(*servers, **more):
         programs.append(Program(tmp_path, servers, **more))
         return programs[-1]
+
     yield make
     for program in programs:
         program.process.kill()
@@ -202,7 +221,9 @@
     program = start(server)
     client = program.open("a1", "c=view,t=north,d=800,g=5c")
     assert client.hear() == "UP ra1"
-    assert server.openings[0].startswith("OPEN a1 77 c=view,t=north,d=") and server.openings[0].endswith(",g=5c")
+    assert server.openings[0].startswith("OPEN a1 77 c=view,t=north,d=") and server.openings[
+        0
+    ].endswith(",g=5c")
     assert 0 < int(server.openings[0].split("d=")[1].split(",")[0]) < 800
     client.sock.sendall(b"M 1\r\nM ")
     assert client.hear() == "M 1"
@@ -236,7 +257,13 @@
 
 def test_odd_clients_get_a_failed_answer_and_hurt_nobody(start):
     program = start(Server())
-    for line in ("GET / HTTP/1.1", "OPEN x", "OPEN x 1 c=none,t=north,d=9", "OPEN x 1 c=view,t=none,d=9", "y" * 9000):
+    for line in (
+        "GET / HTTP/1.1",
+        "OPEN x",
+        "OPEN x 1 c=none,t=north,d=9",
+        "OPEN x 1 c=view,t=none,d=9",
+        "y" * 9000,
+    ):
         client = program.connect()
         client.say(line)
         assert [client.hear(), client.hear()] == ["ERR", ""]
@@ -256,14 +283,18 @@
 
 def test_the_watch_is_followed_and_opened_again_from_the_last_version(start):
     away, kept = Server(), Server()
-    leaving = changes(7, listed("s-0", away.address, "terminating"), listed("s-9", "nowhere"), generation=41)
+    leaving = changes(
+        7, listed("s-0", away.address, "terminating"), listed("s-9", "nowhere"), generation=41
+    )
     program = start(away, kept, watched=Discovery(leaving, None))
     assert program.logged("event=list_failed") and program.logged("event=entry_odd")
     for i in range(12):
         assert program.open(f"f{i}").hear() == f"UP rf{i}"
     assert not away.openings and len(kept.openings) == 12
     time.sleep(0.5)
-    assert program.discovery.paths[0].endswith("since=1") and program.discovery.paths[1].endswith("since=41")
+    assert program.discovery.paths[0].endswith("since=1") and program.discovery.paths[1].endswith(
+        "since=41"
+    )
 
 
 def test_a_list_nested_beyond_reason_is_a_failed_list_and_no_crash(start):
@@ -325,7 +356,7 @@
     for _ in range(20):
         program.process.send_signal(signal.SIGUSR1)
         assert program.logged("event=counters")
-        if "delays=1" in program.log.read_text():       # the line is passed on before it is counted
+        if "delays=1" in program.log.read_text():  # the line is passed on before it is counted
             return
         time.sleep(0.1)
     raise AssertionError("the delay was not counted")
@@ -339,7 +370,9 @@
     while not heard or heard[-1] not in ("MOVE", "", "reset"):
         client.say("M 1")
         heard.append(client.hear())
-    assert heard[-1] == "MOVE" and set(heard[:-1]) == {"LOAD 900"} and 4 < time.monotonic() - began < 7
+    assert (
+        heard[-1] == "MOVE" and set(heard[:-1]) == {"LOAD 900"} and 4 < time.monotonic() - began < 7
+    )
 
 
 def test_a_burst_of_clients_is_answered_in_time_and_every_line_comes_back(start):
@@ -373,7 +406,10 @@
         if "flows_left=8" in program.log.read_text():
             break
         time.sleep(0.1)
-    assert "flows_left=8" in program.log.read_text() and "connects_reset" not in program.log.read_text()
+    assert (
+        "flows_left=8" in program.log.read_text()
+        and "connects_reset" not in program.log.read_text()
+    )
 
 
 def test_short_of_descriptors_it_rejects_and_goes_on(start):
@@ -398,14 +434,23 @@
     # Guards against the first of hundreds of commands being served, and against what never ends being kept or read on.
     server = Server()
     program = start(server)
-    for number, flood in enumerate([b"OPEN t%d 77 c=view,t=north,d=800\r\n" * 300, b"PING\r\n" * 300,
-                                    b"OPEN u 77 c=view,t=north,d=" + b"9" * 8_000_000]):
+    for number, flood in enumerate(
+        [
+            b"OPEN t%d 77 c=view,t=north,d=800\r\n" * 300,
+            b"PING\r\n" * 300,
+            b"OPEN u 77 c=view,t=north,d=" + b"9" * 8_000_000,
+        ]
+    ):
         client, began = program.connect(), time.monotonic()
         try:
             client.sock.sendall(flood.replace(b"%d", b"%d" % number))
         except ConnectionError:
             pass
-        assert client.hear() in ("ERR", "reset") and client.hear() in ("", "reset") and time.monotonic() - began < 2
+        assert (
+            client.hear() in ("ERR", "reset")
+            and client.hear() in ("", "reset")
+            and time.monotonic() - began < 2
+        )
     half = program.connect()
     half.sock.sendall(b"OPEN half 77 c=view")
     assert [half.hear(), half.hear()] == ["ERR", ""] and time.monotonic() - began < 4
@@ -413,7 +458,9 @@
 
 
 def test_a_start_without_a_configuration_fails_plainly():
-    done = subprocess.run([sys.executable, "-m", "cypresswalk"], cwd=ROOT, capture_output=True, env={})
+    done = subprocess.run(
+        [sys.executable, "-m", "cypresswalk"], cwd=ROOT, capture_output=True, env={}
+    )
     assert done.returncode == 1 and done.stderr == b"cypresswalk: PROXY_CONFIG is not set\n"
 
 
@@ -422,15 +469,17 @@
     the line that came next met a reset, which takes the answer back."""
     program = start(Server(), sockets=64)
     slow = program.connect()
-    time.sleep(0.15)            # longer than `idle`: its place may be given away
+    time.sleep(0.15)  # longer than `idle`: its place may be given away
     others = []
     while len(others) < 24 and not comes(slow.sock, 0.01):
-        others.append(program.connect())        # one by one: the door is looked at as each comes
+        others.append(program.connect())  # one by one: the door is looked at as each comes
     assert slow.hear() == "BUSY"
     for _ in range(3):
-        slow.sock.sendall(b"OPEN m1 77 c=view,t=north,d=800")       # a reset would have this fail the second time
+        slow.sock.sendall(
+            b"OPEN m1 77 c=view,t=north,d=800"
+        )  # a reset would have this fail the second time
         time.sleep(0.01)
-    assert slow.hear() in ("", "reset")     # too late for its place, which others have by now
+    assert slow.hear() in ("", "reset")  # too late for its place, which others have by now
     for link in [slow, *others]:
         link.close()
 
@@ -438,11 +487,17 @@
 def test_the_run_line_is_one_process_linked_to_the_c_library_and_heeds_no_operator_file(start):
     # Where many balancers share a machine's clock, other processes are refused; and kept state has no folder there.
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    program = start(Server(), command=["/bin/sh", "-c", run], environment={"PROXY_OPERATOR": "/nowhere/operator.toml"})
+    program = start(
+        Server(),
+        command=["/bin/sh", "-c", run],
+        environment={"PROXY_OPERATOR": "/nowhere/operator.toml"},
+    )
     process = Path("/proc") / str(program.process.pid)
     link = program.open("r1")
     assert link.hear().startswith("UP")
-    assert [task.read_text() for task in process.glob("task/*/children")] == [""] * len(list(process.glob("task/*")))
+    assert [task.read_text() for task in process.glob("task/*/children")] == [""] * len(
+        list(process.glob("task/*"))
+    )
     assert b"PROXY_OPERATOR" not in (process / "environ").read_bytes()
     assert b"/sh" not in (process / "cmdline").read_bytes().split(b"\0")[0]
     assert "libc.so" in (process / "maps").read_text()
