--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -7,22 +7,31 @@
 import subprocess
 import sys
 import time
-
 from pathlib import Path
-
 from types import SimpleNamespace
 
 import pytest
+from helpers import START, config_data, entries, settings
+from test_sockets import Discovery, Program, changes, listed
+from test_sockets import Server as SocketServer
 
 from cypresswalk.choice import MISSES, RISE, Balancer
 from cypresswalk.model import SECOND, Flow, ListForm, Outcome, State
 from cypresswalk.net.counters import Counters
 from cypresswalk.state import form, store
 from cypresswalk.state.keeper import Keeper
-from cypresswalk.state.kept import (IDS_KEPT, TROUBLE_HALF, Head, Kept, Recovery, ServerKept, SumsKept, evidence, faded,
-                                    weight)
-from helpers import START, config_data, entries, settings
-from test_sockets import Discovery, Program, Server as SocketServer, changes, listed
+from cypresswalk.state.kept import (
+    IDS_KEPT,
+    TROUBLE_HALF,
+    Head,
+    Kept,
+    Recovery,
+    ServerKept,
+    SumsKept,
+    evidence,
+    faded,
+    weight,
+)
 
 SAMPLES = Path(__file__).parent / "state-samples"
 ROOT = Path(__file__).parent.parent
@@ -30,17 +39,52 @@
 
 def make(number=3, servers=3, **head) -> Kept:
     sums = SumsKept(*[(float(number), number)] * 5)
-    words = dict(balancer="n0", taken=START, started=START - 60 * SECOND, list_version=number, list_address="a:1",
-                 again=0.25, sums=sums) | head
-    return Kept(Head(**words), [
-        ServerKept(id=7 + 13 * i, since=0, state="ready", learned=START, health=2, known=True, fresh=False, misses=number,
-                   errors=0, failed=0, answers=number, trial_at=START, full_until=0, strain=0.5, strain_at=START,
-                   limit=math.inf, cut_at=0, delay=5, dealt=(1.5, START), drops=(0.0, START))
-        for i in range(servers)], [(100 + i, START) for i in range(number)])
+    words = (
+        dict(
+            balancer="n0",
+            taken=START,
+            started=START - 60 * SECOND,
+            list_version=number,
+            list_address="a:1",
+            again=0.25,
+            sums=sums,
+        )
+        | head
+    )
+    return Kept(
+        Head(**words),
+        [
+            ServerKept(
+                id=7 + 13 * i,
+                since=0,
+                state="ready",
+                learned=START,
+                health=2,
+                known=True,
+                fresh=False,
+                misses=number,
+                errors=0,
+                failed=0,
+                answers=number,
+                trial_at=START,
+                full_until=0,
+                strain=0.5,
+                strain_at=START,
+                limit=math.inf,
+                cut_at=0,
+                delay=5,
+                dealt=(1.5, START),
+                drops=(0.0, START),
+            )
+            for i in range(servers)
+        ],
+        [(100 + i, START) for i in range(number)],
+    )
 
 
 # The file.
 
+
 def test_what_was_encoded_is_decoded():
     assert form.decode(form.encode(make())) == make()
     assert form.decode(form.encode(make(servers=0))).servers == []
@@ -60,9 +104,16 @@
         form.decode(data + b"\0")
 
 
-@pytest.mark.parametrize("change, said", [
-    (dict(state="asleep"), "state 'asleep'"), (dict(limit=math.nan), "out of its range"), (dict(health=-1), "out of its range"),
-    (dict(strain=math.inf), "out of its range"), (dict(dealt=(math.inf, 0)), "no number")])
+@pytest.mark.parametrize(
+    "change, said",
+    [
+        (dict(state="asleep"), "state 'asleep'"),
+        (dict(limit=math.nan), "out of its range"),
+        (dict(health=-1), "out of its range"),
+        (dict(strain=math.inf), "out of its range"),
+        (dict(dealt=(math.inf, 0)), "no number"),
+    ],
+)
 def test_a_right_checksum_over_wrong_contents_is_refused(change, said):
     kept = make()
     for name, value in change.items():
@@ -83,12 +134,13 @@
 
 def newer(data: bytes) -> bytes:
     fixed = form.FIXED.pack(form.MAGIC, form.VERSION + 1, len(data) - form.FIXED.size - form.DIGEST)
-    body = data[form.FIXED.size + form.DIGEST:]
+    body = data[form.FIXED.size + form.DIGEST :]
     return fixed + form.digest(fixed, body) + body
 
 
 # The order of writing, at every point where the power may fail.
 
+
 class Crash(Exception):
     pass
 
@@ -115,11 +167,11 @@
 
     def write(self, name, data):
         fails = self.step()
-        part = data[:self.byte] if fails and self.byte is not None else data
+        part = data[: self.byte] if fails and self.byte is not None else data
         self.now[name], self.flushed[name] = part, False
         if fails:
             raise Crash
-        if self.step():         # between the write and its flush
+        if self.step():  # between the write and its flush
             raise Crash
         self.flushed[name] = True
 
@@ -144,8 +196,13 @@
         data = self.now[name]
         if self.flushed[name]:
             return data
-        return {"none": b"", "part": data[:len(data) // 2], "zeros": bytes(len(data)), "all": data,
-                "torn": data[:512] + bytes(max(len(data) - 1024, 0)) + data[-512:]}[self.luck]
+        return {
+            "none": b"",
+            "part": data[: len(data) // 2],
+            "zeros": bytes(len(data)),
+            "all": data,
+            "torn": data[:512] + bytes(max(len(data) - 1024, 0)) + data[-512:],
+        }[self.luck]
 
     def after(self, renamed: bool) -> "CrashDisk":
         """The folder as it is found: with the names that were not flushed, or with those of the last flush."""
@@ -174,31 +231,43 @@
                 kept, _ = store.load(disk.after(renamed), "n0", lambda name, why: None)
                 assert kept is not None, (fail_at, byte, luck, renamed)
                 generation = kept.head.list_version
-                assert kept == make(generation) and generation in ((2,) if reported else (1, 2)), (fail_at, byte, luck)
+                assert kept == make(generation) and generation in ((2,) if reported else (1, 2)), (
+                    fail_at,
+                    byte,
+                    luck,
+                )
                 seen.add((generation, reported))
     assert seen == {(1, False), (2, False), (2, True)}
 
 
 def test_without_the_flush_before_the_rename_a_generation_would_be_lost():
     """The same crash points find the order that is wrong: the test can fail."""
+
     class Unflushed(CrashDisk):
         def write(self, name, data):
             super().write(name, data)
             self.flushed[name] = False
+
     disk = Unflushed(luck="zeros")
     store.save(disk, form.encode(make(1)), 1)
     assert store.load(disk.after(True), "n0", lambda name, why: None)[0] is None
 
 
 def test_processes_killed_while_they_write_leave_nothing_that_is_accepted_yet_wrong():
-    run = subprocess.run([sys.executable, Path(__file__).parent / "kill_writer.py", "1000", "1"], capture_output=True,
-                         text=True, env=os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}, timeout=120)
+    run = subprocess.run(
+        [sys.executable, Path(__file__).parent / "kill_writer.py", "1000", "1"],
+        capture_output=True,
+        text=True,
+        env=os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"},
+        timeout=120,
+    )
     assert run.returncode == 0, run.stdout + run.stderr
     assert run.stdout.startswith("kills=1000") and int(run.stdout.split("generations=")[1]) > 100
 
 
 # The folder.
 
+
 class Harness:
     """A core and an inbox of which the keeper uses no more than this."""
 
@@ -208,7 +277,9 @@
         self.balancer.listed(self.now, ListForm.CACHED, [e for e in entries(servers, since=since)])
         self.counters, self.seen, self.limits = Counters(), {}, SimpleNamespace(ids=8192)
         self.registry = SimpleNamespace(version=more.pop("version", 5))
-        self.keeper = Keeper(str(folder), 1, self, self, self.registry, name, more.pop("address", "a:1"))
+        self.keeper = Keeper(
+            str(folder), 1, self, self, self.registry, name, more.pop("address", "a:1")
+        )
 
     def post(self, call, *words):
         call(self.now, *words)
@@ -306,9 +377,17 @@
     (folder / "next").unlink()
     os.mkfifo(folder / "next")
     harness.keeper.keep()
-    assert harness.log(caplog) == ["event=state_none", *["event=state_not_kept"] * 2, "event=state_kept_again",
-                                   *["event=state_not_kept"] * 2]
-    whys = [r.getMessage().partition("why=")[2] for r in caplog.records if "state_not_kept" in r.getMessage()]
+    assert harness.log(caplog) == [
+        "event=state_none",
+        *["event=state_not_kept"] * 2,
+        "event=state_kept_again",
+        *["event=state_not_kept"] * 2,
+    ]
+    whys = [
+        r.getMessage().partition("why=")[2]
+        for r in caplog.records
+        if "state_not_kept" in r.getMessage()
+    ]
     assert whys[0] == '"write: No such file or directory"' and "Not a directory" in whys[1]
 
 
@@ -322,7 +401,9 @@
         if not harness.keeper.off:
             harness.keeper.keep()
     assert harness.log(caplog) == ["event=state_not_kept", "event=state_file_foreign"]
-    assert [p.name for p in folder.glob("state.*")] == ["state.8"] and (folder / "state.8").read_bytes() == data
+    assert [p.name for p in folder.glob("state.*")] == ["state.8"] and (
+        folder / "state.8"
+    ).read_bytes() == data
 
 
 def test_a_link_in_place_of_a_generation_is_not_followed(tmp_path, caplog):
@@ -356,8 +437,12 @@
 harness.keeper.keep()
 print(harness.keeper.number, harness.keeper.said)
 """
-    run = subprocess.run([sys.executable, "-c", script, str(tmp_path)], capture_output=True, text=True,
-                         env=os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"})
+    run = subprocess.run(
+        [sys.executable, "-c", script, str(tmp_path)],
+        capture_output=True,
+        text=True,
+        env=os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"},
+    )
     assert run.stdout == "1 write: File too large\n", run.stderr
     assert form.decode((tmp_path / "state.1").read_bytes()).head.balancer == "n0"
 
@@ -372,13 +457,14 @@
     harness.keeper.longest = 0
     harness.keeper.keep()
     kept = form.decode((tmp_path / "state.2").read_bytes())
-    assert len(kept.servers) == 10_000 and len(kept.ids) == 100_000     # the oldest ids made room
+    assert len(kept.servers) == 10_000 and len(kept.ids) == 100_000  # the oldest ids made room
     # A millisecond is the bound that docs/measurements/state.md holds it to; here a loaded machine is granted twenty.
     assert harness.keeper.longest < 20_000_000
 
 
 # What is believed, and for how long.
 
+
 def recovered(kept, now, servers=4, version=5, address="a:1", **entry):
     balancer = Balancer(settings(), 1, now)
     balancer.listed(now, ListForm.CACHED, entries(servers, **entry))
@@ -398,7 +484,13 @@
 
 
 def test_counts_fade_with_their_half_life():
-    assert [faded(4, weight(age * SECOND, TROUBLE_HALF)) for age in (0, 20, 40, 60, 80)] == [4, 2, 1, 0, 0]
+    assert [faded(4, weight(age * SECOND, TROUBLE_HALF)) for age in (0, 20, 40, 60, 80)] == [
+        4,
+        2,
+        1,
+        0,
+        0,
+    ]
     assert weight(-1, TROUBLE_HALF) == 0
     for age, misses, up in ((0, 4, False), (20, 2, True), (60, 0, True), (7200, 0, True)):
         balancer, _, _ = recovered(bad_server(good_servers()), START + age * SECOND)
@@ -408,32 +500,63 @@
 def test_a_file_hours_old_changes_nothing_but_the_drains_that_were_told():
     kept = bad_server(good_servers())
     kept.servers[1].state = "draining"
-    old, plain = recovered(kept, START + 7200 * SECOND, version=0)[0], Balancer(settings(), 1, START + 7200 * SECOND)
+    old, plain = (
+        recovered(kept, START + 7200 * SECOND, version=0)[0],
+        Balancer(settings(), 1, START + 7200 * SECOND),
+    )
     plain.listed(START + 7200 * SECOND, ListForm.CACHED, entries(4))
     assert old.servers[20].state is State.DRAINING
     for ident, server in old.servers.items():
-        fields = ("health", "known", "fresh", "misses", "errors", "failed", "answers", "limit", "strain", "full_until")
-        assert [getattr(server, f) for f in fields] == [getattr(plain.servers[ident], f) for f in fields]
+        fields = (
+            "health",
+            "known",
+            "fresh",
+            "misses",
+            "errors",
+            "failed",
+            "answers",
+            "limit",
+            "strain",
+            "full_until",
+        )
+        assert [getattr(server, f) for f in fields] == [
+            getattr(plain.servers[ident], f) for f in fields
+        ]
     assert old.carried.total == 0 and old.started == plain.started
 
 
-@pytest.mark.parametrize("learned, taken", [(START + 3600 * SECOND, START), (START + 3600 * SECOND, START + 3600 * SECOND)])
+@pytest.mark.parametrize(
+    "learned, taken",
+    [(START + 3600 * SECOND, START), (START + 3600 * SECOND, START + 3600 * SECOND)],
+)
 def test_from_the_future_counts_as_of_unknown_age(learned, taken):
     kept = bad_server(make(0, servers=4, taken=taken), learned=learned)
     kept.servers[1].state = "gone"
     kept.ids = [(5, learned), (6, START)]
     balancer, done, recovery = recovered(kept, START + SECOND, version=0)
-    assert balancer.servers[7].misses == 0 and balancer.up(balancer.servers[7]) and done["drains"] == 1
+    assert (
+        balancer.servers[7].misses == 0 and balancer.up(balancer.servers[7]) and done["drains"] == 1
+    )
     assert list(recovery.ids()) == [6]
 
 
 def test_a_server_that_started_since_starts_afresh():
-    balancer, done, _ = recovered(bad_server(good_servers(), state="draining"), START + SECOND, since=START)
-    assert done["restarted"] == 4 and balancer.servers[7].state is State.READY and balancer.servers[7].misses == 0
-
-
-@pytest.mark.parametrize("version, address, drained", [(0, "a:1", True), (9, "a:1", False), (9, "b:1", True)])
-def test_a_drain_holds_until_a_later_list_of_the_same_address_takes_it_back(version, address, drained):
+    balancer, done, _ = recovered(
+        bad_server(good_servers(), state="draining"), START + SECOND, since=START
+    )
+    assert (
+        done["restarted"] == 4
+        and balancer.servers[7].state is State.READY
+        and balancer.servers[7].misses == 0
+    )
+
+
+@pytest.mark.parametrize(
+    "version, address, drained", [(0, "a:1", True), (9, "a:1", False), (9, "b:1", True)]
+)
+def test_a_drain_holds_until_a_later_list_of_the_same_address_takes_it_back(
+    version, address, drained
+):
     """Guards against new flows there after a restart; and against a server that came back being kept out for good."""
     kept = good_servers()
     kept.servers[0].state = "draining"
@@ -450,7 +573,10 @@
         bad_server(kept, place)
         kept.servers[place].limit, kept.servers[place].cut_at = 1.0, START
     balancer, done, _ = recovered(kept, START + SECOND)
-    assert done["aside"] == believed and sum(s.misses >= MISSES for s in balancer.servers.values()) == believed
+    assert (
+        done["aside"] == believed
+        and sum(s.misses >= MISSES for s in balancer.servers.values()) == believed
+    )
     got = set()
     for i in range(40):
         flow = Flow(i + 1, balancer.settings.service_types[0], i + 1, START + 9 * SECOND)
@@ -470,7 +596,7 @@
     server = balancer.servers[7]
     assert balancer.up(server) and not server.known and server.health <= RISE
     flow = Flow(1, balancer.settings.service_types[0], 1, START + 9 * SECOND)
-    for _ in range(MISSES):         # as soon as it swallows two it is aside, whatever the file said
+    for _ in range(MISSES):  # as soon as it swallows two it is aside, whatever the file said
         balancer.judge_connect(START + SECOND, server, Outcome.TIMEOUT, SECOND)
     assert not balancer.sound(START + SECOND, server, flow, True)
 
@@ -520,6 +646,7 @@
 
 # The program and the commands.
 
+
 @pytest.fixture
 def programs(monkeypatch, tmp_path):
     running = []
@@ -532,6 +659,7 @@
         (tmp_path / name).mkdir()
         running.append(Program(tmp_path / name, servers, **more))
         return running[-1]
+
     yield make_program
     for program in running:
         program.process.kill()
@@ -544,12 +672,15 @@
     watched = Discovery(changes(listed("s-1", drains.address, "terminating")))
     first = programs("one", stays, drains, watched=watched)
     until = time.monotonic() + 5
-    while not any(form.decode(p.read_bytes()).servers[1].state != "ready" for p in (tmp_path / "kept").glob("state.*")):
+    while not any(
+        form.decode(p.read_bytes()).servers[1].state != "ready"
+        for p in (tmp_path / "kept").glob("state.*")
+    ):
         assert time.monotonic() < until
         time.sleep(0.05)
     first.process.kill()
     first.process.wait()
-    second = programs("two", stays, drains, watched=Discovery())        # its list is silent
+    second = programs("two", stays, drains, watched=Discovery())  # its list is silent
     assert second.logged("event=state_recovered") and second.logged("drains=1")
     for i in range(12):
         assert second.open(f"z{i}", f"c=view,t=north,d=800,g=g{i}").hear() == f"UP rz{i}"
@@ -560,7 +691,7 @@
     server = SocketServer()
     first = programs("one", server)
     assert first.open("y1").hear() == "UP ry1"
-    first.process.terminate()           # a planned stop writes the last generation
+    first.process.terminate()  # a planned stop writes the last generation
     first.process.wait()
     second = programs("two", server)
     assert second.open("y1").hear() == "ERR" and second.open("y2").hear() == "UP ry2"
@@ -568,20 +699,39 @@
 
 
 def test_an_odd_operator_file_ends_the_start_with_a_plain_line(programs, tmp_path):
-    for text, said in (('[state]\nfolder = "kept"\n', "state.folder: an absolute path"), ("[stat]\n", "stat: no such field"),
-                       ('[state]\nfolder = "/x"\nevery_s = 0\n', "state.every_s: input should be greater")):
+    for text, said in (
+        ('[state]\nfolder = "kept"\n', "state.folder: an absolute path"),
+        ("[stat]\n", "stat: no such field"),
+        ('[state]\nfolder = "/x"\nevery_s = 0\n', "state.every_s: input should be greater"),
+    ):
         (tmp_path / "operator.toml").write_text(text)
         config = tmp_path / "config.json"
         config.write_text(json.dumps(config_data()))
-        run = subprocess.run([sys.executable, "-m", "cypresswalk"], cwd=ROOT, capture_output=True, text=True,
-                             env=os.environ | {"PROXY_CONFIG": str(config)}, timeout=20)
-        assert run.returncode == 1 and f"operator.toml: {said}" in run.stderr and "Traceback" not in run.stderr
+        run = subprocess.run(
+            [sys.executable, "-m", "cypresswalk"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            env=os.environ | {"PROXY_CONFIG": str(config)},
+            timeout=20,
+        )
+        assert (
+            run.returncode == 1
+            and f"operator.toml: {said}" in run.stderr
+            and "Traceback" not in run.stderr
+        )
 
 
 def test_the_commands_show_check_and_compare(tmp_path):
     def run(*words):
-        done = subprocess.run([sys.executable, "-m", "cypresswalk", "state", *words], cwd=ROOT, capture_output=True, text=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "cypresswalk", "state", *words],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+        )
         return done.returncode, done.stdout, done.stderr
+
     before, after = make(1), make(2)
     after.servers[0].state = "draining"
     (tmp_path / "state.1").write_bytes(form.encode(before))
@@ -589,7 +739,10 @@
     (tmp_path / "bad").write_bytes(form.encode(before)[:-3])
     code, out, _ = run("show", str(tmp_path))
     assert code == 0 and "balancer n0" in out and "draining" in out and out.count("\n") >= 5
-    assert run("check", str(tmp_path / "state.1"))[:2] == (0, f"{tmp_path / 'state.1'}: version 1, 3 servers, 1 ids\n")
+    assert run("check", str(tmp_path / "state.1"))[:2] == (
+        0,
+        f"{tmp_path / 'state.1'}: version 1, 3 servers, 1 ids\n",
+    )
     code, _, err = run("check", str(tmp_path / "bad"))
     assert code == 2 and err.startswith(f"{tmp_path / 'bad'}: ") and err.count("\n") == 1
     code, out, _ = run("diff", str(tmp_path / "state.1"), str(tmp_path / "state.2"))
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -17,7 +17,8 @@
 from cypresswalk.fleet.words import PROTOCOL, Call, Hello, pack
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.seen import Event
-from cypresswalk.lab.together import judges, plan as plans
+from cypresswalk.lab.together import judges
+from cypresswalk.lab.together import plan as plans
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.stage import Rig, played
 from cypresswalk.refusal import Refusal
@@ -46,25 +47,34 @@
             assert not rig.faults
         finally:
             await rig.end()
+
     asyncio.run(run())
 
 
 def test_five_processes_under_each_kind_of_fault(tmp_path):
-    report = asyncio.run(played(plans.read(ROOT / "experiments/together/faults.toml"), tmp_path / "rig"))
+    report = asyncio.run(
+        played(plans.read(ROOT / "experiments/together/faults.toml"), tmp_path / "rig")
+    )
     assert not report["broken"], report
     assert report["longest_contradiction_s"] <= 5.5 and report["answers"]["UP"] > 300
     assert report["calls"]["offers_yes"] >= 1 and report["calls"]["taken_out"] >= 2, report
 
 
 def test_each_holder_loses_its_disk_in_turn_and_pairs_and_no_claim_is_lost(tmp_path):
-    report = asyncio.run(played(plans.read(ROOT / "experiments/together/copies.toml"), tmp_path / "rig"))
+    report = asyncio.run(
+        played(plans.read(ROOT / "experiments/together/copies.toml"), tmp_path / "rig")
+    )
     assert not report["broken"], report
-    assert report["answers"]["UP"] > 700 and report["answers"]["ERR"] > 40, report      # ids said again were turned away
+    assert report["answers"]["UP"] > 700 and report["answers"]["ERR"] > 40, (
+        report
+    )  # ids said again were turned away
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
 def test_claims_under_a_plan_drawn_from_a_seed(seed, tmp_path):
-    report = asyncio.run(played(plans.drawn(seed, lasts_s=12, faults=6, copies=3), tmp_path / "rig"))
+    report = asyncio.run(
+        played(plans.drawn(seed, lasts_s=12, faults=6, copies=3), tmp_path / "rig")
+    )
     assert not report["broken"], (seed, report)
     assert report["answers"]["UP"] > 150 and report["answers"]["ERR"] > 10, report
 
@@ -81,9 +91,12 @@
     async def test(rig):
         cut = rig.processes["n2"]
         assert await asked(cut.admin, "set-down s-0") == "OK"
-        for other in rig.processes.values():        # the yes binds the fleet
+        for other in rig.processes.values():  # the yes binds the fleet
             until = time.monotonic() + 5
-            while json.loads(await asked(other.admin, "vars"))["out_of_rotation"] < 1 and time.monotonic() < until:
+            while (
+                json.loads(await asked(other.admin, "vars"))["out_of_rotation"] < 1
+                and time.monotonic() < until
+            ):
                 await asyncio.sleep(0.02)
             assert json.loads(await asked(other.admin, "vars"))["out_of_rotation"] >= 1
         assert (await asked(cut.admin, "set-down nobody")).startswith("ERR no list")
@@ -96,7 +109,9 @@
         assert (await asked(cut.admin, "check")).endswith("no lease of the fleet's")
         # A reject that tells when to come back: nothing has run.
         assert await asked(cut.listen, "OPEN late1 77 c=book,d=900") == "BUSY 300"
-        assert await asked(rig.processes["n0"].listen, "OPEN sound1 77 c=book,d=900") == "UP rsound1"
+        assert (
+            await asked(rig.processes["n0"].listen, "OPEN sound1 77 c=book,d=900") == "UP rsound1"
+        )
         # By force, at this one alone; said so and recorded once it can be.
         assert await asked(cut.admin, "set-down-here s-1") == "OK"
         await rig.do(Step(at_s=0, do="heal"))
@@ -109,7 +124,11 @@
         assert found
         _, body = await rig.ask("n0", "show")
         assert set(body["out"]) <= {"s-0", "s-1"} and "s-0" in body["out"]
-        assert await asked(cut.admin, "set-up-here s-1") in ("OK", "ERR out by the fleet still: `set-up` ends that")
+        assert await asked(cut.admin, "set-up-here s-1") in (
+            "OK",
+            "ERR out by the fleet still: `set-up` ends that",
+        )
+
     with_rig(tmp_path, test, balancers=3, stated_s=2)
 
 
@@ -128,8 +147,10 @@
                 if await asked(young, "check") == "OK":
                     break
             except OSError:
-                pass        # it does not listen yet
-        assert (await asked(young, "set-down s-0")).startswith("ERR this process has no part in the fleet yet")
+                pass  # it does not listen yet
+        assert (await asked(young, "set-down s-0")).startswith(
+            "ERR this process has no part in the fleet yet"
+        )
         old.send_signal(signal.SIGTERM)
         answers, claimed = [], []
         until = time.monotonic() + 6
@@ -146,12 +167,38 @@
         assert all(answer.startswith(("UP ", "BUSY ")) for answer in claimed), claimed
         assert sum(answer.startswith("UP ") for answer in claimed) > 0.8 * len(claimed)
         assert (await rig.copies_whole())[1]
-        words = [sys.executable, "-m", "cypresswalk", "fleet", "--at", "%s:%d" % rig.processes["n0"].fleet, "--fleet", "rig", "copies"]
-        told = [await asyncio.to_thread(subprocess.run, [*words, *more], cwd=ROOT, capture_output=True, text=True, timeout=30)
-                for more in ([], ["check"], ["renew", "5", "--yes"])]
-        assert told[0].returncode == 0 and told[0].stdout.startswith("64 parts, 3 copies asked for, 2 needed; 0 lack copies"), told
-        assert "part 63" in told[0].stdout and told[1].returncode == 0 and "alike" in told[1].stdout, told
-        assert told[2].returncode == 2 and "parts [5] have copies" in told[2].stderr, told     # nothing is thrown away that is there
+        words = [
+            sys.executable,
+            "-m",
+            "cypresswalk",
+            "fleet",
+            "--at",
+            "%s:%d" % rig.processes["n0"].fleet,
+            "--fleet",
+            "rig",
+            "copies",
+        ]
+        told = [
+            await asyncio.to_thread(
+                subprocess.run,
+                [*words, *more],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                timeout=30,
+            )
+            for more in ([], ["check"], ["renew", "5", "--yes"])
+        ]
+        assert told[0].returncode == 0 and told[0].stdout.startswith(
+            "64 parts, 3 copies asked for, 2 needed; 0 lack copies"
+        ), told
+        assert (
+            "part 63" in told[0].stdout and told[1].returncode == 0 and "alike" in told[1].stdout
+        ), told
+        assert told[2].returncode == 2 and "parts [5] have copies" in told[2].stderr, (
+            told
+        )  # nothing is thrown away that is there
+
     with_rig(tmp_path, test, balancers=3, stated_s=8, copies=3)
 
 
@@ -164,14 +211,34 @@
                 rig.kill(name)
         rig.processes[survivor].popen.kill()
         rig.processes[survivor].popen.wait()
-        done = subprocess.run([sys.executable, "-m", "cypresswalk", "fleet", "recover", str(rig.processes[survivor].folder / "kept"),
-                               "--fleet", "rig", "--name", survivor, "--yes"], cwd=ROOT, capture_output=True, text=True, timeout=20)
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "cypresswalk",
+                "fleet",
+                "recover",
+                str(rig.processes[survivor].folder / "kept"),
+                "--fleet",
+                "rig",
+                "--name",
+                survivor,
+                "--yes",
+            ],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=20,
+        )
         assert done.returncode == 0 and json.loads(done.stdout)["out"] == ["s-0"], done
         rig.start(survivor)
-        assert await rig.whole(names=[survivor, "n3"]) is not None      # n3 was of the old group, which is fenced off
+        assert (
+            await rig.whole(names=[survivor, "n3"]) is not None
+        )  # n3 was of the old group, which is fenced off
         _, body = await rig.ask("n3", "show")
         assert body["version"] > 1000 and list(body["out"]) == ["s-0"]
         assert (await rig.command("n3", "out", server="s-1"))[0] == "yes"
+
     with_rig(tmp_path, test, balancers=4, stated_s=2)
 
 
@@ -180,10 +247,17 @@
         place = rig.processes["n0"].fleet
         chance = Random(3)
         hello = Hello(PROTOCOL, "rig", "member", "", "n9#1", 1, 1, "127.0.0.1:9", "")
-        odd = [chance.randbytes(3000), b"\xff" * 8, pack(hello)[:9], pack(hello)[4:] * 50, pack(Call(1, "status", {})),
-               pack(Hello(PROTOCOL, "other", "member", "", "n9#1", 1, 1, "", "")),
-               pack(Hello(PROTOCOL + 1, "rig", "member", "", "n9#1", 1, 1, "", "")),
-               pack(Hello(PROTOCOL, "rig", "member", "another", "n9#2", 1, 1, "", "")) + pack(Vote(1 << 40, 9, 9, False, True))]
+        odd = [
+            chance.randbytes(3000),
+            b"\xff" * 8,
+            pack(hello)[:9],
+            pack(hello)[4:] * 50,
+            pack(Call(1, "status", {})),
+            pack(Hello(PROTOCOL, "other", "member", "", "n9#1", 1, 1, "", "")),
+            pack(Hello(PROTOCOL + 1, "rig", "member", "", "n9#1", 1, 1, "", "")),
+            pack(Hello(PROTOCOL, "rig", "member", "another", "n9#2", 1, 1, "", ""))
+            + pack(Vote(1 << 40, 9, 9, False, True)),
+        ]
         socks = []
         for data in odd * 5:
             sock = socket.create_connection(place, timeout=4)
@@ -192,8 +266,11 @@
         until = time.monotonic() + 8
         while time.monotonic() < until:
             counts = (await rig.ask("n0", "local"))[1]["counts"]
-            if counts.get("frames_odd", 0) >= 15 and counts.get("hellos_refused", 0) >= 10 and \
-                    counts.get("words_of_other_groups", 0) >= 5:
+            if (
+                counts.get("frames_odd", 0) >= 15
+                and counts.get("hellos_refused", 0) >= 10
+                and counts.get("words_of_other_groups", 0) >= 5
+            ):
                 break
             await asyncio.sleep(0.05)
         else:
@@ -202,29 +279,45 @@
         assert (await rig.command("n0", "out", server="s-0"))[0] == "yes"
         for sock in socks:
             sock.close()
+
     with_rig(tmp_path, test, balancers=1, voters=1, flows_per_s=0)
 
 
 def test_a_wrong_table_ends_the_start_with_a_line_for_each_field(tmp_path):
     file = tmp_path / "operator.toml"
-    file.write_text('[fleet]\nfleet = "a b"\nname = "n0"\naddress = "nowhere"\nfolder = "here"\nstated_s = 0\nodd = 1\n')
+    file.write_text(
+        '[fleet]\nfleet = "a b"\nname = "n0"\naddress = "nowhere"\nfolder = "here"\nstated_s = 0\nodd = 1\n'
+    )
     with pytest.raises(Refusal) as refusal:
         operator.read(str(file))
     lines = str(refusal.value).splitlines()
-    assert len(lines) == 6 and all(any(f"fleet.{field}:" in line for line in lines)
-                                   for field in ("fleet", "address", "folder", "stated_s", "odd", "first"))
+    assert len(lines) == 6 and all(
+        any(f"fleet.{field}:" in line for line in lines)
+        for field in ("fleet", "address", "folder", "stated_s", "odd", "first")
+    )
 
 
 def test_without_the_table_nothing_of_it_is_imported(tmp_path):
     file = tmp_path / "operator.toml"
     file.write_text("")
-    probe = ("import sys; from cypresswalk.service import program;"
-             "print([m for m in sys.modules if 'fleet' in m or 'agreement' in m or 'msgspec' in m])")
-    assert subprocess.run([sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, timeout=20).stdout == "[]\n"
-
-
-def test_five_processes_with_full_and_failing_disks_clocks_that_drift_and_servers_that_restart(tmp_path):
-    report = asyncio.run(played(plans.read(ROOT / "experiments/together/machines.toml"), tmp_path / "rig"))
+    probe = (
+        "import sys; from cypresswalk.service import program;"
+        "print([m for m in sys.modules if 'fleet' in m or 'agreement' in m or 'msgspec' in m])"
+    )
+    assert (
+        subprocess.run(
+            [sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, timeout=20
+        ).stdout
+        == "[]\n"
+    )
+
+
+def test_five_processes_with_full_and_failing_disks_clocks_that_drift_and_servers_that_restart(
+    tmp_path,
+):
+    report = asyncio.run(
+        played(plans.read(ROOT / "experiments/together/machines.toml"), tmp_path / "rig")
+    )
     assert not report["broken"], report
     assert report["answers"]["UP"] > 500 and report["calls"]["taken_out"] >= 1, report
     said = (tmp_path / "rig/n1/log").read_text()
@@ -233,18 +326,36 @@
 
 def test_the_oracle_sees_what_all_balancers_together_did_to_a_cold_server_and_what_they_were_told():
     second, flows, seen = 10**9, [], [Event(0, "server_up", who="s-0")]
-    for i in range(40):         # each of four balancers sends ten: little for one, too much for a server that has just begun
+    for i in range(
+        40
+    ):  # each of four balancers sends ten: little for one, too much for a server that has just begun
         at, name = second + i * second // 100, f"n{i % 4}"
-        seen += [Event(at, "sent", f"f{i}", name, {"type": "view", "wait_ms": 1500}),
-                 Event(at, "attempt", f"f{i}", "s-0", {"balancer": name, "number": i, "load": 1.0}),
-                 Event(at, "reply", f"f{i}", "s-0", {"number": i, "kind": "up", "receipt": "UP r"}),
-                 Event(at, "answer", f"f{i}", name, {"kind": "up", "line": "UP r"})]
+        seen += [
+            Event(at, "sent", f"f{i}", name, {"type": "view", "wait_ms": 1500}),
+            Event(at, "attempt", f"f{i}", "s-0", {"balancer": name, "number": i, "load": 1.0}),
+            Event(at, "reply", f"f{i}", "s-0", {"number": i, "kind": "up", "receipt": "UP r"}),
+            Event(at, "answer", f"f{i}", name, {"kind": "up", "line": "UP r"}),
+        ]
         flows.append(judges.Flow(f"f{i}", "repeatable", at, at + 2 * second, "UP", at, name))
     rules = Rig(Plan(), Path("unused")).rules()
     assert [line.split(":")[0] for line in judges.four_rules(seen, rules, flows, {}, 0)] == ["cold"]
-    assert judges.four_rules([e for e in seen if e.flow in ("", "f1", "f2", "f3")], rules, flows, {}, 0) == []
-    drained = [Event(0, "told", who="n1", words={"server": "s-0", "life": "terminating", "version": 1}), *seen[1:]]
-    assert {line.split(":")[0] for line in judges.four_rules(drained, rules, flows, {}, 0)} == {"drains"}
+    assert (
+        judges.four_rules(
+            [e for e in seen if e.flow in ("", "f1", "f2", "f3")], rules, flows, {}, 0
+        )
+        == []
+    )
+    drained = [
+        Event(0, "told", who="n1", words={"server": "s-0", "life": "terminating", "version": 1}),
+        *seen[1:],
+    ]
+    assert {line.split(":")[0] for line in judges.four_rules(drained, rules, flows, {}, 0)} == {
+        "drains"
+    }
     unanswered = [e for e in seen[1:] if (e.what, e.flow) != ("answer", "f5")]
-    assert [line.split(":")[0] for line in judges.four_rules(unanswered, rules, flows, {}, 0)] == ["one answer"]
-    assert judges.four_rules(unanswered, rules, flows, {"n1": [(second, 2 * second)]}, 0) == []     # n1 was killed then
+    assert [line.split(":")[0] for line in judges.four_rules(unanswered, rules, flows, {}, 0)] == [
+        "one answer"
+    ]
+    assert (
+        judges.four_rules(unanswered, rules, flows, {"n1": [(second, 2 * second)]}, 0) == []
+    )  # n1 was killed then
--- a/tests/wrong_balancer.py
+++ b/tests/wrong_balancer.py
@@ -9,13 +9,19 @@
 WAY = sys.argv[1]
 CONFIG = json.load(open(os.environ["PROXY_CONFIG"]))
 SERVERS: dict[str, dict] = {}
-ONCE_ONLY = {t["name"] for t in CONFIG["settings"]["serviceTypes"] if t["semantics"] == "at_most_once"}
+ONCE_ONLY = {
+    t["name"] for t in CONFIG["settings"]["serviceTypes"] if t["semantics"] == "at_most_once"
+}
 count = 0
 
 
 def learn(entries):
     for entry in entries:
-        if WAY == "drained" and entry["instanceId"] in SERVERS and entry["lifecycle"] != "in_service":
+        if (
+            WAY == "drained"
+            and entry["instanceId"] in SERVERS
+            and entry["lifecycle"] != "in_service"
+        ):
             continue
         SERVERS[entry["instanceId"]] = entry
 
@@ -94,7 +100,11 @@
     chosen = candidates()
     for turn in range(3):
         entry = chosen[(number + turn) % len(chosen)]
-        other = asyncio.create_task(connect(chosen[(number + 1) % len(chosen)], line)) if WAY == "both" else None
+        other = (
+            asyncio.create_task(connect(chosen[(number + 1) % len(chosen)], line))
+            if WAY == "both"
+            else None
+        )
         answer, from_server, to_server = await connect(entry, line)
         if other is not None:
             await asyncio.sleep(0.1)
@@ -124,8 +134,11 @@
             writer.write(line * (2 if WAY == "doubles" and n == 2 else 1))
             if WAY == "cuts" and n == 3:
                 return
-    await asyncio.wait([asyncio.create_task(up()), asyncio.create_task(down())],
-                       return_when=asyncio.FIRST_COMPLETED if WAY == "cuts" else asyncio.ALL_COMPLETED)
+
+    await asyncio.wait(
+        [asyncio.create_task(up()), asyncio.create_task(down())],
+        return_when=asyncio.FIRST_COMPLETED if WAY == "cuts" else asyncio.ALL_COMPLETED,
+    )
     to_server.close()
 
 
@@ -135,5 +148,6 @@
     server = await asyncio.start_server(client, host, int(port))
     await asyncio.gather(server.serve_forever(), watch())
 
+
 if __name__ == "__main__":
     asyncio.run(main())
