--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -4,7 +4,6 @@
 The deciding thread puts its claims into a queue and never waits."""
 
 import logging
-import time
 from collections import Counter, defaultdict
 from collections.abc import Callable
 from queue import Empty, SimpleQueue
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -8,7 +8,6 @@
 A folder in which the newest file is of another member, or not of the start just before this one, was put back from a copy, or holds
 what a start that failed left: what it has counts as lost."""
 
-import struct
 from collections.abc import Callable
 from typing import Any
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,7 +26,7 @@
 from cypresswalk.net.clients import Client
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import build
-from cypresswalk.net.core import Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import Watch
 from cypresswalk.net.inbox import Inbox
@@ -802,7 +802,7 @@
     for link in resting:
         link.say("PING")
         assert link.hear() == "PONG"
-    ends, go = [], Event()
+    ends = []
     send_off = here.program.listener.send_off_silent
 
     def crossing():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -441,7 +441,7 @@
 
 
 @pytest.fixture
-def pairs(start, tmp_path):
+def pairs(start, tmp_path):  # noqa: F811 (the fixture itself)
     made = []
 
     def make(*servers, folder=tmp_path, **more) -> tuple[Pairs, Operated]:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,7 +5,7 @@
 from threading import Event
 
 import pytest
-from helpers import PARAMS, START, config_data, listed
+from helpers import START, config_data, listed
 from hypothesis import given
 from hypothesis import settings as runs
 from hypothesis import strategies as st
--- a/tests/test_operated.py
+++ b/tests/test_operated.py
@@ -38,7 +38,7 @@
 
 
 @pytest.fixture
-def operated(start):
+def operated(start):  # noqa: F811 (the fixture itself)
     def make(*servers, **more) -> tuple[Program, Operated]:
         port = free_port()
         return start(
@@ -114,7 +114,8 @@
 
 
 def test_without_the_address_nothing_of_it_is_imported_and_an_unusable_one_ends_the_start(
-    tmp_path, start
+    tmp_path,
+    start,  # noqa: F811 (the fixture itself)
 ):
     file = tmp_path / "odd.json"
     file.write_text(json.dumps(config_data()))
