--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 
 from cypresswalk.copies.driver import Copies
-from cypresswalk.copies.places import part_of
-from cypresswalk.copies.words import Kept, Record
-from cypresswalk.fleet import tool
+from cypresswalk.copies.messages import Kept, Record
+from cypresswalk.copies.placement import part_of
+from cypresswalk.fleet import client
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.together.plan import Plan
@@ -187,7 +187,7 @@
         until = time.monotonic() + within
         while time.monotonic() < until:
             try:
-                ok, body = tool.call(list(self.places.values()), "cost", "copies", None, 2.0)
+                ok, body = client.call(list(self.places.values()), "cost", "copies", None, 2.0)
                 if (
                     ok
                     and len(body["parts"]) == 64
@@ -231,7 +231,7 @@
                         f"{[f['kinds'] for f in found]}",
                         flush=True,
                     )
-                local = tool.call([members.places["m0"]], "cost", "copies_local", None, 5.0)[1]
+                local = client.call([members.places["m0"]], "cost", "copies_local", None, 5.0)[1]
                 size = sum(f.stat().st_size for f in (Path(folder) / "m0").glob("copies.*"))
                 print(
                     f"   m0 holds {local['ids']} ids, {size / max(local['ids'], 1):.0f} bytes on disk for each, "
@@ -267,7 +267,7 @@
                 members.say(name, "fill 1000000")
             for name in members.names:
                 assert members.running[name].stdout.readline() == "filled\n"
-            local = tool.call([members.places["m0"]], "cost", "copies_local", None, 20.0)[1]
+            local = client.call([members.places["m0"]], "cost", "copies_local", None, 20.0)[1]
             print(
                 f"m0 holds {local['ids']} ids: {(memory('m0') - before) * 1024 / local['ids']:.0f} bytes of memory for each",
                 flush=True,
@@ -284,7 +284,7 @@
             took = time.monotonic() - began
             print(f"three copies of all parts again {took:.1f} s after the kill", flush=True)
             held = [
-                tool.call([where], "cost", "copies_local", None, 20.0)[1]
+                client.call([where], "cost", "copies_local", None, 20.0)[1]
                 for where in members.places.values()
             ]
             print(
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 from cypresswalk.agreement.log import Snapshot
+from cypresswalk.agreement.messages import DATA, Entry, Member
 from cypresswalk.agreement.node import Kept, Work
 from cypresswalk.agreement.store import Life, Store
-from cypresswalk.agreement.words import DATA, Entry, Member
 from cypresswalk.lab.together.plan import Plan
 from cypresswalk.lab.together.stage import Rig
 from cypresswalk.lab.together.virtual import SECOND, World
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -23,7 +23,7 @@
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.service.program import SWITCH_INTERVAL
-from cypresswalk.state.keeper import Keeper
+from cypresswalk.state.snapshot_writer import Keeper
 
 GENERATIONS = 5
 
--- a/cypresswalk/agreement/log.py
+++ b/cypresswalk/agreement/log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from cypresswalk.agreement.words import CHANGE, Entry, Members
+from cypresswalk.agreement.messages import CHANGE, Entry, Members
 
 members_form = msgspec.msgpack.Decoder(Members)
 encode = msgspec.msgpack.encode
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from cypresswalk.agreement.log import Log, Snapshot, encode
-from cypresswalk.agreement.words import (
+from cypresswalk.agreement.messages import (
     CHANGE,
     DATA,
     NOTHING,
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from cypresswalk.agreement.log import Snapshot, encode
+from cypresswalk.agreement.messages import Entry
 from cypresswalk.agreement.node import Kept, Work
-from cypresswalk.agreement.words import Entry
 
 NEXT, PREFIX, WITNESS, LOST = "next", "log.", "witness", "lost."
 MAGIC, VERSION = b"CWAGREE\n", 1
--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -18,20 +18,20 @@
 
     def call(self, name: str, args: dict[str, Any] | None = None) -> Any:
         """The body of a yes. Raises Refusal with the reason for a no."""
-        from cypresswalk.fleet import tool
+        from cypresswalk.fleet import client
 
         try:
-            ok, body = tool.call(self.addresses, self.fleet, name, args, self.span)
-        except tool.Unsure as error:
+            ok, body = client.call(self.addresses, self.fleet, name, args, self.span)
+        except client.Unsure as error:
             raise click.exceptions.Exit(said_unsure(str(error))) from None
         if not ok:
             raise Refusal(str(body.get("why", body) if isinstance(body, dict) else body))
         return body
 
     def command(self, name: str, **args: Any) -> Any:
-        from cypresswalk.fleet import tool
+        from cypresswalk.fleet import client
 
-        return self.call(name, tool.command(tool.who(), **args))
+        return self.call(name, client.command(client.who(), **args))
 
 
 def said_unsure(why: str) -> int:
@@ -157,7 +157,7 @@
 
 def loaded(path: str) -> dict[str, Any]:
     """The shared part of a balancer's configuration, or a file of that part alone. Raises Refusal."""
-    from cypresswalk.fleet.binding import SHARED, shared
+    from cypresswalk.fleet.core_binding import SHARED, shared
 
     try:
         with open(path, "rb") as file:
@@ -203,7 +203,7 @@
     """Whether a balancer with this configuration could act on them."""
     values = loaded(file)
     if config:
-        from cypresswalk.fleet.binding import objection
+        from cypresswalk.fleet.core_binding import objection
         from cypresswalk.net.config import ConfigError, read
 
         try:
@@ -334,20 +334,20 @@
 
 
 def compared(asked: Asked) -> list[str]:
-    from cypresswalk.fleet import tool
+    from cypresswalk.fleet import client
 
     status, body = asked.call("status"), asked.call("copies")
     told, missing = {}, []
     for member in status["members"]:
         try:
-            ok, local = tool.call(
+            ok, local = client.call(
                 [member["address"]], asked.fleet, "copies_local", None, asked.span
             )
-        except (tool.Unsure, Refusal) as error:
+        except (client.Unsure, Refusal) as error:
             missing.append(f"{member['name']}: {error}")
             continue
         told[member["id"]] = local if ok else {}
-    return missing + tool.unlike(body["parts"], told)
+    return missing + client.unlike(body["parts"], told)
 
 
 @copies.command()
@@ -356,14 +356,14 @@
 @click.pass_obj
 def renew(asked: Asked, parts: tuple[int, ...], yes: bool) -> None:
     """Lets parts of which no copy is left begin with nothing, before their time has passed: what was claimed there may run again."""
-    from cypresswalk.fleet import tool
+    from cypresswalk.fleet import client
 
     if not yes:
         click.confirm(
             "Ids claimed in these parts within the last minutes may run a second time. Begin with nothing?",
             abort=True,
         )
-    click.echo(asked.call("copies_renew", {"parts": list(parts), "by": tool.who()})["why"])
+    click.echo(asked.call("copies_renew", {"parts": list(parts), "by": client.who()})["why"])
 
 
 @fleet.group()
@@ -493,8 +493,8 @@
     from pathlib import Path
 
     from cypresswalk.rollout.agent import Agent
-    from cypresswalk.rollout.duty import Duty
-    from cypresswalk.rollout.serving import ServerDuty
+    from cypresswalk.rollout.balancer_agent import Duty
+    from cypresswalk.rollout.server_agent import ServerDuty
 
     if not (
         member
@@ -644,7 +644,7 @@
     """Most voters are lost for good: begins a new group from this one's folder and fences the old group off.
 
     What only the lost ones had is lost. Never while most voters of the old group may still run somewhere: both groups would act."""
-    from cypresswalk.fleet import tool
+    from cypresswalk.fleet import client
 
     if not yes:
         click.echo(
@@ -652,5 +652,5 @@
             "old group run on somewhere, two groups act side by side, and rules of both are in force at once."
         )
         click.confirm("Are most voters lost for good?", abort=True)
-    done = tool.recover(os.path.abspath(folder), name, member, tool.who())
+    done = client.recover(os.path.abspath(folder), name, member, client.who())
     click.echo(json.dumps(done, indent=1))
--- a/cypresswalk/cli/state.py
+++ b/cypresswalk/cli/state.py
@@ -30,7 +30,7 @@
 
 def opened(path: str):
     """A generation's file, or the latest of a folder. Raises Refusal with the file and the reason."""
-    from cypresswalk.state import form, store
+    from cypresswalk.state import file_format, store
 
     file = Path(path)
     try:
@@ -46,10 +46,10 @@
             if not numbers:
                 raise Refusal(f"{path}: it holds no generation")
             file = file / f"{store.PREFIX}{numbers[0]}"
-        return file, form.decode(file.read_bytes())
+        return file, file_format.decode(file.read_bytes())
     except OSError as error:
         raise Refusal(f"{file}: {error.strerror or error}") from None
-    except form.FormError as error:
+    except file_format.FormError as error:
         raise Refusal(f"{file}: {error}") from None
 
 
@@ -81,10 +81,10 @@
 @click.argument("path", type=click.Path())
 def check(path: str) -> int:
     """Says whether a file can be believed; exit code 2 and the reason if not."""
-    from cypresswalk.state import form
+    from cypresswalk.state import file_format
 
     file, kept = opened(path)
-    version = form.FIXED.unpack_from(file.read_bytes())[1]
+    version = file_format.FIXED.unpack_from(file.read_bytes())[1]
     click.echo(f"{file}: version {version}, {len(kept.servers)} servers, {len(kept.ids)} ids")
     return 0
 
--- a/cypresswalk/copies/claimer.py
+++ b/cypresswalk/copies/client.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cypresswalk.copies.claims import Answer
-from cypresswalk.copies.places import part_of
-from cypresswalk.copies.words import Answered, Claim, Ended
+from cypresswalk.copies.messages import Answered, Claim, Ended
+from cypresswalk.copies.placement import part_of
+from cypresswalk.copies.replica import Answer
 
 MILLISECOND = 1_000_000
 AGAIN = 25 * MILLISECOND  # "again" was answered: the next view is a round trip or two away
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -11,11 +11,8 @@
 from typing import Any
 
 from cypresswalk.agreement.store import Files
-from cypresswalk.copies.claimer import Claimer
-from cypresswalk.copies.claims import BUCKET, MOST, Holder
-from cypresswalk.copies.places import PARTS
-from cypresswalk.copies.store import Log, Lost
-from cypresswalk.copies.words import (
+from cypresswalk.copies.client import Claimer
+from cypresswalk.copies.messages import (
     SKEW,
     Answered,
     AnyWord,
@@ -31,6 +28,9 @@
     Sealed,
     Slow,
 )
+from cypresswalk.copies.placement import PARTS
+from cypresswalk.copies.replica import BUCKET, MOST, Holder
+from cypresswalk.copies.store import Log, Lost
 
 log = logging.getLogger(__name__)
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
--- a/cypresswalk/copies/claims.py
+++ b/cypresswalk/copies/replica.py
@@ -16,7 +16,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from cypresswalk.copies.words import (
+from cypresswalk.copies.messages import (
     Begun,
     Bring,
     Brought,
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -23,7 +23,7 @@
     sealed_record,
     torn,
 )
-from cypresswalk.copies.words import Begun, Got, Kept, Shut, Stand, encode
+from cypresswalk.copies.messages import Begun, Got, Kept, Shut, Stand, encode
 
 PREFIX = "copies."
 HEAD, BATCH = 1, 2
--- a/cypresswalk/fleet/founding.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -6,10 +6,10 @@
 import logging
 
 from cypresswalk.agreement.log import Snapshot
+from cypresswalk.agreement.messages import Member as One
+from cypresswalk.agreement.messages import Members
 from cypresswalk.agreement.node import Busy, Kept
-from cypresswalk.agreement.words import Member as One
-from cypresswalk.agreement.words import Members
-from cypresswalk.fleet.words import Hail, HailAnswer
+from cypresswalk.fleet.messages import Hail, HailAnswer
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
--- a/cypresswalk/fleet/tool.py
+++ b/cypresswalk/fleet/client.py
@@ -7,12 +7,11 @@
 from typing import Any
 
 from cypresswalk.agreement.log import Log, Snapshot
+from cypresswalk.agreement.messages import DATA
+from cypresswalk.agreement.messages import Member as One
 from cypresswalk.agreement.node import Kept
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.agreement.words import DATA
-from cypresswalk.agreement.words import Member as One
-from cypresswalk.fleet.agreed import Agreed, Record
-from cypresswalk.fleet.words import (
+from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
     Call,
@@ -23,6 +22,7 @@
     Result,
     pack,
 )
+from cypresswalk.fleet.state_machine import Agreed, Record
 from cypresswalk.refusal import Refusal
 from cypresswalk.state.disk import Disk
 
--- a/cypresswalk/fleet/binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -16,19 +16,19 @@
 import msgspec
 
 from cypresswalk.choice import MISSES, RISE
-from cypresswalk.copies.claims import Answer
-from cypresswalk.fleet.agreed import Listed
+from cypresswalk.copies.replica import Answer
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.member import CALLED_BACK, DRAINED, View
-from cypresswalk.fleet.places import GO
-from cypresswalk.fleet.words import OfServers
+from cypresswalk.fleet.messages import OfServers
+from cypresswalk.fleet.state_machine import Listed
+from cypresswalk.fleet.unavailability import GO
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.model import Flow, ListForm, Outcome, Server, State
-from cypresswalk.net.calls import Call
 from cypresswalk.net.config import Address, Config, read
 from cypresswalk.net.core import FAILED, Core, Leg, Phase, Session
 from cypresswalk.net.logs import event
-from cypresswalk.net.registry import Registry, server_number
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.endpoint_list import Registry, server_number
 from cypresswalk.operator import FleetTable
 from cypresswalk.rollout import bounds
 
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -15,12 +15,12 @@
 
 from cypresswalk.agreement.node import Harmed, Kept, Timing
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.copies.words import Brought, Bundle, Sealed, Slow
-from cypresswalk.copies.words import Word as CopyWord
-from cypresswalk.fleet.links import STACK, Answers, Links
+from cypresswalk.copies.messages import Brought, Bundle, Sealed, Slow
+from cypresswalk.copies.messages import Word as CopyWord
 from cypresswalk.fleet.member import About, Member, Strange, View
-from cypresswalk.fleet.placing import Placing
-from cypresswalk.fleet.words import PROTOCOL, Call, Hello, OfServers, Result
+from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, OfServers, Result
+from cypresswalk.fleet.replica_placement import Placing
+from cypresswalk.fleet.transport import STACK, Answers, Links
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.operator import FleetTable
 from cypresswalk.state.disk import Disk, Taken
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -15,20 +15,29 @@
 
 import msgspec
 
+from cypresswalk.agreement.messages import DATA, Entry, Members, Word
+from cypresswalk.agreement.messages import Member as One
 from cypresswalk.agreement.node import Busy, Kept, Node, Role, Timing, Work
-from cypresswalk.agreement.words import DATA, Entry, Members, Word
-from cypresswalk.agreement.words import Member as One
-from cypresswalk.copies.words import SKEW
-from cypresswalk.fleet import agreed as state
-from cypresswalk.fleet import telling
-from cypresswalk.fleet.agreed import Agreed, AnyCommand
-from cypresswalk.fleet.founding import FRESH, Founding
+from cypresswalk.copies.messages import SKEW
+from cypresswalk.fleet import queries
+from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet.bootstrap import FRESH, Founding
 from cypresswalk.fleet.leases import Given, Held
-from cypresswalk.fleet.places import Places, name_of
-from cypresswalk.fleet.placing import Placing
-from cypresswalk.fleet.releasing import Releasing
-from cypresswalk.fleet.wards import Wards
-from cypresswalk.fleet.words import AnyFrame, Ask, Call, Grant, Hail, HailAnswer, OfServers, Result
+from cypresswalk.fleet.messages import (
+    AnyFrame,
+    Ask,
+    Call,
+    Grant,
+    Hail,
+    HailAnswer,
+    OfServers,
+    Result,
+)
+from cypresswalk.fleet.release_control import Releasing
+from cypresswalk.fleet.replica_placement import Placing
+from cypresswalk.fleet.server_observations import Wards
+from cypresswalk.fleet.state_machine import Agreed, AnyCommand
+from cypresswalk.fleet.unavailability import Places, name_of
 from cypresswalk.rollout.evidence import Served
 from cypresswalk.rollout.release import UNFINISHED, Plan
 
@@ -47,11 +56,11 @@
 )
 VOTERS = 7
 TELLS = {
-    "status": telling.status,
-    "show": telling.show,
-    "history": telling.history,
-    "copies": telling.copies,
-    "release": telling.release,
+    "status": queries.status,
+    "show": queries.show,
+    "history": queries.history,
+    "copies": queries.copies,
+    "release": queries.release,
 }
 Reply = Callable[[bool, Any], None]
 
@@ -482,7 +491,7 @@
         if not self.wards.can_tell(now, self.idents()) and self.agreed.state.settings.get(
             "bounds", {}
         ).get("servers"):
-            raise Busy(telling.UNTOLD)
+            raise Busy(queries.UNTOLD)
         return self.wards.bad(now, self.idents())
 
     def standing(self, now: int, server: str) -> int | None:
@@ -935,7 +944,7 @@
                 if not any(m.id == hail.id for m in self.members):
                     self.answer_hail(hail, replaced=True)
             case ("call", "turn", args, reply):
-                reply(True, telling.turn(self, now, str(args.get("member", ""))))
+                reply(True, queries.turn(self, now, str(args.get("member", ""))))
             case ("call", name, _, reply):
                 reply(True, TELLS[name](self, now))
 
--- a/cypresswalk/fleet/words.py
+++ b/cypresswalk/fleet/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from cypresswalk.agreement.words import (
+from cypresswalk.agreement.messages import (
     Append,
     AppendAnswer,
     Disowned,
@@ -23,7 +23,7 @@
     VoteAnswer,
     Word,
 )
-from cypresswalk.copies.words import Bundle
+from cypresswalk.copies.messages import Bundle
 
 PROTOCOL = 2
 LARGEST = 8 << 20  # an append or piece and its envelope take 300 KB; a list of 20,000 servers 3 MB
--- a/cypresswalk/fleet/telling.py
+++ b/cypresswalk/fleet/queries.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from cypresswalk.fleet.agreed import SERVERS
-from cypresswalk.fleet.places import SECOND
+from cypresswalk.fleet.state_machine import SERVERS
+from cypresswalk.fleet.unavailability import SECOND
 
 if TYPE_CHECKING:
     from cypresswalk.fleet.member import Member
--- a/cypresswalk/fleet/placing.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cypresswalk.agreement.words import Members
-from cypresswalk.copies.places import PARTS, holders
-from cypresswalk.copies.words import AnyWord, Bring, Brought, Seal, Sealed, Slow
+from cypresswalk.agreement.messages import Members
+from cypresswalk.copies.messages import AnyWord, Bring, Brought, Seal, Sealed, Slow
+from cypresswalk.copies.placement import PARTS, holders
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
--- a/cypresswalk/fleet/wards.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from cypresswalk.fleet.words import OfServers
+from cypresswalk.fleet.messages import OfServers
 from cypresswalk.rollout.evidence import Served
 
 BAD = "held for bad by {} of {} balancers"
--- a/cypresswalk/fleet/agreed.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cypresswalk.fleet.places import SURELY
+from cypresswalk.fleet.unavailability import SURELY
 from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.bounds import why_not
 
--- a/cypresswalk/fleet/links.py
+++ b/cypresswalk/fleet/transport.py
@@ -10,7 +10,7 @@
 from queue import Empty, SimpleQueue
 from threading import Event, Lock
 
-from cypresswalk.fleet.words import (
+from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
     FrameError,
--- a/cypresswalk/fleet/places.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from cypresswalk.agreement.words import Member as One
+from cypresswalk.agreement.messages import Member as One
 
 SECOND = 1_000_000_000
 GO = 2 * SECOND  # within which a balancer that may go out goes, or not at all
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from cypresswalk.fleet.member import CALLED_BACK, DRAINED
-from cypresswalk.fleet.places import GO
+from cypresswalk.fleet.unavailability import GO
 from cypresswalk.lab.together.virtual import (
     MILLISECOND,
     SECOND,
@@ -24,8 +24,7 @@
     VirtualFleet,
     World,
 )
-from cypresswalk.rollout.bounds import allowed
-from cypresswalk.rollout.duty import (
+from cypresswalk.rollout.balancer_agent import (
     USE,
     Ask,
     Check,
@@ -40,6 +39,7 @@
     Started,
     Wait,
 )
+from cypresswalk.rollout.bounds import allowed
 
 KNOWN = (
     8 * SECOND
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cypresswalk.fleet.member import View
-from cypresswalk.fleet.words import OfServers
+from cypresswalk.fleet.messages import OfServers
 from cypresswalk.lab.together.releases import (
     HALTED,
     KNOWN,
@@ -27,9 +27,9 @@
 )
 from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet
 from cypresswalk.model import State
+from cypresswalk.rollout.balancer_agent import Doing
 from cypresswalk.rollout.bounds import allowed
-from cypresswalk.rollout.duty import Doing
-from cypresswalk.rollout.serving import ServerDuty
+from cypresswalk.rollout.server_agent import ServerDuty
 
 TICK = SECOND // 5
 CHANGING = ("emptying", "starting", "undoing")
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/together/stage.py
@@ -21,7 +21,7 @@
 from cypresswalk.faults.kinds import Kind
 from cypresswalk.faults.plan import Plan as NoFaults
 from cypresswalk.faults.proxy import Proxy
-from cypresswalk.fleet import tool
+from cypresswalk.fleet import client
 from cypresswalk.lab.balancers import die_with_parent, free_port, own_host
 from cypresswalk.lab.oracle import Rules, ServerRule, TypeRule
 from cypresswalk.lab.seen import Event
@@ -469,13 +469,13 @@
 
         def call() -> tuple[str, Any]:
             try:
-                ok, body = tool.call(
+                ok, body = client.call(
                     ["%s:%d" % self.processes[name].fleet], "rig", what, args, span
                 )
                 return ("yes" if ok else "no"), body
             except Refusal as error:
                 return "no", {"why": str(error)}
-            except tool.Unsure as error:
+            except client.Unsure as error:
                 return "unsure", {"why": str(error)}
 
         return await asyncio.get_running_loop().run_in_executor(self.pool, call)
@@ -548,7 +548,7 @@
                     m["id"]: (await self.ask(m["name"], "copies_local", span=1.0))[1]
                     for m in status.get("members", ())
                 }
-                lines = tool.unlike(body["parts"], told)
+                lines = client.unlike(body["parts"], told)
                 if not lines and all(
                     len(there) == min(self.plan.copies, len(self.names))
                     for _, _, there in body["parts"]
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -15,9 +15,9 @@
 from cypresswalk.agreement.node import Harmed, Role
 from cypresswalk.agreement.store import SECTOR, Foreign
 from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.links import Links
 from cypresswalk.fleet.member import Strange, View
-from cypresswalk.fleet.words import Hail, HailAnswer, encode, frames
+from cypresswalk.fleet.messages import Hail, HailAnswer, encode, frames
+from cypresswalk.fleet.transport import Links
 from cypresswalk.operator import FleetTable
 
 SECOND = 1_000_000_000
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -11,9 +11,9 @@
 from cypresswalk.net.core import BUSY, FAILED, Core, Session
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.lines import Lines, Opening, ProtocolError, opening
 from cypresswalk.net.link import Link, pass_end_on
 from cypresswalk.net.logs import event
+from cypresswalk.net.parsers.lines import Lines, Opening, ProtocolError, opening
 
 log = logging.getLogger(__name__)
 
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -27,15 +27,15 @@
     Tell,
     Wake,
 )
-from cypresswalk.net.calls import Call
 from cypresswalk.net.config import Address, Config
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.figures import Figures
 from cypresswalk.net.limits import MILLISECOND
-from cypresswalk.net.lines import Opening
 from cypresswalk.net.logs import event
-from cypresswalk.net.notes import Notes
-from cypresswalk.net.registry import number_of, server_number
+from cypresswalk.net.metrics import Figures
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.endpoint_list import number_of, server_number
+from cypresswalk.net.parsers.lines import Opening
+from cypresswalk.net.parsers.load_reports import Notes
 
 FAILED, BUSY = b"ERR\r\n", b"BUSY\r\n"
 WAITS_MOST = (
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -8,14 +8,14 @@
 from cypresswalk.model import SECOND, ListForm, Server
 from cypresswalk.net.config import Address
 from cypresswalk.net.core import Core
-from cypresswalk.net.http import Answer, request
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.lines import ProtocolError
 from cypresswalk.net.link import dial
 from cypresswalk.net.logs import event
-from cypresswalk.net.registry import Registry
-from cypresswalk.net.values import EMPTY, Values
+from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.net.parsers.http import Answer, request
+from cypresswalk.net.parsers.json_stream import EMPTY, Values
+from cypresswalk.net.parsers.lines import ProtocolError
 
 log = logging.getLogger(__name__)
 
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -18,11 +18,11 @@
 
 from cypresswalk.choice import Decaying
 from cypresswalk.model import ListForm, Server, State
-from cypresswalk.net.calls import Call
 from cypresswalk.net.config import Address, ConfigError, address
 from cypresswalk.net.core import Core, Phase
-from cypresswalk.net.lines import ProtocolError
-from cypresswalk.net.registry import server_number
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.parsers.lines import ProtocolError
 
 VERSION = 1
 CHUNK = 200  # servers, or ids by the tenfold, in one message: well under the longest line
--- a/cypresswalk/net/beside.py
+++ b/cypresswalk/net/handover_socket.py
@@ -16,10 +16,10 @@
 from cypresswalk.net.handover import VERSION, Side
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.lines import Lines, ProtocolError
 from cypresswalk.net.link import timeval
 from cypresswalk.net.logs import event
-from cypresswalk.net.registry import number_of
+from cypresswalk.net.parsers.endpoint_list import number_of
+from cypresswalk.net.parsers.lines import Lines, ProtocolError
 
 log = logging.getLogger(__name__)
 PATH_MOST = 100  # bytes: a Unix socket's path may have 107
--- a/cypresswalk/net/calls.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -5,7 +5,7 @@
 from threading import Lock
 
 from cypresswalk.model import SECOND
-from cypresswalk.net.lines import NAME, Lines, ProtocolError
+from cypresswalk.net.parsers.lines import NAME, Lines, ProtocolError
 
 PLAIN = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
 WITH_ID = frozenset(
--- a/cypresswalk/net/registry.py
+++ b/cypresswalk/net/parsers/endpoint_list.py
@@ -7,8 +7,8 @@
 from cypresswalk.hosting import nanoseconds, sound_weight
 from cypresswalk.model import ListForm, Server, State
 from cypresswalk.net.config import Address, ConfigError, address
-from cypresswalk.net.lines import ProtocolError
 from cypresswalk.net.logs import event
+from cypresswalk.net.parsers.lines import ProtocolError
 
 STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
 log = logging.getLogger(__name__)
--- a/cypresswalk/net/http.py
+++ b/cypresswalk/net/parsers/http.py
@@ -1,7 +1,7 @@
 """The part of HTTP/1.1 that the server list needs: one answer, chunked or not. Knows no socket."""
 
-from cypresswalk.net.buffer import Buffer
-from cypresswalk.net.lines import ProtocolError
+from cypresswalk.net.parsers.buffer import Buffer
+from cypresswalk.net.parsers.lines import ProtocolError
 
 
 class Answer:
--- a/cypresswalk/net/values.py
+++ b/cypresswalk/net/parsers/json_stream.py
@@ -3,8 +3,8 @@
 import json
 import re
 
-from cypresswalk.net.buffer import Buffer
-from cypresswalk.net.lines import ProtocolError
+from cypresswalk.net.parsers.buffer import Buffer
+from cypresswalk.net.parsers.lines import ProtocolError
 
 DEEPEST = 32  # a list is four deep; decoding takes stack by the level
 BLANK, LINE_END, OPENING = b" \t\r\n", ord("\n"), ord("{")
--- a/cypresswalk/net/lines.py
+++ b/cypresswalk/net/parsers/lines.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-from cypresswalk.net.buffer import Buffer
+from cypresswalk.net.parsers.buffer import Buffer
 
 
 class ProtocolError(Exception):
--- a/cypresswalk/net/probes.py
+++ b/cypresswalk/net/probes.py
@@ -8,8 +8,8 @@
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.lines import Lines, ProtocolError
 from cypresswalk.net.link import dial
+from cypresswalk.net.parsers.lines import Lines, ProtocolError
 
 
 class Prober:
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -10,9 +10,9 @@
 from cypresswalk.net.core import Core, Leg
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.lines import Lines, ProtocolError
 from cypresswalk.net.link import Link, dial, pass_end_on
-from cypresswalk.net.notes import Told, load_number
+from cypresswalk.net.parsers.lines import Lines, ProtocolError
+from cypresswalk.net.parsers.load_reports import Told, load_number
 
 FIRST = {
     b"BUSY": Outcome.FULL,
--- a/cypresswalk/rollout/agent.py
+++ b/cypresswalk/rollout/agent.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from cypresswalk.fleet import tool
+from cypresswalk.fleet import client
 from cypresswalk.refusal import Refusal
-from cypresswalk.rollout.duty import (
+from cypresswalk.rollout.balancer_agent import (
     Ask,
     Check,
     Doing,
@@ -86,7 +86,7 @@
                 return self.check(admin)
             case Ask(name=name, args=args, ident=ident):
                 return self.ask(
-                    name, tool.command(self.by, **args) | {"ident": ident} if ident else args
+                    name, client.command(self.by, **args) | {"ident": ident} if ident else args
                 )
             case Draw():
                 return uuid.uuid4().hex
@@ -171,6 +171,6 @@
 
     def ask(self, name: str, args: dict[str, Any]) -> tuple[bool, Any]:
         try:
-            return tool.call(self.addresses, self.fleet, name, args, SPAN)
-        except (Refusal, tool.Unsure) as error:
+            return client.call(self.addresses, self.fleet, name, args, SPAN)
+        except (Refusal, client.Unsure) as error:
             return False, {"why": str(error)}
--- a/cypresswalk/rollout/serving.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -8,7 +8,7 @@
 import logging
 from typing import Any
 
-from cypresswalk.rollout.duty import (
+from cypresswalk.rollout.balancer_agent import (
     CHECK,
     LEAVE,
     LOOK,
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -20,11 +20,11 @@
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import Watch
 from cypresswalk.net.inbox import Inbox, start_thread
-from cypresswalk.net.lines import ProtocolError
 from cypresswalk.net.logs import event
+from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.net.parsers.lines import ProtocolError
 from cypresswalk.net.peers import Peers
 from cypresswalk.net.probes import Prober
-from cypresswalk.net.registry import Registry
 from cypresswalk.net.servers import ServerLink
 
 log = logging.getLogger(__name__)
@@ -83,8 +83,8 @@
         """Operators may call and upgrade it; the sockets that a process before this one has passed on, if there is one.
         Imported here alone: the platform's earlier days have no operators who call, and allow no Unix sockets."""
         from cypresswalk.net.admin import Admin
-        from cypresswalk.net.beside import Beside
         from cypresswalk.net.handover import Side
+        from cypresswalk.net.handover_socket import Beside
 
         self.admin = Admin(config.admin, self.core, self.inbox, self.limits)
         self.beside = Beside(
@@ -100,7 +100,7 @@
 
     def keep_state(self, folder: str, every: float, config: Config) -> None:
         """Imported here alone: the platform's balancer has no folder that outlasts it, and no memory for this."""
-        from cypresswalk.state.keeper import Keeper
+        from cypresswalk.state.snapshot_writer import Keeper
 
         self.keeper = Keeper(
             folder,
@@ -117,7 +117,7 @@
 
     def join_fleet(self, table: object, config: Config) -> None:
         """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
-        from cypresswalk.fleet.binding import Binding
+        from cypresswalk.fleet.core_binding import Binding
 
         self.binding = Binding(
             table, config, self.core, self.inbox.post, lambda: self.watch.registry
--- a/cypresswalk/state/form.py
+++ b/cypresswalk/state/file_format.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from cypresswalk.model import State
-from cypresswalk.state.kept import Head, Kept, ServerKept
+from cypresswalk.state.snapshot import Head, Kept, ServerKept
 
 MAGIC, VERSION = b"CWSTATE\n", 1
 FIXED = struct.Struct("<8sHQ")
--- a/cypresswalk/state/keeper.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -13,10 +13,10 @@
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.logs import event
-from cypresswalk.net.registry import Registry
-from cypresswalk.state import form, store
+from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.state import file_format, store
 from cypresswalk.state.disk import Disk, Taken
-from cypresswalk.state.kept import (
+from cypresswalk.state.snapshot import (
     CHUNK,
     IDS_CHUNK,
     IDS_KEPT,
@@ -154,19 +154,19 @@
             )
         ):
             return
-        parts = [form.part(b"h", heads[0])]
+        parts = [file_format.part(b"h", heads[0])]
         for at in range(0, len(servers), CHUNK):
             copies: list[ServerKept] = []
             if not self.sliced(self.copy_servers, servers[at : at + CHUNK], copies):
                 return
-            parts.append(form.part(b"s", copies))
+            parts.append(file_format.part(b"s", copies))
             time.sleep(PAUSE)
         self.write(parts)
 
     def write(self, parts: list[bytes]) -> None:
         ids = list(self.ids)
         for at in range(0, len(ids), IDS_CHUNK):
-            parts.append(form.part(b"i", ids[at : at + IDS_CHUNK]))
+            parts.append(file_format.part(b"i", ids[at : at + IDS_CHUNK]))
             if not self.ended.is_set():
                 time.sleep(PAUSE)
         with self.writing:
@@ -176,7 +176,7 @@
                     # number would be counted on from, and it be removed two generations later.
                     self.disk.lock()
                     _, self.number = store.load(self.disk, self.balancer, self.unreadable)
-                store.save(self.disk, form.whole(parts), self.number + 1)
+                store.save(self.disk, file_format.whole(parts), self.number + 1)
                 self.number += 1
                 if self.said:
                     log.info(event("state_kept_again", generation=self.number))
@@ -186,7 +186,7 @@
             except store.ForeignFile as error:
                 self.ended.set()
                 self.turn_off("state_file_foreign", error)
-            except (OSError, form.FormError) as error:
+            except (OSError, file_format.FormError) as error:
                 self.trouble("write", error)
 
     def finish(self, now: int) -> None:
@@ -197,7 +197,7 @@
         self.copy_ids(now)
         copies: list[ServerKept] = []
         self.copy_servers(now, list(self.core.balancer.servers.values()), copies)
-        self.write([form.part(b"h", self.head(now)), form.part(b"s", copies)])
+        self.write([file_format.part(b"h", self.head(now)), file_format.part(b"s", copies)])
 
     # By the deciding thread.
 
--- a/cypresswalk/state/store.py
+++ b/cypresswalk/state/store.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from cypresswalk.state import form
-from cypresswalk.state.kept import Kept
+from cypresswalk.state import file_format
+from cypresswalk.state.snapshot import Kept
 
 NEXT, PREFIX, KEEP = "next", "state.", 2
 
@@ -43,8 +43,12 @@
     for number in numbers[:KEEP]:
         name = f"{PREFIX}{number}"
         try:
-            kept = form.decode(files.read(name, form.LARGEST + form.FIXED.size + form.DIGEST + 1))
-        except form.FormError as error:
+            kept = file_format.decode(
+                files.read(
+                    name, file_format.LARGEST + file_format.FIXED.size + file_format.DIGEST + 1
+                )
+            )
+        except file_format.FormError as error:
             if error.newer:
                 raise ForeignFile(f"{name}: {error}") from None
             told(name, str(error))
--- a/tests/kill_writer.py
+++ b/tests/kill_writer.py
@@ -10,7 +10,7 @@
 
 from test_state import make
 
-from cypresswalk.state import form, store
+from cypresswalk.state import file_format, store
 from cypresswalk.state.disk import Disk
 
 
@@ -21,7 +21,7 @@
     while True:
         number += 1
         # Each generation says its own number in every place: a mix of two would show.
-        store.save(disk, form.encode(make(number, servers=20 + number % 30)), number)
+        store.save(disk, file_format.encode(make(number, servers=20 + number % 30)), number)
 
 
 def main(kills: int, seed: int) -> int:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -4,8 +4,8 @@
 from cypresswalk.agreement.store import Store
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.leases import Given
-from cypresswalk.fleet.links import Links
 from cypresswalk.fleet.member import Member
+from cypresswalk.fleet.transport import Links
 
 
 def vote_not_flushed(patch):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -12,12 +12,12 @@
 import pytest
 
 from cypresswalk.agreement.log import Snapshot
+from cypresswalk.agreement.messages import DATA, Append, Entry, Member
 from cypresswalk.agreement.node import Busy, Harmed, Kept, Node, Role, Timing, Work
 from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.agreement.words import DATA, Append, Entry, Member
 from cypresswalk.fleet.leases import Given, Held
-from cypresswalk.fleet.links import Links
-from cypresswalk.fleet.words import PROTOCOL, Call, FrameError, Frames, Hello, pack
+from cypresswalk.fleet.messages import PROTOCOL, Call, FrameError, Frames, Hello, pack
+from cypresswalk.fleet.transport import Links
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.explore import plan_of, run_seed, smaller
 from cypresswalk.lab.together.judges import Down, Flow, Op
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -8,18 +8,18 @@
 import pytest
 from helpers import PARAMS, START, config_data, listed
 
-from cypresswalk.copies.claims import Answer
-from cypresswalk.fleet.binding import Binding, objection, shared
+from cypresswalk.copies.replica import Answer
+from cypresswalk.fleet.core_binding import Binding, objection, shared
 from cypresswalk.fleet.member import View
-from cypresswalk.fleet.words import OfServers
+from cypresswalk.fleet.messages import OfServers
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.model import ListForm, Outcome, State
-from cypresswalk.net.calls import Call
 from cypresswalk.net.config import build
 from cypresswalk.net.core import Core, Session
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.lines import opening
-from cypresswalk.net.registry import Registry, server_number
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.endpoint_list import Registry, server_number
+from cypresswalk.net.parsers.lines import opening
 from cypresswalk.operator import FleetTable
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,10 +8,10 @@
 from test_net import CUTS, SEEDED, Bench, pieces
 
 from cypresswalk.model import SECOND, ListForm, Outcome
-from cypresswalk.net.calls import Call, Caller
 from cypresswalk.net.core import Phase
-from cypresswalk.net.lines import ProtocolError
-from cypresswalk.net.registry import server_number
+from cypresswalk.net.parsers.admin_commands import Call, Caller
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.parsers.lines import ProtocolError
 
 
 def said(data, cuts=(4096,)) -> tuple[str, str] | None:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -5,12 +5,12 @@
 import pytest
 
 from cypresswalk.copies import store
-from cypresswalk.copies.claims import Answer, Holder, Part
 from cypresswalk.copies.driver import Copies
-from cypresswalk.copies.places import PARTS, holders, part_of
+from cypresswalk.copies.messages import Begun, Bring, Claim, Copy, Kept, Record, Shut
+from cypresswalk.copies.placement import PARTS, holders, part_of
+from cypresswalk.copies.replica import Answer, Holder, Part
 from cypresswalk.copies.store import Log, Lost
-from cypresswalk.copies.words import Begun, Bring, Claim, Copy, Kept, Record, Shut
-from cypresswalk.fleet import tool
+from cypresswalk.fleet import client
 from cypresswalk.lab.together.virtual import MemoryDisk
 
 COPIES = 3
@@ -541,24 +541,25 @@
 
     parts = [[7, 3, ["a#1", "b#1"]]]
     assert (
-        tool.unlike(
+        client.unlike(
             parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(11, {"12": "y"})}
         )
         == []
     )
     assert (
         len(
-            tool.unlike(
+            client.unlike(
                 parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(10, {"12": "y"})}
             )
         )
         == 1
     )
     assert (
-        len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})})) == 1
+        len(client.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})}))
+        == 1
     )
     assert (
-        len(tool.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}))
+        len(client.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}))
         == 1
     )
-    assert len(tool.unlike(parts, {"a#1": local(10, {"12": "y"})})) == 1
+    assert len(client.unlike(parts, {"a#1": local(10, {"12": "y"})})) == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,11 +31,11 @@
 from cypresswalk.net.discovery import Watch
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.lines import ProtocolError, opening
 from cypresswalk.net.link import dial
-from cypresswalk.net.registry import Registry, server_number
+from cypresswalk.net.parsers.endpoint_list import Registry, server_number
+from cypresswalk.net.parsers.json_stream import EMPTY, Values
+from cypresswalk.net.parsers.lines import ProtocolError, opening
 from cypresswalk.net.servers import ServerLink
-from cypresswalk.net.values import EMPTY, Values
 from cypresswalk.service.program import Program
 
 LIMITS = Limits(sockets=256, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -18,29 +18,29 @@
 import cypresswalk
 from cypresswalk.agreement import log as agreement_log
 from cypresswalk.agreement import store as agreement_store
-from cypresswalk.agreement.words import Entry
+from cypresswalk.agreement.messages import Entry
 from cypresswalk.copies import store as copies_store
-from cypresswalk.fleet import agreed, words
+from cypresswalk.fleet import messages, state_machine
 from cypresswalk.hosting import pack_hint
 from cypresswalk.model import SECOND, Outcome
-from cypresswalk.net.http import request
-from cypresswalk.net.lines import opening
-from cypresswalk.net.registry import server_number
-from cypresswalk.state import form
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.parsers.http import request
+from cypresswalk.net.parsers.lines import opening
+from cypresswalk.state import file_format
 from cypresswalk.state import store as state_store
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
 encode = msgspec.msgpack.encode
 DECODE = {
-    "fleet_commands": agreed.commands.decode,
-    "fleet_state": agreed.states.decode,
+    "fleet_commands": state_machine.commands.decode,
+    "fleet_state": state_machine.states.decode,
     "agreement_members": agreement_log.members_form.decode,
     "agreement_witness": agreement_store.witnesses.decode,
     "copies_head": copies_store.heads.decode,
     "copies_batch": copies_store.batches.decode,
-    "kept_head": form.heads.decode,
-    "kept_servers": form.servers.decode,
+    "kept_head": file_format.heads.decode,
+    "kept_servers": file_format.servers.decode,
 }
 
 
@@ -54,7 +54,7 @@
     if name == "fleet_frames":
         found = []
         for label, data in rows(name):
-            frames = words.Frames()
+            frames = messages.Frames()
             frames.feed(data)
             found.append((label, data, frames.frame()))
         return found
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("name", FILES)
 def test_every_message_and_record_is_read_and_written_byte_for_byte(name):
     for label, data, value in decoded(name):
-        again = words.pack(value) if name == "fleet_frames" else encode(value)
+        again = messages.pack(value) if name == "fleet_frames" else encode(value)
         assert again == data, label
 
 
@@ -98,7 +98,7 @@
     ours = {cls for cls in below(msgspec.Struct) if cls.__module__.startswith("cypresswalk.")}
     read = set().union(*(classes_in(value) for name in FILES for _, _, value in decoded(name)))
     bases = {cls for cls in ours if cls.__subclasses__()}  # stand nowhere by themselves
-    whole = {form.Kept}  # of a file, which is written in parts
+    whole = {file_format.Kept}  # of a file, which is written in parts
     assert ours - read - bases - whole == set()
 
 
@@ -177,8 +177,8 @@
     folder, said = Folder("kept"), []
     kept, number = state_store.load(folder, "n0", lambda *words: said.append(words))
     assert not said and number == 2 and len(kept.servers) == 3 and len(kept.ids) == 2
-    assert form.encode(kept) == folder.files["state.2"]
-    state_store.save(folder, form.encode(kept), 3)
+    assert file_format.encode(kept) == folder.files["state.2"]
+    state_store.save(folder, file_format.encode(kept), 3)
     assert sorted(folder.files) == ["state.2", "state.3"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,14 +21,14 @@
 from test_sockets import ROOT, Lines, Program, Server, start  # noqa: F401 (a fixture)
 
 from cypresswalk.model import SECOND, Outcome, State
-from cypresswalk.net.beside import Beside
-from cypresswalk.net.calls import Call
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.core import Phase
 from cypresswalk.net.handover import VERSION, Side, Told, messages
+from cypresswalk.net.handover_socket import Beside
 from cypresswalk.net.inbox import Inbox
-from cypresswalk.net.lines import ProtocolError
-from cypresswalk.net.registry import server_number
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.parsers.lines import ProtocolError
 
 
 class Way:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,19 +12,19 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from cypresswalk.model import SECOND, Outcome, State
-from cypresswalk.net.buffer import Buffer
-from cypresswalk.net.calls import Call
 from cypresswalk.net.config import ConfigError, build, load
 from cypresswalk.net.core import Core, Gauge, Session
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.http import Answer
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.lines import Lines, ProtocolError, opening
 from cypresswalk.net.logs import Flood, event
-from cypresswalk.net.notes import Notes, Told
+from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.buffer import Buffer
+from cypresswalk.net.parsers.endpoint_list import Registry, server_number
+from cypresswalk.net.parsers.http import Answer
+from cypresswalk.net.parsers.lines import Lines, ProtocolError, opening
+from cypresswalk.net.parsers.load_reports import Notes, Told
 from cypresswalk.net.probes import load_report
-from cypresswalk.net.registry import Registry, server_number
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 9), min_size=1, max_size=60)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -2,11 +2,11 @@
 
 from random import Random
 
-from cypresswalk.agreement.words import Member
-from cypresswalk.copies.claims import Holder
-from cypresswalk.copies.places import PARTS
-from cypresswalk.copies.words import Brought, Sealed, Slow
-from cypresswalk.fleet.placing import AT_ONCE, SECOND, Placing
+from cypresswalk.agreement.messages import Member
+from cypresswalk.copies.messages import Brought, Sealed, Slow
+from cypresswalk.copies.placement import PARTS
+from cypresswalk.copies.replica import Holder
+from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, Placing
 
 
 class Tier:
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from cypresswalk.fleet import agreed as state
-from cypresswalk.fleet.places import Places
+from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet.unavailability import Places
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
-from cypresswalk.rollout import duty
-from cypresswalk.rollout.duty import Doing, Duty
+from cypresswalk.rollout import balancer_agent
+from cypresswalk.rollout.balancer_agent import Doing, Duty
 
 ROOT = Path(__file__).parent.parent
 
@@ -153,16 +153,16 @@
         work, said, answer = Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(), [], None
         for _ in range(20):
             want = work.send(answer)
-            said += [want.name] if isinstance(want, duty.Ask) else []
+            said += [want.name] if isinstance(want, balancer_agent.Ask) else []
             answer = {
-                duty.Runs: True,
-                duty.Check: check,
-                duty.Draw: "d",
-                duty.Now: since if "turn" in said else 0.0,
+                balancer_agent.Runs: True,
+                balancer_agent.Check: check,
+                balancer_agent.Draw: "d",
+                balancer_agent.Now: since if "turn" in said else 0.0,
             }.get(type(want))
-            if isinstance(want, duty.Ask):
+            if isinstance(want, balancer_agent.Ask):
                 answer = True, {"status": "out", "since": OLD, "to": NEW, "phase": "running"}
-            if isinstance(want, duty.Wait) or "release_began" in said:
+            if isinstance(want, balancer_agent.Wait) or "release_began" in said:
                 return said
         raise AssertionError(said)
 
@@ -186,11 +186,13 @@
         )
         while now < 10:
             want = work.send(answer)
-            count += isinstance(want, duty.Ask)
-            now += want.seconds if isinstance(want, duty.Wait) else 0.0
-            answer = {duty.Runs: True, duty.Now: now, duty.Ask: (True, {"status": status})}.get(
-                type(want)
-            )
+            count += isinstance(want, balancer_agent.Ask)
+            now += want.seconds if isinstance(want, balancer_agent.Wait) else 0.0
+            answer = {
+                balancer_agent.Runs: True,
+                balancer_agent.Now: now,
+                balancer_agent.Ask: (True, {"status": status}),
+            }.get(type(want))
         return count
 
     assert asks("") == 5 and asks("old") == 20
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,12 +11,12 @@
 from helpers import PARAMS
 from test_together import ROOT, asked, with_rig
 
-from cypresswalk.agreement.words import Member as One
-from cypresswalk.fleet import agreed as state
-from cypresswalk.fleet.agreed import Agreed, encode
-from cypresswalk.fleet.binding import objection
-from cypresswalk.fleet.places import Places
-from cypresswalk.fleet.releasing import Do, Releasing
+from cypresswalk.agreement.messages import Member as One
+from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet.core_binding import objection
+from cypresswalk.fleet.release_control import Do, Releasing
+from cypresswalk.fleet.state_machine import Agreed, encode
+from cypresswalk.fleet.unavailability import Places
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
 from cypresswalk.lab.together.machines import Machines
 from cypresswalk.lab.together.plan import Plan as Plan_
@@ -554,7 +554,8 @@
     may_go, tend = release.may_go, Releasing.tend
     patch.setattr(release, "may_go", lambda now, name, halted: may_go(now, name, False))
     patch.setattr(
-        "cypresswalk.fleet.releasing.may_go", lambda now, name, halted: may_go(now, name, False)
+        "cypresswalk.fleet.release_control.may_go",
+        lambda now, name, halted: may_go(now, name, False),
     )
     patch.setattr(
         Releasing,
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from cypresswalk.fleet import agreed as state
+from cypresswalk.fleet import state_machine as state
 from cypresswalk.fleet.member import Member
-from cypresswalk.fleet.wards import Wards
-from cypresswalk.fleet.words import OfServers
+from cypresswalk.fleet.messages import OfServers
+from cypresswalk.fleet.server_observations import Wards
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.releases import SECOND
 from cypresswalk.lab.together.serving import ServerMachines
 from cypresswalk.lab.together.servings import Servings, plan_for, run_seed
-from cypresswalk.rollout.serving import ServerDuty
+from cypresswalk.rollout.server_agent import ServerDuty
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -18,9 +18,8 @@
 from cypresswalk.choice import MISSES, RISE, Balancer
 from cypresswalk.model import SECOND, Flow, ListForm, Outcome, State
 from cypresswalk.net.counters import Counters
-from cypresswalk.state import form, store
-from cypresswalk.state.keeper import Keeper
-from cypresswalk.state.kept import (
+from cypresswalk.state import file_format, store
+from cypresswalk.state.snapshot import (
     IDS_KEPT,
     TROUBLE_HALF,
     Head,
@@ -32,6 +31,7 @@
     faded,
     weight,
 )
+from cypresswalk.state.snapshot_writer import Keeper
 
 SAMPLES = Path(__file__).parent / "state-samples"
 ROOT = Path(__file__).parent.parent
@@ -86,22 +86,22 @@
 
 
 def test_what_was_encoded_is_decoded():
-    assert form.decode(form.encode(make())) == make()
-    assert form.decode(form.encode(make(servers=0))).servers == []
+    assert file_format.decode(file_format.encode(make())) == make()
+    assert file_format.decode(file_format.encode(make(servers=0))).servers == []
 
 
 def test_every_flipped_bit_and_every_cut_is_refused():
-    data = form.encode(make())
+    data = file_format.encode(make())
     for at in range(len(data) * 8):
         flipped = bytearray(data)
         flipped[at // 8] ^= 1 << at % 8
-        with pytest.raises(form.FormError):
-            form.decode(bytes(flipped))
+        with pytest.raises(file_format.FormError):
+            file_format.decode(bytes(flipped))
     for length in range(len(data)):
-        with pytest.raises(form.FormError):
-            form.decode(data[:length])
-    with pytest.raises(form.FormError):
-        form.decode(data + b"\0")
+        with pytest.raises(file_format.FormError):
+            file_format.decode(data[:length])
+    with pytest.raises(file_format.FormError):
+        file_format.decode(data + b"\0")
 
 
 @pytest.mark.parametrize(
@@ -118,24 +118,32 @@
     kept = make()
     for name, value in change.items():
         setattr(kept.servers[1], name, value)
-    with pytest.raises(form.FormError, match=said):
-        form.decode(form.encode(kept))
-    with pytest.raises(form.FormError, match="a chunk of kind b'z'"):
-        form.decode(form.whole([form.part(b"h", kept.head), form.part(b"z", 1)]))
-    with pytest.raises(form.FormError, match="Expected"):
-        form.decode(form.whole([form.part(b"h", kept.head), form.part(b"s", [["x"]])]))
+    with pytest.raises(file_format.FormError, match=said):
+        file_format.decode(file_format.encode(kept))
+    with pytest.raises(file_format.FormError, match="a chunk of kind b'z'"):
+        file_format.decode(
+            file_format.whole([file_format.part(b"h", kept.head), file_format.part(b"z", 1)])
+        )
+    with pytest.raises(file_format.FormError, match="Expected"):
+        file_format.decode(
+            file_format.whole([file_format.part(b"h", kept.head), file_format.part(b"s", [["x"]])])
+        )
 
 
-@pytest.mark.parametrize("version", range(1, form.VERSION + 1))
+@pytest.mark.parametrize("version", range(1, file_format.VERSION + 1))
 def test_a_file_of_every_version_there_was_is_read(version):
-    kept = form.decode((SAMPLES / f"v{version}.state").read_bytes())
+    kept = file_format.decode((SAMPLES / f"v{version}.state").read_bytes())
     assert kept.head.balancer == "n0" and len(kept.servers) == 3 and kept.servers[0].misses == 3
 
 
 def newer(data: bytes) -> bytes:
-    fixed = form.FIXED.pack(form.MAGIC, form.VERSION + 1, len(data) - form.FIXED.size - form.DIGEST)
-    body = data[form.FIXED.size + form.DIGEST :]
-    return fixed + form.digest(fixed, body) + body
+    fixed = file_format.FIXED.pack(
+        file_format.MAGIC,
+        file_format.VERSION + 1,
+        len(data) - file_format.FIXED.size - file_format.DIGEST,
+    )
+    body = data[file_format.FIXED.size + file_format.DIGEST :]
+    return fixed + file_format.digest(fixed, body) + body
 
 
 # The order of writing, at every point where the power may fail.
@@ -214,7 +222,7 @@
 
 
 def test_the_power_fails_at_every_operation_and_byte_and_a_whole_generation_is_left():
-    old, new = form.encode(make(1)), form.encode(make(2))
+    old, new = file_format.encode(make(1)), file_format.encode(make(2))
     places = [(at, None) for at in range(1, 8)] + [(1, byte) for byte in range(len(new))]
     seen = set()
     for fail_at, byte in places:
@@ -249,7 +257,7 @@
             self.flushed[name] = False
 
     disk = Unflushed(luck="zeros")
-    store.save(disk, form.encode(make(1)), 1)
+    store.save(disk, file_format.encode(make(1)), 1)
     assert store.load(disk.after(True), "n0", lambda name, why: None)[0] is None
 
 
@@ -343,7 +351,9 @@
     assert [p.name for p in tmp_path.glob("state.*")] == ["state.1"]
 
 
-@pytest.mark.parametrize("data", [newer(form.encode(make())), form.encode(make(balancer="n9"))])
+@pytest.mark.parametrize(
+    "data", [newer(file_format.encode(make())), file_format.encode(make(balancer="n9"))]
+)
 def test_a_newer_version_and_anothers_file_are_left_alone(tmp_path, caplog, data):
     (tmp_path / "state.8").write_bytes(data)
     harness = Harness(tmp_path)
@@ -392,7 +402,7 @@
 
 
 def test_a_folder_that_comes_late_with_anothers_file_is_left_alone(tmp_path, caplog):
-    folder, data = tmp_path / "kept", form.encode(make(balancer="n9"))
+    folder, data = tmp_path / "kept", file_format.encode(make(balancer="n9"))
     harness = Harness(folder)
     harness.keeper.recover(START)
     folder.mkdir()
@@ -407,7 +417,7 @@
 
 
 def test_a_link_in_place_of_a_generation_is_not_followed(tmp_path, caplog):
-    (tmp_path / "real").write_bytes(form.encode(make()))
+    (tmp_path / "real").write_bytes(file_format.encode(make()))
     (tmp_path / "state.1").symlink_to(tmp_path / "real")
     harness = Harness(tmp_path)
     harness.keeper.recover(START)
@@ -444,7 +454,7 @@
         env=os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"},
     )
     assert run.stdout == "1 write: File too large\n", run.stderr
-    assert form.decode((tmp_path / "state.1").read_bytes()).head.balancer == "n0"
+    assert file_format.decode((tmp_path / "state.1").read_bytes()).head.balancer == "n0"
 
 
 def test_slices_are_short_with_ten_thousand_servers_and_a_hundred_thousand_ids(tmp_path):
@@ -456,7 +466,7 @@
     harness.keeper.keep()
     harness.keeper.longest = 0
     harness.keeper.keep()
-    kept = form.decode((tmp_path / "state.2").read_bytes())
+    kept = file_format.decode((tmp_path / "state.2").read_bytes())
     assert len(kept.servers) == 10_000 and len(kept.ids) == 100_000  # the oldest ids made room
     # A millisecond is the bound that docs/measurements/state.md holds it to; here a loaded machine is granted twenty.
     assert harness.keeper.longest < 20_000_000
@@ -673,7 +683,7 @@
     first = programs("one", stays, drains, watched=watched)
     until = time.monotonic() + 5
     while not any(
-        form.decode(p.read_bytes()).servers[1].state != "ready"
+        file_format.decode(p.read_bytes()).servers[1].state != "ready"
         for p in (tmp_path / "kept").glob("state.*")
     ):
         assert time.monotonic() < until
@@ -734,9 +744,9 @@
 
     before, after = make(1), make(2)
     after.servers[0].state = "draining"
-    (tmp_path / "state.1").write_bytes(form.encode(before))
-    (tmp_path / "state.2").write_bytes(form.encode(after))
-    (tmp_path / "bad").write_bytes(form.encode(before)[:-3])
+    (tmp_path / "state.1").write_bytes(file_format.encode(before))
+    (tmp_path / "state.2").write_bytes(file_format.encode(after))
+    (tmp_path / "bad").write_bytes(file_format.encode(before)[:-3])
     code, out, _ = run("show", str(tmp_path))
     assert code == 0 and "balancer n0" in out and "draining" in out and out.count("\n") >= 5
     assert run("check", str(tmp_path / "state.1"))[:2] == (
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,8 +13,8 @@
 import pytest
 
 from cypresswalk import operator
-from cypresswalk.agreement.words import Vote
-from cypresswalk.fleet.words import PROTOCOL, Call, Hello, pack
+from cypresswalk.agreement.messages import Vote
+from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, pack
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.seen import Event
 from cypresswalk.lab.together import judges
