--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -18,12 +18,12 @@
 from helpers import entries, settings
 
 from cypresswalk.choice import Balancer
-from cypresswalk.model import ListForm
+from cypresswalk.model import EndpointUpdate
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.service.program import SWITCH_INTERVAL
-from cypresswalk.state.snapshot_writer import Keeper
+from cypresswalk.state.snapshot_writer import SnapshotWriter
 
 GENERATIONS = 5
 
@@ -33,12 +33,12 @@
     inbox, delays = Inbox(clock), []
     now = clock()
     balancer = Balancer(settings(), 1, now)
-    balancer.listed(now, ListForm.CACHED, entries(servers))
+    balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers))
     core = SimpleNamespace(
         balancer=balancer, counters=Counters(), seen=OrderedDict(), limits=SimpleNamespace(ids=8192)
     )
     with tempfile.TemporaryDirectory() as folder:
-        keeper = Keeper(folder, 1, core, inbox, SimpleNamespace(version=1), "n0", "a:1")
+        keeper = SnapshotWriter(folder, 1, core, inbox, SimpleNamespace(version=1), "n0", "a:1")
         keeper.recover(now)
         keeper.ids.extend((ident, now) for ident in range(ids))
         ended = threading.Event()
--- a/cypresswalk/agreement/log.py
+++ b/cypresswalk/agreement/log.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from cypresswalk.agreement.messages import CHANGE, Entry, Members
+from cypresswalk.agreement.messages import ENTRY_MEMBERSHIP, Entry, Members
 
-members_form = msgspec.msgpack.Decoder(Members)
+members_decoder = msgspec.msgpack.Decoder(Members)
 encode = msgspec.msgpack.encode
 
 
@@ -26,8 +26,8 @@
             self.note(number, entry)
 
     def note(self, index: int, entry: Entry) -> None:
-        if entry.kind == CHANGE:
-            self.changes.append((index, members_form.decode(entry.data)))
+        if entry.kind == ENTRY_MEMBERSHIP:
+            self.changes.append((index, members_decoder.decode(entry.data)))
 
     @property
     def first(self) -> int:
--- a/cypresswalk/agreement/messages.py
+++ b/cypresswalk/agreement/messages.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-NOTHING, DATA, CHANGE = 0, 1, 2  # kinds of an entry
+ENTRY_NOOP, ENTRY_COMMAND, ENTRY_MEMBERSHIP = 0, 1, 2  # kinds of an entry
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """One message. Unknown trailing fields of a later version are passed over."""
 
 
@@ -31,7 +31,7 @@
     data: bytes
 
 
-class Vote(Word, frozen=True):
+class RequestVote(Message, frozen=True, tag="Vote"):
     """`early`: asked before the term is begun (pre-vote). `forced`: the leader itself hands over."""
 
     term: int
@@ -41,13 +41,13 @@
     forced: bool = False
 
 
-class VoteAnswer(Word, frozen=True):
+class RequestVoteResponse(Message, frozen=True, tag="VoteAnswer"):
     term: int
     granted: bool
     early: bool
 
 
-class Append(Word, frozen=True):
+class AppendEntries(Message, frozen=True, tag="Append"):
     """`round` is answered with the answer: it shows that its receiver still followed when that round came."""
 
     term: int
@@ -58,7 +58,7 @@
     round: int
 
 
-class AppendAnswer(Word, frozen=True):
+class AppendEntriesResponse(Message, frozen=True, tag="AppendAnswer"):
     """`index`: where the logs are alike up to, or on a no where to try next."""
 
     term: int
@@ -67,7 +67,7 @@
     round: int
 
 
-class Piece(Word, frozen=True):
+class InstallSnapshotChunk(Message, frozen=True, tag="Piece"):
     """A part of a snapshot, in order; the last one installs it."""
 
     term: int
@@ -80,23 +80,32 @@
     round: int
 
 
-class PieceAnswer(Word, frozen=True):
+class InstallSnapshotChunkResponse(Message, frozen=True, tag="PieceAnswer"):
     term: int
     index: int
     offset: int  # bytes that it has
     round: int
 
 
-class TakeOver(Word, frozen=True):
+class TimeoutNow(Message, frozen=True, tag="TakeOver"):
     """The leader leaves as planned: its receiver has all that is agreed and calls an election at once."""
 
     term: int
 
 
-class Disowned(Word, frozen=True):
+class DataLossDetected(Message, frozen=True, tag="Disowned"):
     """What its receiver acknowledged it does not have any more: its folder was put back from an older copy, or lost a part."""
 
     term: int
 
 
-AnyWord = Vote | VoteAnswer | Append | AppendAnswer | Piece | PieceAnswer | TakeOver | Disowned
+AnyMessage = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshotChunk
+    | InstallSnapshotChunkResponse
+    | TimeoutNow
+    | DataLossDetected
+)
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -13,20 +13,20 @@
 
 from cypresswalk.agreement.log import Log, Snapshot, encode
 from cypresswalk.agreement.messages import (
-    CHANGE,
-    DATA,
-    NOTHING,
-    AnyWord,
-    Append,
-    AppendAnswer,
-    Disowned,
+    ENTRY_COMMAND,
+    ENTRY_MEMBERSHIP,
+    ENTRY_NOOP,
+    AnyMessage,
+    AppendEntries,
+    AppendEntriesResponse,
+    DataLossDetected,
     Entry,
+    InstallSnapshotChunk,
+    InstallSnapshotChunkResponse,
     Members,
-    Piece,
-    PieceAnswer,
-    TakeOver,
-    Vote,
-    VoteAnswer,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
 
 MILLISECOND = 1_000_000
@@ -57,16 +57,16 @@
     LEADER = "leader"
 
 
-class Busy(Exception):
+class BusyError(Exception):
     """Not now: the message says why."""
 
 
-class Harmed(Exception):
+class LogDivergedError(Exception):
     """The log contradicts what was agreed: this member must not go on."""
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """What stands on disk."""
 
     snapshot: Snapshot
@@ -76,14 +76,14 @@
 
 
 @dataclass(slots=True)
-class Work:
+class Ready:
     """In this order: write and flush, `Node.written`, send, apply."""
 
     vote: tuple[int, str] | None = None
     snapshot: Snapshot | None = None  # with it everything on disk is written anew
     cut: int | None = None  # nothing of the log stays from here on
     entries: list[tuple[int, Entry]] = field(default_factory=list)
-    words: list[tuple[str, AnyWord]] = field(default_factory=list)
+    words: list[tuple[str, AnyMessage]] = field(default_factory=list)
     install: Snapshot | None = None  # a state to begin from, before `agreed`
     agreed: list[tuple[int, Entry]] = field(default_factory=list)
     reads: list[tuple[object, int]] = field(
@@ -133,7 +133,7 @@
 
 
 class Node:
-    def __init__(self, me: str, kept: Kept, timing: Timing, chance: Random, now: int):
+    def __init__(self, me: str, kept: PersistentState, timing: Timing, chance: Random, now: int):
         self.me, self.timing, self.chance = me, timing, chance
         self.term, self.voted = kept.term, kept.voted
         self.log = Log(kept.snapshot, kept.entries)
@@ -149,7 +149,7 @@
         self.incoming: tuple[int, int, bytearray] | None = None
         self.leaving: str | None = None  # whom leadership goes to
         self.leaving_until = 0
-        self.work = Work()
+        self.work = Ready()
         self.fresh_vote = False
         self.install: Snapshot | None = kept.snapshot if kept.snapshot.data else None
 
@@ -186,7 +186,7 @@
     def ask(self, now: int) -> None:
         """Pre-vote (thesis, 9.6): one that was cut off does not disturb the others with higher terms when it comes back."""
         self.role, self.leader, self.votes = Role.ASKING, "", {self.me: True}
-        self.call(Vote(self.term + 1, self.log.last, self.log.last_term, True))
+        self.call(RequestVote(self.term + 1, self.log.last, self.log.last_term, True))
         if len(self.voters) == 1:
             self.campaign(now)
 
@@ -195,9 +195,9 @@
         self.due_at = self.again(now)
         self.votes = {}  # its own counts once it is on disk
         self.vote_for(self.me)
-        self.call(Vote(self.term, self.log.last, self.log.last_term, False, forced))
+        self.call(RequestVote(self.term, self.log.last, self.log.last_term, False, forced))
 
-    def call(self, word: Vote) -> None:
+    def call(self, word: RequestVote) -> None:
         for other in self.voters:
             if other != self.me:
                 self.say(other, word)
@@ -213,46 +213,50 @@
     def vote_for(self, who: str) -> None:
         self.voted, self.fresh_vote = who, True
 
-    def say(self, to: str, word: AnyWord) -> None:
+    def say(self, to: str, word: AnyMessage) -> None:
         self.work.words.append((to, word))
 
     # Words.
 
-    def heard(self, now: int, source: str, word: AnyWord) -> None:
+    def heard(self, now: int, source: str, word: AnyMessage) -> None:
         match word:
-            case Vote():
+            case RequestVote():
                 self.asked_to_vote(now, source, word)
                 return
-            case VoteAnswer() if word.early:
+            case RequestVoteResponse() if word.early:
                 if word.granted and self.role is Role.ASKING and word.term == self.term + 1:
                     self.counted(now, source, True)
                 elif not word.granted and word.term > self.term:
                     self.follow(now, word.term, "")
                 return
-            case TakeOver():
+            case TimeoutNow():
                 if word.term == self.term and self.is_voter():
                     self.campaign(now, forced=True)
                 return
-            case Disowned():
+            case DataLossDetected():
                 if word.term >= self.term:
                     self.work.disowned = True
                 return
         if word.term > self.term:
-            self.follow(now, word.term, source if isinstance(word, Append | Piece) else "")
+            self.follow(
+                now,
+                word.term,
+                source if isinstance(word, AppendEntries | InstallSnapshotChunk) else "",
+            )
         match word:
-            case VoteAnswer():
+            case RequestVoteResponse():
                 if self.role is Role.CANDIDATE and word.term == self.term:
                     self.counted(now, source, word.granted)
-            case Append():
+            case AppendEntries():
                 self.appended(now, source, word)
-            case Piece():
+            case InstallSnapshotChunk():
                 self.pieced(now, source, word)
-            case AppendAnswer():
+            case AppendEntriesResponse():
                 self.answered(now, source, word)
-            case PieceAnswer():
+            case InstallSnapshotChunkResponse():
                 self.piece_answered(now, source, word)
 
-    def asked_to_vote(self, now: int, source: str, word: Vote) -> None:
+    def asked_to_vote(self, now: int, source: str, word: RequestVote) -> None:
         # Guards a leader that is heard against a member that does not hear it, or was removed (thesis, 4.2.3).
         content = (
             self.role is Role.LEADER
@@ -263,7 +267,9 @@
         fits = (word.last_term, word.last_index) >= (self.log.last_term, self.log.last)
         if word.early:
             granted = word.term > self.term and fits and not content
-            self.say(source, VoteAnswer(word.term if granted else self.term, granted, True))
+            self.say(
+                source, RequestVoteResponse(word.term if granted else self.term, granted, True)
+            )
             return
         if content and not word.forced and word.term > self.term:
             return
@@ -274,7 +280,7 @@
             if self.voted != source:
                 self.vote_for(source)
             self.due_at = self.again(now)
-        self.say(source, VoteAnswer(self.term, granted, False))
+        self.say(source, RequestVoteResponse(self.term, granted, False))
 
     def counted(self, now: int, source: str, granted: bool) -> None:
         self.votes[source] = granted
@@ -291,9 +297,9 @@
         self.leader = leader
         self.due_at = self.again(now)
 
-    def appended(self, now: int, source: str, word: Append) -> None:
+    def appended(self, now: int, source: str, word: AppendEntries) -> None:
         if not self.from_leader(now, source, word.term):
-            self.say(source, AppendAnswer(self.term, False, self.log.last, word.round))
+            self.say(source, AppendEntriesResponse(self.term, False, self.log.last, word.round))
             return
         log, before, entries = self.log, word.before_index, word.entries
         if before < log.snapshot.index:
@@ -301,7 +307,9 @@
             entries = entries[log.snapshot.index - before :]
             before = log.snapshot.index
         elif log.term(before) != word.before_term:
-            self.say(source, AppendAnswer(self.term, False, self.try_next(before), word.round))
+            self.say(
+                source, AppendEntriesResponse(self.term, False, self.try_next(before), word.round)
+            )
             return
         for number, entry in enumerate(entries, before + 1):
             known = log.term(number)
@@ -309,14 +317,14 @@
                 continue
             if known is not None:
                 if number <= self.commit:
-                    raise Harmed(
+                    raise LogDivergedError(
                         f"entry {number} of term {known} is agreed, the leader of term {word.term} has {entry.term}"
                     )
                 self.cut(number)
             log.append(entry)
         last = before + len(entries)
         self.commit = max(self.commit, min(word.commit, last))
-        self.say(source, AppendAnswer(self.term, True, last, word.round))
+        self.say(source, AppendEntriesResponse(self.term, True, last, word.round))
 
     def cut(self, index: int) -> None:
         self.log.cut(index)
@@ -337,19 +345,19 @@
             return False
         if self.role is not Role.FOLLOWER:
             if self.role is Role.LEADER:
-                raise Harmed(f"two leaders in term {term}: {self.me} and {source}")
+                raise LogDivergedError(f"two leaders in term {term}: {self.me} and {source}")
             self.become(term, Role.FOLLOWER)
         self.leader, self.heard_at = source, now
         self.due_at = self.again(now)
         return True
 
-    def pieced(self, now: int, source: str, word: Piece) -> None:
+    def pieced(self, now: int, source: str, word: InstallSnapshotChunk) -> None:
         if not self.from_leader(now, source, word.term):
-            self.say(source, AppendAnswer(self.term, False, self.log.last, word.round))
+            self.say(source, AppendEntriesResponse(self.term, False, self.log.last, word.round))
             return
         if word.index <= self.commit:
             self.incoming = None
-            self.say(source, AppendAnswer(self.term, True, word.index, word.round))
+            self.say(source, AppendEntriesResponse(self.term, True, word.index, word.round))
             return
         # Bytes of one member's copy need not go with those of another's: a new leader's begins from the front.
         place = (word.index, word.term)
@@ -361,9 +369,9 @@
             if word.last:
                 self.incoming = None
                 self.begin_from(Snapshot(word.index, word.index_term, word.members, bytes(data)))
-                self.say(source, AppendAnswer(self.term, True, word.index, word.round))
+                self.say(source, AppendEntriesResponse(self.term, True, word.index, word.round))
                 return
-        self.say(source, PieceAnswer(self.term, word.index, len(data), word.round))
+        self.say(source, InstallSnapshotChunkResponse(self.term, word.index, len(data), word.round))
 
     def begin_from(self, snapshot: Snapshot) -> None:
         self.log.begin_at(snapshot)
@@ -381,7 +389,7 @@
             m.id: Progress(self.log.last + 1, now) for m in self.log.members if m.id != self.me
         }
         # What earlier terms left counts as agreed only under an entry of this one (Raft, 5.4.2).
-        self.log.append(Entry(self.term, NOTHING, b""))
+        self.log.append(Entry(self.term, ENTRY_NOOP, b""))
         self.spread(now)
 
     def lead(self, now: int) -> None:
@@ -421,7 +429,7 @@
             data = snapshot.data[offset : offset + self.timing.size]
             self.say(
                 ident,
-                Piece(
+                InstallSnapshotChunk(
                     self.term,
                     snapshot.index,
                     snapshot.term,
@@ -447,12 +455,12 @@
         before = peer.next - 1
         self.say(
             ident,
-            Append(
+            AppendEntries(
                 self.term, before, self.log.term(before), tuple(entries), self.commit, self.round
             ),
         )
 
-    def answered(self, now: int, source: str, word: AppendAnswer) -> None:
+    def answered(self, now: int, source: str, word: AppendEntriesResponse) -> None:
         peer = self.peers.get(source)
         if self.role is not Role.LEADER or word.term != self.term or peer is None:
             return
@@ -470,18 +478,18 @@
                 peer.busy_to = 0
             self.settle(now)
         elif peer.sure is not None and word.round >= peer.sure:
-            self.say(source, Disowned(self.term))
+            self.say(source, DataLossDetected(self.term))
         elif peer.sure is None:
             peer.next = max(min(word.index + 1, peer.next - 1), 0)
             peer.busy_to = 0
         if self.role is Role.LEADER and source in self.peers:
             self.append_to(now, source, peer)
             if self.leaving == source and peer.match == self.log.last:
-                self.say(source, TakeOver(self.term))
+                self.say(source, TimeoutNow(self.term))
                 self.leaving_until = now + self.timing.election
         self.confirm()
 
-    def piece_answered(self, now: int, source: str, word: PieceAnswer) -> None:
+    def piece_answered(self, now: int, source: str, word: InstallSnapshotChunkResponse) -> None:
         peer = self.peers.get(source)
         if self.role is not Role.LEADER or word.term != self.term or peer is None:
             return
@@ -522,7 +530,7 @@
             default=None,
         )
         if best is not None and self.peers[best].match == self.log.last:
-            self.say(best, TakeOver(self.term))
+            self.say(best, TimeoutNow(self.term))
 
     def confirm(self) -> None:
         voters = self.voters
@@ -540,9 +548,9 @@
 
     def must_lead(self) -> None:
         if self.role is not Role.LEADER:
-            raise Busy("not the leader")
+            raise BusyError("not the leader")
         if self.leaving:
-            raise Busy("leadership is being handed over")
+            raise BusyError("leadership is being handed over")
 
     def propose(self, now: int, data: bytes) -> tuple[int, int]:
         """Its place in the log and term: agreed once that entry with that term comes as agreed."""
@@ -552,8 +560,8 @@
             len(waiting) >= self.timing.waiting
             or sum(len(e.data) for e in waiting) + len(data) > self.timing.waiting_size
         ):
-            raise Busy("too much waits to be agreed")
-        index = self.log.append(Entry(self.term, DATA, data))
+            raise BusyError("too much waits to be agreed")
+        index = self.log.append(Entry(self.term, ENTRY_COMMAND, data))
         self.spread(now)
         return index, self.term
 
@@ -561,15 +569,15 @@
         """Another set of members: one voter more or less, or other followers."""
         self.must_lead()
         if self.log.changes and self.log.changes[-1][0] > self.commit:
-            raise Busy("another change of members is on its way")
+            raise BusyError("another change of members is on its way")
         # Guards against two leaders with changes side by side, each with a majority of its own (the mended member change of
         # Raft, Ongaro 2015): none before this term has something agreed.
         if self.log.term(self.commit) != self.term:
-            raise Busy("this leader has nothing agreed yet")
+            raise BusyError("this leader has nothing agreed yet")
         old, new = set(self.voters), {m.id for m in members if m.voter}
         if len(old ^ new) > 1 or not new or len({m.id for m in members}) != len(members):
             raise ValueError("one voter at a time, and at least one stays")
-        index = self.log.append(Entry(self.term, CHANGE, encode(members)))
+        index = self.log.append(Entry(self.term, ENTRY_MEMBERSHIP, encode(members)))
         kept = {m.id for m in members}
         for ident in [ident for ident in self.peers if ident not in kept]:
             # Its last words go out, so that it learns of its removal where it can be reached.
@@ -584,9 +592,9 @@
         """`token` comes back among the reads once it is certain that nothing newer was agreed when this was asked."""
         self.must_lead()
         if self.log.term(self.commit) != self.term:
-            raise Busy("this leader has nothing agreed yet")
+            raise BusyError("this leader has nothing agreed yet")
         if len(self.reads) >= 16 * self.timing.waiting:
-            raise Busy("too many reads wait")
+            raise BusyError("too many reads wait")
         # Several in one moment share the round; `beat_at` in the past makes the driver's next call of `passed` send it.
         self.reads.append((token, self.round + 1, self.commit))
         for voter in self.voters:
@@ -612,7 +620,7 @@
             return None
         self.leaving, self.leaving_until = best, now + self.timing.election
         if self.peers[best].match == self.log.last:
-            self.say(best, TakeOver(self.term))
+            self.say(best, TimeoutNow(self.term))
         return best
 
     def compact(self, index: int, data: bytes) -> None:
@@ -625,7 +633,7 @@
 
     # What the owner does about it.
 
-    def take(self) -> Work | None:
+    def take(self) -> Ready | None:
         work = self.work
         if self.fresh_vote:
             work.vote = (self.term, self.voted)
@@ -646,10 +654,10 @@
             work.writes or work.words or work.agreed or work.reads or work.install or work.disowned
         ):
             return None
-        self.work, self.fresh_vote = Work(), False
+        self.work, self.fresh_vote = Ready(), False
         return work
 
-    def written(self, now: int, work: Work) -> None:
+    def written(self, now: int, work: Ready) -> None:
         """All that `work` says to write is flushed."""
         if work.entries:
             self.durable = work.entries[-1][0]
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -21,7 +21,7 @@
 
 from cypresswalk.agreement.log import Snapshot, encode
 from cypresswalk.agreement.messages import Entry
-from cypresswalk.agreement.node import Kept, Work
+from cypresswalk.agreement.node import PersistentState, Ready
 
 NEXT, PREFIX, WITNESS, LOST = "next", "log.", "witness", "lost."
 MAGIC, VERSION = b"CWAGREE\n", 1
@@ -30,10 +30,10 @@
     256 << 20
 )  # of a file: a snapshot and what the bounds of a log let stand beside it, many times over
 SECTOR = 512  # what a disk writes whole or not at all
-LIFE, SNAPSHOT, VOTE, ENTRY, CUT = range(1, 6)
+IDENTITY, SNAPSHOT, VOTE, ENTRY, TRUNCATE = range(1, 6)
 
 
-class Life(msgspec.Struct, frozen=True, array_like=True):
+class LogIdentity(msgspec.Struct, frozen=True, array_like=True):
     """Whose file it is. `boot` counts its starts."""
 
     fleet: str
@@ -42,7 +42,7 @@
     boot: int
 
 
-class Witness(msgspec.Struct, frozen=True, array_like=True):
+class InodeWitness(msgspec.Struct, frozen=True, array_like=True):
     member: str
     files: list[tuple[int, int]]  # the number of a log file and its inode
 
@@ -60,23 +60,23 @@
     def remove(self, name: str) -> None: ...
 
 
-class Damaged(Exception):
+class DamagedLogError(Exception):
     """What was acknowledged may be lost; the message says where. This member is another one from now on."""
 
 
-class Foreign(Exception):
+class ForeignFileError(Exception):
     """Not this program's to replace; the message says which file and why."""
 
 
-witnesses = msgspec.msgpack.Decoder(Witness)
+witnesses = msgspec.msgpack.Decoder(InodeWitness)
 votes = msgspec.msgpack.Decoder(tuple[int, str])
 numbered = msgspec.msgpack.Decoder(tuple[int, Entry])
-FORMS = {
-    LIFE: msgspec.msgpack.Decoder(Life),
+DECODERS = {
+    IDENTITY: msgspec.msgpack.Decoder(LogIdentity),
     SNAPSHOT: msgspec.msgpack.Decoder(Snapshot),
     VOTE: votes,
     ENTRY: numbered,
-    CUT: msgspec.msgpack.Decoder(int),
+    TRUNCATE: msgspec.msgpack.Decoder(int),
 }
 
 
@@ -95,7 +95,7 @@
 
     def __init__(self, files: Files):
         self.files, self.number, self.key, self.broken = files, 0, b"", False
-        self.life: Life | None = None
+        self.life: LogIdentity | None = None
 
     # Reading.
 
@@ -103,7 +103,7 @@
         found = [name[len(PREFIX) :] for name in self.files.names() if name.startswith(PREFIX)]
         return sorted((int(text) for text in found if text.isdecimal()), reverse=True)
 
-    def load(self, fleet: str, name: str, told: Callable[[str], None]) -> Kept | None:
+    def load(self, fleet: str, name: str, told: Callable[[str], None]) -> PersistentState | None:
         """None where there is none. Raises Damaged, Foreign, OSError."""
         numbers = self.numbers()
         if not numbers:
@@ -113,7 +113,7 @@
         file = f"{PREFIX}{self.number}"
         data = self.files.read(file, LARGEST + 1)
         if len(data) > LARGEST:
-            raise Foreign(f"{file}: over {LARGEST} bytes")
+            raise ForeignFileError(f"{file}: over {LARGEST} bytes")
         kept, sound = self.decode(file, data, fleet, name)
         self.check_witness(file)
         if sound < len(data):
@@ -128,14 +128,14 @@
             data = self.files.read(WITNESS, 4096)
             witness = witnesses.decode(data[16:])
         except (OSError, msgspec.DecodeError) as error:
-            raise Damaged(f"{WITNESS}: {error}") from None
+            raise DamagedLogError(f"{WITNESS}: {error}") from None
         if data[:16] != blake2b(data[16:], digest_size=16).digest():
-            raise Damaged(f"{WITNESS}: the checksum is wrong")
+            raise DamagedLogError(f"{WITNESS}: the checksum is wrong")
         if (
             witness.member != self.life.member
             or (self.number, self.files.inode(file)) not in witness.files
         ):
-            raise Damaged(f"{file}: it was put back from a copy")
+            raise DamagedLogError(f"{file}: it was put back from a copy")
 
     def set_aside(self) -> None:
         """What was found can't be gone on from; one such file is kept for people to look at."""
@@ -151,53 +151,55 @@
         )
         self.life, self.broken = None, False
 
-    def decode(self, file: str, data: bytes, fleet: str, name: str) -> tuple[Kept, int]:
+    def decode(self, file: str, data: bytes, fleet: str, name: str) -> tuple[PersistentState, int]:
         head = MAGIC + struct.pack("<H", VERSION)
         if data[: len(MAGIC)] != MAGIC:
-            raise Damaged(f"{file}: no log")
+            raise DamagedLogError(f"{file}: no log")
         (version,) = struct.unpack_from("<H", data, len(MAGIC)) if len(data) >= len(head) else (0,)
         if version > VERSION:
-            raise Foreign(f"{file}: version {version}, this program reads up to {VERSION}")
+            raise ForeignFileError(f"{file}: version {version}, this program reads up to {VERSION}")
         at, key = len(head), first_key(self.number)
         life, kept = None, None
         while at < len(data):
             record = record_at(data, at, key)
             if record is None:
                 if kept is None or not torn(data, at):
-                    raise Damaged(f"{file}: damaged at byte {at}")
+                    raise DamagedLogError(f"{file}: damaged at byte {at}")
                 break
             kind, body, key = record
             at += RECORD.size + len(body)
             try:
-                value = FORMS[kind].decode(body)
+                value = DECODERS[kind].decode(body)
             except (KeyError, msgspec.DecodeError) as error:
-                raise Damaged(f"{file}: a record of kind {kind} can't be read: {error}") from None
-            if kind == LIFE:
+                raise DamagedLogError(
+                    f"{file}: a record of kind {kind} can't be read: {error}"
+                ) from None
+            if kind == IDENTITY:
                 life = value
                 if life.fleet != fleet or life.member.partition("#")[0] != name:
-                    raise Foreign(
+                    raise ForeignFileError(
                         f"{file}: it is of {life.member.partition('#')[0]!r} in fleet {life.fleet!r}"
                     )
             elif kind == SNAPSHOT:
-                kept = Kept(value)
+                kept = PersistentState(value)
             elif kept is None:
-                raise Damaged(f"{file}: it does not begin with a snapshot")
+                raise DamagedLogError(f"{file}: it does not begin with a snapshot")
             elif kind == VOTE:
                 kept.term, kept.voted = value
-            elif kind == CUT:
+            elif kind == TRUNCATE:
                 del kept.entries[max(value - kept.snapshot.index - 1, 0) :]
             elif value[0] != kept.snapshot.index + len(kept.entries) + 1:
-                raise Damaged(f"{file}: entry {value[0]} out of its place")
+                raise DamagedLogError(f"{file}: entry {value[0]} out of its place")
             else:
                 kept.entries.append(value[1])
         if life is None or kept is None:
-            raise Damaged(f"{file}: it ends before its snapshot")
+            raise DamagedLogError(f"{file}: it ends before its snapshot")
         self.life, self.key = life, key
         return kept, at
 
     # Writing.
 
-    def begin(self, life: Life, kept: Kept) -> None:
+    def begin(self, life: LogIdentity, kept: PersistentState) -> None:
         """A whole new file. At each start too: so a torn tail goes for good, and `boot` is on disk before a word is said."""
         self.life = life
         self.whole(
@@ -211,7 +213,7 @@
     ) -> None:
         number = self.number + 1
         parts = [
-            (LIFE, self.life),
+            (IDENTITY, self.life),
             (SNAPSHOT, snapshot),
             (VOTE, vote),
             *((ENTRY, entry) for entry in entries),
@@ -222,7 +224,7 @@
             places = [(number, self.files.inode(NEXT))]
             if self.number in self.numbers():
                 places.append((self.number, self.files.inode(f"{PREFIX}{self.number}")))
-            body = encode(Witness(self.life.member, places))
+            body = encode(InodeWitness(self.life.member, places))
             self.files.write(f"{WITNESS}.{NEXT}", blake2b(body, digest_size=16).digest() + body)
             self.files.rename(f"{WITNESS}.{NEXT}", WITNESS)
             self.files.flush()
@@ -241,7 +243,7 @@
             out.append(data)
         return b"".join(out), key
 
-    def write(self, work: Work) -> None:
+    def write(self, work: Ready) -> None:
         """All of it, flushed; or OSError."""
         if self.broken:
             raise OSError(5, "an earlier write failed")
@@ -250,7 +252,7 @@
             return
         parts: list[tuple[int, object]] = []
         if work.cut is not None:
-            parts.append((CUT, work.cut))
+            parts.append((TRUNCATE, work.cut))
         if work.vote is not None:
             parts.append((VOTE, work.vote))
         parts += [(ENTRY, entry) for entry in work.entries]
--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -4,11 +4,11 @@
 import struct
 
 from cypresswalk.hosting import SettingsError, decode_settings, nanoseconds, sound_weight
-from cypresswalk.model import Server, Settings, State
+from cypresswalk.model import Server, ServerState, Settings
 
 HEADER = struct.Struct("<IId")
 ENTRY = struct.Struct("<HdHIHfB")
-STATES = {0: State.READY, 1: State.GONE, 2: State.DRAINING}
+STATES = {0: ServerState.READY, 1: ServerState.GONE, 2: ServerState.DRAINING}
 
 
 class WireError(Exception):
--- a/cypresswalk/choice.py
+++ b/cypresswalk/choice.py
@@ -18,22 +18,22 @@
 from cypresswalk.model import (
     SECOND,
     Abort,
-    Connect,
+    CheckHealth,
     Decision,
     Effect,
+    EndpointUpdate,
     Flow,
-    ListForm,
-    Move,
+    Migrate,
     Outcome,
-    Probe,
     Reject,
+    ScheduleWakeup,
     Scope,
+    SendGossip,
     Server,
+    ServerState,
     Settings,
-    State,
+    StartAttempt,
     Subscribe,
-    Tell,
-    Wake,
 )
 
 RISE, FALL = 2, 3  # the article's example, after HAProxy
@@ -142,7 +142,7 @@
         self.ways: dict[int, tuple[int, int]] = {}
         self.next_wake = self.asks_failed = 0
         self.next_look = now  # when a server next wants a probe or gives up a flow
-        self.next_ask = now if settings.list_asked else None
+        self.next_ask = now if settings.list_polled else None
         self.silenced: dict[Flow, None] = {}  # to be moved: nothing comes back on them
         # Half a minute: long enough that a burst does not pass for capacity in the cold budget.
         self.carried, self.borne = Decaying(30 * SECOND, now), Decaying(30 * SECOND, now)
@@ -153,7 +153,7 @@
         self.denied, self.erred, self.took = (Decaying(10 * SECOND, now) for _ in range(3))
         self.next_trial = self.next_borne = now
         self.taken = self.further = None  # counts of flows, and of connects beyond their first
-        self.resettled(now, settings)
+        self.on_settings(now, settings)
         # Half a minute: a balancer among hundreds sees a few flows in it.
         self.arrivals, self.hints = Decaying(30 * SECOND, now), Decaying(30 * SECOND, now)
         self.probe_time, self.probe_time_at = (
@@ -163,11 +163,11 @@
 
     # What has happened.
 
-    def resettled(self, now: int, settings: Settings) -> None:
+    def on_settings(self, now: int, settings: Settings) -> None:
         """Other settings from now on; flows that are held go by those that they came under."""
         window, before, self.settings = (
-            settings.further_window,
-            self.settings.further_window,
+            settings.retry_window,
+            self.settings.retry_window,
             settings,
         )
         if not window:
@@ -175,19 +175,23 @@
         elif self.taken is None or window != before:
             self.taken, self.further = Counted(window, now), Counted(window, now)
             if now > self.started:  # what went before is not known by this window
-                self.spent_elsewhere(now)
-        targets = [t.message_target for t in settings.service_types if t.message_target]
+                self.assume_retry_budget_spent(now)
+        targets = [
+            t.message_latency_objective
+            for t in settings.service_types
+            if t.message_latency_objective
+        ]
         self.message_target = min(targets, default=0)
         self.next_look = now
 
-    def listed(self, now: int, form: ListForm, entries: list[Server]) -> None:
-        if form is ListForm.FAILED:
+    def on_endpoints(self, now: int, form: EndpointUpdate, entries: list[Server]) -> None:
+        if form is EndpointUpdate.FAILED:
             # Calls wait in turn at one service: coming back at once would keep it jammed, so waits double.
             self.asks_failed += 1
-            wait = min(SECOND << min(self.asks_failed - 1, 4), self.settings.ask_within // 4)
+            wait = min(SECOND << min(self.asks_failed - 1, 4), self.settings.poll_within // 4)
             self.next_ask = now + self.jittered(wait, 0.3)
             return
-        if form is not ListForm.CACHED:
+        if form is not EndpointUpdate.CACHED:
             self.asks_failed = 0
         named = {entry.id for entry in entries}
         for entry in entries:
@@ -195,10 +199,10 @@
             if server is None:
                 server = self.servers[entry.id] = entry
                 server.health = RISE - 1
-                server.fresh = form is not ListForm.CACHED
-                server.dealt = Decaying(max(2 * self.settings.fall_window, 1), now)
+                server.fresh = form is not EndpointUpdate.CACHED
+                server.dealt = Decaying(max(2 * self.settings.slow_start_window, 1), now)
                 server.drops = Decaying(DROPS_TAU, now)
-                server.filled = Decaying(max(2 * self.settings.fall_window, 1), now)
+                server.filled = Decaying(max(2 * self.settings.slow_start_window, 1), now)
                 # A new server is of no use before its first probe: that one is spread over two seconds of
                 # time, and not at all where probes are cheap. Guards against a grown fleet that stands empty.
                 stretch = self.stretch(now)
@@ -207,15 +211,15 @@
                     server, self.probe_clock(now) + int(self.jittered(FAST, 0.9) * spread)
                 )
             else:
-                back = server.state is State.GONE and entry.state is State.READY
+                back = server.state is ServerState.GONE and entry.state is ServerState.READY
                 if back or entry.since != server.since:
                     self.restart(now, server)
                 server.zone, server.cell, server.weight = entry.zone, entry.cell, entry.weight
                 server.since, server.state = entry.since, entry.state
-        if form is not ListForm.DELTA:
+        if form is not EndpointUpdate.DELTA:
             for server in self.servers.values():
                 if server.id not in named:
-                    server.state = State.GONE
+                    server.state = ServerState.GONE
         self.stale = True
         self.next_look = now
 
@@ -225,30 +229,30 @@
         server.answers, server.misses, server.errors, server.failed, server.strain = 0, 0, 0, 0, 0.0
         server.full_until, server.limit = 0, math.inf
 
-    def taken_out(self, now: int, server: Server) -> None:
+    def remove_from_rotation(self, now: int, server: Server) -> None:
         """By hand, until put back, whatever lists say. Twice is once."""
         if not server.barred:
             server.barred, server.barred_at, server.owed = True, now, False
             self.stale = True
             self.doubt(now, server)
 
-    def put_back(self, now: int, server: Server) -> None:
+    def return_to_rotation(self, now: int, server: Server) -> None:
         """As a server that has just started; its start time tells whether it is cold."""
         if server.barred:
             server.barred, server.owed, self.stale = False, True, True
             self.restart(now, server)
             self.next_look = now
 
-    def succeeds(self, now: int) -> None:
+    def on_predecessor_lost(self, now: int) -> None:
         """A balancer was lost in whose place this one comes: what it spent of cold servers' budgets is not
         known, so all of it counts as spent for its window."""
-        self.dealt_until = now + self.settings.fall_window
-        self.spent_elsewhere(now)
+        self.dealt_until = now + self.settings.slow_start_window
+        self.assume_retry_budget_spent(now)
 
-    def spent_elsewhere(self, now: int) -> None:
+    def assume_retry_budget_spent(self, now: int) -> None:
         """How many further connects another process made, in whose place this one comes, is not known."""
         if self.further is not None:
-            self.further.add(now, math.ceil(self.settings.further_free))
+            self.further.add(now, math.ceil(self.settings.retry_budget_base))
 
     def yield_budgets(self, now: int) -> None:
         """Another process takes what is left of cold servers' budgets, and of that of further connects."""
@@ -258,27 +262,27 @@
             server.dealt.add(now, YIELDED)
             server.owed = False
 
-    def avoided(self, now: int, server: Server) -> bool:
+    def is_avoided(self, now: int, server: Server) -> bool:
         """Whether new flows pass it over now, by hand, by the list or by own judgement."""
         placed = any(server in group for _, group in self.pools())
         return not placed or now < server.full_until or max(server.misses, server.errors) >= MISSES
 
-    def arrived(self, now: int, flow: Flow) -> None:
+    def on_flow(self, now: int, flow: Flow) -> None:
         self.hold(now, flow)
-        if not flow.again:
+        if not flow.returning:
             self.arrivals.add(now, 1)
         if self.taken is not None:
             self.taken.add(now)
         self.waiting.append(flow)
 
-    def resumed(self, now: int, flow: Flow, server: Server) -> None:
+    def on_flow_resumed(self, now: int, flow: Flow, server: Server) -> None:
         """An established flow that was routed through here already."""
         self.hold(now, flow)
-        flow.tried.append(server)
+        flow.attempts.append(server)
         flow.established = True
         self.take(flow, server, server.flows)
 
-    def established(self, now: int, flow: Flow, took: int) -> None:
+    def on_established(self, now: int, flow: Flow, took: int) -> None:
         server = flow.server
         flow.established = True
         server.out.pop(flow, None)
@@ -288,16 +292,16 @@
         server.misses = server.errors = 0
         self.ways.pop(server.zone, None)
         server.owed = False
-        if flow.last is Outcome.ERROR:
+        if flow.last_outcome is Outcome.ERROR:
             # Told by a flow that another server took: guards against odd flows speaking against all servers.
             # What stands there may be served well: only new flows pass it over.
-            flow.tried[-2].errors += 1
-            flow.tried[-2].trial_at = now + self.jittered(TRIAL, JITTER)
+            flow.attempts[-2].errors += 1
+            flow.attempts[-2].trial_at = now + self.jittered(TRIAL, JITTER)
         self.setup_time.add(now, took)
         self.setups.add(now, 1)
         self.took.add(now, 1)
 
-    def ended(self, now: int, flow: Flow, outcome: Outcome, final: bool, took: int) -> None:
+    def on_ended(self, now: int, flow: Flow, outcome: Outcome, final: bool, took: int) -> None:
         server = flow.server
         self.drop(flow)
         if flow.established:
@@ -307,7 +311,7 @@
                 self.cut(now, server)
                 # A server that drops what it has just set up is as good as full: guards against a few such
                 # servers that draw most flows, one after another, since each leaves room for the next.
-                if now - flow.sent < SETTLED:
+                if now - flow.attempt_sent_at < SETTLED:
                     server.full_until = now + self.jittered(TRIAL, JITTER)
                     # Only this balancer saw it, and the client comes back to another one.
                     self.news(now, server, SHED)
@@ -315,9 +319,9 @@
             self.judge_connect(now, server, outcome, took)
             self.erred.add(now, outcome is Outcome.ERROR)
             self.denied.add(now, outcome is not Outcome.MOOT)
-            if not outcome.never_ran and flow.may_have_run is None:
-                flow.may_have_run, flow.ran_at = server, flow.sent
-        flow.last, flow.server = outcome, None
+            if not outcome.never_ran and flow.may_have_run_on is None:
+                flow.may_have_run_on, flow.may_have_run_since = server, flow.attempt_sent_at
+        flow.last_outcome, flow.server = outcome, None
         if final:
             self.forget(flow)
         else:
@@ -364,13 +368,13 @@
                 self.setup_time.add(now, took)
                 self.setups.add(now, 1)
 
-    def left(self, now: int, flow: Flow) -> None:
+    def on_client_gone(self, now: int, flow: Flow) -> None:
         """The client is gone. A connect still out is forgotten here; its end tells nothing more."""
         self.forget(flow)
         if flow.server is not None:
             self.drop(flow)
 
-    def silent(self, now: int, flow: Flow, alone: bool) -> None:
+    def on_silence(self, now: int, flow: Flow, alone: bool) -> None:
         """Its client speaks and nothing comes back. Guards against a server, or a way to it, that passes
         probes but no longer serves what stands there; `alone`, it answers others and is not blamed."""
         if not alone:
@@ -380,12 +384,12 @@
     def hold(self, now: int, flow: Flow) -> None:
         self.flows[flow.id] = flow
         self.keys[flow.key] += 1
-        self.customers[flow.customer] += 1
+        self.customers[flow.tenant] += 1
 
     def forget(self, flow: Flow) -> None:
         self.silenced.pop(flow, None)
         if self.flows.pop(flow.id, None) is not None:
-            self.customers[flow.customer] -= 1
+            self.customers[flow.tenant] -= 1
             self.keys[flow.key] -= 1
             if not self.keys[flow.key]:
                 del self.keys[flow.key]
@@ -416,7 +420,9 @@
         groups += flow.grouped and flow.key not in server.groups
         return len(server.out) + len(server.flows) + 1 + GROUP_WORK * groups
 
-    def probed(self, now: int, server: Server, passed: bool, load: float | None) -> None:
+    def on_health_check_result(
+        self, now: int, server: Server, passed: bool, load: float | None
+    ) -> None:
         server.probing = False
         self.freed = True
         was_up = self.up(server)
@@ -445,19 +451,19 @@
         return self.probe_time
 
     def stretch(self, now: int) -> float:
-        if not self.settings.probe_price:
+        if not self.settings.health_check_price:
             return 1.0
         seen = self.arrivals.tau * (1 - math.exp((self.started - now) / self.arrivals.tau))
         # One more than came: rather a few probes than none.
         flows = (self.arrivals.read(now) + 1) / max(seen, self.arrivals.tau)
-        afford = flows * PROBE_POINTS / self.settings.probe_price
+        afford = flows * PROBE_POINTS / self.settings.health_check_price
         return max(1.0, len(self.servers) / NORMAL / afford)
 
-    def delay_told(self, now: int, server: Server, delay: int) -> None:
+    def on_message_delay(self, now: int, server: Server, delay: int) -> None:
         server.delay = delay
         self.judge_strain(now, server, delay / self.message_target if self.message_target else 0.0)
 
-    def peer_told(self, now: int, server: Server, strain: float) -> None:
+    def on_gossip(self, now: int, server: Server, strain: float) -> None:
         """A hint only: it has the server passed over for a while and moves nothing."""
         server.told_at = now
         if now - server.strain_at > STRAIN_HOLD or strain > server.strain:
@@ -467,12 +473,12 @@
         """Tells the others that a server is strained, or such as have no flow there would send it more. Where
         many hear the same, as many of them tell, by chance, as the price allows."""
         if (
-            not self.settings.peers
+            not self.settings.gossip
             or self.settings.instances < 2
             or now - server.told_at < TELL_EVERY
         ):
             return
-        price = self.settings.peer_price * HINT_PART * (self.settings.instances - 1)
+        price = self.settings.gossip_price * HINT_PART * (self.settings.instances - 1)
         left = (self.arrivals.read(now) + 1) * HINT_POINTS - self.hints.read(now) * price
         if self.draw() * price < left and self.draw() * hearers * price < TELL_POINTS:
             server.told_at = now
@@ -496,23 +502,23 @@
             self.keep_at(now, server, (EASE if strain >= WORN else 1.0) * self.load(server))
         self.doubt(now, server)
 
-    def woken(self, now: int) -> None:
+    def on_wakeup(self, now: int) -> None:
         self.next_wake = 0
 
     # What to do about it.
 
-    def decide(self, now: int) -> Decision | None:
+    def next_decision(self, now: int) -> Decision | None:
         # Any of them may be due first: flows that were tried before are held for a shorter time.
-        if self.held and (self.freed or any(now >= flow.due(now) for flow in self.held)):
+        if self.held and (self.freed or any(now >= flow.next_due(now) for flow in self.held)):
             self.waiting.extendleft(reversed(self.held))
             self.held.clear()
         self.freed = False
         if self.silenced:
             flow, _ = self.silenced.popitem()
             self.drop(flow)
-            return Move(flow)
+            return Migrate(flow)
         if self.to_tell:
-            return Tell(*self.to_tell.pop())
+            return SendGossip(*self.to_tell.pop())
         while self.waiting:
             flow = self.waiting.popleft()
             if flow.id in self.flows:
@@ -520,7 +526,7 @@
                     return decision
                 self.held.append(flow)
         if self.to_ask:
-            return Probe(self.to_ask.pop())
+            return CheckHealth(self.to_ask.pop())
         if self.next_ask is not None and now >= self.next_ask:
             self.next_ask = None
             return Subscribe()
@@ -529,11 +535,11 @@
         due = min(
             [self.next_look]
             + [self.next_ask] * (self.next_ask is not None)
-            + [flow.due(now) for flow in self.held]
+            + [flow.next_due(now) for flow in self.held]
         )
         if not self.next_wake or due < self.next_wake:
             self.next_wake = due
-            return Wake(due - now)
+            return ScheduleWakeup(due - now)
         return None
 
     def look(self, now: int) -> Decision | None:
@@ -543,13 +549,19 @@
         while self.probes and self.probes[0][0] <= clock:
             at, _, server = heappop(self.probes)
             # An entry is void once the probe was put forward or is out.
-            if at == server.next_probe and not server.probing and server.state is not State.GONE:
+            if (
+                at == server.next_probe
+                and not server.probing
+                and server.state is not ServerState.GONE
+            ):
                 server.probing = True
-                return Probe(server)
+                return CheckHealth(server)
         due = now + 60 * SECOND  # nothing to do: any time will do
         if self.probes:
             due = now + 1 + int((self.probes[0][0] - clock) * self.stretch(now))
-        if self.settings.zone_price >= max(HOMING * self.settings.move_price, DEAR_CROSSING):
+        if self.settings.zone_crossing_price >= max(
+            HOMING * self.settings.migration_price, DEAR_CROSSING
+        ):
             if now >= self.next_home:
                 far = [
                     s
@@ -569,7 +581,7 @@
         for server in list(self.doubted):
             if now >= server.next_move:
                 if (flow := self.to_move(now, server)) is not None:
-                    return Move(flow)
+                    return Migrate(flow)
             if server.next_move > now:
                 due = min(due, server.next_move)
             else:
@@ -579,29 +591,29 @@
 
     def probe_at(self, server: Server, clock: int) -> None:
         server.next_probe = clock
-        if self.settings.probes:
+        if self.settings.health_checks:
             self.entered += 1
             heappush(self.probes, (clock, self.entered, server))
 
     def place(self, now: int, flow: Flow) -> Decision | None:
         """None holds the flow for a while: set-ups under way will make room."""
-        spent = len(flow.tried) >= self.settings.max_connects
-        if flow.until <= now or spent or not self.may_go_again(now, flow):
+        spent = len(flow.attempts) >= self.settings.max_attempts
+        if flow.deadline <= now or spent or not self.may_go_again(now, flow):
             return self.give_up(now, flow)
         if now >= self.next_borne:
             self.bear(now)
-        if not flow.ask_until:
-            flow.ask_until = now + flow.type.setup_target // 10
+        if not flow.await_checks_until:
+            flow.await_checks_until = now + flow.service_type.setup_latency_objective // 10
             self.deal(now, flow)
             self.ask(now, flow)
-        if now < flow.ask_until and any(s.probing for s in flow.asked):
+        if now < flow.await_checks_until and any(s.probing for s in flow.awaited_checks):
             return None
         # A client that comes back to places that all miss their targets would only be dropped again. Guards
         # against the jam in which hundreds of balancers set up, by turns, what the servers cannot hold.
         # Where the nearest pool has fewer the next one's count: guards against rejects beside idle servers.
         places = chain.from_iterable(self.walk(table, flow.key) for table, _ in self.pools())
         if (
-            flow.again
+            flow.returning
             and flow.grouped
             and all(s.strain >= SHED and self.strained(now, s) for s in islice(places, CHOICES))
         ):
@@ -610,39 +622,41 @@
         # back at once: twice what was taken goes (as published for clients of an overloaded service).
         erred, took = self.erred.read(now) - MISSES, self.took.read(now)
         if erred > took and (
-            not flow.last.never_ran
-            if flow.tried
+            not flow.last_outcome.never_ran
+            if flow.attempts
             else now < self.next_trial and self.draw() < (erred - took) / (erred + took)
         ):
-            self.erred.add(now, not flow.tried)
+            self.erred.add(now, not flow.attempts)
             return self.give_up(now, flow)
         server = self.pick(now, flow)
         if server is None:
-            if not flow.held_until:
-                flow.held_until = min(now + flow.type.setup_target // 2, flow.until)
+            if not flow.queued_until:
+                flow.queued_until = min(
+                    now + flow.service_type.setup_latency_objective // 2, flow.deadline
+                )
             busy = any(len(s.out) >= IN_FLIGHT for s in self.servers.values())
-            return None if busy and now < flow.held_until else self.give_up(now, flow)
-        if flow.tried and self.further is not None:
+            return None if busy and now < flow.queued_until else self.give_up(now, flow)
+        if flow.attempts and self.further is not None:
             if not self.affords(now):
                 return self.give_up(now, flow)
             self.further.add(now)
         if self.way_lost(server):
             self.ways[server.zone] = self.ways[server.zone][0], now + self.jittered(TRIAL, JITTER)
-        flow.tried.append(server)
-        flow.sent = now
+        flow.attempts.append(server)
+        flow.attempt_sent_at = now
         self.next_trial = now + TELLS_BY
         self.take(flow, server, server.out)
-        return Connect(flow, server, self.patience(now, flow))
+        return StartAttempt(flow, server, self.patience(now, flow))
 
     def ask(self, now: int, flow: Flow) -> None:
         """Where probes bring load reports, a probe of the flow's places before it is placed. Guards against
         sending by reports as old as the interval that a balancer with few flows can pay for."""
-        if self.settings.load_index < 0 or not self.settings.probes:
+        if self.settings.load_index < 0 or not self.settings.health_checks:
             return
         for table, _ in self.pools()[:1]:
             for server in islice(self.walk(table, flow.key), CHOICES):
                 if server.probing or now - server.strain_at > FAST:
-                    flow.asked.append(server)
+                    flow.awaited_checks.append(server)
                     if not server.probing:
                         server.probing = True
                         self.to_ask.append(server)
@@ -652,16 +666,16 @@
         self.forget(flow)
         self.denied.add(now, 1)
         harmless = (
-            flow.may_have_run is None
-            or flow.type.effect is Effect.REPEATABLE
-            or flow.type.effect is Effect.REFERENCED
-            and flow.type.scope is Scope.ALL
+            flow.may_have_run_on is None
+            or flow.service_type.effect is Effect.IDEMPOTENT
+            or flow.service_type.effect is Effect.IDEMPOTENCY_KEY
+            and flow.service_type.scope is Scope.ALL
         )
         if not harmless:
             return Abort(flow)
         wait = (
-            min(flow.type.setup_target, self.settings.max_retry_after)
-            if self.settings.retry_after
+            min(flow.service_type.setup_latency_objective, self.settings.max_retry_after)
+            if self.settings.retry_after_allowed
             else 0
         )
         return Reject(flow, wait)
@@ -669,27 +683,32 @@
     def affords(self, now: int) -> bool:
         """Whether a further connect stays within what the settings allow in any window."""
         s = self.settings
-        return self.further.most(now) + 1 <= s.further_free + s.further_part * self.taken.least(now)
+        return self.further.most(
+            now
+        ) + 1 <= s.retry_budget_base + s.retry_budget_ratio * self.taken.least(now)
 
     def may_go_again(self, now: int, flow: Flow) -> bool:
-        if flow.may_have_run is None or flow.type.effect is Effect.REPEATABLE:
+        if flow.may_have_run_on is None or flow.service_type.effect is Effect.IDEMPOTENT:
             return True
-        return flow.type.effect is Effect.REFERENCED and now < flow.ran_at + flow.type.window
+        return (
+            flow.service_type.effect is Effect.IDEMPOTENCY_KEY
+            and now < flow.may_have_run_since + flow.service_type.idempotency_window
+        )
 
     def patience(self, now: int, flow: Flow) -> int:
         """How long a connect may stay out: half the setup target, so that a second one can meet it; more
         where set-ups are slow everywhere; all there is for the last one, or one not to be repeated."""
-        last = len(flow.tried) >= self.settings.max_connects
-        if last or flow.type.effect is not Effect.REPEATABLE:
+        last = len(flow.attempts) >= self.settings.max_attempts
+        if last or flow.service_type.effect is not Effect.IDEMPOTENT:
             return 0
         usual = self.setup_time.read(now) / max(self.setups.read(now), 1.0)
-        span = max(flow.type.setup_target // 2, int(3 * usual))
-        return span if now + span < flow.until else 0
+        span = max(flow.service_type.setup_latency_objective // 2, int(3 * usual))
+        return span if now + span < flow.deadline else 0
 
     # Where to.
 
     def up(self, server: Server) -> bool:
-        if server.state is not State.READY or server.fresh or server.barred:
+        if server.state is not ServerState.READY or server.fresh or server.barred:
             return False
         return server.health >= RISE or not server.known
 
@@ -698,14 +717,16 @@
         listed ones serve: probes that all time out must never empty the table."""
         if self.stale:
             self.stale = False
-            ready = [s for s in self.servers.values() if s.state is State.READY and not s.barred]
+            ready = [
+                s for s in self.servers.values() if s.state is ServerState.READY and not s.barred
+            ]
             up = [s for s in ready if self.up(s)] or ready
             # Lists come in parts and mostly repeat what is known: a table is built when it would differ.
             members = [(s.id, s.zone, s.weight) for s in up]
             if members != self.members:
                 self.members = members
                 groups = [up]
-                if self.settings.zone_price >= DEAR_CROSSING:
+                if self.settings.zone_crossing_price >= DEAR_CROSSING:
                     zone = self.settings.zone
                     groups = [[s for s in up if (s.zone == zone) is near] for near in (True, False)]
                 self.tables = [(maglev(group), group) for group in groups if group]
@@ -720,7 +741,7 @@
         # Guards against a server put back by hand that stays empty: of its small part few are its own keys.
         for server in (s for _, servers in pools for s in servers if s.owed):
             if (
-                server not in flow.tried
+                server not in flow.attempts
                 and self.in_scope(flow, server)
                 and self.admits(now, server, flow, True)
                 and self.sound(now, server, flow, True)
@@ -738,7 +759,9 @@
                 if spare and self.cold(now, server):
                     continue
                 if self.in_scope(flow, server) and self.admits(now, server, flow, server is home):
-                    if server not in flow.tried and self.sound(now, server, flow, server is home):
+                    if server not in flow.attempts and self.sound(
+                        now, server, flow, server is home
+                    ):
                         load = self.load(server, flow) / server.weight
                         if load * server.weight <= PASS_OVER_FLOOR or load <= PASS_OVER * self.mean(
                             now, servers
@@ -755,13 +778,13 @@
         """Rather than give up: a cold server that holds less than its present part of what warm ones
         have held here. Flows that stand for minutes say little by how many end in a window, which is what the
         budget is dealt by. Guards against cold servers that stand empty beside rejects."""
-        if not self.settings.moves or now < self.dealt_until:
+        if not self.settings.can_migrate or now < self.dealt_until:
             return None
         for table, _ in self.pools():
             for server in self.walk(table, flow.key):
                 if (
                     self.cold(now, server)
-                    and server not in flow.tried
+                    and server not in flow.attempts
                     and self.in_scope(flow, server)
                     and now >= server.full_until
                     and len(server.out) <= min(server.answers, IN_FLIGHT - 1)
@@ -811,10 +834,18 @@
 
     def in_scope(self, flow: Flow, server: Server) -> bool:
         """Guards against a second effect: a referenced flow that may have run stays in its group."""
-        ran = flow.may_have_run
-        if ran is None or flow.type.effect is Effect.REPEATABLE or flow.type.scope is Scope.ALL:
+        ran = flow.may_have_run_on
+        if (
+            ran is None
+            or flow.service_type.effect is Effect.IDEMPOTENT
+            or flow.service_type.scope is Scope.ALL
+        ):
             return True
-        return server.zone == ran.zone if flow.type.scope is Scope.ZONE else server.cell == ran.cell
+        return (
+            server.zone == ran.zone
+            if flow.service_type.scope is Scope.ZONE
+            else server.cell == ran.cell
+        )
 
     def limit(self, now: int, server: Server) -> float:
         if server.limit == math.inf:
@@ -831,8 +862,8 @@
 
     def warmed(self, now: int, server: Server) -> float:
         """The part of its capacity that a server started lately is taken to have."""
-        s, age = self.settings, min(max(now - server.since, 0), self.settings.cold)
-        return s.cold_share + (1 - s.cold_share) * age / s.cold
+        s, age = self.settings, min(max(now - server.since, 0), self.settings.warm_up_time)
+        return s.warm_up_initial_fraction + (1 - s.warm_up_initial_fraction) * age / s.warm_up_time
 
     def fits(
         self, limit: float, server: Server, flow: Flow, without: float, with_it: float
@@ -875,7 +906,7 @@
         # Of a cold server's flows a part. In flight: one more than it has answered.
         return (
             not self.cold(now, server)
-            or server in flow.admitted
+            or server in flow.slow_start_admitted
             and len(server.out) <= server.answers
         )
 
@@ -899,7 +930,7 @@
         return server.strain > STRAINED and now - server.strain_at < STRAIN_HOLD
 
     def cold(self, now: int, server: Server) -> bool:
-        return server.since > 0 and now - server.since < self.settings.cold
+        return server.since > 0 and now - server.since < self.settings.warm_up_time
 
     def deal(self, now: int, flow: Flow) -> None:
         """Guards cold servers against the sum of all balancers. Each flow that comes may go to a cold server
@@ -913,7 +944,7 @@
             return
         s = self.settings
         seen = 1 - math.exp((self.started - now) / self.carried.tau)
-        usual = self.carried.read(now) / max(seen, 0.05) * s.fall_window / self.carried.tau
+        usual = self.carried.read(now) / max(seen, 0.05) * s.slow_start_window / self.carried.tau
         fleet = sum(server.weight for server in self.servers.values() if self.up(server))
         keys = (self.keys[flow.key] - 1) / len(self.flows) if flow.grouped else 0.0
         homes = [table[mix(flow.key) % TABLE_SIZE] for table, _ in self.pools()]
@@ -929,12 +960,12 @@
             first = server.owed and not server.answers and not server.out
             chance = 1.0 if first else part * share / max(share, keys)
             if (mix(flow.id ^ server.id) & 0xFFFFFFFF) / 0xFFFFFFFF < chance:
-                flow.admitted.append(server)
+                flow.slow_start_admitted.append(server)
 
     # Moving established flows.
 
     def to_move(self, now: int, server: Server) -> Flow | None:
-        if not self.settings.moves or not server.flows:
+        if not self.settings.can_migrate or not server.flows:
             return None
         if not self.up(server) and server.failed >= MISSES or server.misses >= MISSES:
             ready = [s for s in self.servers.values() if self.up(s)]
@@ -973,13 +1004,13 @@
     def release(self, server: Server) -> Flow:
         """A flow beyond its customer's share before others, the smallest group first, since a group asks its
         own work wherever any of it stands; of equals the one that yields first at all balancers."""
-        shares = self.settings.shares if self.settings.overage_payoff < 1 else []
+        shares = self.settings.quotas if self.settings.overage_weight < 1 else []
         over = {
             customer
             for customer, count in self.customers.items()
             if customer < len(shares) and count * self.settings.instances > shares[customer]
         }
-        ranked = [(f.customer not in over, server.groups[f.key]) for f in server.flows]
+        ranked = [(f.tenant not in over, server.groups[f.key]) for f in server.flows]
         first = min(ranked)
         return max(
             (f for f, place in zip(server.flows, ranked) if place == first),
--- a/cypresswalk/cli/faults.py
+++ b/cypresswalk/cli/faults.py
@@ -6,7 +6,7 @@
 
 import click
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 
 def address(context: click.Context, option: click.Parameter, text: str) -> tuple[str, int]:
@@ -57,7 +57,7 @@
     from cypresswalk.faults.proxy import DatagramProxy, Proxy
 
     if plan and replay:
-        raise Refusal("--plan and --replay: one of them only")
+        raise CommandError("--plan and --replay: one of them only")
     wanted = plans.read_record(replay) if replay else plans.read(plan) if plan else plans.Plan()
     told = (lambda *_: None) if quiet else (lambda fault, ports: click.echo(fault.line()))
     proxy = (DatagramProxy if udp else Proxy)(listen, to, wanted, seed, time.monotonic_ns, told)
@@ -69,7 +69,9 @@
         try:
             await proxy.start()
         except OSError as error:
-            raise Refusal(f"--listen {listen[0]}:{listen[1]}: {error.strerror or error}") from None
+            raise CommandError(
+                f"--listen {listen[0]}:{listen[1]}: {error.strerror or error}"
+            ) from None
         click.echo("listening on %s:%d" % proxy.address, err=True)
         await stop.wait()
         await proxy.stop()
@@ -81,5 +83,5 @@
         try:
             proxy.record.save(record)
         except OSError as error:
-            raise Refusal(f"--record {record}: {error.strerror or error}") from None
+            raise CommandError(f"--record {record}: {error.strerror or error}") from None
     return 0
--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -7,7 +7,7 @@
 
 import click
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 UNSURE = 4
 
@@ -22,10 +22,10 @@
 
         try:
             ok, body = client.call(self.addresses, self.fleet, name, args, self.span)
-        except client.Unsure as error:
+        except client.UncertainOutcomeError as error:
             raise click.exceptions.Exit(said_unsure(str(error))) from None
         if not ok:
-            raise Refusal(str(body.get("why", body) if isinstance(body, dict) else body))
+            raise CommandError(str(body.get("why", body) if isinstance(body, dict) else body))
         return body
 
     def command(self, name: str, **args: Any) -> Any:
@@ -66,16 +66,16 @@
         return
     if at:
         if not name:
-            raise Refusal("--fleet: the fleet's name is needed with --at")
+            raise CommandError("--fleet: the fleet's name is needed with --at")
         context.obj = Asked([part.strip() for part in at.split(",")], name, seconds)
         return
     if not operator:
-        raise Refusal("--operator or --at: whom to ask")
+        raise CommandError("--operator or --at: whom to ask")
     from cypresswalk import operator as operators
 
     table = operators.read(operator).fleet
     if table is None:
-        raise Refusal(f"{operator}: it has no [fleet]")
+        raise CommandError(f"{operator}: it has no [fleet]")
     addresses = [
         table.address,
         *(where for where in table.first.values() if where != table.address),
@@ -163,13 +163,13 @@
         with open(path, "rb") as file:
             data = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        raise Refusal(f"{path}: {error}") from None
+        raise CommandError(f"{path}: {error}") from None
     if not isinstance(data, dict):
-        raise Refusal(f"{path}: not an object")
+        raise CommandError(f"{path}: not an object")
     if isinstance(data.get("settings"), dict):
         return shared(data["settings"])
     if unknown := sorted(set(data) - set(SHARED)):
-        raise Refusal(
+        raise CommandError(
             f"{path}: {', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED)})"
         )
     return data
@@ -186,7 +186,7 @@
     for version, values in body["kept"]:
         if version == number:
             return version, values
-    raise Refusal(
+    raise CommandError(
         f"version {number}: no settings of that version are kept; there are "
         + ", ".join(str(version) for version, _ in body["kept"])
     )
@@ -209,9 +209,9 @@
         try:
             why = objection(read(config)["settings"], values)
         except (ConfigError, KeyError) as error:
-            raise Refusal(f"{config}: {error}") from None
+            raise CommandError(f"{config}: {error}") from None
         if why:
-            raise Refusal(f"{file}: {why}")
+            raise CommandError(f"{file}: {why}")
     click.echo("sound")
 
 
@@ -284,7 +284,7 @@
         click.echo(json.dumps(body, indent=1))
         return
     if not body["copies"]:
-        raise Refusal("the leader keeps no copies: its operator file has no [fleet.copies]")
+        raise CommandError("the leader keeps no copies: its operator file has no [fleet.copies]")
     click.echo(
         f"{len(body['parts'])} parts, {body['copies']} copies asked for, {body['least']} needed; "
         f"{len(body['lacking'])} lack copies, {len(body['changing'])} are being changed, {len(body['lost'])} have none left"
@@ -343,7 +343,7 @@
             ok, local = client.call(
                 [member["address"]], asked.fleet, "copies_local", None, asked.span
             )
-        except (client.Unsure, Refusal) as error:
+        except (client.UncertainOutcomeError, CommandError) as error:
             missing.append(f"{member['name']}: {error}")
             continue
         told[member["id"]] = local if ok else {}
@@ -432,7 +432,7 @@
 def named(asked: Asked) -> str:
     release = asked.call("release")["release"]
     if not release:
-        raise Refusal("there is no release")
+        raise CommandError("there is no release")
     return release[0][0]
 
 
@@ -493,8 +493,8 @@
     from pathlib import Path
 
     from cypresswalk.rollout.agent import Agent
-    from cypresswalk.rollout.balancer_agent import Duty
-    from cypresswalk.rollout.server_agent import ServerDuty
+    from cypresswalk.rollout.balancer_agent import BalancerAgent
+    from cypresswalk.rollout.server_agent import ServerAgent
 
     if not (
         member
@@ -506,7 +506,7 @@
         and not member
         and not admin
     ):
-        raise Refusal("--member with --admin, or --server with --answers")
+        raise CommandError("--member with --admin, or --server with --answers")
     logging.basicConfig(
         level=logging.INFO, format="ts=%(created).3f level=%(levelname)s %(message)s"
     )
@@ -519,7 +519,7 @@
         first,
         admin or (answers, answers),
         list(command),
-        Duty if member else ServerDuty,
+        BalancerAgent if member else ServerAgent,
     )
 
     def stop(*_: object) -> None:
@@ -582,7 +582,7 @@
             click.echo("no flow stands there")
             return
         if monotonic() > until:
-            raise Refusal(
+            raise CommandError(
                 f"{'an unknown number of' if standing is None else standing} flows stand there after {empty:g} s"
             )
         sleep(0.5)
--- a/cypresswalk/cli/lab.py
+++ b/cypresswalk/cli/lab.py
@@ -7,7 +7,7 @@
 
 import click
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 BROKEN, VOID = 1, 3
 
@@ -44,7 +44,7 @@
     names = [v.name for v in experiment.variant]
     for name in variants:
         if name not in names:
-            raise Refusal(f"{file}: variant: {name!r} is not one of {', '.join(names)}")
+            raise CommandError(f"{file}: variant: {name!r} is not one of {', '.join(names)}")
     return experiment, list(variants) or names, list(seeds) or experiment.seeds[: repeats or None]
 
 
@@ -187,7 +187,7 @@
     try:
         events = seen.load(folder / "events.jsonl")
     except (OSError, ValueError, KeyError) as error:
-        raise Refusal(f"{folder / 'events.jsonl'}: {error}") from None
+        raise CommandError(f"{folder / 'events.jsonl'}: {error}") from None
     breaches = judge(events, Rules.of(experiment))
     for breach in breaches:
         click.echo(str(breach))
@@ -211,7 +211,7 @@
     try:
         wanted = [float(rate) for rate in rates.split(",")]
     except ValueError:
-        raise Refusal(f"--rates: {rates!r} is no list of numbers") from None
+        raise CommandError(f"--rates: {rates!r} is no list of numbers") from None
     click.echo(
         "| clients a second | flows a second | standing at most | echoes a second | p99 late, ms | most late, ms | "
         "set-up p50, ms | verdict |\n|" + " --- |" * 8
@@ -285,7 +285,7 @@
     from cypresswalk.lab.together import stage
 
     if (plan is None) == (seed is None):
-        raise Refusal("PLAN or --seed: one of them")
+        raise CommandError("PLAN or --seed: one of them")
     wanted = (
         plans.read(plan)
         if plan
--- a/cypresswalk/cli/main.py
+++ b/cypresswalk/cli/main.py
@@ -4,7 +4,7 @@
 
 import click
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -24,7 +24,7 @@
     commands.add_command(state.state)
     try:
         return commands.main(prog_name="cypresswalk", standalone_mode=False) or 0
-    except Refusal as refusal:
+    except CommandError as refusal:
         click.echo(str(refusal), err=True)
         return 2
     except click.ClickException as error:
--- a/cypresswalk/cli/state.py
+++ b/cypresswalk/cli/state.py
@@ -5,7 +5,7 @@
 
 import click
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 FIELDS = (
     "state",
@@ -44,13 +44,13 @@
                 reverse=True,
             )
             if not numbers:
-                raise Refusal(f"{path}: it holds no generation")
+                raise CommandError(f"{path}: it holds no generation")
             file = file / f"{store.PREFIX}{numbers[0]}"
         return file, file_format.decode(file.read_bytes())
     except OSError as error:
-        raise Refusal(f"{file}: {error.strerror or error}") from None
-    except file_format.FormError as error:
-        raise Refusal(f"{file}: {error}") from None
+        raise CommandError(f"{file}: {error.strerror or error}") from None
+    except file_format.FormatError as error:
+        raise CommandError(f"{file}: {error}") from None
 
 
 def ago(then: int, now: int) -> str:
--- a/cypresswalk/copies/client.py
+++ b/cypresswalk/copies/client.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cypresswalk.copies.messages import Answered, Claim, Ended
-from cypresswalk.copies.placement import part_of
-from cypresswalk.copies.replica import Answer
+from cypresswalk.copies.messages import EndReservation, ReservationResult, ReserveKey
+from cypresswalk.copies.placement import partition_of
+from cypresswalk.copies.replica import ReservationAnswer
 
 MILLISECOND = 1_000_000
 AGAIN = 25 * MILLISECOND  # "again" was answered: the next view is a round trip or two away
@@ -26,10 +26,10 @@
     how: str  # of an end; empty for a claim
     until: int
     again_at: int
-    reply: Callable[[Answer, str], None] | None
+    reply: Callable[[ReservationAnswer, str], None] | None
 
 
-class Claimer:
+class ReservationClient:
     def __init__(self):
         self.me = ""  # while empty nobody can be asked
         self.primaries: dict[int, str] = {}
@@ -44,12 +44,17 @@
         self.me = f"{me}/{boot}"
 
     def claim(
-        self, now: int, ident: str, span: int, until: int, reply: Callable[[Answer, str], None]
+        self,
+        now: int,
+        ident: str,
+        span: int,
+        until: int,
+        reply: Callable[[ReservationAnswer, str], None],
     ) -> None:
         """`reply` is called once, no later than `until` (and a look later): the answer, and by what name it was asked for."""
         if self.claims >= MOST:
             self.counts["refused"] += 1
-            reply(Answer("refused", why=f"{MOST} claims wait"), "")
+            reply(ReservationAnswer("refused", why=f"{MOST} claims wait"), "")
             return
         self.claims += 1
         self.numbers += 1
@@ -65,7 +70,7 @@
         self.ask(now, self.numbers, pending)
 
     def ask(self, now: int, number: int, pending: Pending) -> None:
-        part = part_of(pending.ident)
+        part = partition_of(pending.ident)
         primary = self.primaries.get(part)
         pending.again_at = now + (
             AGAIN if primary is None else END_AGAIN if pending.how else UNANSWERED
@@ -73,14 +78,14 @@
         if primary is not None and self.me:
             pending.by = pending.by or f"{self.me}.{number}"
             word = (
-                Ended(number, part, pending.ident, pending.by, pending.how)
+                EndReservation(number, part, pending.ident, pending.by, pending.how)
                 if pending.how
-                else Claim(number, part, pending.ident, pending.by, pending.span)
+                else ReserveKey(number, part, pending.ident, pending.by, pending.span)
             )
             self.out.append((primary, word))
         self.next_at = min(self.next_at, pending.again_at, pending.until)
 
-    def heard(self, now: int, word: Answered) -> None:
+    def heard(self, now: int, word: ReservationResult) -> None:
         pending = self.pending.get(word.number)
         if pending is None:
             return
@@ -92,7 +97,7 @@
         if pending.reply is not None:
             self.claims -= 1
             self.counts[word.kind] += 1
-            pending.reply(Answer(word.kind, word.by, word.how, word.why), pending.by)
+            pending.reply(ReservationAnswer(word.kind, word.by, word.how, word.why), pending.by)
 
     def passed(self, now: int) -> None:
         if now < self.next_at:
@@ -104,7 +109,7 @@
                 if pending.reply is not None:
                     self.claims -= 1
                     self.counts["late"] += 1
-                    pending.reply(Answer("refused", why="no claim in time"), "")
+                    pending.reply(ReservationAnswer("refused", why="no claim in time"), "")
                     if pending.by:
                         self.finish(now, pending.ident, pending.by, "never")
             elif now >= pending.again_at:
@@ -116,7 +121,7 @@
         pending, self.pending, self.claims = self.pending, {}, 0
         for one in pending.values():
             if one.reply is not None:
-                one.reply(Answer("refused", why=why), "")
+                one.reply(ReservationAnswer("refused", why=why), "")
 
     def due(self) -> int:
         return self.next_at
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -11,26 +11,26 @@
 from typing import Any
 
 from cypresswalk.agreement.store import Files
-from cypresswalk.copies.client import Claimer
+from cypresswalk.copies.client import ReservationClient
 from cypresswalk.copies.messages import (
-    SKEW,
-    Answered,
-    AnyWord,
-    Bring,
-    Brought,
-    Bundle,
-    Claim,
-    Ended,
-    Fetched,
-    PartWord,
+    MAX_CLOCK_SKEW,
+    AnyMessage,
+    EndReservation,
+    FetchPartition,
+    MessageBatch,
+    PartitionFetched,
+    PartitionMessage,
+    PartitionSealed,
     Ping,
     Pong,
-    Sealed,
-    Slow,
+    RecordsFetched,
+    ReplicaSlow,
+    ReservationResult,
+    ReserveKey,
 )
 from cypresswalk.copies.placement import PARTS
-from cypresswalk.copies.replica import BUCKET, MOST, Holder
-from cypresswalk.copies.store import Log, Lost
+from cypresswalk.copies.replica import BUCKET, MAX_RECORDS, Replica
+from cypresswalk.copies.store import DataLostError, RecordLog
 
 log = logging.getLogger(__name__)
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
@@ -45,16 +45,16 @@
 AT_ONCE = 512  # events taken before they are flushed
 
 
-class Copies:
+class ReplicationThread:
     def __init__(
         self,
         files: Files,
         now: Callable[[], int],
         wall: Callable[[], int],
-        send: Callable[[str, Bundle], None],
-        to_leader: Callable[[list[AnyWord]], None],
+        send: Callable[[str, MessageBatch], None],
+        to_leader: Callable[[list[AnyMessage]], None],
         holds: Callable[[bool], None],
-        most: int = MOST,
+        most: int = MAX_RECORDS,
     ):
         """`send` and `to_leader` never wait; `holds` is told when this holder begins to hold and when its disk has failed."""
         self.files, self.now, self.wall, self.send, self.to_leader, self.holds = (
@@ -67,9 +67,9 @@
         )
         self.most = most
         self.queue: SimpleQueue = SimpleQueue()
-        self.log = Log(files)
-        self.holder = Holder("")
-        self.claimer = Claimer()
+        self.log = RecordLog(files)
+        self.holder = Replica("")
+        self.claimer = ReservationClient()
         self.identity: tuple[str, int] | None = None
         self.sound = False  # what it has is what its disk has
         self.views: dict[int, tuple[int, tuple[str, ...]]] = {}  # as agreed
@@ -151,17 +151,17 @@
             case ("tell", reply):
                 reply(True, self.told())
 
-    def heard(self, now: int, source: str, word: AnyWord) -> None:
+    def heard(self, now: int, source: str, word: AnyMessage) -> None:
         match word:
-            case Answered():
+            case ReservationResult():
                 self.claimer.heard(now, word)
             case Ping():
-                self.send(source, Bundle([Pong()]))
+                self.send(source, MessageBatch([Pong()]))
             case Pong():
                 pass
             case _ if not self.sound:
                 self.counts["words_unsound"] += 1
-            case Claim():
+            case ReserveKey():
                 if (
                     0 <= word.part < PARTS
                     and 0 <= word.span <= 1 << 56
@@ -174,13 +174,13 @@
                         word.part,
                         word.ident,
                         word.by,
-                        wall + word.span + SKEW,
+                        wall + word.span + MAX_CLOCK_SKEW,
                         (source, word.number),
                         now,
                     )
                 else:
                     self.counts["words_odd"] += 1
-            case Ended() if 0 <= word.part < PARTS:
+            case EndReservation() if 0 <= word.part < PARTS:
                 self.holder.ended(
                     self.wall(),
                     word.part,
@@ -190,9 +190,9 @@
                     (source, word.number),
                     now,
                 )
-            case Bring() if word.view <= self.views.get(word.part, (0,))[0]:
+            case FetchPartition() if word.view <= self.views.get(word.part, (0,))[0]:
                 self.counts["words_late"] += 1  # of a view that is agreed already
-            case PartWord() if 0 <= word.part < PARTS:
+            case PartitionMessage() if 0 <= word.part < PARTS:
                 self.holder.heard(source, word, self.wall(), now)
             case _:
                 self.counts["words_odd"] += 1
@@ -203,7 +203,7 @@
         if now >= self.ping_at and self.identity is not None:
             self.ping_at = now + PING
             for primary in sorted(set(self.claimer.primaries.values()) - {self.identity[0]}):
-                self.send(primary, Bundle([Ping()]))
+                self.send(primary, MessageBatch([Ping()]))
         if not self.sound:
             return
         me, said = self.holder.me, []
@@ -212,18 +212,18 @@
             if part.waiting:
                 late = self.holder.again(number, now - AGAIN)
                 if any(copying.since < now - SLOW for copying in part.waiting.values()):
-                    said += [Slow(number, part.view, who) for who in sorted(late)]
+                    said += [ReplicaSlow(number, part.view, who) for who in sorted(late)]
             if holders[0] == me and not part.waiting and now >= self.compare_at.get(number, 0):
                 self.compare_at[number] = now + COMPARE
                 self.holder.compare(number)
             if me in holders and part.view == view:
                 # Guards against parts that stay sealed, or lie at a holder that has not all, once who wanted that leads no more.
                 if not part.whole:
-                    said.append(Slow(number, view, me))
+                    said.append(ReplicaSlow(number, view, me))
                 elif not part.sealed:
                     self.sealed_at.pop(number, None)
                 elif now - self.sealed_at.setdefault(number, now) > SLOW:
-                    said.append(Sealed(number, view, True))
+                    said.append(PartitionSealed(number, view, True))
         if said:
             self.to_leader(said)
         if now >= self.forget_at:
@@ -241,11 +241,11 @@
         """What the folder holds of this member, or nothing."""
         member, boot = self.identity
         self.holder, self.sound, self.again_at = (
-            Holder(member, self.most),
+            Replica(member, self.most),
             False,
             now + int(DISK_AGAIN * SECOND),
         )
-        self.log = Log(self.files)
+        self.log = RecordLog(self.files)
         try:
             try:
                 written = self.log.load(
@@ -254,10 +254,10 @@
                     lambda text: log.warning("event=copies_cut why=%s", text),
                 )
                 self.holder.restore(written)
-            except Lost as error:
+            except DataLostError as error:
                 log.error("event=copies_lost member=%s why=%s", member, error)
                 self.counts["lost"] += 1
-                self.holder = Holder(member, self.most)
+                self.holder = Replica(member, self.most)
                 self.log.clear()
             self.log.begin(member, boot, self.holder.stands())
         except OSError as error:
@@ -274,7 +274,7 @@
     def fail(self, now: int, error: OSError) -> None:
         """Nothing of what was being written is said; all is read anew before another word."""
         self.sound, self.again_at = False, now + int(DISK_AGAIN * SECOND)
-        self.holder = Holder(self.holder.me, self.most)
+        self.holder = Replica(self.holder.me, self.most)
         self.holds(False)
         self.say_trouble(error)
 
@@ -287,7 +287,7 @@
     def carry_out(self, now: int) -> None:
         me = self.identity[0] if self.identity else ""
         while True:
-            sends: dict[str, list[AnyWord]] = defaultdict(list)
+            sends: dict[str, list[AnyMessage]] = defaultdict(list)
             for to, word in self.claimer.out:
                 sends[to].append(word)
             self.claimer.out = []
@@ -299,8 +299,8 @@
             for what, *words in out:
                 if what == "send":
                     to, word = words
-                    if isinstance(word, Fetched):
-                        self.send(to, Bundle([word]))  # long enough for a frame of its own
+                    if isinstance(word, RecordsFetched):
+                        self.send(to, MessageBatch([word]))  # long enough for a frame of its own
                     else:
                         sends[to].append(word)
                 elif what == "leader":
@@ -308,16 +308,16 @@
                 elif what == "answer":
                     (to, number), answer = words
                     sends[to].append(
-                        Answered(number, answer.kind, answer.by, answer.how, answer.why)
+                        ReservationResult(number, answer.kind, answer.by, answer.how, answer.why)
                     )
             local = sends.pop(me, [])
             for to, words in sends.items():
                 self.counts["bundles"] += 1
-                self.send(to, Bundle(words))
+                self.send(to, MessageBatch(words))
             if not local:
                 return
             for word in local:
-                if isinstance(word, Sealed | Brought):
+                if isinstance(word, PartitionSealed | PartitionFetched):
                     self.to_leader([word])  # who leads is this member
                 else:
                     self.heard(now, me, word)
--- a/cypresswalk/copies/messages.py
+++ b/cypresswalk/copies/messages.py
@@ -4,19 +4,19 @@
 
 import msgspec
 
-SKEW = 30_000_000_000  # nanoseconds by which two machines' wall clocks may differ: ids are held for so much longer
+MAX_CLOCK_SKEW = 30_000_000_000  # nanoseconds by which two machines' wall clocks may differ: ids are held for so much longer
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """One message. Unknown trailing fields of a later version are passed over."""
 
 
-class PartWord(Word, frozen=True):
+class PartitionMessage(Message, frozen=True):
     part: int
     view: int
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class ReservationRecord(msgspec.Struct, frozen=True, array_like=True):
     """`how`: "out" while nobody has said how it ended, then "ran", "never" or "unknown"."""
 
     ident: str
@@ -28,44 +28,44 @@
 # Between holders.
 
 
-class Copy(PartWord, frozen=True):
+class ReplicateRecord(PartitionMessage, frozen=True, tag="Copy"):
     number: int
-    record: Record
+    record: ReservationRecord
 
 
-class Copied(PartWord, frozen=True):
+class RecordReplicated(PartitionMessage, frozen=True, tag="Copied"):
     number: int
 
 
-class Fetch(PartWord, frozen=True):
+class FetchRecords(PartitionMessage, frozen=True, tag="Fetch"):
     """By one that is to hold the part in that view, to a sealed holder of the view before: what stands there from `offset` on?"""
 
     offset: int
 
 
-class Fetched(PartWord, frozen=True):
+class RecordsFetched(PartitionMessage, frozen=True, tag="Fetched"):
     offset: int
     total: int
-    records: list[Record]
+    records: list[ReservationRecord]
 
 
-class Compare(PartWord, frozen=True):
+class CompareDigests(PartitionMessage, frozen=True, tag="Compare"):
     """By the primary: what its records come to, by BUCKET of the time until which they are held."""
 
     sums: dict[int, int]
 
 
-class Differs(PartWord, frozen=True):
+class DigestsDiffer(PartitionMessage, frozen=True, tag="Differs"):
     """To the primary: what a holder has in a bucket that does not come to the same."""
 
     bucket: int
-    records: list[Record]
+    records: list[ReservationRecord]
 
 
 # Between a claimer and the primary of a part.
 
 
-class Claim(Word, frozen=True):
+class ReserveKey(Message, frozen=True, tag="Claim"):
     number: int
     part: int
     ident: str
@@ -73,7 +73,7 @@
     span: int  # nanoseconds for which it is to be held
 
 
-class Ended(Word, frozen=True):
+class EndReservation(Message, frozen=True, tag="Ended"):
     number: int
     part: int
     ident: str
@@ -81,7 +81,7 @@
     how: str
 
 
-class Answered(Word, frozen=True):
+class ReservationResult(Message, frozen=True, tag="Answered"):
     number: int
     kind: str
     by: str
@@ -89,100 +89,100 @@
     why: str
 
 
-class Ping(Word, frozen=True):
+class Ping(Message, frozen=True):
     """Keeps a way open: a claim has no time to wait for a dial."""
 
 
-class Pong(Word, frozen=True):
+class Pong(Message, frozen=True):
     pass
 
 
 # Between who leads and holders.
 
 
-class Seal(PartWord, frozen=True):
+class SealPartition(PartitionMessage, frozen=True, tag="Seal"):
     """End that view."""
 
 
-class Sealed(PartWord, frozen=True):
+class PartitionSealed(PartitionMessage, frozen=True, tag="Sealed"):
     """`sound`: it has all of that view, and nothing is granted in it any more."""
 
     sound: bool
 
 
-class Bring(PartWord, frozen=True):
+class FetchPartition(PartitionMessage, frozen=True, tag="Bring"):
     """To one that is to hold the part in that view: fetch all from `source`; or, with none, begin with nothing, since the part was
     never held, or what it held counts no more."""
 
     source: str
 
 
-class Brought(PartWord, frozen=True):
+class PartitionFetched(PartitionMessage, frozen=True, tag="Brought"):
     pass
 
 
-class Slow(PartWord, frozen=True):
+class ReplicaSlow(PartitionMessage, frozen=True, tag="Slow"):
     """By a primary: that holder has not answered for long."""
 
     who: str
 
 
-AnyWord = (
-    Copy
-    | Copied
-    | Fetch
-    | Fetched
-    | Compare
-    | Differs
-    | Claim
-    | Ended
-    | Answered
-    | Seal
-    | Sealed
-    | Bring
-    | Brought
-    | Slow
+AnyMessage = (
+    ReplicateRecord
+    | RecordReplicated
+    | FetchRecords
+    | RecordsFetched
+    | CompareDigests
+    | DigestsDiffer
+    | ReserveKey
+    | EndReservation
+    | ReservationResult
+    | SealPartition
+    | PartitionSealed
+    | FetchPartition
+    | PartitionFetched
+    | ReplicaSlow
     | Ping
     | Pong
 )
 
 
-class Bundle(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class MessageBatch(msgspec.Struct, frozen=True, array_like=True, tag="Bundle"):
     """All that one member says to another at a time."""
 
-    words: list[AnyWord]
+    words: list[AnyMessage]
 
 
 # What a holder writes, in the order in which it happened; written again at the head of each file: `Stand`.
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class RecordStored(msgspec.Struct, frozen=True, array_like=True, tag="Kept"):
     part: int
-    record: Record
+    record: ReservationRecord
 
 
-class Begun(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class ViewBegun(msgspec.Struct, frozen=True, array_like=True, tag="Begun"):
     part: int
     view: int
     holders: tuple[str, ...]
     whole: bool
 
 
-class Shut(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class ViewSealed(msgspec.Struct, frozen=True, array_like=True, tag="Shut"):
     part: int
     view: int
 
 
-class Got(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class PartitionReceived(msgspec.Struct, frozen=True, array_like=True, tag="Got"):
     """All of a part for a view, from a sealed holder of the view before. `late`: that view had begun here already."""
 
     part: int
     view: int
-    records: list[Record]
+    records: list[ReservationRecord]
     late: bool
 
 
-class Stand(msgspec.Struct, frozen=True, array_like=True):
+class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
     part: int
     view: int
     holders: tuple[str, ...]
--- a/cypresswalk/copies/placement.py
+++ b/cypresswalk/copies/placement.py
@@ -6,7 +6,7 @@
 PARTS = 64  # of the ids: with 200 members each holds about one part, with 3 all of them
 
 
-def part_of(ident: str) -> int:
+def partition_of(ident: str) -> int:
     return blake2b(ident.encode("utf-8", "surrogateescape"), digest_size=8).digest()[0] % PARTS
 
 
--- a/cypresswalk/copies/replica.py
+++ b/cypresswalk/copies/replica.py
@@ -17,27 +17,27 @@
 from typing import Any
 
 from cypresswalk.copies.messages import (
-    Begun,
-    Bring,
-    Brought,
-    Compare,
-    Copied,
-    Copy,
-    Differs,
-    Fetch,
-    Fetched,
-    Got,
-    Kept,
-    PartWord,
-    Record,
-    Seal,
-    Sealed,
-    Shut,
-    Stand,
+    CompareDigests,
+    DigestsDiffer,
+    FetchPartition,
+    FetchRecords,
+    PartitionFetched,
+    PartitionMessage,
+    PartitionReceived,
+    PartitionSealed,
+    PartitionStatus,
+    RecordReplicated,
+    RecordsFetched,
+    RecordStored,
+    ReplicateRecord,
+    ReservationRecord,
+    SealPartition,
+    ViewBegun,
+    ViewSealed,
     encode,
 )
 
-MOST = 1_000_000  # ids at one holder, 250 bytes each: beyond them a primary refuses claims; none is forgotten before its time
+MAX_RECORDS = 1_000_000  # ids at one holder, 250 bytes each: beyond them a primary refuses claims; none is forgotten before its time
 SPILL = 2  # times that may come as copies from primaries that hold less
 PIECE = 4_000  # records in one answer to a fetch: some 300 KB
 UNDERWAY = 4_096  # records of one part that copies have not confirmed
@@ -50,20 +50,20 @@
 class Copying:
     """A record on its way to the other holders."""
 
-    record: Record
+    record: ReservationRecord
     missing: set[str]
     askers: list[object]
     since: int  # by the owner's clock
 
 
 @dataclass(slots=True)
-class Part:
+class Partition:
     view: int = 0
     holders: tuple[str, ...] = ()
     sealed: bool = False
     whole: bool = False
     brought: int = 0  # the view for which all was brought here, before it began
-    records: dict[str, Record] = field(default_factory=dict)
+    records: dict[str, ReservationRecord] = field(default_factory=dict)
     ends: list[tuple[int, str]] = field(default_factory=list)  # a heap: until when ids are held
     sums: dict[int, int] = field(
         default_factory=dict
@@ -73,13 +73,13 @@
     )  # ids that all holders of this view have, as this primary has seen since it started
     waiting: dict[int, Copying] = field(default_factory=dict)
     copying: dict[str, int] = field(default_factory=dict)  # ids on their way: the latest number
-    coming: tuple[int, str, list[Record]] | None = (
+    coming: tuple[int, str, list[ReservationRecord]] | None = (
         None  # what is being fetched: for which view, from whom
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ReservationAnswer:
     """`kind`: "granted", "held" (by whom, and how that ended), "again" (not now or not here) and "refused" (why; nothing was
     granted)."""
 
@@ -89,17 +89,17 @@
     why: str = ""
 
 
-class Holder:
-    def __init__(self, me: str, most: int = MOST):
+class Replica:
+    def __init__(self, me: str, most: int = MAX_RECORDS):
         self.me, self.most, self.held = me, most, 0
-        self.parts: dict[int, Part] = {}
+        self.parts: dict[int, Partition] = {}
         self.out: list[tuple[Any, ...]] = []
         self.numbers = 0
 
-    def part(self, number: int) -> Part:
+    def part(self, number: int) -> Partition:
         part = self.parts.get(number)
         if part is None:
-            part = self.parts[number] = Part()
+            part = self.parts[number] = Partition()
         return part
 
     # Views.
@@ -116,9 +116,9 @@
             part.brought == view or part.whole and view == part.view + 1 and self.me in part.holders
         )
         self.enter(part, view, holders, stays)
-        self.out.append(("write", Begun(number, view, holders, stays)))
+        self.out.append(("write", ViewBegun(number, view, holders, stays)))
 
-    def enter(self, part: Part, view: int, holders: tuple[str, ...], whole: bool) -> None:
+    def enter(self, part: Partition, view: int, holders: tuple[str, ...], whole: bool) -> None:
         if not whole and part.brought <= view:
             self.replace(part, [])  # what was brought for a later view stays for that one
         part.view, part.holders, part.sealed, part.whole, part.sure = (
@@ -129,7 +129,7 @@
             set(),
         )
 
-    def replace(self, part: Part, records: list[Record]) -> None:
+    def replace(self, part: Partition, records: list[ReservationRecord]) -> None:
         self.held -= len(part.records)
         part.records = {record.ident: record for record in records}
         self.held += len(part.records)
@@ -138,7 +138,7 @@
         for record in records:
             self.count(part, record)
 
-    def put(self, part: Part, record: Record) -> None:
+    def put(self, part: Partition, record: ReservationRecord) -> None:
         known = part.records.get(record.ident)
         if known is None or known.until != record.until:
             heappush(part.ends, (record.until, record.ident))
@@ -149,7 +149,7 @@
         self.count(part, record)
         part.records[record.ident] = record
 
-    def count(self, part: Part, record: Record) -> None:
+    def count(self, part: Partition, record: ReservationRecord) -> None:
         """In or out: of what comes twice nothing stays."""
         bucket = record.until >> BUCKET
         total = part.sums.get(bucket, 0) ^ int.from_bytes(
@@ -169,7 +169,7 @@
         if not part.sealed:
             part.sealed = True
             self.give_up(part, "its holders change")
-            self.out.append(("write", Shut(number, view)))
+            self.out.append(("write", ViewSealed(number, view)))
         return True
 
     def bring(self, number: int, view: int, source: str) -> None:
@@ -185,23 +185,23 @@
             return
         if part.coming is None or part.coming[:2] != (view, source):
             part.coming = view, source, []
-        self.out.append(("send", source, Fetch(number, view, len(part.coming[2]))))
+        self.out.append(("send", source, FetchRecords(number, view, len(part.coming[2]))))
 
     def has(self, number: int, view: int) -> bool:
         """Whether it could begin that view whole, or has."""
         part = self.part(number)
         return part.brought == view or part.whole and part.view == view
 
-    def give_up(self, part: Part, why: str) -> None:
+    def give_up(self, part: Partition, why: str) -> None:
         for copying in part.waiting.values():
             for asker in copying.askers:
-                self.out.append(("answer", asker, Answer("again", why=why)))
+                self.out.append(("answer", asker, ReservationAnswer("again", why=why)))
         part.waiting.clear()
         part.copying.clear()
 
     # Claims, at the primary.
 
-    def leads(self, part: Part) -> bool:
+    def leads(self, part: Partition) -> bool:
         return part.whole and not part.sealed and part.holders[:1] == (self.me,)
 
     def claim(
@@ -211,7 +211,11 @@
         part = self.part(number)
         if not self.leads(part):
             self.out.append(
-                ("answer", token, Answer("again", why="not the primary of that part now"))
+                (
+                    "answer",
+                    token,
+                    ReservationAnswer("again", why="not the primary of that part now"),
+                )
             )
             return
         self.forget(now, part)
@@ -220,7 +224,9 @@
             copying = part.waiting.get(part.copying.get(ident, -1))
             if copying is not None and copying.record.how == "out":
                 if by != copying.record.by:
-                    self.out.append(("answer", token, Answer("held", copying.record.by, "out")))
+                    self.out.append(
+                        ("answer", token, ReservationAnswer("held", copying.record.by, "out"))
+                    )
                 elif len(copying.askers) < ASKERS:
                     copying.askers.append(token)
                 return
@@ -231,9 +237,11 @@
                 self.settle(part, known, [token], known.by == by)
             return
         if self.held >= self.most or len(part.waiting) >= UNDERWAY:
-            self.out.append(("answer", token, Answer("refused", why="too many ids are held there")))
+            self.out.append(
+                ("answer", token, ReservationAnswer("refused", why="too many ids are held there"))
+            )
             return
-        self.record(number, part, Record(ident, by, until, "out"), [token], at)
+        self.record(number, part, ReservationRecord(ident, by, until, "out"), [token], at)
 
     def ended(
         self, now: int, number: int, ident: str, by: str, how: str, token: object, at: int = 0
@@ -243,21 +251,27 @@
         known = part.records.get(ident)
         if not self.leads(part):
             self.out.append(
-                ("answer", token, Answer("again", why="not the primary of that part now"))
+                (
+                    "answer",
+                    token,
+                    ReservationAnswer("again", why="not the primary of that part now"),
+                )
             )
         elif known is None or known.by != by:
-            self.out.append(("answer", token, Answer("refused", why="not held here by that one")))
+            self.out.append(
+                ("answer", token, ReservationAnswer("refused", why="not held here by that one"))
+            )
         elif known.how == how or known.how not in ("out", "unknown"):
-            self.out.append(("answer", token, Answer("held", known.by, known.how)))
+            self.out.append(("answer", token, ReservationAnswer("held", known.by, known.how)))
         else:
-            self.record(number, part, Record(ident, by, known.until, how), [token], at)
+            self.record(number, part, ReservationRecord(ident, by, known.until, how), [token], at)
 
     def record(
-        self, number: int, part: Part, record: Record, tokens: list[object], at: int
+        self, number: int, part: Partition, record: ReservationRecord, tokens: list[object], at: int
     ) -> None:
         self.numbers += 1
         self.put(part, record)
-        self.out.append(("write", Kept(number, record)))
+        self.out.append(("write", RecordStored(number, record)))
         others = set(part.holders[1:])
         if not others:
             self.settle(part, record, tokens)
@@ -265,15 +279,23 @@
         part.waiting[self.numbers] = Copying(record, others, tokens, at)
         part.copying[record.ident] = self.numbers
         for other in sorted(others):
-            self.out.append(("send", other, Copy(number, part.view, self.numbers, record)))
+            self.out.append(
+                ("send", other, ReplicateRecord(number, part.view, self.numbers, record))
+            )
 
-    def settle(self, part: Part, record: Record, tokens: list[object], same: bool = True) -> None:
+    def settle(
+        self, part: Partition, record: ReservationRecord, tokens: list[object], same: bool = True
+    ) -> None:
         if same:
             part.sure.add(record.ident)
         for token in tokens:
             granted = same and record.how == "out"
             self.out.append(
-                ("answer", token, Answer("granted" if granted else "held", record.by, record.how))
+                (
+                    "answer",
+                    token,
+                    ReservationAnswer("granted" if granted else "held", record.by, record.how),
+                )
             )
 
     def again(self, number: int, before: int = 1 << 62) -> set[str]:
@@ -283,10 +305,12 @@
             if copying.since < before:
                 late |= copying.missing
                 for other in sorted(copying.missing):
-                    self.out.append(("send", other, Copy(number, part.view, copy, copying.record)))
+                    self.out.append(
+                        ("send", other, ReplicateRecord(number, part.view, copy, copying.record))
+                    )
         return late
 
-    def forget(self, now: int, part: Part) -> None:
+    def forget(self, now: int, part: Partition) -> None:
         """Not while it is sealed: others fetch it piece by piece."""
         while part.ends and part.ends[0][0] < now and not part.sealed:
             until, ident = part.ends[0]
@@ -305,9 +329,9 @@
         part = self.part(number)
         if self.leads(part):
             for other in part.holders[1:]:
-                self.out.append(("send", other, Compare(number, part.view, dict(part.sums))))
+                self.out.append(("send", other, CompareDigests(number, part.view, dict(part.sums))))
 
-    def compared(self, now: int, source: str, part: Part, word: Compare) -> None:
+    def compared(self, now: int, source: str, part: Partition, word: CompareDigests) -> None:
         # What ends about now goes at each holder by its own clock.
         soon = now >> BUCKET
         unlike = [
@@ -320,10 +344,10 @@
                 record for record in part.records.values() if record.until >> BUCKET == bucket
             ]
             self.out.append(
-                ("send", source, Differs(word.part, part.view, bucket, records[:PIECE]))
+                ("send", source, DigestsDiffer(word.part, part.view, bucket, records[:PIECE]))
             )
 
-    def differs(self, part: Part, word: Differs, at: int) -> None:
+    def differs(self, part: Partition, word: DigestsDiffer, at: int) -> None:
         """The primary's word is the one that counts: what was granted, all have alike."""
         theirs = {record.ident: record for record in word.records}
         unlike = [record for ident, record in theirs.items() if ident not in part.records]
@@ -338,11 +362,11 @@
 
     # Words between holders, and from who leads.
 
-    def heard(self, source: str, word: PartWord, now: int = 0, at: int = 0) -> None:
+    def heard(self, source: str, word: PartitionMessage, now: int = 0, at: int = 0) -> None:
         """`now`: wall time; `at`: the owner's clock."""
         part = self.part(word.part)
         match word:
-            case Copy():
+            case ReplicateRecord():
                 if (
                     word.view == part.view
                     and part.whole
@@ -352,9 +376,11 @@
                     and (self.held < SPILL * self.most or word.record.ident in part.records)
                 ):
                     self.put(part, word.record)
-                    self.out.append(("write", Kept(word.part, word.record)))
-                    self.out.append(("send", source, Copied(word.part, word.view, word.number)))
-            case Copied():
+                    self.out.append(("write", RecordStored(word.part, word.record)))
+                    self.out.append(
+                        ("send", source, RecordReplicated(word.part, word.view, word.number))
+                    )
+            case RecordReplicated():
                 copying = (
                     part.waiting.get(word.number)
                     if word.view == part.view and not part.sealed
@@ -367,25 +393,25 @@
                         if part.copying.get(copying.record.ident) == word.number:
                             del part.copying[copying.record.ident]
                         self.settle(part, copying.record, copying.askers)
-            case Compare() if (
+            case CompareDigests() if (
                 word.view == part.view
                 and part.whole
                 and not part.sealed
                 and part.holders[:1] == (source,)
             ):
                 self.compared(now, source, part, word)
-            case Differs() if (
+            case DigestsDiffer() if (
                 word.view == part.view and self.leads(part) and source in part.holders
             ):
                 self.differs(part, word, at)
-            case Fetch():
+            case FetchRecords():
                 if part.sealed and part.whole and word.view == part.view + 1:
                     records = list(part.records.values())
                     self.out.append(
                         (
                             "send",
                             source,
-                            Fetched(
+                            RecordsFetched(
                                 word.part,
                                 word.view,
                                 word.offset,
@@ -394,17 +420,19 @@
                             ),
                         )
                     )
-            case Fetched():
+            case RecordsFetched():
                 self.fetched(source, part, word)
-            case Seal() if word.view == part.view:  # one that is behind has nothing to say of it
+            case SealPartition() if (
+                word.view == part.view
+            ):  # one that is behind has nothing to say of it
                 sound = self.seal(word.part, word.view)
-                self.out.append(("send", source, Sealed(word.part, word.view, sound)))
-            case Bring():
+                self.out.append(("send", source, PartitionSealed(word.part, word.view, sound)))
+            case FetchPartition():
                 self.bring(word.part, word.view, word.source)
                 if self.has(word.part, word.view):
-                    self.out.append(("send", source, Brought(word.part, word.view)))
+                    self.out.append(("send", source, PartitionFetched(word.part, word.view)))
 
-    def fetched(self, source: str, part: Part, word: Fetched) -> None:
+    def fetched(self, source: str, part: Partition, word: RecordsFetched) -> None:
         if (
             part.coming is None
             or part.coming[:2] != (word.view, source)
@@ -414,13 +442,13 @@
         records = part.coming[2]
         records += word.records
         if len(records) < word.total and word.records:
-            self.out.append(("send", source, Fetch(word.part, word.view, len(records))))
+            self.out.append(("send", source, FetchRecords(word.part, word.view, len(records))))
             return
         part.coming = None
         if len(records) == word.total:
             self.got(word.part, word.view, records)
 
-    def got(self, number: int, view: int, records: list[Record]) -> None:
+    def got(self, number: int, view: int, records: list[ReservationRecord]) -> None:
         """For a view that has not begun here: what it held before is of no use beside a sealed one's."""
         part = self.part(number)
         late = view == part.view and self.me in part.holders and not part.whole
@@ -432,9 +460,9 @@
         ):
             self.replace(part, records)
             part.brought, part.whole = view, part.whole or late
-            self.out.append(("write", Got(number, view, records, late)))
+            self.out.append(("write", PartitionReceived(number, view, records, late)))
             # At once, and not at the next word from who leads: the part grants nothing meanwhile.
-            self.out.append(("leader", Brought(number, view)))
+            self.out.append(("leader", PartitionFetched(number, view)))
 
     # After a start.
 
@@ -443,16 +471,16 @@
         for value in written:
             part = self.part(value.part)
             match value:
-                case Kept():
+                case RecordStored():
                     self.put(part, value.record)
-                case Shut():
+                case ViewSealed():
                     part.sealed = True
-                case Begun():
+                case ViewBegun():
                     self.enter(part, value.view, tuple(value.holders), value.whole)
-                case Got():
+                case PartitionReceived():
                     self.replace(part, value.records)
                     part.brought, part.whole = value.view, part.whole or value.late
-                case Stand():
+                case PartitionStatus():
                     part.view, part.holders, part.sealed = (
                         value.view,
                         tuple(value.holders),
@@ -460,9 +488,9 @@
                     )
                     part.whole, part.brought = value.whole, value.brought
 
-    def stands(self) -> list[Stand]:
+    def stands(self) -> list[PartitionStatus]:
         """What a new file begins with."""
         return [
-            Stand(number, p.view, p.holders, p.sealed, p.whole, p.brought)
+            PartitionStatus(number, p.view, p.holders, p.sealed, p.whole, p.brought)
             for number, p in sorted(self.parts.items())
         ]
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -23,7 +23,14 @@
     sealed_record,
     torn,
 )
-from cypresswalk.copies.messages import Begun, Got, Kept, Shut, Stand, encode
+from cypresswalk.copies.messages import (
+    PartitionReceived,
+    PartitionStatus,
+    RecordStored,
+    ViewBegun,
+    ViewSealed,
+    encode,
+)
 
 PREFIX = "copies."
 HEAD, BATCH = 1, 2
@@ -36,19 +43,19 @@
     version: int
     member: str
     boot: int
-    stands: list[Stand]
+    stands: list[PartitionStatus]
     before: tuple[int, int] = (0, 0)  # a file that was cut off when this one was begun, and where
 
 
 heads = msgspec.msgpack.Decoder(Head)
-batches = msgspec.msgpack.Decoder(list[Kept | Begun | Shut | Got])
+batches = msgspec.msgpack.Decoder(list[RecordStored | ViewBegun | ViewSealed | PartitionReceived])
 
 
-class Lost(Exception):
+class DataLostError(Exception):
     """What this holder had can't be relied on; the message says why."""
 
 
-class Log:
+class RecordLog:
     """Raises OSError where the disk fails: the owner reads all anew before it says another word."""
 
     def __init__(self, files: Files):
@@ -74,10 +81,10 @@
             head, values, sound, cut = self.read(number)
             # What was cut off once stays there: the next file says so. Anywhere else it was whole once.
             if self.cut != (0, 0) and head.before != self.cut:
-                raise Lost(f"{PREFIX}{self.cut[0]}: damaged at byte {self.cut[1]}")
+                raise DataLostError(f"{PREFIX}{self.cut[0]}: damaged at byte {self.cut[1]}")
             self.cut = (number, sound) if cut else (0, 0)
             if number == numbers[-1] and (head.member, head.boot in boots) != (member, True):
-                raise Lost(
+                raise DataLostError(
                     f"{PREFIX}{number}: it is of {head.member}, start {head.boot}, not of {member}, start {boots[0]}"
                 )
             if not written:
@@ -95,13 +102,13 @@
         name = f"{PREFIX}{number}"
         data = self.files.read(name, LARGEST)
         if data[: len(MAGIC)] != MAGIC:
-            raise Lost(f"{name}: no file of copies")
+            raise DataLostError(f"{name}: no file of copies")
         at, key, head, values = len(MAGIC), first_key(number), None, []
         while at < len(data):
             found = record_at(data, at, key)
             if found is None:
                 if head is None or not torn(data, at):
-                    raise Lost(f"{name}: damaged at byte {at}")
+                    raise DataLostError(f"{name}: damaged at byte {at}")
                 break
             kind, body, key = found
             try:
@@ -110,10 +117,12 @@
                 else:
                     values += batches.decode(body)
             except msgspec.DecodeError as error:
-                raise Lost(f"{name}: what stands at byte {at} can't be read: {error}") from None
+                raise DataLostError(
+                    f"{name}: what stands at byte {at} can't be read: {error}"
+                ) from None
             at += RECORD.size + len(body)
         if head is None:
-            raise Lost(f"{name}: it ends before its head")
+            raise DataLostError(f"{name}: it ends before its head")
         return head, values, at, len(data) - at
 
     # Writing.
@@ -126,7 +135,7 @@
             self.files.flush()
             self.ends, self.cut = {}, (0, 0)
 
-    def begin(self, member: str, boot: int, stands: list[Stand]) -> None:
+    def begin(self, member: str, boot: int, stands: list[PartitionStatus]) -> None:
         """A new file, at each start and after each SEGMENT bytes. Its name stands only once it is whole."""
         number = self.number + 1
         body = encode(Head(1, member, boot, stands, self.cut))
@@ -139,7 +148,7 @@
         self.member, self.boot = member, boot
         self.ends[number], self.cut = 0, (0, 0)
 
-    def write(self, values: list[Any], stands: Callable[[], list[Stand]]) -> None:
+    def write(self, values: list[Any], stands: Callable[[], list[PartitionStatus]]) -> None:
         """Flushed when it returns."""
         if self.broken:
             raise OSError(5, "an earlier write failed")
@@ -163,8 +172,8 @@
 
 def end_of(value: Any) -> int:
     match value:
-        case Kept(record=record):
+        case RecordStored(record=record):
             return record.until
-        case Got(records=records):
+        case PartitionReceived(records=records):
             return max((record.until for record in records), default=0)
     return 0
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -12,7 +12,7 @@
 
 from cypresswalk import toml
 from cypresswalk.faults.kinds import DATAGRAM_NEEDS, DATAGRAMS, NEEDS, STREAMS, Fault, Kind
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 Direction = Literal["up", "down", "both"]
 
@@ -217,11 +217,11 @@
                     faults.append(Fault(**Line.model_validate(json.loads(text)).model_dump()))
                 except ValidationError as error:
                     first = error.errors()[0]
-                    raise Refusal(
+                    raise CommandError(
                         f"{path}: line {number}: {toml.field(first['loc'])}: {toml.said(first)}"
                     ) from None
                 except (ValueError, RecursionError) as error:
-                    raise Refusal(f"{path}: line {number}: not JSON: {error}") from None
+                    raise CommandError(f"{path}: line {number}: not JSON: {error}") from None
     except (OSError, UnicodeDecodeError) as error:
-        raise Refusal(f"{path}: {error}") from None
+        raise CommandError(f"{path}: {error}") from None
     return Replay(faults)
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -8,8 +8,8 @@
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.agreement.messages import Members
-from cypresswalk.agreement.node import Busy, Kept
-from cypresswalk.fleet.messages import Hail, HailAnswer
+from cypresswalk.agreement.node import BusyError, PersistentState
+from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
@@ -28,7 +28,7 @@
             and any(m.id == self.id for m in self.members)
         ):
             return
-        hail = Hail(
+        hail = DiscoveryRequest(
             self.id,
             self.group,
             self.about.address,
@@ -75,11 +75,11 @@
 
     def adopt(self, now: int, group: str, snapshot: Snapshot) -> None:
         self.group = group
-        kept = Kept(snapshot)
+        kept = PersistentState(snapshot)
         self.begin = group, kept
         self.start(kept, now)
 
-    def hailed(self, now: int, hail: Hail) -> None:
+    def hailed(self, now: int, hail: DiscoveryRequest) -> None:
         name = hail.id.partition("#")[0]
         refused = ""
         if (
@@ -102,7 +102,7 @@
                 # Only a leader that is sure to lead still may say so: a voter's copy of the log goes with its identity.
                 try:
                     self.node.read(now, ("replaced", hail))
-                except Busy:
+                except BusyError:
                     pass
                 return
             refused = (
@@ -110,7 +110,9 @@
             )
         self.answer_hail(hail, refused)
 
-    def answer_hail(self, hail: Hail, refused: str = "", replaced: bool = False) -> None:
+    def answer_hail(
+        self, hail: DiscoveryRequest, refused: str = "", replaced: bool = False
+    ) -> None:
         if self.node is None:
             # Its own entry alone: so the founder learns under which incarnation it would begin.
             members: Members = (One(self.id, False, self.about.address, self.about.zone),)
@@ -119,7 +121,7 @@
         self.sends.append(
             (
                 hail.address,
-                HailAnswer(
+                DiscoveryResponse(
                     hail.id,
                     self.group,
                     self.about.first_digest,
@@ -132,7 +134,7 @@
             )
         )
 
-    def may_join(self, now: int, name: str, hail: Hail) -> str:
+    def may_join(self, now: int, name: str, hail: DiscoveryRequest) -> str:
         if name in self.agreed.state.left:
             return "it has left the fleet; `fleet join` lets it in again"
         if len(self.members) >= MEMBERS:
@@ -150,7 +152,7 @@
         self.joining[name] = now, hail
         return ""
 
-    def hail_answered(self, now: int, answer: HailAnswer) -> None:
+    def hail_answered(self, now: int, answer: DiscoveryResponse) -> None:
         if answer.id != self.id:
             return
         if answer.refused:
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from cypresswalk.agreement.log import Log, Snapshot
-from cypresswalk.agreement.messages import DATA
+from cypresswalk.agreement.messages import ENTRY_COMMAND
 from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.node import Kept
-from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
+from cypresswalk.agreement.node import PersistentState
+from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
 from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
@@ -18,19 +18,19 @@
     FrameError,
     Frames,
     Hello,
-    Refused,
+    HelloRejected,
     Result,
     pack,
 )
-from cypresswalk.fleet.state_machine import Agreed, Record
-from cypresswalk.refusal import Refusal
-from cypresswalk.state.disk import Disk
+from cypresswalk.fleet.state_machine import HistoryRecord, StateMachine
+from cypresswalk.refusal import CommandError
+from cypresswalk.state.disk import DiskFolder
 
 RECOVERED = 1000  # versions skipped, so that none of the new group has the number of one that the old one had in force
 DIAL = 1.0
 
 
-class Unsure(Exception):
+class UncertainOutcomeError(Exception):
     """What was asked for may or may not come into force; `show` tells."""
 
 
@@ -64,18 +64,18 @@
         except (OSError, FrameError) as error:
             said.append(f"{where}: {error}")
             continue
-        if isinstance(frame, Refused):
+        if isinstance(frame, HelloRejected):
             said.append(f"{where}: {frame.why}")
             continue
         if isinstance(frame.body, dict) and frame.body.get("unsure"):
-            raise Unsure(str(frame.body.get("why")))
+            raise UncertainOutcomeError(str(frame.body.get("why")))
         return frame.ok, frame.body
     if sent and name not in ("status", "show", "history", "local", "settled"):
-        raise Unsure("no answer: " + "; ".join(said))
-    raise Refusal("no balancer of the fleet answers: " + "; ".join(said))
+        raise UncertainOutcomeError("no answer: " + "; ".join(said))
+    raise CommandError("no balancer of the fleet answers: " + "; ".join(said))
 
 
-def first(sock: socket.socket) -> Result | Refused:
+def first(sock: socket.socket) -> Result | HelloRejected:
     frames = Frames()
     while True:
         data = sock.recv(1 << 16)
@@ -83,7 +83,7 @@
             raise ConnectionResetError("the balancer ended the connection")
         frames.feed(data)
         frame: AnyFrame | None = frames.frame()
-        if isinstance(frame, Result | Refused):
+        if isinstance(frame, Result | HelloRejected):
             return frame
 
 
@@ -121,25 +121,25 @@
 def recover(folder: str, fleet: str, name: str, by: str) -> dict[str, Any]:
     """Begins a new group from what one member of the old one has on disk: all that it has, agreed or not, since what it does not
     know to be agreed may have been promised. Raises Refusal."""
-    disk = Disk(folder)
+    disk = DiskFolder(folder)
     try:
         disk.lock()
         store = Store(disk)
         kept = store.load(fleet, name, lambda text: None)
-    except (OSError, Damaged, Foreign) as error:
-        raise Refusal(f"{folder}: {error}") from None
+    except (OSError, DamagedLogError, ForeignFileError) as error:
+        raise CommandError(f"{folder}: {error}") from None
     if kept is None or kept.snapshot.index < 0:
-        raise Refusal(f"{folder}: it holds nothing that was agreed")
+        raise CommandError(f"{folder}: it holds nothing that was agreed")
     try:
-        agreed = Agreed(kept.snapshot.data)
+        agreed = StateMachine(kept.snapshot.data)
         for entry in kept.entries:
-            if entry.kind == DATA:
+            if entry.kind == ENTRY_COMMAND:
                 agreed.apply(entry.data)
         state, old = agreed.state, store.life
         state.version += RECOVERED
         state.pending, state.voters, state.fenced = None, [name], [*state.fenced, old.group][-20:]
         state.history.append(
-            Record(
+            HistoryRecord(
                 state.version,
                 by,
                 time.time_ns() // 1_000_000,
@@ -155,11 +155,11 @@
             old.member, True, before.address if before else "", before.zone if before else ""
         )
         store.begin(
-            Life(fleet, group, old.member, old.boot + 1),
-            Kept(Snapshot(last, term, (mine,), agreed.dump()), [], term, ""),
+            LogIdentity(fleet, group, old.member, old.boot + 1),
+            PersistentState(Snapshot(last, term, (mine,), agreed.dump()), [], term, ""),
         )
     except OSError as error:
-        raise Refusal(f"{folder}: {error}") from None
+        raise CommandError(f"{folder}: {error}") from None
     finally:
         disk.unlock()
     return {
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -16,19 +16,19 @@
 import msgspec
 
 from cypresswalk.choice import MISSES, RISE
-from cypresswalk.copies.replica import Answer
+from cypresswalk.copies.replica import ReservationAnswer
 from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.member import CALLED_BACK, DRAINED, View
-from cypresswalk.fleet.messages import OfServers
+from cypresswalk.fleet.member import CALLED_BACK, DRAINED, AppliedView
+from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.state_machine import Listed
 from cypresswalk.fleet.unavailability import GO
 from cypresswalk.hosting import SettingsError, decode_settings
-from cypresswalk.model import Flow, ListForm, Outcome, Server, State
+from cypresswalk.model import EndpointUpdate, Flow, Outcome, Server, ServerState
 from cypresswalk.net.config import Address, Config, read
-from cypresswalk.net.core import FAILED, Core, Leg, Phase, Session
+from cypresswalk.net.core import FAILED, Attempt, Core, Phase, Session
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.admin_commands import Call
-from cypresswalk.net.parsers.endpoint_list import Registry, server_number
+from cypresswalk.net.parsers.admin_commands import AdminCommand
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.operator import FleetTable
 from cypresswalk.rollout import bounds
 
@@ -63,7 +63,7 @@
     Outcome.CONNECT_FAILED: FELL,
     Outcome.RESET: FELL,
 }
-TIGHTNESS = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}
+TIGHTNESS = {ServerState.READY: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
 
 def shared(params: dict[str, Any]) -> dict[str, Any]:
@@ -99,8 +99,8 @@
         return why
     if (
         decoded.instances < 1
-        or decoded.max_connects < 1
-        or min(k.setup_target for k in decoded.service_types) <= 0
+        or decoded.max_attempts < 1
+        or min(k.setup_latency_objective for k in decoded.service_types) <= 0
     ):
         return "instances, maxConnects, setupTarget: each above 0"
     for part, name in FIXED:
@@ -109,14 +109,14 @@
     return ""
 
 
-class Binding:
+class CoreBinding:
     def __init__(
         self,
         table: FleetTable,
         config: Config,
         core: Core,
         post: Callable[..., None],
-        registry: Callable[[], Registry],
+        registry: Callable[[], EndpointListDecoder],
     ):
         self.core, self.registry, self.post = core, registry, post
         self.params = read(config.path)["settings"]
@@ -132,7 +132,7 @@
         self.list_version = 0
         self.out: set[str] = set()  # by the fleet
         self.here: set[str] = set()  # by force, at this balancer alone
-        self.list_agreed: dict[int, tuple[State, int]] | None = None
+        self.list_agreed: dict[int, tuple[ServerState, int]] | None = None
         # What this balancer's own agent says, by number.
         self.own: dict[int, tuple[Server, Address]] = {
             server.id: (as_listed(server), core.addresses[server.id])
@@ -148,7 +148,7 @@
             if (
                 core.phase is not Phase.STARTING
             ):  # else the process before this one tells what it spent
-                core.balancer.succeeds(core.balancer.started)
+                core.balancer.on_predecessor_lost(core.balancer.started)
         self.took = 0  # the sum of set-ups, nanoseconds
         self.last_served = (0, 0, 0, 0)
         self.fleet.served = self.served
@@ -175,18 +175,18 @@
 
     # What this balancer sees of servers.
 
-    def came_up(self, leg: Leg, took: int) -> None:
+    def came_up(self, leg: Attempt, took: int) -> None:
         self.took += took
         counts = self.by_server.setdefault(leg.server.id, [0, 0, 0, 0])
         counts[UP] += 1
         counts[TOOK] += took
 
-    def fell(self, leg: Leg, outcome: Outcome) -> None:
+    def fell(self, leg: Attempt, outcome: Outcome) -> None:
         """A connect that came to nothing, or what stood there and was broken off."""
         if outcome in ENDS:
             self.by_server.setdefault(leg.server.id, [0, 0, 0, 0])[ENDS[outcome]] += 1
 
-    def of_servers(self) -> OfServers:
+    def of_servers(self) -> ServerReport:
         """By the fleet's thread: copies are taken in one step, each figure by itself."""
         registry, bad, standing = self.registry(), [], {}
         for server in list(self.core.balancer.servers.values()):
@@ -201,7 +201,7 @@
                 and server.misses < MISSES
                 and (server.health >= RISE or not server.known)
             )
-            if server.state is State.READY and not ready:
+            if server.state is ServerState.READY and not ready:
                 bad.append(name)
         served = (
             {
@@ -212,7 +212,7 @@
             if self.watch
             else {}
         )
-        return OfServers(sorted(bad)[:TOLD_MOST], standing, served)
+        return ServerReport(sorted(bad)[:TOLD_MOST], standing, served)
 
     # The lease.
 
@@ -221,7 +221,7 @@
 
     # Views.
 
-    def act_on(self, now: int, view: View) -> None:
+    def act_on(self, now: int, view: AppliedView) -> None:
         """Raises nothing that would leave it half done: a view that can't be followed is not acted on, so no lease holds."""
         if view.version <= self.version:
             return
@@ -229,7 +229,7 @@
             # Drained in its life before, or on the machine that this one replaces: the yes holds until drain-off. It has taken
             # nothing until now, since it has no lease yet.
             log.info(event("drained_still"))
-            self.core.obey(now, Call("drain-on"))
+            self.core.obey(now, AdminCommand("drain-on"))
         if view.settings_version > self.settings_version:
             why = objection(self.params, view.settings)
             if why:
@@ -241,10 +241,10 @@
             self.settings_version = view.settings_version
             log.info(event("settings_agreed", version=view.settings_version))
         for ident in sorted(set(view.out) - self.out):
-            self.core.obey(now, Call("set-down", ident), known=True)
+            self.core.obey(now, AdminCommand("set-down", ident), known=True)
         for ident in sorted(self.out - set(view.out)):
             if ident not in self.here:
-                self.core.obey(now, Call("set-up", ident), known=True)
+                self.core.obey(now, AdminCommand("set-up", ident), known=True)
         self.out, self.watch = set(view.out), view.watch
         if view.list_version > self.list_version:
             self.list_version = view.list_version
@@ -261,12 +261,12 @@
         names = [tenant["name"] for tenant in params.get("tenants") or []]
         for name in names:
             places.setdefault(name, len(places))
-        shares = dict(zip(names, settings.shares))
+        shares = dict(zip(names, settings.quotas))
         if shares:
-            settings.shares = [
+            settings.quotas = [
                 shares.get(name, float("inf")) for name in sorted(places, key=places.get)
             ]
-        core.balancer.resettled(now, settings)
+        core.balancer.on_settings(now, settings)
         self.settings = agreed
         core.service_types, core.customers = kinds, {name: places[name] for name in names}
         for counts in core.figures.counts.values():
@@ -297,7 +297,7 @@
         list_agreed = (
             None
             if told["list"] is None
-            else {int(i): (State(s), int(since)) for i, s, since in told["list"]}
+            else {int(i): (ServerState(s), int(since)) for i, s, since in told["list"]}
         )
         out, here, settings = (
             {str(s) for s in told["out"]},
@@ -312,8 +312,8 @@
         self.out, self.here, self.list_agreed = out, here, list_agreed
         self.list_version, self.version = int(told["list_version"]), version
         for ident in sorted(out | here):
-            self.core.obey(now, Call("set-down", ident), known=True)
-        self.core.listed(now, ListForm.DELTA, [])
+            self.core.obey(now, AdminCommand("set-down", ident), known=True)
+        self.core.listed(now, EndpointUpdate.DELTA, [])
         self.fleet.inherit(until, version)
 
     # Lists.
@@ -321,20 +321,20 @@
     def follow(self, now: int, servers: tuple[Listed, ...]) -> None:
         self.list_agreed = {}
         for ident, _, _, state, _, since in servers:
-            self.list_agreed[server_number(ident)] = State(state), since
-        self.core.listed(now, ListForm.DELTA, [])
+            self.list_agreed[server_number(ident)] = ServerState(state), since
+        self.core.listed(now, EndpointUpdate.DELTA, [])
 
     def listed(
-        self, now: int, form: ListForm, entries: list[tuple[Server, Address]]
-    ) -> tuple[ListForm, list]:
+        self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]]
+    ) -> tuple[EndpointUpdate, list]:
         """What this balancer's own agent told becomes what it acts on: of both lists the tighter word."""
         for server, where in entries:
             self.own[server.id] = as_listed(server), where
-        if form is not ListForm.DELTA:
+        if form is not EndpointUpdate.DELTA:
             named = {server.id for server, _ in entries}
             for ident, (server, _) in self.own.items():
                 if ident not in named:
-                    server.state = State.GONE
+                    server.state = ServerState.GONE
         self.report()
         effective = []
         for ident, (server, where) in self.own.items():
@@ -348,12 +348,12 @@
                 made = as_listed(server)
                 made.state, made.since = state, since
                 effective.append((made, where))
-        return ListForm.DELTA, effective
+        return EndpointUpdate.DELTA, effective
 
-    def tighter(self, ident: int, server: Server) -> tuple[State, int]:
+    def tighter(self, ident: int, server: Server) -> tuple[ServerState, int]:
         if self.list_agreed is None:
             return server.state, server.since
-        state, since = self.list_agreed.get(ident, (State.GONE, 0))
+        state, since = self.list_agreed.get(ident, (ServerState.GONE, 0))
         return max((server.state, state), key=TIGHTNESS.get), max(since, server.since)
 
     def report(self) -> None:
@@ -362,7 +362,7 @@
         servers = sorted(
             (registry.names[s.id], s.zone, s.cell, s.state.value, float(s.weight), s.since)
             for s, _ in self.own.values()
-            if s.state is not State.GONE and s.id in registry.names
+            if s.state is not ServerState.GONE and s.id in registry.names
         )
         digest = blake2b(msgspec.msgpack.encode(servers), digest_size=16).digest()
         if (registry.version, digest) != self.told and registry.version > 0:
@@ -371,7 +371,7 @@
 
     # Calls.
 
-    def takes(self, now: int, call: Call) -> bool:
+    def takes(self, now: int, call: AdminCommand) -> bool:
         """Whether the answer comes from the fleet."""
         if call.name == "drain-on" and not self.core.drained:
             self.ask_out(call, False)
@@ -428,7 +428,7 @@
             "forced": forced,
         }
 
-    def ask_out(self, call: Call, forced: bool) -> None:
+    def ask_out(self, call: AdminCommand, forced: bool) -> None:
         """This balancer may go out only with the fleet's yes, and only at once: what it was granted is another's again later."""
         if not self.fleet.started.is_set():
             call.answers.put(
@@ -442,7 +442,7 @@
 
         self.fleet.call("go_out", self.out_args(DRAINED, forced), reply, CALL_SPAN)
 
-    def may_go(self, now: int, call: Call, asked: int, ok: bool, body: Any) -> None:
+    def may_go(self, now: int, call: AdminCommand, asked: int, ok: bool, body: Any) -> None:
         if not ok:
             self.core.reply(
                 call, f"not granted: {body.get('why', body) if isinstance(body, dict) else body}"
@@ -452,7 +452,7 @@
         else:
             self.core.act(now, call)
 
-    def agreed(self, now: int, call: Call, ok: bool, body: Any) -> None:
+    def agreed(self, now: int, call: AdminCommand, ok: bool, body: Any) -> None:
         """The yes comes after the fleet's and this balancer's own: it acts already on what it has agreed to."""
         if not ok:
             self.core.reply(
@@ -461,20 +461,20 @@
             return
         if call.name == "set-down":
             self.out.add(call.server)
-            self.core.obey(now, Call("set-down", call.server), known=True)
+            self.core.obey(now, AdminCommand("set-down", call.server), known=True)
         elif call.server in self.out and call.server not in self.here:
             self.out.discard(call.server)
-            self.core.obey(now, Call("set-up", call.server), known=True)
+            self.core.obey(now, AdminCommand("set-up", call.server), known=True)
         self.core.reply(call, None)
 
-    def by_force(self, now: int, call: Call) -> None:
+    def by_force(self, now: int, call: AdminCommand) -> None:
         """At this balancer alone, said so and recorded with the fleet as soon as that can be had."""
         down = call.name == "set-down-here"
         why = self.core.obey(now, call)
         if why is None:
             self.here.add(call.server) if down else self.here.discard(call.server)
             if not down and call.server in self.out:
-                self.core.obey(now, Call("set-down", call.server), known=True)
+                self.core.obey(now, AdminCommand("set-down", call.server), known=True)
                 why = "out by the fleet still: `set-up` ends that"
             self.fleet.call(
                 "note",
@@ -501,22 +501,22 @@
 
     def ask(self, now: int, session: Session) -> None:
         flow = session.flow
-        span = max(int(flow.type.setup_target * self.share), 1)
-        left = min(span, max((flow.until - now) // 2, 0))
-        kind = flow.type
+        span = max(int(flow.service_type.setup_latency_objective * self.share), 1)
+        left = min(span, max((flow.deadline - now) // 2, 0))
+        kind = flow.service_type
         # Held while it may be under way, and a repeat of it come.
-        held = kind.window + max(flow.until - now, 0) + self.core.limits.longest
+        held = kind.idempotency_window + max(flow.deadline - now, 0) + self.core.limits.longest
         self.waiting[session] = None
         # Whatever becomes of the copies' thread: guards a flow against a process that hands over or fails just now.
         self.core.at(now + left + SPARE, self.late, session)
         self.core.counters.add("claims")
 
-        def reply(answer: Answer, by: str) -> None:
+        def reply(answer: ReservationAnswer, by: str) -> None:
             self.post(self.answered, session, answer, by)
 
         self.fleet.copies.put("claim", ident_of(flow), held, self.fleet.now() + left, reply)
 
-    def answered(self, now: int, session: Session, answer: Answer, by: str) -> None:
+    def answered(self, now: int, session: Session, answer: ReservationAnswer, by: str) -> None:
         core, flow = self.core, session.flow
         late = session not in self.waiting
         self.waiting.pop(session, None)
@@ -541,7 +541,7 @@
 
     def late(self, now: int, session: Session) -> None:
         if session in self.waiting:
-            self.answered(now, session, Answer("refused"), "")
+            self.answered(now, session, ReservationAnswer("refused"), "")
 
     def finish(self, flow: Flow, how: str) -> None:
         by = self.granted.pop(flow, None)
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from cypresswalk.agreement.node import Harmed, Kept, Timing
-from cypresswalk.agreement.store import Damaged, Foreign, Life, Store
-from cypresswalk.copies.messages import Brought, Bundle, Sealed, Slow
-from cypresswalk.copies.messages import Word as CopyWord
-from cypresswalk.fleet.member import About, Member, Strange, View
-from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, OfServers, Result
-from cypresswalk.fleet.replica_placement import Placing
-from cypresswalk.fleet.transport import STACK, Answers, Links
+from cypresswalk.agreement.node import LogDivergedError, PersistentState, Timing
+from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.copies.messages import Message as CopyWord
+from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
+from cypresswalk.fleet.member import AppliedView, Member, MemberConfig, UnreadableEntryError
+from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, Result, ServerReport
+from cypresswalk.fleet.replica_placement import ReplicaPlacement
+from cypresswalk.fleet.transport import STACK, Answers, Transport
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.operator import FleetTable
-from cypresswalk.state.disk import Disk, Taken
+from cypresswalk.state.disk import DiskFolder, FolderLockedError
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
@@ -50,7 +50,7 @@
         table: FleetTable,
         check: Callable[[dict], str],
         own: dict[str, Any],
-        agreed: Callable[[View], None],
+        agreed: Callable[[AppliedView], None],
         leased: Callable[[], None],
         now: Callable[[], int] = clock,
     ):
@@ -63,7 +63,7 @@
             leased,
             now,
         )
-        self.about = About(
+        self.about = MemberConfig(
             table.fleet,
             table.name,
             table.address,
@@ -76,7 +76,7 @@
         self.chance = Random(int.from_bytes(os.urandom(16), "little"))
         self.member: Member | None = None
         self.store: Store | None = None
-        self.disk = Disk(table.folder)
+        self.disk = DiskFolder(table.folder)
         self.life = self.chance.getrandbits(63)
         self.boot = 0
         self.until = 0  # of the lease; read by the deciding thread
@@ -87,7 +87,7 @@
         self.started = Event()
         self.over = Event()
         self.ended = Event()
-        self.links = Links(
+        self.links = Transport(
             address(table.listen or table.address),
             table.fleet,
             lambda *event: self.queue.put(event),
@@ -101,9 +101,9 @@
         self.copies: Any = None
         if table.copies is not None:
             # Imported here alone: who keeps no copies pays nothing.
-            from cypresswalk.copies.driver import Copies
+            from cypresswalk.copies.driver import ReplicationThread
 
-            self.copies = Copies(
+            self.copies = ReplicationThread(
                 self.disk,
                 self.now,
                 self.wall,
@@ -114,7 +114,7 @@
             )
         self.served: Callable[[], tuple[int, int, int, int]] = lambda: (0, 0, 0, 0)
         self.ready: Callable[[], bool | None] = lambda: None  # asked by the fleet's thread
-        self.servers: Callable[[], OfServers] = OfServers
+        self.servers: Callable[[], ServerReport] = ServerReport
         self.places: dict[
             str, str
         ] = {}  # addresses that others named: one that just joined knows no members yet
@@ -187,10 +187,10 @@
                 # Nothing is said after a write that failed: what it covered may be lost. All that can be read is then written
                 # anew, whole, and flushed, before this member says a word again.
                 self.say_trouble("fleet_disk_failed", f"{error.strerror or error}")
-            except (Harmed, Strange) as error:
+            except (LogDivergedError, UnreadableEntryError) as error:
                 self.say_trouble("fleet_member_stopped", str(error))
                 pause = DISK_AGAIN_MOST
-            except Foreign as error:
+            except ForeignFileError as error:
                 self.say_trouble("fleet_folder_foreign", str(error))
                 pause = DISK_AGAIN_MOST
             self.member = None
@@ -246,7 +246,7 @@
                 os.makedirs(self.table.folder, mode=0o700, exist_ok=True)
                 self.disk.lock()
                 return True
-            except Taken:
+            except FolderLockedError:
                 why = "another process of this balancer has the folder"
             except OSError as error:
                 why = str(error)
@@ -267,16 +267,18 @@
                 self.table.name,
                 lambda text: log.warning("event=fleet_log_cut why=%s", text),
             )
-        except Damaged as error:
+        except DamagedLogError as error:
             why = str(error)
         if kept is not None:
-            life = Life(store.life.fleet, store.life.group, store.life.member, store.life.boot + 1)
+            life = LogIdentity(
+                store.life.fleet, store.life.group, store.life.member, store.life.boot + 1
+            )
             store.begin(life, kept)
             self.boot = life.boot
             try:
                 self.make(life.member, life.group, kept)
             except msgspec.DecodeError as error:
-                raise Foreign(f"its state can't be read: {error}") from None
+                raise ForeignFileError(f"its state can't be read: {error}") from None
         else:
             if why:
                 self.give_up(why)
@@ -307,9 +309,11 @@
         self.life = self.chance.getrandbits(63)
         self.make(f"{self.table.name}#{self.chance.getrandbits(64):016x}", "", None)
 
-    def make(self, ident: str, group: str, kept: Kept | None) -> None:
+    def make(self, ident: str, group: str, kept: PersistentState | None) -> None:
         copies = self.table.copies
-        placing = Placing(ident, copies.copies, copies.least) if copies is not None else None
+        placing = (
+            ReplicaPlacement(ident, copies.copies, copies.least) if copies is not None else None
+        )
         self.member = Member(
             self.about, ident, group, kept, self.now(), self.chance, self.check, self.own, placing
         )
@@ -375,7 +379,7 @@
                 return
             if step.begin is not None:
                 group, kept = step.begin
-                self.store.begin(Life(self.table.fleet, group, member.id, self.boot), kept)
+                self.store.begin(LogIdentity(self.table.fleet, group, member.id, self.boot), kept)
             if step.work is not None:
                 if step.work.writes:
                     self.store.write(step.work)
@@ -385,7 +389,7 @@
             if step.work is not None:
                 member.apply(self.now(), step.work)
 
-    def send_copies(self, to: str, bundle: Bundle) -> None:
+    def send_copies(self, to: str, bundle: MessageBatch) -> None:
         """By the thread that keeps copies."""
         member = self.member
         if member is not None:
@@ -399,7 +403,7 @@
             if to == member.id:
                 self.copies.put("words", to, [frame])
                 return
-            frame = Bundle([frame])
+            frame = MessageBatch([frame])
         if ":" in to:
             name, ident, where = self.names.get(to, ""), "", to
         else:
@@ -418,7 +422,7 @@
                 self.places[hello.id] = hello.address
                 while len(self.places) > 1000:
                     del self.places[next(iter(self.places))]
-                if isinstance(frame, Bundle):
+                if isinstance(frame, MessageBatch):
                     self.bundled(now, member, hello.id, frame)
                 else:
                     member.heard(now, hello.id, frame)
@@ -428,7 +432,7 @@
                 if member.leads:
                     member.holder_said(now, member.id, words)
                 elif member.leader:
-                    self.send(member, member.leader, Bundle(words))
+                    self.send(member, member.leader, MessageBatch(words))
             case ("tool", _, Call() as frame, answers):
                 self.tool(now, member, frame, answers)
             case ("call", name, args, reply, span):
@@ -445,17 +449,25 @@
                 except Exception as error:
                     log.info("event=leadership_kept why=%s", error)
 
-    def bundled(self, now: int, member: Member, source: str, bundle: Bundle) -> None:
+    def bundled(self, now: int, member: Member, source: str, bundle: MessageBatch) -> None:
         if self.copies is None:
             return
-        to_leader = [word for word in bundle.words if isinstance(word, Sealed | Brought | Slow)]
+        to_leader = [
+            word
+            for word in bundle.words
+            if isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
+        ]
         if to_leader:
             member.holder_said(now, source, to_leader)
         if len(to_leader) < len(bundle.words):
             self.copies.put(
                 "words",
                 source,
-                [word for word in bundle.words if not isinstance(word, Sealed | Brought | Slow)],
+                [
+                    word
+                    for word in bundle.words
+                    if not isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
+                ],
             )
 
     def tool(self, now: int, member: Member, frame: Call, answers: Answers) -> None:
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -21,7 +21,7 @@
     return int(stated * (1 + DRIFT))
 
 
-class Held:
+class HeldLease:
     """At the holder."""
 
     def __init__(self, stated: int, now: int):
@@ -54,7 +54,7 @@
         )
 
 
-class Given:
+class LeaseGrants:
     """At the leader, for its time of leading."""
 
     def __init__(self, stated: int, now: int):
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -15,29 +15,29 @@
 
 import msgspec
 
-from cypresswalk.agreement.messages import DATA, Entry, Members, Word
+from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Members, Message
 from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.node import Busy, Kept, Node, Role, Timing, Work
-from cypresswalk.copies.messages import SKEW
+from cypresswalk.agreement.node import BusyError, Node, PersistentState, Ready, Role, Timing
+from cypresswalk.copies.messages import MAX_CLOCK_SKEW
 from cypresswalk.fleet import queries
 from cypresswalk.fleet import state_machine as state
 from cypresswalk.fleet.bootstrap import FRESH, Founding
-from cypresswalk.fleet.leases import Given, Held
+from cypresswalk.fleet.leases import HeldLease, LeaseGrants
 from cypresswalk.fleet.messages import (
     AnyFrame,
-    Ask,
     Call,
-    Grant,
-    Hail,
-    HailAnswer,
-    OfServers,
+    DiscoveryRequest,
+    DiscoveryResponse,
+    LeaseGrant,
+    LeaseRequest,
     Result,
+    ServerReport,
 )
-from cypresswalk.fleet.release_control import Releasing
-from cypresswalk.fleet.replica_placement import Placing
-from cypresswalk.fleet.server_observations import Wards
-from cypresswalk.fleet.state_machine import Agreed, AnyCommand
-from cypresswalk.fleet.unavailability import Places, name_of
+from cypresswalk.fleet.release_control import ReleaseControl
+from cypresswalk.fleet.replica_placement import ReplicaPlacement
+from cypresswalk.fleet.server_observations import ServerObservations
+from cypresswalk.fleet.state_machine import AnyCommand, StateMachine
+from cypresswalk.fleet.unavailability import UnavailabilityTracker, name_of
 from cypresswalk.rollout.evidence import Served
 from cypresswalk.rollout.release import UNFINISHED, Plan
 
@@ -65,12 +65,12 @@
 Reply = Callable[[bool, Any], None]
 
 
-class Strange(Exception):
+class UnreadableEntryError(Exception):
     """An entry that this program can't read: it must not go on as if it were not there."""
 
 
 @dataclass(frozen=True, slots=True)
-class About:
+class MemberConfig:
     fleet: str
     name: str
     address: str
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class AppliedView:
     """What the deciding thread is to act on."""
 
     version: int
@@ -104,11 +104,11 @@
 
 
 @dataclass(slots=True)
-class Step:
+class MemberEffects:
     """In this order: `begin` or the work written and flushed, `Member.written`, send, `Member.apply`."""
 
-    begin: tuple[str, Kept] | None = None  # a new file, of that group
-    work: Work | None = None
+    begin: tuple[str, PersistentState] | None = None  # a new file, of that group
+    work: Ready | None = None
     sends: list[tuple[str, AnyFrame]] = field(
         default_factory=list
     )  # to a member's id, or an address with a colon
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingCall:
     """A call that somebody here asked."""
 
     name: str
@@ -130,15 +130,15 @@
 class Member(Founding):
     def __init__(
         self,
-        about: About,
+        about: MemberConfig,
         ident: str,
         group: str,
-        kept: Kept | None,
+        kept: PersistentState | None,
         now: int,
         chance: Random,
         check: Callable[[dict], str],
         own: dict[str, Any] | None = None,
-        placing: Placing | None = None,
+        placing: ReplicaPlacement | None = None,
     ):
         """`check`: why this balancer could not act on those settings, or nothing. `own`: those of its file, offered where the
         fleet has none yet. Raises msgspec.DecodeError where what was kept is no state."""
@@ -151,15 +151,17 @@
             own,
         )
         self.node: Node | None = None
-        self.agreed, self.applied = Agreed(), -1
+        self.agreed, self.applied = StateMachine(), -1
         self.sends: list[tuple[str, AnyFrame]] = []
-        self.begin: tuple[str, Kept] | None = None
+        self.begin: tuple[str, PersistentState] | None = None
         self.reborn = ""
-        self.held = Held(about.stated, now)
+        self.held = HeldLease(about.stated, now)
         self.ask_at, self.hail_at, self.tend_at = now, now, now
-        self.hails: dict[str, tuple[int, HailAnswer]] = {}  # answers, by name
-        self.joining: dict[str, tuple[int, Hail]] = {}  # at the leader: who wants in, by name
-        self.given: Given | None = None
+        self.hails: dict[str, tuple[int, DiscoveryResponse]] = {}  # answers, by name
+        self.joining: dict[
+            str, tuple[int, DiscoveryRequest]
+        ] = {}  # at the leader: who wants in, by name
+        self.given: LeaseGrants | None = None
         self.objections: dict[
             str, tuple[str, str]
         ] = {}  # by member: the offer it looked at, why not
@@ -171,7 +173,7 @@
             str, tuple[int, int]
         ] = {}  # by member: the version it acts on, heard first when
         self.list_told: tuple[int, bytes, list] = (-1, b"", [])
-        self.calls: dict[int, Waiting] = {}
+        self.calls: dict[int, PendingCall] = {}
         self.numbers = 0
         self.results: dict[str, list[Reply]] = {}  # at the leader: who waits for which command
         self.settling: list[
@@ -179,7 +181,7 @@
         ] = []  # who waits until all act on a version, until when
         self.said: set[str] = set()
         self.led_before = False
-        self.views: list[View] = []
+        self.views: list[AppliedView] = []
         self.viewed: tuple | None = None
         self.placing = placing  # where copies of claims lie, if this balancer keeps any
         self.holds = False
@@ -187,15 +189,15 @@
             None
         )  # of this balancer, as its deciding thread has it
         self.served: Callable[[], tuple[int, int, int, int]] = lambda: (0, 0, 0, 0)
-        self.servers: Callable[[], OfServers] = OfServers
-        self.wards = Wards(about.stated)  # at the leader
+        self.servers: Callable[[], ServerReport] = ServerReport
+        self.wards = ServerObservations(about.stated)  # at the leader
         self.boot = 0  # how often it has started under this identity
         self.boots: dict[str, int] = {}  # at the leader, by name
         self.figures: dict[
             str, tuple[Served, int]
         ] = {}  # and what each has served, and when it said so
-        self.releasing = Releasing()
-        self.places = Places(about.stated)  # at the leader
+        self.releasing = ReleaseControl()
+        self.places = UnavailabilityTracker(about.stated)  # at the leader
         self.wall: Callable[[], int] = lambda: 0  # milliseconds, for people
         self.placed: list[
             dict[int, tuple[int, tuple[str, ...]]]
@@ -203,7 +205,7 @@
         if kept is not None:
             self.start(kept, now)
 
-    def start(self, kept: Kept, now: int) -> None:
+    def start(self, kept: PersistentState, now: int) -> None:
         self.node = Node(self.id, kept, self.about.timing, self.chance, now)
 
     def once(self, what: str, **words: object) -> None:
@@ -280,10 +282,13 @@
 
     def turned(self, now: int) -> None:
         """It leads now, or does no more."""
-        self.given = Given(self.about.stated, now) if self.leads else None
+        self.given = LeaseGrants(self.about.stated, now) if self.leads else None
         self.objections, self.reports, self.joining, self.acting, self.wiped = {}, {}, {}, {}, {}
-        self.places, self.wards = Places(self.about.stated), Wards(self.about.stated)
-        self.figures, self.boots, self.releasing = {}, {}, Releasing()
+        self.places, self.wards = (
+            UnavailabilityTracker(self.about.stated),
+            ServerObservations(self.about.stated),
+        )
+        self.figures, self.boots, self.releasing = {}, {}, ReleaseControl()
         self.results = {}
         settling, self.settling = self.settling, []
         for _, _, reply in settling:
@@ -309,7 +314,7 @@
         offer = pending.offer if pending else ""
         objection = self.check(pending.settings)[:300] if pending else ""
         generation, digest, _ = self.list_told
-        ask = Ask(
+        ask = LeaseRequest(
             self.held.ask(now),
             self.acts_on,
             offer,
@@ -329,7 +334,7 @@
         else:
             self.sends.append((self.leader, ask))
 
-    def asked(self, now: int, source: str, ask: Ask) -> None:
+    def asked(self, now: int, source: str, ask: LeaseRequest) -> None:
         if not self.leads or not any(m.id == source for m in self.members):
             return
         self.given.said(source, ask.version)
@@ -347,10 +352,10 @@
         self.wards.asked(now, source, ask.version, ask.servers)
         try:
             self.node.read(now, ("lease", source, ask.number))
-        except Busy:
+        except BusyError:
             pass  # it asks again
 
-    def granted(self, now: int, grant: Grant) -> None:
+    def granted(self, now: int, grant: LeaseGrant) -> None:
         self.held.granted(grant.number, grant.version)
 
     def acted(self, now: int, version: int) -> None:
@@ -375,7 +380,7 @@
             self.tend_away(now)
             self.tend_coming(now)
             self.tend_release(now)
-        except Busy:
+        except BusyError:
             pass  # at the next look
 
     def propose(self, now: int, command: AnyCommand) -> None:
@@ -392,7 +397,9 @@
             ):
                 self.propose(
                     now,
-                    state.Offer(f"first:{self.group}", self.about.name, self.wall(), 0, self.own),
+                    state.ProposeSettings(
+                        f"first:{self.group}", self.about.name, self.wall(), 0, self.own
+                    ),
                 )
             return
         offer = s.pending.offer
@@ -406,7 +413,8 @@
             why.append(f"{self.about.name}: {mine}"[:400])
         if why:
             self.propose(
-                now, state.Refuse(f"refuse:{offer}", self.about.name, s.pending.at, offer, why)
+                now,
+                state.RejectSettings(f"refuse:{offer}", self.about.name, s.pending.at, offer, why),
             )
         elif all(
             self.objections.get(m.id, ("",))[0] == offer
@@ -415,7 +423,8 @@
             for m in self.members
         ):
             self.propose(
-                now, state.Activate(f"activate:{offer}", self.about.name, s.pending.at, offer)
+                now,
+                state.ActivateSettings(f"activate:{offer}", self.about.name, s.pending.at, offer),
             )
 
     def tend_list(self, now: int) -> None:
@@ -430,7 +439,7 @@
         if alike >= self.node.majority(len(voters)):
             self.propose(
                 now,
-                state.Listing(
+                state.UpdateEndpointList(
                     f"list:{s.list_epoch}:{generation}",
                     self.about.name,
                     self.wall(),
@@ -448,7 +457,7 @@
             if self.node.log.term(self.node.commit) == self.node.term:
                 self.propose(
                     now,
-                    state.Desire(
+                    state.SetDesiredMembers(
                         f"voters:{self.group}", self.about.name, self.wall(), sorted(names), []
                     ),
                 )
@@ -480,7 +489,7 @@
             {m.name for m in self.members},
         )
         if free is not None:
-            self.propose(now, state.Return(*self.head("return"), *free))
+            self.propose(now, state.BalancerReturned(*self.head("return"), *free))
 
     def idents(self) -> set[str]:
         """Of members that have not left."""
@@ -491,7 +500,7 @@
         if not self.wards.can_tell(now, self.idents()) and self.agreed.state.settings.get(
             "bounds", {}
         ).get("servers"):
-            raise Busy(queries.UNTOLD)
+            raise BusyError(queries.UNTOLD)
         return self.wards.bad(now, self.idents())
 
     def standing(self, now: int, server: str) -> int | None:
@@ -511,7 +520,7 @@
                 now, self.idents(), s.coming, {name for name, *_ in s.servers}
             )
             if ready:
-                self.propose(now, state.Seen(*self.head("seen"), ready))
+                self.propose(now, state.ServersSeenReady(*self.head("seen"), ready))
 
     def settled(self, version: int, now: int) -> bool:
         """Whether every balancer acts on that version, or acts no more."""
@@ -549,11 +558,13 @@
         head = self.head("release", f"release {s.release.plan.name}")
         match do.what:
             case "go":
-                self.propose(now, state.Go(*head, do.name, zones, seen, boots.get(do.name, 0)))
+                self.propose(
+                    now, state.GrantTurn(*head, do.name, zones, seen, boots.get(do.name, 0))
+                )
             case "unused":
-                self.propose(now, state.Unused(*head, do.name))
+                self.propose(now, state.TurnUnused(*head, do.name))
             case "held":
-                self.propose(now, state.Held(*head, do.wave))
+                self.propose(now, state.WaveObserved(*head, do.wave))
             case "halt":
                 self.propose(now, state.Halt(*head, do.why))
 
@@ -571,7 +582,7 @@
         )
         self.sends += sends
         if proposals:
-            self.propose(now, state.Place(*self.head("place"), proposals))
+            self.propose(now, state.PlaceReplicas(*self.head("place"), proposals))
 
     def hears(self, now: int, ident: str) -> bool:
         peer = self.node.peers.get(ident)
@@ -651,13 +662,13 @@
     def heard(self, now: int, source: str, frame: AnyFrame) -> None:
         """`source`: the id that its connection's Hello named."""
         match frame:
-            case Hail():
+            case DiscoveryRequest():
                 self.hailed(now, frame)
-            case HailAnswer():
+            case DiscoveryResponse():
                 self.hail_answered(now, frame)
-            case Ask():
+            case LeaseRequest():
                 self.asked(now, source, frame)
-            case Grant():
+            case LeaseGrant():
                 self.granted(now, frame)
             case Call():
 
@@ -675,7 +686,7 @@
                 ):
                     del self.calls[frame.number]
                     waiting.reply(frame.ok, frame.body)
-            case Word() if self.node is not None:
+            case Message() if self.node is not None:
                 self.node.heard(now, source, frame)
 
     # Calls.
@@ -686,10 +697,10 @@
             reply(False, {"why": "too many calls wait", "unsure": False})
             return
         self.numbers += 1
-        waiting = self.calls[self.numbers] = Waiting(name, args, reply, now + span)
+        waiting = self.calls[self.numbers] = PendingCall(name, args, reply, now + span)
         self.pass_on(now, self.numbers, waiting)
 
-    def pass_on(self, now: int, number: int, waiting: Waiting) -> None:
+    def pass_on(self, now: int, number: int, waiting: PendingCall) -> None:
         if self.leads:
             waiting.again_at = now + 4 * AGAIN
             waiting.sent = True
@@ -716,11 +727,11 @@
                 self.renew_parts(now, [int(part) for part in args["parts"]], str(args["by"]), reply)
             elif name == "settled":
                 if len(self.settling) >= CALLS:
-                    raise Busy("too many calls wait")
+                    raise BusyError("too many calls wait")
                 self.settling.append((int(args["version"]), now + 2 * self.about.stated, reply))
             else:
                 self.lead_command(now, self.command(now, name, args), reply)
-        except Busy as error:
+        except BusyError as error:
             reply(False, {"why": str(error), "again": True})
         except (KeyError, TypeError, ValueError, msgspec.ValidationError) as error:
             reply(False, {"why": f"{name}: {type(error).__name__} {error}", "unsure": False})
@@ -728,22 +739,22 @@
     def command(self, now: int, name: str, args: dict[str, Any]) -> AnyCommand:
         """Raises ValueError where it could never be carried out."""
         kinds = {
-            "offer": state.Offer,
-            "out": state.Out,
-            "back": state.Back,
-            "note": state.Note,
-            "renew": state.Renew,
+            "offer": state.ProposeSettings,
+            "out": state.RemoveFromRotation,
+            "back": state.ReturnToRotation,
+            "note": state.AddNote,
+            "renew": state.ResetListSource,
             "halt": state.Halt,
             "resume": state.Resume,
-            "release_came": state.Came,
-            "release_back": state.TurnBack,
-            "release_pause": state.Pause,
+            "release_came": state.ChangeFinished,
+            "release_back": state.RollBack,
+            "release_pause": state.PauseRelease,
         }
         if name in ("join", "leave", "replace"):
             return self.desire(name, args)
         if name == "release_begin":
             plan = msgspec.convert(args["plan"], Plan)
-            return state.Begin(
+            return state.BeginRelease(
                 str(args["ident"]),
                 str(args["by"]),
                 int(args["at"]),
@@ -753,7 +764,7 @@
         if name in ("go_out", "release_began"):
             head = str(args["ident"]), str(args["by"]), int(args["at"]), str(args["member"])
             if name == "go_out":
-                return state.Leave(
+                return state.GrantLeave(
                     *head,
                     str(args["why"]),
                     bool(args.get("forced")),
@@ -762,10 +773,10 @@
                 )
             release = self.agreed.state.release
             if release is None or release.plan.kind != state.SERVERS:
-                return state.Began(*head, str(args["to"]), self.zones(), self.seen_out(now))
+                return state.ChangeStarted(*head, str(args["to"]), self.zones(), self.seen_out(now))
             if not self.settled(release.outs.get(str(args["member"]), 1 << 62), now):
                 raise ValueError("not every balancer acts on it yet")
-            return state.Began(*head, str(args["to"]), {}, self.bad_servers(now))
+            return state.ChangeStarted(*head, str(args["to"]), {}, self.bad_servers(now))
         if name not in kinds:
             raise ValueError("no such call")
         if name == "out":
@@ -785,12 +796,12 @@
         if have or not parts:
             raise ValueError(f"parts {have} have copies" if have else "no part named")
         self.propose(
-            now, state.Note(*self.head("renew", by), f"copies begun anew with nothing: {parts}")
+            now, state.AddNote(*self.head("renew", by), f"copies begun anew with nothing: {parts}")
         )
         self.placing.renewed.update(parts)
         reply(True, {"why": f"{len(parts)} parts begin anew"})
 
-    def desire(self, name: str, args: dict[str, Any]) -> state.Desire:
+    def desire(self, name: str, args: dict[str, Any]) -> state.SetDesiredMembers:
         s, who = self.agreed.state, str(args["member"])
         voters, left = list(s.voters), list(s.left)
         if name == "join":
@@ -809,7 +820,9 @@
             left = sorted({*left, who} - {other})
         if not 1 <= len(voters) <= VOTERS or len(set(voters)) != len(voters):
             raise ValueError(f"{len(voters)} voters; 1 to {VOTERS} are allowed")
-        return state.Desire(str(args["ident"]), str(args["by"]), int(args["at"]), voters, left)
+        return state.SetDesiredMembers(
+            str(args["ident"]), str(args["by"]), int(args["at"]), voters, left
+        )
 
     def lead_command(self, now: int, command: AnyCommand, reply: Reply) -> None:
         known = self.agreed.done.get(command.ident)
@@ -821,13 +834,13 @@
         if len(waiting) == 1:
             try:
                 self.propose(now, command)
-            except Busy:
+            except BusyError:
                 del self.results[command.ident]
                 raise
 
     def answer(self, command: AnyCommand, result: tuple[bool, str], reply: Reply) -> None:
         ok, why = result
-        if isinstance(command, state.Offer) and ok and why == "pending":
+        if isinstance(command, state.ProposeSettings) and ok and why == "pending":
             activated = self.agreed.done.get(f"activate:{command.ident}")
             refused = self.agreed.done.get(f"refuse:{command.ident}")
             if activated is None and refused is None:
@@ -859,35 +872,35 @@
 
     # What the owner carries out.
 
-    def take(self) -> Step | None:
+    def take(self) -> MemberEffects | None:
         if self.reborn:
-            return Step(reborn=self.reborn)
+            return MemberEffects(reborn=self.reborn)
         work = self.node.take() if self.node is not None else None
         if work is not None and work.disowned:
-            return Step(
+            return MemberEffects(
                 reborn="it lacks what it had acknowledged: its folder was put back from an older copy, or lost a part"
             )
-        step = Step(self.begin, work, self.sends)
+        step = MemberEffects(self.begin, work, self.sends)
         self.sends, self.begin = [], None
         if work is not None:
             step.sends += work.words
         return step if step.begin or work or step.sends else None
 
-    def written(self, now: int, work: Work) -> None:
+    def written(self, now: int, work: Ready) -> None:
         self.node.written(now, work)
         if self.leads != self.led_before:
             self.led_before = self.leads
             self.turned(now)
 
-    def apply(self, now: int, work: Work) -> None:
+    def apply(self, now: int, work: Ready) -> None:
         if work.install is not None and work.install.index > self.applied:
             if work.install.data:
-                self.agreed = Agreed(work.install.data)
+                self.agreed = StateMachine(work.install.data)
                 self.placed.append(self.agreed.state.parts)
             self.applied = work.install.index
         for index, entry in work.agreed:
             self.applied = index
-            if entry.kind == DATA:
+            if entry.kind == ENTRY_COMMAND:
                 self.apply_one(now, entry)
         for token, index in work.reads:
             self.confirmed(now, token)
@@ -900,10 +913,10 @@
     def apply_one(self, now: int, entry: Entry) -> None:
         command, result = self.agreed.apply(entry.data)
         if command is None:
-            raise Strange(result[1])
+            raise UnreadableEntryError(result[1])
         for reply in self.results.pop(command.ident, ()):
             self.answer(command, result, reply)
-        if isinstance(command, state.Place):
+        if isinstance(command, state.PlaceReplicas):
             # Each view by itself: a holder that skipped one would not know that it has all.
             self.placed.append(
                 {
@@ -917,14 +930,14 @@
                 # Those that only follow would hear at their next beat that it is agreed, and claims there wait for them.
                 for peer in self.node.peers.values():
                     peer.beat_at = min(peer.beat_at, now)
-        if isinstance(command, state.Activate | state.Refuse):
+        if isinstance(command, state.ActivateSettings | state.RejectSettings):
             for reply in self.results.pop(f"end:{command.offer}", ()):
                 ok, why = result
                 reply(
-                    ok and isinstance(command, state.Activate),
+                    ok and isinstance(command, state.ActivateSettings),
                     {"why": why, "version": self.agreed.state.version},
                 )
-        if isinstance(command, state.Offer) and result[0] and self.agreed.state.pending:
+        if isinstance(command, state.ProposeSettings) and result[0] and self.agreed.state.pending:
             self.ask_at = now  # says at once whether it can be read here
 
     def confirmed(self, now: int, token: tuple) -> None:
@@ -935,7 +948,7 @@
                     return
                 self.given.grant(now, member)
                 self.places.leased(now, member, number)
-                grant = Grant(number, self.agreed.state.version)
+                grant = LeaseGrant(number, self.agreed.state.version)
                 if member == self.id:
                     self.granted(now, grant)
                 else:
@@ -960,7 +973,7 @@
             and s.release.phase in UNFINISHED
         )
         self.views.append(
-            View(
+            AppliedView(
                 s.version,
                 s.settings_version,
                 s.settings,
@@ -978,4 +991,4 @@
     kinds = settings.get("serviceTypes") or []
     window = max((float(kind.get("window", 0.0)) for kind in kinds), default=0.0)
     longest = max((float(kind.get("giveUp", 0.0)) for kind in kinds), default=0.0)
-    return int((window + (WAITS_MOST + 1) * longest) * 1_000_000) + 2 * SKEW
+    return int((window + (WAITS_MOST + 1) * longest) * 1_000_000) + 2 * MAX_CLOCK_SKEW
