--- a/cypresswalk/fleet/messages.py
+++ b/cypresswalk/fleet/messages.py
@@ -12,25 +12,25 @@
 import msgspec
 
 from cypresswalk.agreement.messages import (
-    Append,
-    AppendAnswer,
-    Disowned,
+    AppendEntries,
+    AppendEntriesResponse,
+    DataLossDetected,
+    InstallSnapshotChunk,
+    InstallSnapshotChunkResponse,
     Members,
-    Piece,
-    PieceAnswer,
-    TakeOver,
-    Vote,
-    VoteAnswer,
-    Word,
+    Message,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
-from cypresswalk.copies.messages import Bundle
+from cypresswalk.copies.messages import MessageBatch
 
 PROTOCOL = 2
 LARGEST = 8 << 20  # an append or piece and its envelope take 300 KB; a list of 20,000 servers 3 MB
 HEAD = struct.Struct("<II")
 
 
-class Hello(Word, frozen=True):
+class Hello(Message, frozen=True):
     """`to` is whom the dialler means; empty where it does not know."""
 
     protocol: int
@@ -44,14 +44,14 @@
     to: str
 
 
-class Refused(Word, frozen=True):
+class HelloRejected(Message, frozen=True, tag="Refused"):
     """`code`: "fleet", "protocol", "group", "replaced", "fenced", "full", "twice"."""
 
     code: str
     why: str
 
 
-class Hail(Word, frozen=True):
+class DiscoveryRequest(Message, frozen=True, tag="Hail"):
     """By one that belongs to no group yet, or lost it."""
 
     id: str
@@ -62,7 +62,7 @@
     founder: bool  # one of them
 
 
-class HailAnswer(Word, frozen=True):
+class DiscoveryResponse(Message, frozen=True, tag="HailAnswer"):
     id: str
     group: str  # empty for one that belongs to none itself
     first: str
@@ -73,14 +73,14 @@
     fenced: list[str]  # groups that its own took the place of, by an operator's word
 
 
-class Found(Word, frozen=True):
+class BootstrapGroup(Message, frozen=True, tag="Found"):
     """The group begins with these, if its receiver belongs to none."""
 
     group: str
     members: Members
 
 
-class OfServers(msgspec.Struct, frozen=True, array_like=True):
+class ServerReport(msgspec.Struct, frozen=True, array_like=True):
     """What a balancer has to say of servers. `bad`: in service by its list and not ready for flows, by its own probes and connects,
     whether or not they are out by hand; `standing`: its flows at those that are out; `served`: of each, connects brought up, rejected and
     failed since this process began, and their set-ups' sum, while a release of servers is under way."""
@@ -90,7 +90,7 @@
     served: dict[str, tuple[int, int, int, int]] = {}
 
 
-class Ask(Word, frozen=True):
+class LeaseRequest(Message, frozen=True, tag="Ask"):
     """For a lease, and what its sender has to tell the leader meanwhile."""
 
     number: int
@@ -110,21 +110,21 @@
     )  # flows up, rejected, failed since its process began, and their set-ups' sum
     boot: int = 0  # how often it has started
     lease: int = 0  # number of the latest that it was granted: what this word says was so after that was given
-    servers: OfServers = OfServers()
+    servers: ServerReport = ServerReport()
 
 
-class Grant(Word, frozen=True):
+class LeaseGrant(Message, frozen=True, tag="Grant"):
     number: int
     version: int
 
 
-class Call(Word, frozen=True):
+class Call(Message, frozen=True):
     number: int
     name: str
     args: dict[str, Any]
 
 
-class Result(Word, frozen=True):
+class Result(Message, frozen=True):
     number: int
     ok: bool
     body: Any
@@ -132,23 +132,23 @@
 
 AnyFrame = (
     Hello
-    | Refused
-    | Hail
-    | HailAnswer
-    | Found
-    | Ask
-    | Grant
+    | HelloRejected
+    | DiscoveryRequest
+    | DiscoveryResponse
+    | BootstrapGroup
+    | LeaseRequest
+    | LeaseGrant
     | Call
     | Result
-    | Vote
-    | VoteAnswer
-    | Append
-    | AppendAnswer
-    | Piece
-    | PieceAnswer
-    | TakeOver
-    | Disowned
-    | Bundle
+    | RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshotChunk
+    | InstallSnapshotChunkResponse
+    | TimeoutNow
+    | DataLossDetected
+    | MessageBatch
 )
 frames = msgspec.msgpack.Decoder(AnyFrame)
 encode = msgspec.msgpack.encode
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Do:
+class ReleaseAction:
     """One command to propose: "go", "held", "halt", "unused"."""
 
     what: str
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Releasing:
+class ReleaseControl:
     release: str = ""  # what stands here is of that one
     wave: int = -1
     holds_since: int | None = None
@@ -60,7 +60,7 @@
         out: set[str],
         away: set[str],
         boots: dict[str, int],
-    ) -> Do | None:
+    ) -> ReleaseAction | None:
         """`served`: figures by name, of those heard lately; `out`: seen out, by whatever cause; `away`: with a place of their own;
         `boots`: how often each has started, as it last said."""
         if release is None or release.phase not in ("running", "back"):
@@ -92,7 +92,7 @@
         }
         for name, since in sorted(self.changing_since.items()):
             if now - since > plan.change_s * SECOND and not halted:
-                return Do(
+                return ReleaseAction(
                     "halt", why=f"the agent of {name} has said nothing for {plan.change_s:g} s"
                 )
         if release.phase == "running":
@@ -104,7 +104,7 @@
                 return None
             bad = self.fallen(now, release, changed, out, boots) or self.evidence.bad(plan, now)
             if bad:
-                return Do("halt", why=bad)
+                return ReleaseAction("halt", why=bad)
             if all(release.members[name] == "new" for name in wave) and not set(wave) & (
                 out | away
             ):
@@ -123,7 +123,9 @@
             )
         return self.next_to_go(now, release, halted, candidates)
 
-    def servers_late(self, now: int, release: Release, halted: bool, away: set[str]) -> Do | None:
+    def servers_late(
+        self, now: int, release: Release, halted: bool, away: set[str]
+    ) -> ReleaseAction | None:
         """`away`: those that are out for it, or not seen ready since they came. A balancer's place ends by its own word (places.py)."""
         members = sorted(release.members.items())
         self.turn_since = {
@@ -136,10 +138,10 @@
         }
         for name, since in self.turn_since.items():
             if now - since > UNUSED or halted and release.phase != "back":
-                return Do("unused", name)
+                return ReleaseAction("unused", name)
         for name, since in self.came_since.items():
             if now - since > release.plan.change_s * SECOND and not halted:
-                return Do(
+                return ReleaseAction(
                     "halt",
                     why=f"{name} was changed, and most balancers have not seen it ready for {release.plan.change_s:g} s",
                 )
@@ -147,14 +149,14 @@
 
     def next_to_go(
         self, now: int, release: Release, halted: bool, candidates: list[str]
-    ) -> Do | None:
+    ) -> ReleaseAction | None:
         for name in candidates:
             if (
                 not may_go(release, name, halted)
                 and now - self.tried_at.get(name, -1 << 62) >= TRY_AGAIN
             ):
                 self.tried_at[name] = now
-                return Do("go", name)
+                return ReleaseAction("go", name)
         self.last = f"waits for {', '.join(candidates[:5]) or 'those that are being changed'}"
         return None
 
@@ -186,7 +188,7 @@
                 return f"{name} was changed and then began anew by itself"
         return ""
 
-    def hold(self, now: int, release: Release, wave: list[str]) -> Do | None:
+    def hold(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
         plan = release.plan
         if self.holds_since is None:
             self.holds_since = now
@@ -196,9 +198,9 @@
         if passed < plan.hold_s * SECOND:
             return None
         if not why:
-            return Do("held", wave=release.wave)
+            return ReleaseAction("held", wave=release.wave)
         if passed > plan.hold_s * plan.patience * SECOND:
-            return Do(
+            return ReleaseAction(
                 "halt",
                 why=f"nothing is known of wave {release.wave} after {passed / SECOND:.0f} s: {why}",
             )
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -13,7 +13,14 @@
 from typing import Any
 
 from cypresswalk.agreement.messages import Members
-from cypresswalk.copies.messages import AnyWord, Bring, Brought, Seal, Sealed, Slow
+from cypresswalk.copies.messages import (
+    AnyMessage,
+    FetchPartition,
+    PartitionFetched,
+    PartitionSealed,
+    ReplicaSlow,
+    SealPartition,
+)
 from cypresswalk.copies.placement import PARTS, holders
 
 log = logging.getLogger(__name__)
@@ -29,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class PlacementChange:
     """From view `view` to the next."""
 
     view: int
@@ -43,7 +50,7 @@
     new: bool = False  # begins with nothing
 
 
-class Placing:
+class ReplicaPlacement:
     def __init__(self, me: str, copies: int, least: int):
         self.me, self.copies, self.least = me, copies, least
         self.lost: dict[int, int] = {}  # parts without any copy: since when
@@ -56,7 +63,7 @@
         """Leads from now on, or no more: nothing of before is known."""
         self.began = now
         self.able: dict[str, bool] = {}  # members that hold copies, as they told
-        self.changes: dict[int, Change] = {}
+        self.changes: dict[int, PlacementChange] = {}
         self.empty: set[tuple[int, int, str]] = set()  # part, view, holder: that has not all of it
         self.bad: dict[tuple[int, str], int] = {}  # part, holder: until when it is left out
         self.lacking: dict[int, int] = {}  # parts with fewer copies than asked for: since when
@@ -69,25 +76,25 @@
 
     # Words.
 
-    def heard(self, now: int, source: str, word: AnyWord, views: Views) -> None:
+    def heard(self, now: int, source: str, word: AnyMessage, views: Views) -> None:
         view, there = views.get(word.part, (0, ()))
         change = self.changes.get(word.part)
         match word:
-            case Sealed(sound=False) if word.view == view:
+            case PartitionSealed(sound=False) if word.view == view:
                 self.empty.add((word.part, view, source))
-            case Slow(who=who) if word.view == view and who == source:
+            case ReplicaSlow(who=who) if word.view == view and who == source:
                 self.empty.add((word.part, view, source))
-            case Slow(who=who) if word.view == view:
+            case ReplicaSlow(who=who) if word.view == view:
                 if (word.part, who) not in self.bad:
                     log.info(
                         "event=copy_left_out part=%d holder=%s told_by=%s", word.part, who, source
                     )
                 self.bad[word.part, who] = now + BAD
-            case Sealed() if word.view == view and source in there:
+            case PartitionSealed() if word.view == view and source in there:
                 if change is None:  # by a leader before this one
-                    change = self.changes[word.part] = Change(view, (), now)
+                    change = self.changes[word.part] = PlacementChange(view, (), now)
                 change.source = change.source or source
-            case Brought() if change is not None and word.view == change.view + 1:
+            case PartitionFetched() if change is not None and word.view == change.view + 1:
                 change.whole.add(source)
 
     # What is to be done.
@@ -100,9 +107,9 @@
         left: list[str],
         heard: Callable[[str], bool],
         longest: int,
-    ) -> tuple[Views, list[tuple[str, AnyWord]]]:
+    ) -> tuple[Views, list[tuple[str, AnyMessage]]]:
         """Views to propose, and words to send. `heard`: whether a member was heard lately; `longest`: for how long an id is held."""
-        sends: list[tuple[str, AnyWord]] = []
+        sends: list[tuple[str, AnyMessage]] = []
         there = {m.id: m.zone for m in members}
         alive = {ident for ident in there if self.able.get(ident) and heard(ident)}
         usable = {m.id: m.zone for m in members if m.id in alive and m.name not in left}
@@ -168,10 +175,12 @@
         usable: dict[str, str],
         wait: bool,
         longest: int,
-    ) -> Change | None:
+    ) -> PlacementChange | None:
         if view == 0:
             return (
-                Change(0, wanted, now, new=True) if len(wanted) >= self.least and not wait else None
+                PlacementChange(0, wanted, now, new=True)
+                if len(wanted) >= self.least and not wait
+                else None
             )
         if not whole:
             return self.without_copies(now, part, view, now_there, wanted, there, longest)
@@ -180,7 +189,7 @@
         self.renewed.discard(part)
         self.said_lost.discard(part)
         if len(whole) < len(now_there) and len(whole) >= self.least:
-            return Change(
+            return PlacementChange(
                 view, tuple(whole), now
             )  # at once, and claims go on; the copy is made up after that
         leaves = any(h not in usable for h in now_there)
@@ -189,7 +198,7 @@
             and len(wanted) >= self.least
             and (len(wanted) >= len(whole) or leaves)
         ):
-            return Change(view, wanted, now)
+            return PlacementChange(view, wanted, now)
         return None
 
     def without_copies(
@@ -201,7 +210,7 @@
         wanted: tuple[str, ...],
         there: dict[str, str],
         longest: int,
-    ) -> Change | None:
+    ) -> PlacementChange | None:
         """No holder of it is heard. One that is a member still and has not said that it has nothing may come back whole."""
         self.away.add(part)
         gone = all(h not in there or (part, view, h) in self.empty for h in now_there)
@@ -217,22 +226,22 @@
                 )
         if part in self.renewed or gone and now - since > longest:
             if len(wanted) >= self.least:
-                return Change(view, wanted, now, new=True)
+                return PlacementChange(view, wanted, now, new=True)
         return None
 
     def drive(
         self,
         now: int,
         part: int,
-        change: Change,
+        change: PlacementChange,
         whole: list[str],
         wanted: tuple[str, ...],
         alive: set[str],
-        sends: list[tuple[str, AnyWord]],
+        sends: list[tuple[str, AnyMessage]],
     ) -> tuple[str, ...]:
         """Goes one step further; the next view's holders once each has all."""
 
-        def say(to: str, word: AnyWord) -> None:
+        def say(to: str, word: AnyMessage) -> None:
             if now - change.said_at.get(to, -1 << 62) >= AGAIN:
                 change.said_at[to] = now
                 sends.append((to, word))
@@ -241,7 +250,7 @@
             change.target = change.target if set(change.target) <= alive else wanted
             for name in change.target:
                 if name not in change.whole:
-                    say(name, Bring(part, change.view + 1, ""))
+                    say(name, FetchPartition(part, change.view + 1, ""))
             return change.target if change.target and set(change.target) <= change.whole else ()
         if change.source not in whole:
             change.source = ""
@@ -249,14 +258,14 @@
                 return ()
             if change.asked not in whole:
                 change.asked = whole[0]
-            say(change.asked, Seal(part, change.view))
+            say(change.asked, SealPartition(part, change.view))
             return ()
         if not change.target or not set(change.target) <= alive:
             # Rather fewer copies at once than claims that wait: what lacks is made up in a change of its own.
             change.target = tuple(whole) if len(whole) >= self.least else wanted
         missing = [name for name in change.target if name not in whole and name not in change.whole]
         for name in missing:
-            say(name, Bring(part, change.view + 1, change.source))
+            say(name, FetchPartition(part, change.view + 1, change.source))
         if (
             missing
             and now - change.since > STUCK
--- a/cypresswalk/fleet/server_observations.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from cypresswalk.fleet.messages import OfServers
+from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.rollout.evidence import Served
 
 BAD = "held for bad by {} of {} balancers"
@@ -18,11 +18,11 @@
 class Word:
     at: int
     version: int  # that its balancer acted on
-    said: OfServers
+    said: ServerReport
 
 
 @dataclass
-class Wards:
+class ServerObservations:
     fresh: int  # nanoseconds for which a word counts
     words: dict[str, Word] = field(default_factory=dict)  # by member's id
     counts: dict[str, dict[str, Served]] = field(
@@ -32,7 +32,7 @@
         default_factory=dict
     )  # by server: all that has been added since this one leads
 
-    def asked(self, now: int, ident: str, version: int, said: OfServers) -> None:
+    def asked(self, now: int, ident: str, version: int, said: ServerReport) -> None:
         self.words[ident] = Word(now, version, said)
         before, self.counts[ident] = (
             self.counts.get(ident),
--- a/cypresswalk/fleet/state_machine.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -35,25 +35,25 @@
     at: int
 
 
-class Offer(Command, frozen=True):
+class ProposeSettings(Command, frozen=True, tag="Offer"):
     """`base`: the version that last changed the settings, as the caller read it."""
 
     base: int
     settings: dict[str, Any]
 
 
-class Activate(Command, frozen=True):
+class ActivateSettings(Command, frozen=True, tag="Activate"):
     offer: str
 
 
-class Refuse(Command, frozen=True):
+class RejectSettings(Command, frozen=True, tag="Refuse"):
     """`why`: a line for each balancer that can't read it."""
 
     offer: str
     why: list[str]
 
 
-class Out(Command, frozen=True):
+class RemoveFromRotation(Command, frozen=True, tag="Out"):
     """`forced`: beyond the bounds too. `seen`: servers that who leads takes for out, with why."""
 
     server: str
@@ -61,17 +61,17 @@
     seen: dict[str, str] = {}
 
 
-class Back(Command, frozen=True):
+class ReturnToRotation(Command, frozen=True, tag="Back"):
     server: str
 
 
-class Seen(Command, frozen=True):
+class ServersSeenReady(Command, frozen=True, tag="Seen"):
     """Servers that most balancers that act have seen ready since they came back, each with the version in which it did."""
 
     servers: dict[str, int]
 
 
-class Listing(Command, frozen=True):
+class UpdateEndpointList(Command, frozen=True, tag="Listing"):
     """A list of servers as a majority of voters got it; only a later generation of the same source takes its place."""
 
     generation: int
@@ -79,24 +79,24 @@
     servers: list[Listed]
 
 
-class Renew(Command, frozen=True):
+class ResetListSource(Command, frozen=True, tag="Renew"):
     """By hand: the list source begins anew, so that its generations count from the first on again."""
 
 
-class Note(Command, frozen=True):
+class AddNote(Command, frozen=True, tag="Note"):
     """Something done by force at one balancer, for the record."""
 
     what: str
 
 
-class Desire(Command, frozen=True):
+class SetDesiredMembers(Command, frozen=True, tag="Desire"):
     """Which names are to vote, and which are to leave."""
 
     voters: list[str]
     left: list[str]
 
 
-class Leave(Command, frozen=True):
+class GrantLeave(Command, frozen=True, tag="Leave"):
     """A balancer is to go out. `zones`: all members by name; `seen`: those that who leads takes for out, with why."""
 
     name: str
@@ -106,7 +106,7 @@
     seen: dict[str, str]
 
 
-class Return(Command, frozen=True):
+class BalancerReturned(Command, frozen=True, tag="Return"):
     """It was seen ready again, and can no longer go out by that grant. `granted`: as `State.away` has it; another one stays."""
 
     name: str
@@ -125,14 +125,14 @@
     halts: int
 
 
-class Begin(Command, frozen=True):
+class BeginRelease(Command, frozen=True, tag="Begin"):
     """A release. `known`: all members by name."""
 
     plan: releases.Plan
     known: list[str]
 
 
-class Go(Command, frozen=True):
+class GrantTurn(Command, frozen=True, tag="Go"):
     """The next balancer of the release may be changed. `zones`, `seen` as for Leave; `boot`: how often it has started, 0 if unknown."""
 
     name: str
@@ -141,7 +141,7 @@
     boot: int
 
 
-class Began(Command, frozen=True):
+class ChangeStarted(Command, frozen=True, tag="Began"):
     """By its agent, before it does anything. `zones`, `seen` as for Leave: whoever was lost since its turn was agreed counts."""
 
     name: str
@@ -150,7 +150,7 @@
     seen: dict[str, str]
 
 
-class Came(Command, frozen=True):
+class ChangeFinished(Command, frozen=True, tag="Came"):
     """By its agent: which version runs now."""
 
     name: str
@@ -158,34 +158,34 @@
     why: str
 
 
-class Unused(Command, frozen=True):
+class TurnUnused(Command, frozen=True, tag="Unused"):
     """A server's turn that its agent has not begun: it is in again."""
 
     name: str
 
 
-class Held(Command, frozen=True):
+class WaveObserved(Command, frozen=True, tag="Held"):
     wave: int
 
 
-class TurnBack(Command, frozen=True):
+class RollBack(Command, frozen=True, tag="TurnBack"):
     """`release`: its name, so that a word on its way for long does not turn the next one."""
 
     release: str
 
 
-class Pause(Command, frozen=True):
+class PauseRelease(Command, frozen=True, tag="Pause"):
     release: str
     on: bool
 
 
-class Place(Command, frozen=True):
+class PlaceReplicas(Command, frozen=True, tag="Place"):
     """Parts of the ids, by number: the next view of each, and its holders, the primary first."""
 
     parts: dict[int, tuple[int, tuple[str, ...]]]
 
 
-class Fence(Command, frozen=True):
+class FenceGroups(Command, frozen=True, tag="Fence"):
     """The group begun by hand after most voters were lost: words of the groups named are not heard any more."""
 
     groups: list[str]
@@ -193,61 +193,61 @@
 
 
 AnyCommand = (
-    Offer
-    | Activate
-    | Refuse
-    | Out
-    | Back
-    | Listing
-    | Renew
-    | Note
-    | Desire
-    | Fence
-    | Place
-    | Leave
-    | Return
+    ProposeSettings
+    | ActivateSettings
+    | RejectSettings
+    | RemoveFromRotation
+    | ReturnToRotation
+    | UpdateEndpointList
+    | ResetListSource
+    | AddNote
+    | SetDesiredMembers
+    | FenceGroups
+    | PlaceReplicas
+    | GrantLeave
+    | BalancerReturned
     | Halt
     | Resume
-    | Begin
-    | Go
-    | Began
-    | Came
-    | Held
-    | TurnBack
-    | Pause
-    | Seen
-    | Unused
+    | BeginRelease
+    | GrantTurn
+    | ChangeStarted
+    | ChangeFinished
+    | WaveObserved
+    | RollBack
+    | PauseRelease
+    | ServersSeenReady
+    | TurnUnused
 )
 commands = msgspec.msgpack.Decoder(AnyCommand)
 encode = msgspec.msgpack.encode
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class HistoryRecord(msgspec.Struct, frozen=True, array_like=True):
     version: int
     by: str
     at: int
     what: str
 
 
-class Pending(msgspec.Struct, frozen=True, array_like=True):
+class PendingSettings(msgspec.Struct, frozen=True, array_like=True):
     offer: str
     by: str
     at: int
     settings: dict[str, Any]
 
 
-class State(msgspec.Struct, array_like=True):
+class FleetState(msgspec.Struct, array_like=True):
     version: int = 0
     settings_version: int = 0
     settings: dict[str, Any] = {}
-    pending: Pending | None = None
+    pending: PendingSettings | None = None
     out: dict[str, tuple[str, int]] = {}  # server: who took it out, and when
     list_epoch: int = 0
     list_generation: int = -1
     list_version: int = 0
     servers: list[Listed] = []
     kept: list[tuple[int, dict[str, Any]]] = []  # settings by version, the latest last
-    history: list[Record] = []
+    history: list[HistoryRecord] = []
     done: list[
         tuple[str, bool, str]
     ] = []  # ids of commands, the latest last, and what came of each
@@ -268,13 +268,13 @@
     ] = {}  # servers that are in again and not seen ready yet: since which version
 
 
-states = msgspec.msgpack.Decoder(State)
+states = msgspec.msgpack.Decoder(FleetState)
 
 
-class Agreed:
+class StateMachine:
     def __init__(self, data: bytes = b""):
         """Raises msgspec.DecodeError where `data` is no state."""
-        self.state = states.decode(data) if data else State()
+        self.state = states.decode(data) if data else FleetState()
         self.done: OrderedDict[str, tuple[bool, str]] = OrderedDict(
             (i, (ok, why)) for i, ok, why in self.state.done
         )
@@ -301,7 +301,7 @@
     def carry_out(self, command: AnyCommand) -> tuple[bool, str]:
         s = self.state
         match command:
-            case Offer(base=base, settings=settings):
+            case ProposeSettings(base=base, settings=settings):
                 if base != s.settings_version:
                     return (
                         False,
@@ -309,9 +309,9 @@
                     )
                 if s.pending is not None:
                     return False, f"held: an offer by {s.pending.by} is being looked at"
-                s.pending = Pending(command.ident, command.by, command.at, settings)
+                s.pending = PendingSettings(command.ident, command.by, command.at, settings)
                 return True, "pending"
-            case Activate(offer=offer):
+            case ActivateSettings(offer=offer):
                 if s.pending is None or s.pending.offer != offer:
                     return False, "no such offer"
                 s.settings, by, at = s.pending.settings, s.pending.by, s.pending.at
@@ -320,13 +320,13 @@
                 s.settings_version = s.version
                 s.kept = [*s.kept, (s.version, s.settings)][-SETTINGS_KEPT:]
                 return True, f"version {s.version}"
-            case Refuse(offer=offer, why=why):
+            case RejectSettings(offer=offer, why=why):
                 if s.pending is None or s.pending.offer != offer:
                     return False, "no such offer"
                 self.note(s.pending.by, s.pending.at, "settings refused: " + "; ".join(why)[:500])
                 s.pending = None
                 return True, "; ".join(why)
-            case Out(server=server, seen=seen):
+            case RemoveFromRotation(server=server, seen=seen):
                 if server in s.out:
                     return True, f"out since version {s.version} or before"
                 if len(s.out) >= OUT_MOST:
@@ -344,7 +344,7 @@
                     f"server {server} out" + (f" by force: {why}" if why else ""),
                 )
                 return True, f"version {s.version}"
-            case Back(server=server):
+            case ReturnToRotation(server=server):
                 if s.out.pop(server, None) is None:
                     return (
                         True,
@@ -360,14 +360,14 @@
                     )
                 s.coming[server] = s.version
                 return True, f"version {s.version}"
-            case Seen(servers=servers):
+            case ServersSeenReady(servers=servers):
                 s.coming = {
                     server: version
                     for server, version in s.coming.items()
                     if servers.get(server) != version
                 }
                 return True, "noted"
-            case Listing(generation=generation, epoch=epoch, servers=servers):
+            case UpdateEndpointList(generation=generation, epoch=epoch, servers=servers):
                 # Guards against a list agent that is behind, and a word that overtook another: never back.
                 if epoch != s.list_epoch or generation <= s.list_generation:
                     return False, f"list {generation} is not newer than {s.list_generation}"
@@ -377,14 +377,14 @@
                 self.next(command.by, command.at, f"list {generation}")
                 s.list_version = s.version
                 return True, f"version {s.version}"
-            case Renew():
+            case ResetListSource():
                 s.list_epoch, s.list_generation = s.list_epoch + 1, -1
                 self.next(command.by, command.at, "the list's source begins anew")
                 return True, f"version {s.version}"
-            case Note(what=what):
+            case AddNote(what=what):
                 self.note(command.by, command.at, what[:500])
                 return True, "noted"
-            case Desire(voters=voters, left=left):
+            case SetDesiredMembers(voters=voters, left=left):
                 s.voters, s.left = voters, left
                 self.note(
                     command.by,
@@ -392,7 +392,7 @@
                     f"voters {', '.join(voters)}" + (f"; left {', '.join(left)}" if left else ""),
                 )
                 return True, "noted"
-            case Leave(name=name, zones=zones, seen=seen):
+            case GrantLeave(name=name, zones=zones, seen=seen):
                 why = self.balancer_bound(name, zones, seen)
                 if s.halted:
                     why = self.said_halted()
@@ -423,11 +423,24 @@
                     s.release.boots = {}  # starts count from here on
                 self.note(command.by, command.at, "resumed")
                 return True, "resumed"
-            case Begin() | Go() | Began() | Came() | Held() | TurnBack() | Pause() | Unused():
+            case (
+                BeginRelease()
+                | GrantTurn()
+                | ChangeStarted()
+                | ChangeFinished()
+                | WaveObserved()
+                | RollBack()
+                | PauseRelease()
+                | TurnUnused()
+            ):
                 before = self.held_out()
                 result = self.on_release(command)
                 after = self.held_out()
-                if result[0] and s.release.plan.kind == SERVERS and not isinstance(command, Began):
+                if (
+                    result[0]
+                    and s.release.plan.kind == SERVERS
+                    and not isinstance(command, ChangeStarted)
+                ):
                     # Balancers act on it: whom it has out is a part of the version.
                     self.next(
                         command.by,
@@ -440,10 +453,10 @@
                         for server, version in s.coming.items()
                         if server not in after
                     }
-                    if isinstance(command, Go):
+                    if isinstance(command, GrantTurn):
                         s.release.outs[command.name] = s.version
                 return result
-            case Return(name=name, granted=granted):
+            case BalancerReturned(name=name, granted=granted):
                 # Guards a grant that was agreed after this return was proposed.
                 if s.away.get(name) != granted:
                     return False, "that place is not held"
@@ -452,7 +465,7 @@
                 del s.away[name]
                 self.note(command.by, command.at, f"balancer {name} back")
                 return True, "back"
-            case Place(parts=parts):
+            case PlaceReplicas(parts=parts):
                 # The next view of each and no other: two leaders that both looked at one view make one.
                 made = {
                     part: place
@@ -461,7 +474,7 @@
                 }
                 s.parts = s.parts | made
                 return True, f"{len(made)} of {len(parts)}"
-            case Fence(groups=groups, what=what):
+            case FenceGroups(groups=groups, what=what):
                 s.fenced = [*s.fenced, *groups][-20:]
                 self.note(command.by, command.at, what[:500])
                 return True, "noted"
@@ -497,7 +510,7 @@
 
     def on_release(self, command: AnyCommand) -> tuple[bool, str]:
         s, by, at = self.state, command.by, command.at
-        if isinstance(command, Begin):
+        if isinstance(command, BeginRelease):
             known = (
                 [name for name, *_ in s.servers] if command.plan.kind == SERVERS else command.known
             )
@@ -510,10 +523,10 @@
         now = s.release
         if now is None:
             return False, "there is no release"
-        if isinstance(command, TurnBack | Pause) and command.release != now.plan.name:
+        if isinstance(command, RollBack | PauseRelease) and command.release != now.plan.name:
             return False, f"release {now.plan.name} by {now.by} has come since"
         match command:
-            case Go(name=name, zones=zones, seen=seen, boot=boot):
+            case GrantTurn(name=name, zones=zones, seen=seen, boot=boot):
                 why = releases.may_go(now, name, s.halted is not None) or self.change_bound(
                     name, zones, seen
                 )
@@ -526,19 +539,19 @@
                 if not why:
                     releases.go(now, name, boot)
                     s.away[name] = by, at, f"release {now.plan.name}"
-            case Began(name=name, to=to, zones=zones, seen=seen):
+            case ChangeStarted(name=name, to=to, zones=zones, seen=seen):
                 why = releases.began(now, name, to, s.halted is not None) or self.change_bound(
                     name, zones, seen
                 )
                 if not why:
                     now.members[name] = "changing"
-            case Came(name=name, runs=runs, why=told):
+            case ChangeFinished(name=name, runs=runs, why=told):
                 bad = releases.came(now, name, runs, told)
                 if bad:
                     self.halt(f"release {now.plan.name}", at, bad)
                 self.note(by, at, f"{name} runs {runs or 'nothing'}: {now.members.get(name)}")
                 return True, bad or "noted"
-            case Unused(name=name):
+            case TurnUnused(name=name):
                 why = (
                     ""
                     if now.plan.kind == SERVERS and now.members.get(name) == "out"
@@ -546,7 +559,7 @@
                 )
                 if not why:
                     releases.returned(now, name)
-            case Held(wave=wave):
+            case WaveObserved(wave=wave):
                 why = releases.held(now, wave)
                 if not why:
                     self.note(
@@ -555,11 +568,11 @@
                         f"release {now.plan.name}: wave {wave} has held"
                         + (", done" if now.phase == "done" else ""),
                     )
-            case TurnBack():
+            case RollBack():
                 why = releases.turn_back(now)
                 if not why:
                     self.note(by, at, f"release {now.plan.name}: back")
-            case Pause(on=on):
+            case PauseRelease(on=on):
                 why = (
                     ""
                     if now.phase == ("running" if on else "paused")
@@ -612,6 +625,6 @@
         self.note(by, at, what)
 
     def note(self, by: str, at: int, what: str) -> None:
-        self.state.history = [*self.state.history, Record(self.state.version, by, at, what)][
+        self.state.history = [*self.state.history, HistoryRecord(self.state.version, by, at, what)][
             -HISTORY:
         ]
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -13,12 +13,12 @@
 from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
+    DiscoveryRequest,
+    DiscoveryResponse,
     FrameError,
     Frames,
-    Hail,
-    HailAnswer,
     Hello,
-    Refused,
+    HelloRejected,
     Result,
     pack,
 )
@@ -46,10 +46,10 @@
 TOOL_CALLS = 16  # of one tool at a time
 
 
-class Out:
+class OutgoingLink:
     """What goes to one address."""
 
-    def __init__(self, links: "Links", address: tuple[str, int], to: str):
+    def __init__(self, links: "Transport", address: tuple[str, int], to: str):
         self.links, self.address, self.to = links, address, to
         self.queue: SimpleQueue = SimpleQueue()
         self.size = 0
@@ -134,12 +134,12 @@
             raise ConnectionResetError("ended by the other side")
         frames.feed(data)
         while (frame := frames.frame()) is not None:
-            if isinstance(frame, Refused):
+            if isinstance(frame, HelloRejected):
                 self.links.post("refused", self.to, frame)
                 raise ConnectionRefusedError(f"{frame.code}: {frame.why}")
 
 
-class Links:
+class Transport:
     def __init__(
         self,
         listen: tuple[str, int],
@@ -157,7 +157,7 @@
             hello,
             group,
         )
-        self.outs: dict[tuple[tuple[str, int], str], Out] = {}
+        self.outs: dict[tuple[tuple[str, int], str], OutgoingLink] = {}
         self.gate = Lock()
         self.counts: Counter[str] = Counter()
         self.heard_at: dict[str, int] = {}  # by id
@@ -185,17 +185,17 @@
         with self.gate:
             out = self.outs.get((address, to))
             if out is None:
-                out = self.outs[address, to] = Out(self, address, to)
+                out = self.outs[address, to] = OutgoingLink(self, address, to)
                 start_thread(out.run, 0, STACK)
         out.send(data)
 
-    def forget(self, out: Out) -> None:
+    def forget(self, out: OutgoingLink) -> None:
         with self.gate:
             if out.queue.empty():
                 out.ended = True
                 self.outs.pop((out.address, out.to), None)
 
-    def lost(self, out: Out, error: Exception) -> None:
+    def lost(self, out: OutgoingLink, error: Exception) -> None:
         """Said once until it is another."""
         self.counts["links_lost"] += 1
         why, place = f"{type(error).__name__} {error}", (out.address, out.to)
@@ -269,7 +269,9 @@
                     time.sleep(0.01)
                 if hello.kind == "tool":
                     self.post("tool", hello, frame, answers)
-                elif hello.group == self.group() or isinstance(frame, Hail | HailAnswer):
+                elif hello.group == self.group() or isinstance(
+                    frame, DiscoveryRequest | DiscoveryResponse
+                ):
                     self.heard_at[hello.id] = time.monotonic_ns()
                     self.post("heard", hello, frame)
                 else:
@@ -280,20 +282,20 @@
         frames.feed(bytes(narrow.buffer))
         return frames
 
-    def refuse(self, hello: Hello) -> Refused | None:
+    def refuse(self, hello: Hello) -> HelloRejected | None:
         mine = self.hello("")
         if hello.protocol != PROTOCOL:
-            return Refused("protocol", f"protocol {hello.protocol}, here {PROTOCOL}")
+            return HelloRejected("protocol", f"protocol {hello.protocol}, here {PROTOCOL}")
         if hello.fleet != self.fleet:
-            return Refused("fleet", f"this is a balancer of fleet {self.fleet!r}")
+            return HelloRejected("fleet", f"this is a balancer of fleet {self.fleet!r}")
         if hello.kind == "tool":
             return None
         if hello.to not in ("", mine.id):
-            return Refused("replaced", f"this is {mine.id}")
+            return HelloRejected("replaced", f"this is {mine.id}")
         known = self.lives.get(hello.id, (0, 0))
         # A second process under one identity, or a disk set back to before a start that was seen here.
         if (hello.boot, hello.life) != known and hello.boot <= known[0]:
-            return Refused("put-back", f"{hello.id} was seen at its start {known[0]} already")
+            return HelloRejected("put-back", f"{hello.id} was seen at its start {known[0]} already")
         self.lives[hello.id] = hello.boot, hello.life
         while len(self.lives) > 4 * CONNECTIONS:
             del self.lives[next(iter(self.lives))]
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -36,7 +36,7 @@
     begun: bool = False
 
 
-class Places:
+class UnavailabilityTracker:
     def __init__(self, stated: int):
         self.stated = stated
         self.said: dict[
--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -7,9 +7,9 @@
 from cypresswalk.model import Effect, Flow, Scope, Server, ServiceType, Settings
 
 EFFECTS = {
-    "idempotent": Effect.REPEATABLE,
-    "deduplicated": Effect.REFERENCED,
-    "at_most_once": Effect.ONCE_ONLY,
+    "idempotent": Effect.IDEMPOTENT,
+    "deduplicated": Effect.IDEMPOTENCY_KEY,
+    "at_most_once": Effect.NON_IDEMPOTENT,
 }
 HINT = struct.Struct("<Ie")  # a server and its strain, told to the other instances
 
@@ -50,32 +50,32 @@
                 )
                 for i, t in enumerate(params["serviceTypes"])
             ],
-            max_connects=limits["maxConnects"],
-            retry_after=limits["retryAfter"],
+            max_attempts=limits["maxConnects"],
+            retry_after_allowed=limits["retryAfter"],
             max_retry_after=nanoseconds(limits["maxRetryAfter"], "maxRetryAfter"),
-            probes=limits["probes"],
-            moves=params["family"] == "conn",
-            list_asked=params["discovery"] == "on_request",
-            ask_within=nanoseconds(rules["askWithin"], "askWithin"),
-            cold=nanoseconds(rules["cold"], "cold"),
-            cold_share=rules["coldShare"],
-            fall_window=nanoseconds(rules["fall"], "fall"),
+            health_checks=limits["probes"],
+            can_migrate=params["family"] == "conn",
+            list_polled=params["discovery"] == "on_request",
+            poll_within=nanoseconds(rules["askWithin"], "askWithin"),
+            warm_up_time=nanoseconds(rules["cold"], "cold"),
+            warm_up_initial_fraction=rules["coldShare"],
+            slow_start_window=nanoseconds(rules["fall"], "fall"),
             overload_factor=rules["overloadFactor"],
-            zone_price=params["deductions"].get("crossZone", 0.0),
-            move_price=params["deductions"].get("moves", 0.0),
-            probe_price=params["deductions"].get("probe", 0.0),
-            peers=limits.get("peerMessages", False),
-            peer_price=params["deductions"].get("peer", 0.0),
+            zone_crossing_price=params["deductions"].get("crossZone", 0.0),
+            migration_price=params["deductions"].get("moves", 0.0),
+            health_check_price=params["deductions"].get("probe", 0.0),
+            gossip=limits.get("peerMessages", False),
+            gossip_price=params["deductions"].get("peer", 0.0),
             # A customer may come without a share: then nothing of it is beyond one.
-            shares=[
+            quotas=[
                 math.inf if share is None else share
                 for share in extra.get("tenantQuotaConnections") or []
             ],
-            overage_payoff=params.get("overagePayoff", 1.0),
+            overage_weight=params.get("overagePayoff", 1.0),
             load_index=fields.index("x0") if "x0" in fields else -1,
-            further_window=nanoseconds(figure(rules, "lookBack"), "lookBack"),
-            further_free=figure(rules, "budgetFree"),
-            further_part=figure(rules, "extraRatio"),
+            retry_window=nanoseconds(figure(rules, "lookBack"), "lookBack"),
+            retry_budget_base=figure(rules, "budgetFree"),
+            retry_budget_ratio=figure(rules, "extraRatio"),
         )
     except KeyError as error:
         raise SettingsError(f"settings: {error} is missing or unknown") from None
@@ -90,7 +90,7 @@
 def current(balancer: Balancer, ident: int, number: int) -> Flow | None:
     """The flow, if it is still held and the connect meant is its latest: others' answers change nothing."""
     flow = balancer.flows.get(ident)
-    latest = flow is not None and flow.server is not None and number == len(flow.tried) - 1
+    latest = flow is not None and flow.server is not None and number == len(flow.attempts) - 1
     return flow if latest else None
 
 
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -21,7 +21,7 @@
 from cypresswalk.lab.oracle import Breach, Rules, judge
 from cypresswalk.lab.stage import AgentDriver, ClientDriver, Relay, ServerDriver, Stage, life_of
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, grown, named
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 READY = 30 * SECOND  # balancers answer PING by then, or the day can't be played
 LATE = (
@@ -75,7 +75,7 @@
         ).stdout
     except (OSError, subprocess.CalledProcessError) as error:
         said = getattr(error, "stderr", b"").decode(errors="replace").strip().splitlines()
-        raise Refusal(
+        raise CommandError(
             f"variant {variant.name}: revision {variant.revision!r}: {said[0] if said else error}"
         ) from None
     folder = Path(tempfile.mkdtemp(prefix="cypresswalk-revision-"))
@@ -203,7 +203,7 @@
         if not stage.began:
             log = self.balancers[name].log
             last = (log.read_text(errors="replace").strip().splitlines() or ["nothing logged"])[-1]
-            raise Refusal(f"balancer {name} does not serve ({self.variant.name}): {last}")
+            raise CommandError(f"balancer {name} does not serve ({self.variant.name}): {last}")
 
     async def play(self, told: Callable[[float], None]) -> None:
         stage, span = self.stage, int(self.experiment.seconds * SECOND)
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -13,8 +13,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from cypresswalk.fleet.member import View
-from cypresswalk.fleet.messages import OfServers
+from cypresswalk.fleet.member import AppliedView
+from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.lab.together.releases import (
     HALTED,
     KNOWN,
@@ -26,10 +26,10 @@
     Running,
 )
 from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet
-from cypresswalk.model import State
-from cypresswalk.rollout.balancer_agent import Doing
+from cypresswalk.model import ServerState
+from cypresswalk.rollout.balancer_agent import AgentState
 from cypresswalk.rollout.bounds import allowed
-from cypresswalk.rollout.server_agent import ServerDuty
+from cypresswalk.rollout.server_agent import ServerAgent
 
 TICK = SECOND // 5
 CHANGING = ("emptying", "starting", "undoing")
@@ -54,7 +54,7 @@
         )
         self.running: dict[int, Running] = {}
         self.last, self.life = 0, 0
-        self.saved = Doing()
+        self.saved = AgentState()
         self.duty: Any = None
         self.work: Any = None
         self.die_in: int | None = None
@@ -64,7 +64,7 @@
 
     def agent_starts(self) -> None:
         if self.work is None:
-            self.duty = ServerDuty(self.name, OLD, ("a", "a"), copy.copy(self.saved))
+            self.duty = ServerAgent(self.name, OLD, ("a", "a"), copy.copy(self.saved))
             self.work = self.duty.run()
             self.go_on(self.life, None)
 
@@ -152,13 +152,13 @@
         fleet.servers = self.of_servers
         fleet.ready = lambda: fleet.may_act()
         servers = [
-            (name, i % 2, 1, State.READY.value, 1.0, 0)
+            (name, i % 2, 1, ServerState.READY.value, 1.0, 0)
             for i, name in enumerate(sorted(self.world.servers))
         ]
         digest = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
         fleet.queue.put(("list", 1, digest, servers))
 
-    def act_on(self, view: View) -> None:
+    def act_on(self, view: AppliedView) -> None:
         out = set(view.out)
         for name in out - self.out:
             # Also long: one that nobody can take over from stays.
@@ -171,8 +171,8 @@
         self.out, self.watch = out, view.watch
         self.process.act_on(view)
 
-    def of_servers(self) -> OfServers:
-        return OfServers(
+    def of_servers(self) -> ServerReport:
+        return ServerReport(
             [name for name in sorted(self.world.servers) if not self.ready.get(name, False)],
             {
                 name: count
--- a/cypresswalk/lab/together/started.py
+++ b/cypresswalk/lab/together/started.py
@@ -13,12 +13,12 @@
 from cypresswalk.fleet import driver
 from cypresswalk.net.config import Config
 from cypresswalk.service.program import Program, main
-from cypresswalk.state.disk import Disk
+from cypresswalk.state.disk import DiskFolder
 
 SLOW = 2.0  # seconds that a write takes
 
 
-class UnsoundDisk(Disk):
+class UnsoundDisk(DiskFolder):
     """A flush that fails leaves on disk what it likes of what it covered, and the next one succeeds without it."""
 
     def __init__(self, path: str, says: Path):
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -6,7 +6,7 @@
 import sys
 
 from cypresswalk.hosting import unpack_hint
-from cypresswalk.net.core import Core, Leg
+from cypresswalk.net.core import Attempt, Core
 from cypresswalk.service.program import main
 
 
@@ -36,7 +36,7 @@
         say(now, "connect", session.opening.ident, name(server), number, (until - now) // 1_000_000)
         super().connect(now, session, server, number, until)
 
-    def up(self, now, leg: Leg):
+    def up(self, now, leg: Attempt):
         say(
             now,
             "up",
@@ -47,7 +47,7 @@
         )
         super().up(now, leg)
 
-    def ended(self, now, leg: Leg, outcome):
+    def ended(self, now, leg: Attempt, outcome):
         if leg.session.leg is leg and not leg.session.over:
             say(
                 now,
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -14,7 +14,7 @@
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import Link
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.admin_commands import Caller
+from cypresswalk.net.parsers.admin_commands import AdminCommandParser
 from cypresswalk.net.parsers.lines import ProtocolError
 
 log = logging.getLogger(__name__)
@@ -75,7 +75,7 @@
     def answer(self, link: Link) -> bytes:
         """Nothing for a caller that left without a word."""
         caller, until, said = (
-            Caller(self.limits.line),
+            AdminCommandParser(self.limits.line),
             self.inbox.clock() + self.limits.call_line,
             False,
         )
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -13,7 +13,7 @@
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import Link, pass_end_on
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.lines import Lines, Opening, ProtocolError, opening
+from cypresswalk.net.parsers.lines import LineParser, OpenRequest, ProtocolError, parse_open_request
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         self.link, self.core, self.inbox, self.limits = Link(sock, limits), core, inbox, limits
         self.session = Session(self)
         self.since, self.opened, self.unwanted = inbox.clock(), False, False
-        self.lines, self.passing = Lines(limits.line), Lock()
+        self.lines, self.passing = LineParser(limits.line), Lock()
         self.server = None  # the ServerLink, once lines pass
 
     def run(self) -> None:
@@ -67,7 +67,7 @@
                 self.drain()
             self.link.close()
 
-    def first(self) -> Opening | None:
+    def first(self) -> OpenRequest | None:
         """Answers PINGs up to the line that opens a flow; None if the client ends before that."""
         until = self.since + self.limits.first_line
         while True:
@@ -90,7 +90,7 @@
             elif line == b"PING":
                 self.link.send(b"PONG\r\n" if self.core.ready and self.core.may_act() else FAILED)
             else:
-                first = opening(line)
+                first = parse_open_request(line)
                 with self.passing:
                     if self.unwanted:
                         raise ProtocolError("the first line came when its place was given away")
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -82,7 +82,9 @@
 def build(environment: dict[str, str], data: dict) -> Config:
     params = data["settings"]
     settings = decode_settings(params)
-    targets = [t.message_target for t in settings.service_types if t.message_target]
+    targets = [
+        t.message_latency_objective for t in settings.service_types if t.message_latency_objective
+    ]
     admin = environment.get("PROXY_ADMIN_ADDR") or data.get("admin_addr")
     admin = address(admin, "admin_addr") if admin else None
     limits = Limits(
@@ -97,7 +99,7 @@
         operated=admin is not None,
     )
     extra = params.get("extra", {})
-    peers = settings.peers and data.get("peer_listen")
+    peers = settings.gossip and data.get("peer_listen")
     return Config(
         path=environment.get("PROXY_CONFIG", ""),
         name=environment.get("PROXY_NAME") or data["name"],
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -13,29 +13,29 @@
 from cypresswalk.model import (
     SECOND,
     Abort,
-    Connect,
+    CheckHealth,
     Effect,
+    EndpointUpdate,
     Flow,
-    ListForm,
-    Move,
+    Migrate,
     Outcome,
-    Probe,
     Reject,
+    ScheduleWakeup,
+    SendGossip,
     Server,
-    State,
+    ServerState,
+    StartAttempt,
     Subscribe,
-    Tell,
-    Wake,
 )
 from cypresswalk.net.config import Address, Config
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.limits import MILLISECOND
 from cypresswalk.net.logs import event
-from cypresswalk.net.metrics import Figures
-from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.metrics import Metrics
+from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import number_of, server_number
-from cypresswalk.net.parsers.lines import Opening
-from cypresswalk.net.parsers.load_reports import Notes
+from cypresswalk.net.parsers.lines import OpenRequest
+from cypresswalk.net.parsers.load_reports import LoadReportParser
 
 FAILED, BUSY = b"ERR\r\n", b"BUSY\r\n"
 WAITS_MOST = (
@@ -59,15 +59,15 @@
     __slots__ = ("opening", "flow", "leg", "standing", "over", "link")
 
     def __init__(self, link: object):
-        self.opening: Opening | None = None
+        self.opening: OpenRequest | None = None
         self.flow: Flow | None = None
-        self.leg: Leg | None = None  # the latest connect on its behalf
+        self.leg: Attempt | None = None  # the latest connect on its behalf
         self.standing = False  # lines pass
         self.over = False  # answered with a no, moved, or ended
         self.link = link  # the driver's
 
 
-class Leg:
+class Attempt:
     """One connect to a server."""
 
     __slots__ = ("session", "server", "number", "sent", "latest", "gauge", "asked_at", "link")
@@ -119,10 +119,10 @@
 class Drivers(Protocol):
     """What the core asks of the sockets; none of these waits."""
 
-    def connect(self, leg: Leg, address: Address, line: bytes) -> None: ...
-    def join(self, leg: Leg) -> None: ...
-    def drop(self, leg: Leg) -> None: ...
-    def recall(self, leg: Leg) -> bool: ...
+    def connect(self, leg: Attempt, address: Address, line: bytes) -> None: ...
+    def join(self, leg: Attempt) -> None: ...
+    def drop(self, leg: Attempt) -> None: ...
+    def recall(self, leg: Attempt) -> bool: ...
     def close_door(self, at: int) -> None: ...
     def answer(self, session: Session, line: bytes) -> None: ...
     def close(self, session: Session) -> None: ...
@@ -144,7 +144,7 @@
         self.limits, self.drivers, self.counters = config.limits, drivers, counters
         self.service_types, self.customers = config.service_types, config.customers
         self.groups = config.groups
-        self.notes = Notes(config.tells_load, config.tells_delay, self.limits)
+        self.notes = LoadReportParser(config.tells_load, config.tells_delay, self.limits)
         self.balancer = policy(config.settings, config.seed, now)
         self.addresses: dict[int, Address] = {}
         self.withheld: dict[int, tuple[int, Server, Address]] = {}  # believed from then on
@@ -161,7 +161,7 @@
         self.departures = (
             0  # rounds of moving all clients; a new one, or a call back, ends the one before
         )
-        self.figures = Figures(self.service_types)
+        self.figures = Metrics(self.service_types)
         self.side = None  # what stands beside this process, where operators upgrade it under load
         self.agreement = None  # what balancers have agreed, where they do (cypresswalk/fleet/)
         self.lease: Callable[[], bool] | None = (
@@ -177,7 +177,7 @@
 
     # What has come in.
 
-    def opened(self, now: int, session: Session, opening: Opening) -> None:
+    def opened(self, now: int, session: Session, opening: OpenRequest) -> None:
         values, settings = opening.values, self.balancer.settings
         kind, customer = (
             self.service_types.get(values.get("c")),
@@ -208,7 +208,7 @@
             until,
             customer,
             grouped=bool(group),
-            again=values.get("r") == "1" or values.get("again") == "1",
+            returning=values.get("r") == "1" or values.get("again") == "1",
         )
         session.opening, session.flow = opening, flow
         if "at" in values:
@@ -218,7 +218,7 @@
             self.resume(now, session)
             return
         self.counters.add("flows_taken")
-        if flow.again:
+        if flow.returning:
             self.counters.add("flows_again")
         # Guards against running out of descriptors: nothing was sent, so a reject does no harm.
         beside = self.side.held if self.side is not None else 0
@@ -232,14 +232,14 @@
             self.counters.add("flows_without_lease")
             self.end(now, session, self.come_back(flow))
             return
-        if self.claims is not None and flow.type.effect is not Effect.REPEATABLE:
+        if self.claims is not None and flow.service_type.effect is not Effect.IDEMPOTENT:
             self.claims.ask(now, session)
             return
         self.place(now, session)
 
     def place(self, now: int, session: Session) -> None:
         self.sessions[session.flow] = session
-        self.balancer.arrived(now, session.flow)
+        self.balancer.on_flow(now, session.flow)
 
     def refuse(self, now: int, session: Session, why: str, **words: object) -> None:
         log.warning(event(why, **words))
@@ -252,7 +252,12 @@
         if session.over or session.leg is not None:
             return
         server = self.balancer.servers.get(server_number(session.opening.values["at"]))
-        if server is None or server.state is State.GONE or server.barred or not self.may_act():
+        if (
+            server is None
+            or server.state is ServerState.GONE
+            or server.barred
+            or not self.may_act()
+        ):
             self.at(now + self.limits.resume_retry, self.resume, session)
             return
         self.connect(now, session, server, 0, now + self.limits.resume)
@@ -269,19 +274,19 @@
             asked = session.opening
             self.refuse(now, session, "resume_failed", flow=asked.ident, server=asked.values["at"])
 
-    def up(self, now: int, leg: Leg) -> None:
+    def up(self, now: int, leg: Attempt) -> None:
         session, flow = leg.session, leg.session.flow
         if session.leg is not leg or session.over:
             self.drivers.drop(leg)
             return
         if flow not in self.sessions:
             self.sessions[flow] = session
-            self.balancer.resumed(now, flow, leg.server)
-        elif current(self.balancer, flow.id, leg.number) is not flow or now >= flow.until:
+            self.balancer.on_flow_resumed(now, flow, leg.server)
+        elif current(self.balancer, flow.id, leg.number) is not flow or now >= flow.deadline:
             self.drivers.drop(leg)  # the timer that is due gives it up
             return
         else:
-            self.balancer.established(now, flow, now - leg.sent)
+            self.balancer.on_established(now, flow, now - leg.sent)
         session.standing = True
         if self.claims is not None:
             self.claims.finish(flow, "ran")
@@ -291,7 +296,7 @@
         self.figures.ended("fulfilled", session.opening.values["c"])
         self.drivers.join(leg)
 
-    def ended(self, now: int, leg: Leg, outcome: Outcome) -> None:
+    def ended(self, now: int, leg: Attempt, outcome: Outcome) -> None:
         """The server's side has ended: before UP, or with all that it had to say passed on."""
         session, flow = leg.session, leg.session.flow
         if session.leg is not leg or session.over:
@@ -309,7 +314,7 @@
             final = session.standing
             if final:
                 del self.sessions[flow]
-            self.balancer.ended(now, flow, outcome, final, now - leg.sent)
+            self.balancer.on_ended(now, flow, outcome, final, now - leg.sent)
 
     def left(self, now: int, session: Session) -> None:
         """The client's side has ended, or has never been sound."""
@@ -321,11 +326,11 @@
             self.drivers.drop(session.leg)
         if self.claims is not None and flow is not None and not session.standing:
             self.claims.finish(
-                flow, "never" if flow.may_have_run is None and session.leg is None else "unknown"
+                flow, "never" if flow.may_have_run_on is None and session.leg is None else "unknown"
             )
         if flow is not None and self.sessions.pop(flow, None) is not None:
             self.counters.add("flows_left")
-            self.balancer.left(now, flow)
+            self.balancer.on_client_gone(now, flow)
 
     def impatient(self, now: int, session: Session) -> None:
         """A client that said more before it had its answer. Guards against commands by the hundred being served."""
@@ -337,15 +342,21 @@
     def probed(self, now: int, server: Server, passed: bool, load: list[float]) -> None:
         self.counters.add("probes_passed" if passed else "probes_failed")
         at = self.balancer.settings.load_index
-        self.balancer.probed(now, server, passed, load[at] if 0 <= at < len(load) else None)
+        self.balancer.on_health_check_result(
+            now, server, passed, load[at] if 0 <= at < len(load) else None
+        )
 
     def delayed(self, now: int, server: Server, delay: int) -> None:
         """A message takes that long at the server, by its own word or by what its lines show."""
         self.counters.add("delays")
-        self.balancer.delay_told(now, server, delay)
+        self.balancer.on_message_delay(now, server, delay)
 
     def listed(
-        self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool = False
+        self,
+        now: int,
+        form: EndpointUpdate,
+        entries: list[tuple[Server, Address]],
+        older: bool = False,
     ) -> None:
         self.counters.add("lists")
         if self.agreement is not None:
@@ -355,12 +366,12 @@
         for server, address in entries:
             self.withheld.pop(server.id, None)
             self.addresses[server.id] = address
-        self.balancer.listed(now, form, [server for server, _ in entries])
+        self.balancer.on_endpoints(now, form, [server for server, _ in entries])
         self.settle()
-        if form is not ListForm.DELTA or any(
-            server.state is not State.READY for server, _ in entries
+        if form is not EndpointUpdate.DELTA or any(
+            server.state is not ServerState.READY for server, _ in entries
         ):
-            self.recall(now, lambda server: server.state is not State.READY)
+            self.recall(now, lambda server: server.state is not ServerState.READY)
 
     def recall(self, now: int, leaves: Callable[[Server], bool]) -> None:
         """Connects in dial to such a server go elsewhere. Guards against a first line that goes out once that is told, or after
@@ -392,14 +403,18 @@
     def come_back(self, flow: Flow) -> bytes:
         """A reject that tells when, where that is allowed. Nothing of the flow has run."""
         settings = self.balancer.settings
-        wait = min(flow.type.setup_target, settings.max_retry_after) if settings.retry_after else 0
+        wait = (
+            min(flow.service_type.setup_latency_objective, settings.max_retry_after)
+            if settings.retry_after_allowed
+            else 0
+        )
         return b"BUSY %d\r\n" % (wait // MILLISECOND) if wait else BUSY
 
     def unleased(self, now: int, flow: Flow) -> None:
         """The module has chosen a server, on rules that others may act on no more: the flow is answered at once."""
         self.counters.add("flows_without_lease")
-        harmless = flow.may_have_run is None or flow.type.effect is Effect.REPEATABLE
-        self.balancer.left(now, flow)
+        harmless = flow.may_have_run_on is None or flow.service_type.effect is Effect.IDEMPOTENT
+        self.balancer.on_client_gone(now, flow)
         self.end(now, self.sessions.pop(flow), self.come_back(flow) if harmless else FAILED)
 
     def succeeded(self) -> bool:
@@ -412,8 +427,8 @@
         known = self.balancer.servers.get(server.id)
         back = (
             known is not None
-            and known.state is not State.READY
-            and server.state is State.READY
+            and known.state is not ServerState.READY
+            and server.state is ServerState.READY
             and server.since <= known.since
         )
         if back:
@@ -424,7 +439,7 @@
     def believe(self, now: int, ident: int) -> None:
         # One that a second address has withheld since waits its own time.
         if ident in self.withheld and self.withheld[ident][0] <= now:
-            self.listed(now, ListForm.DELTA, [self.withheld.pop(ident)[1:]])
+            self.listed(now, EndpointUpdate.DELTA, [self.withheld.pop(ident)[1:]])
 
     def taken_back(self, entries: list[tuple[Server, Address]]) -> list[tuple[Server, Address]]:
         """Of an address's last words those that have servers drain or go, but for such as have started again since."""
@@ -432,24 +447,24 @@
         return [
             (server, address)
             for server, address in entries
-            if server.state is not State.READY
+            if server.state is not ServerState.READY
             and server.id in known
             and server.since >= known[server.id].since
         ]
 
     def list_failed(self, now: int) -> None:
         self.counters.add("lists_failed")
-        if self.balancer.settings.list_asked:
-            self.balancer.listed(now, ListForm.FAILED, [])
+        if self.balancer.settings.list_polled:
+            self.balancer.on_endpoints(now, EndpointUpdate.FAILED, [])
 
     def hint(self, now: int, message: bytes) -> None:
         hint = unpack_hint(self.balancer, message)
         self.counters.add("hints_heard" if hint else "hints_odd")
         if hint:
-            self.balancer.peer_told(now, *hint)
+            self.balancer.on_gossip(now, *hint)
 
     def woken(self, now: int) -> None:
-        self.balancer.woken(now)
+        self.balancer.on_wakeup(now)
 
     # Time.
 
@@ -465,7 +480,7 @@
             _, _, call, words = heappop(self.timers)
             call(now, *words)
 
-    def connect_late(self, now: int, leg: Leg) -> None:
+    def connect_late(self, now: int, leg: Attempt) -> None:
         session = leg.session
         if session.leg is leg and not session.over and not session.standing:
             # In dial still: then it is certain that nothing ran.
@@ -485,7 +500,7 @@
             if now - asked_at > (self.limits.silence_alone if alone else self.limits.silence):
                 session.leg.asked_at = 0
                 self.counters.add("flows_silent")
-                self.balancer.silent(now, flow, alone)
+                self.balancer.on_silence(now, flow, alone)
         self.at(now + self.limits.silence_tick, self.hear)
 
     # What the module decides.
@@ -493,13 +508,13 @@
     def pull(self, now: int) -> None:
         if self.phase is Phase.STARTING:
             return
-        while (decision := self.balancer.decide(now)) is not None:
+        while (decision := self.balancer.next_decision(now)) is not None:
             match decision:
-                case Connect(flow) if not self.may_act():
+                case StartAttempt(flow) if not self.may_act():
                     self.unleased(now, flow)
-                case Connect(flow, server, timeout):
-                    until = min(now + timeout, flow.until) if timeout else flow.until
-                    self.connect(now, self.sessions[flow], server, len(flow.tried) - 1, until)
+                case StartAttempt(flow, server, timeout):
+                    until = min(now + timeout, flow.deadline) if timeout else flow.deadline
+                    self.connect(now, self.sessions[flow], server, len(flow.attempts) - 1, until)
                 case Reject(flow, wait):
                     self.counters.add("flows_rejected")
                     answer = b"BUSY %d\r\n" % (wait // MILLISECOND) if wait else BUSY
@@ -507,19 +522,19 @@
                 case Abort(flow):
                     self.counters.add("flows_aborted")
                     self.end(now, self.sessions.pop(flow), FAILED)
-                case Move(flow):
+                case Migrate(flow):
                     self.move(now, flow)
-                case Probe() if self.succeeded():
+                case CheckHealth() if self.succeeded():
                     pass  # the other process probes for both
-                case Probe(server):
+                case CheckHealth(server):
                     self.counters.add("probes_sent")
                     self.drivers.probe(server, self.addresses[server.id])
-                case Tell(server, strain):
+                case SendGossip(server, strain):
                     self.counters.add("hints_told")
                     self.drivers.tell(pack_hint(server, strain))
                 case Subscribe():
                     self.drivers.subscribe()
-                case Wake(after):
+                case ScheduleWakeup(after):
                     self.at(now + after, self.woken)
 
     def connect(self, now: int, session: Session, server: Server, number: int, until: int) -> None:
@@ -529,8 +544,10 @@
                 server, max(self.limits.delay_long, self.limits.own_delay), self.limits.told_every
             )
         flow = session.flow
-        latest = until if flow.may_have_run is None else min(until, flow.repeats_until())
-        leg = session.leg = Leg(session, server, number, now, latest, gauge)
+        latest = (
+            until if flow.may_have_run_on is None else min(until, flow.idempotency_expires_at())
+        )
+        leg = session.leg = Attempt(session, server, number, now, latest, gauge)
         self.at(until, self.connect_late, leg)
         self.counters.add("connects")
         line = session.opening.line(max((until - now) // MILLISECOND, 1))
@@ -541,7 +558,9 @@
         if self.claims is not None and session.flow is not None:
             self.claims.finish(
                 session.flow,
-                "never" if session.flow.may_have_run is None and session.leg is None else "unknown",
+                "never"
+                if session.flow.may_have_run_on is None and session.leg is None
+                else "unknown",
             )
         if session.flow is not None:
             self.figures.ended(
@@ -558,7 +577,7 @@
         session.over = True
         self.counters.add("flows_moved")
         self.drivers.move(session)
-        self.balancer.ended(now, flow, Outcome.CANCELLED, True, now - session.leg.sent)
+        self.balancer.on_ended(now, flow, Outcome.CANCELLED, True, now - session.leg.sent)
 
     # Clients sent away: a planned stop, or a drain by hand.
 
@@ -595,10 +614,10 @@
             )
         )
         for flow, session in self.sessions.items():
-            if not session.standing and flow.until > self.close_at:
-                flow.until = self.close_at
+            if not session.standing and flow.deadline > self.close_at:
+                flow.deadline = self.close_at
                 if session.leg is not None:
-                    self.at(flow.until, self.connect_late, session.leg)
+                    self.at(flow.deadline, self.connect_late, session.leg)
         self.at(now + begin, self.leave, self.departures)
 
     def leave(self, now: int, departure: int) -> None:
@@ -631,7 +650,7 @@
 
     # What operators ask.
 
-    def called(self, now: int, call: Call) -> None:
+    def called(self, now: int, call: AdminCommand) -> None:
         """A yes is a promise: it is said once this has acted, and a call given up by its caller is not begun."""
         if not call.begin():
             return
@@ -643,18 +662,18 @@
             return
         self.act(now, call)
 
-    def act(self, now: int, call: Call) -> None:
+    def act(self, now: int, call: AdminCommand) -> None:
         why = self.obey(now, call)
         if call.name == "check" or self.side is None or not self.side.forward(now, call, why):
             self.reply(call, why)
 
-    def reply(self, call: Call, why: str | None) -> None:
+    def reply(self, call: AdminCommand, why: str | None) -> None:
         if call.name != "check":
             log.info(event("call", call=call.name, server=call.server, refused=why or "no"))
         call.answers.put(b"ERR " + why.encode() + b"\r\n" if why else b"OK\r\n")
 
     def obey(
-        self, now: int, call: Call, forwarded: bool = False, known: bool = False
+        self, now: int, call: AdminCommand, forwarded: bool = False, known: bool = False
     ) -> str | None:
         """Why not, if not. `forwarded`: it was called at the process beside this one, whose list names the server if it is
         `known`; that process answers for both."""
@@ -690,7 +709,9 @@
                     if not known:
                         return "no list has named that server"
                     # The other process knows it already; until this one's list names it, it is gone and out.
-                    self.balancer.listed(now, ListForm.DELTA, [Server(id=number, state=State.GONE)])
+                    self.balancer.on_endpoints(
+                        now, EndpointUpdate.DELTA, [Server(id=number, state=ServerState.GONE)]
+                    )
                 server = self.balancer.servers[number]
                 self.bar(now, server) if call.name.startswith("set-down") else self.unbar(
                     now, server
@@ -698,13 +719,15 @@
         return None
 
     def placeable(self) -> int:
-        return sum(s.state is State.READY and not s.barred for s in self.balancer.servers.values())
+        return sum(
+            s.state is ServerState.READY and not s.barred for s in self.balancer.servers.values()
+        )
 
     def bar(self, now: int, server: Server) -> None:
-        self.balancer.taken_out(now, server)
+        self.balancer.remove_from_rotation(now, server)
         self.settle()
         self.recall(now, lambda other: other is server)
 
     def unbar(self, now: int, server: Server) -> None:
-        self.balancer.put_back(now, server)
+        self.balancer.return_to_rotation(now, server)
         self.settle()
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -5,16 +5,16 @@
 import socket
 from threading import Event, Lock
 
-from cypresswalk.model import SECOND, ListForm, Server
+from cypresswalk.model import SECOND, EndpointUpdate, Server
 from cypresswalk.net.config import Address
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import dial
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.net.parsers.http import Answer, request
-from cypresswalk.net.parsers.json_stream import EMPTY, Values
+from cypresswalk.net.parsers.json_stream import EMPTY, JsonStream
 from cypresswalk.net.parsers.lines import ProtocolError
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
     def __init__(
         self,
         address: Address,
-        registry: Registry,
+        registry: EndpointListDecoder,
         core: Core,
         inbox: Inbox,
         limits: Limits,
@@ -100,7 +100,7 @@
         return max(self.due - self.inbox.clock(), MILLISECOND) / SECOND
 
     def read(self, sock: socket.socket) -> None:
-        answer, values = Answer(self.limits.line), Values(self.limits.list_line)
+        answer, values = Answer(self.limits.line), JsonStream(self.limits.list_line)
         while not answer.over:
             sock.settimeout(self.left())
             data = sock.recv(self.limits.list_read)
@@ -122,11 +122,11 @@
     # By the deciding thread.
 
     def tell(
-        self, now: int, form: ListForm, entries: list[tuple[Server, Address]], older: bool
+        self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]], older: bool
     ) -> None:
         if self.ended:
             # It was read before its end, or just then: what it takes back binds, the rest is for the new address to say.
-            form, entries = ListForm.DELTA, self.core.taken_back(entries)
+            form, entries = EndpointUpdate.DELTA, self.core.taken_back(entries)
         if not self.ended or entries:
             self.core.listed(now, form, entries, older)
 
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -17,10 +17,10 @@
 from typing import Protocol
 
 from cypresswalk.choice import Decaying
-from cypresswalk.model import ListForm, Server, State
+from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address, ConfigError, address
 from cypresswalk.net.core import Core, Phase
-from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.lines import ProtocolError
 
@@ -98,7 +98,7 @@
     )
 
 
-class Told:
+class ReceivedState:
     """What came between `state` and `end`: nothing of it is believed before all of it is there and sound."""
 
     def __init__(self, state: dict):
@@ -155,7 +155,7 @@
         cell=int(told["cell"]),
         weight=float(told["weight"]),
         since=int(told["since"]),
-        state=State(told["state"]),
+        state=ServerState(told["state"]),
     )
     known = {name: int(told[name]) for name in COUNTS + TIMES if name in told}
     known |= {name: told[name] is True for name in FLAGS if name in told}
@@ -174,7 +174,7 @@
     )
 
 
-def believe(now: int, core: Core, drivers: Drivers, told: Told) -> None:
+def believe(now: int, core: Core, drivers: Drivers, told: ReceivedState) -> None:
     """Puts what the elder knows into a core that places nothing yet. Its word goes before an older list's; a later start of
     a server, or a later version of the list, before its word."""
     servers, ids, sums = told.read()
@@ -186,9 +186,9 @@
     core.addresses |= {
         server.id: where for server, where, _, _ in servers if server.id not in core.addresses
     }
-    balancer.listed(
+    balancer.on_endpoints(
         now,
-        ListForm.DELTA,
+        EndpointUpdate.DELTA,
         [
             server
             for server, *_ in servers
@@ -211,7 +211,7 @@
                 setattr(here, name, value + later if name in TIMES and value else value)
     for name, (total, at) in sums.items():
         getattr(balancer, name).total, getattr(balancer, name).at = total, min(at + later, now)
-    balancer.spent_elsewhere(now)
+    balancer.assume_retry_budget_spent(now)
     balancer.started = min(told.state["started"] + later, now)
     balancer.stale = True
     for ident in ids[-core.limits.ids :]:
@@ -219,7 +219,7 @@
     core.settle()
 
 
-class Side:
+class Handover:
     """One of the two processes; the core's own thread alone calls it."""
 
     def __init__(self, core: Core, drivers: Drivers, elder: Other | None = None):
@@ -229,13 +229,13 @@
         if self.younger:
             core.phase = Phase.STARTING
             core.settle()
-        self.told: Told | None = None
+        self.told: ReceivedState | None = None
         self.informed = False  # a whole state has been read
         self.succeeded = False  # the other accepts clients in this process's place
         self.held = 0  # flows that the other holds still, of what both may hold
         self.held_told = -1
         self.asked: dict[
-            int, tuple[Call, str | None]
+            int, tuple[AdminCommand, str | None]
         ] = {}  # calls that the other has not confirmed
         self.asked_last = 0
 
@@ -276,7 +276,7 @@
             return
         match message:
             case {"state": dict(state)}:
-                self.told = Told(state)
+                self.told = ReceivedState(state)
             case {"servers": list()} | {"ids": list()} if self.told is not None:
                 self.told.add(message)
             case {"end": _} if self.told is not None and self.younger:
@@ -305,7 +305,9 @@
                 other.send(
                     {
                         "done": number,
-                        "why": self.core.obey(now, Call(name, server), forwarded=True, known=known),
+                        "why": self.core.obey(
+                            now, AdminCommand(name, server), forwarded=True, known=known
+                        ),
                     }
                 )
             case {"done": int(number), "why": why} if number in self.asked:
@@ -332,7 +334,7 @@
 
     # Calls.
 
-    def forward(self, now: int, call: Call, why: str | None) -> bool:
+    def forward(self, now: int, call: AdminCommand, why: str | None) -> bool:
         """Whether the answer waits for the other process."""
         if self.other is None:
             return False
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -13,13 +13,13 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
-from cypresswalk.net.handover import VERSION, Side
+from cypresswalk.net.handover import VERSION, Handover
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.link import timeval
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import number_of
-from cypresswalk.net.parsers.lines import Lines, ProtocolError
+from cypresswalk.net.parsers.lines import LineParser, ProtocolError
 
 log = logging.getLogger(__name__)
 PATH_MOST = 100  # bytes: a Unix socket's path may have 107
@@ -32,9 +32,9 @@
         self.sock, self.inbox, self.limits = sock, inbox, limits
         sock.settimeout(None)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
-        self.lines, self.out = Lines(limits.list_line), SimpleQueue()
+        self.lines, self.out = LineParser(limits.list_line), SimpleQueue()
         self.descriptors: list[int] = []
-        self.side: Side | None = None
+        self.side: Handover | None = None
 
     def send(self, message: dict, descriptors: tuple[int, ...] = ()) -> None:
         self.out.put((json.dumps(message, separators=(",", ":")).encode() + b"\n", descriptors))
@@ -43,7 +43,7 @@
         """Once all has been sent."""
         self.out.put(None)
 
-    def start(self, side: Side) -> None:
+    def start(self, side: Handover) -> None:
         self.side = side
         start_thread(self.write)
         start_thread(self.read)
@@ -90,7 +90,7 @@
             self.close()
 
 
-class Beside:
+class HandoverSocket:
     """Where the process that serves waits for one that is to succeed it."""
 
     def __init__(
@@ -194,7 +194,7 @@
 
     # The elder.
 
-    def wait(self, side: Side) -> None:
+    def wait(self, side: Handover) -> None:
         """From now on another process finds this one."""
         with self.waiting:
             if not self.folder or self.sock is not None:
@@ -204,7 +204,7 @@
             finally:
                 self.end_turn()
 
-    def listen(self, side: Side) -> None:
+    def listen(self, side: Handover) -> None:
         beside = f"{self.file}.{os.getpid()}"
         try:
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -220,7 +220,7 @@
             return
         start_thread(lambda: self.run(side))
 
-    def run(self, side: Side) -> None:
+    def run(self, side: Handover) -> None:
         while True:
             try:
                 sock, _ = self.sock.accept()
@@ -234,7 +234,7 @@
                 log.warning(event("hello_odd", why=error))
                 sock.close()
 
-    def greet(self, channel: Channel, side: Side) -> None:
+    def greet(self, channel: Channel, side: Handover) -> None:
         channel.sock.settimeout(self.limits.list_retry / SECOND)
         hello = (channel.message() or {}).get("hello")
         channel.sock.settimeout(None)
--- a/cypresswalk/net/metrics.py
+++ b/cypresswalk/net/metrics.py
@@ -3,12 +3,12 @@
 import json
 from collections import Counter
 
-from cypresswalk.model import State
+from cypresswalk.model import ServerState
 
 ENDS = ("fulfilled", "throttled", "faulted")  # brought up, refused, failed
 
 
-class Figures:
+class Metrics:
     """Counts one end for each connection taken, by the service type's name."""
 
     def __init__(self, service_types: dict[str, int]):
@@ -20,12 +20,14 @@
     def told(self, now: int, core: object) -> dict[str, object]:
         """Counts since this process began, and how things stand at `now`."""
         balancer = core.balancer
-        listed = [server for server in balancer.servers.values() if server.state is not State.GONE]
+        listed = [
+            server for server in balancer.servers.values() if server.state is not ServerState.GONE
+        ]
         return self.counts | {
             "relayed": core.counters.counts["connects_written"],
             "open_requests": len(core.sessions),
             "registry_entries": len(listed),
-            "out_of_rotation": sum(balancer.avoided(now, server) for server in listed),
+            "out_of_rotation": sum(balancer.is_avoided(now, server) for server in listed),
         }
 
     def text(self, now: int, core: object) -> bytes:
--- a/cypresswalk/net/parsers/admin_commands.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -5,7 +5,7 @@
 from threading import Lock
 
 from cypresswalk.model import SECOND
-from cypresswalk.net.parsers.lines import NAME, Lines, ProtocolError
+from cypresswalk.net.parsers.lines import NAME, LineParser, ProtocolError
 
 PLAIN = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
 WITH_ID = frozenset(
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class AdminCommand:
     """Answered once: by the deciding thread, or by the caller's own thread that has waited enough; then it has no effect."""
 
     name: str
@@ -39,13 +39,13 @@
             return b"ERR a fault; see the log\r\n"
 
 
-class Caller:
+class AdminCommandParser:
     """Is fed what one caller says. Raises ProtocolError with a reason for the caller where that is no call."""
 
     def __init__(self, longest: int):
-        self.lines = Lines(longest)
+        self.lines = LineParser(longest)
 
-    def feed(self, data: bytes) -> Call | None:
+    def feed(self, data: bytes) -> AdminCommand | None:
         """The call once its line is whole. What came with it after its end is no part of it, so the whole is refused:
         guards against half of what was meant being done."""
         self.lines.feed(data)
@@ -60,14 +60,14 @@
         if words[0] in PLAIN:
             if len(words) > 1:
                 raise ProtocolError(f"{words[0].decode()} stands alone")
-            return Call(words[0].decode())
+            return AdminCommand(words[0].decode())
         if words[0] in WITH_ID:
             if len(words) != 2:
                 raise ProtocolError(f"{words[0].decode()} takes one id")
             ident = words[1].decode("ascii", "replace")
             if not NAME.fullmatch(ident):
                 raise ProtocolError("that is no id of a server")
-            return Call(words[0].decode(), ident)
+            return AdminCommand(words[0].decode(), ident)
         raise ProtocolError(
             "no such call; there are check, vars, set-down ID, set-up ID, drain-on and drain-off"
         )
--- a/cypresswalk/net/parsers/endpoint_list.py
+++ b/cypresswalk/net/parsers/endpoint_list.py
@@ -5,12 +5,16 @@
 from hashlib import blake2b
 
 from cypresswalk.hosting import nanoseconds, sound_weight
-from cypresswalk.model import ListForm, Server, State
+from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address, ConfigError, address
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.lines import ProtocolError
 
-STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": ServerState.READY,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.GONE,
+}
 log = logging.getLogger(__name__)
 
 
@@ -24,7 +28,7 @@
     return number_of(ident, 4)
 
 
-class Registry:
+class EndpointListDecoder:
     """What the last list told beside what the module keeps: addresses, and the version to go on from."""
 
     def __init__(self, zones: dict[str, int], names: dict[int, str] | None = None):
@@ -32,11 +36,11 @@
         self.version = 0
         self.names: dict[int, str] = {} if names is None else names
 
-    def elsewhere(self) -> "Registry":
+    def elsewhere(self) -> "EndpointListDecoder":
         """For another address, whose versions need not be this one's: from the first one on."""
-        return Registry(self.zones, self.names)
+        return EndpointListDecoder(self.zones, self.names)
 
-    def decode(self, data: object) -> tuple[ListForm, list[tuple[Server, Address]]]:
+    def decode(self, data: object) -> tuple[EndpointUpdate, list[tuple[Server, Address]]]:
         """An odd entry is logged and passed over."""
         if not isinstance(data, dict) or not isinstance(data.get("instances"), list):
             raise ProtocolError("the list has no instances")
@@ -49,7 +53,7 @@
                 entries.append(self.entry(item))
             except (KeyError, TypeError, ValueError, AttributeError, ConfigError) as error:
                 log.warning(event("entry_odd", entry=reprlib.repr(item), why=error))
-        return ListForm.FULL if data.get("reset") is True else ListForm.DELTA, entries
+        return EndpointUpdate.FULL if data.get("reset") is True else EndpointUpdate.DELTA, entries
 
     def entry(self, item: dict) -> tuple[Server, Address]:
         ident, state = item["instanceId"], STATES[item["lifecycle"]]
--- a/cypresswalk/net/parsers/json_stream.py
+++ b/cypresswalk/net/parsers/json_stream.py
@@ -12,7 +12,7 @@
 EMPTY = object()  # a line without text: the beat while nothing changes
 
 
-class Values:
+class JsonStream:
     """Is fed bytes and gives whole objects and empty lines, however both are cut, indented or joined. Guards against a
     list on several lines that would be taken for a broken one, and asked for again and again."""
 
--- a/cypresswalk/net/parsers/lines.py
+++ b/cypresswalk/net/parsers/lines.py
@@ -10,7 +10,7 @@
     """What came in is not the protocol's; the message says what."""
 
 
-class Lines:
+class LineParser:
     """Is fed bytes and gives lines: one by one, or all whole ones at once."""
 
     __slots__ = ("buffer", "longest", "scanned")
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Opening:
+class OpenRequest:
     """A client's first line: words in their order, so that it can be sent on with another `d`."""
 
     ident: str
@@ -67,7 +67,7 @@
 FORMS = {"d": NUMBER, "h": NUMBER, "g": NAME, "at": NAME, "r": FLAG, "again": FLAG}
 
 
-def opening(line: bytes) -> Opening:
+def parse_open_request(line: bytes) -> OpenRequest:
     """Guards servers, and their good name, against what no client of theirs would send."""
     try:
         words = line.decode("ascii").split(" ")
@@ -89,4 +89,4 @@
         ):
             raise ProtocolError(f"a first line with {pair[:60]!r} in its list")
         values[name] = value
-    return Opening(words[1], words[2], values)
+    return OpenRequest(words[1], words[2], values)
--- a/cypresswalk/net/parsers/load_reports.py
+++ b/cypresswalk/net/parsers/load_reports.py
@@ -17,7 +17,7 @@
         self.lately: list[tuple[int, float, bool]] = []  # when, the number, whether it was a delay
 
 
-class Notes:
+class LoadReportParser:
     """A LOAD line tells a connection's load, in microseconds of work a second, whenever that changes, and first of
     all as the connection begins; or the milliseconds that a message takes at the server, once a second on one
     connection while that is long and once more when it is not. The settings say which of them are told. Where both
--- a/cypresswalk/net/probes.py
+++ b/cypresswalk/net/probes.py
@@ -3,13 +3,13 @@
 import socket
 from threading import Lock, Semaphore
 
-from cypresswalk.model import SECOND, Server, State
+from cypresswalk.model import SECOND, Server, ServerState
 from cypresswalk.net.config import Address
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.link import dial
-from cypresswalk.net.parsers.lines import Lines, ProtocolError
+from cypresswalk.net.parsers.lines import LineParser, ProtocolError
 
 
 class Prober:
@@ -21,7 +21,7 @@
 
     def probe(self, server: Server, address: Address) -> None:
         with self.using:
-            for other in [s for s in self.kept if s.state is State.GONE]:
+            for other in [s for s in self.kept if s.state is ServerState.GONE]:
                 self.kept.pop(other)[1].close()
         try:
             start_thread(lambda: self.wait(server, address))
@@ -79,7 +79,7 @@
         return left
 
     def ask(self, sock: socket.socket, until: int) -> tuple[bool, list[float]]:
-        lines = Lines(self.limits.line)
+        lines = LineParser(self.limits.line)
         sock.settimeout(self.left(until) / SECOND)
         sock.sendall(b"STATS\r\n" if self.fields else b"PING\r\n")
         while (line := lines.line()) is None:
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -7,11 +7,11 @@
 
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.config import Address
-from cypresswalk.net.core import Core, Leg
+from cypresswalk.net.core import Attempt, Core
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.link import Link, dial, pass_end_on
-from cypresswalk.net.parsers.lines import Lines, ProtocolError
+from cypresswalk.net.parsers.lines import LineParser, ProtocolError
 from cypresswalk.net.parsers.load_reports import Told, load_number
 
 FIRST = {
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        leg: Leg,
+        leg: Attempt,
         address: Address,
         line: bytes,
         core: Core,
@@ -45,7 +45,7 @@
         self.leg, self.address, self.opening = leg, address, line
         self.core, self.inbox, self.limits = core, inbox, limits
         self.client, self.told = leg.session.link, Told()
-        self.lines = Lines(limits.line)
+        self.lines = LineParser(limits.line)
         self.link: Link | None = None
         self.sending = (
             Lock()
--- a/cypresswalk/rollout/agent.py
+++ b/cypresswalk/rollout/agent.py
@@ -15,21 +15,21 @@
 from typing import Any
 
 from cypresswalk.fleet import client
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 from cypresswalk.rollout.balancer_agent import (
-    Ask,
-    Check,
-    Doing,
-    Draw,
-    Duty,
-    End,
-    Now,
-    Runs,
-    Save,
-    Start,
-    Started,
-    Wait,
-    Want,
+    Action,
+    AgentState,
+    BalancerAgent,
+    CallFleet,
+    CheckReady,
+    DrawToken,
+    EndProcess,
+    FindStartedProcess,
+    IsRunning,
+    ReadClock,
+    SaveState,
+    Sleep,
+    StartProcess,
 )
 
 log = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
         first: str,
         admins: tuple[str, str],
         command: list[str],
-        duty: type[Duty] = Duty,
+        duty: type[BalancerAgent] = BalancerAgent,
     ):
         """`member`: the balancer, or the server. `admins`: where it is called; a server has one address, at which it answers PING.
         `root`: where versions stand, a folder each. `command`: what is run there, with its environment as this one's."""
@@ -57,7 +57,9 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.doing = self.load()
         self.duty = duty(member, first, admins, self.doing)
-        self.asks, self.yes = (b"check\r\n", "OK") if duty is Duty else (b"PING\r\n", "PONG")
+        self.asks, self.yes = (
+            (b"check\r\n", "OK") if duty is BalancerAgent else (b"PING\r\n", "PONG")
+        )
         self.children: dict[int, subprocess.Popen] = {}
         self.over = False
 
@@ -66,44 +68,44 @@
         while not self.over:
             answer = self.carry_out(work.send(answer))
 
-    def carry_out(self, want: Want) -> Any:
+    def carry_out(self, want: Action) -> Any:
         match want:
-            case Save():
+            case SaveState():
                 return self.save()
-            case Start(version=version, admin=admin):
+            case StartProcess(version=version, admin=admin):
                 try:
                     return self.start(version, admin), ""
                 except OSError as error:
                     return 0, f"{version}: {error}"
-            case Started(known=known):
+            case FindStartedProcess(known=known):
                 return self.started(known)
-            case Runs(pid=pid):
+            case IsRunning(pid=pid):
                 return self.runs(pid)
-            case End(pid=pid, hard=hard):
+            case EndProcess(pid=pid, hard=hard):
                 if self.runs(pid):
                     os.kill(pid, signal.SIGKILL if hard else signal.SIGTERM)
-            case Check(admin=admin):
+            case CheckReady(admin=admin):
                 return self.check(admin)
-            case Ask(name=name, args=args, ident=ident):
+            case CallFleet(name=name, args=args, ident=ident):
                 return self.ask(
                     name, client.command(self.by, **args) | {"ident": ident} if ident else args
                 )
-            case Draw():
+            case DrawToken():
                 return uuid.uuid4().hex
-            case Wait(seconds=seconds):
+            case Sleep(seconds=seconds):
                 time.sleep(seconds)
-            case Now():
+            case ReadClock():
                 return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     # What it is doing, on disk.
 
-    def load(self) -> Doing:
+    def load(self) -> AgentState:
         try:
-            return Doing(**json.loads((self.folder / FILE).read_text()))
+            return AgentState(**json.loads((self.folder / FILE).read_text()))
         except FileNotFoundError:
-            return Doing()
+            return AgentState()
         except (OSError, ValueError, TypeError) as error:
-            raise Refusal(f"{self.folder / FILE}: {error}") from None
+            raise CommandError(f"{self.folder / FILE}: {error}") from None
 
     def save(self) -> None:
         new = self.folder / (FILE + ".next")
@@ -172,5 +174,5 @@
     def ask(self, name: str, args: dict[str, Any]) -> tuple[bool, Any]:
         try:
             return client.call(self.addresses, self.fleet, name, args, SPAN)
-        except (Refusal, client.Unsure) as error:
+        except (CommandError, client.UncertainOutcomeError) as error:
             return False, {"why": str(error)}
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Doing:
+class AgentState:
     """`version` runs as `pid` and is called at `admin`; while it is changed `to` runs as `young` at the other address."""
 
     version: str = ""
@@ -46,12 +46,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Save:
+class SaveState:
     """`doing` flushed to disk."""
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartProcess:
     """A process of that version: its number and nothing, or 0 and why not."""
 
     version: str
@@ -59,19 +59,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class FindStartedProcess:
     """The number of the one started last, if it runs and is not the known one; else 0."""
 
     known: int
 
 
 @dataclass(frozen=True, slots=True)
-class Runs:
+class IsRunning:
     pid: int
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class EndProcess:
     """`hard`: killed; else told to leave."""
 
     pid: int
@@ -79,14 +79,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
+class CheckReady:
     """Nothing, or why it is not ready."""
 
     admin: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class CallFleet:
     """Of any balancer: whether it was done, and the body. `ident`: of a command, which is carried out once however often it comes."""
 
     name: str
@@ -95,28 +95,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
+class DrawToken:
     """A word that nobody else has."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class Sleep:
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class Now:
+class ReadClock:
     """Seconds on a clock that goes on while the machine sleeps."""
 
 
-Want = Save | Start | Started | Runs | End | Check | Ask | Draw | Wait | Now
-Work = Generator[Want, Any, Any]
+Action = (
+    SaveState
+    | StartProcess
+    | FindStartedProcess
+    | IsRunning
+    | EndProcess
+    | CheckReady
+    | CallFleet
+    | DrawToken
+    | Sleep
+    | ReadClock
+)
+Work = Generator[Action, Any, Any]
 
 
-class Duty:
+class BalancerAgent:
     first_step = "beside"
 
-    def __init__(self, member: str, first: str, admins: tuple[str, str], doing: Doing):
+    def __init__(self, member: str, first: str, admins: tuple[str, str], doing: AgentState):
         self.member, self.first, self.admins, self.doing = member, first, admins, doing
         self.started_at: float | None = None
         self.ask_at = 0.0
@@ -133,39 +144,39 @@
                 case _:
                     yield from self.keep_running()
                     yield from self.look_for_work()
-            yield Wait(LOOK)
+            yield Sleep(LOOK)
 
     def other(self) -> str:
         return self.admins[1] if self.doing.admin == self.admins[0] else self.admins[0]
 
     def next(self, step: str, why: str = "") -> Work:
         self.doing.step, self.doing.why = step, why
-        yield Save()
+        yield SaveState()
 
     def keep_running(self) -> Work:
         doing = self.doing
         if self.started_at is None:
-            self.started_at = yield Now()  # an agent that begins anew knows of no earlier start
-        if (yield Runs(doing.pid)):
+            self.started_at = yield ReadClock()  # an agent that begins anew knows of no earlier start
+        if (yield IsRunning(doing.pid)):
             return
         if doing.pid:
             log.warning("event=ended_by_itself version=%s pid=%d", doing.version, doing.pid)
-            yield Wait(AGAIN)
+            yield Sleep(AGAIN)
         doing.version, doing.admin = doing.version or self.first, doing.admin or self.admins[0]
-        doing.pid = yield Started(0)
-        self.started_at = yield Now()
+        doing.pid = yield FindStartedProcess(0)
+        self.started_at = yield ReadClock()
         if not doing.pid:
-            doing.pid, why = yield Start(doing.version, doing.admin)
+            doing.pid, why = yield StartProcess(doing.version, doing.admin)
             if why:
                 log.error("event=not_started version=%s why=%s", doing.version, why)
-        yield Save()
+        yield SaveState()
 
     def turn(self) -> Work:
         """Its turn, if it has come."""
-        now = yield Now()
+        now = yield ReadClock()
         if now < self.ask_at:
             return None
-        ok, turn = yield Ask("turn", {"member": self.member})
+        ok, turn = yield CallFleet("turn", {"member": self.member})
         self.ask_at = now + (IDLE if ok and not turn["status"] else 0.0)
         return turn if ok and turn["status"] in ("changing", "out") else None
 
@@ -175,7 +186,7 @@
         doing, turn = self.doing, (yield from self.turn())
         if turn is None:
             return
-        doing.change = yield Draw()
+        doing.change = yield DrawToken()
         if turn["status"] == "changing":
             # Agreed, and lost between its yes and this agent's disk: it has done nothing of it.
             yield from self.next("told", "its agent began anew")
@@ -186,12 +197,12 @@
             return
         if (yield from self.not_yet(turn)):
             return
-        asked = yield Now()
-        ok, _ = yield Ask("release_began", {"member": self.member, "to": to}, doing.change)
+        asked = yield ReadClock()
+        ok, _ = yield CallFleet("release_began", {"member": self.member, "to": to}, doing.change)
         if not ok:
             return  # `changing` above, if it was agreed all the same
         doing.to, doing.young, doing.failed = to, 0, False
-        if (yield Now()) - asked > USE:
+        if (yield ReadClock()) - asked > USE:
             yield from self.next("told", "the yes came too late to be used")
         else:
             yield from self.next("told" if doing.version == to else self.first_step)
@@ -199,31 +210,33 @@
     def not_yet(self, turn: dict[str, Any]) -> Work:
         """Guards against a second process beside one that is only beginning: neither would find the other, both would listen, and the one
         without a part in the fleet would reject what came to it."""
-        running = yield Runs(self.doing.pid)
+        running = yield IsRunning(self.doing.pid)
         return (
-            running and (yield Check(self.doing.admin)) and (yield Now()) - self.started_at < READY
+            running
+            and (yield CheckReady(self.doing.admin))
+            and (yield ReadClock()) - self.started_at < READY
         )
 
     def ready(self, admin: str, pid: int) -> Work:
         """Nothing once it has been ready for STEADY, or why it never was."""
-        until, since, why = (yield Now()) + READY, None, "never ready"
-        while (now := (yield Now())) < until:
-            if not (yield Runs(pid)):
+        until, since, why = (yield ReadClock()) + READY, None, "never ready"
+        while (now := (yield ReadClock())) < until:
+            if not (yield IsRunning(pid)):
                 return "its process ended"
-            why = yield Check(admin)
+            why = yield CheckReady(admin)
             since = None if why else since or now
-            if since is not None and (yield Now()) - since >= STEADY:
+            if since is not None and (yield ReadClock()) - since >= STEADY:
                 return ""
-            yield Wait(CHECK)
+            yield Sleep(CHECK)
         return why or "not ready for long enough"
 
     def unwanted(self) -> Work:
         """Nothing, if the fleet said within USE that this change is still to be made; or why not, which where others are out is said
         only after a while: they may come back."""
-        until, why = (yield Now()) + READY, "the fleet could not be asked whether to go on"
-        while (asked := (yield Now())) < until:
-            ok, turn = yield Ask("turn", {"member": self.member})
-            if ok and (yield Now()) - asked <= USE:
+        until, why = (yield ReadClock()) + READY, "the fleet could not be asked whether to go on"
+        while (asked := (yield ReadClock())) < until:
+            ok, turn = yield CallFleet("turn", {"member": self.member})
+            if ok and (yield ReadClock()) - asked <= USE:
                 if turn["status"] != "changing" or target(turn) != self.doing.to:
                     return "the release has turned"
                 if turn["halted"] and turn["phase"] != "back":
@@ -231,7 +244,7 @@
                 why = turn["crowded"] or self.busy(turn)
                 if not why:
                     return ""
-            yield Wait(LOOK)
+            yield Sleep(LOOK)
         return why
 
     def busy(self, turn: dict[str, Any]) -> str:
@@ -241,11 +254,11 @@
     def go_beside(self) -> Work:
         doing = self.doing
         why = ""
-        if not (yield Runs(doing.young)):
-            doing.young = yield Started(doing.pid)
+        if not (yield IsRunning(doing.young)):
+            doing.young = yield FindStartedProcess(doing.pid)
             if not doing.young:
-                doing.young, why = yield Start(doing.to, self.other())
-            yield Save()
+                doing.young, why = yield StartProcess(doing.to, self.other())
+            yield SaveState()
         why = why or (yield from self.ready(self.other(), doing.young))
         if why:
             yield from self.give_up(why)
@@ -254,23 +267,25 @@
 
     def give_up(self, why: str) -> Work:
         """What runs goes on running."""
-        yield End(self.doing.young, True)
+        yield EndProcess(self.doing.young, True)
         yield from self.next("told", why)
 
     def go_leaving(self) -> Work:
         doing = self.doing
-        if (yield Runs(doing.pid)) and not (yield Check(doing.admin)).startswith(SAID_LEAVING):
+        if (yield IsRunning(doing.pid)) and not (yield CheckReady(doing.admin)).startswith(
+            SAID_LEAVING
+        ):
             # Guards a change that was agreed yesterday against an agent, or a machine, that slept since, and a halt meanwhile.
             why = yield from self.unwanted()
             if why:
                 yield from self.give_up(why)
                 return
             log.info("event=told_to_leave version=%s pid=%d", doing.version, doing.pid)
-            yield End(doing.pid, False)
-        until = (yield Now()) + LEAVE
-        while (yield Runs(doing.pid)) and (yield Now()) < until:
-            yield Wait(CHECK)
-        yield End(doing.pid, True)
+            yield EndProcess(doing.pid, False)
+        until = (yield ReadClock()) + LEAVE
+        while (yield IsRunning(doing.pid)) and (yield ReadClock()) < until:
+            yield Sleep(CHECK)
+        yield EndProcess(doing.pid, True)
         admin = self.other()
         why = yield from self.ready(admin, doing.young)
         doing.version, doing.pid, doing.admin = doing.to, doing.young, admin
@@ -284,7 +299,7 @@
         """Again until the fleet has it."""
         doing = self.doing
         # One ident for all tries: guards the next change against one of them that comes late.
-        ok, body = yield Ask(
+        ok, body = yield CallFleet(
             "release_came",
             {"name": self.member, "runs": self.runs_now(), "why": doing.why},
             f"came:{doing.change}",
--- a/cypresswalk/rollout/plan.py
+++ b/cypresswalk/rollout/plan.py
@@ -6,7 +6,7 @@
 from pydantic import Field, model_validator
 
 from cypresswalk import toml
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import release
 
 
@@ -74,5 +74,5 @@
         f"zones: there is no zone {zone!r}" for zone in file.zones if zone not in zones.values()
     ]
     if wrong:
-        raise Refusal("\n".join(f"{path}: {line}" for line in wrong))
+        raise CommandError("\n".join(f"{path}: {line}" for line in wrong))
     return list(msgspec.structs.astuple(plan))
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -13,15 +13,15 @@
     LEAVE,
     LOOK,
     READY,
-    Ask,
-    Duty,
-    End,
-    Now,
-    Runs,
-    Save,
-    Start,
-    Started,
-    Wait,
+    BalancerAgent,
+    CallFleet,
+    EndProcess,
+    FindStartedProcess,
+    IsRunning,
+    ReadClock,
+    SaveState,
+    Sleep,
+    StartProcess,
     Work,
     target,
 )
@@ -29,7 +29,7 @@
 log = logging.getLogger(__name__)
 
 
-class ServerDuty(Duty):
+class ServerAgent(BalancerAgent):
     """`doing.step`: "", "emptying", "starting", "undoing", "told"."""
 
     first_step = "emptying"
@@ -48,7 +48,7 @@
                 case _:
                     yield from self.keep_running()
                     yield from self.look_for_work()
-            yield Wait(LOOK)
+            yield Sleep(LOOK)
 
     def not_yet(self, turn: dict[str, Any]) -> Work:
         """Else a balancer might send it flows still."""
@@ -64,25 +64,25 @@
             yield from self.next("told", why)
             return
         log.info("event=told_to_leave version=%s pid=%d", doing.version, doing.pid)
-        yield End(doing.pid, False)
+        yield EndProcess(doing.pid, False)
         yield from self.next("starting")
 
     def emptied(self) -> Work:
         """Nothing once no flow stands there, as all balancers that are heard say; or why it is not to be stopped."""
-        began, standing = (yield Now()), None
+        began, standing = (yield ReadClock()), None
         while True:
-            ok, turn = yield Ask("turn", {"member": self.member})
+            ok, turn = yield CallFleet("turn", {"member": self.member})
             if ok:
                 if turn["status"] != "changing" or target(turn) != self.doing.to:
                     return "the release has turned"
                 standing = turn["standing"]
                 if standing == 0:
                     return ""
-                if (yield Now()) - began > turn["empty_s"]:
+                if (yield ReadClock()) - began > turn["empty_s"]:
                     return f"{self.busy(turn)} after {turn['empty_s']:g} s"
-            elif (yield Now()) - began > READY + LEAVE:
+            elif (yield ReadClock()) - began > READY + LEAVE:
                 return "the fleet could not be asked whether flows stand there"
-            yield Wait(LOOK)
+            yield Sleep(LOOK)
 
     def busy(self, turn: dict[str, Any]) -> str:
         """Asked again at the last: guards flows of a balancer that was cut off for so long that nobody waited for its word, and is back."""
@@ -96,17 +96,17 @@
     def replaced(self, before: int, version: str) -> Work:
         """The process of that version, once the one before has ended, and nothing once it answers; or why it does not."""
         doing = self.doing
-        if not doing.young or not (yield Runs(doing.young)):
-            until = (yield Now()) + LEAVE
-            while (yield Runs(before)) and (yield Now()) < until:
-                yield Wait(CHECK)
-            yield End(before, True)
-            while (yield Runs(before)):
-                yield Wait(CHECK)  # its address is taken until then
-            doing.young, why = (yield Started(before)), ""
+        if not doing.young or not (yield IsRunning(doing.young)):
+            until = (yield ReadClock()) + LEAVE
+            while (yield IsRunning(before)) and (yield ReadClock()) < until:
+                yield Sleep(CHECK)
+            yield EndProcess(before, True)
+            while (yield IsRunning(before)):
+                yield Sleep(CHECK)  # its address is taken until then
+            doing.young, why = (yield FindStartedProcess(before)), ""
             if not doing.young:
-                doing.young, why = yield Start(version, doing.admin)
-            yield Save()
+                doing.young, why = yield StartProcess(version, doing.admin)
+            yield SaveState()
             if why:
                 return why
         return (yield from self.ready(doing.admin, doing.young))
@@ -116,7 +116,7 @@
         why = yield from self.replaced(doing.pid, doing.to)
         if why:
             doing.pid, doing.young = doing.young, 0
-            yield End(doing.pid, True)
+            yield EndProcess(doing.pid, True)
             yield from self.next("undoing", why)
         else:
             doing.version, doing.pid, doing.young = doing.to, doing.young, 0
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -11,17 +11,17 @@
 from queue import Empty
 
 from cypresswalk.choice import Balancer
-from cypresswalk.model import SECOND, ListForm, Outcome, Server
+from cypresswalk.model import SECOND, EndpointUpdate, Outcome, Server
 from cypresswalk.net import logs
 from cypresswalk.net.clients import Listener
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import Address, Config, ConfigError, discovery_anew, load
-from cypresswalk.net.core import Core, Leg, Session
+from cypresswalk.net.core import Attempt, Core, Session
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import Watch
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.net.parsers.lines import ProtocolError
 from cypresswalk.net.peers import Peers
 from cypresswalk.net.probes import Prober
@@ -43,13 +43,13 @@
         self.clock = Clock()
         self.inbox, self.counters = Inbox(self.clock), Counters()
         self.core = core(config, self, self.counters, self.clock(), policy)
-        registry = Registry(config.zones)
+        registry = EndpointListDecoder(config.zones)
         try:
             _, entries = registry.decode(config.known)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
-        self.core.listed(self.clock(), ListForm.CACHED, entries)
-        asked = config.settings.list_asked
+        self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
+        asked = config.settings.list_polled
         self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
         self.places = threading.Semaphore(self.limits.flows + self.limits.links_over)
         self.prober = Prober(self.core, self.inbox, self.limits, config.load_fields)
@@ -83,15 +83,15 @@
         """Operators may call and upgrade it; the sockets that a process before this one has passed on, if there is one.
         Imported here alone: the platform's earlier days have no operators who call, and allow no Unix sockets."""
         from cypresswalk.net.admin import Admin
-        from cypresswalk.net.handover import Side
-        from cypresswalk.net.handover_socket import Beside
+        from cypresswalk.net.handover import Handover
+        from cypresswalk.net.handover_socket import HandoverSocket
 
         self.admin = Admin(config.admin, self.core, self.inbox, self.limits)
-        self.beside = Beside(
+        self.beside = HandoverSocket(
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
         self.elder = self.beside.meet()
-        self.core.side = Side(self.core, self, self.elder)
+        self.core.side = Handover(self.core, self, self.elder)
         return (
             [socket.socket(fileno=number) for number in self.elder.descriptors]
             if self.elder
@@ -100,9 +100,9 @@
 
     def keep_state(self, folder: str, every: float, config: Config) -> None:
         """Imported here alone: the platform's balancer has no folder that outlasts it, and no memory for this."""
-        from cypresswalk.state.snapshot_writer import Keeper
+        from cypresswalk.state.snapshot_writer import SnapshotWriter
 
-        self.keeper = Keeper(
+        self.keeper = SnapshotWriter(
             folder,
             every,
             self.core,
@@ -117,9 +117,9 @@
 
     def join_fleet(self, table: object, config: Config) -> None:
         """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
-        from cypresswalk.fleet.core_binding import Binding
+        from cypresswalk.fleet.core_binding import CoreBinding
 
-        self.binding = Binding(
+        self.binding = CoreBinding(
             table, config, self.core, self.inbox.post, lambda: self.watch.registry
         )
 
@@ -264,7 +264,7 @@
 
     # What the core asks for.
 
-    def connect(self, leg: Leg, address: Address, line: bytes) -> None:
+    def connect(self, leg: Attempt, address: Address, line: bytes) -> None:
         leg.link = ServerLink(leg, address, line, self.core, self.inbox, self.limits, self.places)
         try:
             start_thread(leg.link.run)
@@ -272,13 +272,13 @@
             log.error(event("connect_not_started", why=error))
             self.inbox.post(self.core.ended, leg, Outcome.CONNECT_FAILED)
 
-    def join(self, leg: Leg) -> None:
+    def join(self, leg: Attempt) -> None:
         leg.link.join()
 
-    def drop(self, leg: Leg) -> None:
+    def drop(self, leg: Attempt) -> None:
         leg.link.drop()
 
-    def recall(self, leg: Leg) -> bool:
+    def recall(self, leg: Attempt) -> bool:
         return leg.link.recall()
 
     def close_door(self, at: int) -> None:
@@ -308,11 +308,11 @@
 def enable(program: Program, path: str, config: Config) -> None:
     """What the operator file turns on. Without one nothing of it is imported."""
     from cypresswalk import operator
-    from cypresswalk.refusal import Refusal
+    from cypresswalk.refusal import CommandError
 
     try:
         asked = operator.read(path)
-    except Refusal as refusal:
+    except CommandError as refusal:
         raise ConfigError(f"PROXY_OPERATOR {refusal}") from None
     if asked.state is not None:
         program.keep_state(asked.state.folder, asked.state.every_s, config)
--- a/cypresswalk/state/disk.py
+++ b/cypresswalk/state/disk.py
@@ -7,11 +7,11 @@
 LOCK = "lock"
 
 
-class Taken(OSError):
+class FolderLockedError(OSError):
     """Another process holds the folder."""
 
 
-class Disk:
+class DiskFolder:
     """The folder is opened anew for each operation: one that vanished and came back serves again."""
 
     def __init__(self, path: str):
@@ -40,7 +40,7 @@
         except BlockingIOError:
             os.close(self.held)
             self.held = None
-            raise Taken(11, "another process holds its lock") from None
+            raise FolderLockedError(11, "another process holds its lock") from None
 
     def unlock(self) -> None:
         if self.held is not None:
--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -15,23 +15,23 @@
 
 import msgspec
 
-from cypresswalk.model import State
-from cypresswalk.state.snapshot import Head, Kept, ServerKept
+from cypresswalk.model import ServerState
+from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot
 
 MAGIC, VERSION = b"CWSTATE\n", 1
 FIXED = struct.Struct("<8sHQ")
 DIGEST = 16
 PART = struct.Struct("<cI")
 LARGEST = 64 << 20  # bytes of a file: a hundred thousand ids and servers take a tenth of it
-STATES = {state.value for state in State}
+STATES = {state.value for state in ServerState}
 
 encoder = msgspec.msgpack.Encoder()
 heads, servers, ids = (
-    msgspec.msgpack.Decoder(t) for t in (Head, list[ServerKept], list[tuple[int, int]])
+    msgspec.msgpack.Decoder(t) for t in (Header, list[ServerRecord], list[tuple[int, int]])
 )
 
 
-class FormError(Exception):
+class FormatError(Exception):
     """The file can't be believed; the message says why. `newer`: a later version of this program wrote it."""
 
     def __init__(self, why: str, newer: bool = False):
@@ -48,7 +48,7 @@
     """The file, from its parts. Raises FormError beyond the largest size."""
     body = b"".join(parts) + part(b"e", None)
     if len(body) > LARGEST:
-        raise FormError(f"{len(body)} bytes, more than {LARGEST}")
+        raise FormatError(f"{len(body)} bytes, more than {LARGEST}")
     fixed = FIXED.pack(MAGIC, VERSION, len(body))
     return fixed + digest(fixed, body) + body
 
@@ -59,30 +59,30 @@
     return sum_.digest()
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: Snapshot) -> bytes:
     return whole([part(b"h", kept.head), part(b"s", kept.servers), part(b"i", kept.ids)])
 
 
-def decode(data: bytes) -> Kept:
+def decode(data: bytes) -> Snapshot:
     """All of it or a FormError. Never half: nothing is looked at before the checksum is right."""
     if len(data) < FIXED.size + DIGEST:
-        raise FormError(f"{len(data)} bytes, too short for a head")
+        raise FormatError(f"{len(data)} bytes, too short for a head")
     magic, version, length = FIXED.unpack_from(data)
     if magic != MAGIC:
-        raise FormError("no state file")
+        raise FormatError("no state file")
     body = data[FIXED.size + DIGEST :]
     if length != len(body):
-        raise FormError(f"{len(body)} bytes follow the head, {length} are named there")
+        raise FormatError(f"{len(body)} bytes follow the head, {length} are named there")
     if digest(data[: FIXED.size], body) != data[FIXED.size : FIXED.size + DIGEST]:
-        raise FormError("the checksum is wrong")
+        raise FormatError("the checksum is wrong")
     if version > VERSION:
-        raise FormError(f"version {version}, this program reads up to {VERSION}", newer=True)
+        raise FormatError(f"version {version}, this program reads up to {VERSION}", newer=True)
     if version < 1:
-        raise FormError(f"version {version}")
+        raise FormatError(f"version {version}")
     try:
         return build(list(chunks(body)))
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError, struct.error) as error:
-        raise FormError(str(error)) from None
+        raise FormatError(str(error)) from None
 
 
 def chunks(body: bytes) -> Iterator[tuple[bytes, bytes]]:
@@ -96,10 +96,10 @@
         at += length
 
 
-def build(found: list[tuple[bytes, bytes]]) -> Kept:
+def build(found: list[tuple[bytes, bytes]]) -> Snapshot:
     if not found or found[0][0] != b"h" or found[-1][0] != b"e":
         raise ValueError("no head or no end")
-    kept = Kept(heads.decode(found[0][1]), [], [])
+    kept = Snapshot(heads.decode(found[0][1]), [], [])
     for kind, data in found[1:-1]:
         if kind == b"s":
             kept.servers += servers.decode(data)
@@ -112,7 +112,7 @@
     return kept
 
 
-def check(server: ServerKept) -> None:
+def check(server: ServerRecord) -> None:
     if server.state not in STATES:
         raise ValueError(f"server {server.id}: state {server.state!r}")
     counts = (
--- a/cypresswalk/state/snapshot.py
+++ b/cypresswalk/state/snapshot.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from cypresswalk.choice import FALL, MISSES, RISE, Balancer
-from cypresswalk.model import SECOND, Server, State
+from cypresswalk.model import SECOND, Server, ServerState
 
 # Half-lives: after one, half of it is believed.
 # A server's troubles last tens of seconds (hangs of 7 to 24 s were seen, returns after 6 to 28 s).
@@ -26,7 +26,7 @@
 IDS_CHUNK = 2000  # ids in one slice: a third of a millisecond
 
 
-class ServerKept(Struct, array_like=True, forbid_unknown_fields=True):
+class ServerRecord(Struct, array_like=True, forbid_unknown_fields=True):
     """One server. `learned`: when something was last heard of it, by whichever life of the balancer heard it."""
 
     id: int
@@ -51,7 +51,7 @@
     drops: tuple[float, int]
 
 
-class SumsKept(Struct, forbid_unknown_fields=True):
+class SumsRecord(Struct, forbid_unknown_fields=True):
     """The balancer's own sums, as (total, when)."""
 
     carried: tuple[float, int]
@@ -61,19 +61,19 @@
     setups: tuple[float, int]
 
 
-class Head(Struct, forbid_unknown_fields=True):
+class Header(Struct, forbid_unknown_fields=True):
     balancer: str
     taken: int  # when it was copied
     started: int  # since when the sums have run
     list_version: int
     list_address: str
     again: float  # the share of flows that came again, as clients marked them
-    sums: SumsKept
+    sums: SumsRecord
 
 
-class Kept(Struct):
-    head: Head
-    servers: list[ServerKept]
+class Snapshot(Struct):
+    head: Header
+    servers: list[ServerRecord]
     ids: list[tuple[int, int]]  # a flow's id, and when it was served
 
 
@@ -81,8 +81,8 @@
     return (decaying.total, decaying.at) if decaying is not None else (0.0, 0)
 
 
-def server_kept(server: Server, learned: int) -> ServerKept:
-    return ServerKept(
+def server_kept(server: Server, learned: int) -> ServerRecord:
+    return ServerRecord(
         server.id,
         server.since,
         server.state.value,
@@ -106,8 +106,8 @@
     )
 
 
-def sums_kept(balancer: Balancer) -> SumsKept:
-    return SumsKept(*(sum_of(getattr(balancer, name)) for name in SumsKept.__struct_fields__))
+def sums_kept(balancer: Balancer) -> SumsRecord:
+    return SumsRecord(*(sum_of(getattr(balancer, name)) for name in SumsRecord.__struct_fields__))
 
 
 def evidence(server: Server) -> tuple:
@@ -149,7 +149,7 @@
     unknown. If what remains would put more than half of the servers in service aside, it is not believed at all: then the
     fault lay nearer than the servers, or the file is from another time."""
 
-    kept: Kept
+    kept: Snapshot
     now: int
     list_version: int  # of the list that the balancer was started with
     list_address: str
@@ -181,19 +181,19 @@
             self.before[server.id] = evidence(server), kept.learned
         return self.done
 
-    def drained(self, server: Server, kept: ServerKept) -> None:
-        state = State(kept.state)
+    def drained(self, server: Server, kept: ServerRecord) -> None:
+        state = ServerState(kept.state)
         newer_list = (
             self.list_address == self.kept.head.list_address
             and self.list_version > self.kept.head.list_version
         )
-        if state is not State.READY and server.state is State.READY and not newer_list:
+        if state is not ServerState.READY and server.state is ServerState.READY and not newer_list:
             server.state = state
             self.done["drains"] += 1
 
-    def believe(self, balancer: Balancer, pairs: list[tuple[Server, ServerKept]]) -> None:
-        ready = [s for s in balancer.servers.values() if s.state is State.READY]
-        aside = sum(s.state is State.READY and self.bad(k) for s, k in pairs)
+    def believe(self, balancer: Balancer, pairs: list[tuple[Server, ServerRecord]]) -> None:
+        ready = [s for s in balancer.servers.values() if s.state is ServerState.READY]
+        aside = sum(s.state is ServerState.READY and self.bad(k) for s, k in pairs)
         if not ready or aside > HALF_THE_FLEET * len(ready):
             return
         self.done["aside"] = aside
@@ -224,11 +224,11 @@
             # What was dealt of a cold server's budget counts on, or a restart would spend it twice.
             restore(server.dealt, kept.dealt, self.now)
 
-    def part(self, kept: ServerKept) -> float:
+    def part(self, kept: ServerRecord) -> float:
         age = age_of(kept.learned, self.now)
         return 0.0 if age is None else weight(age, TROUBLE_HALF)
 
-    def bad(self, kept: ServerKept) -> bool:
+    def bad(self, kept: ServerRecord) -> bool:
         """Whether it would be put aside by what is left of what was known."""
         part = self.part(kept)
         down = kept.known and kept.health < RISE and faded(FALL, part) >= MISSES
@@ -239,7 +239,7 @@
         age = age_of(head.taken, self.now)
         if age is None or age > SUMS_KEPT or head.started > head.taken:
             return
-        for name in SumsKept.__struct_fields__:
+        for name in SumsRecord.__struct_fields__:
             restore(getattr(balancer, name), getattr(head.sums, name), self.now)
         balancer.started = min(head.started, balancer.started)
 
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -13,16 +13,16 @@
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.endpoint_list import Registry
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.state import file_format, store
-from cypresswalk.state.disk import Disk, Taken
+from cypresswalk.state.disk import DiskFolder, FolderLockedError
 from cypresswalk.state.snapshot import (
     CHUNK,
     IDS_CHUNK,
     IDS_KEPT,
-    Head,
+    Header,
     Recovery,
-    ServerKept,
+    ServerRecord,
     evidence,
     server_kept,
     sums_kept,
@@ -38,20 +38,20 @@
 SLICE_WAIT = 10  # seconds for the deciding thread to come to a slice; longer, it is ending
 
 
-class Keeper:
+class SnapshotWriter:
     def __init__(
         self,
         folder: str,
         every: float,
         core: Core,
         inbox: Inbox,
-        registry: Registry,
+        registry: EndpointListDecoder,
         balancer: str,
         list_address: str,
     ):
         self.core, self.inbox, self.registry, self.every = core, inbox, registry, every
         self.balancer, self.list_address = balancer, list_address
-        self.disk = Disk(folder)
+        self.disk = DiskFolder(folder)
         self.off = False  # the folder is another's, or holds what must be left alone
         self.number = 0
         self.learned: dict[int, tuple[tuple, int]] = {}
@@ -68,10 +68,10 @@
         try:
             self.disk.lock()
             kept, self.number = store.load(self.disk, self.balancer, self.unreadable)
-        except Taken as error:
+        except FolderLockedError as error:
             self.turn_off("state_folder_taken", error)
             return
-        except store.ForeignFile as error:
+        except store.ForeignFileError as error:
             self.turn_off("state_file_foreign", error)
             return
         except OSError as error:
@@ -145,7 +145,7 @@
 
     def keep(self) -> None:
         """One generation."""
-        heads: list[Head] = []
+        heads: list[Header] = []
         servers: list = []
         if not self.sliced(
             lambda now: (
@@ -156,7 +156,7 @@
             return
         parts = [file_format.part(b"h", heads[0])]
         for at in range(0, len(servers), CHUNK):
-            copies: list[ServerKept] = []
+            copies: list[ServerRecord] = []
             if not self.sliced(self.copy_servers, servers[at : at + CHUNK], copies):
                 return
             parts.append(file_format.part(b"s", copies))
@@ -183,10 +183,10 @@
                 self.said = ""
                 self.core.counters.add("state_written")
                 self.core.counters.add("state_bytes", sum(map(len, parts)))
-            except store.ForeignFile as error:
+            except store.ForeignFileError as error:
                 self.ended.set()
                 self.turn_off("state_file_foreign", error)
-            except (OSError, file_format.FormError) as error:
+            except (OSError, file_format.FormatError) as error:
                 self.trouble("write", error)
 
     def finish(self, now: int) -> None:
@@ -195,16 +195,16 @@
             return
         self.ended.set()
         self.copy_ids(now)
-        copies: list[ServerKept] = []
+        copies: list[ServerRecord] = []
         self.copy_servers(now, list(self.core.balancer.servers.values()), copies)
         self.write([file_format.part(b"h", self.head(now)), file_format.part(b"s", copies)])
 
     # By the deciding thread.
 
-    def head(self, now: int) -> Head:
+    def head(self, now: int) -> Header:
         counts = self.core.counters.counts
         taken = max(counts.get("flows_taken", 0), 1)
-        return Head(
+        return Header(
             self.balancer,
             now,
             self.core.balancer.started,
@@ -214,7 +214,7 @@
             sums_kept(self.core.balancer),
         )
 
-    def copy_servers(self, now: int, servers: list, into: list[ServerKept]) -> None:
+    def copy_servers(self, now: int, servers: list, into: list[ServerRecord]) -> None:
         for server in servers:
             seen = evidence(server)
             known = self.learned.get(server.id)
--- a/cypresswalk/state/store.py
+++ b/cypresswalk/state/store.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from cypresswalk.state import file_format
-from cypresswalk.state.snapshot import Kept
+from cypresswalk.state.snapshot import Snapshot
 
 NEXT, PREFIX, KEEP = "next", "state.", 2
 
@@ -25,7 +25,7 @@
     def remove(self, name: str) -> None: ...
 
 
-class ForeignFile(Exception):
+class ForeignFileError(Exception):
     """The folder holds a file that is not this program's to replace; the message says which and why."""
 
 
@@ -35,7 +35,9 @@
     return sorted((int(number) for number in numbers if number.isdecimal()), reverse=True)
 
 
-def load(files: Files, balancer: str, told: Callable[[str, str], None]) -> tuple[Kept | None, int]:
+def load(
+    files: Files, balancer: str, told: Callable[[str, str], None]
+) -> tuple[Snapshot | None, int]:
     """The latest generation that can be believed, or None, and the latest number there is. `told` gets a file and the
     reason for each that can't. Raises ForeignFile for one of a newer version or of another balancer, OSError where the folder
     can't be read."""
@@ -48,16 +50,16 @@
                     name, file_format.LARGEST + file_format.FIXED.size + file_format.DIGEST + 1
                 )
             )
-        except file_format.FormError as error:
+        except file_format.FormatError as error:
             if error.newer:
-                raise ForeignFile(f"{name}: {error}") from None
+                raise ForeignFileError(f"{name}: {error}") from None
             told(name, str(error))
             continue
         except OSError as error:
             told(name, error.strerror or str(error))
             continue
         if kept.head.balancer != balancer:
-            raise ForeignFile(f"{name}: it is of balancer {kept.head.balancer!r}")
+            raise ForeignFileError(f"{name}: it is of balancer {kept.head.balancer!r}")
         return kept, numbers[0]
     return None, numbers[0] if numbers else 0
 
--- a/cypresswalk/toml.py
+++ b/cypresswalk/toml.py
@@ -9,7 +9,7 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 
 class Table(BaseModel):
@@ -35,9 +35,9 @@
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except OSError as error:
-        raise Refusal(f"{path}: {error.strerror or error}") from None
+        raise CommandError(f"{path}: {error.strerror or error}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Refusal(f"{path}: not TOML: {error}") from None
+        raise CommandError(f"{path}: not TOML: {error}") from None
     return decode(data, model, str(path))
 
 
@@ -46,7 +46,7 @@
     try:
         return model.model_validate(data)
     except ValidationError as error:
-        raise Refusal(
+        raise CommandError(
             "\n".join(
                 ": ".join([source, *([field(e["loc"])] if e["loc"] else []), said(e)])
                 for e in error.errors()
