--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -6,7 +6,7 @@
 from helpers import START, Ledger, entries, service, settings
 
 from cypresswalk.choice import FALL, GROUP_WORK, IN_FLIGHT, RISE, TABLE_SIZE, maglev, mix
-from cypresswalk.model import SECOND, Effect, Flow, ListForm, Outcome, Server, State
+from cypresswalk.model import SECOND, Effect, EndpointUpdate, Flow, Outcome, Server, ServerState
 
 
 def settle(ledger, rounds=4):
@@ -81,7 +81,7 @@
 def test_a_new_server_stays_out_until_a_probe_passes():
     ledger = Ledger(1)
     settle(ledger)
-    ledger.list(ListForm.DELTA, [Server(id=99)])
+    ledger.list(EndpointUpdate.DELTA, [Server(id=99)])
     fill(ledger, 12)
     new = ledger.balancer.servers[99]
     assert not new.flows
@@ -102,9 +102,9 @@
 
 def test_a_stale_cached_list_gives_way_to_the_fresh_one():
     ledger = Ledger(3)
-    ledger.list(ListForm.FULL, entries(3)[:2])
+    ledger.list(EndpointUpdate.FULL, entries(3)[:2])
     gone = ledger.balancer.servers[33]
-    assert gone.state is State.GONE
+    assert gone.state is ServerState.GONE
     fill(ledger, 20)
     assert not gone.flows
 
@@ -125,7 +125,7 @@
 
 
 def test_once_only_is_aborted_after_a_time_out_and_goes_on_after_a_failed_connect():
-    ledger = Ledger(3, service_types=[service(Effect.ONCE_ONLY)])
+    ledger = Ledger(3, service_types=[service(Effect.NON_IDEMPOTENT)])
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert flow.server is not None
@@ -144,7 +144,7 @@
             ledger.end(next(iter(ledger.balancer.servers[7].flows)), Outcome.OK)
     now = ledgers[0].now
     for ledger in ledgers:
-        ledger.list(ListForm.DELTA, [Server(id=99, since=now)])
+        ledger.list(EndpointUpdate.DELTA, [Server(id=99, since=now)])
         ledger.answer_probe(ledger.balancer.servers[99], True)
     for _ in range(100):
         for ledger in ledgers:
@@ -174,10 +174,10 @@
         settle(ledger)
         ledger.last_id = 1_000_000 * me
         fill(ledger, 3)
-        ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now)])
+        ledger.list(EndpointUpdate.DELTA, [Server(id=99, since=ledger.now)])
         ledger.answer_probe(ledger.balancer.servers[99], True)
         for _ in range(4):  # all that stood comes back, over six seconds
-            fill(ledger, 1, again=True, grouped=True)
+            fill(ledger, 1, returning=True, grouped=True)
             ledger.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in ledger.connects)
     assert 4 <= taken <= 14  # a share would be 16
@@ -186,7 +186,7 @@
 def test_errors_from_all_servers_are_no_reason_to_try_them_all_again():
     # Seen on a day with a store that all servers ask: each flow that had its error from one went on to five more, and its
     # client came straight back; a hundred connects for each flow kept the store down, and cold servers fell over beside it.
-    ledger = Ledger(6, max_connects=6)
+    ledger = Ledger(6, max_attempts=6)
     settle(ledger)
     fill(ledger, 10)
 
@@ -217,7 +217,7 @@
 
 def test_two_errors_may_be_a_servers_own_a_third_with_nothing_taken_is_not():
     # Guards a balancer that has just started: one error would have it turn clients away.
-    ledger = Ledger(6, max_connects=6)
+    ledger = Ledger(6, max_attempts=6)
     settle(ledger)
     flow = ledger.arrive()
     for _ in range(2):
@@ -229,7 +229,7 @@
 
 def test_connects_that_time_out_do_not_pass_for_taken_ones_among_errors():
     # Seen on cardiff-live, throng: a store's jam brings both, and each time-out let a further connect go.
-    ledger = Ledger(6, max_connects=6)
+    ledger = Ledger(6, max_attempts=6)
     settle(ledger)
     for outcome in (Outcome.TIMEOUT, Outcome.ERROR):
         for _ in range(6):
@@ -245,7 +245,7 @@
 
 def test_while_all_is_errors_a_flow_goes_in_any_four_seconds():
     # Guards the end of a trouble against not being noticed: of many that are turned away none might go.
-    ledger = Ledger(6, max_connects=6)
+    ledger = Ledger(6, max_attempts=6)
     settle(ledger)
     for _ in range(10):
         before = len(ledger.connects)
@@ -258,7 +258,7 @@
 
 
 def test_one_server_that_answers_with_errors_does_not_keep_flows_from_the_others():
-    ledger = Ledger(6, max_connects=6)
+    ledger = Ledger(6, max_attempts=6)
     settle(ledger)
     bad = ledger.balancer.servers[7]
     established = 0
@@ -278,7 +278,7 @@
     # Seen on a rolling release: with all others full, flows were sent past a cold server's spent budget.
     ledger = Ledger(2)
     settle(ledger)
-    ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now)])
+    ledger.list(EndpointUpdate.DELTA, [Server(id=99, since=ledger.now)])
     ledger.answer_probe(ledger.balancer.servers[99], True)
     for ident in (7, 20):
         ledger.balancer.servers[ident].full_until = ledger.now + SECOND
@@ -292,7 +292,7 @@
     settle(ledger)
     fill(ledger, 40)
     for server in ledger.balancer.servers.values():
-        ledger.balancer.delay_told(ledger.now, server, SECOND)
+        ledger.balancer.on_message_delay(ledger.now, server, SECOND)
     ledger.pull()
     ledger.pass_time(SECOND // 2)
     held = sum(len(server.flows) for server in ledger.balancer.servers.values())
@@ -316,7 +316,7 @@
 
 def test_a_connection_broken_here_and_there_limits_no_server():
     # Guards against sound servers being limited, one after another, until flows are rejected all round.
-    ledger = Ledger(2, peers=True, instances=2)
+    ledger = Ledger(2, gossip=True, instances=2)
     settle(ledger)
     fill(ledger, 20)
     for _ in range(6):
@@ -329,7 +329,7 @@
         and not ledger.told
     )
     server = ledger.balancer.servers[7]
-    ledger.balancer.delay_told(ledger.now, server, SECOND // 20)
+    ledger.balancer.on_message_delay(ledger.now, server, SECOND // 20)
     ledger.pass_time(3 * SECOND // 2)
     ledger.end(next(iter(server.flows)), Outcome.RESET)
     assert server.limit < len(server.flows)  # strained, the first one counts
@@ -372,7 +372,7 @@
     stood = len(worn.flows)
     for strain, most in ((0.4, stood), (0.6, stood - 1)):
         for _ in range(3):
-            ledger.balancer.delay_told(ledger.now, worn, int(strain * SECOND / 10))
+            ledger.balancer.on_message_delay(ledger.now, worn, int(strain * SECOND / 10))
             ledger.pull()
             ledger.pass_time(SECOND)
         assert most - 5 < len(worn.flows) <= most and (strain > 0.5 or len(worn.flows) == stood)
@@ -388,7 +388,7 @@
         if flow:
             ledger.end(flow, Outcome.OK)
         ledger.pass_time(SECOND // 4)
-    ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now - 10 * SECOND)])
+    ledger.list(EndpointUpdate.DELTA, [Server(id=99, since=ledger.now - 10 * SECOND)])
     new = ledger.balancer.servers[99]
     settle(ledger, 1)
     for server in (ledger.balancer.servers[7], ledger.balancer.servers[20]):
@@ -418,7 +418,7 @@
                 ledger.accept(ledger.arrive(key=10 * me + ledger.last_id, grouped=True))
             for second in range(8):
                 if late.flows:
-                    ledger.balancer.delay_told(ledger.now, late, SECOND - falls * second)
+                    ledger.balancer.on_message_delay(ledger.now, late, SECOND - falls * second)
                     ledger.pull()
                 ledger.pass_time(SECOND)
             left[falls] += len(late.flows)
@@ -430,7 +430,7 @@
     settle(ledger)
     fill(ledger, 30)
     hung = max(ledger.balancer.servers.values(), key=lambda server: len(server.flows))
-    ledger.balancer.delay_told(ledger.now, hung, 20 * SECOND)
+    ledger.balancer.on_message_delay(ledger.now, hung, 20 * SECOND)
     ledger.pull()
     ledger.pass_time(SECOND)
     assert len(hung.flows) <= 1
@@ -462,7 +462,7 @@
     ]
     for flow in flows:
         ledger.open[flow.id], ledger.history[flow.id] = flow, []
-        ledger.balancer.arrived(ledger.now, flow)
+        ledger.balancer.on_flow(ledger.now, flow)
         ledger.pull()
         ledger.accept(flow)
     server = ledger.balancer.servers[7]
@@ -491,7 +491,7 @@
 
 def test_a_held_flow_is_answered_when_it_is_due_though_others_are_held_longer():
     ledger = Ledger(1, service_types=[service(), service()])
-    ledger.balancer.settings.service_types[1].setup_target = SECOND // 10
+    ledger.balancer.settings.service_types[1].setup_latency_objective = SECOND // 10
     for _ in range(IN_FLIGHT):
         ledger.arrive()
     late, soon = ledger.arrive(0), ledger.arrive(1)
@@ -501,7 +501,7 @@
 
 def test_flows_come_home_only_where_crossings_are_dear_and_near_servers_are_easy():
     for price, strained, moved in ((0.0, False, False), (0.2, False, True), (0.2, True, False)):
-        ledger = Ledger(2, zone_price=price, move_price=0.02)
+        ledger = Ledger(2, zone_crossing_price=price, migration_price=0.02)
         settle(ledger)
         near, far = ledger.balancer.servers[7], ledger.balancer.servers[20]
         flow = ledger.arrive()
@@ -511,28 +511,28 @@
             far.flows[flow], flow.server = None, far
         for _ in range(180):  # one flow that came in half a minute: as slowly do they go home
             if strained:
-                ledger.balancer.delay_told(ledger.now, near, SECOND // 20)
+                ledger.balancer.on_message_delay(ledger.now, near, SECOND // 20)
             ledger.pass_time(SECOND)
         assert (flow.id not in ledger.balancer.flows) is moved
 
 
 def test_a_failed_list_call_is_repeated_ever_later_but_within_the_time_to_ask():
-    ledger = Ledger(1, list_asked=True)
+    ledger = Ledger(1, list_polled=True)
     asked = []
     for _ in range(6):
         asked.append(ledger.asked)
         before = ledger.now
-        ledger.list(ListForm.FAILED, [])
+        ledger.list(EndpointUpdate.FAILED, [])
         while ledger.asked == asked[-1]:
             ledger.pass_time(SECOND // 10)
-        assert ledger.now - before <= ledger.balancer.settings.ask_within
+        assert ledger.now - before <= ledger.balancer.settings.poll_within
     assert asked == [1, 2, 3, 4, 5, 6]
 
 
 def test_probes_go_no_faster_than_own_flows_can_pay_for():
     # Seen at full size: a hundred probes a flow cost up to 0.4 of all service.
     for price, at_most in ((0.004, 15), (0.0, 2000)):
-        ledger = Ledger(40, probe_price=price)
+        ledger = Ledger(40, health_check_price=price)
         sent = 0
         for _ in range(120):
             ledger.pass_time(SECOND // 2)
@@ -540,7 +540,7 @@
             for server in list(ledger.probes):
                 ledger.answer_probe(server, True)
         assert 0 < sent <= at_most
-        ledger.list(ListForm.DELTA, [Server(id=99, since=ledger.now)])
+        ledger.list(EndpointUpdate.DELTA, [Server(id=99, since=ledger.now)])
         ledger.pass_time(2 * SECOND)
         assert 99 in {server.id for server in ledger.probes}, (
             "a new server is of no use before its first probe"
@@ -550,9 +550,9 @@
 def test_clients_that_come_back_pay_for_no_probes():
     paces = []
     for again in (False, True):
-        ledger = Ledger(40, probe_price=0.004)
+        ledger = Ledger(40, health_check_price=0.004)
         for _ in range(20):
-            ledger.accept(ledger.arrive(again=again))
+            ledger.accept(ledger.arrive(returning=again))
         paces.append(ledger.balancer.stretch(ledger.now))
     assert paces[1] > 5 * paces[0]
 
@@ -580,29 +580,29 @@
 
 
 def test_a_strained_server_is_told_to_the_others_which_pass_it_over():
-    ledger = Ledger(3, peers=True, instances=3)
+    ledger = Ledger(3, gossip=True, instances=3)
     settle(ledger)
     fill(ledger, 9)
     strained = ledger.balancer.servers[7]
-    ledger.balancer.delay_told(ledger.now, strained, SECOND)
+    ledger.balancer.on_message_delay(ledger.now, strained, SECOND)
     ledger.pull()
     assert [server for server, _ in ledger.told] == [strained]
-    ledger.balancer.delay_told(ledger.now, strained, SECOND)
+    ledger.balancer.on_message_delay(ledger.now, strained, SECOND)
     ledger.pull()
     assert len(ledger.told) == 1, "the same is not told again at once"
-    other = Ledger(3, peers=True, instances=3)
+    other = Ledger(3, gossip=True, instances=3)
     settle(other)
-    other.balancer.peer_told(other.now, other.balancer.servers[7], ledger.told[0][1])
+    other.balancer.on_gossip(other.now, other.balancer.servers[7], ledger.told[0][1])
     fill(other, 30)
     assert not other.balancer.servers[7].flows and not other.told
 
 
 def test_hints_stay_within_what_own_flows_pay_for():
-    ledger = Ledger(30, peers=True, instances=300, peer_price=0.01)
+    ledger = Ledger(30, gossip=True, instances=300, gossip_price=0.01)
     settle(ledger)
     for _ in range(30):
         for server in ledger.balancer.servers.values():
-            ledger.balancer.delay_told(ledger.now, server, SECOND)
+            ledger.balancer.on_message_delay(ledger.now, server, SECOND)
         ledger.pull()
         ledger.pass_time(SECOND)
     assert len(ledger.told) <= 3
@@ -622,14 +622,14 @@
 
 
 def test_a_server_over_the_mean_is_no_reason_to_cross_zones():
-    ledger = Ledger(4, zone_price=0.2, instances=1)
+    ledger = Ledger(4, zone_crossing_price=0.2, instances=1)
     settle(ledger)
     fill(ledger, 60, key=5)
     assert all(server.zone == 0 for server in ledger.balancer.servers.values() if server.flows)
 
 
 def test_where_probes_report_load_a_flow_waits_for_word_of_its_places():
-    ledger = Ledger(6, load_index=0, probe_price=0.002)
+    ledger = Ledger(6, load_index=0, health_check_price=0.002)
     settle(ledger)
     ledger.pass_time(20 * SECOND)
     for server in list(ledger.probes):
@@ -652,7 +652,7 @@
     settle(ledger)
     for server in ledger.balancer.servers.values():
         server.strain, server.strain_at = 2.0, ledger.now
-    flows = [ledger.arrive(key=key, grouped=True, again=key % 2 == 0) for key in range(1, 9)]
+    flows = [ledger.arrive(key=key, grouped=True, returning=key % 2 == 0) for key in range(1, 9)]
     assert [ledger.answers.get(flow.id) for flow in flows] == [None, "reject"] * 4
 
 
@@ -662,7 +662,7 @@
     flow = ledger.arrive()
     ledger.accept(flow)
     server = flow.server
-    ledger.balancer.silent(ledger.now, flow, False)
+    ledger.balancer.on_silence(ledger.now, flow, False)
     ledger.pull()
     assert flow.id not in ledger.balancer.flows and server.misses == 1 and server in ledger.probes
 
@@ -671,21 +671,21 @@
     ledger = Ledger(3)
     flow = ledger.arrive()
     ledger.accept(flow)
-    ledger.balancer.silent(ledger.now, flow, False)
+    ledger.balancer.on_silence(ledger.now, flow, False)
     ledger.end(flow, Outcome.OK)
     assert not ledger.balancer.flows
 
 
 def test_a_client_that_comes_back_goes_on_where_a_small_near_pool_alone_misses_its_targets():
     # Guards against rejects beside idle servers of the next zone: with one server near, "all its places" was that one.
-    ledger = Ledger(servers=3, zone_price=0.2)  # ids 7 and 33 in zone 0, 20 in zone 1
-    ledger.list(ListForm.DELTA, [Server(id=33, zone=0, state=State.GONE)])
+    ledger = Ledger(servers=3, zone_crossing_price=0.2)  # ids 7 and 33 in zone 0, 20 in zone 1
+    ledger.list(EndpointUpdate.DELTA, [Server(id=33, zone=0, state=ServerState.GONE)])
     near = ledger.balancer.servers[7]
     for _ in range(20):
         ledger.accept(ledger.arrive(grouped=True, key=5))
-    ledger.balancer.delay_told(ledger.now, near, SECOND)
+    ledger.balancer.on_message_delay(ledger.now, near, SECOND)
     ledger.pull()
-    flow = ledger.arrive(grouped=True, key=5, again=True)
+    flow = ledger.arrive(grouped=True, key=5, returning=True)
     assert flow.id in ledger.open and ledger.connects[-1][1].id == 20
     ledger.accept(flow)
 
@@ -725,7 +725,7 @@
     for _ in range(12):
         for server in rest:
             ledger.balancer.keep_at(ledger.now, server, 1.0)
-        ledger.balancer.peer_told(ledger.now, cold, strain)
+        ledger.balancer.on_gossip(ledger.now, cold, strain)
         for _ in range(30):
             flow = ledger.arrive()
             if flow.server is cold:
@@ -741,7 +741,7 @@
             is cold
         )
         cold.filled.total = 0.0
-    ledger.balancer.peer_told(ledger.now, cold, strain)
+    ledger.balancer.on_gossip(ledger.now, cold, strain)
     room = ledger.balancer.room(
         ledger.now, Flow(9999, ledger.balancer.settings.service_types[0], 5, ledger.now + SECOND)
     )
@@ -765,7 +765,7 @@
         5,
     )
     for server in rest:
-        balancer.taken_out(ledger.now, server)
+        balancer.remove_from_rotation(ledger.now, server)
 
     def room():
         return balancer.room(
@@ -800,7 +800,11 @@
     for seed in range(6):
         chance = Random(f"{seed}/further")
         ledger = Ledger(
-            servers=5, further_window=window, further_free=free, further_part=part, max_connects=4
+            servers=5,
+            retry_window=window,
+            retry_budget_base=free,
+            retry_budget_ratio=part,
+            max_attempts=4,
         )
         taken, further = [], []
         for _ in range(120):
@@ -830,7 +834,7 @@
 
 
 def test_what_the_budget_denies_is_answered_at_once_and_a_process_in_anothers_place_has_spent_it():
-    ledger = Ledger(servers=4, further_window=2 * SECOND, further_free=1)
+    ledger = Ledger(servers=4, retry_window=2 * SECOND, retry_budget_base=1)
     flows = [ledger.arrive() for _ in range(3)]
     for flow in flows:
         ledger.end(flow, Outcome.CONNECT_FAILED)
@@ -840,18 +844,18 @@
         "reject",
     ]
     ledger.pass_time(3 * SECOND)
-    ledger.balancer.spent_elsewhere(ledger.now)
+    ledger.balancer.assume_retry_budget_spent(ledger.now)
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert ledger.answers[flow.id] == "reject"
     ledger.pass_time(3 * SECOND)
-    ledger.balancer.resettled(
-        ledger.now, settings(further_window=SECOND, further_free=1)
+    ledger.balancer.on_settings(
+        ledger.now, settings(retry_window=SECOND, retry_budget_base=1)
     )  # another window: nothing is known by it
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert ledger.answers[flow.id] == "reject"
-    ledger.balancer.resettled(ledger.now, settings())
+    ledger.balancer.on_settings(ledger.now, settings())
     flow = ledger.arrive()
     ledger.end(flow, Outcome.CONNECT_FAILED)
     assert flow.id not in ledger.answers
@@ -860,7 +864,9 @@
 def test_where_one_server_of_another_zone_after_another_does_not_answer_the_way_is_left_and_tried_by_one_flow():
     # Seen on lagos-main, day big-1: as the way between its data centres grew slow each of sixteen balancers lost two
     # connects at each of thirty servers there (498 of 890 in five seconds); those of its own zone answered all the while.
-    ledger = Ledger(servers=12, zone_price=0.0)  # six in zone 0, this one's own, six in zone 1
+    ledger = Ledger(
+        servers=12, zone_crossing_price=0.0
+    )  # six in zone 0, this one's own, six in zone 1
     settle(ledger)
 
     def flows(span, step=SECOND // 20):
@@ -911,7 +917,7 @@
     usual = (
         balancer.carried.read(ledger.now)
         / 0.5
-        * balancer.settings.fall_window
+        * balancer.settings.slow_start_window
         / balancer.carried.tau
     )
     sent = []
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -5,11 +5,19 @@
 import pytest
 
 from cypresswalk.copies import store
-from cypresswalk.copies.driver import Copies
-from cypresswalk.copies.messages import Begun, Bring, Claim, Copy, Kept, Record, Shut
-from cypresswalk.copies.placement import PARTS, holders, part_of
-from cypresswalk.copies.replica import Answer, Holder, Part
-from cypresswalk.copies.store import Log, Lost
+from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.messages import (
+    FetchPartition,
+    RecordStored,
+    ReplicateRecord,
+    ReservationRecord,
+    ReserveKey,
+    ViewBegun,
+    ViewSealed,
+)
+from cypresswalk.copies.placement import PARTS, holders, partition_of
+from cypresswalk.copies.replica import Partition, Replica, ReservationAnswer
+from cypresswalk.copies.store import DataLostError, RecordLog
 from cypresswalk.fleet import client
 from cypresswalk.lab.together.virtual import MemoryDisk
 
@@ -19,11 +27,11 @@
 class World:
     """Some members, one part, and whoever agrees on its views."""
 
-    def __init__(self, seed: int, members: int = 5, holder: type[Holder] = Holder):
+    def __init__(self, seed: int, members: int = 5, holder: type[Replica] = Replica):
         self.chance, self.kind = Random(seed), holder
         self.names = [f"m{i}" for i in range(members)]
         self.disks: dict[str, list] = {name: [] for name in self.names}
-        self.lives: dict[str, Holder | None] = {name: holder(name) for name in self.names}
+        self.lives: dict[str, Replica | None] = {name: holder(name) for name in self.names}
         self.coming: list[tuple[str, str, object]] = []
         self.view, self.now_holders, self.next_holders = 0, (), ()
         self.whole_in_next: set[str] = set()
@@ -167,7 +175,7 @@
             self.next_holders = ()
 
 
-def run(seed: int, holder: type[Holder] = Holder) -> World:
+def run(seed: int, holder: type[Replica] = Replica) -> World:
     world = World(seed, holder=holder)
     for _ in range(4000):
         world.step()
@@ -182,17 +190,17 @@
     assert granted > 300 and views > 200
 
 
-class BeforeTheSecondCopy(Holder):
+class BeforeTheSecondCopy(Replica):
     def record(self, number, part, record, tokens, at):
         super().record(number, part, record, [], at)
         self.settle(part, record, tokens)
 
 
-class OldViewAccepted(Holder):
+class OldViewAccepted(Replica):
     def heard(self, source, word):
         part = self.part(word.part)
-        if isinstance(word, Copy):
-            word = Copy(word.part, part.view, word.number, word.record)
+        if isinstance(word, ReplicateRecord):
+            word = ReplicateRecord(word.part, part.view, word.number, word.record)
             part.sealed, sealed = False, part.sealed
             super().heard(part.holders[0] if part.holders else source, word)
             part.sealed = sealed
@@ -207,7 +215,7 @@
         part.waiting = waiting
 
 
-class BeforeTheFlush(Holder):
+class BeforeTheFlush(Replica):
     def claim(self, *words, **more):
         super().claim(*words, **more)
         self.out.sort(key=lambda item: item[0] == "write")
@@ -217,7 +225,7 @@
         self.out.sort(key=lambda item: item[0] == "write")
 
 
-class EmptyHolderBelieved(Holder):
+class EmptyHolderBelieved(Replica):
     def begin(self, number, view, holders):
         super().begin(number, view, holders)
         self.part(number).whole = self.me in holders
@@ -241,20 +249,22 @@
 
 
 def test_one_that_was_away_for_a_view_is_not_whole_though_it_held_the_part_before():
-    away = Holder("b")
+    away = Replica("b")
     away.bring(0, 1, "")
     away.begin(0, 1, ("a", "b"))
     away.begin(0, 3, ("b", "a"))  # the second, in which others granted, it never heard of
     away.out.clear()
     away.claim(0, 0, "x", "n1", 10, "t")
-    assert away.out == [("answer", "t", Answer("again", why="not the primary of that part now"))]
-    restored = Holder("b")
-    restored.restore([Begun(0, 1, ("a", "b"), True), Begun(0, 3, ("b", "a"), False)])
+    assert away.out == [
+        ("answer", "t", ReservationAnswer("again", why="not the primary of that part now"))
+    ]
+    restored = Replica("b")
+    restored.restore([ViewBegun(0, 1, ("a", "b"), True), ViewBegun(0, 3, ("b", "a"), False)])
     assert not restored.part(0).whole and not restored.seal(0, 3)
 
 
 def test_one_that_lost_its_disk_does_not_begin_a_view_that_is_agreed_with_nothing():
-    again = Holder("b")  # the same name, an empty folder
+    again = Replica("b")  # the same name, an empty folder
     again.begin(0, 1, ("b", "a"))
     again.bring(0, 1, "")
     again.claim(0, 0, "x", "n1", 10, "t")
@@ -262,7 +272,7 @@
 
 
 def test_ids_beyond_the_bound_are_refused_and_none_is_dropped_before_its_time():
-    holder = Holder("a", most=5)
+    holder = Replica("a", most=5)
     holder.bring(0, 1, "")
     holder.begin(0, 1, ("a",))
     for number in range(8):
@@ -274,7 +284,7 @@
 
 
 def test_what_a_change_of_view_left_at_one_holder_alone_comes_to_all():
-    three = [Holder(name) for name in "abc"]
+    three = [Replica(name) for name in "abc"]
     for holder in three:
         holder.bring(0, 1, "")
         holder.begin(0, 1, ("a", "b", "c"))
@@ -299,7 +309,7 @@
         {tuple(h.part(0).sums.items()) for h in three}
     ) == 1
     without.claim(0, 0, "x", "n2", 1 << 50, "t2")
-    assert without.out[-1] == ("answer", "t2", Answer("held", "n1", "out"))
+    assert without.out[-1] == ("answer", "t2", ReservationAnswer("held", "n1", "out"))
     before = dict(primary.part(0).sums)
     primary.replace(primary.part(0), list(primary.part(0).records.values()))
     assert primary.part(0).sums == before != {}
@@ -309,14 +319,14 @@
 
 
 def test_the_first_has_it_the_same_one_is_told_again_and_how_it_ended_is_kept():
-    one, two = Holder("a"), Holder("b")
+    one, two = Replica("a"), Replica("b")
     for holder in (one, two):
         holder.bring(0, 1, "")
         holder.begin(0, 1, ("a", "b"))
         holder.out.clear()
     one.claim(0, 0, "x", "n1", 10, "t1")
     one.claim(0, 0, "x", "n2", 10, "t2")
-    assert one.out.pop() == ("answer", "t2", Answer("held", "n1", "out"))
+    assert one.out.pop() == ("answer", "t2", ReservationAnswer("held", "n1", "out"))
     write, (_, to, copy) = one.out
     assert write[0] == "write" and to == "b"
     one.out.clear()
@@ -326,8 +336,8 @@
     assert two.out[0][0] == "write" and two.out[1][:2] == ("send", "a")
     one.heard("b", two.out[1][2])
     assert one.out == [
-        ("answer", "t1", Answer("granted", "n1", "out")),
-        ("answer", "t3", Answer("granted", "n1", "out")),
+        ("answer", "t1", ReservationAnswer("granted", "n1", "out")),
+        ("answer", "t3", ReservationAnswer("granted", "n1", "out")),
     ]
     one.out.clear()
     one.ended(0, 0, "x", "n2", "ran", "t4")
@@ -335,10 +345,10 @@
     one.ended(0, 0, "x", "n1", "ran", "t5")
     two.heard("a", one.out[1][2])
     one.heard("b", two.out[-1][2])
-    assert one.out[-1] == ("answer", "t5", Answer("held", "n1", "ran"))
+    assert one.out[-1] == ("answer", "t5", ReservationAnswer("held", "n1", "ran"))
     one.claim(0, 0, "x", "n1", 10, "t6")
-    assert one.out[-1] == ("answer", "t6", Answer("held", "n1", "ran"))
-    assert isinstance(one.part(0), Part) and two.part(0).records["x"].how == "ran"
+    assert one.out[-1] == ("answer", "t6", ReservationAnswer("held", "n1", "ran"))
+    assert isinstance(one.part(0), Partition) and two.part(0).records["x"].how == "ran"
 
 
 def test_parts_lie_in_as_many_zones_as_there_are_and_who_leaves_takes_only_its_own_along():
@@ -352,42 +362,42 @@
     }
     assert all(after[part] == before[part] for part in range(PARTS) if gone not in before[part])
     assert holders(1, {"a": "z", "b": "z"}, 3) in (("a", "b"), ("b", "a"))
-    counts = [sum(part_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTS)]
+    counts = [sum(partition_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTS)]
     assert min(counts) > 50 and max(counts) < 160
 
 
-def kept(ident: str, until: int = 100) -> Kept:
-    return Kept(0, Record(ident, "n1", until, "out"))
+def kept(ident: str, until: int = 100) -> RecordStored:
+    return RecordStored(0, ReservationRecord(ident, "n1", until, "out"))
 
 
 def test_what_a_holder_wrote_is_read_back_a_torn_batch_goes_and_damage_counts_as_loss():
     disk = MemoryDisk(Random(1))
-    log = Log(disk)
+    log = RecordLog(disk)
     log.begin("a#1", 1, [])
-    log.write([Begun(0, 1, ("a#1",), True), kept("x")], list)
+    log.write([ViewBegun(0, 1, ("a#1",), True), kept("x")], list)
     first = len(disk.files["copies.1"][0])
-    log.write([kept("y"), Shut(0, 1)], list)
+    log.write([kept("y"), ViewSealed(0, 1)], list)
     whole, inode = disk.files["copies.1"]
-    written = Log(disk).load("a#1", (1,), print)
-    assert written == [Begun(0, 1, ("a#1",), True), kept("x"), kept("y"), Shut(0, 1)]
-    holder = Holder("a#1")
+    written = RecordLog(disk).load("a#1", (1,), print)
+    assert written == [ViewBegun(0, 1, ("a#1",), True), kept("x"), kept("y"), ViewSealed(0, 1)]
+    holder = Replica("a#1")
     holder.restore(written)
     assert (
         holder.part(0).whole and holder.part(0).sealed and set(holder.part(0).records) == {"x", "y"}
     )
     for cut in range(first, len(whole), 7):
         disk.files["copies.1"] = whole[:cut], inode
-        assert kept("x") in Log(disk).load("a#1", (1,), lambda text: None)
+        assert kept("x") in RecordLog(disk).load("a#1", (1,), lambda text: None)
     for at in range(
         len(whole)
     ):  # one byte wrong anywhere: never believed, and never shortened to what passes for whole
         disk.files["copies.1"] = whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :], inode
-        with pytest.raises(Lost):
-            Log(disk).load("a#1", (1,), print)
+        with pytest.raises(DataLostError):
+            RecordLog(disk).load("a#1", (1,), print)
     disk.files["copies.1"] = whole, inode
     for member, boots in (("a#2", (1,)), ("a#1", (2,))):
-        with pytest.raises(Lost, match="not of a#"):
-            Log(disk).load(member, boots, print)
+        with pytest.raises(DataLostError, match="not of a#"):
+            RecordLog(disk).load(member, boots, print)
 
 
 def test_files_go_once_all_in_them_has_been_held_for_its_time_and_a_failed_flush_ends_the_log(
@@ -395,7 +405,7 @@
 ):
     monkeypatch.setattr(store, "SEGMENT", 200)
     disk = MemoryDisk(Random(1))
-    log, holder = Log(disk), Holder("a#1")
+    log, holder = RecordLog(disk), Replica("a#1")
     holder.bring(0, 1, "")
     holder.begin(0, 1, ("a#1",))
     log.begin("a#1", 1, [])
@@ -405,8 +415,8 @@
         holder.out.clear()
     assert len(log.numbers()) > 5
     log.drop(30)
-    again = Holder("a#1")
-    again.restore(Log(disk).load("a#1", (1,), print))
+    again = Replica("a#1")
+    again.restore(RecordLog(disk).load("a#1", (1,), print))
     assert {f"i{n}" for n in range(30, 41)} <= set(
         again.part(0).records
     ) and "i1" not in again.part(0).records
@@ -425,18 +435,20 @@
     def __init__(self):
         self.now, self.names, self.told = 0, ["a#1", "b#1", "c#1"], []
         self.disks = {name: MemoryDisk(Random(name)) for name in self.names}
-        self.copies: dict[str, Copies] = {}
+        self.copies: dict[str, ReplicationThread] = {}
         for name in self.names:
             self.start(name, 1)
         for name in self.names:
-            self.copies[name].put("words", "a#1", [Bring(part, 1, "") for part in range(PARTS)])
+            self.copies[name].put(
+                "words", "a#1", [FetchPartition(part, 1, "") for part in range(PARTS)]
+            )
         self.turn()
         for name in self.names:
             self.place(name)
         self.turn()
 
     def start(self, name: str, boot: int) -> None:
-        self.copies[name] = Copies(
+        self.copies[name] = ReplicationThread(
             self.disks[name],
             lambda: self.now,
             lambda: self.now + 10**18,
@@ -487,8 +499,8 @@
     trio.turn(2.0)
     assert trio.told[-1] == ("c#1", True)
     assert (
-        "x" in trio.copies["c#1"].holder.part(part_of("x")).records
-        and trio.copies["c#1"].holder.part(part_of("x")).whole
+        "x" in trio.copies["c#1"].holder.part(partition_of("x")).records
+        and trio.copies["c#1"].holder.part(partition_of("x")).whole
     )
     assert trio.claim("a#1", "z")[0][0] == "granted"
     trio.turn(6.0)
@@ -498,14 +510,15 @@
     trio.place("c#1")
     trio.turn()
     assert (
-        trio.copies["c#1"].holder.part(part_of("x")).whole and not trio.copies["c#1"].counts["lost"]
+        trio.copies["c#1"].holder.part(partition_of("x")).whole
+        and not trio.copies["c#1"].counts["lost"]
     )
 
 
 def test_a_fault_in_the_program_leaves_nothing_in_memory_that_is_not_on_disk(monkeypatch):
     trio = Trio()
     one = trio.copies["a#1"]
-    one.put("words", "b#1", [Claim(1, part_of("x"), "x", "b#1/1.1", 10**12)])
+    one.put("words", "b#1", [ReserveKey(1, partition_of("x"), "x", "b#1/1.1", 10**12)])
 
     def faulty(*words):
         one.over.set()  # the run below ends after this turn
@@ -528,7 +541,7 @@
         trio.start("b#1", boot)
         trio.place("b#1")
         trio.turn()
-        part = trio.copies["b#1"].holder.part(part_of("x"))
+        part = trio.copies["b#1"].holder.part(partition_of("x"))
         assert part.whole is whole and ("x" in part.records) is whole, boot
         assert trio.copies["b#1"].counts["lost"] == (not whole)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from test_sockets import ROOT, Discovery, Lines, Listening, Server, changes
 from test_sockets import Program as Started
 
-from cypresswalk.model import SECOND, Effect, Outcome, State
+from cypresswalk.model import SECOND, Effect, Outcome, ServerState
 from cypresswalk.net import servers as servers_module
 from cypresswalk.net.clients import Client
 from cypresswalk.net.clock import Clock
@@ -32,9 +32,9 @@
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import dial
-from cypresswalk.net.parsers.endpoint_list import Registry, server_number
-from cypresswalk.net.parsers.json_stream import EMPTY, Values
-from cypresswalk.net.parsers.lines import ProtocolError, opening
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
+from cypresswalk.net.parsers.json_stream import EMPTY, JsonStream
+from cypresswalk.net.parsers.lines import ProtocolError, parse_open_request
 from cypresswalk.net.servers import ServerLink
 from cypresswalk.service.program import Program
 
@@ -92,7 +92,7 @@
 def test_objects_come_whole_however_they_are_indented_joined_or_cut(told, cuts):
     # Guards against a list on several lines that was taken for a broken one, and asked for again without end.
     data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in told)
-    values, got = Values(100_000), []
+    values, got = JsonStream(100_000), []
     for piece in pieces(data, cuts):
         values.feed(piece)
         while (value := values.next()) is not None:
@@ -107,7 +107,7 @@
     [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"],
 )
 def test_what_is_no_object_is_refused_and_not_kept(data):
-    values = Values(900)
+    values = JsonStream(900)
     with pytest.raises(ProtocolError):
         for at in range(0, len(data), 90):
             values.feed(data[at : at + 90])
@@ -200,7 +200,7 @@
         self.inbox = Inbox(Clock())
         data = config_data([listed("s-0")])
         self.core = Core(build({}, data), None, Counters(), self.inbox.clock())
-        registry = Registry(self.core.balancer.settings.zone and {} or {"a": 0, "b": 1})
+        registry = EndpointListDecoder(self.core.balancer.settings.zone and {} or {"a": 0, "b": 1})
         self.core.listed(self.inbox.clock(), *registry.decode(data["known"]))
         host, port = agent.address.split(":")
         self.watch = Watch((host, int(port)), registry, self.core, self.inbox, limits, asked)
@@ -258,7 +258,7 @@
             began, agent, watching = entry
             took = time.monotonic() - began
             assert took < 6, f"{agent.step.__name__}: not told after {took:.1f} s"
-            if watching.state() is State.DRAINING:
+            if watching.state() is ServerState.DRAINING:
                 pending.remove(entry)
         time.sleep(0.02)
     for watching in watchings:
@@ -294,7 +294,7 @@
     word = watch.registry.decode(
         json.loads(changes(listed("s-0", lifecycle="terminating"), listed("s-7")))
     )
-    assert watching.state() is State.READY
+    assert watching.state() is ServerState.READY
     if order == "told first":
         watch.tell(now, *word, False)
         watch.end()
@@ -306,7 +306,7 @@
         )  # that is the new address's to say
     # Nor does an old address bring back what drains.
     watch.tell(now, *watch.registry.decode(json.loads(changes(listed("s-0")))), False)
-    assert watching.state() is State.DRAINING
+    assert watching.state() is ServerState.DRAINING
 
 
 def test_a_server_withheld_twice_waits_from_the_second_time_on():
@@ -322,13 +322,13 @@
         return bench.core.balancer.servers[server_number("s-0")].state
 
     list_says("terminating", False)
-    assert list_says("in_service", True) is State.DRAINING
+    assert list_says("in_service", True) is ServerState.DRAINING
     bench.pass_time(3 * SECOND)
-    assert list_says("in_service", True) is State.DRAINING
+    assert list_says("in_service", True) is ServerState.DRAINING
     bench.pass_time(3 * SECOND)
-    assert bench.core.balancer.servers[server_number("s-0")].state is State.DRAINING
+    assert bench.core.balancer.servers[server_number("s-0")].state is ServerState.DRAINING
     bench.pass_time(2 * SECOND)
-    assert bench.core.balancer.servers[server_number("s-0")].state is State.READY
+    assert bench.core.balancer.servers[server_number("s-0")].state is ServerState.READY
 
 
 @pytest.mark.parametrize("order", ["drain first", "line first"])
@@ -346,7 +346,7 @@
     )
     now_at = bench.sockets.out[session].server
     assert (
-        (now_at is not leg.server and now_at.state is State.READY)
+        (now_at is not leg.server and now_at.state is ServerState.READY)
         if order == "drain first"
         else now_at is leg.server
     )
@@ -461,7 +461,7 @@
 class Leaving:
     """One connect to a server, its dial held by the test, and nobody who decides: what threads say stays in the queue."""
 
-    def __init__(self, monkeypatch, effect=Effect.REPEATABLE):
+    def __init__(self, monkeypatch, effect=Effect.IDEMPOTENT):
         self.inbox, self.limits = Inbox(Clock()), replace(LIMITS, dial=SECOND)
         self.core = Core(
             build({}, config_data([listed("s-0")])), None, Counters(), self.inbox.clock()
@@ -483,7 +483,7 @@
 
         monkeypatch.setattr(servers_module, "dial", held)
         session = self.client.session
-        session.opening = opening(b"OPEN a1 7 c=view,t=north,d=900")
+        session.opening = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
         leg = type("Leg", (), {})()
         leg.session, leg.latest, leg.gauge = (
             session,
@@ -848,11 +848,11 @@
     flows = [ledger.arrive() for _ in range(5)]
     held = [flow for flow in flows if flow.server is None]
     assert len(held) == 1 and held[0].id in ledger.open  # four set-ups are out; it waits for them
-    held[0].until = ledger.now + 50 * MILLISECOND
+    held[0].deadline = ledger.now + 50 * MILLISECOND
     ledger.pull()
-    assert ledger.wake <= held[0].until
+    assert ledger.wake <= held[0].deadline
     ledger.now = ledger.wake
-    ledger.balancer.woken(ledger.now)
+    ledger.balancer.on_wakeup(ledger.now)
     ledger.pull()
     assert ledger.answers[held[0].id] == "reject"
 
@@ -922,11 +922,11 @@
     bench = Bench()
     session = bench.open(1)
     leg = bench.sockets.out[session]
-    bench.now = leg.session.flow.until - (1 if order == "up first" else 0)
+    bench.now = leg.session.flow.deadline - (1 if order == "up first" else 0)
     steps = [lambda: bench.core.up(bench.now, leg), lambda: bench.core.pass_time(bench.now)]
     for step in steps if order == "up first" else reversed(steps):
         step()
-    bench.now = leg.session.flow.until
+    bench.now = leg.session.flow.deadline
     bench.step()
     assert bench.sockets.answers[session] == (b"UP" if order == "up first" else b"BUSY\r\n")
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,7 +16,7 @@
 from cypresswalk.faults.plan import Plan, Replay, read, read_record
 from cypresswalk.faults.running import Running
 from cypresswalk.faults.stream import Close, Datagrams, Finish, Reset, Stream, Write
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 MILLISECOND = 1_000_000
 
@@ -360,7 +360,7 @@
 def test_an_odd_plan_is_refused_by_one_line(tmp_path, text, line):
     file = tmp_path / "plan.toml"
     file.write_bytes(text.encode("latin-1"))
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         read(file)
     said = str(refusal.value)
     assert said.startswith(f"{file}: {line}") and "\n" not in said
@@ -372,7 +372,7 @@
         fault(Kind.CUT).line() + '\n{"connection":0,"direction":"up","at":1,"kind":"cut"}\n'
     )
     with pytest.raises(
-        Refusal, match="line 2: connection: input should be greater than or equal to 1, not 0"
+        CommandError, match="line 2: connection: input should be greater than or equal to 1, not 0"
     ):
         read_record(file)
 
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import START, Ledger
 
-from cypresswalk.model import SECOND, ListForm, Outcome, Server, State
+from cypresswalk.model import SECOND, EndpointUpdate, Outcome, Server, ServerState
 
 TICK = 20_000_000
 WINDOW, FACTOR, COLD, COLD_SHARE = 2 * SECOND, 3.0, 20 * SECOND, 0.2
@@ -65,20 +65,22 @@
             0,
             instances=self.count,
             overload_factor=FACTOR,
-            fall_window=WINDOW,
-            cold=COLD,
-            cold_share=COLD_SHARE,
-            probe_price=0.004,
+            slow_start_window=WINDOW,
+            warm_up_time=COLD,
+            warm_up_initial_fraction=COLD_SHARE,
+            health_check_price=0.004,
         )
         ledger.now = self.now
         ledger.balancer = type(ledger.balancer)(
             ledger.balancer.settings, me + self.chance.randrange(1 << 30), self.now
         )
         ledger.seen_connects, ledger.resting = 0, {}
-        ledger.list(ListForm.CACHED, [self.entry(machine) for machine in self.machines.values()])
+        ledger.list(
+            EndpointUpdate.CACHED, [self.entry(machine) for machine in self.machines.values()]
+        )
         self.carry_on(me, ledger)
 
-    def entry(self, machine, state=State.READY):
+    def entry(self, machine, state=ServerState.READY):
         return Server(id=machine.ident, since=machine.since, state=state)
 
     def at(self, when, what, *words):
@@ -89,7 +91,7 @@
         self.ids += 1
         ledger.last_id = self.ids
         key = 777 if self.chance.random() < self.hot else self.chance.randrange(1, 1 << 40)
-        flow = ledger.arrive(again=again, key=key, grouped=self.hot > 0)
+        flow = ledger.arrive(returning=again, key=key, grouped=self.hot > 0)
         ledger.resting[flow.id] = tries
         self.carry_on(me, ledger)
 
@@ -99,9 +101,9 @@
             if (
                 flow.server is not None
                 and ledger.history[flow.id][-1][2] is None
-                and (flow.id, len(flow.tried)) not in ledger.resting
+                and (flow.id, len(flow.attempts)) not in ledger.resting
             ):
-                ledger.resting[flow.id, len(flow.tried)] = True
+                ledger.resting[flow.id, len(flow.attempts)] = True
                 self.connect(ledger, flow)
         for ident, answer in list(ledger.answers.items()):
             tries = ledger.resting.pop(ident, None)
@@ -206,12 +208,12 @@
                     self.tell,
                     me,
                     new,
-                    self.entry(old, State.GONE),
+                    self.entry(old, ServerState.GONE),
                 )
 
     def tell(self, me, new, gone):
         ledger = self.balancers[me]
-        ledger.list(ListForm.DELTA, [self.entry(new), gone])
+        ledger.list(EndpointUpdate.DELTA, [self.entry(new), gone])
         self.carry_on(me, ledger)
 
     def run(self, span):
--- a/tests/test_fleet_storm.py
+++ b/tests/test_fleet_storm.py
@@ -38,7 +38,7 @@
 def storm(seed, clients=200, bears=25, span=25):
     """All clients come within a second; whoever is turned away comes again 0.3 s later, more or less, anywhere. How many are
     in after each second."""
-    chance, store, ledgers = Random(f"storm {seed}"), Store(bears), fleet(max_connects=6)
+    chance, store, ledgers = Random(f"storm {seed}"), Store(bears), fleet(max_attempts=6)
     start = ledgers[0].now
     coming = sorted((start + chance.randrange(SECOND), number) for number in range(clients))
     out, inside, course = [], 0, []
@@ -50,8 +50,8 @@
             out.append([ledger, ledger.arrive(), number, 0])
         for entry in list(out):
             ledger, flow, number, tried = entry
-            if flow.id in ledger.open and flow.server is not None and len(flow.tried) > tried:
-                entry[3] = len(flow.tried)
+            if flow.id in ledger.open and flow.server is not None and len(flow.attempts) > tried:
+                entry[3] = len(flow.attempts)
                 if store.takes(now):
                     ledger.accept(flow)
                 else:
@@ -80,7 +80,7 @@
 
 def test_a_fleet_that_starts_at_once_comes_home_no_faster_than_new_flows_come():
     # Seen there too: a second after the start 32 balancers sent all that stood in other zones home in the same 10 ms.
-    ledgers = fleet(zone_price=0.2, move_price=0.02)
+    ledgers = fleet(zone_crossing_price=0.2, migration_price=0.02)
     for ledger in ledgers:
         near = [s for s in ledger.balancer.servers.values() if s.zone == 0]
         far = next(s for s in ledger.balancer.servers.values() if s.zone == 1)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -25,7 +25,7 @@
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.http import request
-from cypresswalk.net.parsers.lines import opening
+from cypresswalk.net.parsers.lines import parse_open_request
 from cypresswalk.state import file_format
 from cypresswalk.state import store as state_store
 
@@ -35,7 +35,7 @@
 DECODE = {
     "fleet_commands": state_machine.commands.decode,
     "fleet_state": state_machine.states.decode,
-    "agreement_members": agreement_log.members_form.decode,
+    "agreement_members": agreement_log.members_decoder.decode,
     "agreement_witness": agreement_store.witnesses.decode,
     "copies_head": copies_store.heads.decode,
     "copies_batch": copies_store.batches.decode,
@@ -60,7 +60,7 @@
         return found
     if name == "agreement_records":
         return [
-            (label, data, agreement_store.FORMS[int(label.split(".")[0])].decode(data))
+            (label, data, agreement_store.DECODERS[int(label.split(".")[0])].decode(data))
             for label, data in rows(name)
         ]
     return [(label, data, DECODE[name](data)) for label, data in rows(name)]
@@ -98,7 +98,7 @@
     ours = {cls for cls in below(msgspec.Struct) if cls.__module__.startswith("cypresswalk.")}
     read = set().union(*(classes_in(value) for name in FILES for _, _, value in decoded(name)))
     bases = {cls for cls in ours if cls.__subclasses__()}  # stand nowhere by themselves
-    whole = {file_format.Kept}  # of a file, which is written in parts
+    whole = {file_format.Snapshot}  # of a file, which is written in parts
     assert ours - read - bases - whole == set()
 
 
@@ -164,7 +164,7 @@
 
 def test_a_stored_folder_of_copies_is_opened_and_written_on_byte_for_byte():
     folder, said = Folder("copies"), []
-    log = copies_store.Log(folder)
+    log = copies_store.RecordLog(folder)
     written = log.load("n0#1", (4, 3), said.append)
     assert not said and len(written) == 14
     stands = [value for value in written if type(value) is type(written[0])]
@@ -190,7 +190,7 @@
         "OPEN 2f 5 c=book,t=south,d=400,r=1,g=desk-1",
         "OPEN 3f key c=view,t=north,h=2.5",
     ]
-    to_server = [opening(text.encode()).line(250).decode() for text in texts]
+    to_server = [parse_open_request(text.encode()).line(250).decode() for text in texts]
     sent, answers = [], []
     for number, values in (
         (0x10, "c=view,t=north,d=900"),
@@ -210,7 +210,7 @@
     figures = bench.core.figures.text(bench.now, bench.core).decode()
     elder = Process()
     stand(elder, 4, 0)
-    elder.core.balancer.peer_told(elder.now, elder.core.balancer.servers[server_number("s-0")], 2.0)
+    elder.core.balancer.on_gossip(elder.now, elder.core.balancer.servers[server_number("s-0")], 2.0)
     elder.call("set-down", "s-1")
     elder.call("drain-on")
     younger = Process(elder)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,13 +20,13 @@
 from test_operated import Operated, free_port
 from test_sockets import ROOT, Lines, Program, Server, start  # noqa: F401 (a fixture)
 
-from cypresswalk.model import SECOND, Outcome, State
+from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.core import Phase
-from cypresswalk.net.handover import VERSION, Side, Told, messages
-from cypresswalk.net.handover_socket import Beside
+from cypresswalk.net.handover import VERSION, Handover, ReceivedState, messages
+from cypresswalk.net.handover_socket import HandoverSocket
 from cypresswalk.net.inbox import Inbox
-from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.lines import ProtocolError
 
@@ -79,7 +79,7 @@
         super().__init__(**more)
         self.door = Door(self, elder is None)
         self.way = Way(elder) if elder else None
-        self.core.side = Side(self.core, self.door, self.way)
+        self.core.side = Handover(self.core, self.door, self.way)
         if elder:
             self.now, self.way.back.to = elder.now, self
             elder.tell(elder.core.side.hello, self.way.back)
@@ -92,8 +92,8 @@
         """That process is killed: this one finds an end."""
         self.tell(self.core.side.parted, self.core.side.other)
 
-    def call(self, name, server="") -> Call:
-        call = Call(name, server)
+    def call(self, name, server="") -> AdminCommand:
+        call = AdminCommand(name, server)
         self.tell(self.core.called, call)
         return call
 
@@ -107,7 +107,7 @@
     stand(elder, 6, 0)
     away, late = (elder.core.balancer.servers[server_number(f"s-{i}")] for i in (0, 1))
     assert answer(elder.call("set-down", "s-0")) == "OK"
-    elder.core.balancer.peer_told(elder.now, late, 2.0)
+    elder.core.balancer.on_gossip(elder.now, late, 2.0)
     elder.core.balancer.keep_at(elder.now, late, 3.0)
     younger = Process(elder)
     assert answer(younger.call("check")) == "ERR"  # it knows nothing yet
@@ -265,7 +265,10 @@
         ],
     }
     elder.tell(elder.core.listed, *elder.registry.decode(gone))
-    for version, states in ((4, (State.GONE, State.DRAINING)), (6, (State.READY, State.READY))):
+    for version, states in (
+        (4, (ServerState.GONE, ServerState.DRAINING)),
+        (6, (ServerState.READY, ServerState.READY)),
+    ):
         elder.door.version = 5
         elder.core.side.other = None
         younger = Process(elder)
@@ -301,7 +304,7 @@
         whole |= message
 
     def told(whole):
-        told = Told(whole["state"])
+        told = ReceivedState(whole["state"])
         told.add({"servers": whole["servers"]})
         told.add({"ids": whole["ids"]})
         return told.read()
@@ -556,7 +559,7 @@
     clock = Clock()
     inboxes = [Inbox(clock), Inbox(clock)]
     first, second = (
-        Beside(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
+        HandoverSocket(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
     )
     assert first.meet() is None
     found = []
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -27,7 +27,7 @@
 from cypresswalk.lab.play import play_day
 from cypresswalk.lab.stage import Stage
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 ROOT = Path(__file__).parent.parent
 MACHINES = Machines(
@@ -291,7 +291,7 @@
     ],
 )
 def test_an_odd_experiment_is_refused_by_one_line(change, said):
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         small(**change)
     assert str(refusal.value).startswith(f"small: {said}") and "\n" not in str(refusal.value)
 
@@ -459,7 +459,7 @@
     )
     day = played(experiment, experiment.variant[0], 1, tmp_path)
     assert day.broken == {} and sum(event.what == "answer" for event in day.events) > 5
-    with pytest.raises(Refusal, match="variant odd: revision 'no-such': "):
+    with pytest.raises(CommandError, match="variant odd: revision 'no-such': "):
         play_day(experiment, experiment.variant[1], 1, tmp_path)
 
 
@@ -518,7 +518,7 @@
 
 def test_a_balancer_that_ends_by_itself_is_a_breach(tmp_path):
     command = [sys.executable, "-c", "import time; time.sleep(0.1); raise SystemExit(7)"]
-    with pytest.raises(Refusal, match="balancer b0 does not serve"):
+    with pytest.raises(CommandError, match="balancer b0 does not serve"):
         play_day(small(seconds=1), small().variant[0], 1, tmp_path, command=command)
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,19 +11,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from cypresswalk.model import SECOND, Outcome, State
+from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.config import ConfigError, build, load
 from cypresswalk.net.core import Core, Gauge, Session
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.logs import Flood, event
-from cypresswalk.net.parsers.admin_commands import Call
+from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.buffer import Buffer
-from cypresswalk.net.parsers.endpoint_list import Registry, server_number
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.net.parsers.http import Answer
-from cypresswalk.net.parsers.lines import Lines, ProtocolError, opening
-from cypresswalk.net.parsers.load_reports import Notes, Told
+from cypresswalk.net.parsers.lines import LineParser, ProtocolError, parse_open_request
+from cypresswalk.net.parsers.load_reports import LoadReportParser, Told
 from cypresswalk.net.probes import load_report
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
@@ -54,7 +54,7 @@
 @given(st.lists(st.text("ab =", max_size=12), max_size=8), CUTS)
 def test_lines_come_whole_however_they_are_cut(texts, cuts):
     data = b"".join(text.encode() + b"\r\n" for text in texts)
-    one, all_whole, got, passed = Lines(64), Lines(64), [], b""
+    one, all_whole, got, passed = LineParser(64), LineParser(64), [], b""
     for piece in pieces(data + b"tail", cuts):
         one.feed(piece)
         all_whole.feed(piece)
@@ -67,7 +67,7 @@
 
 
 def test_an_endless_line_is_refused_and_not_kept():
-    lines = Lines(16)
+    lines = LineParser(16)
     lines.feed(b"x" * 17)
     with pytest.raises(ProtocolError):
         lines.line()
@@ -75,8 +75,8 @@
 
 def test_an_opening_goes_on_unchanged_but_for_the_wait():
     line = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=1.5"
-    assert opening(line).line(1234) == line.replace(b"2000", b"1234") + b"\r\n"
-    assert opening(b"OPEN 9b1f 7f3a c=chat").line(5) == b"OPEN 9b1f 7f3a c=chat\r\n"
+    assert parse_open_request(line).line(1234) == line.replace(b"2000", b"1234") + b"\r\n"
+    assert parse_open_request(b"OPEN 9b1f 7f3a c=chat").line(5) == b"OPEN 9b1f 7f3a c=chat\r\n"
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
 )
 def test_an_odd_opening_is_no_opening(line):
     with pytest.raises(ProtocolError):
-        opening(line)
+        parse_open_request(line)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -163,7 +163,7 @@
         listed("x", startedAtMs=float("nan")),
         listed("x", zone=["a"]),
     ]
-    registry = Registry({"a": 0, "b": 1})
+    registry = EndpointListDecoder({"a": 0, "b": 1})
     _, entries = registry.decode(
         {
             "generation": 9,
@@ -180,7 +180,7 @@
         server_number("s-1"),
         1,
         5 * SECOND,
-        State.DRAINING,
+        ServerState.DRAINING,
     )
     assert (
         second.zone not in (0, 1)
@@ -208,15 +208,15 @@
 
 
 def test_a_load_line_is_a_delay_where_the_settings_say_so_and_nothing_else_is():
-    notes = Notes(False, True, LIMITS)
+    notes = LoadReportParser(False, True, LIMITS)
     assert notes.delay(Told(), 5, b"LOAD 131.5") == 131_500_000
     odd = (b"LOADED 1", b"LOAD", b"LOAD x", b"LOAD nan", b"LOAD -1", b"M 1", b"")
     assert [notes.delay(Told(), 5, line) for line in odd] == [None] * 7
-    assert Notes(True, False, LIMITS).delay(Told(), 5, b"LOAD 1") is None
+    assert LoadReportParser(True, False, LIMITS).delay(Told(), 5, b"LOAD 1") is None
 
 
 def test_delays_are_told_from_loads_by_size_and_by_pace():
-    notes, told, other = Notes(True, True, LIMITS), Told(), Told()
+    notes, told, other = LoadReportParser(True, True, LIMITS), Told(), Told()
 
     def read(told, now, number):
         delay = notes.delay(told, now * SECOND // 1000, b"LOAD %d" % number)
@@ -304,7 +304,7 @@
     def connect(self, leg, address, line):
         session = leg.session
         assert session not in self.answers and session not in self.out, "a connect too many"
-        assert leg.server.state is State.READY or "at" in session.opening.values, (
+        assert leg.server.state is ServerState.READY or "at" in session.opening.values, (
             "a connect to a server that drains"
         )
         assert not leg.server.barred, "a connect to a server out by hand"
@@ -355,7 +355,7 @@
         self.now, self.sockets = START, Sockets()
         data = config_data([listed(f"s-{i}") for i in range(servers)], **changes)
         config = build({}, data)
-        self.registry = Registry(config.zones)
+        self.registry = EndpointListDecoder(config.zones)
         self.core = Core(config, self.sockets, Counters(), self.now)
         self.tell(self.core.listed, *self.registry.decode(data["known"]))
         self.due = {}
@@ -371,7 +371,9 @@
     def open(self, number, values="c=view,t=north,d=900"):
         session = Session(None)
         self.due[session] = self.now + 900 * SECOND // 1000
-        self.tell(self.core.opened, session, opening(f"OPEN {number:x} 5 {values}".encode()))
+        self.tell(
+            self.core.opened, session, parse_open_request(f"OPEN {number:x} 5 {values}".encode())
+        )
         return session
 
     def pass_time(self, span):
@@ -509,16 +511,20 @@
         )
         return bench.core.balancer.servers[server_number("s-0")].state
 
-    assert list_says("terminating", False) is State.DRAINING
-    assert list_says("in_service", True) is State.DRAINING
+    assert list_says("terminating", False) is ServerState.DRAINING
+    assert list_says("in_service", True) is ServerState.DRAINING
     bench.pass_time(2 * SECOND)
-    assert list_says("terminated", True) is State.GONE  # it has caught up: what waited is void
+    assert (
+        list_says("terminated", True) is ServerState.GONE
+    )  # it has caught up: what waited is void
     bench.pass_time(9 * SECOND)
-    assert list_says("in_service", True) is State.GONE
+    assert list_says("in_service", True) is ServerState.GONE
     bench.pass_time(5 * SECOND)
-    assert bench.core.balancer.servers[server_number("s-0")].state is State.READY
-    assert list_says("terminating", False) is State.DRAINING
-    assert list_says("in_service", True, startedAtMs=7) is State.READY  # a start since then is news
+    assert bench.core.balancer.servers[server_number("s-0")].state is ServerState.READY
+    assert list_says("terminating", False) is ServerState.DRAINING
+    assert (
+        list_says("in_service", True, startedAtMs=7) is ServerState.READY
+    )  # a start since then is news
 
 
 def test_a_stop_moves_all_standing_clients_evenly_and_answers_the_rest():
@@ -657,7 +663,7 @@
     )
     def call(self, name, server):
         self.bench.sockets.in_dial = set(list(self.bench.sockets.out.values())[::2]) - self.told_up
-        call = Call(name, f"s-{server}")
+        call = AdminCommand(name, f"s-{server}")
         self.bench.tell(self.bench.core.called, call)
         self.told_end |= set(self.bench.sockets.in_dial) - set(self.bench.sockets.out.values())
         assert not call.answers.empty(), "a caller without an answer"
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -3,10 +3,10 @@
 from random import Random
 
 from cypresswalk.agreement.messages import Member
-from cypresswalk.copies.messages import Brought, Sealed, Slow
+from cypresswalk.copies.messages import PartitionFetched, PartitionSealed, ReplicaSlow
 from cypresswalk.copies.placement import PARTS
-from cypresswalk.copies.replica import Holder
-from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, Placing
+from cypresswalk.copies.replica import Replica
+from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, ReplicaPlacement
 
 
 class Tier:
@@ -14,12 +14,12 @@
 
     def __init__(self, names: int = 5, copies: int = 3, least: int = 2):
         self.members = tuple(Member(f"m{i}#1", i < 3, "", f"z{i % 3}") for i in range(names))
-        self.holders = {m.id: Holder(m.id) for m in self.members}
+        self.holders = {m.id: Replica(m.id) for m in self.members}
         self.dead: set[str] = set()
         self.views: dict = {}
         self.left: list[str] = []
         self.placing, self.now, self.copies, self.least = (
-            Placing("m0#1", copies, least),
+            ReplicaPlacement("m0#1", copies, least),
             0,
             copies,
             least,
@@ -32,7 +32,7 @@
             self.placing.holds(m.id, True)
 
     def new_leader(self) -> None:
-        self.placing = Placing("m1#1", self.copies, self.least)
+        self.placing = ReplicaPlacement("m1#1", self.copies, self.least)
         self.placing.turned(self.now)
         self.tell()
 
@@ -46,7 +46,7 @@
                 self.answers.append(rest[1].kind)
             elif what == "send" and rest[0] not in self.dead:
                 to, word = rest
-                if isinstance(word, Sealed | Brought):
+                if isinstance(word, PartitionSealed | PartitionFetched):
                     self.placing.heard(self.now, name, word, self.views)
                 else:
                     self.holders[to].heard(name, word)
@@ -60,9 +60,11 @@
             )
             for to, word in sends:
                 if to not in self.dead:
-                    self.holders[to].heard("m0#1", word) if not isinstance(word, Sealed) else None
+                    self.holders[to].heard("m0#1", word) if not isinstance(
+                        word, PartitionSealed
+                    ) else None
                     for kind, target, answer in [o for o in self.holders[to].out if o[0] == "send"]:
-                        if isinstance(answer, Sealed | Brought):
+                        if isinstance(answer, PartitionSealed | PartitionFetched):
                             self.placing.heard(self.now, to, answer, self.views)
                             self.holders[to].out.remove((kind, target, answer))
                     self.carry(to)
@@ -81,7 +83,9 @@
                         and holder.part(part).view == view
                         and not holder.part(part).whole
                     ):
-                        self.placing.heard(self.now, name, Slow(part, view, name), self.views)
+                        self.placing.heard(
+                            self.now, name, ReplicaSlow(part, view, name), self.views
+                        )
 
     def sound(self) -> None:
         """Whoever holds a newest view whole has all that was granted there."""
@@ -166,7 +170,7 @@
     tier = Tier(3)
     tier.look(2)
     tier.claim_all("x")
-    tier.holders["m2#1"] = Holder("m2#1")  # the same name with an empty folder
+    tier.holders["m2#1"] = Replica("m2#1")  # the same name with an empty folder
     for part, (view, there) in tier.views.items():
         tier.holders["m2#1"].begin(part, view, there)
     tier.look(15)
@@ -183,7 +187,7 @@
     tier.new_leader()
     for part, (view, there) in tier.views.items():
         tier.placing.heard(
-            tier.now, there[0], Sealed(part, view, True), tier.views
+            tier.now, there[0], PartitionSealed(part, view, True), tier.views
         )  # told until the next view begins
     tier.look(3)
     tier.claim_all("x")
@@ -202,7 +206,7 @@
         tier.dead.add(name)
     tier.members = (tier.members[0], *(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3)))
     for m in tier.members[1:]:
-        tier.holders[m.id] = Holder(m.id)
+        tier.holders[m.id] = Replica(m.id)
     tier.tell()
     gone = {part for part, (_, there) in tier.views.items() if "m0#1" not in there}
     assert gone and len(gone) < PARTS
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -9,15 +9,15 @@
 import pytest
 
 from cypresswalk.fleet import state_machine as state
-from cypresswalk.fleet.unavailability import Places
+from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
 from cypresswalk.rollout import balancer_agent
-from cypresswalk.rollout.balancer_agent import Doing, Duty
+from cypresswalk.rollout.balancer_agent import AgentState, BalancerAgent
 
 ROOT = Path(__file__).parent.parent
 
 
-def until_over(w: Releases, span: int = 200) -> state.State:
+def until_over(w: Releases, span: int = 200) -> state.FleetState:
     """Until the release is done, back or halted."""
     w.start()
     w.run(8 * SECOND)
@@ -78,7 +78,7 @@
 def nobody_is_unknown(patch):
     """A new leader counts those it has not heard as ready."""
     patch.setattr(
-        Places,
+        UnavailabilityTracker,
         "seen_out",
         lambda self, now, members, left, unheard, lapsed: {
             m.name: "not ready" for m in members if self.said.get(m.id, (True, 0))[0] is False
@@ -95,17 +95,17 @@
         if place is not None:
             place.back = bool(ready)
 
-    patch.setattr(Places, "asked", asked)
+    patch.setattr(UnavailabilityTracker, "asked", asked)
 
 
 def nobody_is_asked_before_the_old_one_goes(patch):
-    patch.setattr(Duty, "unwanted", lambda self: iter(()))
+    patch.setattr(BalancerAgent, "unwanted", lambda self: iter(()))
 
 
 def a_place_is_given_back_while_an_agent_works(patch):
-    tend = Places.tend
+    tend = UnavailabilityTracker.tend
     patch.setattr(
-        Places,
+        UnavailabilityTracker,
         "tend",
         lambda self, now, away, begun, waiting, out, there: tend(
             self, now, away, (), waiting, out, there
@@ -150,19 +150,23 @@
     """Else two processes listen at one port, and the one without a part in the fleet rejects what comes to it."""
 
     def asked(check: str, since: float) -> list[str]:
-        work, said, answer = Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(), [], None
+        work, said, answer = (
+            BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run(),
+            [],
+            None,
+        )
         for _ in range(20):
             want = work.send(answer)
-            said += [want.name] if isinstance(want, balancer_agent.Ask) else []
+            said += [want.name] if isinstance(want, balancer_agent.CallFleet) else []
             answer = {
-                balancer_agent.Runs: True,
-                balancer_agent.Check: check,
-                balancer_agent.Draw: "d",
-                balancer_agent.Now: since if "turn" in said else 0.0,
+                balancer_agent.IsRunning: True,
+                balancer_agent.CheckReady: check,
+                balancer_agent.DrawToken: "d",
+                balancer_agent.ReadClock: since if "turn" in said else 0.0,
             }.get(type(want))
-            if isinstance(want, balancer_agent.Ask):
+            if isinstance(want, balancer_agent.CallFleet):
                 answer = True, {"status": "out", "since": OLD, "to": NEW, "phase": "running"}
-            if isinstance(want, balancer_agent.Wait) or "release_began" in said:
+            if isinstance(want, balancer_agent.Sleep) or "release_began" in said:
                 return said
         raise AssertionError(said)
 
@@ -179,19 +183,19 @@
 
     def asks(status: str) -> int:
         work, now, count, answer = (
-            Duty("n0", OLD, ("a", "b"), Doing(OLD, 7, "a")).run(),
+            BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run(),
             0.0,
             0,
             None,
         )
         while now < 10:
             want = work.send(answer)
-            count += isinstance(want, balancer_agent.Ask)
-            now += want.seconds if isinstance(want, balancer_agent.Wait) else 0.0
+            count += isinstance(want, balancer_agent.CallFleet)
+            now += want.seconds if isinstance(want, balancer_agent.Sleep) else 0.0
             answer = {
-                balancer_agent.Runs: True,
-                balancer_agent.Now: now,
-                balancer_agent.Ask: (True, {"status": status}),
+                balancer_agent.IsRunning: True,
+                balancer_agent.ReadClock: now,
+                balancer_agent.CallFleet: (True, {"status": status}),
             }.get(type(want))
         return count
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -14,15 +14,15 @@
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.fleet import state_machine as state
 from cypresswalk.fleet.core_binding import objection
-from cypresswalk.fleet.release_control import Do, Releasing
-from cypresswalk.fleet.state_machine import Agreed, encode
-from cypresswalk.fleet.unavailability import Places
+from cypresswalk.fleet.release_control import ReleaseAction, ReleaseControl
+from cypresswalk.fleet.state_machine import StateMachine, encode
+from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
 from cypresswalk.lab.together.machines import Machines
 from cypresswalk.lab.together.plan import Plan as Plan_
 from cypresswalk.lab.together.plan import Step
 from cypresswalk.lab.together.plan import read as read_plan
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import bounds, release
 from cypresswalk.rollout import plan as plans
 from cypresswalk.rollout.bounds import allowed, why_not
@@ -105,7 +105,7 @@
 def test_random_commands_never_take_more_out_than_the_bound_allows_unless_forced():
     """Against a plain count: balancers that were granted a place and not returned, servers out by hand or by the list."""
     for seed in range(30):
-        chance, machine = Random(seed), Agreed()
+        chance, machine = Random(seed), StateMachine()
         names = {f"n{i}": f"z{i % 3}" for i in range(chance.choice((1, 2, 5, 9)))}
         servers = {f"s{i}": i % 2 for i in range(chance.choice((1, 4, 10)))}
         most = {
@@ -123,7 +123,7 @@
             )
             if kind in ("leave", "force"):
                 seen = {name: "not heard" for name in names if chance.random() < 0.1}
-                command = state.Leave(*head, who, "drained", kind == "force", names, seen)
+                command = state.GrantLeave(*head, who, "drained", kind == "force", names, seen)
                 _, (ok, why) = machine.apply(encode(command))
                 gone = (away | set(seen)) - {who}
                 fits = (
@@ -138,10 +138,10 @@
                 away |= {who} if ok else set()
             elif kind == "return":
                 held = machine.state.away.get(who, ("other", 0, ""))
-                assert not machine.apply(encode(state.Return(*head[:2], 1, who, ("other", 0, ""))))[
-                    1
-                ][0]
-                machine.apply(encode(state.Return(f"r{number}", *head[1:], who, held)))
+                assert not machine.apply(
+                    encode(state.BalancerReturned(*head[:2], 1, who, ("other", 0, "")))
+                )[1][0]
+                machine.apply(encode(state.BalancerReturned(f"r{number}", *head[1:], who, held)))
                 away.discard(who)
             elif kind == "out":
                 before, listed = (
@@ -151,7 +151,9 @@
                 bad = {name: "held for bad" for name in servers if chance.random() < 0.1}
                 seen = {n for n, s in listed.items() if s != "ready"} | set(bad)
                 gone = (before | seen | coming) - {server}
-                _, (ok, _) = machine.apply(encode(state.Out(*head, server, False, bad)))
+                _, (ok, _) = machine.apply(
+                    encode(state.RemoveFromRotation(*head, server, False, bad))
+                )
                 coming -= {server} if ok else set()
                 fits = server in before or len(gone & set(listed)) + 1 <= allowed(
                     most["servers"]["all"], len(listed)
@@ -159,21 +161,21 @@
                 assert ok is fits, (seed, number)
             elif kind == "back":
                 coming |= {server} & set(machine.state.out)
-                machine.apply(encode(state.Back(*head, server)))
+                machine.apply(encode(state.ReturnToRotation(*head, server)))
             elif kind == "seen":
                 version = machine.state.coming.get(server, 7)
                 machine.apply(
-                    encode(state.Seen(f"s{number}", *head[1:], {server: version - 1}))
+                    encode(state.ServersSeenReady(f"s{number}", *head[1:], {server: version - 1}))
                 )  # of an earlier return: no matter
                 assert set(machine.state.coming) == coming
-                machine.apply(encode(state.Seen(*head, {server: version})))
+                machine.apply(encode(state.ServersSeenReady(*head, {server: version})))
                 coming.discard(server)
             else:
                 listing = [
                     (name, zone, 1, "draining" if chance.random() < 0.2 else "ready", 1.0, 0)
                     for name, zone in servers.items()
                 ]
-                machine.apply(encode(state.Listing(*head, number, 0, listing)))
+                machine.apply(encode(state.UpdateEndpointList(*head, number, 0, listing)))
             assert set(machine.state.away) == away
 
 
@@ -285,7 +287,7 @@
 
 def test_a_place_is_free_only_by_a_word_said_after_it_could_no_longer_be_used():
     second, granted, names = 10**9, ("n1 (call)", 7, "drained"), {"n0", "n1"}
-    places = Places(5 * second)
+    places = UnavailabilityTracker(5 * second)
 
     def tend(now, away=granted, begun=(), waiting=()):
         out = places.seen_out(
@@ -315,7 +317,7 @@
     )  # it asked anew meanwhile: another grant, nothing known of it
     assert tend(8 * second, again) is None
     # A release: the old process is ready all the while, and its words say nothing of the new one.
-    places = Places(5 * second)
+    places = UnavailabilityTracker(5 * second)
     assert tend(0, waiting={"n1"}) is None and tend(9 * second, begun={"n1"}) is None
     places.leased(9 * second, "n1#1", 20)
     places.asked(9 * second, "n1#1", True, 20)
@@ -326,7 +328,7 @@
     places.asked(10 * second, "n1#1", True, 21)
     assert tend(10 * second) == ("n1", granted)
     # Its machine is gone: another takes its name, or it leaves.
-    places = Places(5 * second)
+    places = UnavailabilityTracker(5 * second)
     names.discard("n1")
     assert tend(0) == ("n1", granted)
 
@@ -343,9 +345,9 @@
     """Agents, a leader that may change, and what balancers serve, round the agreed state machine."""
 
     def __init__(self, seed: int, most: int = 2):
-        self.chance, self.machine, self.now, self.number = Random(seed), Agreed(), 0, 0
+        self.chance, self.machine, self.now, self.number = Random(seed), StateMachine(), 0, 0
         self.machine.state.settings = {"bounds": {"balancers": {"all": most}}}
-        self.leader, self.most = Releasing(), most
+        self.leader, self.most = ReleaseControl(), most
         self.runs = dict.fromkeys(ZONES, "v1")
         self.served = {name: [0, 0, 0, 0] for name in ZONES}
         self.doing: dict[str, str] = {}
@@ -355,7 +357,7 @@
         self.unheard: set[str] = set()  # by a new leader
         self.most_out = 0
         self.rate = 20
-        assert self.say(state.Begin, PLAN, sorted(ZONES))[0]
+        assert self.say(state.BeginRelease, PLAN, sorted(ZONES))[0]
 
     def say(self, kind, *words):
         self.number += 1
@@ -366,7 +368,7 @@
         return self.machine.state.release
 
     def other_leads(self) -> None:
-        self.leader, self.unheard = Releasing(), set(ZONES)
+        self.leader, self.unheard = ReleaseControl(), set(ZONES)
 
     def step(self, seconds: float = 0.2) -> None:
         self.now += int(seconds * 10**9)
@@ -396,8 +398,8 @@
         )
         if do is not None:
             kind, words = {
-                "go": (state.Go, (do.name, ZONES, seen, 0)),
-                "held": (state.Held, (do.wave,)),
+                "go": (state.GrantTurn, (do.name, ZONES, seen, 0)),
+                "held": (state.WaveObserved, (do.wave,)),
                 "halt": (state.Halt, (do.why,)),
             }[do.what]
             self.say(kind, *words)
@@ -408,15 +410,15 @@
             if (
                 status == "out"
                 and self.chance.random() < 0.5
-                and self.say(state.Began, name, to, ZONES, seen)[0]
+                and self.say(state.ChangeStarted, name, to, ZONES, seen)[0]
             ):
                 self.doing[name] = to
             elif status == "changing" and self.chance.random() < 0.3:
                 self.runs[name] = self.doing.get(name, self.runs[name])
                 self.served[name] = [0, 0, 0, 0]
-                self.say(state.Came, name, self.runs[name], "")
+                self.say(state.ChangeFinished, name, self.runs[name], "")
             elif status != "changing" and name in self.machine.state.away and status != "out":
-                self.say(state.Return, name, self.machine.state.away[name])
+                self.say(state.BalancerReturned, name, self.machine.state.away[name])
         changing = {
             name for name, status in self.release.members.items() if status in ("out", "changing")
         }
@@ -469,7 +471,7 @@
         for _ in range(50):
             fleet.step()
         assert list(fleet.runs.values()).count("v2") == 1  # it holds
-        assert fleet.say(state.TurnBack, "r1")[0]
+        assert fleet.say(state.RollBack, "r1")[0]
         fleet.until(("backed",))
         assert set(fleet.runs.values()) == {"v1"}
 
@@ -512,7 +514,7 @@
         if after - before:
             assert len(after | fleet.dead) <= fleet.most + len(fleet.dead & after)
     fleet.dead.clear()
-    fleet.say(state.TurnBack, "r1")
+    fleet.say(state.RollBack, "r1")
     fleet.until(("backed",), 900)
     assert set(fleet.runs.values()) == {"v1"}
 
@@ -536,7 +538,7 @@
     def freeing(self, seconds=0.2):
         for name in sorted(self.machine.state.away):
             if self.chance.random() < 0.05:
-                self.say(state.Return, name, self.machine.state.away[name])
+                self.say(state.BalancerReturned, name, self.machine.state.away[name])
         step(self, seconds)
 
     patch.setattr(Fleet, "step", freeing)
@@ -551,14 +553,14 @@
 
 
 def a_halt_is_forgotten(patch):
-    may_go, tend = release.may_go, Releasing.tend
+    may_go, tend = release.may_go, ReleaseControl.tend
     patch.setattr(release, "may_go", lambda now, name, halted: may_go(now, name, False))
     patch.setattr(
         "cypresswalk.fleet.release_control.may_go",
         lambda now, name, halted: may_go(now, name, False),
     )
     patch.setattr(
-        Releasing,
+        ReleaseControl,
         "tend",
         lambda self, now, what, halted, *words: tend(self, now, what, False, *words),
     )
@@ -570,11 +572,13 @@
         "held",
         lambda now, wave: setattr(now, "wave", min(now.wave + 1, len(now.plan.waves) - 1)) or "",
     )
-    hold = Releasing.hold
+    hold = ReleaseControl.hold
     patch.setattr(
-        Releasing,
+        ReleaseControl,
         "hold",
-        lambda self, now, what, wave: hold(self, now, what, wave) or Do("held", wave=what.wave),
+        lambda self, now, what, wave: (
+            hold(self, now, what, wave) or ReleaseAction("held", wave=what.wave)
+        ),
     )
 
 
@@ -613,16 +617,19 @@
 
 def test_a_second_release_waits_and_wrong_plans_are_named_whole(tmp_path):
     fleet = Fleet(1)
-    ok, why = fleet.say(state.Begin, PLAN, sorted(ZONES))
+    ok, why = fleet.say(state.BeginRelease, PLAN, sorted(ZONES))
     assert not ok and "r1 by test is running" in why
-    assert fleet.say(state.TurnBack, "r0") == (False, "release r1 by test has come since")
-    assert fleet.say(state.TurnBack, "r1")[0] and fleet.release.phase == "backed"
-    assert fleet.say(state.Begin, PLAN, sorted(ZONES)) == (False, "name: r1 was the last one's")
+    assert fleet.say(state.RollBack, "r0") == (False, "release r1 by test has come since")
+    assert fleet.say(state.RollBack, "r1")[0] and fleet.release.phase == "backed"
+    assert fleet.say(state.BeginRelease, PLAN, sorted(ZONES)) == (
+        False,
+        "name: r1 was the last one's",
+    )
     file = tmp_path / "r.toml"
     file.write_text(
         'name = "x"\nsince = "v1"\nto = "v1"\nwaves = [["n0", "n9"], [], ["n0"]]\nhold_s = -1\nworse = 2\n'
     )
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         plans.read(str(file), ZONES, {})
     assert len(str(refusal.value).splitlines()) == 6, refusal.value
     file.write_text('name = "x"\nsince = "v1"\nto = "v2"\nzones = ["z2"]\ncanary = 1\n')
@@ -630,7 +637,7 @@
     file.write_text(
         'name = "x"\nsince = "v1"\nto = "v2"\nkind = "servers"\nempty_s = 9\nwaves = [["s1"], ["n0"]]\n'
     )
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         plans.read(str(file), ZONES, {"s1": "0"})
     assert "n0 is not listed; there are s1" in str(refusal.value)
     assert plans.read(str(file), ZONES, {"s1": "0", "n0": "1"})[-2:] == ["servers", 9.0]
@@ -640,23 +647,24 @@
     """Else the release would be back with the new version running there."""
     fleet = Fleet(1)
     assert (
-        fleet.say(state.Go, "n0", ZONES, {}, 1)[0]
-        and fleet.say(state.Began, "n0", "v2", ZONES, {})[0]
+        fleet.say(state.GrantTurn, "n0", ZONES, {}, 1)[0]
+        and fleet.say(state.ChangeStarted, "n0", "v2", ZONES, {})[0]
     )
-    fleet.say(state.Came, "n0", "", "its process ended")
+    fleet.say(state.ChangeFinished, "n0", "", "its process ended")
     assert fleet.release.members["n0"] == "failed" and fleet.machine.state.halted
     assert fleet.say(state.Resume, 1)[0]
-    fleet.say(state.Return, "n0", fleet.machine.state.away["n0"])
-    assert fleet.say(state.Go, "n0", ZONES, {}, 2)[0]
+    fleet.say(state.BalancerReturned, "n0", fleet.machine.state.away["n0"])
+    assert fleet.say(state.GrantTurn, "n0", ZONES, {}, 2)[0]
     assert (
-        fleet.say(state.Return, "n0", fleet.machine.state.away["n0"])[0]
+        fleet.say(state.BalancerReturned, "n0", fleet.machine.state.away["n0"])[0]
         and fleet.release.members["n0"] == "failed"
     )
-    assert fleet.say(state.Go, "n0", ZONES, {}, 2)[0] and fleet.say(state.TurnBack, "r1")[0]
+    assert fleet.say(state.GrantTurn, "n0", ZONES, {}, 2)[0] and fleet.say(state.RollBack, "r1")[0]
     assert fleet.release.members["n0"] == "failed" and fleet.release.phase == "back"
     # Again and again, or late: one that names another count of halts, or another release, changes nothing.
     assert (
-        not fleet.say(state.Began, "n1", "v2", ZONES, {})[0] and fleet.machine.state.halted is None
+        not fleet.say(state.ChangeStarted, "n1", "v2", ZONES, {})[0]
+        and fleet.machine.state.halted is None
     )
     fleet.say(state.Halt, "by hand")
     assert not fleet.say(state.Resume, 1)[0] and fleet.machine.state.halted
@@ -855,10 +863,10 @@
     file.write_text(
         '[[step]]\nat_s = 1\ndo = "release"\n[[step]]\nat_s = 2\ndo = "release"\nbuild = "odd"\n'
     )
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         read_plan(str(file))
     assert "build" in str(refusal.value)
     file.write_text('[[step]]\nat_s = 1\ndo = "drain"\nwho = "n1"\n')
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         read_plan(str(file))
     assert "drain needs agents = true" in str(refusal.value)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from cypresswalk.model import SECOND, Effect, ListForm, Outcome, Scope, Server, State
+from cypresswalk.model import SECOND, Effect, EndpointUpdate, Outcome, Scope, Server, ServerState
 
-KINDS = [service(), service(Effect.ONCE_ONLY)] + [
-    service(Effect.REFERENCED, scope) for scope in Scope
+KINDS = [service(), service(Effect.NON_IDEMPOTENT)] + [
+    service(Effect.IDEMPOTENCY_KEY, scope) for scope in Scope
 ]
 IDENTS = st.integers(0, 6).map(lambda i: 7 + 13 * i)
 
@@ -29,13 +29,13 @@
         self.ledger = Ledger(
             servers,
             service_types=KINDS,
-            zone_price=0.1 if dear else 0.0,
-            list_asked=asked,
-            probes=probes,
+            zone_crossing_price=0.1 if dear else 0.0,
+            list_polled=asked,
+            health_checks=probes,
             load_index=0 if reports else -1,
-            probe_price=price,
-            peers=True,
-            peer_price=price,
+            health_check_price=price,
+            gossip=True,
+            gossip_price=price,
             instances=instances,
         )
 
@@ -47,7 +47,7 @@
         again=st.booleans(),
     )
     def arrive(self, kind, key, lasts, grouped, again):
-        self.ledger.arrive(kind, key, lasts * SECOND // 2, grouped=grouped, again=again)
+        self.ledger.arrive(kind, key, lasts * SECOND // 2, grouped=grouped, returning=again)
 
     @precondition(lambda self: any(f.server for f in self.ledger.open.values()))
     @rule(which=st.integers(0, 99), outcome=st.sampled_from([*Outcome, *[None] * 8]))
@@ -72,7 +72,7 @@
     def leave(self, which):
         if self.ledger.open:
             flow = self.ledger.open.pop(sorted(self.ledger.open)[which % len(self.ledger.open)])
-            self.ledger.balancer.left(self.ledger.now, flow)
+            self.ledger.balancer.on_client_gone(self.ledger.now, flow)
             self.ledger.pull()
 
     @rule(which=st.integers(0, 99), passed=st.booleans(), load=st.none() | st.floats(0, 3))
@@ -86,7 +86,7 @@
     def silent(self, which):
         standing = [f for f in self.ledger.balancer.flows.values() if f.established]
         if standing:
-            self.ledger.balancer.silent(
+            self.ledger.balancer.on_silence(
                 self.ledger.now, standing[which % len(standing)], which % 2 == 0
             )
             self.ledger.pull()
@@ -94,7 +94,7 @@
     @rule(ident=IDENTS, delay=st.integers(0, SECOND))
     def slow(self, ident, delay):
         if ident in self.ledger.balancer.servers:
-            self.ledger.balancer.delay_told(
+            self.ledger.balancer.on_message_delay(
                 self.ledger.now, self.ledger.balancer.servers[ident], delay
             )
             self.ledger.pull()
@@ -102,22 +102,22 @@
     @rule(ident=IDENTS, strain=st.floats(0, 10))
     def hint(self, ident, strain):
         if ident in self.ledger.balancer.servers:
-            self.ledger.balancer.peer_told(
+            self.ledger.balancer.on_gossip(
                 self.ledger.now, self.ledger.balancer.servers[ident], strain
             )
             self.ledger.pull()
 
     @rule(
-        form=st.sampled_from([ListForm.DELTA, ListForm.FULL]),
+        form=st.sampled_from([EndpointUpdate.DELTA, EndpointUpdate.FULL]),
         age=st.integers(0, 30),
-        listed=st.dictionaries(IDENTS, st.sampled_from(list(State)), max_size=6),
+        listed=st.dictionaries(IDENTS, st.sampled_from(list(ServerState)), max_size=6),
     )
     def relist(self, form, age, listed):
         since = self.ledger.now - age * SECOND if age < 20 else 0
         rows = [
             Server(id=ident, zone=ident % 2, cell=ident % 3, since=since, state=state)
             for ident, state in listed.items()
-            if form is ListForm.DELTA or state is not State.GONE
+            if form is EndpointUpdate.DELTA or state is not ServerState.GONE
         ]
         known = self.ledger.balancer.servers
         rows = [
@@ -130,7 +130,7 @@
 
     @rule()
     def list_fails(self):
-        self.ledger.list(ListForm.FAILED, [])
+        self.ledger.list(EndpointUpdate.FAILED, [])
 
     @rule(tenths=st.integers(0, 30))
     def wait(self, tenths):
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -7,13 +7,13 @@
 
 from cypresswalk.fleet import state_machine as state
 from cypresswalk.fleet.member import Member
-from cypresswalk.fleet.messages import OfServers
-from cypresswalk.fleet.server_observations import Wards
+from cypresswalk.fleet.messages import ServerReport
+from cypresswalk.fleet.server_observations import ServerObservations
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.releases import SECOND
 from cypresswalk.lab.together.serving import ServerMachines
 from cypresswalk.lab.together.servings import Servings, plan_for, run_seed
-from cypresswalk.rollout.server_agent import ServerDuty
+from cypresswalk.rollout.server_agent import ServerAgent
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
@@ -29,12 +29,12 @@
 
 
 def flows_are_not_waited_for(patch):
-    patch.setattr(ServerDuty, "emptied", lambda self: iter(()))
-    patch.setattr(ServerDuty, "busy", lambda self, turn: "")
+    patch.setattr(ServerAgent, "emptied", lambda self: iter(()))
+    patch.setattr(ServerAgent, "busy", lambda self, turn: "")
 
 
 def the_bad_are_not_counted(patch):
-    patch.setattr(Wards, "bad", lambda self, now, members: {})
+    patch.setattr(ServerObservations, "bad", lambda self, now, members: {})
 
 
 def a_halt_is_not_asked_for(patch):
@@ -42,7 +42,7 @@
         return ""
         yield
 
-    patch.setattr(ServerDuty, "unwanted", unwanted)
+    patch.setattr(ServerAgent, "unwanted", unwanted)
 
 
 def a_turn_ends_though_its_agent_works(patch):
@@ -95,36 +95,36 @@
 
 
 def test_what_most_balancers_say_of_a_server_counts_and_silence_grants_nothing():
-    wards, members = Wards(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
-    wards.asked(0, "n0#1", 4, OfServers(["s0", "s1"]))
-    wards.asked(0, "n1#1", 4, OfServers(["s0"]))
+    wards, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
+    wards.asked(0, "n0#1", 4, ServerReport(["s0", "s1"]))
+    wards.asked(0, "n1#1", 4, ServerReport(["s0"]))
     assert not wards.can_tell(0, members) and wards.standing(0, members, "s0") is None
-    wards.asked(SECOND, "n2#1", 4, OfServers([], {"s0": 3}))
+    wards.asked(SECOND, "n2#1", 4, ServerReport([], {"s0": 3}))
     assert (
         wards.can_tell(SECOND, members) and wards.standing(SECOND, members, "s0") is None
     )  # n3 may have flows there (seed 357)
-    wards.asked(SECOND, "n3#1", 3, OfServers([]))
+    wards.asked(SECOND, "n3#1", 3, ServerReport([]))
     assert wards.can_tell(SECOND, members) and list(wards.bad(SECOND, members)) == [
         "s0"
     ]  # two of four; s1 by one alone
     assert wards.standing(SECOND, members, "s0") == 3
     # Back in version 4: n3 does not act on it yet, so two of four have seen s1 ready.
     assert wards.ready_again(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
-    wards.asked(SECOND, "n3#1", 4, OfServers([]))
+    wards.asked(SECOND, "n3#1", 4, ServerReport([]))
     assert wards.ready_again(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
         "s1": 4,
         "s9": 2,
     }  # s9 is listed no more
     assert not wards.can_tell(6 * SECOND + 1, members)
     # What each answered is added up over balancers, a process that began anew counted from nothing.
-    wards.asked(7 * SECOND, "n0#1", 4, OfServers(served={"s0": (10, 0, 1, 50)}))
-    wards.asked(8 * SECOND, "n0#1", 4, OfServers(served={"s0": (14, 0, 1, 70)}))
-    wards.asked(9 * SECOND, "n0#1", 4, OfServers(served={"s0": (3, 0, 0, 9)}))
+    wards.asked(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
+    wards.asked(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
+    wards.asked(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
     assert (wards.served["s0"].up, wards.served["s0"].failed) == (17, 1)
 
 
 def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
-    machine, number = state.Agreed(), iter(range(100))
+    machine, number = state.StateMachine(), iter(range(100))
     machine.state.servers = [(name, 0, 1, "ready", 1.0, 0) for name in ("s0", "s1")]
     machine.state.settings = {"bounds": {"servers": {"all": 1}}}
 
@@ -135,28 +135,40 @@
     assert (
         "s7 is not listed"
         in say(
-            state.Begin,
+            state.BeginRelease,
             state.releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
             [],
         )[1]
     )
-    assert say(state.Begin, state.releases.Plan(*plan), [])[0] and say(state.Go, "s0", {}, {}, 0)[0]
+    assert (
+        say(state.BeginRelease, state.releases.Plan(*plan), [])[0]
+        and say(state.GrantTurn, "s0", {}, {}, 0)[0]
+    )
     assert machine.all_out() == {"s0"} and machine.state.release.outs["s0"] == machine.state.version
-    assert say(state.Out, "s0", False, {})[0] and "1 are out" in say(state.Out, "s1", False, {})[
-        1
-    ].replace("1 of 2", "1")
-    assert say(state.Back, "s0")[1].endswith(
+    assert say(state.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
+        state.RemoveFromRotation, "s1", False, {}
+    )[1].replace("1 of 2", "1")
+    assert say(state.ReturnToRotation, "s0")[1].endswith(
         "release r has it out still"
     ) and machine.all_out() == {"s0"}
-    assert say(state.Back, "s0") == (True, "release r has it out")
-    assert say(state.Began, "s0", "v2", {}, {})[0] and say(state.Came, "s0", "v2", "")[0]
+    assert say(state.ReturnToRotation, "s0") == (True, "release r has it out")
+    assert (
+        say(state.ChangeStarted, "s0", "v2", {}, {})[0]
+        and say(state.ChangeFinished, "s0", "v2", "")[0]
+    )
     assert not machine.all_out() and list(machine.state.coming) == ["s0"]
-    assert not say(state.Out, "s1", False, {})[0]  # s0 is not seen ready yet
-    assert say(state.Seen, machine.state.coming)[0] and say(state.Out, "s1", False, {})[0]
-    assert say(state.Back, "s1")[0] and say(state.Seen, machine.state.coming)[0]
+    assert not say(state.RemoveFromRotation, "s1", False, {})[0]  # s0 is not seen ready yet
+    assert (
+        say(state.ServersSeenReady, machine.state.coming)[0]
+        and say(state.RemoveFromRotation, "s1", False, {})[0]
+    )
+    assert (
+        say(state.ReturnToRotation, "s1")[0]
+        and say(state.ServersSeenReady, machine.state.coming)[0]
+    )
     assert (
-        not say(state.Out, "s1", False, {"s0": "held for bad"})[0]
-        and say(state.Out, "s1", True, {"s0": "held for bad"})[0]
+        not say(state.RemoveFromRotation, "s1", False, {"s0": "held for bad"})[0]
+        and say(state.RemoveFromRotation, "s1", True, {"s0": "held for bad"})[0]
     )
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -16,29 +16,29 @@
 from test_sockets import Server as SocketServer
 
 from cypresswalk.choice import MISSES, RISE, Balancer
-from cypresswalk.model import SECOND, Flow, ListForm, Outcome, State
+from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, ServerState
 from cypresswalk.net.counters import Counters
 from cypresswalk.state import file_format, store
 from cypresswalk.state.snapshot import (
     IDS_KEPT,
     TROUBLE_HALF,
-    Head,
-    Kept,
+    Header,
     Recovery,
-    ServerKept,
-    SumsKept,
+    ServerRecord,
+    Snapshot,
+    SumsRecord,
     evidence,
     faded,
     weight,
 )
-from cypresswalk.state.snapshot_writer import Keeper
+from cypresswalk.state.snapshot_writer import SnapshotWriter
 
 SAMPLES = Path(__file__).parent / "state-samples"
 ROOT = Path(__file__).parent.parent
 
 
-def make(number=3, servers=3, **head) -> Kept:
-    sums = SumsKept(*[(float(number), number)] * 5)
+def make(number=3, servers=3, **head) -> Snapshot:
+    sums = SumsRecord(*[(float(number), number)] * 5)
     words = (
         dict(
             balancer="n0",
@@ -51,10 +51,10 @@
         )
         | head
     )
-    return Kept(
-        Head(**words),
+    return Snapshot(
+        Header(**words),
         [
-            ServerKept(
+            ServerRecord(
                 id=7 + 13 * i,
                 since=0,
                 state="ready",
@@ -95,12 +95,12 @@
     for at in range(len(data) * 8):
         flipped = bytearray(data)
         flipped[at // 8] ^= 1 << at % 8
-        with pytest.raises(file_format.FormError):
+        with pytest.raises(file_format.FormatError):
             file_format.decode(bytes(flipped))
     for length in range(len(data)):
-        with pytest.raises(file_format.FormError):
+        with pytest.raises(file_format.FormatError):
             file_format.decode(data[:length])
-    with pytest.raises(file_format.FormError):
+    with pytest.raises(file_format.FormatError):
         file_format.decode(data + b"\0")
 
 
@@ -118,13 +118,13 @@
     kept = make()
     for name, value in change.items():
         setattr(kept.servers[1], name, value)
-    with pytest.raises(file_format.FormError, match=said):
+    with pytest.raises(file_format.FormatError, match=said):
         file_format.decode(file_format.encode(kept))
-    with pytest.raises(file_format.FormError, match="a chunk of kind b'z'"):
+    with pytest.raises(file_format.FormatError, match="a chunk of kind b'z'"):
         file_format.decode(
             file_format.whole([file_format.part(b"h", kept.head), file_format.part(b"z", 1)])
         )
-    with pytest.raises(file_format.FormError, match="Expected"):
+    with pytest.raises(file_format.FormatError, match="Expected"):
         file_format.decode(
             file_format.whole([file_format.part(b"h", kept.head), file_format.part(b"s", [["x"]])])
         )
@@ -282,10 +282,12 @@
     def __init__(self, folder, servers=3, name="n0", since=0, **more):
         self.now = more.pop("now", START)
         self.balancer = Balancer(settings(), 1, self.now)
-        self.balancer.listed(self.now, ListForm.CACHED, [e for e in entries(servers, since=since)])
+        self.balancer.on_endpoints(
+            self.now, EndpointUpdate.CACHED, [e for e in entries(servers, since=since)]
+        )
         self.counters, self.seen, self.limits = Counters(), {}, SimpleNamespace(ids=8192)
         self.registry = SimpleNamespace(version=more.pop("version", 5))
-        self.keeper = Keeper(
+        self.keeper = SnapshotWriter(
             str(folder), 1, self, self, self.registry, name, more.pop("address", "a:1")
         )
 
@@ -477,7 +479,7 @@
 
 def recovered(kept, now, servers=4, version=5, address="a:1", **entry):
     balancer = Balancer(settings(), 1, now)
-    balancer.listed(now, ListForm.CACHED, entries(servers, **entry))
+    balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers, **entry))
     recovery = Recovery(kept, now, version, address)
     return balancer, recovery.into(balancer), recovery
 
@@ -514,8 +516,8 @@
         recovered(kept, START + 7200 * SECOND, version=0)[0],
         Balancer(settings(), 1, START + 7200 * SECOND),
     )
-    plain.listed(START + 7200 * SECOND, ListForm.CACHED, entries(4))
-    assert old.servers[20].state is State.DRAINING
+    plain.on_endpoints(START + 7200 * SECOND, EndpointUpdate.CACHED, entries(4))
+    assert old.servers[20].state is ServerState.DRAINING
     for ident, server in old.servers.items():
         fields = (
             "health",
@@ -556,7 +558,7 @@
     )
     assert (
         done["restarted"] == 4
-        and balancer.servers[7].state is State.READY
+        and balancer.servers[7].state is ServerState.READY
         and balancer.servers[7].misses == 0
     )
 
@@ -571,9 +573,9 @@
     kept = good_servers()
     kept.servers[0].state = "draining"
     balancer, _, _ = recovered(kept, START + SECOND, version=version, address=address)
-    assert (balancer.servers[7].state is State.DRAINING) is drained
-    balancer.listed(START + 2 * SECOND, ListForm.FULL, entries(4))
-    assert balancer.servers[7].state is State.READY
+    assert (balancer.servers[7].state is ServerState.DRAINING) is drained
+    balancer.on_endpoints(START + 2 * SECOND, EndpointUpdate.FULL, entries(4))
+    assert balancer.servers[7].state is ServerState.READY
 
 
 @pytest.mark.parametrize("bad, believed", [(1, 1), (2, 2), (3, 0), (4, 0)])
@@ -590,12 +592,12 @@
     got = set()
     for i in range(40):
         flow = Flow(i + 1, balancer.settings.service_types[0], i + 1, START + 9 * SECOND)
-        balancer.arrived(START + SECOND, flow)
-        while balancer.decide(START + SECOND) is not None:
+        balancer.on_flow(START + SECOND, flow)
+        while balancer.next_decision(START + SECOND) is not None:
             pass
         if flow.server is not None:
             got.add(flow.server.id)
-            balancer.established(START + SECOND, flow, 1000)
+            balancer.on_established(START + SECOND, flow, 1000)
     assert len(got) >= 4 - believed and flow.server is not None
 
 
@@ -630,12 +632,12 @@
 
 def test_what_is_heard_counts_as_evidence_and_time_alone_does_not():
     balancer = Balancer(settings(), 1, START)
-    balancer.listed(START, ListForm.CACHED, entries(2))
+    balancer.on_endpoints(START, EndpointUpdate.CACHED, entries(2))
     server = balancer.servers[7]
     seen = evidence(server)
-    balancer.woken(START + 100 * SECOND // 1000)
+    balancer.on_wakeup(START + 100 * SECOND // 1000)
     assert evidence(server) == seen
-    balancer.probed(START + SECOND, server, True, None)
+    balancer.on_health_check_result(START + SECOND, server, True, None)
     assert evidence(server) != seen
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cypresswalk import operator
-from cypresswalk.agreement.messages import Vote
+from cypresswalk.agreement.messages import RequestVote
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, pack
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.seen import Event
@@ -21,7 +21,7 @@
 from cypresswalk.lab.together import plan as plans
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.stage import Rig, played
-from cypresswalk.refusal import Refusal
+from cypresswalk.refusal import CommandError
 
 ROOT = Path(__file__).parent.parent
 
@@ -256,7 +256,7 @@
             pack(Hello(PROTOCOL, "other", "member", "", "n9#1", 1, 1, "", "")),
             pack(Hello(PROTOCOL + 1, "rig", "member", "", "n9#1", 1, 1, "", "")),
             pack(Hello(PROTOCOL, "rig", "member", "another", "n9#2", 1, 1, "", ""))
-            + pack(Vote(1 << 40, 9, 9, False, True)),
+            + pack(RequestVote(1 << 40, 9, 9, False, True)),
         ]
         socks = []
         for data in odd * 5:
@@ -288,7 +288,7 @@
     file.write_text(
         '[fleet]\nfleet = "a b"\nname = "n0"\naddress = "nowhere"\nfolder = "here"\nstated_s = 0\nodd = 1\n'
     )
-    with pytest.raises(Refusal) as refusal:
+    with pytest.raises(CommandError) as refusal:
         operator.read(str(file))
     lines = str(refusal.value).splitlines()
     assert len(lines) == 6 and all(
