--- a/cypresswalk/benchlink/host.py
+++ b/cypresswalk/benchlink/host.py
@@ -4,7 +4,7 @@
 
 from cypresswalk.benchlink.wire import Reader, WireError, entry, settings, span
 from cypresswalk.decisions.balancer import Balancer
-from cypresswalk.hosting import current, pack_hint, unpack_hint
+from cypresswalk.hosting import flow_of_attempt, pack_gossip, unpack_gossip
 from cypresswalk.model import (
     Abort,
     CheckHealth,
@@ -141,7 +141,7 @@
 
     def accepted(self, who, reader, now):
         ident, _, took, number = reader.take(ACCEPTED, "Accepted")
-        flow = current(self.balancer(who), ident, number)
+        flow = flow_of_attempt(self.balancer(who), ident, number)
         if flow is not None:
             return self.balancer(who).on_established, flow, span(took, "took")
 
@@ -150,7 +150,7 @@
         reader.chunk(4 * n, "load report")
         if how not in OUTCOMES:
             raise WireError(f"Reply: unknown outcome {how}")
-        flow = current(self.balancer(who), ident, number)
+        flow = flow_of_attempt(self.balancer(who), ident, number)
         if flow is not None:
             return self.balancer(who).on_ended, flow, OUTCOMES[how], bool(final), span(took, "took")
 
@@ -180,7 +180,7 @@
         _, length = reader.take(PEER, "Datagram")
         message = reader.chunk(length, "message")
         balancer = self.balancer(who)
-        hint = unpack_hint(balancer, message)
+        hint = unpack_gossip(balancer, message)
         if hint is not None:
             return balancer.on_gossip, *hint
 
@@ -233,7 +233,7 @@
         case CheckHealth(server):
             return CODE.pack(5) + U32.pack(server.id)
         case SendGossip(server, strain):
-            return told(pack_hint(server, strain))
+            return told(pack_gossip(server, strain))
         case Subscribe():
             return b"\x0a\x01"
         case Migrate(flow):
--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -3,7 +3,7 @@
 import json
 import struct
 
-from cypresswalk.hosting import SettingsError, decode_settings, nanoseconds, sound_weight
+from cypresswalk.hosting import SettingsError, decode_settings, nanoseconds, usable_weight
 from cypresswalk.model import Server, ServerState, Settings
 
 HEADER = struct.Struct("<IId")
@@ -50,7 +50,7 @@
         id=server,
         zone=zone,
         cell=cell,
-        weight=sound_weight(weight),
+        weight=usable_weight(weight),
         started_at=span(since, "start time"),
         state=STATES[state],
     )
--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -1,107 +1,149 @@
-"""What every host of the decision module shares: settings decoded, hints packed, which answer counts."""
+"""What every host of the decisions shares: settings decoded, gossip packed, which answer counts.
+
+The settings keep the platform's names; they are mapped to the terms of `model.Settings` here alone.
+"""
 
 import math
 import struct
+from typing import Any
 
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import Effect, Flow, Scope, Server, ServiceType, Settings
 
-EFFECTS = {
+EFFECTS_BY_NAME = {
     "idempotent": Effect.IDEMPOTENT,
     "deduplicated": Effect.IDEMPOTENCY_KEY,
     "at_most_once": Effect.NON_IDEMPOTENT,
 }
-HINT = struct.Struct("<Ie")  # a server and its strain, told to the other instances
+GOSSIP_MESSAGE = struct.Struct("<Ie")  # a server's id and its load, as a half-precision float
+MAX_GOSSIP_LOAD = 60000.0  # what a half-precision float still holds
 
 
 class SettingsError(Exception):
-    """The settings lack something or hold something odd; the message says what."""
+    """The settings lack something or hold something invalid; the message says what."""
 
 
 def nanoseconds(milliseconds: float, what: str) -> int:
+    """Return a time in nanoseconds.
+
+    Raises:
+        ValueError: it is not finite; the message begins with `what`.
+    """
     if not math.isfinite(milliseconds):
         raise ValueError(f"{what}: {milliseconds} is no time")
     return round(milliseconds * 1e6)
 
 
-def figure(rules: dict, name: str) -> float:
-    """Absent: 0. Raises ValueError for what is no such figure."""
+def optional_number(rules: dict[str, Any], name: str) -> float:
+    """Return a number from 0 on, 0 where it is absent.
+
+    Raises:
+        ValueError: it is no such number; the message names it.
+    """
     value = rules.get(name, 0.0)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 <= value < math.inf:
         raise ValueError(f"rules.{name}: {value!r}, not a number from 0 on")
     return value
 
 
-def decode_settings(params: dict) -> Settings:
+def usable_weight(weight: float) -> float:
+    """Return the weight if it is positive and finite, else 1."""
+    return weight if 0 < weight < math.inf else 1.0
+
+
+def decode_settings(params: dict[str, Any]) -> Settings:
+    """Return the settings that the platform's object holds.
+
+    Raises:
+        SettingsError: something is missing, unknown or invalid; the message names it.
+    """
     try:
-        limits, rules, extra = params["limits"], params["rules"], params.get("extra", {})
-        targets = extra.get("messageAim", [])
-        fields = params["stats"]["fields"] if params["stats"]["via"] != "silent" else []
-        return Settings(
-            instances=params["instances"],
-            zone=params["zone"],
-            service_types=[
-                ServiceType(
-                    EFFECTS[t["semantics"]],
-                    Scope(t.get("group", "all")),
-                    nanoseconds(t.get("window", 0.0), "window"),
-                    nanoseconds(t["setupTarget"], "setupTarget"),
-                    nanoseconds(targets[i] if i < len(targets) else 0.0, "messageAim"),
-                )
-                for i, t in enumerate(params["serviceTypes"])
-            ],
-            max_attempts=limits["maxConnects"],
-            retry_after_allowed=limits["retryAfter"],
-            max_retry_after=nanoseconds(limits["maxRetryAfter"], "maxRetryAfter"),
-            health_checks=limits["probes"],
-            can_migrate=params["family"] == "conn",
-            list_polled=params["discovery"] == "on_request",
-            poll_within=nanoseconds(rules["askWithin"], "askWithin"),
-            warm_up_time=nanoseconds(rules["cold"], "cold"),
-            warm_up_initial_fraction=rules["coldShare"],
-            slow_start_window=nanoseconds(rules["fall"], "fall"),
-            overload_factor=rules["overloadFactor"],
-            zone_crossing_price=params["deductions"].get("crossZone", 0.0),
-            migration_price=params["deductions"].get("moves", 0.0),
-            health_check_price=params["deductions"].get("probe", 0.0),
-            gossip=limits.get("peerMessages", False),
-            gossip_price=params["deductions"].get("peer", 0.0),
-            # A customer may come without a share: then nothing of it is beyond one.
-            quotas=[
-                math.inf if share is None else share
-                for share in extra.get("tenantQuotaConnections") or []
-            ],
-            overage_weight=params.get("overagePayoff", 1.0),
-            load_index=fields.index("x0") if "x0" in fields else -1,
-            retry_window=nanoseconds(figure(rules, "lookBack"), "lookBack"),
-            retry_budget_base=figure(rules, "budgetFree"),
-            retry_budget_ratio=figure(rules, "extraRatio"),
-        )
+        return _decode(params)
     except KeyError as error:
         raise SettingsError(f"settings: {error} is missing or unknown") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise SettingsError(f"settings: {error}") from None
 
 
-def sound_weight(weight: float) -> float:
-    return weight if 0 < weight < math.inf else 1.0
+def _decode(params: dict[str, Any]) -> Settings:
+    limits = params["limits"]
+    rules = params["rules"]
+    extra = params.get("extra", {})
+    report_fields = params["stats"]["fields"] if params["stats"]["via"] != "silent" else []
+    prices = params["deductions"]
+    return Settings(
+        instances=params["instances"],
+        zone=params["zone"],
+        service_types=_service_types(params["serviceTypes"], extra.get("messageAim", [])),
+        max_attempts=limits["maxConnects"],
+        retry_after_allowed=limits["retryAfter"],
+        max_retry_after=nanoseconds(limits["maxRetryAfter"], "maxRetryAfter"),
+        health_checks=limits["probes"],
+        can_migrate=params["family"] == "conn",
+        list_polled=params["discovery"] == "on_request",
+        poll_within=nanoseconds(rules["askWithin"], "askWithin"),
+        warm_up_time=nanoseconds(rules["cold"], "cold"),
+        warm_up_initial_fraction=rules["coldShare"],
+        slow_start_window=nanoseconds(rules["fall"], "fall"),
+        overload_factor=rules["overloadFactor"],
+        zone_crossing_price=prices.get("crossZone", 0.0),
+        migration_price=prices.get("moves", 0.0),
+        health_check_price=prices.get("probe", 0.0),
+        gossip=limits.get("peerMessages", False),
+        gossip_price=prices.get("peer", 0.0),
+        # A tenant may come without a quota: then nothing of it is beyond one.
+        quotas=[
+            math.inf if quota is None else quota
+            for quota in extra.get("tenantQuotaConnections") or []
+        ],
+        overage_weight=params.get("overagePayoff", 1.0),
+        load_index=report_fields.index("x0") if "x0" in report_fields else -1,
+        retry_window=nanoseconds(optional_number(rules, "lookBack"), "lookBack"),
+        retry_budget_base=optional_number(rules, "budgetFree"),
+        retry_budget_ratio=optional_number(rules, "extraRatio"),
+    )
+
+
+def _service_types(
+    types: list[dict[str, Any]], message_objectives: list[float]
+) -> list[ServiceType]:
+    return [
+        ServiceType(
+            effect=EFFECTS_BY_NAME[entry["semantics"]],
+            scope=Scope(entry.get("group", "all")),
+            idempotency_window=nanoseconds(entry.get("window", 0.0), "window"),
+            setup_latency_objective=nanoseconds(entry["setupTarget"], "setupTarget"),
+            message_latency_objective=nanoseconds(
+                message_objectives[number] if number < len(message_objectives) else 0.0,
+                "messageAim",
+            ),
+        )
+        for number, entry in enumerate(types)
+    ]
+
 
+def flow_of_attempt(balancer: Balancer, flow_id: int, number: int) -> Flow | None:
+    """Return the flow if it is still held and the attempt of that number is its latest.
 
-def current(balancer: Balancer, ident: int, number: int) -> Flow | None:
-    """The flow, if it is still held and the connect meant is its latest: others' answers change nothing."""
-    flow = balancer.flows.get(ident)
-    latest = flow is not None and flow.server is not None and number == len(flow.attempts) - 1
-    return flow if latest else None
+    Answers of earlier attempts change nothing.
+    """
+    flow = balancer.flows.get(flow_id)
+    if flow is None or flow.server is None or number != len(flow.attempts) - 1:
+        return None
+    return flow
 
 
-def pack_hint(server: Server, strain: float) -> bytes:
-    return HINT.pack(server.id, min(strain, 60000.0))
+def pack_gossip(server: Server, load: float) -> bytes:
+    """Return the message that tells other balancers of a server's load."""
+    return GOSSIP_MESSAGE.pack(server.id, min(load, MAX_GOSSIP_LOAD))
 
 
-def unpack_hint(balancer: Balancer, message: bytes) -> tuple[Server, float] | None:
-    """None for what is no hint, or about a server that no list has named."""
-    if len(message) == HINT.size:
-        ident, strain = HINT.unpack(message)
-        if ident in balancer.servers and math.isfinite(strain):
-            return balancer.servers[ident], strain
-    return None
+def unpack_gossip(balancer: Balancer, message: bytes) -> tuple[Server, float] | None:
+    """Return the server and its load; None for what is no gossip or of an unknown server."""
+    if len(message) != GOSSIP_MESSAGE.size:
+        return None
+    server_id, load = GOSSIP_MESSAGE.unpack(message)
+    if server_id not in balancer.servers or not math.isfinite(load):
+        return None
+    return balancer.servers[server_id], load
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from cypresswalk.hosting import unpack_hint
+from cypresswalk.hosting import unpack_gossip
 from cypresswalk.net.core import Attempt, Core
 from cypresswalk.service.program import main
 
@@ -92,7 +92,7 @@
         say(now, "delay", name(server), delay // 1000, f"limit={server.limit:.1f}")
 
     def hint(self, now, message):
-        hint = unpack_hint(self.balancer, message)
+        hint = unpack_gossip(self.balancer, message)
         if hint:
             say(now, "heard", name(hint[0]), f"{hint[1]:.2f}")
         super().hint(now, message)
@@ -132,7 +132,7 @@
         self.drivers.probe(server, address)
 
     def tell(self, message):
-        hint = unpack_hint(self.core.balancer, message)
+        hint = unpack_gossip(self.core.balancer, message)
         say(self.core.now, "tell", name(hint[0]), f"{hint[1]:.2f}")
         self.drivers.tell(message)
 
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from cypresswalk.decisions.balancer import Balancer
-from cypresswalk.hosting import current, nanoseconds, pack_hint, unpack_hint
+from cypresswalk.hosting import flow_of_attempt, nanoseconds, pack_gossip, unpack_gossip
 from cypresswalk.model import (
     SECOND,
     Abort,
@@ -282,7 +282,9 @@
         if flow not in self.sessions:
             self.sessions[flow] = session
             self.balancer.on_flow_resumed(now, flow, leg.server)
-        elif current(self.balancer, flow.id, leg.number) is not flow or now >= flow.deadline:
+        elif (
+            flow_of_attempt(self.balancer, flow.id, leg.number) is not flow or now >= flow.deadline
+        ):
             self.drivers.drop(leg)  # the timer that is due gives it up
             return
         else:
@@ -310,7 +312,7 @@
             session.leg = None
         if flow not in self.sessions:
             self.at(now + self.limits.resume_retry, self.resume, session)
-        elif current(self.balancer, flow.id, leg.number) is flow:
+        elif flow_of_attempt(self.balancer, flow.id, leg.number) is flow:
             final = session.standing
             if final:
                 del self.sessions[flow]
@@ -458,7 +460,7 @@
             self.balancer.on_endpoints(now, EndpointUpdate.FAILED, [])
 
     def hint(self, now: int, message: bytes) -> None:
-        hint = unpack_hint(self.balancer, message)
+        hint = unpack_gossip(self.balancer, message)
         self.counters.add("hints_heard" if hint else "hints_odd")
         if hint:
             self.balancer.on_gossip(now, *hint)
@@ -531,7 +533,7 @@
                     self.drivers.probe(server, self.addresses[server.id])
                 case SendGossip(server, strain):
                     self.counters.add("hints_told")
-                    self.drivers.tell(pack_hint(server, strain))
+                    self.drivers.tell(pack_gossip(server, strain))
                 case Subscribe():
                     self.drivers.subscribe()
                 case ScheduleWakeup(after):
--- a/cypresswalk/net/parsers/endpoint_list.py
+++ b/cypresswalk/net/parsers/endpoint_list.py
@@ -4,7 +4,7 @@
 import reprlib
 from hashlib import blake2b
 
-from cypresswalk.hosting import nanoseconds, sound_weight
+from cypresswalk.hosting import nanoseconds, usable_weight
 from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address, ConfigError, address
 from cypresswalk.net.logs import event
@@ -65,7 +65,7 @@
             id=number,
             zone=self.zones.get(item.get("zone"), -1),
             cell=cell if isinstance(cell, int) else number_of(cell),
-            weight=sound_weight(float(item.get("weight") or 1.0)),
+            weight=usable_weight(float(item.get("weight") or 1.0)),
             started_at=max(nanoseconds(item.get("startedAtMs") or 0, "startedAtMs"), 0),
             state=state,
         )
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -21,7 +21,7 @@
 from cypresswalk.agreement.messages import Entry
 from cypresswalk.copies import store as copies_store
 from cypresswalk.fleet import messages, state_machine
-from cypresswalk.hosting import pack_hint
+from cypresswalk.hosting import pack_gossip
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.http import request
@@ -206,7 +206,7 @@
                 bench.tell(bench.core.up, bench.sockets.out[session])
         answers.append(bench.sockets.answers[session].decode())
     server = bench.core.balancer.servers[server_number("s-1")]
-    hints = [pack_hint(server, strain).hex() for strain in (0.0, 0.3, 1.0, 7.5, 1e9)]
+    hints = [pack_gossip(server, strain).hex() for strain in (0.0, 0.3, 1.0, 7.5, 1e9)]
     figures = bench.core.figures.text(bench.now, bench.core).decode()
     elder = Process()
     stand(elder, 4, 0)
