--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -505,7 +505,11 @@
         left = min(span, max((flow.deadline - now) // 2, 0))
         kind = flow.service_type
         # Held while it may be under way, and a repeat of it come.
-        held = kind.idempotency_window + max(flow.deadline - now, 0) + self.core.limits.longest
+        held = (
+            kind.idempotency_window
+            + max(flow.deadline - now, 0)
+            + self.core.limits.longest_attempt_timeout
+        )
         self.waiting[session] = None
         # Whatever becomes of the copies' thread: guards a flow against a process that hands over or fails just now.
         self.core.at(now + left + SPARE, self.late, session)
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -24,7 +24,7 @@
     def __init__(self, address: Address, core: Core, inbox: Inbox, limits: Limits):
         """Raises OSError where nobody may listen there."""
         self.core, self.inbox, self.limits = core, inbox, limits
-        self.sock = socket.create_server(address, backlog=limits.backlog)
+        self.sock = socket.create_server(address, backlog=limits.accept_backlog)
         self.waiting: dict[Link, None] = {}  # callers whose line is not whole, the oldest first
         self.calling = 0  # callers that hold a descriptor
         self.using = Lock()
@@ -35,7 +35,7 @@
                 sock, _ = self.sock.accept()
             except OSError as error:
                 log.warning(event("calls_accept_failed", why=error))
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             try:
                 link = Link(sock, self.limits)
@@ -51,7 +51,11 @@
     def make_room(self) -> None:
         """Guards against callers that finish no call and keep others out: the oldest of them goes."""
         with self.using:
-            late = next(iter(self.waiting), None) if self.calling > self.limits.calls else None
+            late = (
+                next(iter(self.waiting), None)
+                if self.calling > self.limits.max_admin_connections
+                else None
+            )
             if late is not None:
                 del self.waiting[late]
         if late is not None:
@@ -75,15 +79,15 @@
     def answer(self, link: Link) -> bytes:
         """Nothing for a caller that left without a word."""
         caller, until, said = (
-            AdminCommandParser(self.limits.line),
-            self.inbox.clock() + self.limits.call_line,
+            AdminCommandParser(self.limits.max_line_bytes),
+            self.inbox.clock() + self.limits.admin_line_timeout,
             False,
         )
         try:
             while True:
                 link.read_within(max(until - self.inbox.clock(), MILLISECOND))
                 try:
-                    data = link.sock.recv(self.limits.line)
+                    data = link.sock.recv(self.limits.max_line_bytes)
                 except BlockingIOError:
                     raise ProtocolError("no whole line in time") from None
                 if not data:
@@ -100,7 +104,7 @@
         with self.using:
             self.waiting.pop(link, None)
         self.inbox.first(self.core.called, call)
-        answer = call.wait(self.limits.call)
+        answer = call.wait(self.limits.admin_call_timeout)
         if answer is None:
             self.core.counters.add("calls_late")
             return refusal("busy; nothing was done")
@@ -108,10 +112,10 @@
 
     def drain(self, link: Link) -> None:
         """Closing with something unread would take the answer back as a reset."""
-        until, left = self.inbox.clock() + self.limits.idle, self.limits.drained
+        until, left = self.inbox.clock() + self.limits.idle_grace, self.limits.max_drained_bytes
         while left > 0 and (wait := until - self.inbox.clock()) > 0:
             link.read_within(max(wait, MILLISECOND))
-            data = link.sock.recv(self.limits.line)
+            data = link.sock.recv(self.limits.max_line_bytes)
             if not data:
                 return
             left -= len(data)
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -34,7 +34,7 @@
         self.link, self.core, self.inbox, self.limits = Link(sock, limits), core, inbox, limits
         self.session = Session(self)
         self.since, self.opened, self.unwanted = inbox.clock(), False, False
-        self.lines, self.passing = LineParser(limits.line), Lock()
+        self.lines, self.passing = LineParser(limits.max_line_bytes), Lock()
         self.server = None  # the ServerLink, once lines pass
 
     def run(self) -> None:
@@ -70,14 +70,14 @@
 
     def first(self) -> OpenRequest | None:
         """Answers PINGs up to the line that opens a flow; None if the client ends before that."""
-        until = self.since + self.limits.first_line
+        until = self.since + self.limits.first_line_timeout
         while True:
             line = self.lines.next_line()
             if line is None:
                 # Of the time for the whole line: guards against one that sends a byte now and then.
                 self.link.read_within(max(until - self.inbox.clock(), MILLISECOND))
                 try:
-                    data = self.link.sock.recv(self.limits.line)
+                    data = self.link.sock.recv(self.limits.max_line_bytes)
                 except BlockingIOError:
                     raise ProtocolError("no first line in time") from None
                 if not data:
@@ -117,21 +117,23 @@
     def drain(self) -> None:
         """What still comes is read before the end, not much and not long: closing on it would take the answer back."""
         # One that was sent off must make room soon; its line may be on its way all the same.
-        until = self.inbox.clock() + (self.limits.idle if self.unwanted else self.limits.linger)
-        left = self.limits.drained
+        until = self.inbox.clock() + (
+            self.limits.idle_grace if self.unwanted else self.limits.linger_timeout
+        )
+        left = self.limits.max_drained_bytes
         try:
             while (wait := until - self.inbox.clock()) > 0:
                 self.link.read_within(max(wait, MILLISECOND))
                 if left <= 0:
                     time.sleep(wait / SECOND)
                     return
-                data = self.link.sock.recv(self.limits.line)
+                data = self.link.sock.recv(self.limits.max_line_bytes)
                 if data:
                     left -= len(data)
                 elif self.unwanted and not self.link.other_end_closed():
                     # Since `send_off` a read finds an end at once. Guards against taking that for the client's: its
                     # line came next, met a closed socket, and the reset took the answer back.
-                    time.sleep(self.limits.drain_tick / SECOND)
+                    time.sleep(self.limits.drain_poll_interval / SECOND)
                 else:
                     return
         except OSError:
@@ -142,7 +144,7 @@
         return self.link.done.is_set() or self.link.end_has_come()
 
     def pass_lines(self) -> None:
-        while data := self.link.sock.recv(self.limits.line):
+        while data := self.link.sock.recv(self.limits.max_line_bytes):
             with self.passing:
                 self.lines.feed(data)
             self.flush()
@@ -174,7 +176,7 @@
         self.core, self.inbox, self.limits, self.shared = core, inbox, limits, shared
         self.taking = True  # cleared where the other process accepts in this one's place
         # Clients beyond wait in the backlog. Guards against running out of descriptors in mid-flow.
-        self.room = Semaphore(limits.flows + limits.at_door)
+        self.room = Semaphore(limits.max_flows + limits.max_unopened_clients)
         self.clients: dict[Client, None] = {}
         self.silent: dict[Client, None] = {}  # the oldest first
         self.ends_at: int | None = None  # the door shuts then, for good
@@ -182,20 +184,20 @@
         self.sock = sock or self.listen(address)
 
     def listen(self, address: Address) -> socket.socket:
-        until = self.inbox.clock() + self.limits.bind
+        until = self.inbox.clock() + self.limits.bind_timeout
         while True:
             try:
                 return socket.create_server(
-                    address, backlog=self.limits.backlog, reuse_port=self.shared
+                    address, backlog=self.limits.accept_backlog, reuse_port=self.shared
                 )
             except OSError:
                 if self.inbox.clock() > until:
                     raise
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
 
     def make_room(self) -> bool:
         """Guards against clients that say nothing and keep others out: the oldest of them go. False once the door shuts."""
-        while not self.room.acquire(timeout=self.limits.accept_pause / SECOND):
+        while not self.room.acquire(timeout=self.limits.accept_retry_pause / SECOND):
             self.clear_door(len(self.silent))
             if self.left() <= 0:
                 return False
@@ -203,11 +205,11 @@
 
     def left(self) -> int:
         """How long to wait for a client before a look at whether to go on."""
-        wait = self.limits.accept_pause if self.shared else self.limits.accept_wait
+        wait = self.limits.accept_retry_pause if self.shared else self.limits.accept_poll_interval
         return wait if self.ends_at is None else min(self.ends_at - self.inbox.clock(), wait)
 
     def clear_door(self, most: int) -> None:
-        latest = self.inbox.clock() - self.limits.idle
+        latest = self.inbox.clock() - self.limits.idle_grace
         for client in list(islice(self.silent, most)):
             if client.since < latest and client.send_off():
                 self.core.counters.add("clients_idle")
@@ -226,11 +228,11 @@
                 # Descriptors may run short all the same: others close in time.
                 self.room.release()
                 log.warning(event("accept_failed", why=error))
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             self.take(sock)
-            if len(self.silent) > self.limits.at_door:
-                self.clear_door(len(self.silent) - self.limits.at_door)
+            if len(self.silent) > self.limits.max_unopened_clients:
+                self.clear_door(len(self.silent) - self.limits.max_unopened_clients)
         if self.taking:
             self.shut()
         self.closed = True
@@ -271,7 +273,7 @@
             sock.setblocking(False)
             sock.send(BUSY)
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(self.limits.line)
+            sock.recv(self.limits.max_line_bytes)
         except OSError:
             pass
         sock.close()
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -169,13 +169,13 @@
         if service_type.message_latency_objective
     ]
     return Limits(
-        sockets=int(data["limits"]["sockets"]),
-        memory=int(data["limits"]["memory_mb"]) << 20,
-        dial=nanoseconds(params["limits"]["dialTimeout"], "dialTimeout"),
-        longest=max(
+        max_sockets=int(data["limits"]["sockets"]),
+        max_memory=int(data["limits"]["memory_mb"]) << 20,
+        dial_timeout=nanoseconds(params["limits"]["dialTimeout"], "dialTimeout"),
+        longest_attempt_timeout=max(
             (nanoseconds(t["giveUp"], "giveUp") for t in params["serviceTypes"]), default=SECOND
         ),
         # A third of the smallest objective is no overload yet.
-        delay_long=min(objectives, default=SECOND) // 3,
+        min_reported_delay=min(objectives, default=SECOND) // 3,
         operated=operated,
     )
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -188,16 +188,20 @@
             values.get("t") not in self.customers if self.customers else "t" in values
         )
         # Guards servers, and what is known of their health, against lines that they would turn away.
-        if unknown or not 0 < wait <= WAITS_MOST * self.limits.longest and "at" not in values:
+        if (
+            unknown
+            or not 0 < wait <= WAITS_MOST * self.limits.longest_attempt_timeout
+            and "at" not in values
+        ):
             return self.refuse(now, session, "opening_odd", line=opening.encode(0)[:200])
-        until = now + wait - self.limits.early
+        until = now + wait - self.limits.answer_margin
         ident, group = stable_hash(opening.ident), values.get("g") if self.groups else None
         key = stable_hash(group or opening.key) if group or opening.key.strip("0-") else ident
         # An id is new with every connection: guards a client's flow, and servers, against those who say its id again.
         if ident in self.seen:
             return self.refuse(now, session, "flow_twice", flow=opening.ident)
         self.seen[ident] = None
-        if len(self.seen) > self.limits.ids:
+        if len(self.seen) > self.limits.max_remembered_flows:
             self.seen.popitem(last=False)
         if self.close_at is not None:
             until = min(until, self.close_at)
@@ -213,8 +217,8 @@
         session.opening, session.flow = opening, flow
         if "at" in values:
             self.counters.add("flows_handed_over")
-            self.at(now + self.limits.first_line, self.resume_unknown, session)
-            self.at(now + self.limits.resume, self.resume_late, session)
+            self.at(now + self.limits.first_line_timeout, self.resume_unknown, session)
+            self.at(now + self.limits.resume_timeout, self.resume_late, session)
             self.resume(now, session)
             return
         self.counters.add("flows_taken")
@@ -224,7 +228,7 @@
         beside = self.side.held if self.side is not None else 0
         if self.claims is not None:
             beside += len(self.claims.waiting)
-        if len(self.sessions) + beside >= self.limits.flows:
+        if len(self.sessions) + beside >= self.limits.max_flows:
             self.counters.add("flows_beyond_sockets")
             self.end(now, session, BUSY)
             return
@@ -258,9 +262,9 @@
             or server.barred
             or not self.may_act()
         ):
-            self.at(now + self.limits.resume_retry, self.resume, session)
+            self.at(now + self.limits.resume_retry_interval, self.resume, session)
             return
-        self.connect(now, session, server, 0, now + self.limits.resume)
+        self.connect(now, session, server, 0, now + self.limits.resume_timeout)
 
     def resume_unknown(self, now: int, session: Session) -> None:
         """The list would have named that server by now: guards against names made up."""
@@ -309,7 +313,7 @@
         else:
             session.leg = None
         if flow not in self.sessions:
-            self.at(now + self.limits.resume_retry, self.resume, session)
+            self.at(now + self.limits.resume_retry_interval, self.resume, session)
         elif current(self.balancer, flow.id, leg.number) is flow:
             final = session.standing
             if final:
@@ -432,8 +436,8 @@
             and server.since <= known.since
         )
         if back:
-            self.withheld[server.id] = now + self.limits.list_settles, server, address
-            self.at(now + self.limits.list_settles, self.believe, server.id)
+            self.withheld[server.id] = now + self.limits.list_convergence_time, server, address
+            self.at(now + self.limits.list_convergence_time, self.believe, server.id)
         return back
 
     def believe(self, now: int, ident: int) -> None:
@@ -497,11 +501,13 @@
                 continue
             # Who asked later has its answer: then it is this connection, and not the server that is slow.
             alone = session.leg.gauge.answered > asked_at
-            if now - asked_at > (self.limits.silence_alone if alone else self.limits.silence):
+            if now - asked_at > (
+                self.limits.single_silence_timeout if alone else self.limits.silence_timeout
+            ):
                 session.leg.asked_at = 0
                 self.counters.add("flows_silent")
                 self.balancer.on_silence(now, flow, alone)
-        self.at(now + self.limits.silence_tick, self.hear)
+        self.at(now + self.limits.silence_check_interval, self.hear)
 
     # What the module decides.
 
@@ -541,7 +547,9 @@
         gauge = self.gauges.get(server.id)
         if gauge is None:
             gauge = self.gauges[server.id] = Gauge(
-                server, max(self.limits.delay_long, self.limits.own_delay), self.limits.told_every
+                server,
+                max(self.limits.min_reported_delay, self.limits.own_delay_allowance),
+                self.limits.delay_report_interval,
             )
         flow = session.flow
         latest = (
@@ -567,7 +575,7 @@
                 "faulted" if line == FAILED else "throttled", session.opening.values["c"]
             )
         self.drivers.answer(session, line)
-        self.at(now + self.limits.linger, self.close, session)
+        self.at(now + self.limits.linger_timeout, self.close, session)
 
     def close(self, now: int, session: Session) -> None:
         self.drivers.close(session)
@@ -586,7 +594,10 @@
         before the kill."""
         if self.phase is Phase.LEAVING:
             return
-        span = min(self.limits.longest, self.limits.leave_most) + self.limits.leave_more
+        span = (
+            min(self.limits.longest_attempt_timeout, self.limits.max_leave_time)
+            + self.limits.leave_extension
+        )
         # A client moved at once would come straight back: some still come here for a while. And in a round of restarts
         # the balancer before this one is often away still, with nobody to go to.
         # One that stands beside this one is there: the longer the moves take, the less they press on anyone.
@@ -594,7 +605,7 @@
         self.depart(
             now,
             Phase.LEAVING,
-            self.limits.leave_first if beside else max(span // 2, self.limits.leave_first),
+            self.limits.min_leave_delay if beside else max(span // 2, self.limits.min_leave_delay),
             span,
         )
         self.drivers.close_door(self.close_at)
@@ -632,12 +643,14 @@
             if self.phase is Phase.LEAVING:
                 waiting = self.claims is not None and self.claims.waiting
                 self.stopped = not self.sessions and not waiting
-            self.at(now + self.limits.leave_tick, self.leave, departure)
+            self.at(now + self.limits.leave_poll_interval, self.leave, departure)
         elif standing:
             self.move(now, standing[0])
             self.at(now + (self.close_at - now) // len(standing), self.leave, departure)
         else:
-            self.at(min(now + self.limits.leave_tick, self.close_at), self.leave, departure)
+            self.at(
+                min(now + self.limits.leave_poll_interval, self.close_at), self.leave, departure
+            )
 
     def begin(self, now: int) -> None:
         """The process before this one has handed over, or has gone."""
@@ -698,7 +711,7 @@
             case "drain-on" | "drain-on-here":
                 self.drained = True
                 if self.phase is Phase.SERVING:
-                    self.depart(now, Phase.DRAINED, self.limits.drain_first, self.limits.drain_span)
+                    self.depart(now, Phase.DRAINED, self.limits.drain_delay, self.limits.drain_time)
             case "drain-off":
                 self.phase, self.close_at, self.drained = Phase.SERVING, None, False
                 self.departures += 1
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -46,7 +46,7 @@
         self.ended = False  # set by the deciding thread, which asks it at each word from here
 
     def run(self) -> None:
-        pause, again = self.limits.list_retry, False
+        pause, again = self.limits.min_list_retry_pause, False
         while not self.ended:
             if self.asked and not again:
                 self.wanted.wait()
@@ -62,13 +62,17 @@
                     log.warning(event("list_failed", why=why, version=self.registry.version))
             self.inbox.post(self.fail)
             pause = (
-                self.limits.list_retry
+                self.limits.min_list_retry_pause
                 if self.heard
-                else min(2 * pause, self.limits.list_retry_most)
+                else min(2 * pause, self.limits.max_list_retry_pause)
             )
             # A watch that fell silent has used up most of the time in which a change must be known.
             wait = (
-                0 if silent and self.heard else self.limits.list_retry_most if self.asked else pause
+                0
+                if silent and self.heard
+                else self.limits.max_list_retry_pause
+                if self.asked
+                else pause
             )
             again = not self.ended and not self.wanted.wait(
                 wait * self.jitter.uniform(0.7, 1.3) / SECOND
@@ -78,9 +82,9 @@
         self.heard = False
         # Of the way there, the request and the first word together: guards against a call begun just before discovery
         # was lost or came back, which would take a time-out for each.
-        self.due = self.inbox.clock() + self.limits.list_call
+        self.due = self.inbox.clock() + self.limits.list_call_timeout
         host = "%s:%d" % self.address
-        with dial(self.address, self.limits.list_call) as sock:
+        with dial(self.address, self.limits.list_call_timeout) as sock:
             try:
                 with self.gate:
                     if self.ended:
@@ -102,10 +106,13 @@
         return max(self.due - self.inbox.clock(), MILLISECOND) / SECOND
 
     def read(self, sock: socket.socket) -> None:
-        answer, values = ResponseParser(self.limits.line), JsonStreamParser(self.limits.list_line)
+        answer, values = (
+            ResponseParser(self.limits.max_line_bytes),
+            JsonStreamParser(self.limits.max_list_bytes),
+        )
         while not answer.complete:
             sock.settimeout(self.left())
-            data = sock.recv(self.limits.list_read)
+            data = sock.recv(self.limits.list_read_bytes)
             if not data:
                 break
             values.feed(answer.feed(data))
@@ -113,7 +120,7 @@
                 raise ProtocolError(f"HTTP status {answer.status}")
             while (value := values.next_value()) is not None:
                 # By what came whole alone: guards against bytes that trickle and make no word.
-                self.heard, self.due = True, self.inbox.clock() + self.limits.list_silence
+                self.heard, self.due = True, self.inbox.clock() + self.limits.list_silence_timeout
                 if value is not HEARTBEAT:
                     form, entries = self.registry.decode(value)
                     self.inbox.post(self.tell, form, entries, self.registry.version < self.floor)
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -214,7 +214,7 @@
     balancer.assume_retry_budget_spent(now)
     balancer.started = min(told.state["started"] + later, now)
     balancer.stale = True
-    for ident in ids[-core.limits.ids :]:
+    for ident in ids[-core.limits.max_remembered_flows :]:
         core.seen[ident] = None
     core.settle()
 
@@ -348,7 +348,7 @@
                 "known": why is None,
             }
         )
-        self.core.at(now + self.core.limits.call_beside, self.late, self.asked_last)
+        self.core.at(now + self.core.limits.handover_confirm_timeout, self.late, self.asked_last)
         return True
 
     def confirmed(self, now: int, number: int, why: str | None) -> None:
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -32,8 +32,8 @@
     def __init__(self, sock: socket.socket, inbox: Inbox, limits: Limits):
         self.sock, self.inbox, self.limits = sock, inbox, limits
         sock.settimeout(None)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
-        self.lines, self.out = LineParser(limits.list_line), SimpleQueue()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write_timeout))
+        self.lines, self.out = LineParser(limits.max_list_bytes), SimpleQueue()
         self.descriptors: list[int] = []
         self.side: Handover | None = None
 
@@ -67,7 +67,7 @@
     def message(self) -> dict | None:
         """The next one, None at the end. Raises OSError, ProtocolError."""
         while (line := self.lines.next_line()) is None:
-            data, descriptors, _, _ = socket.recv_fds(self.sock, self.limits.list_read, 4)
+            data, descriptors, _, _ = socket.recv_fds(self.sock, self.limits.list_read_bytes, 4)
             self.descriptors += descriptors
             if not data:
                 return None
@@ -126,12 +126,12 @@
         stands beside it; whatever else is in the way is said, and means a plain start."""
         if not self.folder:
             return None
-        until = self.inbox.clock() + self.limits.bind
+        until = self.inbox.clock() + self.limits.bind_timeout
         self.take_turn(until)
         while True:
             try:
                 sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                sock.settimeout(self.limits.bind / SECOND)
+                sock.settimeout(self.limits.bind_timeout / SECOND)
                 with self.path(self.file) as path:
                     sock.connect(path)
             except (FileNotFoundError, ConnectionRefusedError):
@@ -142,7 +142,7 @@
                 log.warning(event("handover_none", why=error))
                 return None
             channel = Channel(sock, self.inbox, self.limits)
-            sock.settimeout(self.limits.bind / SECOND)
+            sock.settimeout(self.limits.bind_timeout / SECOND)
             try:
                 sock.sendall(
                     json.dumps({"hello": {"version": VERSION, "name": self.name}}).encode() + b"\n"
@@ -161,7 +161,7 @@
             if self.inbox.clock() > until or not isinstance(why, str) or "version" in why:
                 log.warning(event("handover_none", why=why))
                 return None
-            time.sleep(self.limits.list_retry / SECOND)
+            time.sleep(self.limits.min_list_retry_pause / SECOND)
 
     def take_turn(self, until: int) -> None:
         """One process at a time looks for another. Guards against two that start in the same moment: neither would find the
@@ -186,7 +186,7 @@
                     log.warning(event("handover_turn_none", why=error))
                     os.close(turn)
                     return
-            time.sleep(self.limits.list_retry / SECOND)
+            time.sleep(self.limits.min_list_retry_pause / SECOND)
 
     def end_turn(self) -> None:
         if self.turn is not None:
@@ -227,7 +227,7 @@
                 sock, _ = self.sock.accept()
             except OSError as error:
                 log.warning(event("handover_accept_failed", why=error))
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             try:
                 self.greet(Channel(sock, self.inbox, self.limits), side)
@@ -236,7 +236,7 @@
                 sock.close()
 
     def greet(self, channel: Channel, side: Handover) -> None:
-        channel.sock.settimeout(self.limits.list_retry / SECOND)
+        channel.sock.settimeout(self.limits.min_list_retry_pause / SECOND)
         hello = (channel.message() or {}).get("hello")
         channel.sock.settimeout(None)
         if (
--- a/cypresswalk/net/link.py
+++ b/cypresswalk/net/link.py
@@ -43,7 +43,7 @@
         self.done = Event()  # its reader has come to the end
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write_timeout))
 
     def read_within(self, span: int) -> None:
         """From the next read on; 0 for no limit."""
@@ -117,5 +117,5 @@
         other.abort()
         return
     other.shut(socket.SHUT_WR)
-    if not other.done.wait(limits.linger / SECOND):
+    if not other.done.wait(limits.linger_timeout / SECOND):
         other.shut(socket.SHUT_RDWR)
--- a/cypresswalk/net/parsers/load_reports.py
+++ b/cypresswalk/net/parsers/load_reports.py
@@ -62,9 +62,9 @@
         """
         self.delays = delays
         self._loads = loads
-        self._interval = limits.told_every
-        self._jitter = limits.told_jitter
-        self._longest_delay = limits.longest
+        self._interval = limits.delay_report_interval
+        self._jitter = limits.delay_report_jitter
+        self._longest_delay = limits.longest_attempt_timeout
         self._smallest_first_load = math.inf  # of any connection
         self._lock = Lock()  # each server connection has a thread that parses
 
--- a/cypresswalk/net/peers.py
+++ b/cypresswalk/net/peers.py
@@ -31,7 +31,7 @@
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         if shared:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            self.sock.settimeout(limits.accept_pause / SECOND)
+            self.sock.settimeout(limits.accept_retry_pause / SECOND)
         if sock is None:
             self.sock.bind(listen)
 
@@ -46,12 +46,12 @@
     def run(self) -> None:
         while self.reading:
             try:
-                message, _ = self.sock.recvfrom(self.limits.hint)
+                message, _ = self.sock.recvfrom(self.limits.max_gossip_bytes)
             except TimeoutError:
                 continue
             except OSError as error:
                 # Such as the answer to one that was sent to a balancer that is away.
                 log.debug(event("hint_lost", why=error))
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             self.inbox.post(self.core.hint, message)
--- a/cypresswalk/net/probes.py
+++ b/cypresswalk/net/probes.py
@@ -19,7 +19,7 @@
         self.core, self.inbox, self.limits, self.fields = core, inbox, limits, fields
         self.kept: dict[Server, tuple[Address, socket.socket]] = {}
         self.using = Lock()
-        self.places = Semaphore(limits.probes_out)
+        self.places = Semaphore(limits.max_running_health_checks)
 
     def probe(self, server: Server, address: Address) -> None:
         with self.using:
@@ -44,7 +44,7 @@
 
     def run(self, server: Server, address: Address) -> None:
         passed, load = False, []
-        until = self.inbox.clock() + self.limits.probe
+        until = self.inbox.clock() + self.limits.health_check_timeout
         with self.using:
             kept_address, sock = self.kept.pop(server, (None, None))
         if sock is not None and kept_address != address:
@@ -69,7 +69,7 @@
             # Whatever went wrong, the module hears: a probe without an end would be the last of its server.
             self.inbox.post(self.core.probed, server, passed, load)
             with self.using:
-                if passed and len(self.kept) < self.limits.kept_probes:
+                if passed and len(self.kept) < self.limits.max_idle_health_checks:
                     self.kept[server] = address, sock
                 elif sock is not None:
                     sock.close()
@@ -81,12 +81,12 @@
         return left
 
     def ask(self, sock: socket.socket, until: int) -> tuple[bool, list[float]]:
-        lines = LineParser(self.limits.line)
+        lines = LineParser(self.limits.max_line_bytes)
         sock.settimeout(self.left(until) / SECOND)
         sock.sendall(b"STATS\r\n" if self.fields else b"PING\r\n")
         while (line := lines.next_line()) is None:
             sock.settimeout(self.left(until) / SECOND)
-            data = sock.recv(self.limits.line)
+            data = sock.recv(self.limits.max_line_bytes)
             if not data:
                 raise ConnectionResetError
             lines.feed(data)
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -46,7 +46,7 @@
         self.leg, self.address, self.opening = leg, address, line
         self.core, self.inbox, self.limits = core, inbox, limits
         self.client, self.told = leg.session.link, LoadReportHistory()
-        self.lines = LineParser(limits.line)
+        self.lines = LineParser(limits.max_line_bytes)
         self.link: Link | None = None
         self.sending = (
             Lock()
@@ -58,7 +58,7 @@
 
     def run(self) -> None:
         # Guards the list's descriptor, and others', against dials that were dropped and still wait.
-        if not self.places.acquire(timeout=self.limits.dial / SECOND):
+        if not self.places.acquire(timeout=self.limits.dial_timeout / SECOND):
             self.end(Outcome.MOOT)
             return
         try:
@@ -107,7 +107,7 @@
             return None
         began = self.inbox.clock()
         try:
-            sock = dial(self.address, self.limits.dial)
+            sock = dial(self.address, self.limits.dial_timeout)
         except OSError as error:
             # Short of what this machine has: no word on the server.
             self.end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
@@ -140,7 +140,7 @@
     def first_line(self) -> bytes | None:
         try:
             while (line := self.lines.next_line()) is None:
-                data = self.link.sock.recv(self.limits.line)
+                data = self.link.sock.recv(self.limits.max_line_bytes)
                 if not data:
                     return None
                 self.lines.feed(data)
@@ -155,7 +155,7 @@
             taken = self.say(first + b"\r\n" + last)
             self.answered(last)
             self.client.flush()
-            while taken and (data := self.link.sock.recv(self.limits.line)):
+            while taken and (data := self.link.sock.recv(self.limits.max_line_bytes)):
                 self.lines.feed(data)
                 data = self.lines.take_complete_lines()
                 if data:
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -51,7 +51,9 @@
         self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
         asked = config.settings.list_polled
         self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
-        self.places = threading.Semaphore(self.limits.flows + self.limits.links_over)
+        self.places = threading.Semaphore(
+            self.limits.max_flows + self.limits.max_lingering_connections
+        )
         self.prober = Prober(self.core, self.inbox, self.limits, config.load_fields)
         self.peers, self.admin, self.beside, sockets = None, None, None, []
         if shared := config.admin_address is not None:
@@ -131,7 +133,7 @@
             self.elder.start(self.core.side)
         else:
             self.accept()
-        start_thread(self.watch.run, pause, self.limits.list_stack)
+        start_thread(self.watch.run, pause, self.limits.list_thread_stack)
         if self.admin is not None:
             start_thread(self.admin.run, pause)
         if self.keeper is not None:
@@ -141,7 +143,7 @@
             due = core.next_due()
             wait = SECOND if due is None else due - self.clock()
             if core.stopped:
-                wait = min(wait, self.limits.leave_tick)
+                wait = min(wait, self.limits.leave_poll_interval)
             try:
                 item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
                 # All that waits now, and no more: a flood of events must not keep decisions waiting.
@@ -169,7 +171,7 @@
         had time to read it. Guards clients that come in the last moments against being taken and never answered."""
         if not self.core.stopped:
             return False
-        self.ends_at = self.ends_at or self.clock() + self.limits.leave_end
+        self.ends_at = self.ends_at or self.clock() + self.limits.leave_read_time
         if self.listener.closed:
             self.listener.send_off_silent()
         return (
@@ -195,7 +197,7 @@
 
     def reload(self, now: int) -> None:
         self.reloads += 1
-        self.reload_until(now, self.reloads, now + self.limits.reload_again)
+        self.reload_until(now, self.reloads, now + self.limits.reload_retry_time)
 
     def reload_until(self, now: int, number: int, until: int) -> None:
         """The list comes from where the file says now; what runs stays. A file that can't be used is looked at again for a
@@ -206,7 +208,9 @@
             discovery = read_discovery_address(self.path)
         except ConfigError as error:
             if now < until:
-                self.core.at(now + self.limits.list_retry, self.reload_until, number, until)
+                self.core.at(
+                    now + self.limits.min_list_retry_pause, self.reload_until, number, until
+                )
             else:
                 log.error(event("reload_failed", why=error))
             return
@@ -227,7 +231,7 @@
             max(old.floor, old.registry.version),
         )
         new.call()  # what the module has asked for it has asked of any address
-        start_thread(new.run, self.limits.fault_pause, self.limits.list_stack)
+        start_thread(new.run, self.limits.fault_pause, self.limits.list_thread_stack)
         self.watch = new
         old.end()
 
@@ -337,9 +341,9 @@
     except ConfigError as error:
         print(f"cypresswalk: {error}", file=sys.stderr)
         return 1
-    logs.start(config.name, config.limits.log_lines)
+    logs.start(config.name, config.limits.max_log_lines)
     sys.setswitchinterval(SWITCH_INTERVAL)
-    threading.stack_size(config.limits.stack)
+    threading.stack_size(config.limits.thread_stack)
     try:
         program = made(config, policy, core)
         if operator := os.environ.get("PROXY_OPERATOR"):
@@ -358,8 +362,8 @@
             "start",
             listen="%s:%d" % config.listen,
             servers=len(program.core.balancer.servers),
-            sockets=config.limits.sockets,
-            flows=config.limits.flows,
+            sockets=config.limits.max_sockets,
+            flows=config.limits.max_flows,
         )
     )
     program.run()
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -87,7 +87,7 @@
         found = list(recovery.ids())
         believed = set(found)
         self.ids.extend((ident, at) for ident, at in kept.ids if ident in believed)
-        for ident in found[-self.core.limits.ids :]:
+        for ident in found[-self.core.limits.max_remembered_flows :]:
             self.core.seen[ident] = None
         log.info(
             event(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -35,7 +35,13 @@
 from cypresswalk.net.servers import ServerLink
 from cypresswalk.service.program import Program
 
-LIMITS = Limits(sockets=256, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1)
+LIMITS = Limits(
+    max_sockets=256,
+    max_memory=192 << 20,
+    dial_timeout=SECOND,
+    longest_attempt_timeout=SECOND,
+    min_reported_delay=1,
+)
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 
@@ -186,9 +192,12 @@
 def test_one_budget_covers_silence_and_any_failed_call():
     # A watch that falls silent right after its beat is found out, and a call at once told; so is a change after a call that
     # was begun just before discovery was back, the longest pause after it included.
-    assert LIMITS.list_silence + LIMITS.list_call <= LIMITS.list_told
-    assert 2 * LIMITS.list_call + LIMITS.list_retry_most * 13 // 10 <= LIMITS.list_told
-    assert LIMITS.list_silence > 2 * 2 * SECOND  # two beats
+    assert LIMITS.list_silence_timeout + LIMITS.list_call_timeout <= LIMITS.list_update_budget
+    assert (
+        2 * LIMITS.list_call_timeout + LIMITS.max_list_retry_pause * 13 // 10
+        <= LIMITS.list_update_budget
+    )
+    assert LIMITS.list_silence_timeout > 2 * 2 * SECOND  # two beats
 
 
 @pytest.mark.parametrize("asked", [False, True])
@@ -231,7 +240,7 @@
     watching.watch.fail = lambda now: failed.set()
     watching.start()
     until_true(lambda: (watching.turn(), failed.is_set())[1])
-    assert time.monotonic() - began < LIMITS.list_call / SECOND + 0.5
+    assert time.monotonic() - began < LIMITS.list_call_timeout / SECOND + 0.5
     watching.watch.end()
     for sock in [*waiting, full]:
         sock.close()
@@ -400,7 +409,7 @@
 
 def test_a_connect_for_which_there_is_no_place_is_known_not_to_have_run(monkeypatch):
     crossing = Leaving(monkeypatch)
-    crossing.link.limits = replace(crossing.limits, dial=50 * MILLISECOND)
+    crossing.link.limits = replace(crossing.limits, dial_timeout=50 * MILLISECOND)
     assert crossing.link.places.acquire(blocking=False)
     crossing.run()
     assert crossing.posted() == [("ended", Outcome.MOOT)] and not crossing.began.is_set()
@@ -413,7 +422,7 @@
     """One connect to a server, its dial held by the test, and nobody who decides: what threads say stays in the queue."""
 
     def __init__(self, monkeypatch, effect=Effect.IDEMPOTENT):
-        self.inbox, self.limits = Inbox(Clock()), replace(LIMITS, dial=SECOND)
+        self.inbox, self.limits = Inbox(Clock()), replace(LIMITS, dial_timeout=SECOND)
         self.core = Core(
             build({}, config_data([listed("s-0")])), None, Counters(), self.inbox.clock()
         )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -135,7 +135,7 @@
 
 def test_what_both_hold_stays_within_what_one_may_hold():
     elder = Process(sockets=64)
-    most = elder.core.limits.flows
+    most = elder.core.limits.max_flows
     stand(elder, most, 0)
     younger = Process(elder, sockets=64)
     younger.settle()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -35,7 +35,11 @@
 
 
 LIMITS = Limits(
-    sockets=100, memory=192 << 20, dial=SECOND, longest=3 * SECOND, delay_long=SECOND // 60
+    max_sockets=100,
+    max_memory=192 << 20,
+    dial_timeout=SECOND,
+    longest_attempt_timeout=3 * SECOND,
+    min_reported_delay=SECOND // 60,
 )
 
 
@@ -274,23 +278,39 @@
 def test_limits_follow_from_what_descriptors_there_are():
     for sockets in (256, 588, 1024):
         limits = Limits(
-            sockets=sockets, memory=192 << 20, dial=SECOND, longest=SECOND, delay_long=1
+            max_sockets=sockets,
+            max_memory=192 << 20,
+            dial_timeout=SECOND,
+            longest_attempt_timeout=SECOND,
+            min_reported_delay=1,
         )
         # A third of them for flows' clients, as many for their servers; door, probes and the rest within what is left.
-        assert limits.flows >= sockets // 3
-        assert 2 * limits.flows + limits.at_door + limits.kept_probes + 10 <= sockets
+        assert limits.max_flows >= sockets // 3
         assert (
-            2 * limits.flows
-            + limits.at_door
-            + limits.links_over
-            + limits.kept_probes
-            + limits.probes_out
-            + limits.fixed
+            2 * limits.max_flows + limits.max_unopened_clients + limits.max_idle_health_checks + 10
+            <= sockets
+        )
+        assert (
+            2 * limits.max_flows
+            + limits.max_unopened_clients
+            + limits.max_lingering_connections
+            + limits.max_idle_health_checks
+            + limits.max_running_health_checks
+            + limits.fixed_sockets
             <= sockets
         )
     # Guards against being killed for memory: there flows are rejected before it is used up.
-    short = Limits(sockets=1024, memory=32 << 20, dial=SECOND, longest=SECOND, delay_long=1)
-    assert short.flows * short.flow + short.program <= short.memory and short.flows > 150
+    short = Limits(
+        max_sockets=1024,
+        max_memory=32 << 20,
+        dial_timeout=SECOND,
+        longest_attempt_timeout=SECOND,
+        min_reported_delay=1,
+    )
+    assert (
+        short.max_flows * short.flow_memory + short.program_memory <= short.max_memory
+        and short.max_flows > 150
+    )
 
 
 def test_an_older_list_from_another_address_does_not_bring_back_a_draining_server_at_once():
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -24,7 +24,11 @@
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 LIMITS = Limits(
-    sockets=100, memory=192 << 20, dial=SECOND, longest=3 * SECOND, delay_long=SECOND // 60
+    max_sockets=100,
+    max_memory=192 << 20,
+    dial_timeout=SECOND,
+    longest_attempt_timeout=3 * SECOND,
+    min_reported_delay=SECOND // 60,
 )
 CUTS = st.lists(st.integers(1, 9), min_size=1, max_size=60)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -285,7 +285,11 @@
         self.balancer.on_endpoints(
             self.now, EndpointUpdate.CACHED, [e for e in entries(servers, since=since)]
         )
-        self.counters, self.seen, self.limits = Counters(), {}, SimpleNamespace(ids=8192)
+        self.counters, self.seen, self.limits = (
+            Counters(),
+            {},
+            SimpleNamespace(max_remembered_flows=8192),
+        )
         self.registry = SimpleNamespace(version=more.pop("version", 5))
         self.keeper = SnapshotWriter(
             str(folder), 1, self, self, self.registry, name, more.pop("address", "a:1")
