--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -21,7 +21,7 @@
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, Result, ServerReport
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
 from cypresswalk.fleet.transport import STACK, Answers, Transport
-from cypresswalk.net.inbox import start_thread
+from cypresswalk.net.threads import start_thread
 from cypresswalk.operator import FleetTable
 from cypresswalk.state.disk import DiskFolder, FolderLockedError
 
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -22,8 +22,8 @@
     Result,
     pack,
 )
-from cypresswalk.net.inbox import start_thread
-from cypresswalk.net.link import dial, timeval
+from cypresswalk.net.connection import dial, timeval
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
--- a/cypresswalk/net/__init__.py
+++ b/cypresswalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: the decision module on blocking sockets."""
+"""The balancer on blocking sockets: drivers, and the core that joins them to the decisions."""
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -9,13 +9,14 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
+from cypresswalk.net.connection import Connection
 from cypresswalk.net.core import Core
 from cypresswalk.net.errors import ProtocolError
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.link import Link
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.admin_commands import AdminCommandParser
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +26,9 @@
         """Raises OSError where nobody may listen there."""
         self.core, self.inbox, self.limits = core, inbox, limits
         self.sock = socket.create_server(address, backlog=limits.accept_backlog)
-        self.waiting: dict[Link, None] = {}  # callers whose line is not whole, the oldest first
+        self.waiting: dict[
+            Connection, None
+        ] = {}  # callers whose line is not whole, the oldest first
         self.calling = 0  # callers that hold a descriptor
         self.using = Lock()
 
@@ -38,7 +41,7 @@
                 time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             try:
-                link = Link(sock, self.limits)
+                link = Connection(sock, self.limits)
                 with self.using:
                     self.calling += 1
                     self.waiting[link] = None
@@ -59,14 +62,14 @@
             if late is not None:
                 del self.waiting[late]
         if late is not None:
-            late.shut(socket.SHUT_RD)
+            late.shutdown(socket.SHUT_RD)
 
-    def serve(self, link: Link) -> None:
+    def serve(self, link: Connection) -> None:
         try:
             answer = self.answer(link)
             if answer:
-                link.send_now(answer)
-                link.shut(socket.SHUT_WR)
+                link.send_nowait(answer)
+                link.shutdown(socket.SHUT_WR)
                 self.drain(link)
         except OSError:
             pass  # the caller is gone
@@ -76,7 +79,7 @@
                 self.calling -= 1
             link.close()
 
-    def answer(self, link: Link) -> bytes:
+    def answer(self, link: Connection) -> bytes:
         """Nothing for a caller that left without a word."""
         caller, until, said = (
             AdminCommandParser(self.limits.max_line_bytes),
@@ -85,7 +88,7 @@
         )
         try:
             while True:
-                link.read_within(max(until - self.inbox.clock(), MILLISECOND))
+                link.set_read_timeout(max(until - self.inbox.clock(), MILLISECOND))
                 try:
                     data = link.sock.recv(self.limits.max_line_bytes)
                 except BlockingIOError:
@@ -103,18 +106,18 @@
             return refusal(str(error))
         with self.using:
             self.waiting.pop(link, None)
-        self.inbox.first(self.core.called, call)
+        self.inbox.post_urgent(self.core.called, call)
         answer = call.wait(self.limits.admin_call_timeout)
         if answer is None:
             self.core.counters.add("calls_late")
             return refusal("busy; nothing was done")
         return answer
 
-    def drain(self, link: Link) -> None:
+    def drain(self, link: Connection) -> None:
         """Closing with something unread would take the answer back as a reset."""
         until, left = self.inbox.clock() + self.limits.idle_grace, self.limits.max_drained_bytes
         while left > 0 and (wait := until - self.inbox.clock()) > 0:
-            link.read_within(max(wait, MILLISECOND))
+            link.set_read_timeout(max(wait, MILLISECOND))
             data = link.sock.recv(self.limits.max_line_bytes)
             if not data:
                 return
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -1,26 +1,32 @@
-"""Accepts clients, reads their first lines and passes on what they say."""
+"""Connections of clients: their first line, the relaying of the others, and their end."""
 
 import logging
 import socket
 import time
-from itertools import islice
-from threading import Lock, Semaphore
+from threading import Lock
 
 from cypresswalk.model import SECOND
-from cypresswalk.net.config import Address
+from cypresswalk.net.connection import Connection, forward_end
 from cypresswalk.net.core import BUSY, FAILED, Core, Session
 from cypresswalk.net.errors import ProtocolError
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.link import Link, pass_end_on
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.lines import LineParser, OpenRequest, parse_open_request
+from cypresswalk.net.relay import Relay
 
 log = logging.getLogger(__name__)
 
 
-class Client:
-    """One client's connection; its thread runs `run`."""
+class ClientConnection:
+    """One client's connection; a thread of its own runs `run`, from accepting to closing it.
+
+    Attributes:
+        link: The connection.
+        session: The core's view of it.
+        accepted_at: When it was accepted, in nanoseconds.
+        relay: To the server, once the core has joined the two.
+    """
 
     def __init__(
         self,
@@ -28,261 +34,180 @@
         core: Core,
         inbox: Inbox,
         limits: Limits,
-        silent: "dict[Client, None]",
+        unopened: "dict[ClientConnection, None]",
     ):
-        self.silent = silent  # those at the door that have not said their line
-        self.link, self.core, self.inbox, self.limits = Link(sock, limits), core, inbox, limits
+        """Takes over an accepted socket.
+
+        Args:
+            sock: The socket.
+            core: Is told what happens.
+            inbox: Of the deciding thread.
+            limits: Sizes and times.
+            unopened: The listener's clients that have not sent their first line.
+
+        Raises:
+            OSError: The connection has failed already.
+        """
+        self.link = Connection(sock, limits)
+        self.core = core
+        self.inbox = inbox
+        self.limits = limits
         self.session = Session(self)
-        self.since, self.opened, self.unwanted = inbox.clock(), False, False
-        self.lines, self.passing = LineParser(limits.max_line_bytes), Lock()
-        self.server = None  # the ServerLink, once lines pass
+        self.accepted_at = inbox.clock()
+        self.relay: Relay | None = None
+        self._unopened = unopened
+        self._opened = False  # its first line is complete
+        self._dismissed = False  # its place is needed by others
+        self._lines = LineParser(limits.max_line_bytes)
+        # Held while lines are parsed and forwarded, and while the first two states above change.
+        self._lock = Lock()
 
     def run(self) -> None:
-        reset = odd = False
+        """Reads the connection up to its end, ends the server's side likewise and closes it."""
+        reset = malformed = False
         try:
-            first = self.first()
-            if first is not None:
-                self.inbox.post(self.core.opened, self.session, first)
-                self.pass_lines()
+            request = self._receive_open_request()
+            if request is not None:
+                self.inbox.post(self.core.opened, self.session, request)
+                self._forward_lines()
         except ProtocolError as error:
-            log.warning(event("client_odd", why=error))
+            log.warning(event("client_invalid", reason=error))
             self.core.counters.add("clients_odd")
-            odd = True
+            malformed = True
         except OSError:
             reset = True
         finally:
-            self.link.done.set()
-            if self.opened:
-                self.inbox.post(
-                    self.core.impatient if odd and self.server is None else self.core.left,
-                    self.session,
-                )
-            elif odd:
-                # Nothing was sent on for it: to one that was only in the way, coming again does no harm.
-                self.link.send_now(BUSY if self.unwanted else FAILED)
-                if not self.unwanted:  # with both ways shut the kernel resets what still comes
-                    self.link.shut(socket.SHUT_WR)
-            if self.server is not None:
-                pass_end_on(reset, self.server.link, self.limits)
-            elif odd:
-                self.drain()
-            self.link.close()
-
-    def first(self) -> OpenRequest | None:
-        """Answers PINGs up to the line that opens a flow; None if the client ends before that."""
-        until = self.since + self.limits.first_line_timeout
+            self._end(reset, malformed)
+
+    def _end(self, reset: bool, malformed: bool) -> None:
+        self.link.reader_done.set()
+        if self._opened:
+            unanswered = malformed and self.relay is None
+            self.inbox.post(self.core.impatient if unanswered else self.core.left, self.session)
+        elif malformed:
+            # Nothing was sent to a server: a client that is only in the way may come again.
+            self.link.send_nowait(BUSY if self._dismissed else FAILED)
+            # Reading of a dismissed one is shut down already; with both directions shut down the
+            # kernel would answer what still arrives with a reset.
+            if not self._dismissed:
+                self.link.shutdown(socket.SHUT_WR)
+        if self.relay is not None:
+            forward_end(reset, self.relay.server, self.limits)
+        elif malformed:
+            self._drain()
+        self.link.close()
+
+    def _receive_open_request(self) -> OpenRequest | None:
+        """Answers PINGs up to the request; None if the client ends before that."""
+        deadline = self.accepted_at + self.limits.first_line_timeout
         while True:
-            line = self.lines.next_line()
+            line = self._lines.next_line()
             if line is None:
-                # Of the time for the whole line: guards against one that sends a byte now and then.
-                self.link.read_within(max(until - self.inbox.clock(), MILLISECOND))
-                try:
-                    data = self.link.sock.recv(self.limits.max_line_bytes)
-                except BlockingIOError:
-                    raise ProtocolError("no first line in time") from None
-                if not data:
-                    if self.unwanted:
-                        raise ProtocolError("no first line while others wait")
+                if not self._receive_before_open(deadline):
                     return None
-                self.lines.feed(data)
-            elif len(self.lines.buffer):
-                # A client waits for its answer: guards against commands by the hundred.
+            elif len(self._lines.buffer):
+                # A client waits for its answer, so that commands do not come by the hundred.
                 raise ProtocolError("more than one line at once")
             elif line == b"PING":
-                self.link.send(b"PONG\r\n" if self.core.ready and self.core.may_act() else FAILED)
+                able = self.core.ready and self.core.may_act()
+                self.link.send(b"PONG\r\n" if able else FAILED)
             else:
-                first = parse_open_request(line)
-                with self.passing:
-                    if self.unwanted:
-                        raise ProtocolError("the first line came when its place was given away")
-                    self.opened = True
-                self.silent.pop(self, None)
-                self.link.read_within(0)
-                return first
+                return self._open(line)
+
+    def _receive_before_open(self, deadline: int) -> bool:
+        """Reads more of the first line; False if the client has ended.
 
-    def send_off(self) -> bool:
-        """Its place is needed. Its thread finds an end and answers; what came just then gets a reject, not an end alone.
-        Whoever has spoken stays: its thread may be late."""
-        if not self.passing.acquire(blocking=False):
-            return False  # it has spoken; its thread may be writing to a server that reads nothing
+        The deadline is that of the whole line, however its bytes trickle in.
+        """
+        self.link.set_read_timeout(max(deadline - self.inbox.clock(), MILLISECOND))
+        try:
+            data = self.link.sock.recv(self.limits.max_line_bytes)
+        except BlockingIOError as error:
+            raise ProtocolError("no first line in time") from error
+        if data:
+            self._lines.feed(data)
+            return True
+        if self._dismissed:
+            raise ProtocolError("no first line while others wait")
+        return False
+
+    def _open(self, line: bytes) -> OpenRequest:
+        request = parse_open_request(line)
+        with self._lock:
+            if self._dismissed:
+                raise ProtocolError("the first line came when its place was given away")
+            self._opened = True
+        self._unopened.pop(self, None)
+        self.link.set_read_timeout(0)
+        return request
+
+    def dismiss(self) -> bool:
+        """Ends a client that has sent nothing, whose place is needed; returns whether it did.
+
+        Its own thread finds an end of stream and answers, so that a first line that crosses with
+        this gets a reject. A client whose line has arrived stays.
+        """
+        # Its thread holds the lock only after the first line, perhaps for long.
+        if not self._lock.acquire(blocking=False):
+            return False
         try:
-            if self.opened or self.unwanted or self.link.has_come():
+            if self._opened or self._dismissed or self.link.is_readable():
                 return False
-            self.unwanted = True
-            self.link.shut(socket.SHUT_RD)
+            self._dismissed = True
+            self.link.shutdown(socket.SHUT_RD)
             return True
         finally:
-            self.passing.release()
+            self._lock.release()
 
-    def drain(self) -> None:
-        """What still comes is read before the end, not much and not long: closing on it would take the answer back."""
-        # One that was sent off must make room soon; its line may be on its way all the same.
-        until = self.inbox.clock() + (
-            self.limits.idle_grace if self.unwanted else self.limits.linger_timeout
-        )
-        left = self.limits.max_drained_bytes
+    def _drain(self) -> None:
+        """Reads what still arrives, not much and not for long.
+
+        Closing with something unread would take the answer back as a reset.
+        """
+        # A dismissed one must make room soon; its line may be on its way all the same.
+        duration = self.limits.idle_grace if self._dismissed else self.limits.linger_timeout
+        deadline = self.inbox.clock() + duration
+        remaining_bytes = self.limits.max_drained_bytes
         try:
-            while (wait := until - self.inbox.clock()) > 0:
-                self.link.read_within(max(wait, MILLISECOND))
-                if left <= 0:
+            while (wait := deadline - self.inbox.clock()) > 0:
+                self.link.set_read_timeout(max(wait, MILLISECOND))
+                if remaining_bytes <= 0:
                     time.sleep(wait / SECOND)
                     return
                 data = self.link.sock.recv(self.limits.max_line_bytes)
                 if data:
-                    left -= len(data)
-                elif self.unwanted and not self.link.other_end_closed():
-                    # Since `send_off` a read finds an end at once. Guards against taking that for the client's: its
-                    # line came next, met a closed socket, and the reset took the answer back.
+                    remaining_bytes -= len(data)
+                elif self._dismissed and not self.link.peer_closed():
+                    # After `dismiss` a read finds an end at once, though the client has not ended.
                     time.sleep(self.limits.drain_poll_interval / SECOND)
                 else:
                     return
         except OSError:
             pass
 
-    def gone(self) -> bool:
-        """Whether its end has come, read by its thread or not."""
-        return self.link.done.is_set() or self.link.end_has_come()
+    def has_ended(self) -> bool:
+        """Returns whether its end has arrived, read by its thread or not."""
+        return self.link.reader_done.is_set() or self.link.has_ended()
 
-    def pass_lines(self) -> None:
+    def _forward_lines(self) -> None:
         while data := self.link.sock.recv(self.limits.max_line_bytes):
-            with self.passing:
-                self.lines.feed(data)
+            with self._lock:
+                self._lines.feed(data)
             self.flush()
 
     def flush(self) -> None:
-        """Whole lines to the server, once there is one. Nothing may come before the answer."""
-        server = self.server
-        with self.passing:
-            if server is None:
-                if len(self.lines.buffer):
+        """Forwards complete lines to the server, once there is one.
+
+        Raises:
+            ProtocolError: There is none yet, and something came before the answer.
+            OSError: The server's connection has failed.
+        """
+        relay = self.relay
+        with self._lock:
+            if relay is None:
+                if len(self._lines.buffer):
                     raise ProtocolError("more than one line before the answer")
                 return
-            data = self.lines.take_complete_lines()
+            data = self._lines.take_complete_lines()
             if data:
-                server.asked(data)
-
-
-class Listener:
-    def __init__(
-        self,
-        address: Address,
-        core: Core,
-        inbox: Inbox,
-        limits: Limits,
-        shared: bool = False,
-        sock: socket.socket | None = None,
-    ):
-        """`shared`: another process may accept at the same address, and `sock` may be the socket that it passed on."""
-        self.core, self.inbox, self.limits, self.shared = core, inbox, limits, shared
-        self.taking = True  # cleared where the other process accepts in this one's place
-        # Clients beyond wait in the backlog. Guards against running out of descriptors in mid-flow.
-        self.room = Semaphore(limits.max_flows + limits.max_unopened_clients)
-        self.clients: dict[Client, None] = {}
-        self.silent: dict[Client, None] = {}  # the oldest first
-        self.ends_at: int | None = None  # the door shuts then, for good
-        self.closed = False
-        self.sock = sock or self.listen(address)
-
-    def listen(self, address: Address) -> socket.socket:
-        until = self.inbox.clock() + self.limits.bind_timeout
-        while True:
-            try:
-                return socket.create_server(
-                    address, backlog=self.limits.accept_backlog, reuse_port=self.shared
-                )
-            except OSError:
-                if self.inbox.clock() > until:
-                    raise
-                time.sleep(self.limits.accept_retry_pause / SECOND)
-
-    def make_room(self) -> bool:
-        """Guards against clients that say nothing and keep others out: the oldest of them go. False once the door shuts."""
-        while not self.room.acquire(timeout=self.limits.accept_retry_pause / SECOND):
-            self.clear_door(len(self.silent))
-            if self.left() <= 0:
-                return False
-        return True
-
-    def left(self) -> int:
-        """How long to wait for a client before a look at whether to go on."""
-        wait = self.limits.accept_retry_pause if self.shared else self.limits.accept_poll_interval
-        return wait if self.ends_at is None else min(self.ends_at - self.inbox.clock(), wait)
-
-    def clear_door(self, most: int) -> None:
-        latest = self.inbox.clock() - self.limits.idle_grace
-        for client in list(islice(self.silent, most)):
-            if client.since < latest and client.send_off():
-                self.core.counters.add("clients_idle")
-
-    def run(self) -> None:
-        while self.taking and self.left() > 0:
-            if not self.make_room():
-                break
-            self.sock.settimeout(max(self.left(), MILLISECOND) / SECOND)
-            try:
-                sock, _ = self.sock.accept()
-            except TimeoutError:
-                self.room.release()
-                continue
-            except OSError as error:
-                # Descriptors may run short all the same: others close in time.
-                self.room.release()
-                log.warning(event("accept_failed", why=error))
-                time.sleep(self.limits.accept_retry_pause / SECOND)
-                continue
-            self.take(sock)
-            if len(self.silent) > self.limits.max_unopened_clients:
-                self.clear_door(len(self.silent) - self.limits.max_unopened_clients)
-        if self.taking:
-            self.shut()
-        self.closed = True
-
-    def take(self, sock: socket.socket) -> None:
-        """In a place that is held for it."""
-        self.core.counters.add("clients")
-        try:
-            client = Client(sock, self.core, self.inbox, self.limits, self.silent)
-            start_thread(lambda client=client: self.serve(client))
-        except (OSError, RuntimeError) as error:
-            log.error(event("client_not_served", why=error))
-            sock.close()
-            self.room.release()
-
-    def send_off_silent(self) -> None:
-        """Nobody waits for those that stand at the door and say nothing: they are told no."""
-        for client in list(self.silent):
-            client.send_off()
-
-    def shut(self) -> None:
-        """Guards those that the machine has accepted against a reset in place of an answer."""
-        self.sock.setblocking(False)
-        while True:
-            try:
-                sock, _ = self.sock.accept()
-            except OSError:
-                break
-            if self.room.acquire(blocking=False):
-                self.take(sock)
-            else:
-                self.turn_away(sock)
-        self.sock.close()
-
-    def turn_away(self, sock: socket.socket) -> None:
-        """With no place left for it; what it has said by now is read, or the answer would be taken back."""
-        try:
-            sock.setblocking(False)
-            sock.send(BUSY)
-            sock.shutdown(socket.SHUT_WR)
-            sock.recv(self.limits.max_line_bytes)
-        except OSError:
-            pass
-        sock.close()
-
-    def serve(self, client: Client) -> None:
-        self.clients[client] = self.silent[client] = None
-        try:
-            client.run()
-        finally:
-            self.clients.pop(client, None)
-            self.silent.pop(client, None)
-            self.room.release()
+                relay.forward_to_server(data)
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -13,14 +13,15 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
+from cypresswalk.net.connection import timeval
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.handover import VERSION, Handover
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.link import timeval
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import stable_hash
 from cypresswalk.net.parsers.lines import LineParser
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 PATH_MOST = 100  # bytes: a Unix socket's path may have 107
@@ -83,11 +84,11 @@
     def read(self) -> None:
         try:
             while (message := self.message()) is not None:
-                self.inbox.first(self.side.heard, self, message)
+                self.inbox.post_urgent(self.side.heard, self, message)
         except (OSError, ProtocolError) as error:
             log.warning(event("beside_lost", why=error))
         finally:
-            self.inbox.first(self.side.parted, self)
+            self.inbox.post_urgent(self.side.parted, self)
             self.close()
 
 
@@ -247,4 +248,4 @@
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
         channel.start(side)
-        self.inbox.first(side.hello, channel)
+        self.inbox.post_urgent(side.hello, channel)
--- /dev/null
+++ b/cypresswalk/net/health_checks.py
@@ -0,0 +1,146 @@
+"""Health checks of servers."""
+
+import socket
+from threading import Lock, Semaphore
+from typing import NamedTuple
+
+from cypresswalk.model import SECOND, Server, ServerState
+from cypresswalk.net.config import Address
+from cypresswalk.net.connection import dial, receive_line
+from cypresswalk.net.core import Core
+from cypresswalk.net.errors import ProtocolError
+from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.limits import Limits
+from cypresswalk.net.parsers.lines import LineParser
+from cypresswalk.net.parsers.load_reports import parse_load_fields
+from cypresswalk.net.threads import start_thread
+
+
+class HealthCheckAnswer(NamedTuple):
+    """A server's answer to a health check.
+
+    Attributes:
+        passed: Whether it is healthy by its own word.
+        load: Its load report in the order of the settings' fields; empty if there is none.
+    """
+
+    passed: bool
+    load: list[float]
+
+
+class IdleConnection(NamedTuple):
+    """A connection that is kept open for the next health check of a server."""
+
+    address: Address
+    sock: socket.socket
+
+
+class HealthChecker:
+    """Checks servers, each in a thread of its own that ends with its check.
+
+    A connection whose check passed is kept for the next one: a new connection costs the server
+    more than the check.
+    """
+
+    def __init__(self, core: Core, inbox: Inbox, limits: Limits, load_fields: list[str]):
+        """Creates a checker without connections.
+
+        Args:
+            core: Is told the results.
+            inbox: Of the deciding thread.
+            limits: Sizes, counts and times.
+            load_fields: Of the load reports to ask for; empty to ask for none.
+        """
+        self.core = core
+        self.inbox = inbox
+        self.limits = limits
+        self.load_fields = load_fields
+        self._idle: dict[Server, IdleConnection] = {}
+        self._idle_lock = Lock()
+        self._slots = Semaphore(limits.max_running_health_checks)
+
+    def check(self, server: Server, address: Address) -> None:
+        """Starts a check, whose result the core is told; called by the deciding thread."""
+        with self._idle_lock:
+            for other in [s for s in self._idle if s.state is ServerState.GONE]:
+                self._idle.pop(other).sock.close()
+        try:
+            start_thread(lambda: self._run_in_slot(server, address), name="health_check")
+        except RuntimeError:
+            self.inbox.post(self.core.probed, server, False, [])
+
+    def close_idle(self) -> None:
+        """Closes the connections that are kept: another process checks from now on."""
+        with self._idle_lock:
+            for connection in self._idle.values():
+                connection.sock.close()
+            self._idle.clear()
+
+    def _run_in_slot(self, server: Server, address: Address) -> None:
+        """Runs the check once there are descriptors for it; its time counts from then."""
+        with self._slots:
+            self._run(server, address)
+
+    def _run(self, server: Server, address: Address) -> None:
+        answer = HealthCheckAnswer(False, [])
+        deadline = self.inbox.clock() + self.limits.health_check_timeout
+        sock = self._take_idle(server, address)
+        try:
+            if sock is not None:
+                try:
+                    answer = self._ask(sock, deadline)
+                except TimeoutError:
+                    raise
+                except (OSError, ProtocolError):
+                    # It ended while it was idle, which says nothing of the server now.
+                    sock.close()
+                    sock = None
+            if sock is None:
+                sock = dial(address, self._remaining(deadline))
+                answer = self._ask(sock, deadline)
+        except (OSError, ProtocolError):
+            answer = HealthCheckAnswer(False, [])
+        finally:
+            # The result is told whatever failed: without one the server is never checked again.
+            self.inbox.post(self.core.probed, server, answer.passed, answer.load)
+            if sock is not None:
+                self._keep_or_close(server, address, sock, answer.passed)
+
+    def _take_idle(self, server: Server, address: Address) -> socket.socket | None:
+        with self._idle_lock:
+            connection = self._idle.pop(server, None)
+        if connection is None:
+            return None
+        if connection.address != address:
+            connection.sock.close()
+            return None
+        return connection.sock
+
+    def _keep_or_close(
+        self, server: Server, address: Address, sock: socket.socket, passed: bool
+    ) -> None:
+        with self._idle_lock:
+            if passed and len(self._idle) < self.limits.max_idle_health_checks:
+                self._idle[server] = IdleConnection(address, sock)
+            else:
+                sock.close()
+
+    def _remaining(self, deadline: int) -> int:
+        """Nanoseconds up to the deadline; raises TimeoutError once it has passed."""
+        remaining = deadline - self.inbox.clock()
+        if remaining <= 0:
+            raise TimeoutError
+        return remaining
+
+    def _ask(self, sock: socket.socket, deadline: int) -> HealthCheckAnswer:
+        def limit_read() -> None:
+            sock.settimeout(self._remaining(deadline) / SECOND)
+
+        lines = LineParser(self.limits.max_line_bytes)
+        limit_read()
+        sock.sendall(b"STATS\r\n" if self.load_fields else b"PING\r\n")
+        line = receive_line(sock, lines, self.limits.max_line_bytes, limit_read)
+        if line is None:
+            raise ConnectionResetError
+        word, _, report = line.decode("ascii", "replace").partition(" ")
+        return HealthCheckAnswer(word == "PONG", parse_load_fields(report, self.load_fields))
--- a/cypresswalk/net/inbox.py
+++ b/cypresswalk/net/inbox.py
@@ -1,60 +1,39 @@
-"""The queue of the deciding thread, and threads that feed it."""
+"""The event queue of the deciding thread."""
 
-import _thread
-import logging
-import threading
-import time
 from collections.abc import Callable
 from queue import SimpleQueue
 
-from cypresswalk.model import SECOND
 from cypresswalk.net.clock import Clock
-from cypresswalk.net.logs import event
-
-log = logging.getLogger(__name__)
 
 
 class Inbox:
+    """Calls that other threads ask the deciding thread to make, in their order.
+
+    Attributes:
+        clock: Stamps the calls.
+        queue: Calls with the time at which they were posted and their further arguments.
+        urgent: Calls that go before all that waits in `queue`, with their arguments.
+    """
+
     def __init__(self, clock: Clock):
+        """Creates an empty inbox."""
         self.clock = clock
         self.queue: SimpleQueue = SimpleQueue()
-        self.calls: SimpleQueue = SimpleQueue()  # what operators ask, ahead of all that waits
-
-    def post(self, call: Callable, *words: object) -> None:
-        """The call is made with the time of this moment, by the deciding thread."""
-        self.queue.put((self.clock(), call, words))
-
-    def first(self, call: Callable, *words: object) -> None:
-        """Before all that waits. Guards against an operator's call behind a crowd's events: a caller waits a second."""
-        self.calls.put((call, words))
-        self.post(nothing)  # whoever waits on the other queue wakes up
+        self.urgent: SimpleQueue = SimpleQueue()
 
+    def post(self, call: Callable[..., object], *args: object) -> None:
+        """Has the deciding thread make the call with the present time and the arguments."""
+        self.queue.put((self.clock(), call, args))
 
-def nothing(now: int) -> None:
-    pass
-
-
-starting = threading.Lock()  # the stack size is the interpreter's, not the call's
+    def post_urgent(self, call: Callable[..., object], *args: object) -> None:
+        """Has the call made before all that waits, with the time of that moment.
 
+        For operators' calls, whose callers wait a second, while a crowd's events are queued.
+        """
+        self.urgent.put((call, args))
+        # The deciding thread waits on the other queue.
+        self.post(_wake_up)
 
-def start_thread(run: Callable[[], None], again_after: int = 0, stack: int = 0) -> None:
-    """On the usual small stack if none is named. Where a pause is given, a run that failed in an unforeseen way
-    is begun anew after it: guards against a balancer that lives on but accepts nobody, or follows no list."""
 
-    def guarded():
-        while True:
-            try:
-                return run()
-            except Exception:
-                log.error(event("thread_failed", run=run), exc_info=True)
-            if not again_after:
-                return
-            time.sleep(again_after / SECOND)
-
-    with starting:
-        usual = threading.stack_size(stack) if stack else 0
-        try:
-            _thread.start_new_thread(guarded, ())
-        finally:
-            if stack:
-                threading.stack_size(usual)
+def _wake_up(now: int) -> None:
+    pass
--- a/cypresswalk/net/logs.py
+++ b/cypresswalk/net/logs.py
@@ -1,61 +1,84 @@
-"""Log lines as key=value, on standard error."""
+"""Log lines of `key=value` fields on standard error."""
 
 import logging
 import sys
 
 
-class KeyValue(logging.Formatter):
-    def __init__(self, name: str):
+class KeyValueFormatter(logging.Formatter):
+    """Formats a record as time, level, balancer and the fields of its message."""
+
+    def __init__(self, balancer: str):
+        """Creates a formatter for the balancer of that name."""
         super().__init__()
-        self.name = name
+        self.balancer = balancer
 
     def format(self, record: logging.LogRecord) -> str:
+        """Returns the line; a trace stands in its field `error`."""
         level = record.levelname.lower()
-        line = f"ts={record.created:.3f} level={level} balancer={self.name} {record.getMessage()}"
+        line = (
+            f"ts={record.created:.3f} level={level} balancer={self.balancer} {record.getMessage()}"
+        )
         if record.exc_info:
-            line += f" error={quoted(self.formatException(record.exc_info))}"
+            line += f" error={quote(self.formatException(record.exc_info))}"
         return line
 
 
-class Flood(logging.Filter):
-    """Passes so many lines a second, then none, and says with the next line how many were left out. What says how the
-    balancer is doing (start, stop, end, counters) is seldom and always passes: bad clients must not hide it."""
+class RateLimitFilter(logging.Filter):
+    """Passes a number of warnings and errors a second and counts the others.
+
+    The next line that passes carries the count in `left_out=`. Records of level INFO (start, stop,
+    counters) are rare and always pass: a flood of warnings must not hide them.
+    """
 
-    def __init__(self, most: int):
+    def __init__(self, max_per_second: int):
+        """Creates a filter that passes so many records a second."""
         super().__init__()
-        self.most, self.second, self.passed, self.left_out = most, 0, 0, 0
+        self.max_per_second = max_per_second
+        self._second = 0  # the Unix time that is being counted
+        self._passed = 0  # records in that second
+        self._left_out = 0  # records since the last one that passed
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if int(record.created) != self.second:
-            self.second, self.passed = int(record.created), 0
-        if self.passed >= self.most and record.levelno != logging.INFO:
-            self.left_out += 1
+        """Returns whether the record passes."""
+        if int(record.created) != self._second:
+            self._second = int(record.created)
+            self._passed = 0
+        if self._passed >= self.max_per_second and record.levelno != logging.INFO:
+            self._left_out += 1
             return False
-        self.passed += 1
-        if self.left_out:
-            record.msg, self.left_out = f"{record.msg} left_out={self.left_out}", 0
+        self._passed += 1
+        if self._left_out:
+            record.msg = f"{record.msg} left_out={self._left_out}"
+            self._left_out = 0
         return True
 
 
-def quoted(value: object) -> str:
+def quote(value: object) -> str:
+    """Returns a field's value, in quotes if it is empty or holds a blank, `=` or the like."""
     text = str(value)
-    plain = text and all(c.isprintable() and c not in ' "=' for c in text)
-    return (
-        text
-        if plain
-        else '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
-    )
+    if text and all(c.isprintable() and c not in ' "=' for c in text):
+        return text
+    escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+    return f'"{escaped}"'
+
 
+def event(name: str, **fields: object) -> str:
+    """Returns the message of an event, `event=name key=value ...`."""
+    return " ".join([f"event={name}", *(f"{key}={quote(value)}" for key, value in fields.items())])
 
-def event(name: str, **values: object) -> str:
-    return " ".join([f"event={name}", *(f"{key}={quoted(value)}" for key, value in values.items())])
 
+def configure(balancer: str, max_lines: int) -> logging.Logger:
+    """Sends the program's log to standard error.
 
-def start(name: str, most: int) -> logging.Logger:
+    Args:
+        balancer: The balancer's name, which each line carries.
+        max_lines: Warnings and errors a second.
+    """
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue(name))
-    handler.addFilter(Flood(most))
+    handler.setFormatter(KeyValueFormatter(balancer))
+    handler.addFilter(RateLimitFilter(max_lines))
     logger = logging.getLogger("cypresswalk")
-    logger.handlers, logger.propagate = [handler], False
+    logger.handlers = [handler]
+    logger.propagate = False
     logger.setLevel(logging.INFO)
     return logger
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -1,239 +1,218 @@
-"""Connects to servers on behalf of clients and passes on what they say."""
+"""Attempts to place flows at servers."""
 
 import errno
 import re
 import socket
 from threading import Lock, Semaphore
+from typing import cast
 
 from cypresswalk.model import SECOND, Outcome
+from cypresswalk.net.clients import ClientConnection
 from cypresswalk.net.config import Address
+from cypresswalk.net.connection import Connection, dial, receive_line
 from cypresswalk.net.core import Attempt, Core
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.link import Link, dial, pass_end_on
 from cypresswalk.net.parsers.lines import LineParser
-from cypresswalk.net.parsers.load_reports import LoadReportHistory, parse_load_line
+from cypresswalk.net.relay import OUTCOME_BY_WORD, Relay
 
-FIRST = {
-    b"BUSY": Outcome.FULL,
-    b"ERR": Outcome.ERROR,
-    b"BYE": Outcome.OK,
-    b"MOVE": Outcome.CANCELLED,
-}
-
-
-UP = re.compile(rb"UP [!-~][ -~]*")  # with its receipt: one without is no server's yes
+# A server's acceptance carries its receipt; a line without one is no acceptance.
+UP_LINE = re.compile(rb"UP [!-~][ -~]*")
+# This machine is short of something, which says nothing of the server.
 OWN_SHORTAGE = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
 
 
-class ServerLink:
-    """One connect to a server; its thread runs `run`."""
+class ServerConnection:
+    """One attempt at a server: dial, first line, and the relaying once the flow is accepted.
+
+    A thread of its own runs `run`. The deciding thread calls `start_relay`, `drop`, `recall` and
+    `migrate`, none of which waits for a socket.
+
+    Attributes:
+        open_line: The OPEN line for the server.
+        sent: Whether that line has begun to go out.
+        slots: Of all attempts and relays at a time, which leaves descriptors for others.
+    """
 
     def __init__(
         self,
-        leg: Attempt,
+        attempt: Attempt,
         address: Address,
-        line: bytes,
+        open_line: bytes,
         core: Core,
         inbox: Inbox,
         limits: Limits,
-        places: Semaphore,
+        slots: Semaphore,
     ):
-        self.places = places  # how many may be connected or dialing at once
-        self.leg, self.address, self.opening = leg, address, line
-        self.core, self.inbox, self.limits = core, inbox, limits
-        self.client, self.told = leg.session.link, LoadReportHistory()
-        self.lines = LineParser(limits.max_line_bytes)
-        self.link: Link | None = None
-        self.sending = (
-            Lock()
-        )  # the first line goes out, or the connect was dropped before. Never held over a
-        # write: guards the deciding thread against a server that reads nothing
-        self.dropped = self.moved = self.sent = False
-        self.verdict = Lock()  # held until the core has said whether UP is passed on
-        self.verdict.acquire()
+        """Creates an attempt that has not begun.
+
+        Args:
+            attempt: The core's view of it.
+            address: The server's.
+            open_line: The OPEN line for the server.
+            core: Is told how it ends.
+            inbox: Of the deciding thread.
+            limits: Sizes and times.
+            slots: Of all attempts and relays at a time.
+        """
+        self.attempt = attempt
+        self.address = address
+        self.open_line = open_line
+        self.core = core
+        self.inbox = inbox
+        self.limits = limits
+        self.slots = slots
+        self.sent = False
+        # The core keeps the driver's object for a session as it was handed over.
+        self._client = cast(ClientConnection, attempt.session.link)
+        self._lines = LineParser(limits.max_line_bytes)
+        self._link: Connection | None = None  # once it is dialed
+        self._relay: Relay | None = None  # once the server has accepted
+        self._dropped = False
+        # Held while the line is about to go out or the attempt is dropped, one excluding the other;
+        # never over a write, which a server that reads nothing would make last.
+        self._send_lock = Lock()
+        # Held until the core has said whether the server's acceptance is relayed.
+        self._verdict = Lock()
+        self._verdict.acquire()
 
     def run(self) -> None:
-        # Guards the list's descriptor, and others', against dials that were dropped and still wait.
-        if not self.places.acquire(timeout=self.limits.dial_timeout / SECOND):
-            self.end(Outcome.MOOT)
+        """Runs the attempt, and the relay if it is accepted, up to the end of the connection."""
+        # Attempts that were dropped and still dial count too: descriptors are left for the rest.
+        if not self.slots.acquire(timeout=self.limits.dial_timeout / SECOND):
+            self._end(Outcome.MOOT)
             return
         try:
-            sock = self.dial()
+            sock = self._dial()
             if sock is not None:
-                self.speak(sock)
+                self._talk(sock)
         finally:
-            self.places.release()
+            self.slots.release()
 
-    def speak(self, sock: socket.socket) -> None:
-        self.link = Link(sock, self.limits)
-        try:
-            if not self.send_opening():
+    # By the deciding thread.
+
+    def start_relay(self) -> None:
+        """Has the server's acceptance relayed to the client, and all lines after it."""
+        self._client.relay = self._relay
+        self._verdict.release()
+
+    def drop(self) -> None:
+        """Ends the attempt, whatever it has come to."""
+        with self._send_lock:
+            if self._dropped:
                 return
-            first = self.first_line()
-            if first is None:
-                self.end(Outcome.RESET)
-            elif not UP.fullmatch(first):
-                self.end(FIRST.get(first.partition(b" ")[0], Outcome.ERROR))
-            else:
-                self.inbox.post(self.core.up, self.leg)
-                self.verdict.acquire()
-                if not self.dropped:
-                    self.serve(first)
-        except Exception:
-            # Whatever went wrong, the core hears of an end; a second one changes nothing.
-            self.end(Outcome.RESET)
-            raise
-        finally:
-            self.link.done.set()
-            self.link.close()
+            self._dropped = True
+        if self._link is not None:
+            self._link.shutdown(socket.SHUT_RDWR)
+        self._verdict.release()
+
+    def recall(self) -> bool:
+        """Drops the attempt if nothing was sent; returns whether nothing was and now will be."""
+        with self._send_lock:
+            if self.sent or self._dropped:
+                return False
+            self._dropped = True
+        self._verdict.release()
+        return True
+
+    def migrate(self) -> None:
+        """Has the client of an accepted flow told to move."""
+        assert self._relay is not None, "the core migrates flows that are accepted"
+        self._relay.migrate()
+
+    # By the attempt's own thread.
 
-    def end(self, outcome: Outcome) -> None:
-        self.inbox.post(self.core.ended, self.leg, outcome)
+    def _end(self, outcome: Outcome) -> None:
+        self.inbox.post(self.core.ended, self.attempt, outcome)
 
-    def client_gone(self) -> bool:
-        """Its word to the deciding thread may still be on its way: guards servers against flows that nobody waits for."""
-        if not self.client.gone():
+    def _client_has_ended(self) -> bool:
+        """Whether nobody waits for the flow, though the deciding thread may not know it yet."""
+        if not self._client.has_ended():
             return False
-        self.inbox.post(self.core.left, self.leg.session)
+        self.inbox.post(self.core.left, self.attempt.session)
         return True
 
-    def dial(self) -> socket.socket | None:
-        """None where it was refused or has not come up in time."""
-        if self.dropped or self.client_gone():
+    def _dial(self) -> socket.socket | None:
+        """Connects to the server; None if that failed or is not wanted any more."""
+        if self._dropped or self._client_has_ended():
             return None
         began = self.inbox.clock()
         try:
             sock = dial(self.address, self.limits.dial_timeout)
         except OSError as error:
-            # Short of what this machine has: no word on the server.
-            self.end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
+            self._end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
             return None
-        self.leg.gauge.set_up(self.inbox.clock() - began)
+        self.attempt.gauge.set_up(self.inbox.clock() - began)
         return sock
 
-    def send_opening(self) -> bool:
-        if self.client_gone():
+    def _talk(self, sock: socket.socket) -> None:
+        """Sends the request, and waits for the server's answer and the core's verdict."""
+        link = self._link = Connection(sock, self.limits)
+        try:
+            if not self._send_open_line(link):
+                return
+            first_line = self._receive_first_line(link)
+            if first_line is None:
+                self._end(Outcome.RESET)
+            elif not UP_LINE.fullmatch(first_line):
+                word = first_line.partition(b" ")[0]
+                self._end(OUTCOME_BY_WORD.get(word, Outcome.ERROR))
+            else:
+                self._relay_if_wanted(link, first_line)
+        except Exception:
+            # Whatever failed, the core hears of an end; a second one has no effect.
+            self._end(Outcome.RESET)
+            raise
+        finally:
+            link.reader_done.set()
+            link.close()
+
+    def _send_open_line(self, link: Connection) -> bool:
+        """Sends the request unless it is not wanted any more; returns whether it went out."""
+        if self._client_has_ended():
             return False
-        with self.sending:
-            if self.dropped:
+        with self._send_lock:
+            if self._dropped:
                 return False
-            # A dial takes its time: the window of a flow that may have run binds when the line goes out.
-            if late := self.inbox.clock() >= self.leg.latest:
-                self.dropped = True
+            # Dialing takes its time, and a flow that may have run has a latest time to run again.
+            late = self.inbox.clock() >= self.attempt.latest
+            if late:
+                self._dropped = True
             else:
                 self.sent = True
         if late:
-            self.end(Outcome.MOOT)
+            self._end(Outcome.MOOT)
             return False
         try:
-            self.link.sock.sendall(self.opening)
+            link.sock.sendall(self.open_line)
         except OSError:
-            self.end(Outcome.CONNECT_FAILED)  # the last byte never went out
+            # The last byte never went out, so that the server has not run it.
+            self._end(Outcome.CONNECT_FAILED)
             return False
         self.core.counters.add("connects_written")
         return True
 
-    def first_line(self) -> bytes | None:
+    def _receive_first_line(self, link: Connection) -> bytes | None:
+        """Returns the server's first line; None if it sends none before the connection ends."""
         try:
-            while (line := self.lines.next_line()) is None:
-                data = self.link.sock.recv(self.limits.max_line_bytes)
-                if not data:
-                    return None
-                self.lines.feed(data)
-            return line
+            return receive_line(link.sock, self._lines, self.limits.max_line_bytes)
         except (OSError, ProtocolError):
             return None
 
-    def serve(self, first: bytes) -> None:
-        reset, last, taken = False, b"", False
-        try:
-            last = self.lines.take_complete_lines()
-            taken = self.say(first + b"\r\n" + last)
-            self.answered(last)
-            self.client.flush()
-            while taken and (data := self.link.sock.recv(self.limits.max_line_bytes)):
-                self.lines.feed(data)
-                data = self.lines.take_complete_lines()
-                if data:
-                    last = data
-                    taken = self.say(data)
-                    self.answered(data)
-        except (OSError, ProtocolError):
-            reset = True
-        if self.moved:
-            reset = False
-            self.say(b"MOVE\r\n")
-        elif taken and not self.client.link.done.is_set():
-            self.end(FIRST.get(last.rstrip(b"\r\n").rpartition(b"\n")[2], Outcome.RESET))
-        else:
-            # Guards a sound server against being blamed for its client's end, which comes back from here as a reset.
-            self.inbox.post(self.core.left, self.leg.session)
-        self.link.done.set()
-        pass_end_on(reset, self.client.link, self.limits)
-
-    def say(self, data: bytes) -> bool:
-        """Whether the client took it."""
-        try:
-            self.client.link.send(data)
-        except OSError:
-            return False
-        return True
-
-    # What lines say of the server.
-
-    def asked(self, data: bytes) -> None:
-        if not self.leg.asked_at:
-            self.leg.asked_at = self.inbox.clock()
-        self.link.send(data)
-
-    def answered(self, data: bytes) -> None:
-        """A LOAD line is the server's own word, not the answer to a line: a hung server still says it."""
-        now, echoed = self.inbox.clock(), bool(data)
-        if b"LOAD " in data:
-            lines = data.split(b"\r\n")[:-1]
-            told = [line for line in lines if parse_load_line(line) is not None]
-            echoed = len(told) < len(lines)
-            for line in told:
-                self.tell(self.core.notes.parse_delay(self.told, now, line))
-        if echoed and self.leg.asked_at:
-            took, gauge = now - self.leg.asked_at, self.leg.gauge
-            gauge.answered, self.leg.asked_at = max(gauge.answered, self.leg.asked_at), 0
-            if not self.core.notes.delays:
-                self.tell(self.leg.gauge.worth_telling(now, took))
-
-    def tell(self, delay: int | None) -> None:
-        if delay is not None:
-            self.inbox.post(self.core.delayed, self.leg.server, delay)
-
-    # For the deciding thread.
-
-    def join(self) -> None:
-        self.client.server = self
-        self.verdict.release()
-
-    def drop(self) -> None:
-        with self.sending:
-            if self.dropped:
-                return
-            self.dropped = True
-        if self.link is not None:
-            self.link.shut(socket.SHUT_RDWR)
-        self.verdict.release()
-
-    def recall(self) -> bool:
-        """Whether nothing was sent, and now never will be."""
-        with self.sending:
-            if self.sent or self.dropped:
-                return False
-            self.dropped = True
-        self.verdict.release()
-        return True
-
-    def move(self) -> None:
-        """Its thread reads what has come already, then an end, and then says MOVE."""
-        self.moved = True
-        self.link.shut(socket.SHUT_RD)
+    def _relay_if_wanted(self, link: Connection, first_line: bytes) -> None:
+        self._relay = Relay(
+            self.attempt,
+            link,
+            self._client.link,
+            self._lines,
+            self.core,
+            self.inbox,
+            self.limits,
+        )
+        self.inbox.post(self.core.up, self.attempt)
+        self._verdict.acquire()
+        if not self._dropped:
+            self._relay.run(first_line, self._client.flush)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -13,19 +13,20 @@
 from cypresswalk.choice import Balancer
 from cypresswalk.model import SECOND, EndpointUpdate, Outcome, Server
 from cypresswalk.net import logs
-from cypresswalk.net.clients import Listener
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import Address, Config, load, read_discovery_address
 from cypresswalk.net.core import Attempt, Core, Session
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.discovery import Watch
+from cypresswalk.net.discovery import EndpointWatch
 from cypresswalk.net.errors import ConfigError, ProtocolError
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.gossip import GossipSocket
+from cypresswalk.net.health_checks import HealthChecker
+from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.listener import ClientListener
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
-from cypresswalk.net.peers import Peers
-from cypresswalk.net.probes import Prober
-from cypresswalk.net.servers import ServerLink
+from cypresswalk.net.servers import ServerConnection
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 # The interpreter's own is 5 ms. Measured on two cores: while 300 clients came at once, the echo of a standing one's
@@ -50,16 +51,18 @@
             raise ConfigError(f"known: {error}") from None
         self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
         asked = config.settings.list_polled
-        self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
+        self.watch = EndpointWatch(
+            config.discovery, registry, self.core, self.inbox, self.limits, asked
+        )
         self.places = threading.Semaphore(
             self.limits.max_flows + self.limits.max_lingering_connections
         )
-        self.prober = Prober(self.core, self.inbox, self.limits, config.load_fields)
+        self.prober = HealthChecker(self.core, self.inbox, self.limits, config.load_fields)
         self.peers, self.admin, self.beside, sockets = None, None, None, []
         if shared := config.admin_address is not None:
             sockets = self.operate(config)
         if config.gossip_listen is not None:
-            self.peers = Peers(
+            self.peers = GossipSocket(
                 config.gossip_listen,
                 config.gossip_target,
                 self.core,
@@ -68,7 +71,7 @@
                 shared,
                 sockets[1] if len(sockets) > 1 else None,
             )
-        self.listener = Listener(
+        self.listener = ClientListener(
             config.listen,
             self.core,
             self.inbox,
@@ -109,20 +112,20 @@
             every,
             self.core,
             self.inbox,
-            self.watch.registry,
+            self.watch.decoder,
             config.name,
             "%s:%d" % config.discovery,
         )
         self.keeper.recover(self.clock())
         # A list that knows less than this balancer was told in its life before is an older one.
-        self.watch.floor = self.keeper.floor
+        self.watch.min_version = self.keeper.floor
 
     def join_fleet(self, table: object, config: Config) -> None:
         """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
-            table, config, self.core, self.inbox.post, lambda: self.watch.registry
+            table, config, self.core, self.inbox.post, lambda: self.watch.decoder
         )
 
     def run(self) -> None:
@@ -138,7 +141,7 @@
             start_thread(self.admin.run, pause)
         if self.keeper is not None:
             self.keeper.start()
-        queue, calls, core, last = self.inbox.queue, self.inbox.calls, self.core, self.clock()
+        queue, calls, core, last = self.inbox.queue, self.inbox.urgent, self.core, self.clock()
         while not self.over():
             due = core.next_due()
             wait = SECOND if due is None else due - self.clock()
@@ -173,7 +176,7 @@
             return False
         self.ends_at = self.ends_at or self.clock() + self.limits.leave_read_time
         if self.listener.closed:
-            self.listener.send_off_silent()
+            self.listener.dismiss_unopened()
         return (
             self.listener.closed
             and not self.listener.clients
@@ -218,19 +221,19 @@
             event("reload", discovery="%s:%d" % discovery, before="%s:%d" % self.watch.address)
         )
         if discovery == self.watch.address:
-            self.watch.call()
+            self.watch.request_update()
             return
         old = self.watch
-        new = Watch(
+        new = EndpointWatch(
             discovery,
-            old.registry.for_other_address(),
+            old.decoder.for_other_address(),
             self.core,
             self.inbox,
             self.limits,
-            old.asked,
-            max(old.floor, old.registry.version),
+            old.polled,
+            max(old.min_version, old.decoder.version),
         )
-        new.call()  # what the module has asked for it has asked of any address
+        new.request_update()  # what the module has asked for it has asked of any address
         start_thread(new.run, self.limits.fault_pause, self.limits.list_thread_stack)
         self.watch = new
         old.end()
@@ -241,27 +244,27 @@
     # What two processes of one balancer do for each other.
 
     def accept(self) -> None:
-        self.listener.taking = True
+        self.listener.accepting = True
         start_thread(self.listener.run, self.limits.fault_pause)
         if self.peers is not None:
-            self.peers.reading = True
+            self.peers.receiving = True
             start_thread(self.peers.run, self.limits.fault_pause)
         if self.beside is not None:
             self.beside.wait(self.core.side)
 
     def stop_accepting(self) -> None:
-        self.listener.taking = False
+        self.listener.accepting = False
         if self.peers is not None:
-            self.peers.reading = False
-        self.prober.end()
+            self.peers.receiving = False
+        self.prober.close_idle()
         if self.binding is not None:
             self.binding.fleet.stop()
 
     def list_at(self) -> tuple[str, int]:
-        return "%s:%d" % self.watch.address, self.watch.registry.version
+        return "%s:%d" % self.watch.address, self.watch.decoder.version
 
     def names(self) -> dict[int, str]:
-        return self.watch.registry.names
+        return self.watch.decoder.names
 
     def sockets(self) -> tuple[int, ...]:
         return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
@@ -269,7 +272,9 @@
     # What the core asks for.
 
     def connect(self, leg: Attempt, address: Address, line: bytes) -> None:
-        leg.link = ServerLink(leg, address, line, self.core, self.inbox, self.limits, self.places)
+        leg.link = ServerConnection(
+            leg, address, line, self.core, self.inbox, self.limits, self.places
+        )
         try:
             start_thread(leg.link.run)
         except RuntimeError as error:
@@ -277,7 +282,7 @@
             self.inbox.post(self.core.ended, leg, Outcome.CONNECT_FAILED)
 
     def join(self, leg: Attempt) -> None:
-        leg.link.join()
+        leg.link.start_relay()
 
     def drop(self, leg: Attempt) -> None:
         leg.link.drop()
@@ -286,27 +291,27 @@
         return leg.link.recall()
 
     def close_door(self, at: int) -> None:
-        self.listener.ends_at = at
+        self.listener.closes_at = at
 
     def answer(self, session: Session, line: bytes) -> None:
-        session.link.link.send_now(line)
-        session.link.link.shut(socket.SHUT_WR)
+        session.link.link.send_nowait(line)
+        session.link.link.shutdown(socket.SHUT_WR)
 
     def close(self, session: Session) -> None:
-        session.link.link.shut(socket.SHUT_RDWR)
+        session.link.link.shutdown(socket.SHUT_RDWR)
 
     def move(self, session: Session) -> None:
-        session.leg.link.move()
+        session.leg.link.migrate()
 
     def probe(self, server: Server, address: Address) -> None:
-        self.prober.probe(server, address)
+        self.prober.check(server, address)
 
     def subscribe(self) -> None:
-        self.watch.call()
+        self.watch.request_update()
 
     def tell(self, message: bytes) -> None:
         if self.peers is not None:
-            self.peers.tell(message)
+            self.peers.send(message)
 
 
 def enable(program: Program, path: str, config: Config) -> None:
@@ -341,7 +346,7 @@
     except ConfigError as error:
         print(f"cypresswalk: {error}", file=sys.stderr)
         return 1
-    logs.start(config.name, config.limits.max_log_lines)
+    logs.configure(config.name, config.limits.max_log_lines)
     sys.setswitchinterval(SWITCH_INTERVAL)
     threading.stack_size(config.limits.thread_stack)
     try:
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -11,9 +11,10 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.core import Core
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
+from cypresswalk.net.threads import start_thread
 from cypresswalk.state import file_format, store
 from cypresswalk.state.disk import DiskFolder, FolderLockedError
 from cypresswalk.state.snapshot import (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,18 +21,18 @@
 
 from cypresswalk.model import SECOND, Effect, Outcome, ServerState
 from cypresswalk.net import servers as servers_module
-from cypresswalk.net.clients import Client
+from cypresswalk.net.clients import ClientConnection
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import build
+from cypresswalk.net.connection import dial
 from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.discovery import Watch
+from cypresswalk.net.discovery import EndpointWatch
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
-from cypresswalk.net.link import dial
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.net.parsers.lines import parse_open_request
-from cypresswalk.net.servers import ServerLink
+from cypresswalk.net.servers import ServerConnection
 from cypresswalk.service.program import Program
 
 LIMITS = Limits(
@@ -50,13 +50,13 @@
 def watches_end(monkeypatch):
     """Guards the tests that follow: a watch that outlived its test called its discovery again and again, a thread and two
     descriptors each time, up to more than `select` takes, and its failures stood in others' logs."""
-    made, make = [], Watch.__init__
+    made, make = [], EndpointWatch.__init__
 
     def noted(self, *words, **more):
         make(self, *words, **more)
         made.append(self)
 
-    monkeypatch.setattr(Watch, "__init__", noted)
+    monkeypatch.setattr(EndpointWatch, "__init__", noted)
     yield
     for watch in made:
         watch.end()
@@ -160,7 +160,9 @@
         registry = EndpointListDecoder(self.core.balancer.settings.zone and {} or {"a": 0, "b": 1})
         self.core.listed(self.inbox.clock(), *registry.decode(data["known"]))
         host, port = agent.address.split(":")
-        self.watch = Watch((host, int(port)), registry, self.core, self.inbox, limits, asked)
+        self.watch = EndpointWatch(
+            (host, int(port)), registry, self.core, self.inbox, limits, asked
+        )
 
     def start(self):
         Thread(target=self.watch.run, daemon=True).start()
@@ -207,7 +209,7 @@
     watchings = [Watching(agent, asked=asked) for agent in agents]
     for watching in watchings:
         watching.start()
-        watching.watch.call()
+        watching.watch.request_update()
     pending = []
     for agent, watching in zip(agents, watchings):
         assert agent.met.wait(5)
@@ -237,7 +239,7 @@
     began, failed = time.monotonic(), Event()
     agent = type("At", (), {"address": "127.0.0.1:%d" % full.getsockname()[1]})
     watching = Watching(agent)
-    watching.watch.fail = lambda now: failed.set()
+    watching.watch.on_failure = lambda now: failed.set()
     watching.start()
     until_true(lambda: (watching.turn(), failed.is_set())[1])
     assert time.monotonic() - began < LIMITS.list_call_timeout / SECOND + 0.5
@@ -251,21 +253,21 @@
     # Guards against a drain that had come, and was dropped because SIGHUP was heard before it.
     watching = Watching(type("At", (), {"address": "127.0.0.1:9"}))
     watch, now = watching.watch, watching.inbox.clock()
-    word = watch.registry.decode(
+    word = watch.decoder.decode(
         json.loads(changes(listed("s-0", lifecycle="terminating"), listed("s-7")))
     )
     assert watching.state() is ServerState.READY
     if order == "told first":
-        watch.tell(now, *word, False)
+        watch.on_update(now, *word, False)
         watch.end()
     else:
         watch.end()
-        watch.tell(now, *word, False)
+        watch.on_update(now, *word, False)
         assert (
             server_number("s-7") not in watching.core.balancer.servers
         )  # that is the new address's to say
     # Nor does an old address bring back what drains.
-    watch.tell(now, *watch.registry.decode(json.loads(changes(listed("s-0")))), False)
+    watch.on_update(now, *watch.decoder.decode(json.loads(changes(listed("s-0")))), False)
     assert watching.state() is ServerState.DRAINING
 
 
@@ -410,7 +412,7 @@
 def test_a_connect_for_which_there_is_no_place_is_known_not_to_have_run(monkeypatch):
     crossing = Leaving(monkeypatch)
     crossing.link.limits = replace(crossing.limits, dial_timeout=50 * MILLISECOND)
-    assert crossing.link.places.acquire(blocking=False)
+    assert crossing.link.slots.acquire(blocking=False)
     crossing.run()
     assert crossing.posted() == [("ended", Outcome.MOOT)] and not crossing.began.is_set()
 
@@ -431,7 +433,7 @@
         self.far = socket.create_connection(tcp.getsockname())
         near, _ = tcp.accept()
         tcp.close()
-        self.client = Client(near, self.core, self.inbox, self.limits, {})
+        self.client = ClientConnection(near, self.core, self.inbox, self.limits, {})
         self.server, self.written = socket.create_server(("127.0.0.1", 0)), b""
         self.began, self.go = Event(), Event()
 
@@ -451,7 +453,7 @@
             type("G", (), {"set_up": lambda *_: None})(),
         )
         self.leg = leg
-        self.link = ServerLink(
+        self.link = ServerConnection(
             leg,
             self.server.getsockname(),
             b"OPEN a1 7 c=view,t=north,d=900\r\n",
@@ -512,7 +514,7 @@
     crossing.run()
     assert crossing.began.wait(5)
     leave(crossing.far)
-    until_true(crossing.client.gone)
+    until_true(crossing.client.has_ended)
     crossing.go.set()
     assert crossing.heard() == b"" and crossing.posted() == [("left",)]
 
@@ -520,7 +522,7 @@
 def test_a_client_that_left_before_the_dial_costs_its_server_no_connection(monkeypatch):
     crossing = Leaving(monkeypatch)
     crossing.far.close()
-    until_true(crossing.client.gone)
+    until_true(crossing.client.has_ended)
     crossing.run()
     assert crossing.posted() == [("left",)] and not crossing.began.is_set()
 
@@ -531,7 +533,7 @@
     crossing.go.set()
     sock, _ = crossing.server.accept()
     sock.settimeout(5)
-    assert sock.recv(4096) == crossing.link.opening
+    assert sock.recv(4096) == crossing.link.open_line
     crossing.far.close()
     sock.sendall(b"ERR\r\n")
     assert crossing.posted() == [("ended", Outcome.ERROR)]
@@ -563,7 +565,7 @@
         until_true(lambda: crossing.link.sent)
         assert not crossing.link.recall()
         crossing.link.drop()
-        assert crossing.heard() in (b"", crossing.link.opening)
+        assert crossing.heard() in (b"", crossing.link.open_line)
     crossing.thread.join(5)
     assert not crossing.thread.is_alive()
 
@@ -599,7 +601,7 @@
 def test_decisions_go_on_while_a_server_reads_nothing(monkeypatch):
     # Guards the deciding thread: `drop` and `recall` waited for the first line to be written.
     crossing = Leaving(monkeypatch)
-    crossing.link.opening = b"x" * (64 << 20)  # more than any buffer takes
+    crossing.link.open_line = b"x" * (64 << 20)  # more than any buffer takes
     crossing.run()
     crossing.go.set()
     sock, _ = crossing.server.accept()
@@ -704,14 +706,14 @@
 def held_accept(program):
     """Holds the thread that accepts at its next client; what it does when it ends goes on."""
     at, go = Event(), Event()
-    take = program.listener.take
+    take = program.listener.admit
 
     def held(sock):
         at.set()
         assert go.wait(20)
         take(sock)
 
-    program.listener.take = held
+    program.listener.admit = held
     return at, go
 
 
@@ -743,7 +745,7 @@
     at, go = held_accept(here.program)
     first = here.open("b0")
     assert at.wait(5)
-    while here.program.listener.room.acquire(blocking=False):
+    while here.program.listener.slots.acquire(blocking=False):
         pass
     waiting = [here.open(f"b{i}", 4000) for i in range(1, 9)]
     here.stop()
@@ -763,7 +765,7 @@
         link.say("PING")
         assert link.hear() == "PONG"
     ends = []
-    send_off = here.program.listener.send_off_silent
+    send_off = here.program.listener.dismiss_unopened
 
     def crossing():
         """In the instant before the door is cleared half of them speak, the other half right after."""
@@ -780,7 +782,7 @@
                     pass
             ends.append(True)
 
-    here.program.listener.send_off_silent = crossing
+    here.program.listener.dismiss_unopened = crossing
     here.stop()
     assert here.ended()
     assert len(ends) == 2
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -573,7 +573,7 @@
         parted=lambda now, other: None,
     )
     first.wait(side)
-    call, words = inboxes[0].calls.get(timeout=3)
+    call, words = inboxes[0].urgent.get(timeout=3)
     call(clock(), *words)
     looking.join(3)
     assert found[0] is not None and first.turn is None and second.turn is None
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,12 +15,12 @@
 from cypresswalk.net.core import Core, Gauge, Session
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.errors import ConfigError
-from cypresswalk.net.inbox import start_thread
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.logs import Flood, event
+from cypresswalk.net.logs import RateLimitFilter, event
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.net.parsers.lines import parse_open_request
+from cypresswalk.net.threads import start_thread
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 
@@ -44,7 +44,7 @@
 
 
 def test_a_flood_of_log_lines_is_cut_short_and_counted():
-    flood = Flood(2)
+    flood = RateLimitFilter(2)
     records = [
         logging.makeLogRecord({"msg": "event=x", "levelno": logging.WARNING, "created": at})
         for at in (1, 1.5, 1.9, 1.95, 2)
@@ -67,7 +67,7 @@
             raise RecursionError(runs_left.pop())
         done.set()
 
-    start_thread(run, again_after=1)
+    start_thread(run, restart_pause=1)
     assert done.wait(5)
 
 
