--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -72,8 +72,7 @@
         self._link: Connection | None = None  # once it is dialed
         self._relay: Relay | None = None  # once the server has accepted
         self._dropped = False
-        # Held while the line is about to go out or the attempt is dropped, one excluding the other;
-        # never over a write, which a server that reads nothing would make last.
+        # Excludes sending and dropping; never held over a write, which may last.
         self._send_lock = Lock()
         # Held until the core has said whether the server's acceptance is relayed.
         self._verdict = Lock()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -48,8 +48,8 @@
 
 @pytest.fixture(autouse=True)
 def watches_end(monkeypatch):
-    """Guards the tests that follow: a watch that outlived its test called its discovery again and again, a thread and two
-    descriptors each time, up to more than `select` takes, and its failures stood in others' logs."""
+    """Ends all watches of a test: one that outlived it would go on calling its discovery, each time with a thread and two
+    descriptors, and log its failures among those of the next tests."""
     made, make = [], EndpointWatch.__init__
 
     def noted(self, *words, **more):
@@ -73,7 +73,7 @@
 # The list.
 
 
-class Agent(Listening):
+class FaultyDiscovery(Listening):
     """Discovery's end, which does with each connection what its first step says, until it is well; then it tells the list."""
 
     def __init__(self, step, told=b""):
@@ -150,7 +150,7 @@
     trickle(agent, link)
 
 
-class Watching:
+class WatchHarness:
     """A watch with no program behind it: what it tells waits in the queue."""
 
     def __init__(self, agent, limits=LIMITS, asked=False):
@@ -191,7 +191,7 @@
 ]
 
 
-def test_one_budget_covers_silence_and_any_failed_call():
+def test_the_update_budget_covers_silence_and_any_failed_call():
     # A watch that falls silent right after its beat is found out, and a call at once told; so is a change after a call that
     # was begun just before discovery was back, the longest pause after it included.
     assert LIMITS.list_silence_timeout + LIMITS.list_call_timeout <= LIMITS.list_update_budget
@@ -203,10 +203,12 @@
 
 
 @pytest.mark.parametrize("asked", [False, True])
-def test_a_drain_is_told_within_six_seconds_from_any_instant_of_any_failed_call(asked):
+def test_a_drain_is_known_within_six_seconds_from_any_instant_of_any_failed_call(asked):
     """All kinds of failure at once, each from the instant in which the call is in that state."""
-    agents = [Agent(step, changes(listed("s-0", lifecycle="terminating"))) for step in STEPS]
-    watchings = [Watching(agent, asked=asked) for agent in agents]
+    agents = [
+        FaultyDiscovery(step, changes(listed("s-0", lifecycle="terminating"))) for step in STEPS
+    ]
+    watchings = [WatchHarness(agent, asked=asked) for agent in agents]
     for watching in watchings:
         watching.start()
         watching.watch.request_update()
@@ -228,7 +230,7 @@
 
 
 def test_a_call_that_never_comes_up_leaves_time_for_the_next():
-    """The machine of discovery takes no connection: a set-up hangs. Guards against a time-out for each phase of one call."""
+    """The machine of discovery accepts no connection, so that setting it up hangs: the call has one time limit for all its phases."""
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
@@ -238,7 +240,7 @@
         sock.connect_ex(full.getsockname())
     began, failed = time.monotonic(), Event()
     agent = type("At", (), {"address": "127.0.0.1:%d" % full.getsockname()[1]})
-    watching = Watching(agent)
+    watching = WatchHarness(agent)
     watching.watch.on_failure = lambda now: failed.set()
     watching.start()
     until_true(lambda: (watching.turn(), failed.is_set())[1])
@@ -249,9 +251,9 @@
 
 
 @pytest.mark.parametrize("order", ["told first", "ended first"])
-def test_what_an_address_told_before_its_end_binds_though_it_is_heard_after(order):
-    # Guards against a drain that had come, and was dropped because SIGHUP was heard before it.
-    watching = Watching(type("At", (), {"address": "127.0.0.1:9"}))
+def test_a_drain_read_before_the_end_of_a_watch_counts_though_it_is_handled_after(order):
+    # The drain had been read; that SIGHUP was handled before it must not drop it.
+    watching = WatchHarness(type("At", (), {"address": "127.0.0.1:9"}))
     watch, now = watching.watch, watching.inbox.clock()
     word = watch.decoder.decode(
         json.loads(changes(listed("s-0", lifecycle="terminating"), listed("s-7")))
@@ -272,7 +274,7 @@
 
 
 def test_a_server_withheld_twice_waits_from_the_second_time_on():
-    # Two SIGHUPs in a row: guards against the first one's wait ending the second one's.
+    # Two SIGHUPs in a row: the wait of the first must not end that of the second.
     bench = Bench(servers=2)
 
     def list_says(lifecycle, older):
@@ -294,23 +296,23 @@
 
 
 @pytest.mark.parametrize("order", ["drain first", "line first"])
-def test_a_connect_in_dial_when_its_server_is_told_to_drain_goes_elsewhere(order):
-    # Guards against a first line after the grace: a dial may take longer than that.
+def test_an_attempt_that_dials_a_server_that_begins_to_drain_goes_elsewhere(order):
+    # A dial may take longer than a server that drains goes on accepting first lines.
     bench = Bench(servers=3)
     session = bench.open(1)
-    leg = bench.sockets.out[session]
+    attempt = bench.sockets.out[session]
     if order == "drain first":
-        bench.sockets.in_dial.add(leg)
-    name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == leg.server.id)
+        bench.sockets.in_dial.add(attempt)
+    name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == attempt.server.id)
     bench.tell(
         bench.core.listed,
         *bench.registry.decode({"instances": [listed(name, lifecycle="terminating")]}),
     )
     now_at = bench.sockets.out[session].server
     assert (
-        (now_at is not leg.server and now_at.state is ServerState.READY)
+        (now_at is not attempt.server and now_at.state is ServerState.READY)
         if order == "drain first"
-        else now_at is leg.server
+        else now_at is attempt.server
     )
 
 
@@ -409,8 +411,8 @@
         link.close()
 
 
-def test_a_connect_for_which_there_is_no_place_is_known_not_to_have_run(monkeypatch):
-    crossing = Leaving(monkeypatch)
+def test_an_attempt_without_a_slot_is_known_not_to_have_run(monkeypatch):
+    crossing = AttemptHarness(monkeypatch)
     crossing.link.limits = replace(crossing.limits, dial_timeout=50 * MILLISECOND)
     assert crossing.link.slots.acquire(blocking=False)
     crossing.run()
@@ -420,8 +422,8 @@
 # Clients that leave.
 
 
-class Leaving:
-    """One connect to a server, its dial held by the test, and nobody who decides: what threads say stays in the queue."""
+class AttemptHarness:
+    """One attempt at a server whose dial the test holds. No thread decides: what the attempt posts stays in the inbox."""
 
     def __init__(self, monkeypatch, effect=Effect.IDEMPOTENT):
         self.inbox, self.limits = Inbox(Clock()), replace(LIMITS, dial_timeout=SECOND)
@@ -446,15 +448,15 @@
         monkeypatch.setattr(servers_module, "dial", held)
         session = self.client.session
         session.opening = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
-        leg = type("Leg", (), {})()
-        leg.session, leg.latest, leg.gauge = (
+        attempt = type("Attempt", (), {})()
+        attempt.session, attempt.latest, attempt.gauge = (
             session,
             self.inbox.clock() + 60 * SECOND,
             type("G", (), {"set_up": lambda *_: None})(),
         )
-        self.leg = leg
+        self.attempt = attempt
         self.link = ServerConnection(
-            leg,
+            attempt,
             self.server.getsockname(),
             b"OPEN a1 7 c=view,t=north,d=900\r\n",
             self.core,
@@ -508,9 +510,9 @@
 
 
 @pytest.mark.parametrize("leave", [close, half_close, reset_it, close_behind_bytes])
-def test_nothing_is_sent_for_a_client_that_left_though_nobody_was_told_yet(monkeypatch, leave):
-    # Guards against flows sent on for nobody: the client's word waits in the queue while its connect comes up.
-    crossing = Leaving(monkeypatch)
+def test_nothing_is_sent_for_a_client_that_left_before_the_core_knows(monkeypatch, leave):
+    # The client's end waits in the inbox while its attempt comes up: no flow is forwarded for nobody.
+    crossing = AttemptHarness(monkeypatch)
     crossing.run()
     assert crossing.began.wait(5)
     leave(crossing.far)
@@ -520,15 +522,15 @@
 
 
 def test_a_client_that_left_before_the_dial_costs_its_server_no_connection(monkeypatch):
-    crossing = Leaving(monkeypatch)
+    crossing = AttemptHarness(monkeypatch)
     crossing.far.close()
     until_true(crossing.client.has_ended)
     crossing.run()
     assert crossing.posted() == [("left",)] and not crossing.began.is_set()
 
 
-def test_in_the_other_order_the_line_has_gone_out_whole(monkeypatch):
-    crossing = Leaving(monkeypatch)
+def test_a_client_that_leaves_after_the_dial_has_had_its_line_sent_whole(monkeypatch):
+    crossing = AttemptHarness(monkeypatch)
     crossing.run()
     crossing.go.set()
     sock, _ = crossing.server.accept()
@@ -539,21 +541,21 @@
     assert crossing.posted() == [("ended", Outcome.ERROR)]
 
 
-def test_a_window_that_ends_while_the_connect_dials_binds_when_the_line_would_go_out(monkeypatch):
-    # Guards against a second effect: the servers' memory of the first connect has ended by then.
-    crossing = Leaving(monkeypatch)
-    crossing.leg.latest = crossing.inbox.clock() + 20 * MILLISECOND
+def test_an_idempotency_window_that_ends_during_the_dial_keeps_the_line_back(monkeypatch):
+    # The servers' memory of the first attempt has ended by then: a second one could take effect again.
+    crossing = AttemptHarness(monkeypatch)
+    crossing.attempt.latest = crossing.inbox.clock() + 20 * MILLISECOND
     crossing.run()
     assert crossing.began.wait(5)
-    until_true(lambda: crossing.inbox.clock() > crossing.leg.latest)
+    until_true(lambda: crossing.inbox.clock() > crossing.attempt.latest)
     crossing.go.set()
     assert crossing.heard() == b"" and crossing.posted() == [("ended", Outcome.MOOT)]
     assert not crossing.link.recall()
 
 
 @pytest.mark.parametrize("first", ["drop", "dial"])
-def test_a_connect_that_is_dropped_as_it_comes_up_sends_all_or_nothing(monkeypatch, first):
-    crossing = Leaving(monkeypatch)
+def test_an_attempt_that_is_dropped_as_it_comes_up_sends_all_or_nothing(monkeypatch, first):
+    crossing = AttemptHarness(monkeypatch)
     crossing.run()
     assert crossing.began.wait(5)
     if first == "drop":
@@ -587,8 +589,8 @@
         (b"BYE\r\n", Outcome.OK),
     ],
 )
-def test_an_answer_that_is_no_server_s_yes_is_never_passed_on(monkeypatch, answer, outcome):
-    crossing = Leaving(monkeypatch)
+def test_an_answer_that_is_no_acceptance_is_never_relayed(monkeypatch, answer, outcome):
+    crossing = AttemptHarness(monkeypatch)
     crossing.run()
     crossing.go.set()
     sock, _ = crossing.server.accept()
@@ -599,8 +601,8 @@
 
 
 def test_decisions_go_on_while_a_server_reads_nothing(monkeypatch):
-    # Guards the deciding thread: `drop` and `recall` waited for the first line to be written.
-    crossing = Leaving(monkeypatch)
+    # `drop` and `recall`, which the deciding thread calls, must not wait for the first line to be written.
+    crossing = AttemptHarness(monkeypatch)
     crossing.link.open_line = b"x" * (64 << 20)  # more than any buffer takes
     crossing.run()
     crossing.go.set()
@@ -616,7 +618,7 @@
     sock.close()
 
 
-class Deaf(Server):
+class UnreadingServer(Server):
     """Takes flows, and then reads nothing any more."""
 
     def serve(self, link):
@@ -630,7 +632,7 @@
 
 
 def test_decisions_go_on_while_a_server_and_a_client_read_nothing(start):
-    talker, deaf = Server(), Deaf()
+    talker, deaf = Server(), UnreadingServer()
     program, held = start(talker, deaf), []
     while not (talker.openings and deaf.openings):
         held.append(program.open(f"n{len(held)}"))
@@ -653,7 +655,7 @@
 
 
 def test_short_of_descriptors_no_server_is_blamed(monkeypatch):
-    crossing = Leaving(monkeypatch)
+    crossing = AttemptHarness(monkeypatch)
 
     def short(address, span):
         raise OSError(24, "Too many open files")
@@ -666,7 +668,7 @@
 # The stop.
 
 
-class Here:
+class InProcessProgram:
     """The program in this process: its threads can be held at a point."""
 
     def __init__(self, tmp_path, *servers, **settings):
@@ -720,7 +722,7 @@
 def test_what_the_machine_has_accepted_by_the_end_is_answered(tmp_path):
     # The accepting thread stands still up to the end of the stop; all that wrote their lines by then wait in the backlog.
     server = Server()
-    here = Here(tmp_path, server).start()
+    here = InProcessProgram(tmp_path, server).start()
     at, go = held_accept(here.program)
     first = here.open("a0")
     assert at.wait(5)
@@ -739,9 +741,9 @@
         here.connect()
 
 
-def test_beyond_all_places_the_backlog_is_answered_too(tmp_path):
+def test_the_backlog_is_answered_even_without_a_slot(tmp_path):
     server = Server()
-    here = Here(tmp_path, server, sockets=64).start()
+    here = InProcessProgram(tmp_path, server, sockets=64).start()
     at, go = held_accept(here.program)
     first = here.open("b0")
     assert at.wait(5)
@@ -759,7 +761,7 @@
     """A request in the very instant in which the balancer ends a connection that rests: its line is read before that and
     served or refused, or it meets the no; it is never sent on after it."""
     server = Server()
-    here = Here(tmp_path, server).start()
+    here = InProcessProgram(tmp_path, server).start()
     resting = [here.connect() for _ in range(6)]
     for link in resting:
         link.say("PING")
@@ -792,7 +794,7 @@
 
 def test_flows_whose_server_hangs_are_answered_before_the_end_and_nothing_follows(tmp_path):
     servers = [Server("silent"), Server("silent")]
-    here = Here(tmp_path, *servers).start()
+    here = InProcessProgram(tmp_path, *servers).start()
     flows = [here.open(f"c{i}", 900) for i in range(6)]
     until_true(lambda: sum(len(s.openings) for s in servers) >= 6)
     here.stop()
@@ -804,8 +806,8 @@
     assert sum(len(s.openings) for s in servers) == sent
 
 
-def test_a_flow_held_back_when_its_time_is_cut_is_answered_by_then():
-    # Guards against an answer that comes only when the flow would have been looked at anyway, after the end of a stop.
+def test_a_pending_flow_whose_deadline_is_moved_up_is_answered_by_then():
+    # Not only when the flow would have been looked at anyway, which may be after the end of a stop.
     ledger = Ledger(1)
     flows = [ledger.arrive() for _ in range(5)]
     held = [flow for flow in flows if flow.server is None]
@@ -819,7 +821,7 @@
     assert ledger.answers[held[0].id] == "reject"
 
 
-def test_a_signal_to_end_is_heeded_from_the_listening_socket_on(tmp_path):
+def test_a_signal_to_end_is_acted_on_from_the_listening_socket_on(tmp_path):
     """Told to end between its first listening and its first decision: who comes in that moment is answered."""
     code = (
         "import os, signal, sys; from cypresswalk.service import program as p\n"
@@ -876,19 +878,19 @@
     assert client.hear() == "MOVE" and program.process.wait(5) == 0
 
 
-# Outcomes against the connect timeout, in one turn of the queue.
+# Outcomes against the attempt timeout, in one turn of the event loop.
 
 
 @pytest.mark.parametrize("order", ["up first", "late first"])
-def test_up_and_the_connect_timeout_in_one_turn_leave_one_answer(order):
+def test_up_and_the_attempt_timeout_in_one_turn_leave_one_answer(order):
     bench = Bench()
     session = bench.open(1)
-    leg = bench.sockets.out[session]
-    bench.now = leg.session.flow.deadline - (1 if order == "up first" else 0)
-    steps = [lambda: bench.core.up(bench.now, leg), lambda: bench.core.pass_time(bench.now)]
+    attempt = bench.sockets.out[session]
+    bench.now = attempt.session.flow.deadline - (1 if order == "up first" else 0)
+    steps = [lambda: bench.core.up(bench.now, attempt), lambda: bench.core.pass_time(bench.now)]
     for step in steps if order == "up first" else reversed(steps):
         step()
-    bench.now = leg.session.flow.deadline
+    bench.now = attempt.session.flow.deadline
     bench.step()
     assert bench.sockets.answers[session] == (b"UP" if order == "up first" else b"BUSY\r\n")
 
@@ -901,18 +903,20 @@
     for _ in range(60):
         events = []
 
-        def end(leg):
-            bench.sockets.drop(leg)
+        def end(attempt):
+            bench.sockets.drop(attempt)
             bench.core.ended(
-                bench.now, leg, chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED])
+                bench.now,
+                attempt,
+                chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]),
             )
 
-        for session, leg in list(bench.sockets.out.items()):
+        for session, attempt in list(bench.sockets.out.items()):
             events.append(
                 chance.choice(
                     [
-                        lambda leg=leg: bench.core.up(bench.now, leg),
-                        lambda leg=leg: end(leg),
+                        lambda attempt=attempt: bench.core.up(bench.now, attempt),
+                        lambda attempt=attempt: end(attempt),
                         lambda session=session: bench.core.left(bench.now, session),
                         lambda: None,
                     ]
@@ -930,7 +934,7 @@
     assert all(session.over for session in left) and not bench.sockets.out
 
 
-def test_a_connect_that_never_came_up_by_its_time_is_known_not_to_have_run():
+def test_an_attempt_that_still_dials_at_its_timeout_is_known_not_to_have_run():
     bench = Bench()
     session = bench.open(1, "c=book,t=north,d=900")
     bench.sockets.in_dial.add(bench.sockets.out[session])
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -55,7 +55,7 @@
 
 @SEEDED
 @given(st.lists(st.text("ab =", max_size=12), max_size=8), CUTS)
-def test_lines_come_whole_however_they_are_cut(texts, cuts):
+def test_lines_come_out_whole_however_they_are_cut(texts, cuts):
     data = b"".join(text.encode() + b"\r\n" for text in texts)
     one, all_whole, got, passed = LineParser(64), LineParser(64), [], b""
     for piece in pieces(data + b"tail", cuts):
@@ -69,14 +69,14 @@
     assert got == texts and passed == data
 
 
-def test_an_endless_line_is_refused_and_not_kept():
+def test_a_line_over_the_limit_is_refused_and_not_kept():
     lines = LineParser(16)
     lines.feed(b"x" * 17)
     with pytest.raises(ProtocolError):
         lines.next_line()
 
 
-def test_an_opening_goes_on_unchanged_but_for_the_wait():
+def test_an_open_request_is_forwarded_unchanged_but_for_the_wait():
     line = b"OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f,h=1.5"
     assert parse_open_request(line).encode(1234) == line.replace(b"2000", b"1234") + b"\r\n"
     assert parse_open_request(b"OPEN 9b1f 7f3a c=chat").encode(5) == b"OPEN 9b1f 7f3a c=chat\r\n"
@@ -111,7 +111,7 @@
         b"OPEN " + b"a" * 65 + b" b c=d",
     ],
 )
-def test_an_odd_opening_is_no_opening(line):
+def test_a_malformed_open_request_is_refused(line):
     with pytest.raises(ProtocolError):
         parse_open_request(line)
 
@@ -150,12 +150,12 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
     ],
 )
-def test_what_is_no_http_is_named(data):
+def test_what_is_no_http_response_is_refused(data):
     with pytest.raises(ProtocolError):
         ResponseParser(100).feed(data)
 
 
-def test_odd_entries_are_passed_over_and_numbers_come_from_the_names():
+def test_malformed_entries_are_left_out_and_server_numbers_are_hashes_of_their_ids():
     odd = [
         7,
         {},
@@ -196,7 +196,7 @@
             registry.decode(broken)
 
 
-def test_a_load_line_is_a_delay_where_the_settings_say_so_and_nothing_else_is():
+def test_a_load_line_is_a_delay_where_servers_report_delays_and_no_other_line_is():
     notes = LoadReportParser(False, True, LIMITS)
     assert notes.parse_delay(LoadReportHistory(), 5, b"LOAD 131.5") == 131_500_000
     odd = (b"LOADED 1", b"LOAD", b"LOAD x", b"LOAD nan", b"LOAD -1", b"M 1", b"")
@@ -206,7 +206,7 @@
     )
 
 
-def test_delays_are_told_from_loads_by_size_and_by_pace():
+def test_delays_are_distinguished_from_loads_by_size_and_interval():
     notes, told, other = (
         LoadReportParser(True, True, LIMITS),
         LoadReportHistory(),
@@ -233,7 +233,7 @@
     ]  # no pile grows that fast
 
 
-def test_a_load_report_is_read_by_name_or_by_place():
+def test_a_load_report_is_parsed_by_name_or_by_position():
     fields = ["x0", "qps"]
     assert (
         parse_load_fields("qps=3.5,x0=0.25", fields)
@@ -263,8 +263,8 @@
     ),
     CUTS,
 )
-def test_objects_come_whole_however_they_are_indented_joined_or_cut(told, cuts):
-    # Guards against a list on several lines that was taken for a broken one, and asked for again without end.
+def test_json_objects_come_out_whole_however_they_are_indented_joined_or_cut(told, cuts):
+    # A list on several lines must not be taken for a broken one, which would be asked for again without end.
     data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in told)
     values, got = JsonStreamParser(100_000), []
     for piece in pieces(data, cuts):
@@ -280,7 +280,7 @@
     "data",
     [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"],
 )
-def test_what_is_no_object_is_refused_and_not_kept(data):
+def test_what_is_no_json_object_is_refused_and_not_kept(data):
     values = JsonStreamParser(900)
     with pytest.raises(ProtocolError):
         for at in range(0, len(data), 90):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -248,14 +248,14 @@
     assert seen and len(seen) <= 3
 
 
-def test_a_once_only_flow_that_may_have_run_is_aborted_and_goes_nowhere_else(start):
+def test_a_non_idempotent_flow_that_may_have_run_is_aborted_and_not_retried(start):
     servers = [Server("err"), Server("err")]
     client = start(*servers).open("c1", "c=book,t=north,d=500")
     assert client.hear() == "ERR"
     assert sum(len(server.openings) for server in servers) == 1
 
 
-def test_odd_clients_get_a_failed_answer_and_hurt_nobody(start):
+def test_malformed_first_lines_get_an_error_and_affect_no_other_client(start):
     program = start(Server())
     for line in (
         "GET / HTTP/1.1",
@@ -273,7 +273,7 @@
     assert program.open("d1").hear() == "UP rd1"
 
 
-def test_a_handed_over_connection_goes_to_its_server(start):
+def test_a_resumed_connection_goes_to_its_server(start):
     servers = [Server() for _ in range(4)]
     program = start(*servers)
     for i in range(4):
@@ -297,15 +297,15 @@
     )
 
 
-def test_a_list_nested_beyond_reason_is_a_failed_list_and_no_crash(start):
+def test_a_list_nested_too_deep_is_a_failed_list_and_no_crash(start):
     program = start(Server(), watched=Discovery(b"[" * 100_000))
     assert program.logged("event=list_failed")
     assert program.open("m1").hear() == "UP rm1"
 
 
 @pytest.mark.parametrize("asked", [False, True])
-def test_sighup_takes_the_list_from_the_file_s_new_address_and_nothing_stops(start, asked):
-    # Guards against the signal ending the program, and against an old address having its say beside the new one's.
+def test_sighup_follows_the_list_at_the_new_address_and_nothing_stops(start, asked):
+    # The signal does not end the program, and the old address's updates no longer count beside the new one's.
     away, kept = Server(), Server()
     first = Discovery(changes(listed("s-0", away.address), generation=900))
     second = Discovery(changes(listed("s-0", away.address, "terminating"), generation=3))
@@ -347,7 +347,7 @@
     assert "flows_moved=13" in program.log.read_text()
 
 
-def test_counters_are_logged_on_request_and_a_told_delay_is_among_them(start):
+def test_counters_are_logged_on_request_and_a_reported_delay_is_among_them(start):
     program = start(Server())
     client = program.open("h1")
     assert client.hear() == "UP rh1"
@@ -362,7 +362,7 @@
     raise AssertionError("the delay was not counted")
 
 
-def test_a_client_whose_server_answers_its_lines_no_more_is_told_to_move(start):
+def test_a_client_whose_server_stops_answering_lines_is_told_to_move(start):
     client, began = start(Server()).open("k1"), time.monotonic()
     assert client.hear() == "UP rk1"
     client.say("HANG")
@@ -422,7 +422,7 @@
     assert program.open("i99").hear() == "UP ri99"
 
 
-def test_clients_that_say_nothing_make_room(start):
+def test_clients_that_send_nothing_make_room(start):
     program = start(Server(), sockets=24)
     silent = [program.connect() for _ in range(60)]
     began = time.monotonic()
@@ -431,7 +431,7 @@
 
 
 def test_a_flood_before_the_answer_is_answered_once_and_served_by_no_server(start):
-    # Guards against the first of hundreds of commands being served, and against what never ends being kept or read on.
+    # Not even the first of hundreds of commands is served, and a line without end is neither kept nor read on.
     server = Server()
     program = start(server)
     for number, flood in enumerate(
@@ -464,15 +464,17 @@
     assert done.returncode == 1 and done.stderr == b"cypresswalk: PROXY_CONFIG is not set\n"
 
 
-def test_a_client_that_is_sent_off_as_its_line_arrives_keeps_its_answer(start):
-    """Found by the fault tool: reading had been shut, so the balancer took its own end for the client's and closed at once;
-    the line that came next met a reset, which takes the answer back."""
+def test_a_client_that_is_dismissed_as_its_line_arrives_keeps_its_answer(start):
+    """After a dismissal reading is shut down, so that a read finds an end at once. Taking that for the client's end would
+    close the connection, and the line that came next would meet a reset, which takes the answer back."""
     program = start(Server(), sockets=64)
     slow = program.connect()
-    time.sleep(0.15)  # longer than `idle`: its place may be given away
+    time.sleep(0.15)  # longer than `Limits.idle_grace`: its place may be given away
     others = []
     while len(others) < 24 and not comes(slow.sock, 0.01):
-        others.append(program.connect())  # one by one: the door is looked at as each comes
+        others.append(
+            program.connect()
+        )  # one by one: the listener looks for places as each arrives
     assert slow.hear() == "BUSY"
     for _ in range(3):
         slow.sock.sendall(
