--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -25,7 +25,7 @@
 from cypresswalk.fleet.unavailability import GO
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.model import EndpointUpdate, Flow, Outcome, Server, ServerState
-from cypresswalk.net.config import Address, Config, read
+from cypresswalk.net.config import Address, Config, read_file
 from cypresswalk.net.core import FAILED, Attempt, Core, Phase, Session
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.admin_commands import AdminCommand
@@ -120,7 +120,7 @@
         registry: Callable[[], EndpointListDecoder],
     ):
         self.core, self.registry, self.post = core, registry, post
-        self.params = read(config.path)["settings"]
+        self.params = read_file(config.path)["settings"]
         self.fleet = Fleet(
             table,
             lambda settings: objection(self.params, settings),
@@ -506,7 +506,11 @@
         left = min(span, max((flow.deadline - now) // 2, 0))
         kind = flow.service_type
         # Held while it may be under way, and a repeat of it come.
-        held = kind.idempotency_window + max(flow.deadline - now, 0) + self.core.limits.longest
+        held = (
+            kind.idempotency_window
+            + max(flow.deadline - now, 0)
+            + self.core.limits.longest_attempt_timeout
+        )
         self.waiting[session] = None
         # Whatever becomes of the copies' thread: guards a flow against a process that hands over or fails just now.
         self.core.at(now + left + SPARE, self.late, session)
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -18,11 +18,11 @@
 
 from cypresswalk.measures import DecayingSum
 from cypresswalk.model import EndpointUpdate, Server, ServerState
-from cypresswalk.net.config import Address, ConfigError, address
+from cypresswalk.net.config import Address, parse_address
 from cypresswalk.net.core import Core, Phase
+from cypresswalk.net.errors import ConfigError, ProtocolError
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
-from cypresswalk.net.parsers.lines import ProtocolError
 
 VERSION = 1
 CHUNK = 200  # servers, or ids by the tenfold, in one message: well under the longest line
@@ -194,7 +194,7 @@
         raise ValueError(f"{told['name']}: a figure out of its range")
     return (
         server,
-        address(told["address"], "address"),
+        parse_address(told["address"], "address"),
         told["name"],
         known | {name: pair(told[name]) for name in SUMS if name in told},
     )
@@ -250,7 +250,7 @@
     balancer.assume_retry_budget_spent(now)
     balancer.traffic.started_at = min(told.state["started"] + later, now)
     balancer.placement.stale = True
-    for ident in ids[-core.limits.ids :]:
+    for ident in ids[-core.limits.max_remembered_flows :]:
         core.seen[ident] = None
     core.settle()
 
@@ -384,7 +384,7 @@
                 "known": why is None,
             }
         )
-        self.core.at(now + self.core.limits.call_beside, self.late, self.asked_last)
+        self.core.at(now + self.core.limits.handover_confirm_timeout, self.late, self.asked_last)
         return True
 
     def confirmed(self, now: int, number: int, why: str | None) -> None:
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -13,13 +13,15 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
+from cypresswalk.net.connection import timeval
+from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.handover import VERSION, Handover
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.link import timeval
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.endpoint_list import number_of
-from cypresswalk.net.parsers.lines import LineParser, ProtocolError
+from cypresswalk.net.parsers.endpoint_list import stable_hash
+from cypresswalk.net.parsers.lines import LineParser
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 PATH_MOST = 100  # bytes: a Unix socket's path may have 107
@@ -31,8 +33,8 @@
     def __init__(self, sock: socket.socket, inbox: Inbox, limits: Limits):
         self.sock, self.inbox, self.limits = sock, inbox, limits
         sock.settimeout(None)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
-        self.lines, self.out = LineParser(limits.list_line), SimpleQueue()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write_timeout))
+        self.lines, self.out = LineParser(limits.max_list_bytes), SimpleQueue()
         self.descriptors: list[int] = []
         self.side: Handover | None = None
 
@@ -65,8 +67,8 @@
 
     def message(self) -> dict | None:
         """The next one, None at the end. Raises OSError, ProtocolError."""
-        while (line := self.lines.line()) is None:
-            data, descriptors, _, _ = socket.recv_fds(self.sock, self.limits.list_read, 4)
+        while (line := self.lines.next_line()) is None:
+            data, descriptors, _, _ = socket.recv_fds(self.sock, self.limits.list_read_bytes, 4)
             self.descriptors += descriptors
             if not data:
                 return None
@@ -82,11 +84,11 @@
     def read(self) -> None:
         try:
             while (message := self.message()) is not None:
-                self.inbox.first(self.side.heard, self, message)
+                self.inbox.post_urgent(self.side.heard, self, message)
         except (OSError, ProtocolError) as error:
             log.warning(event("beside_lost", why=error))
         finally:
-            self.inbox.first(self.side.parted, self)
+            self.inbox.post_urgent(self.side.parted, self)
             self.close()
 
 
@@ -98,7 +100,7 @@
     ):
         self.inbox, self.limits = inbox, limits
         self.name = f"{name} {listen[0]}:{listen[1]}"
-        self.folder, self.file = folder, f"cypresswalk-{number_of(self.name):x}"
+        self.folder, self.file = folder, f"cypresswalk-{stable_hash(self.name):x}"
         self.sock: socket.socket | None = None
         self.waiting = Lock()
         self.turn: int | None = (
@@ -125,12 +127,12 @@
         stands beside it; whatever else is in the way is said, and means a plain start."""
         if not self.folder:
             return None
-        until = self.inbox.clock() + self.limits.bind
+        until = self.inbox.clock() + self.limits.bind_timeout
         self.take_turn(until)
         while True:
             try:
                 sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                sock.settimeout(self.limits.bind / SECOND)
+                sock.settimeout(self.limits.bind_timeout / SECOND)
                 with self.path(self.file) as path:
                     sock.connect(path)
             except (FileNotFoundError, ConnectionRefusedError):
@@ -141,7 +143,7 @@
                 log.warning(event("handover_none", why=error))
                 return None
             channel = Channel(sock, self.inbox, self.limits)
-            sock.settimeout(self.limits.bind / SECOND)
+            sock.settimeout(self.limits.bind_timeout / SECOND)
             try:
                 sock.sendall(
                     json.dumps({"hello": {"version": VERSION, "name": self.name}}).encode() + b"\n"
@@ -160,7 +162,7 @@
             if self.inbox.clock() > until or not isinstance(why, str) or "version" in why:
                 log.warning(event("handover_none", why=why))
                 return None
-            time.sleep(self.limits.list_retry / SECOND)
+            time.sleep(self.limits.min_list_retry_pause / SECOND)
 
     def take_turn(self, until: int) -> None:
         """One process at a time looks for another. Guards against two that start in the same moment: neither would find the
@@ -185,7 +187,7 @@
                     log.warning(event("handover_turn_none", why=error))
                     os.close(turn)
                     return
-            time.sleep(self.limits.list_retry / SECOND)
+            time.sleep(self.limits.min_list_retry_pause / SECOND)
 
     def end_turn(self) -> None:
         if self.turn is not None:
@@ -226,7 +228,7 @@
                 sock, _ = self.sock.accept()
             except OSError as error:
                 log.warning(event("handover_accept_failed", why=error))
-                time.sleep(self.limits.accept_pause / SECOND)
+                time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             try:
                 self.greet(Channel(sock, self.inbox, self.limits), side)
@@ -235,7 +237,7 @@
                 sock.close()
 
     def greet(self, channel: Channel, side: Handover) -> None:
-        channel.sock.settimeout(self.limits.list_retry / SECOND)
+        channel.sock.settimeout(self.limits.min_list_retry_pause / SECOND)
         hello = (channel.message() or {}).get("hello")
         channel.sock.settimeout(None)
         if (
@@ -246,4 +248,4 @@
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
         channel.start(side)
-        self.inbox.first(side.hello, channel)
+        self.inbox.post_urgent(side.hello, channel)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -13,19 +13,20 @@
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import SECOND, EndpointUpdate, Outcome, Server
 from cypresswalk.net import logs
-from cypresswalk.net.clients import Listener
 from cypresswalk.net.clock import Clock
-from cypresswalk.net.config import Address, Config, ConfigError, discovery_anew, load
+from cypresswalk.net.config import Address, Config, load, read_discovery_address
 from cypresswalk.net.core import Attempt, Core, Session
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.discovery import Watch
-from cypresswalk.net.inbox import Inbox, start_thread
+from cypresswalk.net.discovery import EndpointWatch
+from cypresswalk.net.errors import ConfigError, ProtocolError
+from cypresswalk.net.gossip import GossipSocket
+from cypresswalk.net.health_checks import HealthChecker
+from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.listener import ClientListener
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
-from cypresswalk.net.parsers.lines import ProtocolError
-from cypresswalk.net.peers import Peers
-from cypresswalk.net.probes import Prober
-from cypresswalk.net.servers import ServerLink
+from cypresswalk.net.servers import ServerConnection
+from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
 # The interpreter's own is 5 ms. Measured on two cores: while 300 clients came at once, the echo of a standing one's
@@ -50,23 +51,27 @@
             raise ConfigError(f"known: {error}") from None
         self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
         asked = config.settings.list_polled
-        self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
-        self.places = threading.Semaphore(self.limits.flows + self.limits.links_over)
-        self.prober = Prober(self.core, self.inbox, self.limits, config.load_fields)
+        self.watch = EndpointWatch(
+            config.discovery, registry, self.core, self.inbox, self.limits, asked
+        )
+        self.places = threading.Semaphore(
+            self.limits.max_flows + self.limits.max_lingering_connections
+        )
+        self.prober = HealthChecker(self.core, self.inbox, self.limits, config.load_fields)
         self.peers, self.admin, self.beside, sockets = None, None, None, []
-        if shared := config.admin is not None:
+        if shared := config.admin_address is not None:
             sockets = self.operate(config)
-        if config.peer_listen is not None:
-            self.peers = Peers(
-                config.peer_listen,
-                config.peers_all,
+        if config.gossip_listen is not None:
+            self.peers = GossipSocket(
+                config.gossip_listen,
+                config.gossip_target,
                 self.core,
                 self.inbox,
                 self.limits,
                 shared,
                 sockets[1] if len(sockets) > 1 else None,
             )
-        self.listener = Listener(
+        self.listener = ClientListener(
             config.listen,
             self.core,
             self.inbox,
@@ -86,7 +91,7 @@
         from cypresswalk.net.handover import Handover
         from cypresswalk.net.handover_socket import HandoverSocket
 
-        self.admin = Admin(config.admin, self.core, self.inbox, self.limits)
+        self.admin = Admin(config.admin_address, self.core, self.inbox, self.limits)
         self.beside = HandoverSocket(
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
@@ -107,20 +112,20 @@
             every,
             self.core,
             self.inbox,
-            self.watch.registry,
+            self.watch.decoder,
             config.name,
             "%s:%d" % config.discovery,
         )
         self.keeper.recover(self.clock())
         # A list that knows less than this balancer was told in its life before is an older one.
-        self.watch.floor = self.keeper.floor
+        self.watch.min_version = self.keeper.floor
 
     def join_fleet(self, table: object, config: Config) -> None:
         """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
-            table, config, self.core, self.inbox.post, lambda: self.watch.registry
+            table, config, self.core, self.inbox.post, lambda: self.watch.decoder
         )
 
     def run(self) -> None:
@@ -131,17 +136,17 @@
             self.elder.start(self.core.side)
         else:
             self.accept()
-        start_thread(self.watch.run, pause, self.limits.list_stack)
+        start_thread(self.watch.run, pause, self.limits.list_thread_stack)
         if self.admin is not None:
             start_thread(self.admin.run, pause)
         if self.keeper is not None:
             self.keeper.start()
-        queue, calls, core, last = self.inbox.queue, self.inbox.calls, self.core, self.clock()
+        queue, calls, core, last = self.inbox.queue, self.inbox.urgent, self.core, self.clock()
         while not self.over():
             due = core.next_due()
             wait = SECOND if due is None else due - self.clock()
             if core.stopped:
-                wait = min(wait, self.limits.leave_tick)
+                wait = min(wait, self.limits.leave_poll_interval)
             try:
                 item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
                 # All that waits now, and no more: a flood of events must not keep decisions waiting.
@@ -169,9 +174,9 @@
         had time to read it. Guards clients that come in the last moments against being taken and never answered."""
         if not self.core.stopped:
             return False
-        self.ends_at = self.ends_at or self.clock() + self.limits.leave_end
+        self.ends_at = self.ends_at or self.clock() + self.limits.leave_read_time
         if self.listener.closed:
-            self.listener.send_off_silent()
+            self.listener.dismiss_unopened()
         return (
             self.listener.closed
             and not self.listener.clients
@@ -195,7 +200,7 @@
 
     def reload(self, now: int) -> None:
         self.reloads += 1
-        self.reload_until(now, self.reloads, now + self.limits.reload_again)
+        self.reload_until(now, self.reloads, now + self.limits.reload_retry_time)
 
     def reload_until(self, now: int, number: int, until: int) -> None:
         """The list comes from where the file says now; what runs stays. A file that can't be used is looked at again for a
@@ -203,10 +208,12 @@
         if number != self.reloads:
             return
         try:
-            discovery = discovery_anew(self.path)
+            discovery = read_discovery_address(self.path)
         except ConfigError as error:
             if now < until:
-                self.core.at(now + self.limits.list_retry, self.reload_until, number, until)
+                self.core.at(
+                    now + self.limits.min_list_retry_pause, self.reload_until, number, until
+                )
             else:
                 log.error(event("reload_failed", why=error))
             return
@@ -214,20 +221,20 @@
             event("reload", discovery="%s:%d" % discovery, before="%s:%d" % self.watch.address)
         )
         if discovery == self.watch.address:
-            self.watch.call()
+            self.watch.request_update()
             return
         old = self.watch
-        new = Watch(
+        new = EndpointWatch(
             discovery,
-            old.registry.elsewhere(),
+            old.decoder.for_other_address(),
             self.core,
             self.inbox,
             self.limits,
-            old.asked,
-            max(old.floor, old.registry.version),
+            old.polled,
+            max(old.min_version, old.decoder.version),
         )
-        new.call()  # what the module has asked for it has asked of any address
-        start_thread(new.run, self.limits.fault_pause, self.limits.list_stack)
+        new.request_update()  # what the module has asked for it has asked of any address
+        start_thread(new.run, self.limits.fault_pause, self.limits.list_thread_stack)
         self.watch = new
         old.end()
 
@@ -237,27 +244,27 @@
     # What two processes of one balancer do for each other.
 
     def accept(self) -> None:
-        self.listener.taking = True
+        self.listener.accepting = True
         start_thread(self.listener.run, self.limits.fault_pause)
         if self.peers is not None:
-            self.peers.reading = True
+            self.peers.receiving = True
             start_thread(self.peers.run, self.limits.fault_pause)
         if self.beside is not None:
             self.beside.wait(self.core.side)
 
     def stop_accepting(self) -> None:
-        self.listener.taking = False
+        self.listener.accepting = False
         if self.peers is not None:
-            self.peers.reading = False
-        self.prober.end()
+            self.peers.receiving = False
+        self.prober.close_idle()
         if self.binding is not None:
             self.binding.fleet.stop()
 
     def list_at(self) -> tuple[str, int]:
-        return "%s:%d" % self.watch.address, self.watch.registry.version
+        return "%s:%d" % self.watch.address, self.watch.decoder.version
 
     def names(self) -> dict[int, str]:
-        return self.watch.registry.names
+        return self.watch.decoder.names
 
     def sockets(self) -> tuple[int, ...]:
         return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
@@ -265,7 +272,9 @@
     # What the core asks for.
 
     def connect(self, leg: Attempt, address: Address, line: bytes) -> None:
-        leg.link = ServerLink(leg, address, line, self.core, self.inbox, self.limits, self.places)
+        leg.link = ServerConnection(
+            leg, address, line, self.core, self.inbox, self.limits, self.places
+        )
         try:
             start_thread(leg.link.run)
         except RuntimeError as error:
@@ -273,7 +282,7 @@
             self.inbox.post(self.core.ended, leg, Outcome.CONNECT_FAILED)
 
     def join(self, leg: Attempt) -> None:
-        leg.link.join()
+        leg.link.start_relay()
 
     def drop(self, leg: Attempt) -> None:
         leg.link.drop()
@@ -282,27 +291,27 @@
         return leg.link.recall()
 
     def close_door(self, at: int) -> None:
-        self.listener.ends_at = at
+        self.listener.closes_at = at
 
     def answer(self, session: Session, line: bytes) -> None:
-        session.link.link.send_now(line)
-        session.link.link.shut(socket.SHUT_WR)
+        session.link.link.send_nowait(line)
+        session.link.link.shutdown(socket.SHUT_WR)
 
     def close(self, session: Session) -> None:
-        session.link.link.shut(socket.SHUT_RDWR)
+        session.link.link.shutdown(socket.SHUT_RDWR)
 
     def move(self, session: Session) -> None:
-        session.leg.link.move()
+        session.leg.link.migrate()
 
     def probe(self, server: Server, address: Address) -> None:
-        self.prober.probe(server, address)
+        self.prober.check(server, address)
 
     def subscribe(self) -> None:
-        self.watch.call()
+        self.watch.request_update()
 
     def tell(self, message: bytes) -> None:
         if self.peers is not None:
-            self.peers.tell(message)
+            self.peers.send(message)
 
 
 def enable(program: Program, path: str, config: Config) -> None:
@@ -337,9 +346,9 @@
     except ConfigError as error:
         print(f"cypresswalk: {error}", file=sys.stderr)
         return 1
-    logs.start(config.name, config.limits.log_lines)
+    logs.configure(config.name, config.limits.max_log_lines)
     sys.setswitchinterval(SWITCH_INTERVAL)
-    threading.stack_size(config.limits.stack)
+    threading.stack_size(config.limits.thread_stack)
     try:
         program = made(config, policy, core)
         if operator := os.environ.get("PROXY_OPERATOR"):
@@ -358,8 +367,8 @@
             "start",
             listen="%s:%d" % config.listen,
             servers=len(program.core.balancer.servers),
-            sockets=config.limits.sockets,
-            flows=config.limits.flows,
+            sockets=config.limits.max_sockets,
+            flows=config.limits.max_flows,
         )
     )
     program.run()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,12 +23,12 @@
 from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.core import Phase
+from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.handover import VERSION, Handover, ReceivedState, messages
 from cypresswalk.net.handover_socket import HandoverSocket
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
-from cypresswalk.net.parsers.lines import ProtocolError
 
 
 class Way:
@@ -135,7 +135,7 @@
 
 def test_what_both_hold_stays_within_what_one_may_hold():
     elder = Process(sockets=64)
-    most = elder.core.limits.flows
+    most = elder.core.limits.max_flows
     stand(elder, most, 0)
     younger = Process(elder, sockets=64)
     younger.settle()
@@ -573,7 +573,7 @@
         parted=lambda now, other: None,
     )
     first.wait(side)
-    call, words = inboxes[0].calls.get(timeout=3)
+    call, words = inboxes[0].urgent.get(timeout=3)
     call(clock(), *words)
     looking.join(3)
     assert found[0] is not None and first.turn is None and second.turn is None
