--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -16,13 +16,13 @@
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases
 from cypresswalk.lab.together.stage import Rig
-from cypresswalk.rollout.plan import File, drawn_up
+from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 
 def planned(w: Releases, hold_s: float, flows: int) -> list:
     """As `release plan` draws it up: zone by zone, a first one, each wave twice the one before."""
     zones = {name: p.table.zone for name, p in w.processes.items()}
-    waves = drawn_up(File(name="r1", since=OLD, to=NEW), zones)
+    waves = waves_by_zone(PlanFile(name="r1", since=OLD, to=NEW), zones)
     return ["r1", OLD, NEW, waves, hold_s, flows, 8.0, 0.01, 1.5, 120.0]
 
 
--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -11,6 +11,8 @@
 
 UNSURE = 4
 
+AGENT_CALL_TIMEOUT = 4.0  # seconds that an agent's call to the fleet may take
+
 
 class Asked:
     def __init__(self, addresses: list[str], fleet: str, span: float):
@@ -376,7 +378,7 @@
 
     status = asked.call("status")
     members = {m["name"]: m["zone"] for m in status["members"] if m["name"] not in status["left"]}
-    return plan.read(
+    return plan.read_plan(
         path, members, {name: str(zone) for name, zone, *_ in asked.call("show")["servers"]}
     )
 
@@ -492,41 +494,49 @@
     import signal
     from pathlib import Path
 
-    from cypresswalk.rollout.agent import Agent
+    from cypresswalk.fleet import client
+    from cypresswalk.rollout.actions import CallFleet, CallResult
+    from cypresswalk.rollout.agent_host import (
+        BALANCER_CHECK,
+        SERVER_CHECK,
+        AgentHost,
+        StateFile,
+        VersionProcesses,
+    )
     from cypresswalk.rollout.balancer_agent import BalancerAgent
+    from cypresswalk.rollout.change_agent import ChangeAgent
     from cypresswalk.rollout.server_agent import ServerAgent
 
-    if not (
-        member
-        and admin
-        and not server
-        and not answers
-        or server
-        and answers
-        and not member
-        and not admin
-    ):
+    def call_fleet(call: CallFleet) -> CallResult:
+        args = call.args
+        if call.ident:
+            args = client.command(f"agent of {name}", **args) | {"ident": call.ident}
+        try:
+            answer = client.call(asked.addresses, asked.fleet, call.name, args, AGENT_CALL_TIMEOUT)
+        except (CommandError, client.UncertainOutcomeError) as error:
+            return CallResult(False, {"why": str(error)})
+        return CallResult(*answer)
+
+    make: type[ChangeAgent]
+    if member and admin and not server and not answers:
+        name, make, admins, check = member, BalancerAgent, admin, BALANCER_CHECK
+    elif server and answers and not member and not admin:
+        name, make, admins, check = server, ServerAgent, (answers, answers), SERVER_CHECK
+    else:
         raise CommandError("--member with --admin, or --server with --answers")
     logging.basicConfig(
         level=logging.INFO, format="ts=%(created).3f level=%(levelname)s %(message)s"
     )
-    made = Agent(
-        member or server,
-        asked.fleet,
-        asked.addresses,
-        Path(root),
-        Path(folder),
-        first,
-        admin or (answers, answers),
-        list(command),
-        BalancerAgent if member else ServerAgent,
-    )
+    state_file = StateFile(Path(folder))
+    processes = VersionProcesses(Path(root), Path(folder), list(command))
+    agent = make(name, first, admins, state_file.load())
+    host = AgentHost(agent, state_file, processes, check, call_fleet)
 
     def stop(*_: object) -> None:
-        made.over = True
+        host.stopped = True
 
     signal.signal(signal.SIGTERM, stop)
-    made.run()
+    host.run()
 
 
 @fleet.command()
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -38,7 +38,7 @@
 from cypresswalk.fleet.server_observations import ServerObservations
 from cypresswalk.fleet.state_machine import AnyCommand, StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker, name_of
-from cypresswalk.rollout.evidence import Served
+from cypresswalk.rollout.evidence import ServedCounts
 from cypresswalk.rollout.release import UNFINISHED, Plan
 
 log = logging.getLogger(__name__)
@@ -194,7 +194,7 @@
         self.boot = 0  # how often it has started under this identity
         self.boots: dict[str, int] = {}  # at the leader, by name
         self.figures: dict[
-            str, tuple[Served, int]
+            str, tuple[ServedCounts, int]
         ] = {}  # and what each has served, and when it said so
         self.releasing = ReleaseControl()
         self.places = UnavailabilityTracker(about.stated)  # at the leader
@@ -347,7 +347,7 @@
         if self.placing is not None:
             self.placing.holds(source, ask.holds)
         name = name_of(source)
-        self.figures[name], self.boots[name] = (Served(*ask.served), now), ask.boot
+        self.figures[name], self.boots[name] = (ServedCounts(*ask.served), now), ask.boot
         self.places.asked(now, source, ask.ready, ask.lease)
         self.wards.asked(now, source, ask.version, ask.servers)
         try:
@@ -774,7 +774,7 @@
             release = self.agreed.state.release
             if release is None or release.plan.kind != state.SERVERS:
                 return state.ChangeStarted(*head, str(args["to"]), self.zones(), self.seen_out(now))
-            if not self.settled(release.outs.get(str(args["member"]), 1 << 62), now):
+            if not self.settled(release.out_since_version.get(str(args["member"]), 1 << 62), now):
                 raise ValueError("not every balancer acts on it yet")
             return state.ChangeStarted(*head, str(args["to"]), {}, self.bad_servers(now))
         if name not in kinds:
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -48,7 +48,8 @@
         "servers_bad": member.wards.bad(now, member.idents()),
         "coming": s.coming,
         "served": {
-            name: [f.up, f.rejected, f.failed, f.took] for name, (f, _) in member.figures.items()
+            name: [f.established, f.rejected, f.failed, f.setup_ns]
+            for name, (f, _) in member.figures.items()
         },
     }
 
@@ -65,8 +66,8 @@
         told = member.wards.can_tell(now, member.idents())
         return {
             "status": status,
-            "since": plan.since,
-            "to": plan.to,
+            "since": plan.from_version,
+            "to": plan.to_version,
             "phase": s.release.phase,
             "halted": s.halted is not None,
             "crowded": ""
@@ -74,14 +75,14 @@
             else member.agreed.change_bound(name, {}, seen)
             if told
             else UNTOLD,
-            "settled": member.settled(s.release.outs.get(name, 1 << 62), now),
+            "settled": member.settled(s.release.out_since_version.get(name, 1 << 62), now),
             "standing": member.standing(now, name),
-            "empty_s": plan.empty_s,
+            "empty_s": plan.drain_timeout_s,
         }
     return {
         "status": status,
-        "since": plan.since,
-        "to": plan.to,
+        "since": plan.from_version,
+        "to": plan.to_version,
         "phase": s.release.phase,
         "halted": s.halted is not None,
         "crowded": member.agreed.change_bound(name, member.zones(), member.seen_out(now))
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass, field
 
-from cypresswalk.rollout.evidence import Evidence, Served
+from cypresswalk.rollout.evidence import Evidence, ServedCounts
 from cypresswalk.rollout.release import Release, may_go
 
 SECOND = 1_000_000_000
@@ -56,7 +56,7 @@
         now: int,
         release: Release | None,
         halted: bool,
-        served: dict[str, Served],
+        served: dict[str, ServedCounts],
         out: set[str],
         away: set[str],
         boots: dict[str, int],
@@ -91,18 +91,21 @@
             if status == "changing"
         }
         for name, since in sorted(self.changing_since.items()):
-            if now - since > plan.change_s * SECOND and not halted:
+            if now - since > plan.change_timeout_s * SECOND and not halted:
                 return ReleaseAction(
-                    "halt", why=f"the agent of {name} has said nothing for {plan.change_s:g} s"
+                    "halt",
+                    why=f"the agent of {name} has said nothing for {plan.change_timeout_s:g} s",
                 )
         if release.phase == "running":
             wave = plan.waves[release.wave]
             changed = [name for name, status in sorted(release.members.items()) if status == "new"]
-            self.evidence.look(now, release.members, wave, served)
+            self.evidence.observe(now, release.members, wave, served)
             if halted:
                 self.last = "halted"
                 return None
-            bad = self.fallen(now, release, changed, out, boots) or self.evidence.bad(plan, now)
+            bad = self.fallen(now, release, changed, out, boots) or self.evidence.first_failure(
+                plan, now
+            )
             if bad:
                 return ReleaseAction("halt", why=bad)
             if all(release.members[name] == "new" for name in wave) and not set(wave) & (
@@ -117,7 +120,7 @@
                 (name for name, status in release.members.items() if status in ("new", "failed")),
                 key=lambda name: (
                     release.members[name] != "failed",
-                    -served.get(name, Served()).bad,
+                    -served.get(name, ServedCounts()).failure_share,
                     name,
                 ),
             )
@@ -140,10 +143,10 @@
             if now - since > UNUSED or halted and release.phase != "back":
                 return ReleaseAction("unused", name)
         for name, since in self.came_since.items():
-            if now - since > release.plan.change_s * SECOND and not halted:
+            if now - since > release.plan.change_timeout_s * SECOND and not halted:
                 return ReleaseAction(
                     "halt",
-                    why=f"{name} was changed, and most balancers have not seen it ready for {release.plan.change_s:g} s",
+                    why=f"{name} was changed, and most balancers have not seen it ready for {release.plan.change_timeout_s:g} s",
                 )
         return None
 
@@ -193,13 +196,13 @@
         if self.holds_since is None:
             self.holds_since = now
         passed = now - self.holds_since
-        why = self.evidence.unknown(plan, wave)
+        why = self.evidence.missing(plan, wave)
         self.last = f"wave {release.wave} holds for {passed / SECOND:.1f} of {plan.hold_s:g} s: {why or 'good'}"
         if passed < plan.hold_s * SECOND:
             return None
         if not why:
             return ReleaseAction("held", wave=release.wave)
-        if passed > plan.hold_s * plan.patience * SECOND:
+        if passed > plan.hold_s * plan.max_hold_periods * SECOND:
             return ReleaseAction(
                 "halt",
                 why=f"nothing is known of wave {release.wave} after {passed / SECOND:.0f} s: {why}",
--- a/cypresswalk/fleet/server_observations.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from cypresswalk.fleet.messages import ServerReport
-from cypresswalk.rollout.evidence import Served
+from cypresswalk.rollout.evidence import ServedCounts
 
 BAD = "held for bad by {} of {} balancers"
 
@@ -25,10 +25,10 @@
 class ServerObservations:
     fresh: int  # nanoseconds for which a word counts
     words: dict[str, Word] = field(default_factory=dict)  # by member's id
-    counts: dict[str, dict[str, Served]] = field(
+    counts: dict[str, dict[str, ServedCounts]] = field(
         default_factory=dict
     )  # of each member's latest word
-    served: dict[str, Served] = field(
+    served: dict[str, ServedCounts] = field(
         default_factory=dict
     )  # by server: all that has been added since this one leads
 
@@ -36,13 +36,13 @@
         self.words[ident] = Word(now, version, said)
         before, self.counts[ident] = (
             self.counts.get(ident),
-            {name: Served(*four) for name, four in said.served.items()},
+            {name: ServedCounts(*four) for name, four in said.served.items()},
         )
         if before is None:
             return  # what it had counted before this leader looked is of no one time
         for name, figures in self.counts[ident].items():
-            self.served[name] = self.served.get(name, Served()) + figures.since(
-                before.get(name, Served())
+            self.served[name] = self.served.get(name, ServedCounts()) + figures.growth_since(
+                before.get(name, ServedCounts())
             )
 
     def keep(self, members: Collection[str]) -> None:
--- a/cypresswalk/fleet/state_machine.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -11,7 +11,7 @@
 
 from cypresswalk.fleet.unavailability import SURELY
 from cypresswalk.rollout import release as releases
-from cypresswalk.rollout.bounds import why_not
+from cypresswalk.rollout.bounds import violation_reason
 
 REMEMBERED = (
     512  # ids of commands carried out, with what came of them: a caller asks again within seconds
@@ -454,7 +454,7 @@
                         if server not in after
                     }
                     if isinstance(command, GrantTurn):
-                        s.release.outs[command.name] = s.version
+                        s.release.out_since_version[command.name] = s.version
                 return result
             case BalancerReturned(name=name, granted=granted):
                 # Guards a grant that was agreed after this return was proposed.
@@ -489,7 +489,7 @@
         granted = {
             who: f"{why}, by {by}" for who, (by, _, why) in self.state.away.items() if who in zones
         }
-        return why_not(
+        return violation_reason(
             self.state.settings.get("bounds", {}).get("balancers", {}),
             zones,
             granted,
@@ -618,7 +618,7 @@
             name: f"release {s.release.plan.name}" for name in self.held_out()
         }
         granted |= {name: f"by {by}" for name, (by, _) in s.out.items()}
-        return why_not(scopes, self.server_zones(), granted, seen | listed, server, heals)
+        return violation_reason(scopes, self.server_zones(), granted, seen | listed, server, heals)
 
     def next(self, by: str, at: int, what: str) -> None:
         self.state.version += 1
--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/together/machines.py
@@ -15,7 +15,7 @@
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.stage import SECOND, SLACK, Process, Rig
-from cypresswalk.rollout.bounds import allowed
+from cypresswalk.rollout.bounds import max_unavailable
 
 LOOK = 0.1  # seconds between two looks at what an agent is doing
 FRONT = 0.3  # and at a balancer's front
@@ -456,7 +456,11 @@
             self.processes[name].harmed.append((at - 4 * SECOND, at + SECOND))
         report = await super().verdict() | end
         own, lost = self.spans()
-        most = allowed(self.plan.bound, len(self.names)) if self.plan.bound else len(self.names)
+        most = (
+            max_unavailable(self.plan.bound, len(self.names))
+            if self.plan.bound
+            else len(self.names)
+        )
         went = sorted(
             [(at, name, "release") for at, name in told]
             + [(at, name, "drain") for at, name in self.drains]
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -24,10 +24,7 @@
     VirtualFleet,
     World,
 )
-from cypresswalk.rollout.balancer_agent import (
-    USE,
-    AgentState,
-    BalancerAgent,
+from cypresswalk.rollout.actions import (
     CallFleet,
     CheckReady,
     DrawToken,
@@ -39,12 +36,15 @@
     Sleep,
     StartProcess,
 )
-from cypresswalk.rollout.bounds import allowed
+from cypresswalk.rollout.agent_state import AgentState
+from cypresswalk.rollout.balancer_agent import BalancerAgent
+from cypresswalk.rollout.bounds import max_unavailable
+from cypresswalk.rollout.change_agent import MAX_GRANT_AGE
 
 KNOWN = (
     8 * SECOND
 )  # so long after one was lost that whoever leads must know: heard last, a link's delay, a read's age
-HALTED = int((USE + 0.1) * SECOND)
+HALTED = int((MAX_GRANT_AGE + 0.1) * SECOND)
 OLD, NEW = "v1", "v2"
 # Builds: what part of its flows one fails, how many milliseconds a set-up takes it, when it falls over, whether it is ever ready.
 BUILDS = {
@@ -233,8 +233,8 @@
             answer = None
             match want:
                 case SaveState():
-                    self.world.note(f"{self.name} {self.duty.doing}")
-                    self.saved = copy.copy(self.duty.doing)
+                    self.world.note(f"{self.name} {self.duty.state}")
+                    self.saved = copy.copy(self.duty.state)
                     self.world.look(self)
                 case StartProcess(version=version, admin=admin):
                     answer = self.start(version, admin), ""
@@ -358,7 +358,7 @@
     ):
         super().__init__(seed, voters, followers, zones=zones, **more)
         self.bound, self.build, self.rate = bound, build, rate
-        self.most = allowed(bound, voters + followers)
+        self.most = max_unavailable(bound, voters + followers)
         self.pids = self.idents = 0
         self.machines = {name: Machine(self, p) for name, p in self.processes.items()}
         self.own = {"mark": 0, "bounds": {"balancers": {"all": bound}}}
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -27,8 +27,8 @@
 )
 from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet
 from cypresswalk.model import ServerState
-from cypresswalk.rollout.balancer_agent import AgentState
-from cypresswalk.rollout.bounds import allowed
+from cypresswalk.rollout.agent_state import AgentState
+from cypresswalk.rollout.bounds import max_unavailable
 from cypresswalk.rollout.server_agent import ServerAgent
 
 TICK = SECOND // 5
@@ -218,7 +218,7 @@
         self, seed: int, servers: int = 6, bound: Any = 2, build: str = "good", **more: Any
     ):
         super().__init__(seed, bound=1, build=build, **more)
-        self.most = allowed(bound, servers)
+        self.most = max_unavailable(bound, servers)
         self.stuck = 0.1  # of turns at a balancer, those whose flows leave late
         self.servers = {f"s{i}": Serving(self, f"s{i}") for i in range(servers)}
         self.balancers = {name: Sender(self, p) for name, p in self.processes.items()}
--- a/cypresswalk/rollout/bounds.py
+++ b/cypresswalk/rollout/bounds.py
@@ -1,92 +1,171 @@
-"""Bounds on what is out at once, as they stand in the agreed settings:
+"""How many balancers or servers may be unavailable at once, as the agreed settings state it.
 
-    "bounds": {"balancers": {"all": 2, "zone": {"share": 0.34, "least": 1}}, "servers": {"all": {"share": 0.25}}}
+    "bounds": {"balancers": {"all": 2, "zone": {"share": 0.34, "least": 1}},
+               "servers": {"all": {"share": 0.25}}}
 
-A bound is a number, or a share of those that there are, rounded down, with a least where one is stated. Where none stands nothing is
-bounded."""
+A bound is a number, or a share of the members in its scope, rounded down, with a least number where
+one is stated. Where no bound stands nothing is limited.
+"""
 
-from typing import Any
+from collections.abc import Collection, Mapping
+from dataclasses import dataclass
+from typing import NotRequired, TypedDict
 
-KINDS, SCOPES = ("balancers", "servers"), ("all", "zone")
+KINDS = ("balancers", "servers")
+ALL, ZONE = SCOPES = ("all", "zone")
+MAX_NAMES_LISTED = 8  # members named in a violation's text
+ROUNDING_SLACK = 1e-9  # so that 0.3 of 10 is 3 whatever the float product says
+
+
+class ShareBound(TypedDict):
+    """A bound stated as a part of the members."""
+
+    share: float
+    least: NotRequired[int]
+
+
+Bound = int | ShareBound
+
+
+@dataclass(frozen=True, slots=True)
+class BoundViolation:
+    """A bound that one more unavailable member would exceed.
+
+    Attributes:
+        unavailable: why each member that is out already is out, by name, sorted.
+        total: how many members the scope has.
+        limit: how many of them may be out.
+        zone: the zone of the scope, or None where the scope is all members.
+    """
+
+    unavailable: Mapping[str, str]
+    total: int
+    limit: int
+    zone: str | None
+
+    def __str__(self) -> str:
+        """The text for operators."""
+        where = "" if self.zone is None else f" of zone {self.zone}"
+        named = list(self.unavailable.items())[:MAX_NAMES_LISTED]
+        listed = ", ".join(f"{name} ({reason})" for name, reason in named)
+        if len(self.unavailable) > MAX_NAMES_LISTED:
+            listed += ", ..."
+        return (
+            f"{len(self.unavailable)} of {self.total}{where} are out and {self.limit} may be: "
+            f"{listed or 'none'}"
+        )
 
 
 def objection(bounds: object) -> str:
-    """A line for all that is wrong with them, or nothing."""
+    """All errors in a `bounds` table in one line, or an empty string."""
     if not isinstance(bounds, dict):
         return "bounds: no table"
-    wrong = [
+    errors = [
         f"bounds.{kind}: unknown; there are {', '.join(KINDS)}"
         for kind in sorted(set(bounds) - set(KINDS))
     ]
     for kind in KINDS:
-        scopes = bounds.get(kind, {})
-        if not isinstance(scopes, dict):
-            wrong.append(f"bounds.{kind}: no table")
-            continue
-        wrong += [
-            f"bounds.{kind}.{scope}: unknown; there are {', '.join(SCOPES)}"
-            for scope in sorted(set(scopes) - set(SCOPES))
-        ]
-        wrong += [
-            f"bounds.{kind}.{scope}: {why}"
-            for scope in SCOPES
-            if scope in scopes and (why := odd(scopes[scope]))
-        ]
-    return "; ".join(wrong)
-
-
-def odd(bound: object) -> str:
+        errors += scope_errors(kind, bounds.get(kind, {}))
+    return "; ".join(errors)
+
+
+def scope_errors(kind: str, scopes: object) -> list[str]:
+    """A line for each error in the bounds of balancers or of servers."""
+    if not isinstance(scopes, dict):
+        return [f"bounds.{kind}: no table"]
+    unknown = [
+        f"bounds.{kind}.{scope}: unknown; there are {', '.join(SCOPES)}"
+        for scope in sorted(set(scopes) - set(SCOPES))
+    ]
+    invalid = [
+        f"bounds.{kind}.{scope}: {error}"
+        for scope in SCOPES
+        if scope in scopes and (error := bound_error(scopes[scope]))
+    ]
+    return unknown + invalid
+
+
+def bound_error(bound: object) -> str:
+    """What is wrong with one bound, or an empty string."""
     if isinstance(bound, dict):
-        share, least = bound.get("share"), bound.get("least", 0)
-        if (
-            set(bound) - {"share", "least"}
-            or isinstance(share, bool)
-            or not isinstance(share, int | float)
-            or not 0 < share <= 1
-        ):
-            return "a table of `share`, above 0 and no more than 1, and `least`"
-        if isinstance(least, bool) or not isinstance(least, int) or least < 0:
-            return "least: a number, 0 or more"
-        return ""
+        return share_error(bound)
     if isinstance(bound, bool) or not isinstance(bound, int) or bound < 1:
         return "a number above 0, or a table of `share` and `least`"
     return ""
 
 
-def allowed(bound: Any, of: int) -> int:
-    """How many of so many may be out."""
+def share_error(bound: dict[str, object]) -> str:
+    """What is wrong with a bound stated as a share, or an empty string."""
+    share = bound.get("share")
+    if (
+        set(bound) - {"share", "least"}
+        or isinstance(share, bool)
+        or not isinstance(share, int | float)
+        or not 0 < share <= 1
+    ):
+        return "a table of `share`, above 0 and no more than 1, and `least`"
+    least = bound.get("least", 0)
+    if isinstance(least, bool) or not isinstance(least, int) or least < 0:
+        return "least: a number, 0 or more"
+    return ""
+
+
+def max_unavailable(bound: Bound, total: int) -> int:
+    """How many of `total` members may be out at once."""
     if isinstance(bound, dict):
-        return max(int(bound["share"] * of + 1e-9), bound.get("least", 0))
+        return max(int(bound["share"] * total + ROUNDING_SLACK), bound.get("least", 0))
     return bound
 
 
-def why_not(
-    scopes: dict[str, Any],
-    zones: dict[str, str],
-    granted: dict[str, str],
-    seen: dict[str, str],
-    who: str,
+def find_violation(
+    scopes: Mapping[str, Bound],
+    zones: Mapping[str, str],
+    granted: Mapping[str, str],
+    observed: Mapping[str, str],
+    candidate: str,
     heals: bool = False,
-) -> str:
-    """Why `who` may not go out besides the others, or nothing, whether or not it had a place before: others may have been lost since.
-    `zones`: all that there are; `granted`: those that may be out by a grant, `seen`: those that are out by whatever else, each with why. `heals`: going out is what brings `who`, out by itself, back; it then takes one
-    of those places that can be granted, since it may come back just before, and none from the others that are out."""
-    zone = zones.get(who, "")
-    taken = granted if heals else seen | granted
-    for scope, members in (
-        ("all", set(zones)),
-        ("zone", {name for name, there in zones.items() if there == zone}),
-    ):
+) -> BoundViolation | None:
+    """The first bound that would be exceeded if `candidate` went out, or None.
+
+    Whether the candidate was granted a turn before makes no difference: others may have been lost
+    since.
+
+    Args:
+        scopes: the bounds, by scope (`all`, `zone`).
+        zones: the zone of every member, by name.
+        granted: members that may be out by a grant, each with the reason.
+        observed: members that are out for any other cause, each with the reason.
+        candidate: the member that is to go out.
+        heals: going out is what repairs the candidate, which is out by itself. Then only grants
+            count: it may come back just before it goes, so it takes a place that can be granted,
+            and none from members that are out by themselves.
+    """
+    candidate_zone = zones.get(candidate, "")
+    unavailable = granted if heals else {**observed, **granted}
+    same_zone = {name for name, zone in zones.items() if zone == candidate_zone}
+    members_by_scope: tuple[tuple[str, Collection[str], str | None], ...] = (
+        (ALL, zones, None),
+        (ZONE, same_zone, candidate_zone),
+    )
+    for scope, members, zone in members_by_scope:
         if scope not in scopes:
             continue
-        gone = sorted(name for name in taken if name in members and name != who)
-        most = allowed(scopes[scope], len(members))
-        if len(gone) + 1 > most:
-            where = "" if scope == "all" else f" of zone {zone}"
-            said = ", ".join(f"{name} ({taken[name]})" for name in gone[:8]) + (
-                ", ..." if len(gone) > 8 else ""
-            )
-            return (
-                f"{len(gone)} of {len(members)}{where} are out and {most} may be: {said or 'none'}"
-            )
-    return ""
+        out = sorted(name for name in unavailable if name in members and name != candidate)
+        limit = max_unavailable(scopes[scope], len(members))
+        if len(out) + 1 > limit:
+            reasons = {name: unavailable[name] for name in out}
+            return BoundViolation(reasons, len(members), limit, zone)
+    return None
+
+
+def violation_reason(
+    scopes: Mapping[str, Bound],
+    zones: Mapping[str, str],
+    granted: Mapping[str, str],
+    observed: Mapping[str, str],
+    candidate: str,
+    heals: bool = False,
+) -> str:
+    """`find_violation` as the text that is agreed and shown, or an empty string."""
+    violation = find_violation(scopes, zones, granted, observed, candidate, heals)
+    return "" if violation is None else str(violation)
--- a/cypresswalk/rollout/plan.py
+++ b/cypresswalk/rollout/plan.py
@@ -1,4 +1,4 @@
-"""The file that a release is started from: its waves named, or drawn up from zones and a first small one."""
+"""The file a release is started from: waves named, or derived from zones."""
 
 from typing import Literal
 
@@ -9,17 +9,30 @@
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import release
 
+VERSION_PATTERN = r"^[A-Za-z0-9._-]+$"  # a folder's name
+
+
+class PlanFile(toml.Table):
+    """A release's file; its keys are the attributes' names.
+
+    `release.Plan` describes those that it has too (`since` is its `from_version`, `to` its
+    `to_version`, `flows` its `min_flows`, `patience` its `max_hold_periods`, `worse` its
+    `max_excess_failure_share`, `slower` its `max_setup_ratio`, `change_s` its `change_timeout_s`,
+    `empty_s` its `drain_timeout_s`).
+
+    Attributes:
+        zones: the order of zones where no waves are named; zones not named come last.
+        canary: members of the first wave.
+        grow: by what factor each further wave is larger.
+    """
 
-class File(toml.Table):
     name: str = Field(min_length=1, max_length=63)
-    since: str = Field(
-        min_length=1, max_length=63, pattern=r"^[A-Za-z0-9._-]+$"
-    )  # a folder's name: the version that runs
-    to: str = Field(min_length=1, max_length=63, pattern=r"^[A-Za-z0-9._-]+$")
+    since: str = Field(min_length=1, max_length=63, pattern=VERSION_PATTERN)
+    to: str = Field(min_length=1, max_length=63, pattern=VERSION_PATTERN)
     waves: list[list[str]] | None = None
-    zones: list[str] = []  # in which order, where no waves are named; those not named come last
-    canary: int = Field(1, ge=1)  # balancers of the first wave
-    grow: float = Field(2, ge=1, le=100)  # times that each further wave is larger
+    zones: list[str] = []
+    canary: int = Field(1, ge=1)
+    grow: float = Field(2, ge=1, le=100)
     hold_s: float = 300
     flows: int = 500
     patience: float = 3
@@ -30,49 +43,63 @@
     empty_s: float = 30
 
     @model_validator(mode="after")
-    def fits(self) -> "File":
+    def check_waves_or_zones(self) -> "PlanFile":
+        """Raises ValueError where both waves and zones are named."""
         if self.waves is not None and self.zones:
             raise ValueError("waves, zones: one of them")
         return self
 
 
-def drawn_up(file: File, zones: dict[str, str]) -> list[list[str]]:
-    """Zone by zone, in waves that grow and do not cross from one zone to the next."""
+def waves_by_zone(file: PlanFile, zones: dict[str, str]) -> list[list[str]]:
+    """Waves that grow, zone by zone, none of them in two zones.
+
+    Args:
+        file: its `zones`, `canary` and `grow` count.
+        zones: the zone of each member, by name.
+    """
     order = file.zones + sorted(set(zones.values()) - set(file.zones))
-    waves, size = [], float(file.canary)
+    waves = []
+    size = float(file.canary)
     for zone in order:
-        names = sorted(name for name, there in zones.items() if there == zone)
+        names = sorted(name for name, member_zone in zones.items() if member_zone == zone)
         while names:
-            wave, names = names[: int(size)], names[int(size) :]
-            waves.append(wave)
+            waves.append(names[: int(size)])
+            names = names[int(size) :]
             size *= file.grow
     return waves
 
 
-def read(path: str, members: dict[str, str], servers: dict[str, str]) -> list:
-    """A plan as the fleet takes it. `members`, `servers`: the zone of each, by name. Raises Refusal with a line for each thing that is
-    wrong."""
-    file = toml.read(path, File)
-    zones = servers if file.kind == "servers" else members
-    waves = file.waves if file.waves is not None else drawn_up(file, zones)
+def read_plan(path: str, members: dict[str, str], servers: dict[str, str]) -> list:
+    """Reads a plan in the form in which the fleet takes it.
+
+    Args:
+        path: the file.
+        members: the zone of each balancer, by name.
+        servers: the zone of each listed server, by name.
+
+    Raises:
+        CommandError: with a line for each error.
+    """
+    file = toml.read(path, PlanFile)
+    zones = servers if file.kind == release.MemberKind.SERVERS else members
     plan = release.Plan(
-        file.name,
-        file.since,
-        file.to,
-        waves,
-        file.hold_s,
-        file.flows,
-        file.patience,
-        file.worse,
-        file.slower,
-        file.change_s,
-        file.kind,
-        file.empty_s,
+        name=file.name,
+        from_version=file.since,
+        to_version=file.to,
+        waves=file.waves if file.waves is not None else waves_by_zone(file, zones),
+        hold_s=file.hold_s,
+        min_flows=file.flows,
+        max_hold_periods=file.patience,
+        max_excess_failure_share=file.worse,
+        max_setup_ratio=file.slower,
+        change_timeout_s=file.change_s,
+        kind=file.kind,
+        drain_timeout_s=file.empty_s,
     )
-    wrong = release.objection(plan, sorted(zones))
-    wrong += [
+    errors = release.objection(plan, sorted(zones))
+    errors += [
         f"zones: there is no zone {zone!r}" for zone in file.zones if zone not in zones.values()
     ]
-    if wrong:
-        raise CommandError("\n".join(f"{path}: {line}" for line in wrong))
+    if errors:
+        raise CommandError("\n".join(f"{path}: {line}" for line in errors))
     return list(msgspec.structs.astuple(plan))
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -1,20 +1,18 @@
-"""What the agent of a server does, as duty.py's does for a balancer: without I/O and clock. Two processes of a server can't stand side by
-side, so it is out first, by the release, then emptied, stopped and started anew.
+"""What the agent of a server does: the server is drained, stopped and started in the other version.
 
-    a release names this server, every balancer knows that it is out -> "began" is agreed -> its flows have left it, and the fleet still
-    wants it -> SIGTERM -> the other version is started and answers for STEADY seconds -> "came" with the new version: it is in again
-    it never answers -> the version before is started again -> "came" with that, and why; if that does not answer either, with none"""
+Two processes of a server can't stand side by side, so it is taken out by the release first.
+
+    a release names this server, every balancer knows that it is out -> the start is agreed
+    -> its flows have left it, and the fleet still wants it -> SIGTERM -> the other version is
+    started and answers for STEADY_TIME -> the new version is reported: it is in again
+
+    it never answers -> the version before is started again -> that is reported, and why; if that
+    does not answer either, none
+"""
 
 import logging
-from typing import Any
-
-from cypresswalk.rollout.balancer_agent import (
-    CHECK,
-    LEAVE,
-    LOOK,
-    READY,
-    BalancerAgent,
-    CallFleet,
+
+from cypresswalk.rollout.actions import (
     EndProcess,
     FindStartedProcess,
     IsRunning,
@@ -23,111 +21,124 @@
     Sleep,
     StartProcess,
     Work,
-    target,
+)
+from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
+from cypresswalk.rollout.change_agent import (
+    CHECK_INTERVAL,
+    READY_TIMEOUT,
+    STEP_INTERVAL,
+    STOP_TIMEOUT,
+    ChangeAgent,
 )
 
 log = logging.getLogger(__name__)
 
 
-class ServerAgent(BalancerAgent):
-    """`doing.step`: "", "emptying", "starting", "undoing", "told"."""
-
-    first_step = "emptying"
-
-    def run(self) -> Work:
-        while True:
-            match self.doing.step:
-                case "emptying":
-                    yield from self.go_emptying()
-                case "starting":
-                    yield from self.go_starting()
-                case "undoing":
-                    yield from self.go_undoing()
-                case "told":
-                    yield from self.go_told()
-                case _:
-                    yield from self.keep_running()
-                    yield from self.look_for_work()
-            yield Sleep(LOOK)
-
-    def not_yet(self, turn: dict[str, Any]) -> Work:
-        """Else a balancer might send it flows still."""
-        return not turn["settled"]
-        yield
-
-    def go_emptying(self) -> Work:
-        doing = self.doing
-        why = yield from self.emptied()
-        # Also where its flows took long to leave: others may have been lost, or a person may have halted it, meanwhile.
-        why = why or (yield from self.unwanted())
-        if why:
-            yield from self.next("told", why)
+class ServerAgent(ChangeAgent):
+    """Runs a server; while it is changed, it is out."""
+
+    first_step = AgentStep.DRAINING
+
+    def __init__(self, member: str, first: str, admins: tuple[str, str], state: AgentState):
+        """Makes an agent; a server has one address, so `admins` are alike."""
+        super().__init__(member, first, admins, state)
+        self.steps[AgentStep.DRAINING] = self.drain_and_stop
+        self.steps[AgentStep.REPLACING] = self.start_new
+        self.steps[AgentStep.RESTORING] = self.restore_old
+
+    def must_wait(self, turn: Turn) -> Work[bool]:
+        """Waits until every balancer acts on the server's being out: else one may send it flows."""
+        yield from ()
+        return not turn.settled
+
+    def stop_objection(self, turn: Turn) -> str:
+        """Why it may not be stopped: flows stand there.
+
+        Asked again at the last: a balancer that was cut off so long that nobody waited for its word
+        may be back.
+        """
+        if turn.standing == 0:
+            return ""
+        count = "an unknown number of" if turn.standing is None else turn.standing
+        return f"{count} flows stand there"
+
+    def drain_and_stop(self) -> Work[None]:
+        """Waits until no flow stands there, and asks the server to leave."""
+        state = self.state
+        reason = yield from self.wait_until_drained()
+        if not reason:
+            # Draining may have taken long: members may have been lost, or a person may have halted.
+            reason = yield from self.confirm_stop()
+        if reason:
+            yield from self.enter(AgentStep.REPORTING, reason)
             return
-        log.info("event=told_to_leave version=%s pid=%d", doing.version, doing.pid)
-        yield EndProcess(doing.pid, False)
-        yield from self.next("starting")
+        log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
+        yield EndProcess(state.pid, False)
+        yield from self.enter(AgentStep.REPLACING)
 
-    def emptied(self) -> Work:
-        """Nothing once no flow stands there, as all balancers that are heard say; or why it is not to be stopped."""
-        began, standing = (yield ReadClock()), None
+    def wait_until_drained(self) -> Work[str]:
+        """Waits until all balancers that are heard say that no flow stands there; or why not."""
+        started_at: float = yield ReadClock()
         while True:
-            ok, turn = yield CallFleet("turn", {"member": self.member})
-            if ok:
-                if turn["status"] != "changing" or target(turn) != self.doing.to:
+            turn = yield from self.query_turn()
+            if turn is not None:
+                if self.turned(turn):
                     return "the release has turned"
-                standing = turn["standing"]
-                if standing == 0:
+                if turn.standing == 0:
                     return ""
-                if (yield ReadClock()) - began > turn["empty_s"]:
-                    return f"{self.busy(turn)} after {turn['empty_s']:g} s"
-            elif (yield ReadClock()) - began > READY + LEAVE:
+                if (yield ReadClock()) - started_at > turn.drain_timeout_s:
+                    return f"{self.stop_objection(turn)} after {turn.drain_timeout_s:g} s"
+            elif (yield ReadClock()) - started_at > READY_TIMEOUT + STOP_TIMEOUT:
                 return "the fleet could not be asked whether flows stand there"
-            yield Sleep(LOOK)
-
-    def busy(self, turn: dict[str, Any]) -> str:
-        """Asked again at the last: guards flows of a balancer that was cut off for so long that nobody waited for its word, and is back."""
-        standing = turn["standing"]
-        return (
-            ""
-            if standing == 0
-            else f"{'an unknown number of' if standing is None else standing} flows stand there"
-        )
-
-    def replaced(self, before: int, version: str) -> Work:
-        """The process of that version, once the one before has ended, and nothing once it answers; or why it does not."""
-        doing = self.doing
-        if not doing.young or not (yield IsRunning(doing.young)):
-            until = (yield ReadClock()) + LEAVE
-            while (yield IsRunning(before)) and (yield ReadClock()) < until:
-                yield Sleep(CHECK)
-            yield EndProcess(before, True)
-            while (yield IsRunning(before)):
-                yield Sleep(CHECK)  # its address is taken until then
-            doing.young, why = (yield FindStartedProcess(before)), ""
-            if not doing.young:
-                doing.young, why = yield StartProcess(version, doing.admin)
-            yield SaveState()
-            if why:
-                return why
-        return (yield from self.ready(doing.admin, doing.young))
-
-    def go_starting(self) -> Work:
-        doing = self.doing
-        why = yield from self.replaced(doing.pid, doing.to)
-        if why:
-            doing.pid, doing.young = doing.young, 0
-            yield EndProcess(doing.pid, True)
-            yield from self.next("undoing", why)
+            yield Sleep(STEP_INTERVAL)
+
+    def start_new(self) -> Work[None]:
+        """Starts the new version; where it does not answer, the old one is to be restored."""
+        state = self.state
+        error = yield from self.replace_process(state.target_version)
+        if not error:
+            state.version = state.target_version
+        state.pid = state.new_pid
+        state.new_pid = 0
+        if error:
+            yield EndProcess(state.pid, True)
+            yield from self.enter(AgentStep.RESTORING, error)
         else:
-            doing.version, doing.pid, doing.young = doing.to, doing.young, 0
-            yield from self.next("told")
-
-    def go_undoing(self) -> Work:
-        """The version before, which served until now."""
-        doing = self.doing
-        why = yield from self.replaced(doing.pid, doing.version)
-        doing.pid, doing.young, doing.failed = doing.young, 0, bool(why)
-        yield from self.next("told", f"{doing.why}; {doing.version} again: {why or 'answers'}")
-
-    def runs_now(self) -> str:
-        return "" if self.doing.failed else self.doing.version
+            yield from self.enter(AgentStep.REPORTING)
+
+    def restore_old(self) -> Work[None]:
+        """Starts the version again that served before the change."""
+        state = self.state
+        error = yield from self.replace_process(state.version)
+        state.pid = state.new_pid
+        state.new_pid = 0
+        state.failed = bool(error)
+        outcome = f"{state.reason}; {state.version} again: {error or 'answers'}"
+        yield from self.enter(AgentStep.REPORTING, outcome)
+
+    def replace_process(self, version: str) -> Work[str]:
+        """Starts a version once the process before has ended; why it never answers, or empty."""
+        state = self.state
+        if not state.new_pid or not (yield IsRunning(state.new_pid)):
+            yield from self.wait_until_ended(state.pid)
+            error = ""
+            state.new_pid = yield FindStartedProcess(state.pid)
+            if not state.new_pid:
+                state.new_pid, error = yield StartProcess(version, state.admin)
+            yield SaveState()
+            if error:
+                return error
+        return (yield from self.wait_until_ready(state.admin, state.new_pid))
+
+    def wait_until_ended(self, pid: int) -> Work[None]:
+        """Waits until a process has freed its address; kills it after STOP_TIMEOUT."""
+        deadline: float = (yield ReadClock()) + STOP_TIMEOUT
+        while (yield IsRunning(pid)) and (yield ReadClock()) < deadline:
+            yield Sleep(CHECK_INTERVAL)
+        yield EndProcess(pid, True)
+        while (yield IsRunning(pid)):
+            yield Sleep(CHECK_INTERVAL)
+
+    def running_version(self) -> str:
+        """The version that answers, or an empty string."""
+        return "" if self.state.failed else self.state.version
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,5 +1,6 @@
 """Releases and drains of a whole fleet in virtual time: the fleet's own code and the agents' own, with faults and calls by a seed."""
 
+import json
 import os
 import subprocess
 import sys
@@ -11,8 +12,11 @@
 from cypresswalk.fleet import state_machine as state
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
-from cypresswalk.rollout import balancer_agent
-from cypresswalk.rollout.balancer_agent import AgentState, BalancerAgent
+from cypresswalk.refusal import CommandError
+from cypresswalk.rollout import actions
+from cypresswalk.rollout.agent_host import StateFile
+from cypresswalk.rollout.agent_state import AgentState, AgentStep
+from cypresswalk.rollout.balancer_agent import BalancerAgent
 
 ROOT = Path(__file__).parent.parent
 
@@ -99,7 +103,7 @@
 
 
 def nobody_is_asked_before_the_old_one_goes(patch):
-    patch.setattr(BalancerAgent, "unwanted", lambda self: iter(()))
+    patch.setattr(BalancerAgent, "confirm_stop", lambda self: iter(()))
 
 
 def a_place_is_given_back_while_an_agent_works(patch):
@@ -157,16 +161,16 @@
         )
         for _ in range(20):
             want = work.send(answer)
-            said += [want.name] if isinstance(want, balancer_agent.CallFleet) else []
+            said += [want.name] if isinstance(want, actions.CallFleet) else []
             answer = {
-                balancer_agent.IsRunning: True,
-                balancer_agent.CheckReady: check,
-                balancer_agent.DrawToken: "d",
-                balancer_agent.ReadClock: since if "turn" in said else 0.0,
+                actions.IsRunning: True,
+                actions.CheckReady: check,
+                actions.DrawToken: "d",
+                actions.ReadClock: since if "turn" in said else 0.0,
             }.get(type(want))
-            if isinstance(want, balancer_agent.CallFleet):
+            if isinstance(want, actions.CallFleet):
                 answer = True, {"status": "out", "since": OLD, "to": NEW, "phase": "running"}
-            if isinstance(want, balancer_agent.Sleep) or "release_began" in said:
+            if isinstance(want, actions.Sleep) or "release_began" in said:
                 return said
         raise AssertionError(said)
 
@@ -190,13 +194,37 @@
         )
         while now < 10:
             want = work.send(answer)
-            count += isinstance(want, balancer_agent.CallFleet)
-            now += want.seconds if isinstance(want, balancer_agent.Sleep) else 0.0
+            count += isinstance(want, actions.CallFleet)
+            now += want.seconds if isinstance(want, actions.Sleep) else 0.0
             answer = {
-                balancer_agent.IsRunning: True,
-                balancer_agent.ReadClock: now,
-                balancer_agent.CallFleet: (True, {"status": status}),
+                actions.IsRunning: True,
+                actions.ReadClock: now,
+                actions.CallFleet: (True, {"status": status}),
             }.get(type(want))
         return count
 
     assert asks("") == 5 and asks("old") == 20
+
+
+def test_the_agents_file_is_written_and_read_byte_for_byte_as_before(tmp_path):
+    before = (
+        '{"version": "v1", "pid": 7, "admin": "127.0.0.1:9", "to": "v2", "young": 8, '
+        '"step": "beside", "why": "slow", "change": "d1", "failed": true}'
+    )
+    file = StateFile(tmp_path)
+    assert file.load() == AgentState()
+    file.path.write_text(before)
+    state = file.load()
+    assert (state.target_version, state.new_pid, state.reason) == ("v2", 8, "slow")
+    assert (state.change_id, state.step) == ("d1", AgentStep.STARTING_NEW)
+    file.save(state)
+    assert file.path.read_text() == before
+    file.save(AgentState())
+    assert json.loads(file.path.read_text()) == {
+        **{"version": "", "pid": 0, "admin": "", "to": "", "young": 0},
+        **{"step": "", "why": "", "change": "", "failed": False},
+    }
+    for damaged in ("[1]", '{"odd": 1}', "{"):
+        file.path.write_text(damaged)
+        with pytest.raises(CommandError, match="agent.json"):
+            file.load()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,8 +25,8 @@
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import bounds, release
 from cypresswalk.rollout import plan as plans
-from cypresswalk.rollout.bounds import allowed, why_not
-from cypresswalk.rollout.evidence import Evidence, Served, judged
+from cypresswalk.rollout.bounds import max_unavailable, violation_reason
+from cypresswalk.rollout.evidence import Evidence, ServedCounts, assess
 from cypresswalk.rollout.release import Plan
 
 
@@ -43,7 +43,7 @@
     ],
 )
 def test_a_bound_is_a_number_or_a_share_rounded_down(bound, of, may):
-    assert allowed(bound, of) == may
+    assert max_unavailable(bound, of) == may
 
 
 def test_every_wrong_bound_is_named_and_none_comes_into_force():
@@ -81,25 +81,27 @@
 def test_zones_and_the_whole_are_bounded_each_and_what_is_out_by_itself_counts():
     zones = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
     scopes = {"all": 3, "zone": 1}
-    assert not why_not(scopes, zones, {"a1": "drained"}, {}, "b1")
-    assert "of zone a" in why_not(scopes, zones, {}, {"a1": "not heard"}, "a2")
-    assert not why_not(
+    assert not violation_reason(scopes, zones, {"a1": "drained"}, {}, "b1")
+    assert "of zone a" in violation_reason(scopes, zones, {}, {"a1": "not heard"}, "a2")
+    assert not violation_reason(
         scopes, zones, {}, {"a1": "not heard"}, "a1"
     )  # out already: no further place
-    assert why_not({"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "a1").startswith(
-        "2 of 5 are out and 1 may be: b1 (not ready)"
-    )
-    assert why_not(
+    assert violation_reason(
+        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "a1"
+    ).startswith("2 of 5 are out and 1 may be: b1 (not ready)")
+    assert violation_reason(
         {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1"
     )  # it may come back just before it goes
-    assert not why_not(
+    assert not violation_reason(
         {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1", heals=True
     )
-    assert why_not({"all": 1}, zones, {"a1": "drained"}, {"b1": "not ready"}, "b1", heals=True)
-    assert why_not(
+    assert violation_reason(
+        {"all": 1}, zones, {"a1": "drained"}, {"b1": "not ready"}, "b1", heals=True
+    )
+    assert violation_reason(
         {"zone": {"share": 0.5}}, {"only": "z"}, {}, {}, "only"
     )  # a zone of one: half of it is none
-    assert not why_not({"zone": {"share": 0.5, "least": 1}}, {"only": "z"}, {}, {}, "only")
+    assert not violation_reason({"zone": {"share": 0.5, "least": 1}}, {"only": "z"}, {}, {}, "only")
 
 
 def test_random_commands_never_take_more_out_than_the_bound_allows_unless_forced():
@@ -127,7 +129,7 @@
                 _, (ok, why) = machine.apply(encode(command))
                 gone = (away | set(seen)) - {who}
                 fits = (
-                    len(gone) + 1 <= allowed(most["balancers"]["all"], len(names))
+                    len(gone) + 1 <= max_unavailable(most["balancers"]["all"], len(names))
                     and sum(names[n] == names[who] for n in gone) + 1 <= 1
                 )
                 assert ok is (fits or kind == "force"), (seed, number, why)
@@ -155,7 +157,7 @@
                     encode(state.RemoveFromRotation(*head, server, False, bad))
                 )
                 coming -= {server} if ok else set()
-                fits = server in before or len(gone & set(listed)) + 1 <= allowed(
+                fits = server in before or len(gone & set(listed)) + 1 <= max_unavailable(
                     most["servers"]["all"], len(listed)
                 )
                 assert ok is fits, (seed, number)
@@ -391,7 +393,7 @@
             self.now,
             self.release,
             self.machine.state.halted is not None,
-            {name: Served(*s) for name, s in self.served.items() if name not in self.dead},
+            {name: ServedCounts(*s) for name, s in self.served.items() if name not in self.dead},
             set(seen),
             set(self.machine.state.away),
             {},
@@ -547,8 +549,10 @@
 def the_dead_are_not_counted(patch):
     patch.setattr(
         state,
-        "why_not",
-        lambda scopes, zones, granted, seen, who, heals: why_not(scopes, zones, granted, {}, who),
+        "violation_reason",
+        lambda scopes, zones, granted, seen, who, heals: violation_reason(
+            scopes, zones, granted, {}, who
+        ),
     )
 
 
@@ -586,8 +590,8 @@
     """As a new leader once did: who has not said anything yet is out already, and may go."""
     patch.setattr(
         state,
-        "why_not",
-        lambda scopes, zones, granted, seen, who, heals: why_not(
+        "violation_reason",
+        lambda scopes, zones, granted, seen, who, heals: violation_reason(
             scopes, zones, granted, seen, who, who in seen
         ),
     )
@@ -630,17 +634,17 @@
         'name = "x"\nsince = "v1"\nto = "v1"\nwaves = [["n0", "n9"], [], ["n0"]]\nhold_s = -1\nworse = 2\n'
     )
     with pytest.raises(CommandError) as refusal:
-        plans.read(str(file), ZONES, {})
+        plans.read_plan(str(file), ZONES, {})
     assert len(str(refusal.value).splitlines()) == 6, refusal.value
     file.write_text('name = "x"\nsince = "v1"\nto = "v2"\nzones = ["z2"]\ncanary = 1\n')
-    assert plans.read(str(file), ZONES, {})[3] == [["n2"], ["n5"], ["n0", "n3"], ["n1", "n4"]]
+    assert plans.read_plan(str(file), ZONES, {})[3] == [["n2"], ["n5"], ["n0", "n3"], ["n1", "n4"]]
     file.write_text(
         'name = "x"\nsince = "v1"\nto = "v2"\nkind = "servers"\nempty_s = 9\nwaves = [["s1"], ["n0"]]\n'
     )
     with pytest.raises(CommandError) as refusal:
-        plans.read(str(file), ZONES, {"s1": "0"})
+        plans.read_plan(str(file), ZONES, {"s1": "0"})
     assert "n0 is not listed; there are s1" in str(refusal.value)
-    assert plans.read(str(file), ZONES, {"s1": "0", "n0": "1"})[-2:] == ["servers", 9.0]
+    assert plans.read_plan(str(file), ZONES, {"s1": "0", "n0": "1"})[-2:] == ["servers", 9.0]
 
 
 def test_a_failed_one_that_did_not_use_its_second_turn_is_failed_still():
@@ -671,10 +675,12 @@
 
 
 def test_evidence_wants_enough_flows_and_is_not_misled_by_one_failure():
-    others = Served(10_000, 0, 50, 10_000 * 3_000_000)
+    others = ServedCounts(10_000, 0, 50, 10_000 * 3_000_000)
 
     def of(up, rejected, failed, ms=3, against=others):
-        return judged(PLAN, "n0", Served(up, rejected, failed, up * ms * 1_000_000), against)[0]
+        return assess(
+            PLAN, "n0", ServedCounts(up, rejected, failed, up * ms * 1_000_000), against
+        ).verdict
 
     assert of(9, 0, 1) == "unknown" and of(200, 0, 2) == "good" and of(180, 0, 20) == "bad"
     assert of(196, 0, 4) == "unknown"  # two in a hundred, not surely
@@ -682,7 +688,8 @@
         of(200, 200, 0) == "bad" and of(200, 0, 0, 9) == "bad" and of(0, 0, 60) == "bad"
     )  # ready, and rejects
     assert (
-        of(200, 0, 0, 9, Served()) == "good" and of(200, 200, 0, 3, Served()) == "unknown"
+        of(200, 0, 0, 9, ServedCounts()) == "good"
+        and of(200, 200, 0, 3, ServedCounts()) == "unknown"
     )  # nobody to hold it against
 
 
@@ -701,10 +708,10 @@
                     counts[2] + failed,
                     counts[3] + (100 - failed) * 3_000_000,
                 )
-            evidence.look(
-                now, members, wave, {name: Served(*counts) for name, counts in served.items()}
+            evidence.observe(
+                now, members, wave, {name: ServedCounts(*counts) for name, counts in served.items()}
             )
-        return evidence.bad(PLAN, now)
+        return evidence.first_failure(PLAN, now)
 
     old = {"n0": "old", "n1": "old", "n2": "old"}
     assert not step(60, old, ["n0"])
@@ -712,11 +719,11 @@
     assert not step(
         6, old | {"n0": "new"}, ["n0"], share=0.4
     )  # a server is lost to all, as n0 comes: of its flows nearly half
-    assert not step(30, old | {"n0": "new"}, ["n0"], share=0.01) and not evidence.unknown(
+    assert not step(30, old | {"n0": "new"}, ["n0"], share=0.01) and not evidence.missing(
         PLAN, ["n0"]
     )
     all_new = dict.fromkeys(old, "new")
-    assert not step(30, all_new, ["n1", "n2"], share=0.02) and not evidence.unknown(
+    assert not step(30, all_new, ["n1", "n2"], share=0.02) and not evidence.missing(
         PLAN, ["n1", "n2"]
     )
     assert step(30, all_new, ["n1", "n2"], share=0.02, n2=0.3).startswith("n2 failed or rejected")
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -29,8 +29,8 @@
 
 
 def flows_are_not_waited_for(patch):
-    patch.setattr(ServerAgent, "emptied", lambda self: iter(()))
-    patch.setattr(ServerAgent, "busy", lambda self, turn: "")
+    patch.setattr(ServerAgent, "wait_until_drained", lambda self: iter(()))
+    patch.setattr(ServerAgent, "stop_objection", lambda self, turn: "")
 
 
 def the_bad_are_not_counted(patch):
@@ -38,11 +38,11 @@
 
 
 def a_halt_is_not_asked_for(patch):
-    def unwanted(self):
+    def confirm_stop(self):
         return ""
         yield
 
-    patch.setattr(ServerAgent, "unwanted", unwanted)
+    patch.setattr(ServerAgent, "confirm_stop", confirm_stop)
 
 
 def a_turn_ends_though_its_agent_works(patch):
@@ -120,7 +120,7 @@
     wards.asked(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
     wards.asked(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
     wards.asked(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
-    assert (wards.served["s0"].up, wards.served["s0"].failed) == (17, 1)
+    assert (wards.served["s0"].established, wards.served["s0"].failed) == (17, 1)
 
 
 def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
@@ -144,7 +144,10 @@
         say(state.BeginRelease, state.releases.Plan(*plan), [])[0]
         and say(state.GrantTurn, "s0", {}, {}, 0)[0]
     )
-    assert machine.all_out() == {"s0"} and machine.state.release.outs["s0"] == machine.state.version
+    assert (
+        machine.all_out() == {"s0"}
+        and machine.state.release.out_since_version["s0"] == machine.state.version
+    )
     assert say(state.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
         state.RemoveFromRotation, "s1", False, {}
     )[1].replace("1 of 2", "1")
