--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -159,7 +159,7 @@
 
 def loaded(path: str) -> dict[str, Any]:
     """The shared part of a balancer's configuration, or a file of that part alone. Raises Refusal."""
-    from cypresswalk.fleet.core_binding import SHARED, shared
+    from cypresswalk.fleet.shared_settings import SHARED_KEYS, shared_part
 
     try:
         with open(path, "rb") as file:
@@ -169,10 +169,10 @@
     if not isinstance(data, dict):
         raise CommandError(f"{path}: not an object")
     if isinstance(data.get("settings"), dict):
-        return shared(data["settings"])
-    if unknown := sorted(set(data) - set(SHARED)):
+        return shared_part(data["settings"])
+    if unknown := sorted(set(data) - set(SHARED_KEYS)):
         raise CommandError(
-            f"{path}: {', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED)})"
+            f"{path}: {', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED_KEYS)})"
         )
     return data
 
@@ -205,7 +205,7 @@
     """Whether a balancer with this configuration could act on them."""
     values = loaded(file)
     if config:
-        from cypresswalk.fleet.core_binding import objection
+        from cypresswalk.fleet.shared_settings import objection
         from cypresswalk.net.config import ConfigError, read
 
         try:
--- /dev/null
+++ b/cypresswalk/fleet/shared_settings.py
@@ -0,0 +1,91 @@
+"""The settings that the fleet agrees on, and whether a balancer can act on them."""
+
+import copy
+from typing import Any
+
+from cypresswalk.hosting import SettingsError, decode_settings
+from cypresswalk.rollout import bounds
+
+# Settings that decide where flows may go and how many; the others say who the balancer is.
+SHARED_KEYS = (
+    "serviceTypes",
+    "tenants",
+    "limits",
+    "rules",
+    "deductions",
+    "extra",
+    "overagePayoff",
+    "instances",
+    "bounds",
+)
+# Read at the program's start alone: another value is refused, not followed in part.
+START_ONLY_KEYS = (
+    ("limits", "dialTimeout"),
+    ("extra", "groups"),
+    ("extra", "tellsLoad"),
+    ("extra", "tellsDelay"),
+)
+
+
+def shared_part(params: dict[str, Any]) -> dict[str, Any]:
+    """The settings among `params` that the fleet agrees on."""
+    return {name: params[name] for name in SHARED_KEYS if name in params}
+
+
+def merged(own: dict[str, Any], agreed: dict[str, Any]) -> dict[str, Any]:
+    """A balancer's own settings with what the fleet has agreed in place of the shared part."""
+    params = {name: value for name, value in own.items() if name not in SHARED_KEYS}
+    return params | copy.deepcopy(agreed)
+
+
+def objection(own: dict[str, Any], settings: object) -> str:
+    """Why a balancer with its own settings could not act on `settings`, or an empty string."""
+    if not isinstance(settings, dict):
+        return "no table of settings"
+    if unknown := sorted(set(settings) - set(SHARED_KEYS)):
+        return (
+            f"{', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED_KEYS)})"
+        )
+    params = merged(own, settings)
+    try:
+        decoded = decode_settings(params)
+        error = names_error(params)
+    except (SettingsError, KeyError, TypeError, ValueError, AttributeError) as invalid:
+        return str(invalid) or type(invalid).__name__
+    if error:
+        return error
+    if "bounds" in settings and (error := bounds.objection(settings["bounds"])):
+        return error
+    if (
+        decoded.instances < 1
+        or decoded.max_attempts < 1
+        or min(k.setup_latency_objective for k in decoded.service_types) <= 0
+    ):
+        return "instances, maxConnects, setupTarget: each above 0"
+    return start_only_error(own, params)
+
+
+def names_error(params: dict[str, Any]) -> str:
+    """What is wrong with the names of service types and tenants, or an empty string.
+
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: the settings have another form.
+    """
+    names = [kind["name"] for kind in params["serviceTypes"]]
+    tenants = [tenant["name"] for tenant in params.get("tenants") or []]
+    if not names or len(set(names)) != len(names) or len(set(tenants)) != len(tenants):
+        return "serviceTypes, tenants: none, or a name twice"
+    if not all(isinstance(name, str) for name in (*names, *tenants)):
+        return "serviceTypes, tenants: a name that is no text"
+    if any(float(kind["giveUp"]) <= 0 for kind in params["serviceTypes"]):
+        return "serviceTypes: giveUp must be above 0"
+    return ""
+
+
+def start_only_error(own: dict[str, Any], params: dict[str, Any]) -> str:
+    """Which setting would take effect at a start alone, or an empty string."""
+    for part, name in START_ONLY_KEYS:
+        current = (own.get(part) or {}).get(name)
+        if (params.get(part) or {}).get(name) != current:
+            return f"{part}.{name}: takes effect at a start alone, so it stays {current!r} here"
+    return ""
--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/together/machines.py
@@ -31,7 +31,7 @@
     "slow": "place = Core.place\nCore.place = lambda self, now, session: self.at(now + 30_000_000, lambda at, s: s.over or place(self, at, s), session)",
     "falls": "import os, threading\nthreading.Timer(10, os._exit, (1,)).start()",
     "never_ready": "Core.may_act = lambda self: False",
-    "unreadable": "from cypresswalk.fleet import binding\nbinding.objection = lambda own, settings: 'this build can not read them'",
+    "unreadable": "from cypresswalk.fleet import shared_settings\nshared_settings.objection = lambda own, settings: 'this build can not read them'",
 }
 
 
--- a/tests/test_binding.py
+++ b/tests/test_core_binding.py
@@ -1,4 +1,4 @@
-"""What the deciding thread does about what is agreed: two lists at once, settings that change, servers out by hand."""
+"""Agreed state applied to a core: two lists at once, settings that change, servers out of rotation."""
 
 import copy
 import json
@@ -9,9 +9,10 @@
 from helpers import PARAMS, START, config_data, listed
 
 from cypresswalk.copies.replica import ReservationAnswer
-from cypresswalk.fleet.core_binding import CoreBinding, objection, shared
+from cypresswalk.fleet.core_binding import CoreBinding
 from cypresswalk.fleet.member import AppliedView
 from cypresswalk.fleet.messages import ServerReport
+from cypresswalk.fleet.shared_settings import objection, shared_part
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.model import EndpointUpdate, Outcome, ServerState
 from cypresswalk.net.config import build
@@ -73,7 +74,7 @@
 
     def view(self, version, **changes):
         fields = dict(settings_version=0, settings={}, out=(), list_version=0, servers=())
-        self.binding.act_on(self.now, AppliedView(version, **fields | changes))
+        self.binding.apply_view(self.now, AppliedView(version, **fields | changes))
 
     def state(self, name):
         return self.core.balancer.servers[server_number(name)].state
@@ -95,7 +96,7 @@
     return (name, 0, 1, state, 1.0, since)
 
 
-def test_of_two_lists_the_tighter_word_counts_and_nothing_loosens_on_ones_own(tmp_path):
+def test_the_stricter_of_two_lists_counts_and_nothing_loosens_on_the_own_list_alone(tmp_path):
     bound = Bound(tmp_path, listed("s-1"), listed("s-2"))
     bound.list(5, listed("s-1"), listed("s-2"), listed("s-3"), reset=True)
     assert [generation for generation, *_ in bound.told] == [5] and len(bound.told[0][2]) == 3
@@ -121,7 +122,7 @@
 def test_settings_change_under_flows_and_what_cannot_be_followed_is_not_acted_on(tmp_path):
     bound = Bound(tmp_path, listed("s-1"))
     first = bound.open("a1", "book")
-    params = shared(copy.deepcopy(PARAMS))
+    params = shared_part(copy.deepcopy(PARAMS))
     params["serviceTypes"] = [
         {"name": "chat", "semantics": "idempotent", "setupTarget": 200.0, "giveUp": 800.0}
     ]
@@ -158,8 +159,8 @@
     ],
 )
 def test_settings_that_a_balancer_cannot_act_on_are_objected_to(change, says):
-    assert says in objection(PARAMS, shared(PARAMS) | change)
-    assert not objection(PARAMS, shared(PARAMS)) and objection(PARAMS, [1])
+    assert says in objection(PARAMS, shared_part(PARAMS) | change)
+    assert not objection(PARAMS, shared_part(PARAMS)) and objection(PARAMS, [1])
 
 
 def test_without_a_lease_nothing_is_taken_and_a_flow_already_taken_is_answered_at_once(tmp_path):
@@ -216,7 +217,7 @@
     assert call.answers.get_nowait() == b"ERR not agreed: nobody answered\r\n"
 
 
-def test_a_fleet_thread_that_failed_in_an_unforeseen_way_begins_anew(tmp_path):
+def test_a_fleet_thread_that_failed_unexpectedly_starts_again(tmp_path):
     """Guards against its own lock, held still, passing for another process's."""
     from cypresswalk.fleet import driver
 
@@ -251,7 +252,7 @@
     assert fleet.ended.wait(5)
 
 
-def claimed(tmp_path) -> Bound:
+def bound_with_reservations(tmp_path) -> Bound:
     bound = Bound(tmp_path, listed("s-1"), copies={})
     bound.claims = []
     bound.binding.fleet.copies.put = lambda *what: bound.claims.append(what)
@@ -266,8 +267,8 @@
     bound.core.pull(bound.now)
 
 
-def test_a_flow_that_must_not_run_twice_waits_for_its_claim_and_others_do_not(tmp_path):
-    bound = claimed(tmp_path)
+def test_a_flow_that_must_not_run_twice_waits_for_its_reservation_and_others_do_not(tmp_path):
+    bound = bound_with_reservations(tmp_path)
     bound.open("r1")
     assert len(bound.drivers.connects) == 1 and not bound.claims  # a repeatable one pays nothing
     session = bound.open("o1", "book")
@@ -293,8 +294,8 @@
         ("refused", "", b"BUSY 200\r\n"),
     ],
 )
-def test_what_is_held_elsewhere_is_answered_as_the_rules_allow(kind, how, line, tmp_path):
-    bound = claimed(tmp_path)
+def test_a_flow_reserved_elsewhere_is_answered_as_the_rules_allow(kind, how, line, tmp_path):
+    bound = bound_with_reservations(tmp_path)
     (
         bound.core.balancer.settings.retry_after_allowed,
         bound.core.balancer.settings.max_retry_after,
@@ -312,8 +313,8 @@
     )
 
 
-def test_a_client_that_leaves_while_its_claim_is_out_has_it_ended_as_never(tmp_path):
-    bound = claimed(tmp_path)
+def test_a_reservation_of_a_client_that_left_meanwhile_ends_as_never_run(tmp_path):
+    bound = bound_with_reservations(tmp_path)
     session = bound.open("o1", "book")
     bound.core.left(bound.now, session)
     answer(bound, "granted")
@@ -324,10 +325,10 @@
     assert bound.claims[3][0::3] == ("finish", "unknown")
 
 
-def test_a_flow_whose_claim_is_never_answered_is_rejected_in_time_and_a_process_that_leaves_waits_for_it(
+def test_a_flow_whose_reservation_is_never_answered_is_rejected_in_time_and_a_leaving_process_waits(
     tmp_path,
 ):
-    bound = claimed(tmp_path)
+    bound = bound_with_reservations(tmp_path)
     bound.core.stop(bound.now)
     session = bound.open("o1", "book")
     bound.now += session.flow.service_type.setup_latency_objective // 4
@@ -343,7 +344,7 @@
     assert bound.core.stopped
 
 
-def test_one_that_was_drained_stays_so_over_a_restart_or_a_lost_machine_until_it_is_called_back(
+def test_a_drained_balancer_stays_drained_over_a_restart_or_a_lost_machine_until_called_back(
     tmp_path,
 ):
     bound = Bound(tmp_path, listed("s-1"))
@@ -361,7 +362,7 @@
     assert not other.core.drained
 
 
-def test_one_in_a_lost_balancers_place_counts_cold_budgets_as_spent_for_their_window(tmp_path):
+def test_after_a_lost_balancer_slow_start_budgets_count_as_spent_for_their_window(tmp_path):
     admitted = {}
     for copies in (None, {}):
         bound = Bound(tmp_path, listed("s-1"), copies=copies)
@@ -376,10 +377,10 @@
     assert admitted[False][0] == 0 < admitted[True][0] and admitted[False][1] > 0
 
 
-def test_what_it_says_of_servers_is_what_its_own_probes_and_connects_show(tmp_path):
+def test_the_servers_report_is_what_health_checks_and_attempts_show(tmp_path):
     bound = Bound(tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating"))
     server = bound.core.balancer.servers[server_number("s-1")]
-    say = bound.binding.of_servers
+    say = bound.binding.observations.server_report
     assert say() == ServerReport([], {}, {})
     for _ in range(3):
         bound.core.probed(bound.now, server, False, [])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,8 +13,8 @@
 
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.fleet import state_machine as state
-from cypresswalk.fleet.core_binding import objection
 from cypresswalk.fleet.release_control import ReleaseAction, ReleaseControl
+from cypresswalk.fleet.shared_settings import objection
 from cypresswalk.fleet.state_machine import StateMachine, encode
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
