--- a/cypresswalk/__main__.py
+++ b/cypresswalk/__main__.py
@@ -1,15 +1,21 @@
-"""`python -m cypresswalk`: without arguments the balancer, told by its environment what to do; with arguments the
-commands. The balancer's path imports neither the commands nor any library: it starts on small machines."""
+"""`python -m cypresswalk`: the balancer without arguments, the commands with arguments.
+
+The balancer is configured by its environment. Its path imports neither the commands nor any
+library: it starts on small machines.
+"""
 
 import sys
 
 
 def main() -> int:
+    """Runs the balancer or a command; the exit code."""
     if len(sys.argv) == 1:
-        from cypresswalk.service.program import main as start
-    else:
-        from cypresswalk.cli import main as start
-    return start()
+        from cypresswalk.service import program
+
+        return program.main()
+    from cypresswalk import cli
+
+    return cli.main()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/cypresswalk/cli/fleet/__init__.py
@@ -0,0 +1,5 @@
+"""`cypresswalk fleet`: queries and commands to the balancers of a fleet."""
+
+from cypresswalk.cli.fleet.group import fleet
+
+__all__ = ["fleet"]
--- /dev/null
+++ b/cypresswalk/cli/fleet/caller.py
@@ -0,0 +1,75 @@
+"""What the commands of `cypresswalk fleet` share: calls to the fleet, and their answers' output."""
+
+import json
+from dataclasses import dataclass
+from typing import Any
+
+import click
+
+from cypresswalk.refusal import CommandError
+
+EXIT_UNCERTAIN = 4
+
+json_option = click.option("--json", "as_json", is_flag=True, help="Output as JSON.")
+
+
+@dataclass
+class FleetCaller:
+    """Calls the balancers of one fleet.
+
+    Attributes:
+        addresses: HOST:PORT of balancers; the first that answers passes the call on to the leader.
+        fleet: the fleet's name.
+        timeout: for an answer, seconds.
+    """
+
+    addresses: list[str]
+    fleet: str
+    timeout: float
+
+    def call(self, name: str, args: dict[str, Any] | None = None) -> Any:
+        """Sends a query, or a command with its id among `args`; the answer's body.
+
+        Raises:
+            CommandError: the fleet refused it, or no balancer could be asked.
+            click.exceptions.Exit: no answer came, so the outcome is uncertain.
+        """
+        from cypresswalk.fleet import client
+
+        try:
+            ok, body = client.call(self.addresses, self.fleet, name, args, self.timeout)
+        except client.UncertainOutcomeError as error:
+            raise uncertain_exit(error) from error
+        if not ok:
+            raise CommandError(str(body.get("why", body) if isinstance(body, dict) else body))
+        return body
+
+    def command(self, name: str, **args: Any) -> Any:
+        """Sends a command in the user's name; the answer's body. Raises as `call` does."""
+        from cypresswalk.fleet import client
+
+        return self.call(name, client.command(client.who(), **args))
+
+    def command_and_print(self, name: str, **args: Any) -> None:
+        """Sends a command and prints what the fleet says of it. Raises as `call` does."""
+        click.echo(self.command(name, **args)["why"])
+
+
+def uncertain_exit(error: Exception) -> click.exceptions.Exit:
+    """Says that the outcome is uncertain; the exception that ends the command."""
+    click.echo(
+        f"unsure: {error}\nIt may or may not come into force. "
+        "`cypresswalk fleet settings show` and `fleet status` tell.",
+        err=True,
+    )
+    return click.exceptions.Exit(EXIT_UNCERTAIN)
+
+
+def print_json(value: Any) -> None:
+    """Prints an answer as JSON."""
+    click.echo(json.dumps(value, indent=1))
+
+
+def in_brackets(marks: list[str], separator: str = ", ") -> str:
+    """What is to be added to a line: marks in brackets, or nothing."""
+    return f"  ({separator.join(marks)})" if marks else ""
--- /dev/null
+++ b/cypresswalk/cli/fleet/replicas.py
@@ -0,0 +1,107 @@
+"""`fleet copies`: the replicas of idempotency keys."""
+
+import time
+from typing import Any
+
+import click
+
+from cypresswalk.cli.fleet.caller import FleetCaller, in_brackets, json_option, print_json
+from cypresswalk.refusal import CommandError
+
+COMPARISONS = 3  # a partition that differs each time is inconsistent
+COMPARISON_PAUSE = 2  # seconds: what is on its way to a replica differs for a moment
+
+
+@click.group(invoke_without_command=True)
+@json_option
+@click.pass_context
+def copies(context: click.Context, as_json: bool) -> None:
+    """Where idempotency keys are replicated, and what lacks replicas; `check`, `renew`."""
+    if context.invoked_subcommand is not None:
+        return
+    body = context.obj.call("copies")
+    if as_json:
+        print_json(body)
+        return
+    if not body["copies"]:
+        raise CommandError("the leader keeps no copies: its operator file has no [fleet.copies]")
+    click.echo(
+        f"{len(body['parts'])} parts, {body['copies']} copies asked for, {body['least']} needed; "
+        f"{len(body['lacking'])} lack copies, {len(body['changing'])} are being changed, "
+        f"{len(body['lost'])} have none left"
+    )
+    for part, view, holders in body["parts"]:
+        names = ", ".join(holder.partition("#")[0] for holder in holders)
+        marks = in_brackets(partition_marks(body, part), "; ")
+        click.echo(f"  part {part:<3} view {view:<4} {names}{marks}")
+
+
+def partition_marks(body: dict[str, Any], part: int) -> list[str]:
+    """What is wrong with a partition."""
+    key = str(part)
+    marks = []
+    if key in body["lost"]:
+        marks.append(f"LOST for {body['lost'][key]} s: claims refused")
+    elif part in body["away"]:
+        marks.append("no copy heard")
+    if key in body["lacking"]:
+        marks.append(f"lacks copies for {body['lacking'][key]} s")
+    if key in body["changing"]:
+        marks.append("being changed")
+    return marks
+
+
+@copies.command("check")
+@click.pass_obj
+def check(caller: FleetCaller) -> None:
+    """Compares all replicas. Exit code 1 if a partition is inconsistent three times over."""
+    lines: list[str] = []
+    inconsistent: set[str] = set()
+    for attempt in range(COMPARISONS):
+        lines = compare_replicas(caller)
+        found = {line.partition(":")[0] for line in lines}
+        inconsistent = found if attempt == 0 else inconsistent & found
+        if not inconsistent:
+            click.echo("every part is whole and alike at all its holders")
+            return
+        time.sleep(COMPARISON_PAUSE)
+    for line in lines:
+        if line.partition(":")[0] in inconsistent:
+            click.echo(line)
+    raise click.exceptions.Exit(1)
+
+
+def compare_replicas(caller: FleetCaller) -> list[str]:
+    """A line for each member that could not be asked and each partition that is inconsistent."""
+    from cypresswalk.fleet import client
+
+    status = caller.call("status")
+    body = caller.call("copies")
+    answers = {}
+    unreachable = []
+    for member in status["members"]:
+        address = [member["address"]]
+        try:
+            ok, local = client.call(address, caller.fleet, "copies_local", None, caller.timeout)
+        except (client.UncertainOutcomeError, CommandError) as error:
+            unreachable.append(f"{member['name']}: {error}")
+            continue
+        answers[member["id"]] = local if ok else {}
+    return unreachable + client.unlike(body["parts"], answers)
+
+
+@copies.command()
+@click.argument("parts", nargs=-1, type=int, required=True)
+@click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
+@click.pass_obj
+def renew(caller: FleetCaller, parts: tuple[int, ...], yes: bool) -> None:
+    """Lets partitions without any replica start empty; keys reserved there may run again."""
+    from cypresswalk.fleet import client
+
+    if not yes:
+        click.confirm(
+            "Ids claimed in these parts within the last minutes may run a second time. "
+            "Begin with nothing?",
+            abort=True,
+        )
+    click.echo(caller.call("copies_renew", {"parts": list(parts), "by": client.who()})["why"])
--- /dev/null
+++ b/cypresswalk/cli/lab/experiments.py
@@ -0,0 +1,294 @@
+"""Scenarios with real balancers among simulated servers and clients."""
+
+from __future__ import annotations
+
+import json
+import os
+import sys
+from concurrent.futures import FIRST_COMPLETED, Future, ProcessPoolExecutor, wait
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from cypresswalk.cli.lab.exit_codes import BROKEN, VOID
+from cypresswalk.refusal import CommandError
+
+if TYPE_CHECKING:  # imported when a command runs, so that `--help` costs nothing
+    from cypresswalk.lab.experiment import Experiment
+
+CORES_PER_RUN = 3
+PROGRESS_STEPS = 10  # a second of the scenario
+CAPACITY_COLUMNS = (
+    "clients a second",
+    "flows a second",
+    "standing at most",
+    "echoes a second",
+    "p99 late, ms",
+    "most late, ms",
+    "set-up p50, ms",
+    "verdict",
+)
+
+out_option = click.option(
+    "--out", type=click.Path(path_type=Path), default=Path("lab-out"), show_default=True
+)
+
+
+def run_variant(file: str, variant: str, seed: int, folder: str) -> dict[str, Any]:
+    """Runs one variant with one seed, in a process of its own; the run's summary."""
+    from cypresswalk.lab.experiment import read
+    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.play import play_day
+
+    experiment = read(file)
+    chosen = next(v for v in experiment.variant if v.name == variant)
+    day = play_day(experiment, chosen, seed, Path(folder))
+    summary = Figures(experiment, day).summary()
+    (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
+    return summary
+
+
+def read_experiment(
+    file: str, variants: tuple[str, ...] = (), seeds: tuple[int, ...] = (), repeats: int = 0
+) -> tuple[Experiment, list[str], list[int]]:
+    """Reads an experiment and picks variants and seeds.
+
+    Args:
+        file: its path.
+        variants: those asked for; all if none.
+        seeds: those asked for; the file's if none.
+        repeats: how many of the file's seeds; all if 0.
+
+    Returns:
+        The experiment, names of variants, and seeds.
+
+    Raises:
+        CommandError: the file is invalid, or it has no such variant.
+    """
+    from cypresswalk.lab.experiment import read
+
+    experiment = read(file)
+    names = [variant.name for variant in experiment.variant]
+    for name in variants:
+        if name not in names:
+            raise CommandError(f"{file}: variant: {name!r} is not one of {', '.join(names)}")
+    chosen_seeds = list(seeds) or experiment.seeds[: repeats or None]
+    return experiment, list(variants) or names, chosen_seeds
+
+
+def run_all(
+    file: str, names: list[str], seeds: list[int], out: Path, jobs: int
+) -> list[dict[str, Any]]:
+    """Runs each variant with each seed, a void run once more.
+
+    Returns:
+        The summaries in the order of variants and seeds.
+    """
+    wanted = [(name, seed) for seed in seeds for name in names]
+    summaries: dict[tuple[str, int], dict[str, Any]] = {}
+    repeated: set[tuple[str, int]] = set()
+    with (
+        ProcessPoolExecutor(jobs) as pool,
+        click.progressbar(length=len(wanted), label="days", file=sys.stderr) as bar,
+    ):
+
+        def submit(run: tuple[str, int]) -> Future[dict[str, Any]]:
+            name, seed = run
+            return pool.submit(run_variant, file, name, seed, str(out / f"{name}-{seed}"))
+
+        running = {submit(run): run for run in wanted}
+        try:
+            while running:
+                done, _ = wait(running, return_when=FIRST_COMPLETED)
+                for future in done:
+                    run = running.pop(future)
+                    summary = future.result()
+                    if summary["void"] and run not in repeated:
+                        repeated.add(run)
+                        running[submit(run)] = run
+                        continue
+                    summaries[run] = summary
+                    bar.update(1)
+        except BaseException:
+            pool.shutdown(wait=False, cancel_futures=True)
+            raise
+    return [summaries[name, seed] for name in names for seed in seeds]
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+def check(file: str) -> int:
+    """Checks an experiment file and says what it runs."""
+    experiment, names, seeds = read_experiment(file)
+    click.echo(
+        f"{experiment.name}: {experiment.seconds:g} s, "
+        f"{sum(m.count for m in experiment.servers)} servers, "
+        f"{len(experiment.balancer_names())} balancers, {len(experiment.trouble)} troubles, "
+        f"variants {', '.join(names)}, {len(seeds)} seeds"
+    )
+    return 0
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+@click.option("--variant", default="", help="The variant; default: the file's first.")
+@click.option("--seed", type=int, help="The seed; default: the file's first.")
+@out_option
+def play(file: str, variant: str, seed: int | None, out: Path) -> int:
+    """Runs one variant with one seed, reports on it and checks the rules."""
+    from cypresswalk.lab import report
+    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.play import play_day
+
+    experiment, names, seeds = read_experiment(
+        file, (variant,) if variant else (), () if seed is None else (seed,), 1
+    )
+    name = names[0]
+    chosen = next(v for v in experiment.variant if v.name == name)
+    click.echo(f"{experiment.name}: {experiment.about}", err=True)
+    for fault in experiment.trouble:
+        where = ", ".join(fault.servers + fault.balancers)
+        click.echo(f"  from {fault.at_s:g} s: {fault.kind} {where}", err=True)
+    folder = out / f"{experiment.name}-{name}-{seeds[0]}"
+    steps = int(experiment.seconds * PROGRESS_STEPS)
+    with click.progressbar(length=steps, label=f"{name}, seed {seeds[0]}", file=sys.stderr) as bar:
+        done = 0
+
+        def show_progress(second: float) -> None:
+            nonlocal done
+            bar.update(int(second * PROGRESS_STEPS) - done)
+            done = int(second * PROGRESS_STEPS)
+
+        day = play_day(experiment, chosen, seeds[0], folder, show_progress)
+    summary = Figures(experiment, day).summary()
+    click.echo(report.day(summary))
+    report.save([summary], folder)
+    click.echo(f"events, logs, report and plots are in {folder}", err=True)
+    if summary["void"]:
+        return VOID
+    return BROKEN if summary["broken"] else 0
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+@click.option(
+    "--variant",
+    "variants",
+    multiple=True,
+    help="Only these, in this order; the first is the baseline.",
+)
+@click.option("--seed", "seeds", multiple=True, type=int, help="Only these seeds.")
+@click.option("--repeats", type=int, default=0, help="How many of the file's seeds; default: all.")
+@click.option(
+    "--jobs",
+    type=click.IntRange(1, 64),
+    default=max((os.cpu_count() or 2) // CORES_PER_RUN, 1),
+    show_default=True,
+    help="Runs in parallel; each needs two or three cores.",
+)
+@out_option
+def compare(
+    file: str, variants: tuple[str, ...], seeds: tuple[int, ...], repeats: int, jobs: int, out: Path
+) -> int:
+    """Runs all variants with all seeds and compares them.
+
+    Each seed gives every variant the same clients. A difference counts where it points the same way
+    on all of five or more seeds.
+    """
+    from cypresswalk.lab import report
+
+    experiment, names, chosen = read_experiment(file, variants, seeds, repeats)
+    folder = out / experiment.name
+    summaries = run_all(file, names, chosen, folder, jobs)
+    click.echo(report.compare(summaries))
+    report.save(summaries, folder)
+    for summary in summaries:
+        if summary["broken"] or summary["void"]:
+            click.echo(f"{summary['variant']}, seed {summary['seed']}: {report.verdict(summary)}")
+    click.echo(f"report and plots are in {folder}", err=True)
+    first = [s for s in summaries if s["variant"] == names[0]]
+    if any(s["broken"] and not s["void"] for s in first):
+        return BROKEN
+    return VOID if all(s["void"] for s in first) else 0
+
+
+@click.command()
+@click.argument("file", type=click.Path())
+@click.argument("folder", type=click.Path(path_type=Path))
+def verdict(file: str, folder: Path) -> int:
+    """Checks the rules again on the events of an earlier run."""
+    from cypresswalk.lab import seen
+    from cypresswalk.lab.oracle import Rules, judge
+
+    experiment, _, _ = read_experiment(file)
+    path = folder / "events.jsonl"
+    try:
+        events = seen.load(path)
+    except (OSError, ValueError, KeyError) as error:
+        raise CommandError(f"{path}: {error}") from error
+    breaches = judge(events, Rules.of(experiment))
+    for breach in breaches:
+        click.echo(str(breach))
+    click.echo(f"{len(events)} events, {len(breaches)} breaches")
+    return BROKEN if breaches else 0
+
+
+@click.command()
+@click.option(
+    "--rates",
+    default="20,50,100,200,400",
+    show_default=True,
+    help="New clients per second, in rising order.",
+)
+@click.option("--seconds", default=8, show_default=True, type=click.IntRange(4, 120))
+@out_option
+def capacity(rates: str, seconds: int, out: Path) -> int:
+    """Measures how many clients and flows per second the lab itself can simulate."""
+    try:
+        wanted = [float(rate) for rate in rates.split(",")]
+    except ValueError as error:
+        raise CommandError(f"--rates: {rates!r} is no list of numbers") from error
+    click.echo(f"| {' | '.join(CAPACITY_COLUMNS)} |\n|" + " --- |" * len(CAPACITY_COLUMNS))
+    for rate in wanted:
+        line, void = measure_capacity(rate, seconds, out / f"capacity-{rate:g}")
+        click.echo(line)
+        if void:
+            break
+    return 0
+
+
+def measure_capacity(rate: float, seconds: int, folder: Path) -> tuple[str, bool]:
+    """A row of the table for so many clients per second, and whether the lab was late."""
+    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.play import play_day
+
+    experiment = capacity_experiment(rate, seconds)
+    day = play_day(experiment, experiment.variant[0], 1, folder)
+    summary = Figures(experiment, day).summary()
+    echoes = sum(event.what == "echo" for event in day.events) / seconds
+    late = summary["lateness_ms"]
+    said = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
+    line = (
+        f"| {rate:g} | {summary['flows'] / seconds:.0f} | {max(summary['standing']):.0f} | "
+        f"{echoes:.0f} | {late['p99']:.1f} | {late['most']:.0f} | "
+        f"{summary['setup_ms']['p50']:.2f} | {said} |"
+    )
+    return line, bool(summary["void"])
+
+
+def capacity_experiment(rate: float, seconds: int) -> Experiment:
+    """Servers and balancers large enough for the lab to be the limit."""
+    from cypresswalk import toml
+    from cypresswalk.lab.experiment import Experiment
+
+    data = {
+        "name": "capacity",
+        "seconds": seconds,
+        "load": {"course": [[0, rate]]},
+        "servers": [{"name": "big", "zone": "north", "count": 6, "cores": 16, "per_core": 200}],
+        "balancers": [{"zone": "north", "count": 4, "sockets": 4096, "memory_mb": 512}],
+        "types": [{"name": "view", "share": 1, "life_s": [2, 4]}],
+        "clients": {"groups": 0},
+    }
+    return toml.decode(data, Experiment, "capacity")
--- /dev/null
+++ b/cypresswalk/cli/lab/fleets.py
@@ -0,0 +1,181 @@
+"""Fleets under faults: real balancers, or the fleet's own code in virtual time."""
+
+import asyncio
+import json
+import os
+from collections import Counter
+from concurrent.futures import ProcessPoolExecutor
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+import click
+
+from cypresswalk.cli.lab.exit_codes import BROKEN
+from cypresswalk.refusal import CommandError
+
+SECONDS_PER_FAULT = 2.5  # of a drawn plan
+HISTORY_LINES = 80  # shown of a run that broke a rule
+MAX_CONTRADICTION_S = 5  # seconds, as the virtual fleet is configured
+ACTS_PER_SEED = 100
+DEFAULT_VOTERS, DEFAULT_FOLLOWERS = 3, 1
+
+seeds_option = click.option("--seeds", default=100, show_default=True, help="Number of seeds.")
+first_option = click.option("--first", default=0, show_default=True, help="The first seed.")
+jobs_option = click.option(
+    "--jobs", default=os.cpu_count() or 1, show_default=True, help="Processes in parallel."
+)
+
+
+@click.command()
+@click.argument("plan", required=False, type=click.Path())
+@click.option("--seed", type=int, help="Draw a plan from this seed, in place of PLAN.")
+@click.option("--balancers", default=5, show_default=True, help="With --seed.")
+@click.option("--voters", default=3, show_default=True, help="With --seed.")
+@click.option(
+    "--seconds",
+    default=20.0,
+    show_default=True,
+    help="With --seed: for how long faults and calls go on.",
+)
+@click.option(
+    "--copies",
+    default=0,
+    show_default=True,
+    help="With --seed: replicas of each reserved key; clients repeat their requests.",
+)
+@click.option(
+    "--release", is_flag=True, help="With --seed: a release by agents, good or bad, among faults."
+)
+@click.option(
+    "--out",
+    default="lab-out/together",
+    show_default=True,
+    help="Folder for history, logs and report.",
+)
+def together(
+    plan: str | None,
+    seed: int | None,
+    balancers: int,
+    voters: int,
+    seconds: float,
+    copies: int,
+    release: bool,
+    out: str,
+) -> int:
+    """Starts a fleet of real balancers, injects faults by PLAN or a seed, and checks the rules."""
+    from cypresswalk.lab.together import plan as plans
+    from cypresswalk.lab.together import stage
+
+    if plan is not None and seed is not None:
+        raise CommandError("PLAN or --seed: one of them")
+    faults = max(int(seconds // SECONDS_PER_FAULT), 1)
+    if plan is not None:
+        wanted = plans.read(plan)
+    elif seed is None:
+        raise CommandError("PLAN or --seed: one of them")
+    elif release:
+        wanted = plans.drawn_release(seed, balancers, voters, seconds, faults)
+    else:
+        wanted = plans.drawn(seed, balancers, voters, seconds, faults, copies)
+    folder = Path(out).absolute()
+    report = asyncio.run(stage.played(wanted, folder))
+    for line in stage.timeline(folder):
+        click.echo(line)
+    click.echo(json.dumps(report, indent=1))
+    click.echo(f"history, logs and report: {folder}")
+    return BROKEN if report["broken"] else 0
+
+
+def counts_line(counts: Counter[str]) -> str:
+    """How often each situation was met."""
+    return ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
+
+
+@click.command()
+@seeds_option
+@first_option
+@jobs_option
+@click.option("--voters", default=DEFAULT_VOTERS, show_default=True)
+@click.option("--followers", default=DEFAULT_FOLLOWERS, show_default=True)
+def explore(seeds: int, first: int, jobs: int, voters: int, followers: int) -> int:
+    """Injects random faults into the fleet's code in virtual time.
+
+    A seed that breaks an invariant is reduced to the faults that it needs, and these are shown.
+    """
+    from cypresswalk.lab.together.explore import run_seed
+
+    situations: Counter[str] = Counter()
+    states: set[Any] = set()
+    steps = 0
+    longest = 0
+    failed = []
+    with ProcessPoolExecutor(jobs) as pool:
+        run = partial(run_seed, voters=voters, followers=followers)
+        for outcome in pool.map(run, range(first, first + seeds)):
+            situations.update(outcome.situations)
+            states |= outcome.states
+            steps += outcome.steps
+            longest = max(longest, outcome.longest)
+            if outcome.broken:
+                failed.append(outcome.seed)
+                click.echo(outcome.broken)
+    click.echo(
+        f"{seeds} seeds, {steps} steps, {len(states)} states, "
+        f"longest on contradicting versions {longest / 1e9:.2f} s of {MAX_CONTRADICTION_S}"
+    )
+    click.echo(counts_line(situations))
+    if failed and (voters, followers) == (DEFAULT_VOTERS, DEFAULT_FOLLOWERS):
+        show_reduced(failed[0])
+    return BROKEN if failed else 0
+
+
+def show_reduced(seed: int) -> None:
+    """Shows the faults that a seed needs to break an invariant."""
+    from cypresswalk.lab.together.explore import plan_of, smaller
+
+    names = [f"n{i}" for i in range(DEFAULT_VOTERS + DEFAULT_FOLLOWERS)]
+    for act in smaller(seed, plan_of(seed, names, ACTS_PER_SEED)):
+        click.echo(
+            f"seed {seed} needs: {act.kind} {act.who} {act.other} {act.number}, "
+            f"then {act.then / 1e9:.2f} s"
+        )
+
+
+@click.command()
+@seeds_option
+@first_option
+@jobs_option
+@click.option("--acts", default=60, show_default=True, help="Faults and calls for each seed.")
+@click.option("--servers", is_flag=True, help="Releases of servers, in place of balancers.")
+def releases(seeds: int, first: int, jobs: int, acts: int, servers: bool) -> int:
+    """Runs releases among random faults and calls in virtual time.
+
+    The history of the first seed that breaks a rule is shown.
+    """
+    from cypresswalk.lab.together import releases as of_balancers
+    from cypresswalk.lab.together import servings as of_servers
+
+    run_seed = of_servers.run_seed if servers else of_balancers.run_seed
+    situations: Counter[str] = Counter()
+    ends: Counter[str] = Counter()
+    went_out = 0
+    failed = []
+    with ProcessPoolExecutor(jobs) as pool:
+        for outcome in pool.map(partial(run_seed, acts=acts), range(first, first + seeds)):
+            situations.update(outcome.situations)
+            went_out += outcome.went
+            if outcome.broken:
+                failed.append(outcome)
+                click.echo(outcome.broken)
+            else:
+                ends[outcome.end] += 1
+    click.echo(
+        f"{seeds} seeds, {went_out} went out, {len(failed)} broken; "
+        + ", ".join(f"{end} {count}" for end, count in sorted(ends.items()))
+    )
+    click.echo(counts_line(situations))
+    if failed:
+        for line in failed[0].history[-HISTORY_LINES:]:
+            click.echo(line)
+    return BROKEN if failed else 0
--- a/cypresswalk/cli/main.py
+++ b/cypresswalk/cli/main.py
@@ -1,4 +1,4 @@
-"""The command group. Commands import what they run when they are run, so that `--help` costs nothing."""
+"""The group of all commands; each imports what it needs when it runs."""
 
 import sys
 
@@ -6,32 +6,44 @@
 
 from cypresswalk.refusal import CommandError
 
+EXIT_BROKEN_PIPE = 1
+EXIT_INVALID_INPUT = 2
+EXIT_ABORTED = 130
+
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def commands() -> None:
     """A balancer for long-lived connections, and the tools to try it.
 
-    Without arguments the balancer itself starts, told by PROXY_CONFIG what to do."""
+    Without arguments the balancer itself starts, configured by PROXY_CONFIG.
+    """
 
 
 def main() -> int:
-    """Exit codes: 0 done, 1 a rule was broken, 2 input that can't be used, 3 a day that says nothing."""
-    from cypresswalk.cli import faults, fleet, lab, state
+    """Runs the command that the arguments name.
+
+    Returns:
+        The exit code: 0 done, 1 a rule was broken, 2 input that can't be used, 3 a scenario whose
+        run says nothing.
+    """
+    from cypresswalk.cli import faults, state
+    from cypresswalk.cli.fleet import fleet
+    from cypresswalk.cli.lab import lab
 
     commands.add_command(faults.faults)
-    commands.add_command(fleet.fleet)
-    commands.add_command(lab.lab)
+    commands.add_command(fleet)
+    commands.add_command(lab)
     commands.add_command(state.state)
     try:
         return commands.main(prog_name="cypresswalk", standalone_mode=False) or 0
-    except CommandError as refusal:
-        click.echo(str(refusal), err=True)
-        return 2
+    except CommandError as error:
+        click.echo(str(error), err=True)
+        return EXIT_INVALID_INPUT
     except click.ClickException as error:
         error.show()
-        return 2
+        return EXIT_INVALID_INPUT
     except click.Abort:
-        return 130
+        return EXIT_ABORTED
     except BrokenPipeError:
         sys.stderr.close()
-        return 1
+        return EXIT_BROKEN_PIPE
--- a/cypresswalk/cli/state.py
+++ b/cypresswalk/cli/state.py
@@ -1,13 +1,21 @@
-"""`cypresswalk state`: what a balancer has kept."""
+"""`cypresswalk state`: the state that a balancer keeps over its restarts."""
+
+from __future__ import annotations
 
 import time
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
 from cypresswalk.refusal import CommandError
 
-FIELDS = (
+if TYPE_CHECKING:  # imported when a command runs, so that `--help` costs nothing
+    from cypresswalk.state.file_format import Snapshot
+
+NANOSECONDS = 1e9  # a second
+MAX_CLOCK_DIFFERENCE = 2 * 10**9  # nanoseconds: what is later is said to be in the future
+COMPARED_FIELDS = (
     "state",
     "health",
     "known",
@@ -25,54 +33,66 @@
 
 @click.group()
 def state() -> None:
-    """Shows, checks and compares what balancers keep over their restarts."""
+    """Shows, checks and compares the state that balancers keep over their restarts."""
 
 
-def opened(path: str):
-    """A generation's file, or the latest of a folder. Raises Refusal with the file and the reason."""
-    from cypresswalk.state import file_format, store
+def read_snapshot(path: str) -> tuple[Path, Snapshot]:
+    """Reads a snapshot file, or the latest one in a folder.
+
+    Raises:
+        CommandError: with the file and the reason.
+    """
+    from cypresswalk.state import file_format
 
     file = Path(path)
     try:
         if file.is_dir():
-            numbers = sorted(
-                (
-                    int(p.name[len(store.PREFIX) :])
-                    for p in file.glob(f"{store.PREFIX}*")
-                    if p.name[len(store.PREFIX) :].isdecimal()
-                ),
-                reverse=True,
-            )
-            if not numbers:
-                raise CommandError(f"{path}: it holds no generation")
-            file = file / f"{store.PREFIX}{numbers[0]}"
+            file = latest_file(path)
         return file, file_format.decode(file.read_bytes())
     except OSError as error:
-        raise CommandError(f"{file}: {error.strerror or error}") from None
+        raise CommandError(f"{file}: {error.strerror or error}") from error
     except file_format.FormatError as error:
-        raise CommandError(f"{file}: {error}") from None
+        raise CommandError(f"{file}: {error}") from error
+
+
+def latest_file(path: str) -> Path:
+    """The latest snapshot in a folder. Raises CommandError where there is none."""
+    from cypresswalk.state import store
+
+    folder = Path(path)
+    suffixes = [file.name[len(store.PREFIX) :] for file in folder.glob(f"{store.PREFIX}*")]
+    generations = [int(suffix) for suffix in suffixes if suffix.isdecimal()]
+    if not generations:
+        raise CommandError(f"{path}: it holds no generation")
+    return folder / f"{store.PREFIX}{max(generations)}"
 
 
 def ago(then: int, now: int) -> str:
-    return "in the future" if then > now + 2 * 10**9 else f"{max(now - then, 0) / 1e9:.1f} s ago"
+    """How long ago a time was; both in nanoseconds."""
+    if then > now + MAX_CLOCK_DIFFERENCE:
+        return "in the future"
+    return f"{max(now - then, 0) / NANOSECONDS:.1f} s ago"
 
 
 @state.command()
 @click.argument("path", type=click.Path())
 def show(path: str) -> int:
-    """Prints what a folder or a file holds, and how old it is."""
-    file, kept = opened(path)
-    now, head = time.time_ns(), kept.head
+    """Prints what a snapshot holds, and how old it is."""
+    file, snapshot = read_snapshot(path)
+    now = time.time_ns()
+    head = snapshot.head
     click.echo(
-        f"{file}: balancer {head.balancer}, taken {ago(head.taken, now)}, list version {head.list_version} of "
-        f"{head.list_address}, {len(kept.ids)} ids, {head.again:.0%} of its flows came again"
+        f"{file}: balancer {head.balancer}, taken {ago(head.taken, now)}, "
+        f"list version {head.list_version} of "
+        f"{head.list_address}, {len(snapshot.ids)} ids, {head.again:.0%} of its flows came again"
     )
     click.echo("server      state     health misses errors failed answers  limit strain  learned")
-    for server in kept.servers:
+    for server in snapshot.servers:
         health = str(server.health) if server.known else "?"
         click.echo(
-            f"{server.id:<11} {server.state:<9} {health:>6} {server.misses:>6} {server.errors:>6} {server.failed:>6} "
-            f"{server.answers:>7} {server.limit:>6.1f} {server.strain:>6.2f}  {ago(server.learned, now)}"
+            f"{server.id:<11} {server.state:<9} {health:>6} {server.misses:>6} {server.errors:>6} "
+            f"{server.failed:>6} {server.answers:>7} {server.limit:>6.1f} {server.strain:>6.2f}  "
+            f"{ago(server.learned, now)}"
         )
     return 0
 
@@ -80,12 +100,14 @@
 @state.command()
 @click.argument("path", type=click.Path())
 def check(path: str) -> int:
-    """Says whether a file can be believed; exit code 2 and the reason if not."""
+    """Checks whether a snapshot is intact; exit code 2 and the reason if not."""
     from cypresswalk.state import file_format
 
-    file, kept = opened(path)
+    file, snapshot = read_snapshot(path)
     version = file_format.FIXED.unpack_from(file.read_bytes())[1]
-    click.echo(f"{file}: version {version}, {len(kept.servers)} servers, {len(kept.ids)} ids")
+    click.echo(
+        f"{file}: version {version}, {len(snapshot.servers)} servers, {len(snapshot.ids)} ids"
+    )
     return 0
 
 
@@ -93,29 +115,46 @@
 @click.argument("before", type=click.Path())
 @click.argument("after", type=click.Path())
 def diff(before: str, after: str) -> int:
-    """Says what changed from one generation to another."""
-    _, old = opened(before)
-    _, new = opened(after)
-    for name in ("balancer", "list_version", "list_address"):
-        a, b = getattr(old.head, name), getattr(new.head, name)
-        if a != b:
-            click.echo(f"{name} {a} -> {b}")
-    were, are = {s.id: s for s in old.servers}, {s.id: s for s in new.servers}
-    for ident in sorted(were.keys() | are.keys()):
-        if ident not in are or ident not in were:
-            click.echo(f"server {ident}: {'new' if ident in are else 'no longer kept'}")
+    """Shows what changed from one snapshot to another."""
+    _, old = read_snapshot(before)
+    _, new = read_snapshot(after)
+    for line in (*head_changes(old, new), *server_changes(old, new), *id_changes(old, new)):
+        click.echo(line)
+    return 0
+
+
+def head_changes(old: Snapshot, new: Snapshot) -> list[str]:
+    """A line for each field of the head that differs."""
+    names = ("balancer", "list_version", "list_address")
+    pairs = ((name, getattr(old.head, name), getattr(new.head, name)) for name in names)
+    return [f"{name} {was} -> {now}" for name, was, now in pairs if was != now]
+
+
+def server_changes(old: Snapshot, new: Snapshot) -> list[str]:
+    """A line for each server that differs."""
+    lines = []
+    old_servers = {server.id: server for server in old.servers}
+    new_servers = {server.id: server for server in new.servers}
+    for ident in sorted(old_servers.keys() | new_servers.keys()):
+        if ident not in new_servers or ident not in old_servers:
+            lines.append(f"server {ident}: {'new' if ident in new_servers else 'no longer kept'}")
             continue
+        was, now = old_servers[ident], new_servers[ident]
         changed = [
-            f"{name} {getattr(were[ident], name)} -> {getattr(are[ident], name)}"
-            for name in FIELDS
-            if getattr(were[ident], name) != getattr(are[ident], name)
+            f"{name} {getattr(was, name)} -> {getattr(now, name)}"
+            for name in COMPARED_FIELDS
+            if getattr(was, name) != getattr(now, name)
         ]
         if changed:
-            click.echo(f"server {ident}: {', '.join(changed)}")
-    gone, come = (
-        {i for i, _ in old.ids} - {i for i, _ in new.ids},
-        {i for i, _ in new.ids} - {i for i, _ in old.ids},
-    )
-    if gone or come:
-        click.echo(f"ids: {len(come)} new, {len(gone)} let go")
-    return 0
+            lines.append(f"server {ident}: {', '.join(changed)}")
+    return lines
+
+
+def id_changes(old: Snapshot, new: Snapshot) -> list[str]:
+    """A line where ids of flows were added or dropped."""
+    old_ids = {ident for ident, _ in old.ids}
+    new_ids = {ident for ident, _ in new.ids}
+    added, dropped = new_ids - old_ids, old_ids - new_ids
+    if not added and not dropped:
+        return []
+    return [f"ids: {len(added)} new, {len(dropped)} let go"]
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -218,7 +218,7 @@
                 except ValidationError as error:
                     first = error.errors()[0]
                     raise CommandError(
-                        f"{path}: line {number}: {toml.field(first['loc'])}: {toml.said(first)}"
+                        f"{path}: line {number}: {toml.field(first['loc'])}: {toml.message(first)}"
                     ) from None
                 except (ValueError, RecursionError) as error:
                     raise CommandError(f"{path}: line {number}: not JSON: {error}") from None
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -79,6 +79,11 @@
         self.fell = self.observations.fell
         self.listed = self.endpoints.listed
         self.takes = self.commands.takes
+        self.attach(table, post)
+
+    def attach(self, table: FleetTable, post: Callable[..., None]) -> None:
+        """Has the core and the fleet call the parts of this binding."""
+        core = self.core
         if table.copies is not None:
             core.claims = ReservationGate(core, self.fleet, post, table.copies.share)
             if core.phase is not Phase.STARTING:
--- a/cypresswalk/refusal.py
+++ b/cypresswalk/refusal.py
@@ -1,5 +1,5 @@
-"""What a command says of input that it cannot use. Knows nobody, so that every package can raise it."""
+"""The error for input that a command can't use; every package can raise it."""
 
 
 class CommandError(Exception):
-    """One plain line that names the file, the field and what is allowed there."""
+    """One plain line for each error, with the file, the field and what is allowed there."""
--- a/cypresswalk/toml.py
+++ b/cypresswalk/toml.py
@@ -1,63 +1,76 @@
-"""TOML files decoded and validated into pydantic models, each error as one line with file and field.
+"""TOML files decoded and validated into pydantic models; each error is one line with its field.
 
-The interface is `read`. tomllib parses (the standard library's), pydantic validates: it names every wrong field and
-what is allowed there, which msgspec (the first error alone) and hand-written checks do not."""
+The interface is `read`. tomllib parses; pydantic validates: it names every wrong field and what is
+allowed there, which msgspec (the first error alone) and hand-written checks do not.
+"""
 
 import tomllib
+from collections.abc import Sequence
 from pathlib import Path
 from typing import TypeVar
 
 from pydantic import BaseModel, ConfigDict, ValidationError
+from pydantic_core import ErrorDetails
 
 from cypresswalk.refusal import CommandError
 
+MAX_SHOWN_VALUE = 80  # characters of a wrong value up to which it is shown
+
 
 class Table(BaseModel):
-    """A table of such a file: unknown names are errors, since a misspelt one would pass for a default."""
+    """A table of such a file.
+
+    Unknown names are errors, since a misspelt one would pass for a default.
+    """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-Model = TypeVar("Model", bound=BaseModel)
+ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
-def field(place: tuple) -> str:
-    """`('servers', 0, 'cores')` as `servers[0].cores`."""
+def field(location: Sequence[str | int]) -> str:
+    """A field's place as text: `('servers', 0, 'cores')` as `servers[0].cores`."""
     text = ""
-    for part in place:
-        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
+    for part in location:
+        if isinstance(part, int):
+            text += f"[{part}]"
+        else:
+            text += f".{part}" if text else str(part)
     return text
 
 
-def read(path: str | Path, model: type[Model]) -> Model:
-    """The file as that model. Raises Refusal with a line for each thing that is wrong."""
+def read(path: str | Path, model: type[ModelT]) -> ModelT:
+    """Reads a file. Raises CommandError with a line for each error."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
     except OSError as error:
-        raise CommandError(f"{path}: {error.strerror or error}") from None
+        raise CommandError(f"{path}: {error.strerror or error}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise CommandError(f"{path}: not TOML: {error}") from None
+        raise CommandError(f"{path}: not TOML: {error}") from error
     return decode(data, model, str(path))
 
 
-def decode(data: object, model: type[Model], source: str) -> Model:
-    """Raises Refusal, as `read` does."""
+def decode(data: object, model: type[ModelT], source: str) -> ModelT:
+    """Validates decoded data; `source` names it in errors. Raises CommandError as `read` does."""
     try:
         return model.model_validate(data)
     except ValidationError as error:
-        raise CommandError(
-            "\n".join(
-                ": ".join([source, *([field(e["loc"])] if e["loc"] else []), said(e)])
-                for e in error.errors()
-            )
-        ) from None
+        lines = [
+            ": ".join([source, *([field(e["loc"])] if e["loc"] else []), message(e)])
+            for e in error.errors()
+        ]
+        raise CommandError("\n".join(lines)) from error
 
 
-def said(error: dict) -> str:
-    text = error["msg"].removeprefix("Value error, ")
+def message(error: ErrorDetails) -> str:
+    """What is wrong with one field."""
     if error["type"] == "extra_forbidden":
         return "no such field"
+    text = error["msg"].removeprefix("Value error, ")
+    text = f"{text[:1].lower()}{text[1:]}"
     given = error.get("input")
-    plain = isinstance(given, (str, int, float, bool)) and len(str(given)) < 80
-    return f"{text[:1].lower()}{text[1:]}" + (f", not {given!r}" if plain else "")
+    if isinstance(given, (str, int, float, bool)) and len(str(given)) < MAX_SHOWN_VALUE:
+        return f"{text}, not {given!r}"
+    return text
