--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/together/machines.py
@@ -15,7 +15,7 @@
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.stage import SECOND, SLACK, Process, Rig
-from cypresswalk.rollout.bounds import allowed
+from cypresswalk.rollout.bounds import max_unavailable
 
 LOOK = 0.1  # seconds between two looks at what an agent is doing
 FRONT = 0.3  # and at a balancer's front
@@ -31,7 +31,7 @@
     "slow": "place = Core.place\nCore.place = lambda self, now, session: self.at(now + 30_000_000, lambda at, s: s.over or place(self, at, s), session)",
     "falls": "import os, threading\nthreading.Timer(10, os._exit, (1,)).start()",
     "never_ready": "Core.may_act = lambda self: False",
-    "unreadable": "from cypresswalk.fleet import binding\nbinding.objection = lambda own, settings: 'this build can not read them'",
+    "unreadable": "from cypresswalk.fleet import shared_settings\nshared_settings.objection = lambda own, settings: 'this build can not read them'",
 }
 
 
@@ -456,7 +456,11 @@
             self.processes[name].harmed.append((at - 4 * SECOND, at + SECOND))
         report = await super().verdict() | end
         own, lost = self.spans()
-        most = allowed(self.plan.bound, len(self.names)) if self.plan.bound else len(self.names)
+        most = (
+            max_unavailable(self.plan.bound, len(self.names))
+            if self.plan.bound
+            else len(self.names)
+        )
         went = sorted(
             [(at, name, "release") for at, name in told]
             + [(at, name, "drain") for at, name in self.drains]
