--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -15,7 +15,7 @@
 
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Member
-from cypresswalk.agreement.node import PersistentState, Ready
+from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
 from cypresswalk.lab.together.plan import Plan
 from cypresswalk.lab.together.stage import Rig
@@ -160,7 +160,9 @@
     disk = DiskFolder(folder)
     store = Store(disk)
     kept = store.load("f", "a", lambda text: None) or PersistentState(Snapshot(0, 0, MEMBERS, b"x"))
-    store.begin(LogIdentity("f", "g", "a#1", (store.life.boot if store.life else 0) + 1), kept)
+    store.begin(
+        LogIdentity("f", "g", "a#1", (store.identity.boot if store.identity else 0) + 1), kept
+    )
     index, base = kept.snapshot.index + len(kept.entries), kept.snapshot.index
     chance = random.Random()
     while True:
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -1,40 +1,57 @@
-"""In which order a member's log is written and read, on any file layer. No I/O of its own.
+"""In which order a member's log is written and read, on any folder. No I/O of its own.
 
-One file, `log.N`, of records that follow each other: u32 length | u8 kind | u32 CRC of these two | BLAKE2b-128 | body, each digest
-keyed by the one before it, the first by the file's number. A record is added and flushed before any word that relies on it; a new snapshot
-writes file N+1 whole (`next`, flushed, renamed, folder flushed) and removes N. Reading tells three things apart (as in
-Alagappan et al., "Protocol-Aware Recovery for Consensus-Based Storage", FAST 2018): a last record that is cut short or has
-sectors that were never written was never acknowledged, and goes; anything else that is wrong is damage, and this member must not vote under its name
-again; a file of a newer form, of another member or fleet is left alone.
+One file, `log.N`, holds a chain of sealed records (storage/record_chain.py). A record is added and
+flushed before any message that relies on it; a new snapshot writes file N+1 (as `next`, flushed,
+renamed, folder flushed) and removes N. A torn tail was never acknowledged and is cut off; any other
+damage ends this incarnation; a file of a newer form, of another member or fleet is left alone.
 
-`witness` names the file's inode, written before the file gets its name: a folder put back from a copy has other inodes, or an
-older witness than its file, and is found out before a word is said. What that does not see (a whole disk set back) the others
-do: the leader by an append refused that was acknowledged, everyone by `boot`, which counts this member's starts."""
+`witness` names the file's inode, written before the file gets its name: a folder restored from a
+copy has other inodes, or an older witness than its file, and is found before anything is sent. A
+whole disk that was set back is found by the other members: by the leader when an acknowledged
+append is refused, by everyone from `boot`, which counts this member's starts.
+"""
 
 import struct
 from collections.abc import Callable
 from hashlib import blake2b
-from typing import Protocol
-from zlib import crc32
+from typing import Any
 
 import msgspec
 
+from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError
 from cypresswalk.agreement.log import Snapshot, encode
 from cypresswalk.agreement.messages import Entry
-from cypresswalk.agreement.node import PersistentState, Ready
-
-NEXT, PREFIX, WITNESS, LOST = "next", "log.", "witness", "lost."
-MAGIC, VERSION = b"CWAGREE\n", 1
-RECORD = struct.Struct("<IBI16s")
-LARGEST = (
-    256 << 20
-)  # of a file: a snapshot and what the bounds of a log let stand beside it, many times over
-SECTOR = 512  # what a disk writes whole or not at all
-IDENTITY, SNAPSHOT, VOTE, ENTRY, TRUNCATE = range(1, 6)
+from cypresswalk.agreement.ready import IndexedEntry, PersistentState, Ready, Vote
+from cypresswalk.storage.folder import Folder, broken_on_failure, require_unbroken
+from cypresswalk.storage.record_chain import (
+    MAGIC,
+    ChainDamagedError,
+    ChainReader,
+    first_key,
+    seal_record,
+)
+
+NEXT_FILE = "next"
+FILE_PREFIX = "log."
+WITNESS_FILE = "witness"
+LOST_PREFIX = "lost."
+VERSION = 1
+HEADER = MAGIC + struct.pack("<H", VERSION)
+# Bytes of a file: many times a snapshot and the entries that are kept beside it.
+MAX_FILE_BYTES = 256 << 20
+MAX_WITNESS_BYTES = 4096
+DIGEST_BYTES = 16
+
+# Kinds of a record.
+IDENTITY = 1
+SNAPSHOT = 2
+VOTE = 3
+ENTRY = 4
+TRUNCATE = 5
 
 
 class LogIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Whose file it is. `boot` counts its starts."""
+    """Whose file it is; `boot` counts the member's starts."""
 
     fleet: str
     group: str
@@ -43,274 +60,273 @@
 
 
 class InodeWitness(msgspec.Struct, frozen=True, array_like=True):
-    member: str
-    files: list[tuple[int, int]]  # the number of a log file and its inode
-
-
-class Files(Protocol):
-    """One folder. Each call raises OSError where it fails."""
-
-    def names(self) -> list[str]: ...
-    def read(self, name: str, most: int) -> bytes: ...
-    def write(self, name: str, data: bytes) -> None: ...  # created or emptied, written, flushed
-    def add(self, name: str, data: bytes) -> None: ...  # at its end, flushed
-    def inode(self, name: str) -> int: ...  # the same while the file is the same
-    def rename(self, name: str, to: str) -> None: ...
-    def flush(self) -> None: ...  # the folder itself
-    def remove(self, name: str) -> None: ...
-
-
-class DamagedLogError(Exception):
-    """What was acknowledged may be lost; the message says where. This member is another one from now on."""
+    """The files that this member wrote itself, as number and inode."""
 
-
-class ForeignFileError(Exception):
-    """Not this program's to replace; the message says which file and why."""
+    member: str
+    files: list[tuple[int, int]]
 
 
-witnesses = msgspec.msgpack.Decoder(InodeWitness)
-votes = msgspec.msgpack.Decoder(tuple[int, str])
-numbered = msgspec.msgpack.Decoder(tuple[int, Entry])
-DECODERS = {
+witness_decoder = msgspec.msgpack.Decoder(InodeWitness)
+RECORD_DECODERS: dict[int, msgspec.msgpack.Decoder[Any]] = {
     IDENTITY: msgspec.msgpack.Decoder(LogIdentity),
     SNAPSHOT: msgspec.msgpack.Decoder(Snapshot),
-    VOTE: votes,
-    ENTRY: numbered,
+    VOTE: msgspec.msgpack.Decoder(Vote),
+    ENTRY: msgspec.msgpack.Decoder(tuple[int, Entry]),
     TRUNCATE: msgspec.msgpack.Decoder(int),
 }
 
 
-def first_key(number: int) -> bytes:
-    return blake2b(b"%s%d/%d" % (MAGIC, VERSION, number), digest_size=16).digest()
+class RecordReplay:
+    """Builds the identity and the state from a file's records."""
+
+    def __init__(self, file: str, fleet: str, name: str):
+        """`fleet` and `name` are what the file must belong to."""
+        self.file = file
+        self.fleet = fleet
+        self.name = name
+        self.identity: LogIdentity | None = None
+        self.state: PersistentState | None = None
 
+    def apply(self, kind: int, body: bytes) -> None:
+        """Applies the next record.
 
-def sealed(key: bytes, kind: int, body: bytes) -> bytes:
-    return blake2b(struct.pack("<IB", len(body), kind) + body, key=key, digest_size=16).digest()
+        Raises:
+            DamagedLogError: it can't be decoded, or is not in its place.
+            ForeignFileError: the file is of another member or fleet.
+        """
+        try:
+            value = RECORD_DECODERS[kind].decode(body)
+        except (KeyError, msgspec.DecodeError) as error:
+            raise DamagedLogError(
+                f"{self.file}: a record of kind {kind} can't be read: {error}"
+            ) from error
+        if kind == IDENTITY:
+            self._check_owner(value)
+            self.identity = value
+        elif kind == SNAPSHOT:
+            self.state = PersistentState(value)
+        elif self.state is None:
+            raise DamagedLogError(f"{self.file}: it does not begin with a snapshot")
+        elif kind == VOTE:
+            self.state.term, self.state.voted_for = value
+        elif kind == TRUNCATE:
+            del self.state.entries[max(value - self.state.snapshot.index - 1, 0) :]
+        else:
+            self._append(self.state, value)
+
+    def _check_owner(self, identity: LogIdentity) -> None:
+        name = identity.member.partition("#")[0]
+        if identity.fleet != self.fleet or name != self.name:
+            raise ForeignFileError(f"{self.file}: it is of {name!r} in fleet {identity.fleet!r}")
+
+    def _append(self, state: PersistentState, indexed_entry: IndexedEntry) -> None:
+        index, entry = indexed_entry
+        if index != state.snapshot.index + len(state.entries) + 1:
+            raise DamagedLogError(f"{self.file}: entry {index} out of its place")
+        state.entries.append(entry)
 
 
 class Store:
-    """Raises OSError where the disk fails: what was being written may or may not be there, and nothing may be written after it
-    (a flush that failed once proves nothing when it succeeds later; Rebello et al., "Can Applications Recover from fsync
-    Failures?", USENIX ATC 2020). The owner ends this member until its next start."""
-
-    def __init__(self, files: Files):
-        self.files, self.number, self.key, self.broken = files, 0, b"", False
-        self.life: LogIdentity | None = None
+    """One member's log on disk.
+
+    Methods raise OSError where the disk fails; after a failed write nothing may be written, and the
+    owner ends this member until its next start.
+    """
+
+    def __init__(self, folder: Folder):
+        """Nothing is read yet."""
+        self.folder = folder
+        self.number = 0
+        self.key = b""
+        self.broken = False
+        self.identity: LogIdentity | None = None
+
+    def _file_numbers(self) -> list[int]:
+        """Of all log files, the latest first."""
+        prefix = len(FILE_PREFIX)
+        found = [name[prefix:] for name in self.folder.names() if name.startswith(FILE_PREFIX)]
+        return sorted((int(text) for text in found if text.isdecimal()), reverse=True)
 
     # Reading.
 
-    def numbers(self) -> list[int]:
-        found = [name[len(PREFIX) :] for name in self.files.names() if name.startswith(PREFIX)]
-        return sorted((int(text) for text in found if text.isdecimal()), reverse=True)
-
-    def load(self, fleet: str, name: str, told: Callable[[str], None]) -> PersistentState | None:
-        """None where there is none. Raises Damaged, Foreign, OSError."""
-        numbers = self.numbers()
+    def load(
+        self, fleet: str, name: str, on_tail_cut: Callable[[str], None]
+    ) -> PersistentState | None:
+        """The state on disk; None where there is none.
+
+        Args:
+            fleet: to which the file must belong.
+            name: of the member, to which the file must belong.
+            on_tail_cut: called with a text where a torn tail is ignored.
+
+        Raises:
+            DamagedLogError: what was acknowledged may be lost.
+            ForeignFileError: the file must be left alone.
+            OSError: the folder can't be read.
+        """
+        numbers = self._file_numbers()
         if not numbers:
             return None
-        # The rename of a later one came to the disk, so it is whole: never an older one in its place.
+        # The latest got its name after it was flushed, so it is whole; an older one must never take
+        # its place.
         self.number = numbers[0]
-        file = f"{PREFIX}{self.number}"
-        data = self.files.read(file, LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ForeignFileError(f"{file}: over {LARGEST} bytes")
-        kept, sound = self.decode(file, data, fleet, name)
-        self.check_witness(file)
-        if sound < len(data):
-            told(
-                f"{file}: {len(data) - sound} bytes of a record that was never acknowledged are cut off"
+        file = f"{FILE_PREFIX}{self.number}"
+        data = self.folder.read(file, MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ForeignFileError(f"{file}: over {MAX_FILE_BYTES} bytes")
+        identity, state, end = self._decode(file, data, fleet, name)
+        self.check_witness(file, identity)
+        if end < len(data):
+            on_tail_cut(
+                f"{file}: {len(data) - end} bytes of a record that was never acknowledged "
+                "are cut off"
             )
-        return kept
+        return state
+
+    def _decode(
+        self, file: str, data: bytes, fleet: str, name: str
+    ) -> tuple[LogIdentity, PersistentState, int]:
+        """Identity, state and the number of sound bytes."""
+        self._check_header(file, data)
+        reader = ChainReader(file, data, len(HEADER), self.number)
+        replay = RecordReplay(file, fleet, name)
+        try:
+            # A file gets its name once its snapshot is flushed: only what was added later may be
+            # torn.
+            while record := reader.next_record(may_be_torn=replay.state is not None):
+                replay.apply(record.kind, record.body)
+        except ChainDamagedError as error:
+            raise DamagedLogError(str(error)) from error
+        if replay.identity is None or replay.state is None:
+            raise DamagedLogError(f"{file}: it ends before its snapshot")
+        self.identity = replay.identity
+        self.key = reader.key
+        return replay.identity, replay.state, reader.end
+
+    def _check_header(self, file: str, data: bytes) -> None:
+        if data[: len(MAGIC)] != MAGIC:
+            raise DamagedLogError(f"{file}: no log")
+        if len(data) < len(HEADER):
+            return
+        (version,) = struct.unpack_from("<H", data, len(MAGIC))
+        if version > VERSION:
+            raise ForeignFileError(f"{file}: version {version}, this program reads up to {VERSION}")
 
-    def check_witness(self, file: str) -> None:
-        """Raises Damaged where this is not the file that was written here."""
+    def check_witness(self, file: str, identity: LogIdentity) -> None:
+        """Raises DamagedLogError where this is not the file that was written here."""
         try:
-            data = self.files.read(WITNESS, 4096)
-            witness = witnesses.decode(data[16:])
+            data = self.folder.read(WITNESS_FILE, MAX_WITNESS_BYTES)
+            body = data[DIGEST_BYTES:]
+            witness = witness_decoder.decode(body)
         except (OSError, msgspec.DecodeError) as error:
-            raise DamagedLogError(f"{WITNESS}: {error}") from None
-        if data[:16] != blake2b(data[16:], digest_size=16).digest():
-            raise DamagedLogError(f"{WITNESS}: the checksum is wrong")
-        if (
-            witness.member != self.life.member
-            or (self.number, self.files.inode(file)) not in witness.files
-        ):
+            raise DamagedLogError(f"{WITNESS_FILE}: {error}") from error
+        if data[:DIGEST_BYTES] != _digest(body):
+            raise DamagedLogError(f"{WITNESS_FILE}: the checksum is wrong")
+        place = (self.number, self.folder.inode(file))
+        if witness.member != identity.member or place not in witness.files:
             raise DamagedLogError(f"{file}: it was put back from a copy")
 
     def set_aside(self) -> None:
-        """What was found can't be gone on from; one such file is kept for people to look at."""
-        names = self.files.names()
+        """Renames the files, so that a person may look at them; removes those set aside before."""
+        names = self.folder.names()
         for name in names:
-            if name.startswith(LOST):
-                self.files.remove(name)
-        for number in self.numbers():
-            self.files.rename(f"{PREFIX}{number}", f"{LOST}{number}")
-        self.files.flush()
-        self.number = max(
-            [self.number, *(int(n[len(LOST) :]) for n in names if n[len(LOST) :].isdecimal())]
-        )
-        self.life, self.broken = None, False
-
-    def decode(self, file: str, data: bytes, fleet: str, name: str) -> tuple[PersistentState, int]:
-        head = MAGIC + struct.pack("<H", VERSION)
-        if data[: len(MAGIC)] != MAGIC:
-            raise DamagedLogError(f"{file}: no log")
-        (version,) = struct.unpack_from("<H", data, len(MAGIC)) if len(data) >= len(head) else (0,)
-        if version > VERSION:
-            raise ForeignFileError(f"{file}: version {version}, this program reads up to {VERSION}")
-        at, key = len(head), first_key(self.number)
-        life, kept = None, None
-        while at < len(data):
-            record = record_at(data, at, key)
-            if record is None:
-                if kept is None or not torn(data, at):
-                    raise DamagedLogError(f"{file}: damaged at byte {at}")
-                break
-            kind, body, key = record
-            at += RECORD.size + len(body)
-            try:
-                value = DECODERS[kind].decode(body)
-            except (KeyError, msgspec.DecodeError) as error:
-                raise DamagedLogError(
-                    f"{file}: a record of kind {kind} can't be read: {error}"
-                ) from None
-            if kind == IDENTITY:
-                life = value
-                if life.fleet != fleet or life.member.partition("#")[0] != name:
-                    raise ForeignFileError(
-                        f"{file}: it is of {life.member.partition('#')[0]!r} in fleet {life.fleet!r}"
-                    )
-            elif kind == SNAPSHOT:
-                kept = PersistentState(value)
-            elif kept is None:
-                raise DamagedLogError(f"{file}: it does not begin with a snapshot")
-            elif kind == VOTE:
-                kept.term, kept.voted = value
-            elif kind == TRUNCATE:
-                del kept.entries[max(value - kept.snapshot.index - 1, 0) :]
-            elif value[0] != kept.snapshot.index + len(kept.entries) + 1:
-                raise DamagedLogError(f"{file}: entry {value[0]} out of its place")
-            else:
-                kept.entries.append(value[1])
-        if life is None or kept is None:
-            raise DamagedLogError(f"{file}: it ends before its snapshot")
-        self.life, self.key = life, key
-        return kept, at
+            if name.startswith(LOST_PREFIX):
+                self.folder.remove(name)
+        for number in self._file_numbers():
+            self.folder.rename(f"{FILE_PREFIX}{number}", f"{LOST_PREFIX}{number}")
+        self.folder.flush()
+        suffixes = [name[len(LOST_PREFIX) :] for name in names]
+        self.number = max([self.number, *(int(text) for text in suffixes if text.isdecimal())])
+        self.identity = None
+        self.broken = False
 
     # Writing.
 
-    def begin(self, life: LogIdentity, kept: PersistentState) -> None:
-        """A whole new file. At each start too: so a torn tail goes for good, and `boot` is on disk before a word is said."""
-        self.life = life
-        self.whole(
-            kept.snapshot,
-            (kept.term, kept.voted),
-            list(enumerate(kept.entries, kept.snapshot.index + 1)),
+    def begin(self, identity: LogIdentity, state: PersistentState) -> None:
+        """Writes a new file.
+
+        Done at each start: a torn tail goes, and `boot` is flushed before anything is sent.
+        """
+        self.identity = identity
+        self._write_file(
+            identity,
+            state.snapshot,
+            Vote(state.term, state.voted_for),
+            list(enumerate(state.entries, state.snapshot.index + 1)),
         )
 
-    def whole(
-        self, snapshot: Snapshot, vote: tuple[int, str], entries: list[tuple[int, Entry]]
+    def write(self, ready: Ready) -> None:
+        """Writes what `ready` names; flushed when it returns.
+
+        Raises:
+            OSError: this or an earlier write failed.
+        """
+        require_unbroken(self)
+        if ready.snapshot is not None:
+            # With a snapshot there is always a vote, and `begin` comes before.
+            assert ready.vote is not None
+            assert self.identity is not None
+            self._write_file(self.identity, ready.snapshot, ready.vote, ready.entries)
+            return
+        records: list[tuple[int, object]] = []
+        if ready.truncate_from is not None:
+            records.append((TRUNCATE, ready.truncate_from))
+        if ready.vote is not None:
+            records.append((VOTE, ready.vote))
+        records += [(ENTRY, entry) for entry in ready.entries]
+        if records:
+            data, key = _seal_records(records, self.key)
+            with broken_on_failure(self):
+                self.folder.add(f"{FILE_PREFIX}{self.number}", data)
+                self.key = key
+
+    def _write_file(
+        self,
+        identity: LogIdentity,
+        snapshot: Snapshot,
+        vote: Vote,
+        entries: list[IndexedEntry],
     ) -> None:
+        """Writes the next file and its witness, then removes older files."""
         number = self.number + 1
-        parts = [
-            (IDENTITY, self.life),
+        records: list[tuple[int, object]] = [
+            (IDENTITY, identity),
             (SNAPSHOT, snapshot),
             (VOTE, vote),
-            *((ENTRY, entry) for entry in entries),
         ]
-        data, key = self.records(parts, first_key(number))
-        with Guard(self):
-            self.files.write(NEXT, MAGIC + struct.pack("<H", VERSION) + data)
-            places = [(number, self.files.inode(NEXT))]
-            if self.number in self.numbers():
-                places.append((self.number, self.files.inode(f"{PREFIX}{self.number}")))
-            body = encode(InodeWitness(self.life.member, places))
-            self.files.write(f"{WITNESS}.{NEXT}", blake2b(body, digest_size=16).digest() + body)
-            self.files.rename(f"{WITNESS}.{NEXT}", WITNESS)
-            self.files.flush()
-            self.files.rename(NEXT, f"{PREFIX}{number}")
-            self.files.flush()
-            self.number, self.key = number, key
-            for old in self.numbers():
+        records += [(ENTRY, entry) for entry in entries]
+        data, key = _seal_records(records, first_key(number))
+        with broken_on_failure(self):
+            self.folder.write(NEXT_FILE, HEADER + data)
+            self._write_witness(identity, number)
+            self.folder.rename(NEXT_FILE, f"{FILE_PREFIX}{number}")
+            self.folder.flush()
+            self.number = number
+            self.key = key
+            for old in self._file_numbers():
                 if old < number:
-                    self.files.remove(f"{PREFIX}{old}")
-
-    def records(self, parts: list[tuple[int, object]], key: bytes) -> tuple[bytes, bytes]:
-        out = []
-        for kind, value in parts:
-            body = encode(value)
-            data, key = sealed_record(key, kind, body)
-            out.append(data)
-        return b"".join(out), key
-
-    def write(self, work: Ready) -> None:
-        """All of it, flushed; or OSError."""
-        if self.broken:
-            raise OSError(5, "an earlier write failed")
-        if work.snapshot is not None:
-            self.whole(work.snapshot, work.vote, work.entries)
-            return
-        parts: list[tuple[int, object]] = []
-        if work.cut is not None:
-            parts.append((TRUNCATE, work.cut))
-        if work.vote is not None:
-            parts.append((VOTE, work.vote))
-        parts += [(ENTRY, entry) for entry in work.entries]
-        if parts:
-            data, key = self.records(parts, self.key)
-            with Guard(self):
-                self.files.add(f"{PREFIX}{self.number}", data)
-                self.key = key
-
-
-def sealed_record(key: bytes, kind: int, body: bytes) -> tuple[bytes, bytes]:
-    seal = sealed(key, kind, body)
-    return RECORD.pack(len(body), kind, head_sum(len(body), kind), seal) + body, seal
-
-
-def record_at(data: bytes, at: int, key: bytes) -> tuple[int, bytes, bytes] | None:
-    if at + RECORD.size > len(data):
-        return None
-    length, kind, crc, seal = RECORD.unpack_from(data, at)
-    body = data[at + RECORD.size : at + RECORD.size + length]
-    if crc != head_sum(length, kind) or len(body) != length or sealed(key, kind, body) != seal:
-        return None
-    return kind, body, seal
-
-
-def torn(data: bytes, at: int) -> bool:
-    """Whether what stands there is the beginning of a record that a lost moment cut short: it ends before its length, or
-    one of its sectors was never written and reads as zeros. Anything else was whole once."""
-    if at + RECORD.size > len(data):
-        return True
-    length, kind, crc, _ = RECORD.unpack_from(data, at)
-    # A length that damage made up would have an acknowledged record pass for the beginning of a longer one.
-    return (
-        crc == head_sum(length, kind)
-        and at + RECORD.size + length > len(data)
-        or unwritten(data, at)
-    )
-
-
-def head_sum(length: int, kind: int) -> int:
-    return crc32(struct.pack("<IB", length, kind))
-
-
-def unwritten(data: bytes, at: int) -> bool:
-    """Whether a sector from there to the file's end holds nothing at all."""
-    borders = [at, *range(at - at % SECTOR + SECTOR, len(data), SECTOR), len(data)]
-    return any(not any(data[low:high]) for low, high in zip(borders, borders[1:]))
-
-
-class Guard:
-    """Whatever fails inside leaves the store broken for good."""
-
-    def __init__(self, store: Store):
-        self.store = store
-
-    def __enter__(self) -> None:
-        self.store.broken = True
-
-    def __exit__(self, kind: object, *_: object) -> None:
-        if kind is None:
-            self.store.broken = False
+                    self.folder.remove(f"{FILE_PREFIX}{old}")
+
+    def _write_witness(self, identity: LogIdentity, number: int) -> None:
+        """Names the new file and the one before it, so that either may be found after a crash."""
+        files = [(number, self.folder.inode(NEXT_FILE))]
+        if self.number in self._file_numbers():
+            files.append((self.number, self.folder.inode(f"{FILE_PREFIX}{self.number}")))
+        body = encode(InodeWitness(identity.member, files))
+        new_witness = f"{WITNESS_FILE}.{NEXT_FILE}"
+        self.folder.write(new_witness, _digest(body) + body)
+        self.folder.rename(new_witness, WITNESS_FILE)
+        self.folder.flush()
+
+
+def _seal_records(records: list[tuple[int, object]], key: bytes) -> tuple[bytes, bytes]:
+    """The bytes of records that follow `key`, and the key of the one after them."""
+    parts = []
+    for kind, value in records:
+        data, key = seal_record(key, kind, encode(value))
+        parts.append(data)
+    return b"".join(parts), key
+
+
+def _digest(body: bytes) -> bytes:
+    return blake2b(body, digest_size=DIGEST_BYTES).digest()
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -10,8 +10,8 @@
 from threading import Event
 from typing import Any
 
-from cypresswalk.agreement.store import Files
 from cypresswalk.copies.client import ReservationClient
+from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.messages import (
     MAX_CLOCK_SKEW,
     AnyMessage,
@@ -30,7 +30,8 @@
 )
 from cypresswalk.copies.placement import PARTS
 from cypresswalk.copies.replica import BUCKET, MAX_RECORDS, Replica
-from cypresswalk.copies.store import DataLostError, RecordLog
+from cypresswalk.copies.store import RecordLog
+from cypresswalk.storage.folder import Folder
 
 log = logging.getLogger(__name__)
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
@@ -48,7 +49,7 @@
 class ReplicationThread:
     def __init__(
         self,
-        files: Files,
+        files: Folder,
         now: Callable[[], int],
         wall: Callable[[], int],
         send: Callable[[str, MessageBatch], None],
@@ -231,7 +232,7 @@
             for part in self.holder.parts.values():
                 self.holder.forget(wall, part)
             try:
-                self.log.drop(wall)
+                self.log.drop_expired(wall)
             except OSError as error:
                 self.fail(now, error)
 
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -5,10 +5,11 @@
 
 import logging
 
+from cypresswalk.agreement.errors import BusyError
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.agreement.messages import Members
-from cypresswalk.agreement.node import BusyError, PersistentState
+from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse
 
 log = logging.getLogger(__name__)
@@ -23,8 +24,8 @@
         node = self.node
         if node is not None and (
             self.leads
-            or node.heard_at is not None
-            and now - node.heard_at < LOST
+            or node.leader_heard_at is not None
+            and now - node.leader_heard_at < LOST
             and any(m.id == self.id for m in self.members)
         ):
             return
@@ -101,7 +102,7 @@
             if hail.group == self.group:
                 # Only a leader that is sure to lead still may say so: a voter's copy of the log goes with its identity.
                 try:
-                    self.node.read(now, ("replaced", hail))
+                    self.node.read_index(now, ("replaced", hail))
                 except BusyError:
                     pass
                 return
@@ -145,7 +146,7 @@
             if (
                 member.name == name
                 and peer is not None
-                and peer.answered
+                and peer.acknowledged_round
                 and now - peer.heard_at < FRESH
             ):
                 return "a balancer of that name is heard still"
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -6,11 +6,12 @@
 import uuid
 from typing import Any
 
+from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError
 from cypresswalk.agreement.log import Log, Snapshot
 from cypresswalk.agreement.messages import ENTRY_COMMAND
 from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.node import PersistentState
-from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.agreement.ready import PersistentState
+from cypresswalk.agreement.store import LogIdentity, Store
 from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
@@ -135,7 +136,7 @@
         for entry in kept.entries:
             if entry.kind == ENTRY_COMMAND:
                 agreed.apply(entry.data)
-        state, old = agreed.state, store.life
+        state, old = agreed.state, store.identity
         state.version += RECOVERED
         state.pending, state.voters, state.fenced = None, [name], [*state.fenced, old.group][-20:]
         state.history.append(
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -13,8 +13,10 @@
 
 import msgspec
 
-from cypresswalk.agreement.node import LogDivergedError, PersistentState, Timing
-from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError, LogDivergedError
+from cypresswalk.agreement.ready import PersistentState
+from cypresswalk.agreement.store import LogIdentity, Store
+from cypresswalk.agreement.timing import Timing
 from cypresswalk.copies.messages import Message as CopyWord
 from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
 from cypresswalk.fleet.member import AppliedView, Member, MemberConfig, UnreadableEntryError
@@ -271,7 +273,10 @@
             why = str(error)
         if kept is not None:
             life = LogIdentity(
-                store.life.fleet, store.life.group, store.life.member, store.life.boot + 1
+                store.identity.fleet,
+                store.identity.group,
+                store.identity.member,
+                store.identity.boot + 1,
             )
             store.begin(life, kept)
             self.boot = life.boot
@@ -381,7 +386,7 @@
                 group, kept = step.begin
                 self.store.begin(LogIdentity(self.table.fleet, group, member.id, self.boot), kept)
             if step.work is not None:
-                if step.work.writes:
+                if step.work.must_write:
                     self.store.write(step.work)
                 member.written(self.now(), step.work)
             for to, frame in step.sends:
@@ -445,7 +450,9 @@
                 member.reborn = f"{to} has seen a later start of this one: its disk was set back"
             case ("leave",) if member.leads:
                 try:
-                    log.info("event=leadership_handed_over to=%s", member.node.hand_over(now))
+                    log.info(
+                        "event=leadership_handed_over to=%s", member.node.transfer_leadership(now)
+                    )
                 except Exception as error:
                     log.info("event=leadership_kept why=%s", error)
 
@@ -496,8 +503,8 @@
             "leader": member.leader,
             "role": node.role.value if node else "none",
             "term": node.term if node else 0,
-            "index": node.commit if node else -1,
-            "last": node.log.last if node else -1,
+            "index": node.commit_index if node else -1,
+            "last": node.log.last_index if node else -1,
             "version": member.agreed.state.version,
             "acts_on": member.acts_on,
             "lease_s": round((self.until - now) / SECOND, 3),
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -15,9 +15,13 @@
 
 import msgspec
 
+from cypresswalk.agreement.errors import BusyError
+from cypresswalk.agreement.member_state import Role
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Members, Message
 from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.node import BusyError, Node, PersistentState, Ready, Role, Timing
+from cypresswalk.agreement.node import Node
+from cypresswalk.agreement.ready import PersistentState, Ready
+from cypresswalk.agreement.timing import Timing
 from cypresswalk.copies.messages import MAX_CLOCK_SKEW
 from cypresswalk.fleet import queries
 from cypresswalk.fleet import state_machine as state
@@ -252,7 +256,7 @@
 
     def passed(self, now: int) -> None:
         if self.node is not None:
-            self.node.passed(now)
+            self.node.tick(now)
             if self.leads != self.led_before:
                 self.led_before = self.leads
                 self.turned(now)
@@ -351,7 +355,7 @@
         self.places.asked(now, source, ask.ready, ask.lease)
         self.wards.asked(now, source, ask.version, ask.servers)
         try:
-            self.node.read(now, ("lease", source, ask.number))
+            self.node.read_index(now, ("lease", source, ask.number))
         except BusyError:
             pass  # it asks again
 
@@ -393,7 +397,7 @@
                 s.settings_version == 0
                 and self.own is not None
                 and f"first:{self.group}" not in self.agreed.done
-                and self.node.log.term(self.node.commit) == self.node.term
+                and self.node.log.term_at(self.node.commit_index) == self.node.term
             ):
                 self.propose(
                     now,
@@ -454,7 +458,7 @@
         names = {m.name for m in members if m.voter}
         desired = self.agreed.state.voters
         if not desired:
-            if self.node.log.term(self.node.commit) == self.node.term:
+            if self.node.log.term_at(self.node.commit_index) == self.node.term:
                 self.propose(
                     now,
                     state.SetDesiredMembers(
@@ -464,7 +468,7 @@
             return
         wanted = self.next_members(now, members, desired)
         if wanted is not None:
-            self.node.change(now, wanted)
+            self.node.change_membership(now, wanted)
 
     def zones(self) -> dict[str, str]:
         return {m.name: m.zone for m in self.members if m.name not in self.agreed.state.left}
@@ -534,7 +538,7 @@
 
     def tend_release(self, now: int) -> None:
         s = self.agreed.state
-        if s.release is None or self.node.log.term(self.node.commit) != self.node.term:
+        if s.release is None or self.node.log.term_at(self.node.commit_index) != self.node.term:
             return
         if s.release.plan.kind == state.SERVERS:
             seen, zones = self.bad_servers(now), {}
@@ -570,7 +574,7 @@
 
     def tend_copies(self, now: int) -> None:
         s = self.agreed.state
-        if self.placing is None or self.node.log.term(self.node.commit) != self.node.term:
+        if self.placing is None or self.node.log.term_at(self.node.commit_index) != self.node.term:
             return  # what leaders before it agreed on is not all known here
         proposals, sends = self.placing.tend(
             now,
@@ -652,9 +656,9 @@
         peer = self.node.peers.get(ident)
         return (
             peer is not None
-            and peer.sure is not None
+            and peer.matched_round is not None
             and now - peer.heard_at < FRESH
-            and peer.match >= self.node.commit - BEHIND
+            and peer.match_index >= self.node.commit_index - BEHIND
         )
 
     # Frames.
@@ -687,7 +691,7 @@
                     del self.calls[frame.number]
                     waiting.reply(frame.ok, frame.body)
             case Message() if self.node is not None:
-                self.node.heard(now, source, frame)
+                self.node.step(now, source, frame)
 
     # Calls.
 
@@ -722,7 +726,7 @@
     def lead_call(self, now: int, name: str, args: dict[str, Any], reply: Reply) -> None:
         try:
             if name in TELLS or name == "turn":
-                self.node.read(now, ("call", name, args, reply))
+                self.node.read_index(now, ("call", name, args, reply))
             elif name == "copies_renew":
                 self.renew_parts(now, [int(part) for part in args["parts"]], str(args["by"]), reply)
             elif name == "settled":
@@ -875,30 +879,30 @@
     def take(self) -> MemberEffects | None:
         if self.reborn:
             return MemberEffects(reborn=self.reborn)
-        work = self.node.take() if self.node is not None else None
-        if work is not None and work.disowned:
+        work = self.node.take_ready() if self.node is not None else None
+        if work is not None and work.data_loss:
             return MemberEffects(
                 reborn="it lacks what it had acknowledged: its folder was put back from an older copy, or lost a part"
             )
         step = MemberEffects(self.begin, work, self.sends)
         self.sends, self.begin = [], None
         if work is not None:
-            step.sends += work.words
+            step.sends += work.messages
         return step if step.begin or work or step.sends else None
 
     def written(self, now: int, work: Ready) -> None:
-        self.node.written(now, work)
+        self.node.on_persisted(now, work)
         if self.leads != self.led_before:
             self.led_before = self.leads
             self.turned(now)
 
     def apply(self, now: int, work: Ready) -> None:
-        if work.install is not None and work.install.index > self.applied:
-            if work.install.data:
-                self.agreed = StateMachine(work.install.data)
+        if work.restore is not None and work.restore.index > self.applied:
+            if work.restore.data:
+                self.agreed = StateMachine(work.restore.data)
                 self.placed.append(self.agreed.state.parts)
-            self.applied = work.install.index
-        for index, entry in work.agreed:
+            self.applied = work.restore.index
+        for index, entry in work.committed:
             self.applied = index
             if entry.kind == ENTRY_COMMAND:
                 self.apply_one(now, entry)
@@ -929,7 +933,7 @@
             if self.leads:
                 # Those that only follow would hear at their next beat that it is agreed, and claims there wait for them.
                 for peer in self.node.peers.values():
-                    peer.beat_at = min(peer.beat_at, now)
+                    peer.heartbeat_due_at = min(peer.heartbeat_due_at, now)
         if isinstance(command, state.ActivateSettings | state.RejectSettings):
             for reply in self.results.pop(f"end:{command.offer}", ()):
                 ok, why = result
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -111,7 +111,7 @@
                 "since_s": round((now - since) / SECOND, 1),
                 "lapsed": member.given.lapsed(now, m.id) if member.given else None,
                 "heard_s": 0.0 if peer is None else round((now - peer.heard_at) / SECOND, 1),
-                "behind": 0 if peer is None else member.node.log.last - peer.match,
+                "behind": 0 if peer is None else member.node.log.last_index - peer.match_index,
                 "wipes": member.wiped.get(m.id, 0),
             }
         )
@@ -119,7 +119,7 @@
         "group": member.group,
         "leader": member.id,
         "term": member.node.term,
-        "index": member.node.commit,
+        "index": member.node.commit_index,
         "version": s.version,
         "settings_version": s.settings_version,
         "list_generation": s.list_generation,
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/together/explore.py
@@ -154,7 +154,7 @@
         leader = self.world.leader()
         if (
             leader is None
-            or leader.fleet.member.node.log.term(leader.fleet.member.node.commit)
+            or leader.fleet.member.node.log.term_at(leader.fleet.member.node.commit_index)
             != leader.fleet.member.node.term
         ):
             return False
@@ -279,7 +279,7 @@
             if p.fleet is None
             else "stopped"
             if p.fleet.member is None
-            else f"{p.fleet.member.id[-4:]} {p.fleet.member.node and (p.fleet.member.node.role.value, p.fleet.member.node.term, p.fleet.member.node.commit, p.fleet.member.node.log.last)}"
+            else f"{p.fleet.member.id[-4:]} {p.fleet.member.node and (p.fleet.member.node.role.value, p.fleet.member.node.term, p.fleet.member.node.commit_index, p.fleet.member.node.log.last_index)}"
             f" acts {p.acts} on {p.acts_on} members {[(m.id[:2] + m.id[-4:], m.voter) for m in p.fleet.member.members]}"
         )
         for p in w.processes.values()
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -12,13 +12,14 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.agreement.node import LogDivergedError, Role
-from cypresswalk.agreement.store import SECTOR, ForeignFileError
+from cypresswalk.agreement.errors import ForeignFileError, LogDivergedError
+from cypresswalk.agreement.member_state import Role
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.member import AppliedView, UnreadableEntryError
 from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse, encode, frames
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.operator import FleetTable
+from cypresswalk.storage.record_chain import SECTOR
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
@@ -506,16 +507,16 @@
                 before = self.leaders.setdefault(node.term, member.id)
                 if before != member.id:
                     raise Broken(f"A1: {before} and {member.id} both lead term {node.term}")
-            if node.voted and node.work.vote is None and not node.fresh_vote:
-                before = self.votes.setdefault((member.id, node.term), node.voted)
-                if before != node.voted:
+            if node.voted_for and node.is_vote_flushed:
+                before = self.votes.setdefault((member.id, node.term), node.voted_for)
+                if before != node.voted_for:
                     raise Broken(
-                        f"A5: {member.id} votes for {before} and {node.voted} in term {node.term}"
+                        f"A5: {member.id} votes for {before} and {node.voted_for} in term {node.term}"
                     )
             seen = self.given.get(member.id, -1)
-            if node.given > seen:
-                self.given[member.id] = node.given
-                for index in range(max(seen + 1, node.log.first), node.given + 1):
+            if node.delivered_index > seen:
+                self.given[member.id] = node.delivered_index
+                for index in range(max(seen + 1, node.log.first_index), node.delivered_index + 1):
                     entry = node.log.between(index, index)[0]
                     before = self.log.setdefault(
                         (member.group, index), (entry.term, entry.kind, entry.data)
@@ -557,11 +558,11 @@
                             (q.fleet.member.node.term for q in self.live() if q.fleet.member.node),
                             default=0,
                         ),
-                        n.log.last - n.commit,
+                        n.log.last_index - n.commit_index,
                         len(n.log.members),
                         n.is_voter(),
                         n.leader.partition("#")[0],
-                        bool(n.incoming),
+                        n.is_receiving_snapshot,
                     ),
                     p.acts,
                     p.acts_on,
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,6 +1,8 @@
 """Mistakes for the explorer to find: each takes one guard out of the program."""
 
-from cypresswalk.agreement.node import Node, Role
+from cypresswalk.agreement.election import Election
+from cypresswalk.agreement.leader import Leader
+from cypresswalk.agreement.member_state import Role, majority
 from cypresswalk.agreement.store import Store
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.leases import LeaseGrants
@@ -68,17 +70,22 @@
 
 
 def followers_and_removed_are_counted(patch):
-    def counted(self, now, source, granted):
+    def count_vote(self, now, source, granted):
+        state = self.state
         self.votes[source] = granted
-        if sum(self.votes.values()) >= self.majority(len(self.voters)):
-            self.campaign(now) if self.role is Role.ASKING else self.take_lead(now)
+        if sum(self.votes.values()) >= majority(len(state.voters)):
+            if state.role is Role.PRE_CANDIDATE:
+                self.campaign(now)
+            else:
+                self.leader.on_elected(now)
 
-    patch.setattr(Node, "counted", counted)
-    patch.setattr(
-        Node,
-        "call",
-        lambda self, word: [self.say(m.id, word) for m in self.log.members if m.id != self.me],
-    )
+    def request_votes(self, request):
+        for member in self.state.log.members:
+            if member.id != self.state.id:
+                self.state.send(member.id, request)
+
+    patch.setattr(Election, "count_vote", count_vote)
+    patch.setattr(Election, "request_votes", request_votes)
 
 
 def failed_flush_is_forgotten(patch):
@@ -95,7 +102,7 @@
 
 def put_back_folder_is_believed(patch):
     """By itself, and by the others: either guard alone finds it."""
-    patch.setattr(Store, "check_witness", lambda self, file: None)
+    patch.setattr(Store, "check_witness", lambda self, file, identity: None)
     refuse = Transport.refuse
 
     def careless(self, hello):
@@ -107,25 +114,33 @@
 
 def logs_not_compared(patch):
     """A vote goes to whoever asks first, however little it has."""
-    asked = Node.asked_to_vote
+    on_request_vote = Election.on_request_vote
 
-    def careless(self, now, source, word):
-        asked(self, now, source, type(word)(word.term, 1 << 60, 1 << 60, word.early, word.forced))
+    def careless(self, now, source, request):
+        complete = type(request)(
+            request.term, 1 << 60, 1 << 60, request.pre_vote, request.leadership_transfer
+        )
+        on_request_vote(self, now, source, complete)
 
-    patch.setattr(Node, "asked_to_vote", careless)
+    patch.setattr(Election, "on_request_vote", careless)
 
 
 def older_term_committed_by_count(patch):
-    settle = Node.settle
-
-    def counted(self, now):
-        have = sorted(
-            (
-                self.durable if v == self.me else self.peers[v].match if v in self.peers else 0
-                for v in self.voters
-            )
+    advance_commit_index = Leader.advance_commit_index
+
+    def careless(self, now):
+        state = self.state
+        peers = state.leadership.peers
+        match_indexes = sorted(
+            state.durable_index
+            if voter == state.id
+            else peers[voter].match_index
+            if voter in peers
+            else 0
+            for voter in state.voters
         )
-        self.commit = max(self.commit, have[(len(have) - 1) // 2])
-        settle(self, now)
+        index = match_indexes[(len(match_indexes) - 1) // 2]
+        state.commit_index = max(state.commit_index, index)
+        advance_commit_index(self, now)
 
-    patch.setattr(Node, "settle", counted)
+    patch.setattr(Leader, "advance_commit_index", careless)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -11,18 +11,19 @@
 import planted
 import pytest
 
-from cypresswalk.agreement.log import Snapshot
-from cypresswalk.agreement.messages import ENTRY_COMMAND, AppendEntries, Entry, Member
-from cypresswalk.agreement.node import (
+from cypresswalk.agreement.errors import (
     BusyError,
+    DamagedLogError,
+    ForeignFileError,
     LogDivergedError,
-    Node,
-    PersistentState,
-    Ready,
-    Role,
-    Timing,
 )
-from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.agreement.log import Snapshot
+from cypresswalk.agreement.member_state import Role
+from cypresswalk.agreement.messages import ENTRY_COMMAND, AppendEntries, Entry, Member
+from cypresswalk.agreement.node import Node
+from cypresswalk.agreement.ready import PersistentState, Ready
+from cypresswalk.agreement.store import LogIdentity, Store
+from cypresswalk.agreement.timing import Timing
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
 from cypresswalk.fleet.messages import PROTOCOL, Call, FrameError, Frames, Hello, pack
 from cypresswalk.fleet.transport import Transport
@@ -354,17 +355,21 @@
 def node(entries: int = 0) -> Node:
     member = (Member("a#1", True),)
     made = Node(
-        "a#1", PersistentState(Snapshot(0, 0, member, b"")), Timing(waiting=8), Random(1), 0
+        "a#1",
+        PersistentState(Snapshot(0, 0, member, b"")),
+        Timing(max_uncommitted_entries=8),
+        Random(1),
+        0,
     )
-    made.passed(made.due())
-    while (work := made.take()) is not None:
-        made.written(0, work)
+    made.tick(made.due())
+    while (work := made.take_ready()) is not None:
+        made.on_persisted(0, work)
     return made
 
 
 def test_what_waits_to_be_agreed_has_a_bound_and_a_change_needs_an_agreed_entry_of_the_term():
     made = node()
-    made.durable = 1 << 40  # nothing is written, so nothing is agreed
+    made.state.durable_index = 1 << 40  # nothing is written, so nothing is agreed
     for _ in range(8):
         made.propose(0, b"x")
     with pytest.raises(BusyError, match="too much"):
@@ -378,7 +383,7 @@
             0,
         ).propose(0, b"x")
     with pytest.raises(ValueError):
-        made.change(0, (Member("a#1", True), Member("b#1", True), Member("c#1", True)))
+        made.change_membership(0, (Member("a#1", True), Member("b#1", True), Member("c#1", True)))
 
 
 class Five:
@@ -390,7 +395,7 @@
             name: Node(
                 name,
                 PersistentState(Snapshot(0, 0, members, b"")),
-                Timing(entries=1),
+                Timing(max_append_entries=1),
                 Random(name),
                 0,
             )
@@ -403,20 +408,20 @@
             pass
 
     def step(self, name: str, names: str, passes) -> bool:
-        work = self.nodes[name].take()
+        work = self.nodes[name].take_ready()
         if work is None:
             return False
-        self.nodes[name].written(self.now, work)
-        for target, word in work.words:
+        self.nodes[name].on_persisted(self.now, work)
+        for target, word in work.messages:
             if target in names and passes(name, target, word):
-                self.nodes[target].heard(self.now, name, word)
+                self.nodes[target].step(self.now, name, word)
         return True
 
     def elect(self, name: str, names: str, passes=lambda source, target, word: True) -> None:
         for _ in range(6):
             self.now += 10 * SECOND
-            self.nodes[name].due_at = self.now
-            self.nodes[name].passed(self.now)
+            self.nodes[name].state.due_at = self.now
+            self.nodes[name].tick(self.now)
             self.pump(names, passes)
             if self.nodes[name].role is Role.LEADER:
                 return
@@ -439,13 +444,13 @@
     five.elect("a", "abc", without_its_own)
     for _ in range(8):
         five.now += SECOND // 5
-        five.nodes["a"].passed(five.now)
+        five.nodes["a"].tick(five.now)
         five.pump("abc", without_its_own)
-    assert five.nodes["a"].role is Role.LEADER and five.nodes["c"].log.term(index) == 1
-    counted = five.nodes["a"].commit
+    assert five.nodes["a"].role is Role.LEADER and five.nodes["c"].log.term_at(index) == 1
+    counted = five.nodes["a"].commit_index
     five.elect("e", "bcde")
     five.pump("bcde")
-    same = five.nodes["e"].log.term(index) == five.nodes["a"].log.term(index)
+    same = five.nodes["e"].log.term_at(index) == five.nodes["a"].log.term_at(index)
     return index, counted, same
 
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,6 +6,7 @@
 
 from cypresswalk.copies import store
 from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.messages import (
     FetchPartition,
     RecordStored,
@@ -17,7 +18,7 @@
 )
 from cypresswalk.copies.placement import PARTS, holders, partition_of
 from cypresswalk.copies.replica import Partition, Replica, ReservationAnswer
-from cypresswalk.copies.store import DataLostError, RecordLog
+from cypresswalk.copies.store import RecordLog
 from cypresswalk.fleet import client
 from cypresswalk.lab.together.virtual import MemoryDisk
 
@@ -403,7 +404,7 @@
 def test_files_go_once_all_in_them_has_been_held_for_its_time_and_a_failed_flush_ends_the_log(
     monkeypatch,
 ):
-    monkeypatch.setattr(store, "SEGMENT", 200)
+    monkeypatch.setattr(store, "SEGMENT_BYTES", 200)
     disk = MemoryDisk(Random(1))
     log, holder = RecordLog(disk), Replica("a#1")
     holder.bring(0, 1, "")
@@ -414,7 +415,7 @@
         log.write([value for what, value, *_ in holder.out if what == "write"], holder.stands)
         holder.out.clear()
     assert len(log.numbers()) > 5
-    log.drop(30)
+    log.drop_expired(30)
     again = Replica("a#1")
     again.restore(RecordLog(disk).load("a#1", (1,), print))
     assert {f"i{n}" for n in range(30, 41)} <= set(
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -28,6 +28,7 @@
 from cypresswalk.net.parsers.lines import parse_open_request
 from cypresswalk.state import file_format
 from cypresswalk.state import store as state_store
+from cypresswalk.storage import record_chain
 
 GOLDEN = Path(__file__).parent / "data" / "golden"
 
@@ -36,9 +37,9 @@
     "fleet_commands": state_machine.commands.decode,
     "fleet_state": state_machine.states.decode,
     "agreement_members": agreement_log.members_decoder.decode,
-    "agreement_witness": agreement_store.witnesses.decode,
-    "copies_head": copies_store.heads.decode,
-    "copies_batch": copies_store.batches.decode,
+    "agreement_witness": agreement_store.witness_decoder.decode,
+    "copies_head": copies_store.head_decoder.decode,
+    "copies_batch": copies_store.batch_decoder.decode,
     "kept_head": file_format.heads.decode,
     "kept_servers": file_format.servers.decode,
 }
@@ -60,7 +61,7 @@
         return found
     if name == "agreement_records":
         return [
-            (label, data, agreement_store.DECODERS[int(label.split(".")[0])].decode(data))
+            (label, data, agreement_store.RECORD_DECODERS[int(label.split(".")[0])].decode(data))
             for label, data in rows(name)
         ]
     return [(label, data, DECODE[name](data)) for label, data in rows(name)]
@@ -103,14 +104,14 @@
 
 
 def test_sealed_records_are_written_byte_for_byte():
-    key, at, written = agreement_store.first_key(3), 0, []
+    key, at, written = record_chain.first_key(3), 0, []
     for i in range(3):
-        data, key = agreement_store.sealed_record(key, i + 1, b"body-%d" % i)
+        data, key = record_chain.seal_record(key, i + 1, b"body-%d" % i)
         written.append(data)
     assert written == [data for _, data in rows("sealed_records")]
-    key = agreement_store.first_key(3)
+    key = record_chain.first_key(3)
     for i in range(3):
-        kind, body, key = agreement_store.record_at(b"".join(written), at, key)
+        kind, body, key = record_chain.record_at(b"".join(written), at, key)
         assert (kind, body) == (i + 1, b"body-%d" % i)
         at += len(written[i])
 
@@ -158,7 +159,7 @@
     kept = store.load("fleet-1", "n0", said.append)
     assert not said and (kept.term, len(kept.entries)) == (5, 3)
     assert kept.entries[-1] == Entry(5, 1, b"third")
-    store.begin(store.life, kept)
+    store.begin(store.identity, kept)
     assert folder.files == Folder("agreement_after").files
 
 
