--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -68,21 +68,25 @@
 class Filled(ReplicationThread):
     """Takes ids in bulk, each holder by itself, as if they had been claimed."""
 
-    def happen(self, now: int, event: tuple) -> None:
+    def on_event(self, now: int, event: tuple) -> None:
         if event[0] != "fill":
-            return super().happen(now, event)
+            return super().on_event(now, event)
         until = time.time_ns() // HELD * HELD + 2 * HELD  # the same at all
         for first in range(0, event[1], 20_000):
             values = []
             for number in range(first, min(first + 20_000, event[1])):
                 ident = f"{number:016x}"
-                part = self.holder.parts.get(partition_of(ident))
-                if part is not None and part.whole and self.holder.me in part.holders:
+                partition = self.replica.partitions.get(partition_of(ident))
+                if (
+                    partition is not None
+                    and partition.complete
+                    and self.replica.member_id in partition.replicas
+                ):
                     record = ReservationRecord(ident, "n0#0123456789abcdef/1.1000", until, "ran")
-                    self.holder.put(part, record)
+                    self.replica.put(partition, record)
                     values.append(RecordStored(partition_of(ident), record))
             if values:
-                self.log.write(values, self.holder.stands)
+                self.log.write(values, self.replica.statuses)
         print("filled", flush=True)
 
 
@@ -116,7 +120,7 @@
         began = time.monotonic()
 
         def reply(answer, by) -> None:
-            kinds[answer.kind] = kinds.get(answer.kind, 0) + 1
+            kinds[answer.result] = kinds.get(answer.result, 0) + 1
             took.append((time.monotonic() - began) * 1000)
             if time.monotonic() < ends:
                 next_one(number + out)
--- a/cypresswalk/copies/__init__.py
+++ b/cypresswalk/copies/__init__.py
@@ -1,3 +1,7 @@
-"""What a balancer holds for others: claims on the ids of flows that must not run twice, each at several holders. No I/O, no clock.
+"""Replicated idempotency keys: an id that must not run twice is reserved at several balancers.
 
-`claims.Holder` is one balancer's copy of the parts that it holds; `places` says who holds which part. Design: docs/design/copies.md."""
+`replica.Replica` holds one balancer's partitions and `client.ReservationClient` asks for keys, both
+without I/O or clock; `placement` says which members hold which partition, `store` how a replica's
+records are laid out on disk, and `driver` runs all of it in a thread. The design is described in
+docs/design/copies.md.
+"""
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -1,16 +1,18 @@
-"""The thread that keeps what others claimed and claims for this balancer: `claims.Holder` and `claimer.Claimer` on the real disk,
-clock and links. Whatever comes at a time is written and flushed at a time, before a word or an answer of it goes out.
+"""The thread that runs a replica and a reservation client on the real disk, clock and links.
 
-The deciding thread puts its claims into a queue and never waits."""
+Events that come together are written and flushed together, before a message or an answer of them
+goes out. The thread that decides on flows puts its requests into a queue and never waits.
+"""
 
 import logging
 from collections import Counter, defaultdict
 from collections.abc import Callable
 from queue import Empty, SimpleQueue
 from threading import Event
-from typing import Any
+from typing import Any, NamedTuple
 
 from cypresswalk.copies.client import ReservationClient
+from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, TellLeader, WriteChange
 from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.messages import (
     MAX_CLOCK_SKEW,
@@ -28,333 +30,481 @@
     ReservationResult,
     ReserveKey,
 )
-from cypresswalk.copies.placement import PARTS
-from cypresswalk.copies.replica import BUCKET, MAX_RECORDS, Replica
+from cypresswalk.copies.partition import digest_bucket
+from cypresswalk.copies.placement import PARTITIONS
+from cypresswalk.copies.replica import MAX_RECORDS, Replica
+from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.copies.store import RecordLog
 from cypresswalk.storage.folder import Folder
 
 log = logging.getLogger(__name__)
-MILLISECOND, SECOND = 1_000_000, 1_000_000_000
-TICK = SECOND // 10
-AGAIN = 150 * MILLISECOND  # a copy that is not confirmed goes out once more
-SLOW = 700 * MILLISECOND  # and after so long who leads hears of it
-FORGET = SECOND
-PING = 2 * SECOND  # under what the links wait before they dial anew
-COMPARE = 5 * SECOND  # between two comparisons of a part's holders
-DISK_AGAIN = 1.0  # seconds until a folder that failed is read anew
-STARTS = 3  # that may have ended between the agreed log's start and this one's
-AT_ONCE = 512  # events taken before they are flushed
+
+MILLISECOND = 1_000_000  # in nanoseconds
+SECOND = 1_000_000_000
+TICK_INTERVAL = SECOND // 10
+RESEND_DELAY = 150 * MILLISECOND  # until an unconfirmed record is sent once more
+SLOW_DELAY = 700 * MILLISECOND  # until the leader hears of a replica that doesn't confirm
+EXPIRY_INTERVAL = SECOND
+PING_INTERVAL = 2 * SECOND  # less than after what the links open a connection anew
+COMPARE_INTERVAL = 5 * SECOND  # between two comparisons of a partition's replicas
+DISK_RETRY_DELAY = SECOND  # until a folder that failed is read anew
+# Starts that may have ended between the agreed log's start and this one's.
+MAX_SKIPPED_STARTS = 3
+MAX_EVENTS_PER_TURN = 512  # taken before they are flushed
+
+# Limits of a ReserveKey.
+MAX_KEY_CHARS = 64
+MAX_OWNER_CHARS = 200
+MAX_HOLD_NS = 1 << 56
+
+
+class Identity(NamedTuple):
+    """The member that this process is, and which start of it."""
+
+    member: str
+    boot: int
+
+
+class RequestToken(NamedTuple):
+    """Whom to answer, and which of its requests."""
+
+    receiver: str
+    request_id: int
+
+
+class AgreedView(NamedTuple):
+    """A partition's view, as the group agreed on it."""
+
+    view: int
+    replicas: tuple[str, ...]
+
+
+NO_VIEW = AgreedView(0, ())
 
 
 class ReplicationThread:
+    """Keeps this balancer's replicas and asks for keys.
+
+    Attributes:
+        healthy: what the replica has in memory is what its disk has.
+        views: as agreed, by partition.
+        disk_error: why the disk failed last; empty once it works again.
+        counts: counters by name.
+        over: set when the thread is to end.
+        ended: set when it has.
+    """
+
     def __init__(
         self,
-        files: Folder,
+        folder: Folder,
         now: Callable[[], int],
         wall: Callable[[], int],
         send: Callable[[str, MessageBatch], None],
         to_leader: Callable[[list[AnyMessage]], None],
-        holds: Callable[[bool], None],
-        most: int = MAX_RECORDS,
+        on_healthy: Callable[[bool], None],
+        max_records: int = MAX_RECORDS,
     ):
-        """`send` and `to_leader` never wait; `holds` is told when this holder begins to hold and when its disk has failed."""
-        self.files, self.now, self.wall, self.send, self.to_leader, self.holds = (
-            files,
-            now,
-            wall,
-            send,
-            to_leader,
-            holds,
-        )
-        self.most = most
-        self.queue: SimpleQueue = SimpleQueue()
-        self.log = RecordLog(files)
-        self.holder = Replica("")
-        self.claimer = ReservationClient()
-        self.identity: tuple[str, int] | None = None
-        self.sound = False  # what it has is what its disk has
-        self.views: dict[int, tuple[int, tuple[str, ...]]] = {}  # as agreed
+        """Nothing is read before an identity is put.
+
+        Args:
+            folder: of the member.
+            now: a clock that goes on while the machine sleeps, in nanoseconds.
+            wall: wall time in nanoseconds.
+            send: sends to a member; never waits.
+            to_leader: sends to the leader; never waits.
+            on_healthy: called when the replica begins to hold, and when its disk has failed.
+            max_records: beyond which keys are refused.
+        """
+        self.folder = folder
+        self.now = now
+        self.wall = wall
+        self.send = send
+        self.to_leader = to_leader
+        self.on_healthy = on_healthy
+        self.max_records = max_records
+        self.queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
+        self.log = RecordLog(folder)
+        self.replica = Replica("")
+        self.client = ReservationClient()
+        self.identity: Identity | None = None
+        self.healthy = False
+        self.views: dict[int, AgreedView] = {}
+        # By partition: since when it is sealed, and when its replicas are next compared.
         self.sealed_at: dict[int, int] = {}
         self.compare_at: dict[int, int] = {}
-        self.tick_at = self.forget_at = self.ping_at = 0
-        self.again_at = 0  # when the folder is read anew
-        self.trouble = ""
+        self.tick_at = 0
+        self.expire_at = 0
+        self.ping_at = 0
+        self.disk_retry_at = 0
+        self.disk_error = ""
         self.counts: Counter[str] = Counter()
-        self.over, self.ended = Event(), Event()
+        self.over = Event()
+        self.ended = Event()
 
     # For any thread.
 
     def put(self, *event: object) -> None:
+        """Puts an event, by name and values.
+
+        ("words", source, messages): messages of a member.
+        ("claim", key, hold_ns, deadline, reply): reserve a key.
+        ("finish", key, owner, outcome): report the outcome of a reservation.
+        ("placed", views): views that were agreed, by partition.
+        ("identity", member, boot): which member this is from now on.
+        ("tell", reply): report the status.
+        """
         self.queue.put(event)
 
     def stop(self) -> None:
+        """Ends the thread soon; `ended` says when."""
         self.over.set()
         self.queue.put(("over",))
 
-    # Its own.
+    # The thread.
 
     def run(self) -> None:
+        """Serves until it is stopped."""
         while not self.over.is_set():
-            wait = min(self.tick_at, self.claimer.due()) - self.now()
-            events = []
-            try:
-                events.append(
-                    self.queue.get(timeout=wait / SECOND) if wait > 0 else self.queue.get_nowait()
-                )
-                while len(events) < AT_ONCE:
-                    events.append(self.queue.get_nowait())
-            except Empty:
-                pass
+            events = self._wait_for_events()
             try:
                 self.turn(events)
             except Exception:
-                # Guards against a record that stands in memory, and never came to the disk: all is read anew.
-                log.error("event=copies_fault", exc_info=True)
-                self.fail(self.now(), OSError(0, "a fault in this program"))
-        self.claimer.give_up("this process hands over")
+                # A record may be in memory that never came to the disk: all is read anew.
+                log.error("event=copies_thread_failed", exc_info=True)
+                self._on_disk_failure(self.now(), OSError(0, "a fault in this program"))
+        self.client.refuse_all("this process hands over")
         self.ended.set()
 
-    def turn(self, events: list[tuple]) -> None:
+    def _wait_for_events(self) -> list[tuple[Any, ...]]:
+        """Events that have come, at the latest when something is due."""
+        wait = min(self.tick_at, self.client.due()) - self.now()
+        events = []
+        try:
+            if wait > 0:
+                events.append(self.queue.get(timeout=wait / SECOND))
+            else:
+                events.append(self.queue.get_nowait())
+            while len(events) < MAX_EVENTS_PER_TURN:
+                events.append(self.queue.get_nowait())
+        except Empty:
+            pass
+        return events
+
+    def turn(self, events: list[tuple[Any, ...]]) -> None:
+        """Handles events and time, then carries out what follows."""
         now = self.now()
         for event in events:
-            self.happen(now, event)
-        self.claimer.passed(now)
+            self.on_event(now, event)
+        self.client.tick(now)
         if now >= self.tick_at:
-            self.tick_at = now + TICK
+            self.tick_at = now + TICK_INTERVAL
             self.tick(now)
         try:
-            self.carry_out(now)
+            self._carry_out_effects(now)
         except OSError as error:
-            self.fail(now, error)
+            self._on_disk_failure(now, error)
 
-    def happen(self, now: int, event: tuple) -> None:
+    def on_event(self, now: int, event: tuple[Any, ...]) -> None:
+        """Handles one event; see `put`."""
         match event:
-            case ("words", source, words):
-                for word in words:
-                    self.heard(now, source, word)
-            case ("claim", ident, span, until, reply):
-                self.claimer.claim(now, ident, span, until, reply)
-            case ("finish", ident, by, how):
-                self.claimer.finish(now, ident, by, how)
+            case ("words", source, messages):
+                for message in messages:
+                    self.on_message(now, source, message)
+            case ("claim", key, hold_ns, deadline, reply):
+                self.client.reserve(now, key, hold_ns, deadline, reply)
+            case ("finish", key, owner, outcome):
+                self.client.end(now, key, owner, outcome)
             case ("placed", views):
-                for number, (view, holders) in views.items():
-                    if view > self.views.get(number, (0,))[0]:
-                        self.views[number] = view, tuple(holders)
-                        self.claimer.primaries[number] = holders[0]
-                        self.compare_at[number] = now + COMPARE // 10
-                        if self.sound:
-                            self.holder.begin(number, view, tuple(holders))
+                for number, (view, replicas) in views.items():
+                    self._on_view_agreed(now, number, AgreedView(view, tuple(replicas)))
             case ("identity", member, boot):
-                self.identity = member, boot
-                self.claimer.named(member, boot)
+                self.identity = Identity(member, boot)
+                self.client.set_identity(member, boot)
                 self.views.clear()
-                self.begin(now)
+                self._open_store(now, self.identity)
             case ("tell", reply):
-                reply(True, self.told())
+                reply(True, self.status())
 
-    def heard(self, now: int, source: str, word: AnyMessage) -> None:
-        match word:
+    def _on_view_agreed(self, now: int, number: int, agreed: AgreedView) -> None:
+        if agreed.view <= self._agreed_view(number).view:
+            return
+        self.views[number] = agreed
+        self.client.primaries[number] = agreed.replicas[0]
+        self.compare_at[number] = now + COMPARE_INTERVAL // 10
+        if self.healthy:
+            self.replica.begin_view(number, agreed.view, agreed.replicas)
+
+    def on_message(self, now: int, source: str, message: AnyMessage) -> None:
+        """Handles a message of a member."""
+        if isinstance(message, PartitionMessage):
+            self._on_partition_message(now, source, message)
+            return
+        match message:
             case ReservationResult():
-                self.claimer.heard(now, word)
+                self.client.on_result(now, message)
             case Ping():
                 self.send(source, MessageBatch([Pong()]))
             case Pong():
                 pass
-            case _ if not self.sound:
+            case _ if not self.healthy:
                 self.counts["words_unsound"] += 1
             case ReserveKey():
-                if (
-                    0 <= word.part < PARTS
-                    and 0 <= word.span <= 1 << 56
-                    and len(word.ident) <= 64
-                    and len(word.by) <= 200
-                ):
-                    wall = self.wall()
-                    self.holder.claim(
-                        wall,
-                        word.part,
-                        word.ident,
-                        word.by,
-                        wall + word.span + MAX_CLOCK_SKEW,
-                        (source, word.number),
-                        now,
-                    )
-                else:
-                    self.counts["words_odd"] += 1
-            case EndReservation() if 0 <= word.part < PARTS:
-                self.holder.ended(
-                    self.wall(),
-                    word.part,
-                    word.ident,
-                    word.by,
-                    word.how,
-                    (source, word.number),
+                self._on_reserve(now, source, message)
+            case EndReservation() if 0 <= message.partition < PARTITIONS:
+                self.replica.end_reservation(
+                    message.partition,
+                    message.key,
+                    message.owner,
+                    message.outcome,
+                    RequestToken(source, message.request_id),
                     now,
                 )
-            case FetchPartition() if word.view <= self.views.get(word.part, (0,))[0]:
-                self.counts["words_late"] += 1  # of a view that is agreed already
-            case PartitionMessage() if 0 <= word.part < PARTS:
-                self.holder.heard(source, word, self.wall(), now)
             case _:
                 self.counts["words_odd"] += 1
 
+    def _on_partition_message(self, now: int, source: str, message: PartitionMessage) -> None:
+        if not self.healthy:
+            self.counts["words_unsound"] += 1
+        elif (
+            isinstance(message, FetchPartition)
+            and message.view <= self._agreed_view(message.partition).view
+        ):
+            # Of a view that is agreed already.
+            self.counts["words_late"] += 1
+        elif 0 <= message.partition < PARTITIONS:
+            self.replica.on_message(source, message, self.wall(), now)
+        else:
+            self.counts["words_odd"] += 1
+
+    def _agreed_view(self, number: int) -> AgreedView:
+        return self.views.get(number, NO_VIEW)
+
+    def _on_reserve(self, now: int, source: str, message: ReserveKey) -> None:
+        is_valid = (
+            0 <= message.partition < PARTITIONS
+            and 0 <= message.hold_ns <= MAX_HOLD_NS
+            and len(message.key) <= MAX_KEY_CHARS
+            and len(message.owner) <= MAX_OWNER_CHARS
+        )
+        if not is_valid:
+            self.counts["words_odd"] += 1
+            return
+        wall_now = self.wall()
+        self.replica.reserve(
+            wall_now,
+            message.partition,
+            message.key,
+            message.owner,
+            wall_now + message.hold_ns + MAX_CLOCK_SKEW,
+            RequestToken(source, message.request_id),
+            now,
+        )
+
+    # Time.
+
     def tick(self, now: int) -> None:
-        if self.identity is not None and not self.sound and now >= self.again_at:
-            self.begin(now)
-        if now >= self.ping_at and self.identity is not None:
-            self.ping_at = now + PING
-            for primary in sorted(set(self.claimer.primaries.values()) - {self.identity[0]}):
+        """Does what is due: retries, comparisons, reports to the leader, expiry."""
+        if self.identity is None:
+            return
+        if not self.healthy and now >= self.disk_retry_at:
+            self._open_store(now, self.identity)
+        if now >= self.ping_at:
+            self.ping_at = now + PING_INTERVAL
+            for primary in sorted(set(self.client.primaries.values()) - {self.identity.member}):
                 self.send(primary, MessageBatch([Ping()]))
-        if not self.sound:
+        if not self.healthy:
             return
-        me, said = self.holder.me, []
-        for number, (view, holders) in self.views.items():
-            part = self.holder.part(number)
-            if part.waiting:
-                late = self.holder.again(number, now - AGAIN)
-                if any(copying.since < now - SLOW for copying in part.waiting.values()):
-                    said += [ReplicaSlow(number, part.view, who) for who in sorted(late)]
-            if holders[0] == me and not part.waiting and now >= self.compare_at.get(number, 0):
-                self.compare_at[number] = now + COMPARE
-                self.holder.compare(number)
-            if me in holders and part.view == view:
-                # Guards against parts that stay sealed, or lie at a holder that has not all, once who wanted that leads no more.
-                if not part.whole:
-                    said.append(ReplicaSlow(number, view, me))
-                elif not part.sealed:
-                    self.sealed_at.pop(number, None)
-                elif now - self.sealed_at.setdefault(number, now) > SLOW:
-                    said.append(PartitionSealed(number, view, True))
-        if said:
-            self.to_leader(said)
-        if now >= self.forget_at:
-            self.forget_at, wall = now + FORGET, self.wall()
-            for part in self.holder.parts.values():
-                self.holder.forget(wall, part)
-            try:
-                self.log.drop_expired(wall)
-            except OSError as error:
-                self.fail(now, error)
+        reports: list[AnyMessage] = []
+        for number, agreed in self.views.items():
+            reports += self._tick_partition(now, number, agreed)
+        if reports:
+            self.to_leader(reports)
+        if now >= self.expire_at:
+            self.expire_at = now + EXPIRY_INTERVAL
+            self._expire(now)
+
+    def _tick_partition(self, now: int, number: int, agreed: AgreedView) -> list[AnyMessage]:
+        """Resends and compares; returns what the leader is to hear of."""
+        reports: list[AnyMessage] = []
+        partition = self.replica.partition(number)
+        if partition.pending:
+            late = self.replica.resend_pending(number, now - RESEND_DELAY)
+            if any(pending.sent_at < now - SLOW_DELAY for pending in partition.pending.values()):
+                reports += [ReplicaSlow(number, partition.view, member) for member in sorted(late)]
+        member_id = self.replica.member_id
+        if (
+            agreed.replicas[0] == member_id
+            and not partition.pending
+            and now >= self.compare_at.get(number, 0)
+        ):
+            self.compare_at[number] = now + COMPARE_INTERVAL
+            self.replica.compare_digests(number)
+        if member_id in agreed.replicas and partition.view == agreed.view:
+            # A leader that began a change may lead no more: its successor goes on from these
+            # reports.
+            if not partition.complete:
+                reports.append(ReplicaSlow(number, agreed.view, member_id))
+            elif not partition.sealed:
+                self.sealed_at.pop(number, None)
+            elif now - self.sealed_at.setdefault(number, now) > SLOW_DELAY:
+                reports.append(PartitionSealed(number, agreed.view, True))
+        return reports
+
+    def _expire(self, now: int) -> None:
+        wall_now = self.wall()
+        for partition in self.replica.partitions.values():
+            self.replica.expire(wall_now, partition)
+        try:
+            self.log.drop_expired(wall_now)
+        except OSError as error:
+            self._on_disk_failure(now, error)
 
     # The disk.
 
-    def begin(self, now: int) -> None:
-        """What the folder holds of this member, or nothing."""
-        member, boot = self.identity
-        self.holder, self.sound, self.again_at = (
-            Replica(member, self.most),
-            False,
-            now + int(DISK_AGAIN * SECOND),
-        )
-        self.log = RecordLog(self.files)
+    def _open_store(self, now: int, identity: Identity) -> None:
+        """Reads what the folder holds of this member, and begins a new file."""
+        self.replica = Replica(identity.member, self.max_records)
+        self.healthy = False
+        self.disk_retry_at = now + DISK_RETRY_DELAY
+        self.log = RecordLog(self.folder)
         try:
-            try:
-                written = self.log.load(
-                    member,
-                    tuple(range(boot - STARTS, boot + 1)),
-                    lambda text: log.warning("event=copies_cut why=%s", text),
-                )
-                self.holder.restore(written)
-            except DataLostError as error:
-                log.error("event=copies_lost member=%s why=%s", member, error)
-                self.counts["lost"] += 1
-                self.holder = Replica(member, self.most)
-                self.log.clear()
-            self.log.begin(member, boot, self.holder.stands())
+            self._restore(identity)
+            self.log.begin(identity.member, identity.boot, self.replica.statuses())
         except OSError as error:
-            self.say_trouble(error)
+            self._report_disk_error(error)
             return
-        if self.trouble:
-            log.info("event=copies_again")
-            self.trouble = ""
-        self.sound = True
-        for number, (view, holders) in self.views.items():
-            self.holder.begin(number, view, holders)
-        self.holds(True)
-
-    def fail(self, now: int, error: OSError) -> None:
-        """Nothing of what was being written is said; all is read anew before another word."""
-        self.sound, self.again_at = False, now + int(DISK_AGAIN * SECOND)
-        self.holder = Replica(self.holder.me, self.most)
-        self.holds(False)
-        self.say_trouble(error)
-
-    def say_trouble(self, error: OSError) -> None:
-        why = str(error.strerror or error)
-        if why != self.trouble:
-            log.error("event=copies_disk_failed why=%s", why)
-        self.trouble = why
-
-    def carry_out(self, now: int) -> None:
-        me = self.identity[0] if self.identity else ""
+        if self.disk_error:
+            log.info("event=copies_disk_recovered")
+            self.disk_error = ""
+        self.healthy = True
+        for number, agreed in self.views.items():
+            self.replica.begin_view(number, agreed.view, agreed.replicas)
+        self.on_healthy(True)
+
+    def _restore(self, identity: Identity) -> None:
+        """Restores the replica from its files, or removes them where their data is lost."""
+        member, boot = identity
+        try:
+            changes = self.log.load(
+                member,
+                tuple(range(boot - MAX_SKIPPED_STARTS, boot + 1)),
+                lambda text: log.warning("event=copies_tail_cut reason=%s", text),
+            )
+            self.replica.restore(changes)
+        except DataLostError as error:
+            log.error("event=copies_data_lost member=%s error=%s", member, error)
+            self.counts["lost"] += 1
+            self.replica = Replica(member, self.max_records)
+            self.log.clear()
+
+    def _on_disk_failure(self, now: int, error: OSError) -> None:
+        """Drops what was being written, unsaid; all is read anew before anything else is sent."""
+        self.healthy = False
+        self.disk_retry_at = now + DISK_RETRY_DELAY
+        self.replica = Replica(self.replica.member_id, self.max_records)
+        self.on_healthy(False)
+        self._report_disk_error(error)
+
+    def _report_disk_error(self, error: OSError) -> None:
+        """Logs an error, once while it stays the same."""
+        text = str(error.strerror or error)
+        if text != self.disk_error:
+            log.error("event=copies_disk_failed error=%s", text)
+        self.disk_error = text
+
+    # Effects.
+
+    def _carry_out_effects(self, now: int) -> None:
+        """Writes, then sends and answers; messages to this member itself are handled at once."""
+        member_id = self.identity.member if self.identity else ""
         while True:
-            sends: dict[str, list[AnyMessage]] = defaultdict(list)
-            for to, word in self.claimer.out:
-                sends[to].append(word)
-            self.claimer.out = []
-            out, self.holder.out = self.holder.out, []
-            if writes := [item[1] for item in out if item[0] == "write"]:
-                self.log.write(writes, self.holder.stands)
-                self.counts["flushes"] += 1
-                self.counts["written"] += len(writes)
-            for what, *words in out:
-                if what == "send":
-                    to, word = words
-                    if isinstance(word, RecordsFetched):
-                        self.send(to, MessageBatch([word]))  # long enough for a frame of its own
-                    else:
-                        sends[to].append(word)
-                elif what == "leader":
-                    self.to_leader(words)
-                elif what == "answer":
-                    (to, number), answer = words
-                    sends[to].append(
-                        ReservationResult(number, answer.kind, answer.by, answer.how, answer.why)
-                    )
-            local = sends.pop(me, [])
-            for to, words in sends.items():
+            batches: defaultdict[str, list[AnyMessage]] = defaultdict(list)
+            for receiver, request in self.client.outgoing:
+                batches[receiver].append(request)
+            self.client.outgoing = []
+            effects = self.replica.take_effects()
+            self._write(effects)
+            self._add_messages(effects, batches)
+            local = batches.pop(member_id, [])
+            for receiver, messages in batches.items():
                 self.counts["bundles"] += 1
-                self.send(to, MessageBatch(words))
+                self.send(receiver, MessageBatch(messages))
             if not local:
                 return
-            for word in local:
-                if isinstance(word, PartitionSealed | PartitionFetched):
-                    self.to_leader([word])  # who leads is this member
+            for message in local:
+                if isinstance(message, PartitionSealed | PartitionFetched):
+                    # It answers the leader, which is this member.
+                    self.to_leader([message])
                 else:
-                    self.heard(now, me, word)
-
-    # What it tells.
-
-    def told(self) -> dict[str, Any]:
-        """`sums`: what a part's records come to, by BUCKET of the time until which they are held. What ends about now goes at each holder
-        by its own clock, once a second: only those after `soon` are alike at all."""
-        soon, parts = self.wall() >> BUCKET, []
-        for number in sorted(self.views):
-            part = self.holder.part(number)
-            if self.holder.me in self.views[number][1]:
-                sums = {
-                    str(bucket): f"{total:014x}"
-                    for bucket, total in sorted(part.sums.items())
-                    if bucket > soon
-                }
-                parts.append(
-                    [
-                        number,
-                        part.view,
-                        part.whole,
-                        part.sealed,
-                        len(part.records),
-                        len(part.waiting),
-                        sums,
-                    ]
-                )
+                    self.on_message(now, member_id, message)
+
+    def _write(self, effects: list[Effect]) -> None:
+        changes = [effect.change for effect in effects if isinstance(effect, WriteChange)]
+        if changes:
+            self.log.write(changes, self.replica.statuses)
+            self.counts["flushes"] += 1
+            self.counts["written"] += len(changes)
+
+    def _add_messages(
+        self, effects: list[Effect], batches: defaultdict[str, list[AnyMessage]]
+    ) -> None:
+        """Adds what effects send to the batches, by receiver."""
+        for effect in effects:
+            if isinstance(effect, SendMessage):
+                if isinstance(effect.message, RecordsFetched):
+                    # Long enough for a frame of its own.
+                    self.send(effect.receiver, MessageBatch([effect.message]))
+                else:
+                    batches[effect.receiver].append(effect.message)
+            elif isinstance(effect, AnswerRequest):
+                assert isinstance(effect.token, RequestToken)  # as `on_message` handed it in
+                batches[effect.token.receiver].append(_result(effect.token, effect.answer))
+            elif isinstance(effect, TellLeader):
+                self.to_leader([effect.message])
+
+    # Status.
+
+    def status(self) -> dict[str, Any]:
+        """The replica's status, for an operator.
+
+        `sums` are the digests of a partition's records by bucket. Records that end about now are
+        dropped at each replica by its own clock: only buckets after `soon` have to be alike.
+        """
+        soon = digest_bucket(self.wall())
         return {
-            "sound": self.sound,
-            "trouble": self.trouble,
+            "sound": self.healthy,
+            "trouble": self.disk_error,
             "soon": soon,
-            "parts": parts,
-            "waiting": self.claimer.claims,
-            "ids": self.holder.held,
-            "most": self.most,
-            "counts": dict(self.counts) | self.claimer.counts,
+            "parts": [
+                self._partition_status(number, soon)
+                for number in sorted(self.views)
+                if self.replica.member_id in self.views[number].replicas
+            ],
+            "waiting": self.client.pending_reservations,
+            "ids": self.replica.record_count,
+            "most": self.max_records,
+            "counts": dict(self.counts) | self.client.counts,
         }
+
+    def _partition_status(self, number: int, soon: int) -> list[Any]:
+        partition = self.replica.partition(number)
+        sums = {
+            str(bucket): f"{digest:014x}"
+            for bucket, digest in sorted(partition.digests.items())
+            if bucket > soon
+        }
+        return [
+            number,
+            partition.view,
+            partition.complete,
+            partition.sealed,
+            len(partition.records),
+            len(partition.pending),
+            sums,
+        ]
+
+
+def _result(token: RequestToken, answer: ReservationAnswer) -> ReservationResult:
+    return ReservationResult(
+        token.request_id, answer.result, answer.owner, answer.outcome, answer.reason
+    )
--- a/cypresswalk/copies/messages.py
+++ b/cypresswalk/copies/messages.py
@@ -1,133 +1,163 @@
-"""What members say to each other about claims and their copies, and what a holder writes. Plain values; msgspec gives them their form."""
+"""Messages between replicas, clients and the leader, and the changes that a replica writes.
 
-from typing import Any
+The forms on the wire and on disk are MessagePack arrays; a `tag` is the message's name there.
+"""
+
+from typing import Any, TypeAlias
 
 import msgspec
 
-MAX_CLOCK_SKEW = 30_000_000_000  # nanoseconds by which two machines' wall clocks may differ: ids are held for so much longer
+# Nanoseconds by which the wall clocks of two machines may differ; keys are held for so much longer.
+MAX_CLOCK_SKEW = 30_000_000_000
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """One message. Unknown trailing fields of a later version are passed over."""
+    """Base of all messages. Unknown trailing fields of a later version are ignored."""
 
 
 class PartitionMessage(Message, frozen=True):
-    part: int
+    """A message about one partition in one view."""
+
+    partition: int
     view: int
 
 
 class ReservationRecord(msgspec.Struct, frozen=True, array_like=True):
-    """`how`: "out" while nobody has said how it ended, then "ran", "never" or "unknown"."""
+    """A reserved key.
+
+    Attributes:
+        key: the idempotency key.
+        owner: names the one request that it was granted to.
+        held_until: wall time in nanoseconds.
+        outcome: one of PENDING, RAN, NEVER_RAN and UNKNOWN (`reservations`).
+    """
 
-    ident: str
-    by: str
-    until: int  # wall time in nanoseconds up to which it is held
-    how: str
+    key: str
+    owner: str
+    held_until: int
+    outcome: str
 
 
-# Between holders.
+# Between replicas.
 
 
 class ReplicateRecord(PartitionMessage, frozen=True, tag="Copy"):
-    number: int
+    """From the primary: store this record."""
+
+    sequence: int
     record: ReservationRecord
 
 
 class RecordReplicated(PartitionMessage, frozen=True, tag="Copied"):
-    number: int
+    """To the primary: the record of that sequence number is flushed."""
+
+    sequence: int
 
 
 class FetchRecords(PartitionMessage, frozen=True, tag="Fetch"):
-    """By one that is to hold the part in that view, to a sealed holder of the view before: what stands there from `offset` on?"""
+    """To a sealed replica of the view before: send the records from `offset` on."""
 
     offset: int
 
 
 class RecordsFetched(PartitionMessage, frozen=True, tag="Fetched"):
+    """Answers FetchRecords; `total` is the number of records in the partition."""
+
     offset: int
     total: int
     records: list[ReservationRecord]
 
 
 class CompareDigests(PartitionMessage, frozen=True, tag="Compare"):
-    """By the primary: what its records come to, by BUCKET of the time until which they are held."""
+    """From the primary: digests of its records, by bucket of the time until which they are held."""
 
-    sums: dict[int, int]
+    digests: dict[int, int]
 
 
 class DigestsDiffer(PartitionMessage, frozen=True, tag="Differs"):
-    """To the primary: what a holder has in a bucket that does not come to the same."""
+    """To the primary: the records of a bucket whose digest differs."""
 
     bucket: int
     records: list[ReservationRecord]
 
 
-# Between a claimer and the primary of a part.
+# Between a client and the primary of a partition.
 
 
 class ReserveKey(Message, frozen=True, tag="Claim"):
-    number: int
-    part: int
-    ident: str
-    by: str
-    span: int  # nanoseconds for which it is to be held
+    """Asks for a key; `hold_ns` is for how long, in nanoseconds."""
+
+    request_id: int
+    partition: int
+    key: str
+    owner: str
+    hold_ns: int
 
 
 class EndReservation(Message, frozen=True, tag="Ended"):
-    number: int
-    part: int
-    ident: str
-    by: str
-    how: str
+    """Reports the outcome of a reservation."""
+
+    request_id: int
+    partition: int
+    key: str
+    owner: str
+    outcome: str
 
 
 class ReservationResult(Message, frozen=True, tag="Answered"):
-    number: int
-    kind: str
-    by: str
-    how: str
-    why: str
+    """Answers ReserveKey and EndReservation; fields as in `ReservationAnswer`."""
+
+    request_id: int
+    result: str
+    owner: str
+    outcome: str
+    reason: str
 
 
 class Ping(Message, frozen=True):
-    """Keeps a way open: a claim has no time to wait for a dial."""
+    """Keeps a connection open: a reservation has no time to wait for a new one."""
 
 
 class Pong(Message, frozen=True):
-    pass
+    """Answers Ping."""
 
 
-# Between who leads and holders.
+# Between the leader and replicas.
 
 
 class SealPartition(PartitionMessage, frozen=True, tag="Seal"):
-    """End that view."""
+    """Asks a replica to end that view."""
 
 
 class PartitionSealed(PartitionMessage, frozen=True, tag="Sealed"):
-    """`sound`: it has all of that view, and nothing is granted in it any more."""
+    """Nothing is granted in that view any more.
 
-    sound: bool
+    `complete` says whether the replica has all of it; if not, it could not seal it.
+    """
+
+    complete: bool
 
 
 class FetchPartition(PartitionMessage, frozen=True, tag="Bring"):
-    """To one that is to hold the part in that view: fetch all from `source`; or, with none, begin with nothing, since the part was
-    never held, or what it held counts no more."""
+    """Asks a replica of that view to fetch all records from `source`.
+
+    Without a source it begins empty: the partition was never held, or what it held counts no more.
+    """
 
     source: str
 
 
 class PartitionFetched(PartitionMessage, frozen=True, tag="Brought"):
-    pass
+    """The replica has all it needs for that view, flushed."""
 
 
 class ReplicaSlow(PartitionMessage, frozen=True, tag="Slow"):
-    """By a primary: that holder has not answered for long."""
+    """A replica does not confirm records for long, or reports itself as not complete."""
 
-    who: str
+    replica: str
 
 
-AnyMessage = (
+AnyMessage: TypeAlias = (
     ReplicateRecord
     | RecordReplicated
     | FetchRecords
@@ -148,51 +178,63 @@
 
 
 class MessageBatch(msgspec.Struct, frozen=True, array_like=True, tag="Bundle"):
-    """All that one member says to another at a time."""
+    """All that one member sends to another at a time."""
 
-    words: list[AnyMessage]
+    messages: list[AnyMessage]
 
 
-# What a holder writes, in the order in which it happened; written again at the head of each file: `Stand`.
+# What a replica writes, in the order in which it happened.
 
 
 class RecordStored(msgspec.Struct, frozen=True, array_like=True, tag="Kept"):
-    part: int
+    """A record is new, or changed."""
+
+    partition: int
     record: ReservationRecord
 
 
 class ViewBegun(msgspec.Struct, frozen=True, array_like=True, tag="Begun"):
-    part: int
+    """A view has begun; `complete` says whether this replica has all of it."""
+
+    partition: int
     view: int
-    holders: tuple[str, ...]
-    whole: bool
+    replicas: tuple[str, ...]
+    complete: bool
 
 
 class ViewSealed(msgspec.Struct, frozen=True, array_like=True, tag="Shut"):
-    part: int
+    """This replica grants and stores nothing in that view any more."""
+
+    partition: int
     view: int
 
 
 class PartitionReceived(msgspec.Struct, frozen=True, array_like=True, tag="Got"):
-    """All of a part for a view, from a sealed holder of the view before. `late`: that view had begun here already."""
+    """All records for a view, from a sealed replica of the view before.
 
-    part: int
+    `late` says that the view had begun here already.
+    """
+
+    partition: int
     view: int
     records: list[ReservationRecord]
     late: bool
 
 
 class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
-    part: int
+    """The state of a partition at the begin of a file, without its records."""
+
+    partition: int
     view: int
-    holders: tuple[str, ...]
+    replicas: tuple[str, ...]
     sealed: bool
-    whole: bool
-    brought: int
+    complete: bool
+    fetched_view: int
 
 
-def encode(value: Any) -> bytes:
-    return encoder.encode(value)
+encoder = msgspec.msgpack.Encoder()
 
 
-encoder = msgspec.msgpack.Encoder()
+def encode(value: Any) -> bytes:
+    """A message's or change's bytes."""
+    return encoder.encode(value)
--- a/cypresswalk/copies/placement.py
+++ b/cypresswalk/copies/placement.py
@@ -1,30 +1,47 @@
-"""Which members hold which part of the ids. The same at all: hashes of text, never the order of arrival."""
+"""Which members hold which partition of the keys.
+
+Computed from hashes of text alone, so that all members agree whatever the order of arrival.
+"""
 
 from functools import lru_cache
 from hashlib import blake2b
 
-PARTS = 64  # of the ids: with 200 members each holds about one part, with 3 all of them
+PARTITIONS = 64  # with 200 members each holds about one, with 3 each holds all
+# Room for 64 partitions and 200 members, each looked at five times a second by the leader.
+WEIGHT_CACHE_SIZE = 1 << 15
+
+
+def partition_of(key: str) -> int:
+    """The partition of a key."""
+    digest = blake2b(key.encode("utf-8", "surrogateescape"), digest_size=8).digest()
+    return digest[0] % PARTITIONS
 
 
-def partition_of(ident: str) -> int:
-    return blake2b(ident.encode("utf-8", "surrogateescape"), digest_size=8).digest()[0] % PARTS
+@lru_cache(maxsize=WEIGHT_CACHE_SIZE)
+def weight(partition: int, member: str) -> int:
+    """The member's weight for a partition."""
+    digest = blake2b(f"{partition}/{member}".encode(), digest_size=8).digest()
+    return int.from_bytes(digest, "big")
 
 
-@lru_cache(maxsize=1 << 15)  # two hundred members, each looked at five times a second by who leads
-def weight(part: int, member: str) -> int:
-    return int.from_bytes(blake2b(f"{part}/{member}".encode(), digest_size=8).digest(), "big")
+def choose_replicas(partition: int, members: dict[str, str], copies: int) -> tuple[str, ...]:
+    """The members that hold a partition, in as many zones as there are.
 
+    They are those of highest weight (rendezvous hashing; Thaler and Ravishankar, 1998), so that a
+    member that leaves moves only its own partitions.
 
-def holders(part: int, members: dict[str, str], copies: int) -> tuple[str, ...]:
-    """The `copies` members of highest weight for that part (rendezvous hashing, Thaler and Ravishankar, 1998: who leaves takes only
-    its own parts along), each in another zone as long as there are zones. `members`: zone by id."""
-    ranked = sorted(members, key=lambda member: (-weight(part, member), member))
+    Args:
+        partition: its number.
+        members: zone by member id.
+        copies: how many to choose.
+    """
+    ranked = sorted(members, key=lambda member: (-weight(partition, member), member))
     chosen: list[str] = []
-    used: set[str] = set()
+    used_zones: set[str] = set()
     for member in ranked:
-        if len(chosen) < copies and members[member] not in used:
+        if len(chosen) < copies and members[member] not in used_zones:
             chosen.append(member)
-            used.add(members[member])
+            used_zones.add(members[member])
     for member in ranked:
         if len(chosen) < copies and member not in chosen:
             chosen.append(member)
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -10,17 +10,16 @@
 """
 
 from collections.abc import Callable
-from typing import NamedTuple, TypeAlias
+from typing import NamedTuple
 
 import msgspec
 
+from cypresswalk.copies.effects import StoredChange
 from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.messages import (
     PartitionReceived,
     PartitionStatus,
     RecordStored,
-    ViewBegun,
-    ViewSealed,
     encode,
 )
 from cypresswalk.storage.folder import Folder, broken_on_failure, require_unbroken
@@ -43,8 +42,6 @@
 SEGMENT_BYTES = 16 << 20  # after which a new file is begun
 MAX_FILE_BYTES = 1 << 30  # a whole partition that was fetched is one batch
 
-StoredChange: TypeAlias = RecordStored | ViewBegun | ViewSealed | PartitionReceived
-
 
 class FileHead(msgspec.Struct, frozen=True, array_like=True):
     """The first record of a file.
@@ -240,7 +237,7 @@
     """Until when the change's keys are held; 0 if it has none."""
     match change:
         case RecordStored(record=record):
-            return record.until
+            return record.held_until
         case PartitionReceived(records=records):
-            return max((record.until for record in records), default=0)
+            return max((record.held_until for record in records), default=0)
     return 0
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from cypresswalk.choice import MISSES, RISE
-from cypresswalk.copies.replica import ReservationAnswer
+from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.member import CALLED_BACK, DRAINED, AppliedView
 from cypresswalk.fleet.messages import ServerReport
@@ -520,8 +520,8 @@
         core, flow = self.core, session.flow
         late = session not in self.waiting
         self.waiting.pop(session, None)
-        core.counters.add("claims_" + answer.kind)
-        if answer.kind == "granted":
+        core.counters.add("claims_" + answer.result)
+        if answer.result == "granted":
             self.granted[flow] = by
             if session.over or late:  # its client has left, or has its answer
                 self.finish(flow, "never")
@@ -531,7 +531,7 @@
                 core.place(now, session)
         elif session.over or late:
             pass
-        elif answer.kind == "held" and answer.how != "never":
+        elif answer.result == "held" and answer.outcome != "never":
             core.counters.add("flows_claimed_elsewhere")
             core.end(
                 now, session, FAILED
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -461,18 +461,18 @@
             return
         to_leader = [
             word
-            for word in bundle.words
+            for word in bundle.messages
             if isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
         ]
         if to_leader:
             member.holder_said(now, source, to_leader)
-        if len(to_leader) < len(bundle.words):
+        if len(to_leader) < len(bundle.messages):
             self.copies.put(
                 "words",
                 source,
                 [
                     word
-                    for word in bundle.words
+                    for word in bundle.messages
                     if not isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
                 ],
             )
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -21,7 +21,7 @@
     ReplicaSlow,
     SealPartition,
 )
-from cypresswalk.copies.placement import PARTS, holders
+from cypresswalk.copies.placement import PARTITIONS, choose_replicas
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
@@ -77,22 +77,25 @@
     # Words.
 
     def heard(self, now: int, source: str, word: AnyMessage, views: Views) -> None:
-        view, there = views.get(word.part, (0, ()))
-        change = self.changes.get(word.part)
+        view, there = views.get(word.partition, (0, ()))
+        change = self.changes.get(word.partition)
         match word:
-            case PartitionSealed(sound=False) if word.view == view:
-                self.empty.add((word.part, view, source))
-            case ReplicaSlow(who=who) if word.view == view and who == source:
-                self.empty.add((word.part, view, source))
-            case ReplicaSlow(who=who) if word.view == view:
-                if (word.part, who) not in self.bad:
+            case PartitionSealed(complete=False) if word.view == view:
+                self.empty.add((word.partition, view, source))
+            case ReplicaSlow(replica=who) if word.view == view and who == source:
+                self.empty.add((word.partition, view, source))
+            case ReplicaSlow(replica=who) if word.view == view:
+                if (word.partition, who) not in self.bad:
                     log.info(
-                        "event=copy_left_out part=%d holder=%s told_by=%s", word.part, who, source
+                        "event=copy_left_out part=%d holder=%s told_by=%s",
+                        word.partition,
+                        who,
+                        source,
                     )
-                self.bad[word.part, who] = now + BAD
+                self.bad[word.partition, who] = now + BAD
             case PartitionSealed() if word.view == view and source in there:
                 if change is None:  # by a leader before this one
-                    change = self.changes[word.part] = PlacementChange(view, (), now)
+                    change = self.changes[word.partition] = PlacementChange(view, (), now)
                 change.source = change.source or source
             case PartitionFetched() if change is not None and word.view == change.view + 1:
                 change.whole.add(source)
@@ -120,11 +123,11 @@
         wait = len(usable) < self.copies and now - self.began < SETTLE
         proposals: Views = {}
         begun = 0
-        for part in range(PARTS):
+        for part in range(PARTITIONS):
             view, now_there = views.get(part, (0, ()))
             change = self.changes.get(part)
             able = {ident: zone for ident, zone in usable.items() if (part, ident) not in self.bad}
-            wanted = holders(part, able, self.copies)
+            wanted = choose_replicas(part, able, self.copies)
             whole = [
                 h
                 for h in now_there
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import PARAMS, START, config_data, listed
 
-from cypresswalk.copies.replica import ReservationAnswer
+from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.fleet.core_binding import CoreBinding, objection, shared
 from cypresswalk.fleet.member import AppliedView
 from cypresswalk.fleet.messages import ServerReport
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,6 +6,7 @@
 
 from cypresswalk.copies import store
 from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.effects import AnswerRequest, SendMessage, WriteChange
 from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.messages import (
     FetchPartition,
@@ -16,8 +17,11 @@
     ViewBegun,
     ViewSealed,
 )
-from cypresswalk.copies.placement import PARTS, holders, partition_of
-from cypresswalk.copies.replica import Partition, Replica, ReservationAnswer
+from cypresswalk.copies.partition import Partition
+from cypresswalk.copies.placement import PARTITIONS, choose_replicas, partition_of
+from cypresswalk.copies.primary import Primary
+from cypresswalk.copies.replica import Replica
+from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.copies.store import RecordLog
 from cypresswalk.fleet import client
 from cypresswalk.lab.together.virtual import MemoryDisk
@@ -41,7 +45,7 @@
         self.tokens = 0
         self.agreed: list[tuple[int, tuple]] = []
         for name in self.names[:COPIES]:
-            self.lives[name].bring(0, 1, "")
+            self.lives[name].fetch(0, 1, "")
             self.carry_out(name)
         self.agree(tuple(self.names[:COPIES]))
 
@@ -52,24 +56,23 @@
     def carry_out(self, name: str, die_after: int | None = None) -> None:
         """The owner's work in its order; the process may die in the middle."""
         holder = self.lives[name]
-        while holder.out:
+        while holder.effects:
             if die_after is not None:
                 die_after -= 1
                 if die_after < 0:
                     self.lives[name] = None
                     return
-            what, *rest = holder.out.pop(0)
-            if what == "write":
-                self.disks[name].append(rest[0])
-            elif what == "send":
-                self.coming.append((name, *rest))
-            elif what == "answer":
-                (ident, by), answer = rest
-                self.answers[answer.kind] += 1
-                if answer.kind == "granted":
-                    assert self.granted.setdefault(ident, by) == by, (
-                        f"{ident} granted to {self.granted[ident]} and {by}"
-                    )
+            match holder.effects.pop(0):
+                case WriteChange(change):
+                    self.disks[name].append(change)
+                case SendMessage(receiver, message):
+                    self.coming.append((name, receiver, message))
+                case AnswerRequest((key, owner), answer):
+                    self.answers[answer.result] += 1
+                    if answer.result == "granted":
+                        assert self.granted.setdefault(key, owner) == owner, (
+                            f"{key} granted to {self.granted[key]} and {owner}"
+                        )
 
     def step(self) -> None:
         chance = self.chance
@@ -96,16 +99,16 @@
             known = (
                 self.agreed[-1]
                 if chance.random() < 0.5
-                else self.agreed[min(holder.part(0).view, len(self.agreed) - 1)]
+                else self.agreed[min(holder.partition(0).view, len(self.agreed) - 1)]
             )
-            holder.begin(0, *known)
+            holder.begin_view(0, *known)
         elif draw < 0.50:
             ident, by = f"i{chance.randrange(40)}", f"c{chance.randrange(4)}"
-            holder.claim(0, 0, ident, by, 1 << 60, (ident, by))
+            holder.reserve(0, 0, ident, by, 1 << 60, (ident, by))
         elif draw < 0.55:
-            holder.again(0)
+            holder.resend_pending(0)
             if chance.random() < 0.1:
-                holder.compare(0)
+                holder.compare_digests(0)
         elif draw < 0.60:
             if self.next_holders or chance.random() < 0.04:
                 self.change()
@@ -116,7 +119,7 @@
             if chance.random() < 0.1:
                 self.coming.append((source, target, word))
             if self.lives[target] is not None:
-                self.lives[target].heard(source, word)
+                self.lives[target].on_message(source, word)
                 name = target
         self.carry_out(name, chance.randrange(4) if chance.random() < 0.03 else None)
 
@@ -124,8 +127,8 @@
         """A disk is lost while another holder of the newest view, or of what is being changed to, has all: that is promised."""
         return any(
             self.lives[n] is not None
-            and self.lives[n].part(0).whole
-            and self.lives[n].part(0).view == self.view
+            and self.lives[n].partition(0).complete
+            and self.lives[n].partition(0).view == self.view
             for n in self.now_holders
             if n != name
         )
@@ -144,8 +147,8 @@
                 for n in self.now_holders
                 if self.lives[n] is not None
                 and (
-                    self.lives[n].part(0).sealed
-                    and self.lives[n].part(0).view == self.view
+                    self.lives[n].partition(0).sealed
+                    and self.lives[n].partition(0).view == self.view
                     or self.lives[n].seal(0, self.view)
                 )
             ),
@@ -156,19 +159,19 @@
             return
         self.carry_out(source)
         for name in self.next_holders:
-            part = self.lives[name].part(0) if self.lives[name] is not None else None
+            part = self.lives[name].partition(0) if self.lives[name] is not None else None
             if part is None:
                 continue
             if (
                 part.view == self.view
-                and part.whole
+                and part.complete
                 and name in self.now_holders
-                or part.brought == self.view + 1
+                or part.fetched_view == self.view + 1
             ):
                 self.whole_in_next.add(name)
             else:
                 self.whole_in_next.discard(name)
-                self.lives[name].bring(0, self.view + 1, source)
+                self.lives[name].fetch(0, self.view + 1, source)
                 self.carry_out(name)
         # A leader that is wrong about who is whole must do no harm: who is not whole knows it.
         if len(self.whole_in_next) == COPIES or self.whole_in_next and self.chance.random() < 0.2:
@@ -191,45 +194,53 @@
     assert granted > 300 and views > 200
 
 
+class AnswersBeforeTheSecondCopy(Primary):
+    def record(self, number, partition, record, tokens, now):
+        super().record(number, partition, record, [], now)
+        self.settle(partition, record, tokens)
+
+
 class BeforeTheSecondCopy(Replica):
-    def record(self, number, part, record, tokens, at):
-        super().record(number, part, record, [], at)
-        self.settle(part, record, tokens)
+    def __init__(self, member_id):
+        super().__init__(member_id)
+        self.primary = AnswersBeforeTheSecondCopy(self.state)
 
 
 class OldViewAccepted(Replica):
-    def heard(self, source, word):
-        part = self.part(word.part)
-        if isinstance(word, ReplicateRecord):
-            word = ReplicateRecord(word.part, part.view, word.number, word.record)
-            part.sealed, sealed = False, part.sealed
-            super().heard(part.holders[0] if part.holders else source, word)
-            part.sealed = sealed
+    def on_message(self, source, message):
+        partition = self.partition(message.partition)
+        if isinstance(message, ReplicateRecord):
+            message = ReplicateRecord(
+                message.partition, partition.view, message.sequence, message.record
+            )
+            partition.sealed, sealed = False, partition.sealed
+            super().on_message(partition.replicas[0] if partition.replicas else source, message)
+            partition.sealed = sealed
         else:
-            super().heard(source, word)
+            super().on_message(source, message)
 
-    def begin(self, number, view, holders):
-        """It does not give up what waits, either."""
-        part = self.part(number)
-        waiting, part.waiting = part.waiting, {}
-        super().begin(number, view, holders)
-        part.waiting = waiting
+    def begin_view(self, number, view, replicas):
+        """It does not abandon pending records, either."""
+        partition = self.partition(number)
+        pending, partition.pending = partition.pending, {}
+        super().begin_view(number, view, replicas)
+        partition.pending = pending
 
 
 class BeforeTheFlush(Replica):
-    def claim(self, *words, **more):
-        super().claim(*words, **more)
-        self.out.sort(key=lambda item: item[0] == "write")
+    def reserve(self, *args, **kwargs):
+        super().reserve(*args, **kwargs)
+        self.effects.sort(key=lambda effect: isinstance(effect, WriteChange))
 
-    def heard(self, *words, **more):
-        super().heard(*words, **more)
-        self.out.sort(key=lambda item: item[0] == "write")
+    def on_message(self, *args, **kwargs):
+        super().on_message(*args, **kwargs)
+        self.effects.sort(key=lambda effect: isinstance(effect, WriteChange))
 
 
 class EmptyHolderBelieved(Replica):
-    def begin(self, number, view, holders):
-        super().begin(number, view, holders)
-        self.part(number).whole = self.me in holders
+    def begin_view(self, number, view, replicas):
+        super().begin_view(number, view, replicas)
+        self.partition(number).complete = self.member_id in replicas
 
 
 @pytest.mark.parametrize(
@@ -251,119 +262,132 @@
 
 def test_one_that_was_away_for_a_view_is_not_whole_though_it_held_the_part_before():
     away = Replica("b")
-    away.bring(0, 1, "")
-    away.begin(0, 1, ("a", "b"))
-    away.begin(0, 3, ("b", "a"))  # the second, in which others granted, it never heard of
-    away.out.clear()
-    away.claim(0, 0, "x", "n1", 10, "t")
-    assert away.out == [
-        ("answer", "t", ReservationAnswer("again", why="not the primary of that part now"))
+    away.fetch(0, 1, "")
+    away.begin_view(0, 1, ("a", "b"))
+    away.begin_view(0, 3, ("b", "a"))  # the second, in which others granted, it never heard of
+    away.effects.clear()
+    away.reserve(0, 0, "x", "n1", 10, "t")
+    assert away.effects == [
+        AnswerRequest("t", ReservationAnswer("again", reason="not the primary of that part now"))
     ]
     restored = Replica("b")
     restored.restore([ViewBegun(0, 1, ("a", "b"), True), ViewBegun(0, 3, ("b", "a"), False)])
-    assert not restored.part(0).whole and not restored.seal(0, 3)
+    assert not restored.partition(0).complete and not restored.seal(0, 3)
 
 
 def test_one_that_lost_its_disk_does_not_begin_a_view_that_is_agreed_with_nothing():
     again = Replica("b")  # the same name, an empty folder
-    again.begin(0, 1, ("b", "a"))
-    again.bring(0, 1, "")
-    again.claim(0, 0, "x", "n1", 10, "t")
-    assert not again.part(0).whole and again.out[-1][2].kind == "again" and not again.seal(0, 1)
+    again.begin_view(0, 1, ("b", "a"))
+    again.fetch(0, 1, "")
+    again.reserve(0, 0, "x", "n1", 10, "t")
+    assert (
+        not again.partition(0).complete
+        and again.effects[-1].answer.result == "again"
+        and not again.seal(0, 1)
+    )
 
 
 def test_ids_beyond_the_bound_are_refused_and_none_is_dropped_before_its_time():
-    holder = Replica("a", most=5)
-    holder.bring(0, 1, "")
-    holder.begin(0, 1, ("a",))
+    holder = Replica("a", max_records=5)
+    holder.fetch(0, 1, "")
+    holder.begin_view(0, 1, ("a",))
     for number in range(8):
-        holder.claim(10, 0, f"i{number}", "n1", 20, number)
-    kinds = [item[2].kind for item in holder.out if item[0] == "answer"]
-    assert kinds == ["granted"] * 5 + ["refused"] * 3 and holder.held == 5
-    holder.claim(21, 0, "late", "n1", 30, 9)
-    assert holder.out[-1][2].kind == "granted" and holder.held == 1
+        holder.reserve(10, 0, f"i{number}", "n1", 20, number)
+    kinds = [e.answer.result for e in holder.effects if isinstance(e, AnswerRequest)]
+    assert kinds == ["granted"] * 5 + ["refused"] * 3 and holder.record_count == 5
+    holder.reserve(21, 0, "late", "n1", 30, 9)
+    assert holder.effects[-1].answer.result == "granted" and holder.record_count == 1
 
 
 def test_what_a_change_of_view_left_at_one_holder_alone_comes_to_all():
     three = [Replica(name) for name in "abc"]
     for holder in three:
-        holder.bring(0, 1, "")
-        holder.begin(0, 1, ("a", "b", "c"))
-        holder.out.clear()
+        holder.fetch(0, 1, "")
+        holder.begin_view(0, 1, ("a", "b", "c"))
+        holder.effects.clear()
     primary, with_it, without = three
-    primary.claim(0, 0, "x", "n1", 1 << 50, "t")
-    with_it.heard("a", next(word for what, to, word in primary.out[1:] if to == "b"))
+    primary.reserve(0, 0, "x", "n1", 1 << 50, "t")
+    with_it.on_message("a", next(e.message for e in primary.effects[1:] if e.receiver == "b"))
     for holder in three:
-        holder.begin(
+        holder.begin_view(
             0, 2, ("c", "b", "a")
         )  # its primary never heard of that claim, nobody was granted it
-        holder.out.clear()
+        holder.effects.clear()
     for _ in range(4):
-        without.compare(0)
+        without.compare_digests(0)
         for _ in range(20):
             for source in three:
-                while source.out:
-                    what, *rest = source.out.pop(0)
-                    if what == "send":
-                        next(h for h in three if h.me == rest[0]).heard(source.me, rest[1])
-    assert [sorted(h.part(0).records) for h in three] == [["x"]] * 3 and len(
-        {tuple(h.part(0).sums.items()) for h in three}
+                while source.effects:
+                    effect = source.effects.pop(0)
+                    if isinstance(effect, SendMessage):
+                        receiver = next(h for h in three if h.member_id == effect.receiver)
+                        receiver.on_message(source.member_id, effect.message)
+    assert [sorted(h.partition(0).records) for h in three] == [["x"]] * 3 and len(
+        {tuple(h.partition(0).digests.items()) for h in three}
     ) == 1
-    without.claim(0, 0, "x", "n2", 1 << 50, "t2")
-    assert without.out[-1] == ("answer", "t2", ReservationAnswer("held", "n1", "out"))
-    before = dict(primary.part(0).sums)
-    primary.replace(primary.part(0), list(primary.part(0).records.values()))
-    assert primary.part(0).sums == before != {}
+    without.reserve(0, 0, "x", "n2", 1 << 50, "t2")
+    assert without.effects[-1] == AnswerRequest("t2", ReservationAnswer("held", "n1", "out"))
+    before = dict(primary.partition(0).digests)
+    primary.state.replace(primary.partition(0), list(primary.partition(0).records.values()))
+    assert primary.partition(0).digests == before != {}
     for holder in three:
-        holder.forget(1 << 51, holder.part(0))
-        assert not holder.part(0).records and not holder.part(0).sums
+        holder.expire(1 << 51, holder.partition(0))
+        assert not holder.partition(0).records and not holder.partition(0).digests
 
 
 def test_the_first_has_it_the_same_one_is_told_again_and_how_it_ended_is_kept():
     one, two = Replica("a"), Replica("b")
     for holder in (one, two):
-        holder.bring(0, 1, "")
-        holder.begin(0, 1, ("a", "b"))
-        holder.out.clear()
-    one.claim(0, 0, "x", "n1", 10, "t1")
-    one.claim(0, 0, "x", "n2", 10, "t2")
-    assert one.out.pop() == ("answer", "t2", ReservationAnswer("held", "n1", "out"))
-    write, (_, to, copy) = one.out
-    assert write[0] == "write" and to == "b"
-    one.out.clear()
-    one.claim(0, 0, "x", "n1", 10, "t3")
-    assert not one.out  # not before the copy has it
-    two.heard("a", copy)
-    assert two.out[0][0] == "write" and two.out[1][:2] == ("send", "a")
-    one.heard("b", two.out[1][2])
-    assert one.out == [
-        ("answer", "t1", ReservationAnswer("granted", "n1", "out")),
-        ("answer", "t3", ReservationAnswer("granted", "n1", "out")),
+        holder.fetch(0, 1, "")
+        holder.begin_view(0, 1, ("a", "b"))
+        holder.effects.clear()
+    one.reserve(0, 0, "x", "n1", 10, "t1")
+    one.reserve(0, 0, "x", "n2", 10, "t2")
+    assert one.effects.pop() == AnswerRequest("t2", ReservationAnswer("held", "n1", "out"))
+    write, send = one.effects
+    assert isinstance(write, WriteChange) and isinstance(send, SendMessage)
+    assert send.receiver == "b"
+    one.effects.clear()
+    one.reserve(0, 0, "x", "n1", 10, "t3")
+    assert not one.effects  # not before the copy has it
+    two.on_message("a", send.message)
+    assert isinstance(two.effects[0], WriteChange) and isinstance(two.effects[1], SendMessage)
+    assert two.effects[1].receiver == "a"
+    one.on_message("b", two.effects[1].message)
+    assert one.effects == [
+        AnswerRequest("t1", ReservationAnswer("granted", "n1", "out")),
+        AnswerRequest("t3", ReservationAnswer("granted", "n1", "out")),
     ]
-    one.out.clear()
-    one.ended(0, 0, "x", "n2", "ran", "t4")
-    assert one.out.pop()[2].kind == "refused"
-    one.ended(0, 0, "x", "n1", "ran", "t5")
-    two.heard("a", one.out[1][2])
-    one.heard("b", two.out[-1][2])
-    assert one.out[-1] == ("answer", "t5", ReservationAnswer("held", "n1", "ran"))
-    one.claim(0, 0, "x", "n1", 10, "t6")
-    assert one.out[-1] == ("answer", "t6", ReservationAnswer("held", "n1", "ran"))
-    assert isinstance(one.part(0), Partition) and two.part(0).records["x"].how == "ran"
+    one.effects.clear()
+    one.end_reservation(0, "x", "n2", "ran", "t4")
+    assert one.effects.pop().answer.result == "refused"
+    one.end_reservation(0, "x", "n1", "ran", "t5")
+    two.on_message("a", one.effects[1].message)
+    one.on_message("b", two.effects[-1].message)
+    assert one.effects[-1] == AnswerRequest("t5", ReservationAnswer("held", "n1", "ran"))
+    one.reserve(0, 0, "x", "n1", 10, "t6")
+    assert one.effects[-1] == AnswerRequest("t6", ReservationAnswer("held", "n1", "ran"))
+    assert (
+        isinstance(one.partition(0), Partition) and two.partition(0).records["x"].outcome == "ran"
+    )
 
 
 def test_parts_lie_in_as_many_zones_as_there_are_and_who_leaves_takes_only_its_own_along():
     members = {f"m{i}": f"z{i % 4}" for i in range(20)}
-    before = {part: holders(part, members, 3) for part in range(PARTS)}
+    before = {part: choose_replicas(part, members, 3) for part in range(PARTITIONS)}
     assert all(len({members[m] for m in found}) == 3 for found in before.values())
     gone = "m7"
     after = {
-        part: holders(part, {m: z for m, z in members.items() if m != gone}, 3)
-        for part in range(PARTS)
+        part: choose_replicas(part, {m: z for m, z in members.items() if m != gone}, 3)
+        for part in range(PARTITIONS)
     }
-    assert all(after[part] == before[part] for part in range(PARTS) if gone not in before[part])
-    assert holders(1, {"a": "z", "b": "z"}, 3) in (("a", "b"), ("b", "a"))
-    counts = [sum(partition_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTS)]
+    assert all(
+        after[part] == before[part] for part in range(PARTITIONS) if gone not in before[part]
+    )
+    assert choose_replicas(1, {"a": "z", "b": "z"}, 3) in (("a", "b"), ("b", "a"))
+    counts = [
+        sum(partition_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTITIONS)
+    ]
     assert min(counts) > 50 and max(counts) < 160
 
 
@@ -384,7 +408,9 @@
     holder = Replica("a#1")
     holder.restore(written)
     assert (
-        holder.part(0).whole and holder.part(0).sealed and set(holder.part(0).records) == {"x", "y"}
+        holder.partition(0).complete
+        and holder.partition(0).sealed
+        and set(holder.partition(0).records) == {"x", "y"}
     )
     for cut in range(first, len(whole), 7):
         disk.files["copies.1"] = whole[:cut], inode
@@ -407,27 +433,28 @@
     monkeypatch.setattr(store, "SEGMENT_BYTES", 200)
     disk = MemoryDisk(Random(1))
     log, holder = RecordLog(disk), Replica("a#1")
-    holder.bring(0, 1, "")
-    holder.begin(0, 1, ("a#1",))
+    holder.fetch(0, 1, "")
+    holder.begin_view(0, 1, ("a#1",))
     log.begin("a#1", 1, [])
     for until in range(1, 41):
-        holder.claim(0, 0, f"i{until}", "n1", until, None)
-        log.write([value for what, value, *_ in holder.out if what == "write"], holder.stands)
-        holder.out.clear()
+        holder.reserve(0, 0, f"i{until}", "n1", until, None)
+        changes = [e.change for e in holder.effects if isinstance(e, WriteChange)]
+        log.write(changes, holder.statuses)
+        holder.effects.clear()
     assert len(log.numbers()) > 5
     log.drop_expired(30)
     again = Replica("a#1")
     again.restore(RecordLog(disk).load("a#1", (1,), print))
     assert {f"i{n}" for n in range(30, 41)} <= set(
-        again.part(0).records
-    ) and "i1" not in again.part(0).records
-    assert again.part(0).whole and again.part(0).holders == ("a#1",)
+        again.partition(0).records
+    ) and "i1" not in again.partition(0).records
+    assert again.partition(0).complete and again.partition(0).replicas == ("a#1",)
     disk.failing = True
     with pytest.raises(OSError):
-        log.write([kept("z")], holder.stands)
+        log.write([kept("z")], holder.statuses)
     disk.failing = False
     with pytest.raises(OSError, match="an earlier write failed"):
-        log.write([kept("z")], holder.stands)
+        log.write([kept("z")], holder.statuses)
 
 
 class Trio:
@@ -441,7 +468,7 @@
             self.start(name, 1)
         for name in self.names:
             self.copies[name].put(
-                "words", "a#1", [FetchPartition(part, 1, "") for part in range(PARTS)]
+                "words", "a#1", [FetchPartition(part, 1, "") for part in range(PARTITIONS)]
             )
         self.turn()
         for name in self.names:
@@ -453,14 +480,16 @@
             self.disks[name],
             lambda: self.now,
             lambda: self.now + 10**18,
-            lambda to, bundle: self.copies[to].put("words", name, bundle.words),
+            lambda to, batch: self.copies[to].put("words", name, batch.messages),
             lambda words: None,
             lambda holds: self.told.append((name, holds)),
         )
         self.copies[name].put("identity", name, boot)
 
     def place(self, name: str) -> None:
-        self.copies[name].put("placed", {part: (1, tuple(self.names)) for part in range(PARTS)})
+        self.copies[name].put(
+            "placed", {part: (1, tuple(self.names)) for part in range(PARTITIONS)}
+        )
 
     def turn(self, seconds: float = 0.0) -> None:
         until = self.now + int(seconds * 10**9)
@@ -482,7 +511,7 @@
             ident,
             10**12,
             self.now + 10**9 // 2,
-            lambda answer, by: told.append((answer.kind, answer.by)),
+            lambda answer, by: told.append((answer.result, answer.owner)),
         )
         self.turn()
         return told
@@ -500,18 +529,18 @@
     trio.turn(2.0)
     assert trio.told[-1] == ("c#1", True)
     assert (
-        "x" in trio.copies["c#1"].holder.part(partition_of("x")).records
-        and trio.copies["c#1"].holder.part(partition_of("x")).whole
+        "x" in trio.copies["c#1"].replica.partition(partition_of("x")).records
+        and trio.copies["c#1"].replica.partition(partition_of("x")).complete
     )
     assert trio.claim("a#1", "z")[0][0] == "granted"
     trio.turn(6.0)
-    told = [[p[1:4] + p[6:] for p in one.told()["parts"]] for one in trio.copies.values()]
+    told = [[p[1:4] + p[6:] for p in one.status()["parts"]] for one in trio.copies.values()]
     assert told[0] == told[1] == told[2]
     trio.start("c#1", 2)  # what was cut off once is no damage at the next start
     trio.place("c#1")
     trio.turn()
     assert (
-        trio.copies["c#1"].holder.part(partition_of("x")).whole
+        trio.copies["c#1"].replica.partition(partition_of("x")).complete
         and not trio.copies["c#1"].counts["lost"]
     )
 
@@ -527,7 +556,7 @@
 
     monkeypatch.setattr(one.log, "write", faulty)
     one.run()
-    assert not one.sound and not one.holder.parts
+    assert not one.healthy and not one.replica.partitions
     assert trio.copies["b#1"].queue.empty()  # no word of what was never flushed
 
 
@@ -542,8 +571,8 @@
         trio.start("b#1", boot)
         trio.place("b#1")
         trio.turn()
-        part = trio.copies["b#1"].holder.part(partition_of("x"))
-        assert part.whole is whole and ("x" in part.records) is whole, boot
+        part = trio.copies["b#1"].replica.partition(partition_of("x"))
+        assert part.complete is whole and ("x" in part.records) is whole, boot
         assert trio.copies["b#1"].counts["lost"] == (not whole)
 
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -3,8 +3,9 @@
 from random import Random
 
 from cypresswalk.agreement.messages import Member
+from cypresswalk.copies.effects import AnswerRequest, SendMessage, TellLeader
 from cypresswalk.copies.messages import PartitionFetched, PartitionSealed, ReplicaSlow
-from cypresswalk.copies.placement import PARTS
+from cypresswalk.copies.placement import PARTITIONS
 from cypresswalk.copies.replica import Replica
 from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, ReplicaPlacement
 
@@ -38,19 +39,18 @@
 
     def carry(self, name: str) -> None:
         holder = self.holders[name]
-        while holder.out:
-            what, *rest = holder.out.pop(0)
-            if what == "leader":
-                self.placing.heard(self.now, name, rest[0], self.views)
-            elif what == "answer":
-                self.answers.append(rest[1].kind)
-            elif what == "send" and rest[0] not in self.dead:
-                to, word = rest
-                if isinstance(word, PartitionSealed | PartitionFetched):
-                    self.placing.heard(self.now, name, word, self.views)
-                else:
-                    self.holders[to].heard(name, word)
-                    self.carry(to)
+        while holder.effects:
+            match holder.effects.pop(0):
+                case TellLeader(message):
+                    self.placing.heard(self.now, name, message, self.views)
+                case AnswerRequest(_, answer):
+                    self.answers.append(answer.result)
+                case SendMessage(to, message) if to not in self.dead:
+                    if isinstance(message, PartitionSealed | PartitionFetched):
+                        self.placing.heard(self.now, name, message, self.views)
+                    else:
+                        self.holders[to].on_message(name, message)
+                        self.carry(to)
 
     def look(self, seconds: float = 0.2, longest: int = 60 * SECOND) -> None:
         for _ in range(round(seconds * 5)):
@@ -60,28 +60,29 @@
             )
             for to, word in sends:
                 if to not in self.dead:
-                    self.holders[to].heard("m0#1", word) if not isinstance(
+                    self.holders[to].on_message("m0#1", word) if not isinstance(
                         word, PartitionSealed
                     ) else None
-                    for kind, target, answer in [o for o in self.holders[to].out if o[0] == "send"]:
-                        if isinstance(answer, PartitionSealed | PartitionFetched):
-                            self.placing.heard(self.now, to, answer, self.views)
-                            self.holders[to].out.remove((kind, target, answer))
+                    effects = self.holders[to].effects
+                    for effect in [o for o in effects if isinstance(o, SendMessage)]:
+                        if isinstance(effect.message, PartitionSealed | PartitionFetched):
+                            self.placing.heard(self.now, to, effect.message, self.views)
+                            effects.remove(effect)
                     self.carry(to)
             for part, (view, there) in proposals.items():
                 assert view == self.views.get(part, (0,))[0] + 1 and len(there) >= self.least
                 self.views[part] = view, there
                 for name, holder in self.holders.items():
                     if name not in self.dead:
-                        holder.begin(part, view, there)
+                        holder.begin_view(part, view, there)
                         self.carry(name)
             self.sound()
             for name, holder in self.holders.items():
                 for part, (view, there) in self.views.items() if name not in self.dead else ():
                     if (
                         name in there
-                        and holder.part(part).view == view
-                        and not holder.part(part).whole
+                        and holder.partition(part).view == view
+                        and not holder.partition(part).complete
                     ):
                         self.placing.heard(
                             self.now, name, ReplicaSlow(part, view, name), self.views
@@ -91,11 +92,11 @@
         """Whoever holds a newest view whole has all that was granted there."""
         for part, (view, there) in self.views.items():
             whole = [
-                set(h.part(part).records)
+                set(h.partition(part).records)
                 for n, h in self.holders.items()
                 if n in there
-                and h.part(part).whole
-                and h.part(part).view == view
+                and h.partition(part).complete
+                and h.partition(part).view == view
                 and n not in self.dead
             ]
             assert all(records >= self.granted.get(part, set()) for records in whole)
@@ -105,7 +106,7 @@
         self.dead.clear()
         for name, holder in self.holders.items():
             for part, place in self.views.items():
-                holder.begin(part, *place)
+                holder.begin_view(part, *place)
             self.carry(name)
 
     granted: dict[int, set[str]] = {}
@@ -115,14 +116,16 @@
         for part, (_, there) in self.views.items():
             if there[0] not in self.dead:
                 before = len(self.answers)
-                self.holders[there[0]].claim(0, part, ident, "c", 1 << 62, None)
+                self.holders[there[0]].reserve(0, part, ident, "c", 1 << 62, None)
                 self.carry(there[0])
                 if self.answers[before:] == ["granted"]:
                     self.granted.setdefault(part, set()).add(ident)
 
     def copies_whole(self) -> dict[int, int]:
         return {
-            part: sum(self.holders[n].part(part).whole and n not in self.dead for n in there)
+            part: sum(
+                self.holders[n].partition(part).complete and n not in self.dead for n in there
+            )
             for part, (_, there) in self.views.items()
         }
 
@@ -130,16 +133,16 @@
 def test_each_part_lies_at_three_in_as_many_zones_and_is_made_up_elsewhere_when_holders_die():
     tier = Tier()
     tier.look(2)
-    assert len(tier.views) == PARTS and set(tier.copies_whole().values()) == {3}
+    assert len(tier.views) == PARTITIONS and set(tier.copies_whole().values()) == {3}
     tier.claim_all("x")
-    assert len(tier.granted) == PARTS
+    assert len(tier.granted) == PARTITIONS
     tier.dead.add("m1#1")
     tier.claim_all("y")  # parts that lay there grant nothing now
     tier.look(0.8)
     tier.claim_all(
         "z"
     )  # and do again at once, with two copies, but for the few that are being made up
-    assert sum("z" in ids for ids in tier.granted.values()) >= PARTS - AT_ONCE
+    assert sum("z" in ids for ids in tier.granted.values()) >= PARTITIONS - AT_ONCE
     tier.look(15)
     assert set(tier.copies_whole().values()) == {3} and not any(
         "m1#1" in there for _, there in tier.views.values()
@@ -154,8 +157,8 @@
     tier.look(5)
     tier.claim_all("w")
     assert (
-        sum("w" in ids for ids in tier.granted.values()) == PARTS
-        and len(tier.placing.lacking) == PARTS
+        sum("w" in ids for ids in tier.granted.values()) == PARTITIONS
+        and len(tier.placing.lacking) == PARTITIONS
     )
     tier.dead.add("m4#1")  # one alone grants nothing
     tier.look(20)
@@ -172,10 +175,10 @@
     tier.claim_all("x")
     tier.holders["m2#1"] = Replica("m2#1")  # the same name with an empty folder
     for part, (view, there) in tier.views.items():
-        tier.holders["m2#1"].begin(part, view, there)
+        tier.holders["m2#1"].begin_view(part, view, there)
     tier.look(15)
     assert set(tier.copies_whole().values()) == {3}
-    assert all("x" in tier.holders["m2#1"].part(part).records for part in range(PARTS))
+    assert all("x" in tier.holders["m2#1"].partition(part).records for part in range(PARTITIONS))
 
 
 def test_another_leader_goes_on_with_what_one_left_sealed():
@@ -183,7 +186,7 @@
     tier.look(2)
     for part, (view, there) in tier.views.items():
         assert tier.holders[there[0]].seal(part, view)
-        tier.holders[there[0]].out.clear()
+        tier.holders[there[0]].effects.clear()
     tier.new_leader()
     for part, (view, there) in tier.views.items():
         tier.placing.heard(
@@ -191,7 +194,7 @@
         )  # told until the next view begins
     tier.look(3)
     tier.claim_all("x")
-    assert len(tier.granted) == PARTS
+    assert len(tier.granted) == PARTITIONS
 
 
 def test_a_part_without_any_copy_is_said_refused_and_begins_anew_only_after_the_longest_time():
@@ -209,7 +212,7 @@
         tier.holders[m.id] = Replica(m.id)
     tier.tell()
     gone = {part for part, (_, there) in tier.views.items() if "m0#1" not in there}
-    assert gone and len(gone) < PARTS
+    assert gone and len(gone) < PARTITIONS
     tier.look(40)
     assert set(tier.placing.lost) == gone
     tier.granted = {
@@ -218,10 +221,10 @@
     tier.claim_all("y")
     assert not any("y" in tier.granted.get(part, ()) for part in gone) and len(
         tier.granted
-    ) == PARTS - len(gone)
+    ) == PARTITIONS - len(gone)
     tier.look(30)
     tier.claim_all("z")
-    assert all("z" in tier.granted[part] for part in range(PARTS)) and not tier.placing.lost
+    assert all("z" in tier.granted[part] for part in range(PARTITIONS)) and not tier.placing.lost
 
 
 def test_who_leaves_is_relieved_first_and_who_joins_takes_over_a_part():
@@ -235,8 +238,8 @@
     ) == {3}
     tier.left = []
     tier.look(20)
-    assert sum("m3#1" in there for _, there in tier.views.values()) > PARTS // 3
-    assert set(tier.copies_whole().values()) == {3} and len(tier.granted) == PARTS
+    assert sum("m3#1" in there for _, there in tier.views.values()) > PARTITIONS // 3
+    assert set(tier.copies_whole().values()) == {3} and len(tier.granted) == PARTITIONS
 
 
 def test_random_deaths_and_returns_lose_nothing_that_a_holder_kept():
@@ -248,7 +251,7 @@
             if name in tier.dead:
                 tier.dead.discard(name)
                 for part, place in tier.views.items():
-                    tier.holders[name].begin(part, *place)
+                    tier.holders[name].begin_view(part, *place)
                 tier.carry(name)
             elif len(tier.dead) < 2:
                 tier.dead.add(name)
