--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from cypresswalk.copies.replica import ReservationAnswer
+from cypresswalk.copies.reservations import GRANTED, HELD, NEVER_RAN, REFUSED, ReservationAnswer
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.model import Flow
 from cypresswalk.net.core import FAILED, Core, Session
@@ -74,18 +74,18 @@
         flow = flow_of(session)
         answered = session not in self.waiting
         self.waiting.pop(session, None)
-        core.counters.add("claims_" + answer.kind)
-        if answer.kind == "granted":
+        core.counters.add("claims_" + answer.result)
+        if answer.result == GRANTED:
             self.granted[flow] = by
             if session.over or answered:
-                self.finish(flow, "never")
+                self.finish(flow, NEVER_RAN)
             elif core.close_at is not None and now >= core.close_at or not core.may_act():
                 core.end(now, session, core.come_back(flow))
             else:
                 core.place(now, session)
         elif session.over or answered:
             pass
-        elif answer.kind == "held" and answer.how != "never":
+        elif answer.result == HELD and answer.outcome != NEVER_RAN:
             # It runs, or may have run: not again, and no reply that makes a repeat seem harmless.
             core.counters.add("flows_claimed_elsewhere")
             core.end(now, session, FAILED)
@@ -95,7 +95,7 @@
     def on_timeout(self, now: int, session: Session) -> None:
         """Rejects a flow whose reservation was not answered."""
         if session in self.waiting:
-            self.on_answer(now, session, ReservationAnswer("refused"), "")
+            self.on_answer(now, session, ReservationAnswer(REFUSED), "")
 
     def finish(self, flow: Flow, how: str) -> None:
         """Releases the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
