--- a/cypresswalk/net/relay.py
+++ b/cypresswalk/net/relay.py
@@ -31,13 +31,13 @@
     """
 
     __slots__ = (
+        "attempt",
+        "core",
+        "inbox",
+        "limits",
         "server",
-        "_attempt",
         "_client",
         "_lines",
-        "_core",
-        "_inbox",
-        "_limits",
         "_load_history",
         "_migrating",
     )
@@ -64,12 +64,12 @@
             limits: Sizes and times.
         """
         self.server = server
-        self._attempt = attempt
+        self.attempt = attempt
         self._client = client
         self._lines = lines
-        self._core = core
-        self._inbox = inbox
-        self._limits = limits
+        self.core = core
+        self.inbox = inbox
+        self.limits = limits
         self._load_history = LoadReportHistory()
         self._migrating = False
 
@@ -89,7 +89,7 @@
             delivered = self._send_to_client(first_line + b"\r\n" + last)
             self._observe_response(last)
             flush_client()
-            while delivered and (data := self.server.sock.recv(self._limits.max_line_bytes)):
+            while delivered and (data := self.server.sock.recv(self.limits.max_line_bytes)):
                 self._lines.feed(data)
                 data = self._lines.take_complete_lines()
                 if data:
@@ -104,12 +104,12 @@
         elif delivered and not client.reader_done.is_set():
             last_line = last.rstrip(b"\r\n").rpartition(b"\n")[2]
             outcome = OUTCOME_BY_WORD.get(last_line, Outcome.RESET)
-            self._inbox.post(self._core.ended, self._attempt, outcome)
+            self.inbox.post(self.core.ended, self.attempt, outcome)
         else:
             # The client's end comes back from the server as a reset, which is not its fault.
-            self._inbox.post(self._core.left, self._attempt.session)
+            self.inbox.post(self.core.left, self.attempt.session)
         self.server.reader_done.set()
-        forward_end(reset, client, self._limits)
+        forward_end(reset, client, self.limits)
 
     def forward_to_server(self, data: bytes) -> None:
         """Sends a client's complete lines to the server.
@@ -117,9 +117,9 @@
         Raises:
             OSError: The server's connection has failed.
         """
-        attempt = self._attempt
+        attempt = self.attempt
         if not attempt.asked_at:
-            attempt.asked_at = self._inbox.clock()
+            attempt.asked_at = self.inbox.clock()
         self.server.send(data)
 
     def migrate(self) -> None:
@@ -143,23 +143,23 @@
 
         A LOAD line is a report, not the response to a line: a server that hangs sends it still.
         """
-        now = self._inbox.clock()
-        attempt = self._attempt
+        now = self.inbox.clock()
+        attempt = self.attempt
         answered = bool(data)
         if b"LOAD " in data:
             lines = data.split(b"\r\n")[:-1]
             reports = [line for line in lines if parse_load_line(line) is not None]
             answered = len(reports) < len(lines)
             for line in reports:
-                self._report_delay(self._core.notes.parse_delay(self._load_history, now, line))
+                self._report_delay(self.core.notes.parse_delay(self._load_history, now, line))
         if answered and attempt.asked_at:
             took = now - attempt.asked_at
             gauge = attempt.gauge
             gauge.answered = max(gauge.answered, attempt.asked_at)
             attempt.asked_at = 0
-            if not self._core.notes.delays:
+            if not self.core.notes.delays:
                 self._report_delay(gauge.worth_telling(now, took))
 
     def _report_delay(self, delay: int | None) -> None:
         if delay is not None:
-            self._inbox.post(self._core.delayed, self._attempt.server, delay)
+            self.inbox.post(self.core.delayed, self.attempt.server, delay)
--- /dev/null
+++ b/tests/test_logs.py
@@ -0,0 +1,25 @@
+"""Log lines."""
+
+import logging
+
+from cypresswalk.net.logs import RateLimitFilter, event
+
+
+def test_log_lines_beyond_the_limit_are_left_out_and_counted():
+    flood = RateLimitFilter(2)
+    records = [
+        logging.makeLogRecord({"msg": "event=x", "levelno": logging.WARNING, "created": at})
+        for at in (1, 1.5, 1.9, 1.95, 2)
+    ]
+    assert [flood.filter(record) for record in records] == [True, True, False, False, True]
+    assert records[-1].msg == "event=x left_out=2"
+    # Lines of level INFO, such as the counters at the end, pass in any case.
+    plain = [
+        logging.makeLogRecord({"msg": "event=end", "levelno": logging.INFO, "created": 2.5})
+        for _ in range(4)
+    ]
+    assert all(flood.filter(record) for record in plain)
+
+
+def test_log_values_are_quoted_where_they_hold_blanks_or_quotes():
+    assert event("x", a=1, b="two words", c='q"') == 'event=x a=1 b="two words" c="q\\""'
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,9 +1,5 @@
 """The network code without a socket: parsers fed bytes, the core fed events."""
 
-import json
-import logging
-from threading import Event
-
 import pytest
 from helpers import START, config_data, listed
 from hypothesis import settings as runs
@@ -11,16 +7,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from cypresswalk.model import SECOND, Outcome, ServerState
-from cypresswalk.net.config import build, load
+from cypresswalk.net.config import build
 from cypresswalk.net.core import Core, Gauge, Session
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.errors import ConfigError
 from cypresswalk.net.limits import Limits
-from cypresswalk.net.logs import RateLimitFilter, event
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.net.parsers.lines import parse_open_request
-from cypresswalk.net.threads import start_thread
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 
@@ -43,55 +36,6 @@
 )
 
 
-def test_a_flood_of_log_lines_is_cut_short_and_counted():
-    flood = RateLimitFilter(2)
-    records = [
-        logging.makeLogRecord({"msg": "event=x", "levelno": logging.WARNING, "created": at})
-        for at in (1, 1.5, 1.9, 1.95, 2)
-    ]
-    assert [flood.filter(record) for record in records] == [True, True, False, False, True]
-    assert records[-1].msg == "event=x left_out=2"
-    # Guards against bad clients hiding the counters at the end.
-    plain = [
-        logging.makeLogRecord({"msg": "event=end", "levelno": logging.INFO, "created": 2.5})
-        for _ in range(4)
-    ]
-    assert all(flood.filter(record) for record in plain)
-
-
-def test_a_thread_that_must_go_on_is_begun_anew_after_a_fault():
-    runs_left, done = [1, 2], Event()
-
-    def run():
-        if runs_left:
-            raise RecursionError(runs_left.pop())
-        done.set()
-
-    start_thread(run, restart_pause=1)
-    assert done.wait(5)
-
-
-def test_log_values_are_quoted_where_they_must_be():
-    assert event("x", a=1, b="two words", c='q"') == 'event=x a=1 b="two words" c="q\\""'
-
-
-def test_a_configuration_that_lacks_something_is_named(tmp_path):
-    file = tmp_path / "config.json"
-    for text, message in [
-        ("{", "PROXY_CONFIG"),
-        ("[]", "not an object"),
-        ("{}", "'settings' is missing"),
-        (json.dumps(config_data(listen="here")), "listen"),
-        (json.dumps(config_data(azs=None)), "PROXY_CONFIG"),
-        (json.dumps(config_data(rules={})), "is missing"),
-    ]:
-        file.write_text(text)
-        with pytest.raises(ConfigError, match=message):
-            load({"PROXY_CONFIG": str(file)})
-    with pytest.raises(ConfigError, match="not set"):
-        load({})
-
-
 class Sockets:
     """Stands in for the drivers and holds what the core asks for against the rules."""
 
@@ -275,44 +219,6 @@
     assert bench.sockets.answers[session] == b"ERR\r\n"
 
 
-def test_limits_follow_from_what_descriptors_there_are():
-    for sockets in (256, 588, 1024):
-        limits = Limits(
-            max_sockets=sockets,
-            max_memory=192 << 20,
-            dial_timeout=SECOND,
-            longest_attempt_timeout=SECOND,
-            min_reported_delay=1,
-        )
-        # A third of them for flows' clients, as many for their servers; door, probes and the rest within what is left.
-        assert limits.max_flows >= sockets // 3
-        assert (
-            2 * limits.max_flows + limits.max_unopened_clients + limits.max_idle_health_checks + 10
-            <= sockets
-        )
-        assert (
-            2 * limits.max_flows
-            + limits.max_unopened_clients
-            + limits.max_lingering_connections
-            + limits.max_idle_health_checks
-            + limits.max_running_health_checks
-            + limits.fixed_sockets
-            <= sockets
-        )
-    # Guards against being killed for memory: there flows are rejected before it is used up.
-    short = Limits(
-        max_sockets=1024,
-        max_memory=32 << 20,
-        dial_timeout=SECOND,
-        longest_attempt_timeout=SECOND,
-        min_reported_delay=1,
-    )
-    assert (
-        short.max_flows * short.flow_memory + short.program_memory <= short.max_memory
-        and short.max_flows > 150
-    )
-
-
 def test_an_older_list_from_another_address_does_not_bring_back_a_draining_server_at_once():
     # Guards against new flows to a server that the address before had told to drain.
     bench = Bench(servers=2)
