--- a/cypresswalk/agreement/member_state.py
+++ b/cypresswalk/agreement/member_state.py
@@ -68,6 +68,11 @@
         """Whether this member votes."""
         return self.id in self.voters
 
+    @property
+    def is_vote_flushed(self) -> bool:
+        """Whether term and vote were handed to the owner to be written."""
+        return not self.vote_changed and self.ready.vote is None
+
     @property
     def has_committed_in_term(self) -> bool:
         """Whether an entry of the current term is committed (Raft, 8)."""
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -59,16 +59,6 @@
         """The current term."""
         return self.state.term
 
-    @property
-    def voted_for(self) -> str:
-        """The member voted for in this term, or an empty string."""
-        return self.state.voted_for
-
-    @property
-    def is_vote_flushed(self) -> bool:
-        """Whether term and vote were handed to the owner to be written."""
-        return self.state.ready.vote is None and not self.state.vote_changed
-
     @property
     def role(self) -> Role:
         """The role in this term."""
@@ -94,11 +84,6 @@
         """Index of the last committed entry."""
         return self.state.commit_index
 
-    @property
-    def delivered_index(self) -> int:
-        """Index of the last entry that the owner was given to apply."""
-        return self.state.delivered_index
-
     @property
     def voters(self) -> list[str]:
         """Ids of the members that vote."""
@@ -125,8 +110,11 @@
 
     def due(self) -> int:
         """When `tick` is to be called at the latest."""
-        heartbeats = [peer.heartbeat_due_at for peer in self.peers.values()]
-        return min([self.state.due_at, *heartbeats])
+        state = self.state
+        if state.leadership is None:
+            return state.due_at
+        heartbeats = [peer.heartbeat_due_at for peer in state.leadership.peers.values()]
+        return min([state.due_at, *heartbeats])
 
     # What happens.
 
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -500,24 +500,24 @@
             if process.fleet is None or process.fleet.member is None:
                 continue
             member = process.fleet.member
-            node = member.node
-            if node is None:
+            if member.node is None:
                 continue
-            if node.role is Role.LEADER:
-                before = self.leaders.setdefault(node.term, member.id)
+            state = member.node.state
+            if state.role is Role.LEADER:
+                before = self.leaders.setdefault(state.term, member.id)
                 if before != member.id:
-                    raise Broken(f"A1: {before} and {member.id} both lead term {node.term}")
-            if node.voted_for and node.is_vote_flushed:
-                before = self.votes.setdefault((member.id, node.term), node.voted_for)
-                if before != node.voted_for:
+                    raise Broken(f"A1: {before} and {member.id} both lead term {state.term}")
+            if state.voted_for and state.is_vote_flushed:
+                before = self.votes.setdefault((member.id, state.term), state.voted_for)
+                if before != state.voted_for:
                     raise Broken(
-                        f"A5: {member.id} votes for {before} and {node.voted_for} in term {node.term}"
+                        f"A5: {member.id} votes for {before} and {state.voted_for} in term {state.term}"
                     )
             seen = self.given.get(member.id, -1)
-            if node.delivered_index > seen:
-                self.given[member.id] = node.delivered_index
-                for index in range(max(seen + 1, node.log.first_index), node.delivered_index + 1):
-                    entry = node.log.between(index, index)[0]
+            if state.delivered_index > seen:
+                self.given[member.id] = state.delivered_index
+                for index in range(max(seen + 1, state.log.first_index), state.delivered_index + 1):
+                    entry = state.log.between(index, index)[0]
                     before = self.log.setdefault(
                         (member.group, index), (entry.term, entry.kind, entry.data)
                     )
