--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -129,13 +129,13 @@
                     self.leader,
                     refused,
                     replaced,
-                    self.agreed.state.fenced,
+                    self.agreed.state.fenced_groups,
                 ),
             )
         )
 
     def may_join(self, now: int, name: str, hail: DiscoveryRequest) -> str:
-        if name in self.agreed.state.left:
+        if name in self.agreed.state.departed:
             return "it has left the fleet; `fleet join` lets it in again"
         if len(self.members) >= MEMBERS:
             return f"the fleet has {MEMBERS} members"
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -22,7 +22,8 @@
     Result,
     pack,
 )
-from cypresswalk.fleet.state_machine import HistoryRecord, StateMachine
+from cypresswalk.fleet.records import HistoryRecord
+from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.refusal import CommandError
 from cypresswalk.state.disk import DiskFolder
 
@@ -137,7 +138,11 @@
                 agreed.apply(entry.data)
         state, old = agreed.state, store.life
         state.version += RECOVERED
-        state.pending, state.voters, state.fenced = None, [name], [*state.fenced, old.group][-20:]
+        state.pending, state.voters, state.fenced_groups = (
+            None,
+            [name],
+            [*state.fenced_groups, old.group][-20:],
+        )
         state.history.append(
             HistoryRecord(
                 state.version,
@@ -167,5 +172,5 @@
         "fenced": old.group,
         "member": old.member,
         "version": state.version,
-        "out": sorted(state.out),
+        "out": sorted(state.removed_servers),
     }
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -20,7 +20,7 @@
 from cypresswalk.fleet.driver import Fleet
 from cypresswalk.fleet.member import CALLED_BACK, DRAINED, AppliedView
 from cypresswalk.fleet.messages import ServerReport
-from cypresswalk.fleet.state_machine import Listed
+from cypresswalk.fleet.records import ListedServer
 from cypresswalk.fleet.unavailability import GO
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.model import EndpointUpdate, Flow, Outcome, Server, ServerState
@@ -318,7 +318,7 @@
 
     # Lists.
 
-    def follow(self, now: int, servers: tuple[Listed, ...]) -> None:
+    def follow(self, now: int, servers: tuple[ListedServer, ...]) -> None:
         self.list_agreed = {}
         for ident, _, _, state, _, since in servers:
             self.list_agreed[server_number(ident)] = ServerState(state), since
--- /dev/null
+++ b/cypresswalk/fleet/disruption_bounds.py
@@ -0,0 +1,66 @@
+"""Whether one more balancer or server may go out under the agreed bounds: pure functions."""
+
+from cypresswalk.fleet.records import SERVERS, FleetState
+from cypresswalk.fleet.unavailability import CERTAINLY_OUT
+from cypresswalk.rollout.bounds import why_not
+
+
+def balancer_bound(
+    state: FleetState,
+    name: str,
+    zones: dict[str, str],
+    unavailable: dict[str, str],
+    heals: bool = False,
+) -> str:
+    """Return why the balancer may not go out, or an empty string.
+
+    `zones` maps all members by name to their zones, `unavailable` those that the leader takes for
+    out to the reason. `heals`: the change brings back one that is out.
+    """
+    granted = {
+        member: f"{why}, by {by}"
+        for member, (by, _, why) in state.leave_grants.items()
+        if member in zones
+    }
+    scopes = state.settings.get("bounds", {}).get("balancers", {})
+    return why_not(scopes, zones, granted, unavailable, name, heals)
+
+
+def server_bound(
+    state: FleetState, server: str, unavailable: dict[str, str], heals: bool = False
+) -> str:
+    """Return why the server may not go out, or an empty string.
+
+    Counted as out are those removed by hand, by a release or by the list, those that have not been
+    seen ready since their return, and `unavailable`, those that balancers find unhealthy.
+    """
+    scopes = state.settings.get("bounds", {}).get("servers", {})
+    if not scopes:
+        return ""
+    zones = {name: str(zone) for name, zone, *_ in state.servers}
+    listed = {name: status for name, _, _, status, _, _ in state.servers if status != "ready"}
+    granted = dict.fromkeys(state.returning_servers, "not seen ready again")
+    if state.release is not None:
+        reason = f"release {state.release.plan.name}"
+        granted |= dict.fromkeys(state.servers_out_for_release(), reason)
+    granted |= {name: f"by {by}" for name, (by, _) in state.removed_servers.items()}
+    return why_not(scopes, zones, granted, unavailable | listed, server, heals)
+
+
+def change_bound(
+    state: FleetState, name: str, zones: dict[str, str], unavailable: dict[str, str]
+) -> str:
+    """Return why the release under way may not change that balancer or server, or an empty string.
+
+    On the way back a change heals one that is certainly out: a bad version that took out more than
+    the bound allows could never be undone otherwise.
+    """
+    release = state.release
+    if release is None:
+        raise ValueError("there is no release")
+    rolls_back = release.phase == "back"
+    if release.plan.kind == SERVERS:
+        failed = name in unavailable or release.members.get(name) == "failed"
+        return server_bound(state, name, unavailable, rolls_back and failed)
+    certainly_out = unavailable.get(name) in CERTAINLY_OUT
+    return balancer_bound(state, name, zones, unavailable, rolls_back and certainly_out)
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -19,9 +19,9 @@
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.agreement.node import BusyError, Node, PersistentState, Ready, Role, Timing
 from cypresswalk.copies.messages import MAX_CLOCK_SKEW
-from cypresswalk.fleet import queries
-from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet import commands, queries
 from cypresswalk.fleet.bootstrap import FRESH, Founding
+from cypresswalk.fleet.commands import AnyCommand
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
 from cypresswalk.fleet.messages import (
     AnyFrame,
@@ -33,10 +33,11 @@
     Result,
     ServerReport,
 )
+from cypresswalk.fleet.records import SERVERS
 from cypresswalk.fleet.release_control import ReleaseControl
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
 from cypresswalk.fleet.server_observations import ServerObservations
-from cypresswalk.fleet.state_machine import AnyCommand, StateMachine
+from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker, name_of
 from cypresswalk.rollout.evidence import Served
 from cypresswalk.rollout.release import UNFINISHED, Plan
@@ -311,7 +312,7 @@
         if self.node is None or not self.leader:
             return
         pending = self.agreed.state.pending
-        offer = pending.offer if pending else ""
+        offer = pending.proposal_id if pending else ""
         objection = self.check(pending.settings)[:300] if pending else ""
         generation, digest, _ = self.list_told
         ask = LeaseRequest(
@@ -384,7 +385,7 @@
             pass  # at the next look
 
     def propose(self, now: int, command: AnyCommand) -> None:
-        self.node.propose(now, state.encode(command))
+        self.node.propose(now, commands.encode(command))
 
     def tend_offer(self, now: int) -> None:
         s = self.agreed.state
@@ -392,17 +393,17 @@
             if (
                 s.settings_version == 0
                 and self.own is not None
-                and f"first:{self.group}" not in self.agreed.done
+                and f"first:{self.group}" not in self.agreed.results
                 and self.node.log.term(self.node.commit) == self.node.term
             ):
                 self.propose(
                     now,
-                    state.ProposeSettings(
+                    commands.ProposeSettings(
                         f"first:{self.group}", self.about.name, self.wall(), 0, self.own
                     ),
                 )
             return
-        offer = s.pending.offer
+        offer = s.pending.proposal_id
         why = [
             f"{member.partition('#')[0]}: {text}"
             for member, (seen, text) in sorted(self.objections.items())
@@ -414,7 +415,9 @@
         if why:
             self.propose(
                 now,
-                state.RejectSettings(f"refuse:{offer}", self.about.name, s.pending.at, offer, why),
+                commands.RejectSettings(
+                    f"refuse:{offer}", self.about.name, s.pending.at, offer, why
+                ),
             )
         elif all(
             self.objections.get(m.id, ("",))[0] == offer
@@ -424,7 +427,9 @@
         ):
             self.propose(
                 now,
-                state.ActivateSettings(f"activate:{offer}", self.about.name, s.pending.at, offer),
+                commands.ActivateSettings(
+                    f"activate:{offer}", self.about.name, s.pending.at, offer
+                ),
             )
 
     def tend_list(self, now: int) -> None:
@@ -439,7 +444,7 @@
         if alike >= self.node.majority(len(voters)):
             self.propose(
                 now,
-                state.UpdateEndpointList(
+                commands.UpdateEndpointList(
                     f"list:{s.list_epoch}:{generation}",
                     self.about.name,
                     self.wall(),
@@ -457,7 +462,7 @@
             if self.node.log.term(self.node.commit) == self.node.term:
                 self.propose(
                     now,
-                    state.SetDesiredMembers(
+                    commands.SetDesiredMembers(
                         f"voters:{self.group}", self.about.name, self.wall(), sorted(names), []
                     ),
                 )
@@ -467,7 +472,7 @@
             self.node.change(now, wanted)
 
     def zones(self) -> dict[str, str]:
-        return {m.name: m.zone for m in self.members if m.name not in self.agreed.state.left}
+        return {m.name: m.zone for m in self.members if m.name not in self.agreed.state.departed}
 
     def seen_out(self, now: int) -> dict[str, str]:
         unheard = {m.id for m in self.members if not self.hears(now, m.id)}
@@ -475,25 +480,25 @@
         lapsed = {
             ident for ident in unheard if self.given is not None and self.given.lapsed(now, ident)
         }
-        return self.places.seen_out(now, self.members, self.agreed.state.left, unheard, lapsed)
+        return self.places.seen_out(now, self.members, self.agreed.state.departed, unheard, lapsed)
 
     def tend_away(self, now: int) -> None:
         s = self.agreed.state
         doing = s.release.members if s.release is not None else {}
         free = self.places.tend(
             now,
-            s.away,
-            {name for name in s.away if doing.get(name) == "changing"},
-            {name for name in s.away if doing.get(name) == "out"},
+            s.leave_grants,
+            {name for name in s.leave_grants if doing.get(name) == "changing"},
+            {name for name in s.leave_grants if doing.get(name) == "out"},
             self.seen_out(now),
             {m.name for m in self.members},
         )
         if free is not None:
-            self.propose(now, state.BalancerReturned(*self.head("return"), *free))
+            self.propose(now, commands.BalancerReturned(*self.head("return"), *free))
 
     def idents(self) -> set[str]:
         """Of members that have not left."""
-        return {m.id for m in self.members if m.name not in self.agreed.state.left}
+        return {m.id for m in self.members if m.name not in self.agreed.state.departed}
 
     def bad_servers(self, now: int) -> dict[str, str]:
         """Raises Busy where a bound rests on it and nobody can tell yet."""
@@ -515,12 +520,12 @@
     def tend_coming(self, now: int) -> None:
         s = self.agreed.state
         self.wards.keep(self.idents())
-        if s.coming:
+        if s.returning_servers:
             ready = self.wards.ready_again(
-                now, self.idents(), s.coming, {name for name, *_ in s.servers}
+                now, self.idents(), s.returning_servers, {name for name, *_ in s.servers}
             )
             if ready:
-                self.propose(now, state.ServersSeenReady(*self.head("seen"), ready))
+                self.propose(now, commands.ServersSeenReady(*self.head("seen"), ready))
 
     def settled(self, version: int, now: int) -> bool:
         """Whether every balancer acts on that version, or acts no more."""
@@ -536,12 +541,12 @@
         s = self.agreed.state
         if s.release is None or self.node.log.term(self.node.commit) != self.node.term:
             return
-        if s.release.plan.kind == state.SERVERS:
+        if s.release.plan.kind == SERVERS:
             seen, zones = self.bad_servers(now), {}
             served, out, away, boots = (
                 self.wards.served,
-                set(seen) - set(s.coming),
-                self.agreed.held_out() | set(s.coming),
+                set(seen) - set(s.returning_servers),
+                self.agreed.state.servers_out_for_release() | set(s.returning_servers),
                 {},
             )
         else:
@@ -551,7 +556,7 @@
                 for name, (figures, at) in self.figures.items()
                 if now - at <= self.about.stated
             }
-            out, away, boots = set(seen), set(s.away), self.boots
+            out, away, boots = set(seen), set(s.leave_grants), self.boots
         do = self.releasing.tend(now, s.release, s.halted is not None, served, out, away, boots)
         if do is None:
             return
@@ -559,14 +564,14 @@
         match do.what:
             case "go":
                 self.propose(
-                    now, state.GrantTurn(*head, do.name, zones, seen, boots.get(do.name, 0))
+                    now, commands.GrantTurn(*head, do.name, zones, seen, boots.get(do.name, 0))
                 )
             case "unused":
-                self.propose(now, state.TurnUnused(*head, do.name))
+                self.propose(now, commands.TurnUnused(*head, do.name))
             case "held":
-                self.propose(now, state.WaveObserved(*head, do.wave))
+                self.propose(now, commands.WaveObserved(*head, do.wave))
             case "halt":
-                self.propose(now, state.Halt(*head, do.why))
+                self.propose(now, commands.Halt(*head, do.why))
 
     def tend_copies(self, now: int) -> None:
         s = self.agreed.state
@@ -575,14 +580,14 @@
         proposals, sends = self.placing.tend(
             now,
             self.members,
-            s.parts,
-            s.left,
+            s.partitions,
+            s.departed,
             lambda ident: self.hears(now, ident),
             longest_held(s.settings),
         )
         self.sends += sends
         if proposals:
-            self.propose(now, state.PlaceReplicas(*self.head("place"), proposals))
+            self.propose(now, commands.PlaceReplicas(*self.head("place"), proposals))
 
     def hears(self, now: int, ident: str) -> bool:
         peer = self.node.peers.get(ident)
@@ -597,15 +602,17 @@
         """To who leads, of copies."""
         if self.leads and self.placing is not None:
             for word in words:
-                self.placing.heard(now, source, word, self.agreed.state.parts)
+                self.placing.heard(now, source, word, self.agreed.state.partitions)
             self.tend_at = now
 
     def next_members(self, now: int, members: Members, desired: list[str]) -> Members | None:
         """The next step, one at a time, towards who should vote and who should be there."""
         newest = {m.name: m for m in members}  # a later incarnation stands behind an earlier one
-        gone = [m for m in members if m.name in self.agreed.state.left or newest[m.name] is not m]
+        gone = [
+            m for m in members if m.name in self.agreed.state.departed or newest[m.name] is not m
+        ]
         # One that leaves stays while copies lie there alone or with others: they are taken elsewhere first.
-        held = {h for _, there in self.agreed.state.parts.values() for h in there}
+        held = {h for _, there in self.agreed.state.partitions.values() for h in there}
         gone = [
             m
             for m in gone
@@ -739,32 +746,32 @@
     def command(self, now: int, name: str, args: dict[str, Any]) -> AnyCommand:
         """Raises ValueError where it could never be carried out."""
         kinds = {
-            "offer": state.ProposeSettings,
-            "out": state.RemoveFromRotation,
-            "back": state.ReturnToRotation,
-            "note": state.AddNote,
-            "renew": state.ResetListSource,
-            "halt": state.Halt,
-            "resume": state.Resume,
-            "release_came": state.ChangeFinished,
-            "release_back": state.RollBack,
-            "release_pause": state.PauseRelease,
+            "offer": commands.ProposeSettings,
+            "out": commands.RemoveFromRotation,
+            "back": commands.ReturnToRotation,
+            "note": commands.AddNote,
+            "renew": commands.ResetListSource,
+            "halt": commands.Halt,
+            "resume": commands.Resume,
+            "release_came": commands.ChangeFinished,
+            "release_back": commands.RollBack,
+            "release_pause": commands.PauseRelease,
         }
         if name in ("join", "leave", "replace"):
             return self.desire(name, args)
         if name == "release_begin":
             plan = msgspec.convert(args["plan"], Plan)
-            return state.BeginRelease(
+            return commands.BeginRelease(
                 str(args["ident"]),
                 str(args["by"]),
                 int(args["at"]),
                 plan,
-                sorted({m.name for m in self.members if m.name not in self.agreed.state.left}),
+                sorted({m.name for m in self.members if m.name not in self.agreed.state.departed}),
             )
         if name in ("go_out", "release_began"):
             head = str(args["ident"]), str(args["by"]), int(args["at"]), str(args["member"])
             if name == "go_out":
-                return state.GrantLeave(
+                return commands.GrantLeave(
                     *head,
                     str(args["why"]),
                     bool(args.get("forced")),
@@ -772,11 +779,13 @@
                     self.seen_out(now),
                 )
             release = self.agreed.state.release
-            if release is None or release.plan.kind != state.SERVERS:
-                return state.ChangeStarted(*head, str(args["to"]), self.zones(), self.seen_out(now))
+            if release is None or release.plan.kind != SERVERS:
+                return commands.ChangeStarted(
+                    *head, str(args["to"]), self.zones(), self.seen_out(now)
+                )
             if not self.settled(release.outs.get(str(args["member"]), 1 << 62), now):
                 raise ValueError("not every balancer acts on it yet")
-            return state.ChangeStarted(*head, str(args["to"]), {}, self.bad_servers(now))
+            return commands.ChangeStarted(*head, str(args["to"]), {}, self.bad_servers(now))
         if name not in kinds:
             raise ValueError("no such call")
         if name == "out":
@@ -796,14 +805,15 @@
         if have or not parts:
             raise ValueError(f"parts {have} have copies" if have else "no part named")
         self.propose(
-            now, state.AddNote(*self.head("renew", by), f"copies begun anew with nothing: {parts}")
+            now,
+            commands.AddNote(*self.head("renew", by), f"copies begun anew with nothing: {parts}"),
         )
         self.placing.renewed.update(parts)
         reply(True, {"why": f"{len(parts)} parts begin anew"})
 
-    def desire(self, name: str, args: dict[str, Any]) -> state.SetDesiredMembers:
+    def desire(self, name: str, args: dict[str, Any]) -> commands.SetDesiredMembers:
         s, who = self.agreed.state, str(args["member"])
-        voters, left = list(s.voters), list(s.left)
+        voters, left = list(s.voters), list(s.departed)
         if name == "join":
             left = [n for n in left if n != who]
             if args.get("voter") and who not in voters:
@@ -820,12 +830,12 @@
             left = sorted({*left, who} - {other})
         if not 1 <= len(voters) <= VOTERS or len(set(voters)) != len(voters):
             raise ValueError(f"{len(voters)} voters; 1 to {VOTERS} are allowed")
-        return state.SetDesiredMembers(
+        return commands.SetDesiredMembers(
             str(args["ident"]), str(args["by"]), int(args["at"]), voters, left
         )
 
     def lead_command(self, now: int, command: AnyCommand, reply: Reply) -> None:
-        known = self.agreed.done.get(command.ident)
+        known = self.agreed.results.get(command.ident)
         if known is not None:
             self.answer(command, known, reply)
             return
@@ -840,9 +850,9 @@
 
     def answer(self, command: AnyCommand, result: tuple[bool, str], reply: Reply) -> None:
         ok, why = result
-        if isinstance(command, state.ProposeSettings) and ok and why == "pending":
-            activated = self.agreed.done.get(f"activate:{command.ident}")
-            refused = self.agreed.done.get(f"refuse:{command.ident}")
+        if isinstance(command, commands.ProposeSettings) and ok and why == "pending":
+            activated = self.agreed.results.get(f"activate:{command.ident}")
+            refused = self.agreed.results.get(f"refuse:{command.ident}")
             if activated is None and refused is None:
                 self.results.setdefault(f"end:{command.ident}", []).append(reply)
                 return
@@ -896,7 +906,7 @@
         if work.install is not None and work.install.index > self.applied:
             if work.install.data:
                 self.agreed = StateMachine(work.install.data)
-                self.placed.append(self.agreed.state.parts)
+                self.placed.append(self.agreed.state.partitions)
             self.applied = work.install.index
         for index, entry in work.agreed:
             self.applied = index
@@ -916,13 +926,13 @@
             raise UnreadableEntryError(result[1])
         for reply in self.results.pop(command.ident, ()):
             self.answer(command, result, reply)
-        if isinstance(command, state.PlaceReplicas):
+        if isinstance(command, commands.PlaceReplicas):
             # Each view by itself: a holder that skipped one would not know that it has all.
             self.placed.append(
                 {
                     part: place
-                    for part, place in command.parts.items()
-                    if self.agreed.state.parts.get(part) == place
+                    for part, place in command.partitions.items()
+                    if self.agreed.state.partitions.get(part) == place
                 }
             )
             self.tend_at = now
@@ -930,14 +940,18 @@
                 # Those that only follow would hear at their next beat that it is agreed, and claims there wait for them.
                 for peer in self.node.peers.values():
                     peer.beat_at = min(peer.beat_at, now)
-        if isinstance(command, state.ActivateSettings | state.RejectSettings):
-            for reply in self.results.pop(f"end:{command.offer}", ()):
+        if isinstance(command, commands.ActivateSettings | commands.RejectSettings):
+            for reply in self.results.pop(f"end:{command.proposal_id}", ()):
                 ok, why = result
                 reply(
-                    ok and isinstance(command, state.ActivateSettings),
+                    ok and isinstance(command, commands.ActivateSettings),
                     {"why": why, "version": self.agreed.state.version},
                 )
-        if isinstance(command, state.ProposeSettings) and result[0] and self.agreed.state.pending:
+        if (
+            isinstance(command, commands.ProposeSettings)
+            and result[0]
+            and self.agreed.state.pending
+        ):
             self.ask_at = now  # says at once whether it can be read here
 
     def confirmed(self, now: int, token: tuple) -> None:
@@ -969,7 +983,7 @@
         self.viewed = (s.version,)
         watch = (
             s.release is not None
-            and s.release.plan.kind == state.SERVERS
+            and s.release.plan.kind == SERVERS
             and s.release.phase in UNFINISHED
         )
         self.views.append(
@@ -977,10 +991,12 @@
                 s.version,
                 s.settings_version,
                 s.settings,
-                tuple(sorted(self.agreed.all_out())),
+                tuple(sorted(self.agreed.state.servers_out())),
                 s.list_version,
                 tuple(s.servers),
-                tuple(name for name, (_, _, why) in s.away.items() if why.startswith(DRAINED)),
+                tuple(
+                    name for name, (_, _, why) in s.leave_grants.items() if why.startswith(DRAINED)
+                ),
                 watch,
             )
         )
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from cypresswalk.fleet.state_machine import SERVERS
+from cypresswalk.fleet.disruption_bounds import change_bound
+from cypresswalk.fleet.records import SERVERS
 from cypresswalk.fleet.unavailability import SECOND
 
 if TYPE_CHECKING:
@@ -19,18 +20,18 @@
         "version": s.version,
         "settings_version": s.settings_version,
         "settings": s.settings,
-        "out": s.out,
+        "out": s.removed_servers,
         "list_generation": s.list_generation,
         "list_version": s.list_version,
         "servers": s.servers,
         "pending": msgspec.to_builtins(s.pending),
-        "kept": s.kept,
+        "kept": s.settings_history,
     }
 
 
 def copies(member: "Member", now: int) -> dict[str, Any]:
     return (
-        member.placing.told(now, member.agreed.state.parts)
+        member.placing.told(now, member.agreed.state.partitions)
         if member.placing is not None
         else {"copies": 0}
     )
@@ -41,12 +42,12 @@
     return {
         "release": msgspec.to_builtins(s.release),
         "halted": s.halted,
-        "halts": s.halts,
-        "away": s.away,
+        "halts": s.halt_count,
+        "away": s.leave_grants,
         "waits": member.releasing.last,
         "seen_out": member.seen_out(now),
         "servers_bad": member.wards.bad(now, member.idents()),
-        "coming": s.coming,
+        "coming": s.returning_servers,
         "served": {
             name: [f.up, f.rejected, f.failed, f.took] for name, (f, _) in member.figures.items()
         },
@@ -71,7 +72,7 @@
             "halted": s.halted is not None,
             "crowded": ""
             if status != "changing"
-            else member.agreed.change_bound(name, {}, seen)
+            else change_bound(member.agreed.state, name, {}, seen)
             if told
             else UNTOLD,
             "settled": member.settled(s.release.outs.get(name, 1 << 62), now),
@@ -84,7 +85,7 @@
         "to": plan.to,
         "phase": s.release.phase,
         "halted": s.halted is not None,
-        "crowded": member.agreed.change_bound(name, member.zones(), member.seen_out(now))
+        "crowded": change_bound(member.agreed.state, name, member.zones(), member.seen_out(now))
         if status == "changing"
         else "",
     }
@@ -124,19 +125,21 @@
         "settings_version": s.settings_version,
         "list_generation": s.list_generation,
         "list_version": s.list_version,
-        "out": s.out,
+        "out": s.removed_servers,
         "voters": s.voters,
-        "left": s.left,
+        "left": s.departed,
         "pending": msgspec.to_builtins(s.pending),
         "members": members,
-        "away": s.away,
+        "away": s.leave_grants,
         "seen_out": member.seen_out(now),
         "halted": s.halted,
-        "halts": s.halts,
+        "halts": s.halt_count,
         "bounds": s.settings.get("bounds", {}),
-        "held_out": sorted(member.agreed.held_out()),
-        "coming": s.coming,
+        "held_out": sorted(member.agreed.state.servers_out_for_release()),
+        "coming": s.returning_servers,
         "servers_bad": member.wards.bad(now, member.idents()),
-        "standing": {name: member.standing(now, name) for name in sorted(member.agreed.all_out())},
+        "standing": {
+            name: member.standing(now, name) for name in sorted(member.agreed.state.servers_out())
+        },
         "parts_without_copies": sorted(member.placing.away) if member.placing is not None else [],
     }
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -20,7 +20,7 @@
     "not ready",
     "not heard, its lease is over",
 )
-SURELY = (UNREADY, LAPSED)  # the others may be in all the same
+CERTAINLY_OUT = (UNREADY, LAPSED)  # the others may be in all the same
 
 Granted = tuple[str, int, str]  # by whom, when, why: as agreed
 
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/together/explore.py
@@ -265,7 +265,7 @@
         if voters != sorted(member.agreed.state.voters) or len(member.members) != len(w.processes):
             raise Broken(f"members are not whole: {member.members}")
         for ident, (name, version) in self.promised.items():
-            if ident not in member.agreed.done:
+            if ident not in member.agreed.results:
                 raise Broken(f"forgotten: {ident}, promised at version {version}")
         if len({p.fleet.group() for p in w.processes.values()}) != 1:
             raise Broken("two groups")
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -643,11 +643,15 @@
             continue
         release = state.release
         if release is None:
-            if not state.halted and not state.away and all(m.serves() for m in w.machines.values()):
+            if (
+                not state.halted
+                and not state.leave_grants
+                and all(m.serves() for m in w.machines.values())
+            ):
                 return "never begun"
         elif release.phase in ("done", "backed"):
             wanted = NEW if release.phase == "done" else OLD
-            if not state.away and all(
+            if not state.leave_grants and all(
                 m.serves() and not m.being_changed for m in w.machines.values()
             ):
                 runs = {m.name: m.running[m.owner].version for m in w.machines.values()}
@@ -673,7 +677,7 @@
             repr(
                 (
                     state.release,
-                    state.away,
+                    state.leave_grants,
                     state.halted,
                     member.releasing.last,
                     member.seen_out(member.tend_at),
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -478,13 +478,13 @@
         state = w.release()
         if state is None:
             continue
-        for name in state.out:  # its yes was lost, or came late
+        for name in state.removed_servers:  # its yes was lost, or came late
             w.back_by_hand(w.servers[name])
         release = state.release
         well = (
             not state.halted
-            and not state.out
-            and not state.coming
+            and not state.removed_servers
+            and not state.returning_servers
             and all(s.answers() and not s.being_changed for s in w.servers.values())
             and all(not b.out for b in w.balancers.values())
         )
@@ -516,8 +516,8 @@
             repr(
                 (
                     state.release,
-                    state.out,
-                    state.coming,
+                    state.removed_servers,
+                    state.returning_servers,
                     state.halted,
                     member.releasing.last,
                     member.wards.bad(member.tend_at, member.idents()),
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -159,7 +159,7 @@
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
-    assert "s0" in world.leader().fleet.member.agreed.state.out
+    assert "s0" in world.leader().fleet.member.agreed.state.removed_servers
     assert (
         all(p.acts for p in world.processes.values())
         and len(world.leader().fleet.member.members) == 3
@@ -211,7 +211,11 @@
     assert not leader.fleet.may_act()  # at once, before it has heard anything
     late = ask(world, leader, "out", server="s2")
     world.run(10 * SECOND)
-    assert late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.agreed.state.out)
+    assert (
+        late[0][0]
+        and leader.acts
+        and {"s1", "s2"} <= set(heir.fleet.member.agreed.state.removed_servers)
+    )
 
 
 def test_most_disks_lost_at_once_stop_the_fleet_and_do_nothing_worse():
@@ -257,7 +261,10 @@
     world.run(SECOND)
     world.start()
     world.run(8 * SECOND)
-    assert all(p.acts and "s0" in p.fleet.member.agreed.state.out for p in world.processes.values())
+    assert all(
+        p.acts and "s0" in p.fleet.member.agreed.state.removed_servers
+        for p in world.processes.values()
+    )
 
 
 def test_a_version_that_one_cannot_read_is_not_made_active_and_says_who_and_why():
@@ -347,7 +354,7 @@
     told = ask(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
     assert told[0][0] and all(
-        "s0" in p.fleet.member.agreed.state.out for p in world.processes.values()
+        "s0" in p.fleet.member.agreed.state.removed_servers for p in world.processes.values()
     )
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -20,7 +20,7 @@
 from cypresswalk.agreement import store as agreement_store
 from cypresswalk.agreement.messages import Entry
 from cypresswalk.copies import store as copies_store
-from cypresswalk.fleet import messages, state_machine
+from cypresswalk.fleet import commands, messages, records
 from cypresswalk.hosting import pack_hint
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.parsers.endpoint_list import server_number
@@ -33,8 +33,8 @@
 
 encode = msgspec.msgpack.encode
 DECODE = {
-    "fleet_commands": state_machine.commands.decode,
-    "fleet_state": state_machine.states.decode,
+    "fleet_commands": commands.COMMAND_DECODER.decode,
+    "fleet_state": records.STATE_DECODER.decode,
     "agreement_members": agreement_log.members_decoder.decode,
     "agreement_witness": agreement_store.witnesses.decode,
     "copies_head": copies_store.heads.decode,
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
 from cypresswalk.rollout import balancer_agent
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def until_over(w: Releases, span: int = 200) -> state.FleetState:
+def until_over(w: Releases, span: int = 200) -> FleetState:
     """Until the release is done, back or halted."""
     w.start()
     w.run(8 * SECOND)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,10 +12,11 @@
 from test_together import ROOT, asked, with_rig
 
 from cypresswalk.agreement.messages import Member as One
-from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet import commands, disruption_bounds
+from cypresswalk.fleet.commands import encode
 from cypresswalk.fleet.core_binding import objection
 from cypresswalk.fleet.release_control import ReleaseAction, ReleaseControl
-from cypresswalk.fleet.state_machine import StateMachine, encode
+from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
 from cypresswalk.lab.together.machines import Machines
@@ -123,7 +124,7 @@
             )
             if kind in ("leave", "force"):
                 seen = {name: "not heard" for name in names if chance.random() < 0.1}
-                command = state.GrantLeave(*head, who, "drained", kind == "force", names, seen)
+                command = commands.GrantLeave(*head, who, "drained", kind == "force", names, seen)
                 _, (ok, why) = machine.apply(encode(command))
                 gone = (away | set(seen)) - {who}
                 fits = (
@@ -137,22 +138,22 @@
                 )  # asked again: the same answer, no second place
                 away |= {who} if ok else set()
             elif kind == "return":
-                held = machine.state.away.get(who, ("other", 0, ""))
+                held = machine.state.leave_grants.get(who, ("other", 0, ""))
                 assert not machine.apply(
-                    encode(state.BalancerReturned(*head[:2], 1, who, ("other", 0, "")))
+                    encode(commands.BalancerReturned(*head[:2], 1, who, ("other", 0, "")))
                 )[1][0]
-                machine.apply(encode(state.BalancerReturned(f"r{number}", *head[1:], who, held)))
+                machine.apply(encode(commands.BalancerReturned(f"r{number}", *head[1:], who, held)))
                 away.discard(who)
             elif kind == "out":
                 before, listed = (
-                    set(machine.state.out),
+                    set(machine.state.removed_servers),
                     {n: s for n, _, _, s, _, _ in machine.state.servers},
                 )
                 bad = {name: "held for bad" for name in servers if chance.random() < 0.1}
                 seen = {n for n, s in listed.items() if s != "ready"} | set(bad)
                 gone = (before | seen | coming) - {server}
                 _, (ok, _) = machine.apply(
-                    encode(state.RemoveFromRotation(*head, server, False, bad))
+                    encode(commands.RemoveFromRotation(*head, server, False, bad))
                 )
                 coming -= {server} if ok else set()
                 fits = server in before or len(gone & set(listed)) + 1 <= allowed(
@@ -160,23 +161,25 @@
                 )
                 assert ok is fits, (seed, number)
             elif kind == "back":
-                coming |= {server} & set(machine.state.out)
-                machine.apply(encode(state.ReturnToRotation(*head, server)))
+                coming |= {server} & set(machine.state.removed_servers)
+                machine.apply(encode(commands.ReturnToRotation(*head, server)))
             elif kind == "seen":
-                version = machine.state.coming.get(server, 7)
+                version = machine.state.returning_servers.get(server, 7)
                 machine.apply(
-                    encode(state.ServersSeenReady(f"s{number}", *head[1:], {server: version - 1}))
+                    encode(
+                        commands.ServersSeenReady(f"s{number}", *head[1:], {server: version - 1})
+                    )
                 )  # of an earlier return: no matter
-                assert set(machine.state.coming) == coming
-                machine.apply(encode(state.ServersSeenReady(*head, {server: version})))
+                assert set(machine.state.returning_servers) == coming
+                machine.apply(encode(commands.ServersSeenReady(*head, {server: version})))
                 coming.discard(server)
             else:
                 listing = [
                     (name, zone, 1, "draining" if chance.random() < 0.2 else "ready", 1.0, 0)
                     for name, zone in servers.items()
                 ]
-                machine.apply(encode(state.UpdateEndpointList(*head, number, 0, listing)))
-            assert set(machine.state.away) == away
+                machine.apply(encode(commands.UpdateEndpointList(*head, number, 0, listing)))
+            assert set(machine.state.leave_grants) == away
 
 
 def test_of_two_drains_at_once_one_is_granted_and_a_dead_balancer_takes_a_place(tmp_path):
@@ -357,7 +360,7 @@
         self.unheard: set[str] = set()  # by a new leader
         self.most_out = 0
         self.rate = 20
-        assert self.say(state.BeginRelease, PLAN, sorted(ZONES))[0]
+        assert self.say(commands.BeginRelease, PLAN, sorted(ZONES))[0]
 
     def say(self, kind, *words):
         self.number += 1
@@ -393,14 +396,14 @@
             self.machine.state.halted is not None,
             {name: Served(*s) for name, s in self.served.items() if name not in self.dead},
             set(seen),
-            set(self.machine.state.away),
+            set(self.machine.state.leave_grants),
             {},
         )
         if do is not None:
             kind, words = {
-                "go": (state.GrantTurn, (do.name, ZONES, seen, 0)),
-                "held": (state.WaveObserved, (do.wave,)),
-                "halt": (state.Halt, (do.why,)),
+                "go": (commands.GrantTurn, (do.name, ZONES, seen, 0)),
+                "held": (commands.WaveObserved, (do.wave,)),
+                "halt": (commands.Halt, (do.why,)),
             }[do.what]
             self.say(kind, *words)
         for name, status in list(self.release.members.items()):
@@ -410,15 +413,17 @@
             if (
                 status == "out"
                 and self.chance.random() < 0.5
-                and self.say(state.ChangeStarted, name, to, ZONES, seen)[0]
+                and self.say(commands.ChangeStarted, name, to, ZONES, seen)[0]
             ):
                 self.doing[name] = to
             elif status == "changing" and self.chance.random() < 0.3:
                 self.runs[name] = self.doing.get(name, self.runs[name])
                 self.served[name] = [0, 0, 0, 0]
-                self.say(state.ChangeFinished, name, self.runs[name], "")
-            elif status != "changing" and name in self.machine.state.away and status != "out":
-                self.say(state.BalancerReturned, name, self.machine.state.away[name])
+                self.say(commands.ChangeFinished, name, self.runs[name], "")
+            elif (
+                status != "changing" and name in self.machine.state.leave_grants and status != "out"
+            ):
+                self.say(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
         changing = {
             name for name, status in self.release.members.items() if status in ("out", "changing")
         }
@@ -471,7 +476,7 @@
         for _ in range(50):
             fleet.step()
         assert list(fleet.runs.values()).count("v2") == 1  # it holds
-        assert fleet.say(state.RollBack, "r1")[0]
+        assert fleet.say(commands.RollBack, "r1")[0]
         fleet.until(("backed",))
         assert set(fleet.runs.values()) == {"v1"}
 
@@ -498,9 +503,9 @@
         elif draw < 0.1:
             fleet.other_leads()
         elif draw < 0.103:
-            fleet.say(state.Halt, "by hand")
+            fleet.say(commands.Halt, "by hand")
         elif draw < 0.13:
-            fleet.say(state.Resume, fleet.machine.state.halts)
+            fleet.say(commands.Resume, fleet.machine.state.halt_count)
         before = {n for n, s in fleet.release.members.items() if s in ("out", "changing")}
         halted_at = fleet.machine.state.halted
         fleet.step()
@@ -514,7 +519,7 @@
         if after - before:
             assert len(after | fleet.dead) <= fleet.most + len(fleet.dead & after)
     fleet.dead.clear()
-    fleet.say(state.RollBack, "r1")
+    fleet.say(commands.RollBack, "r1")
     fleet.until(("backed",), 900)
     assert set(fleet.runs.values()) == {"v1"}
 
@@ -536,9 +541,9 @@
     step = Fleet.step
 
     def freeing(self, seconds=0.2):
-        for name in sorted(self.machine.state.away):
+        for name in sorted(self.machine.state.leave_grants):
             if self.chance.random() < 0.05:
-                self.say(state.BalancerReturned, name, self.machine.state.away[name])
+                self.say(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
         step(self, seconds)
 
     patch.setattr(Fleet, "step", freeing)
@@ -546,7 +551,7 @@
 
 def the_dead_are_not_counted(patch):
     patch.setattr(
-        state,
+        disruption_bounds,
         "why_not",
         lambda scopes, zones, granted, seen, who, heals: why_not(scopes, zones, granted, {}, who),
     )
@@ -585,7 +590,7 @@
 def unknown_ones_are_taken_for_out(patch):
     """As a new leader once did: who has not said anything yet is out already, and may go."""
     patch.setattr(
-        state,
+        disruption_bounds,
         "why_not",
         lambda scopes, zones, granted, seen, who, heals: why_not(
             scopes, zones, granted, seen, who, who in seen
@@ -617,11 +622,11 @@
 
 def test_a_second_release_waits_and_wrong_plans_are_named_whole(tmp_path):
     fleet = Fleet(1)
-    ok, why = fleet.say(state.BeginRelease, PLAN, sorted(ZONES))
+    ok, why = fleet.say(commands.BeginRelease, PLAN, sorted(ZONES))
     assert not ok and "r1 by test is running" in why
-    assert fleet.say(state.RollBack, "r0") == (False, "release r1 by test has come since")
-    assert fleet.say(state.RollBack, "r1")[0] and fleet.release.phase == "backed"
-    assert fleet.say(state.BeginRelease, PLAN, sorted(ZONES)) == (
+    assert fleet.say(commands.RollBack, "r0") == (False, "release r1 by test has come since")
+    assert fleet.say(commands.RollBack, "r1")[0] and fleet.release.phase == "backed"
+    assert fleet.say(commands.BeginRelease, PLAN, sorted(ZONES)) == (
         False,
         "name: r1 was the last one's",
     )
@@ -647,27 +652,30 @@
     """Else the release would be back with the new version running there."""
     fleet = Fleet(1)
     assert (
-        fleet.say(state.GrantTurn, "n0", ZONES, {}, 1)[0]
-        and fleet.say(state.ChangeStarted, "n0", "v2", ZONES, {})[0]
+        fleet.say(commands.GrantTurn, "n0", ZONES, {}, 1)[0]
+        and fleet.say(commands.ChangeStarted, "n0", "v2", ZONES, {})[0]
     )
-    fleet.say(state.ChangeFinished, "n0", "", "its process ended")
+    fleet.say(commands.ChangeFinished, "n0", "", "its process ended")
     assert fleet.release.members["n0"] == "failed" and fleet.machine.state.halted
-    assert fleet.say(state.Resume, 1)[0]
-    fleet.say(state.BalancerReturned, "n0", fleet.machine.state.away["n0"])
-    assert fleet.say(state.GrantTurn, "n0", ZONES, {}, 2)[0]
+    assert fleet.say(commands.Resume, 1)[0]
+    fleet.say(commands.BalancerReturned, "n0", fleet.machine.state.leave_grants["n0"])
+    assert fleet.say(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
     assert (
-        fleet.say(state.BalancerReturned, "n0", fleet.machine.state.away["n0"])[0]
+        fleet.say(commands.BalancerReturned, "n0", fleet.machine.state.leave_grants["n0"])[0]
         and fleet.release.members["n0"] == "failed"
     )
-    assert fleet.say(state.GrantTurn, "n0", ZONES, {}, 2)[0] and fleet.say(state.RollBack, "r1")[0]
+    assert (
+        fleet.say(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
+        and fleet.say(commands.RollBack, "r1")[0]
+    )
     assert fleet.release.members["n0"] == "failed" and fleet.release.phase == "back"
     # Again and again, or late: one that names another count of halts, or another release, changes nothing.
     assert (
-        not fleet.say(state.ChangeStarted, "n1", "v2", ZONES, {})[0]
+        not fleet.say(commands.ChangeStarted, "n1", "v2", ZONES, {})[0]
         and fleet.machine.state.halted is None
     )
-    fleet.say(state.Halt, "by hand")
-    assert not fleet.say(state.Resume, 1)[0] and fleet.machine.state.halted
+    fleet.say(commands.Halt, "by hand")
+    assert not fleet.say(commands.Resume, 1)[0] and fleet.machine.state.halted
 
 
 def test_evidence_wants_enough_flows_and_is_not_misled_by_one_failure():
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -5,14 +5,16 @@
 
 import pytest
 
-from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet import commands
 from cypresswalk.fleet.member import Member
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.server_observations import ServerObservations
+from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.releases import SECOND
 from cypresswalk.lab.together.serving import ServerMachines
 from cypresswalk.lab.together.servings import Servings, plan_for, run_seed
+from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.server_agent import ServerAgent
 
 
@@ -46,14 +48,14 @@
 
 
 def a_turn_ends_though_its_agent_works(patch):
-    returned = state.releases.returned
+    returned = releases.returned
 
     def careless(now, name):
         returned(now, name)
         if now.members.get(name) == "changing":
             now.members[name] = "old"
 
-    patch.setattr(state.releases, "returned", careless)
+    patch.setattr(releases, "returned", careless)
 
 
 @pytest.mark.parametrize(
@@ -124,51 +126,54 @@
 
 
 def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
-    machine, number = state.StateMachine(), iter(range(100))
+    machine, number = StateMachine(), iter(range(100))
     machine.state.servers = [(name, 0, 1, "ready", 1.0, 0) for name in ("s0", "s1")]
     machine.state.settings = {"bounds": {"servers": {"all": 1}}}
 
     def say(kind, *words):
-        return machine.apply(state.encode(kind(f"c{next(number)}", "test", 0, *words)))[1]
+        return machine.apply(commands.encode(kind(f"c{next(number)}", "test", 0, *words)))[1]
 
     plan = ["r", "v1", "v2", [["s0"], ["s1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers", 5.0]
     assert (
         "s7 is not listed"
         in say(
-            state.BeginRelease,
-            state.releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
+            commands.BeginRelease,
+            releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
             [],
         )[1]
     )
     assert (
-        say(state.BeginRelease, state.releases.Plan(*plan), [])[0]
-        and say(state.GrantTurn, "s0", {}, {}, 0)[0]
+        say(commands.BeginRelease, releases.Plan(*plan), [])[0]
+        and say(commands.GrantTurn, "s0", {}, {}, 0)[0]
     )
-    assert machine.all_out() == {"s0"} and machine.state.release.outs["s0"] == machine.state.version
-    assert say(state.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
-        state.RemoveFromRotation, "s1", False, {}
+    assert (
+        machine.state.servers_out() == {"s0"}
+        and machine.state.release.outs["s0"] == machine.state.version
+    )
+    assert say(commands.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
+        commands.RemoveFromRotation, "s1", False, {}
     )[1].replace("1 of 2", "1")
-    assert say(state.ReturnToRotation, "s0")[1].endswith(
+    assert say(commands.ReturnToRotation, "s0")[1].endswith(
         "release r has it out still"
-    ) and machine.all_out() == {"s0"}
-    assert say(state.ReturnToRotation, "s0") == (True, "release r has it out")
+    ) and machine.state.servers_out() == {"s0"}
+    assert say(commands.ReturnToRotation, "s0") == (True, "release r has it out")
     assert (
-        say(state.ChangeStarted, "s0", "v2", {}, {})[0]
-        and say(state.ChangeFinished, "s0", "v2", "")[0]
+        say(commands.ChangeStarted, "s0", "v2", {}, {})[0]
+        and say(commands.ChangeFinished, "s0", "v2", "")[0]
     )
-    assert not machine.all_out() and list(machine.state.coming) == ["s0"]
-    assert not say(state.RemoveFromRotation, "s1", False, {})[0]  # s0 is not seen ready yet
+    assert not machine.state.servers_out() and list(machine.state.returning_servers) == ["s0"]
+    assert not say(commands.RemoveFromRotation, "s1", False, {})[0]  # s0 is not seen ready yet
     assert (
-        say(state.ServersSeenReady, machine.state.coming)[0]
-        and say(state.RemoveFromRotation, "s1", False, {})[0]
+        say(commands.ServersSeenReady, machine.state.returning_servers)[0]
+        and say(commands.RemoveFromRotation, "s1", False, {})[0]
     )
     assert (
-        say(state.ReturnToRotation, "s1")[0]
-        and say(state.ServersSeenReady, machine.state.coming)[0]
+        say(commands.ReturnToRotation, "s1")[0]
+        and say(commands.ServersSeenReady, machine.state.returning_servers)[0]
     )
     assert (
-        not say(state.RemoveFromRotation, "s1", False, {"s0": "held for bad"})[0]
-        and say(state.RemoveFromRotation, "s1", True, {"s0": "held for bad"})[0]
+        not say(commands.RemoveFromRotation, "s1", False, {"s0": "held for bad"})[0]
+        and say(commands.RemoveFromRotation, "s1", True, {"s0": "held for bad"})[0]
     )
 
 
@@ -246,4 +251,4 @@
     w.run(SECOND // 2)
     assert said == [("forced", True)] and "server s0 out" in w.release().history[-1].what
     w.run(4 * SECOND)  # they have told it meanwhile
-    assert said[1:] == [("asked", True)] and set(w.release().out) == {"s0", "s1"}
+    assert said[1:] == [("asked", True)] and set(w.release().removed_servers) == {"s0", "s1"}
