--- a/cypresswalk/fleet/__init__.py
+++ b/cypresswalk/fleet/__init__.py
@@ -1,3 +1,5 @@
-"""Balancers that agree: settings, the server list and servers out by hand in versions, and leases on them; off without `[fleet]`
-in the operator file. `member.Member` is the core, without I/O or clock; `driver.Fleet` is all that the program calls. Design:
-docs/design/agreement.md; for operators docs/operators/fleet.md."""
+"""Balancers that agree by a Raft group on settings, the endpoint list and servers out of rotation.
+
+Agreed state comes in versions, and a balancer acts on one only under a lease. Off without `[fleet]`
+in the operator's file.
+"""
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -1,177 +1,222 @@
-"""How a group begins and how a balancer finds one: hails, and their answers. A part of `member.Member`, in a file of its own. No I/O, no clock.
+"""How a group begins and how a balancer finds one: discovery requests and responses.
 
-A group is founded once: by the first member lowest in name, when every other first member has said, lately and with the same
-first members in its table, that it belongs to none. Whoever finds a group joins it as a follower under an incarnation of its own."""
+No I/O, no clock. A group is bootstrapped once: by the seed member lowest in name, when every other
+seed member has said, lately and with the same seed members in its table, that it belongs to none.
+Whoever finds a group joins it as a follower under an incarnation of its own.
+"""
 
 import logging
+from contextlib import suppress
+from dataclasses import dataclass
 
 from cypresswalk.agreement.log import Snapshot
-from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.messages import Members
+from cypresswalk.agreement.messages import Member, Members
 from cypresswalk.agreement.node import BusyError, PersistentState
+from cypresswalk.fleet.leader_membership import MembershipDuty
+from cypresswalk.fleet.member_context import FRESH, SECOND, MemberContext
 from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse
+from cypresswalk.fleet.unavailability import name_of
 
 log = logging.getLogger(__name__)
-SECOND = 1_000_000_000
-FRESH = 2 * SECOND  # an answer to a hail says nothing about later
-LOST = 3 * SECOND  # a member that heard no leader for so long looks for one as if it had none
-MEMBERS = 207  # seven voters and two hundred that follow
-
-
-class Founding:
-    def look_for_group(self, now: int) -> None:
-        node = self.node
-        if node is not None and (
-            self.leads
-            or node.heard_at is not None
-            and now - node.heard_at < LOST
-            and any(m.id == self.id for m in self.members)
-        ):
+SEARCH_INTERVAL = SECOND // 2  # how often a balancer without a group looks for one
+LEADER_LOST = 3 * SECOND  # a member that heard no leader for so long looks for a group, too
+MAX_RESPONSES = 32
+
+
+@dataclass(frozen=True, slots=True)
+class ReplacedRead:
+    """A read token: to tell a requester that its incarnation is no member any more."""
+
+    request: DiscoveryRequest
+
+
+class Discovery:
+    """Finds or bootstraps this member's group, and answers others that look for one."""
+
+    def __init__(self, context: MemberContext, now: int):
+        """Look for a group at the first call of `on_time`."""
+        self.context = context
+        self.search_at = now
+        # By name of the responder, or by "@" and the leader it named; when it came, and the
+        # response.
+        self.responses: dict[str, tuple[int, DiscoveryResponse]] = {}
+        # The group that was bootstrapped or found: its log is to be begun on disk.
+        self.new_log: tuple[str, PersistentState] | None = None
+
+    def on_time(self, now: int) -> None:
+        """Look for a group where that is due."""
+        if now >= self.search_at:
+            jitter = self.context.random.randrange(SEARCH_INTERVAL // 4)
+            self.search_at = now + SEARCH_INTERVAL + jitter
+            self._search(now)
+
+    def _search(self, now: int) -> None:
+        context = self.context
+        if self._has_group(now):
             return
-        hail = DiscoveryRequest(
-            self.id,
-            self.group,
-            self.about.address,
-            self.about.zone,
-            self.about.first_digest,
-            self.about.founder,
+        config = context.config
+        request = DiscoveryRequest(
+            context.id,
+            context.group,
+            config.address,
+            config.zone,
+            config.seed_digest,
+            config.is_seed,
         )
-        seen = {self.about.address}
-        for address in (
-            [address for _, address in self.about.first]
-            + [m.address for m in self.members]
-            + [m.address for _, answer in self.hails.values() for m in answer.members]
-        ):
-            if address and address not in seen:
-                seen.add(address)
-                self.sends.append((address, hail))
+        asked = {config.address}
+        for address in self._known_addresses():
+            if address and address not in asked:
+                asked.add(address)
+                context.send(address, request)
+        if context.node is None:
+            self._bootstrap(now)
+
+    def _has_group(self, now: int) -> bool:
+        node = self.context.node
         if node is None:
-            self.found(now)
+            return False
+        if self.context.is_leader:
+            return True
+        heard_lately = node.heard_at is not None and now - node.heard_at < LEADER_LOST
+        return heard_lately and self.context.is_member(self.context.id)
 
-    def found(self, now: int) -> None:
-        others = [name for name, _ in self.about.first if name != self.about.name]
-        if not self.about.founder or any(name < self.about.name for name in others):
-            return
-        answers = [self.hails.get(name) for name in others]
-        if any(
-            a is None or now - a[0] > FRESH or a[1].group or a[1].first != self.about.first_digest
-            for a in answers
-        ):
-            return
-        addresses = dict(self.about.first)
-        members = (
-            One(self.id, True, self.about.address, self.about.zone),
+    def _known_addresses(self) -> list[str]:
+        context = self.context
+        return [
+            *(address for _, address in context.config.first),
+            *(member.address for member in context.members),
             *(
-                One(a[1].members[0].id, True, addresses[name], a[1].members[0].zone)
-                for name, a in zip(others, answers)
+                member.address
+                for _, response in self.responses.values()
+                for member in response.members
             ),
-        )
-        self.adopt(
-            now,
-            f"{self.about.fleet}-{self.chance.getrandbits(64):016x}",
-            Snapshot(0, 0, members, b""),
-        )
-        log.info("event=founded group=%s members=%s", self.group, ",".join(m.id for m in members))
-
-    def adopt(self, now: int, group: str, snapshot: Snapshot) -> None:
-        self.group = group
-        kept = PersistentState(snapshot)
-        self.begin = group, kept
-        self.start(kept, now)
-
-    def hailed(self, now: int, hail: DiscoveryRequest) -> None:
-        name = hail.id.partition("#")[0]
-        refused = ""
-        if (
-            self.node is None
-            and hail.founder
-            and self.about.founder
-            and hail.first != self.about.first_digest
-        ):
-            self.once(
+        ]
+
+    def _bootstrap(self, now: int) -> None:
+        context, config = self.context, self.context.config
+        others = [name for name, _ in config.first if name != config.name]
+        if not config.is_seed or any(name < config.name for name in others):
+            return
+        members = [Member(context.id, True, config.address, config.zone)]
+        addresses = dict(config.first)
+        for name in others:
+            received = self.responses.get(name)
+            if received is None or now - received[0] > FRESH:
+                return
+            response = received[1]
+            if response.group or response.first != config.seed_digest:
+                return
+            seed = response.members[0]
+            members.append(Member(seed.id, True, addresses[name], seed.zone))
+        group = f"{config.fleet}-{context.random.getrandbits(64):016x}"
+        self._adopt(now, group, Snapshot(0, 0, tuple(members), b""))
+        names = ",".join(member.id for member in members)
+        log.info("event=group_bootstrapped group=%s members=%s", group, names)
+
+    def _adopt(self, now: int, group: str, snapshot: Snapshot) -> None:
+        self.context.group = group
+        persisted = PersistentState(snapshot)
+        self.new_log = group, persisted
+        self.context.start_node(persisted, now)
+
+    def on_request(self, now: int, request: DiscoveryRequest, membership: MembershipDuty) -> None:
+        """Answer another balancer that looks for a group; as the leader, let it join."""
+        context, config = self.context, self.context.config
+        name = name_of(request.id)
+        rejected = ""
+        if self._seeds_differ(request):
+            context.warn_once(
                 "first_members_differ",
-                here=self.about.first_digest,
-                there=hail.first,
-                member=hail.id,
+                here=config.seed_digest,
+                there=request.first,
+                member=request.id,
             )
-            refused = "the first members in its table are others than in mine"
-        elif name == self.about.name and hail.id != self.id:
-            refused = "that name is mine"
-        elif self.leads and not any(m.id == hail.id for m in self.members):
-            if hail.group == self.group:
-                # Only a leader that is sure to lead still may say so: a voter's copy of the log goes with its identity.
-                try:
-                    self.node.read(now, ("replaced", hail))
-                except BusyError:
-                    pass
+            rejected = "the first members in its table are others than in mine"
+        elif name == config.name and request.id != context.id:
+            rejected = "that name is mine"
+        elif context.is_leader and not context.is_member(request.id):
+            if request.group == context.group:
+                # A voter's copy of the log goes with its identity: only a certain leader may say
+                # so.
+                self._check_replaced(now, request)
                 return
-            refused = (
-                self.may_join(now, name, hail) if not hail.group else "it belongs to another group"
-            )
-        self.answer_hail(hail, refused)
+            rejected = "it belongs to another group"
+            if not request.group:
+                rejected = membership.request_join(now, request)
+        self.respond(request, rejected)
+
+    def _seeds_differ(self, request: DiscoveryRequest) -> bool:
+        config = self.context.config
+        return (
+            self.context.node is None
+            and request.founder
+            and config.is_seed
+            and request.first != config.seed_digest
+        )
+
+    def _check_replaced(self, now: int, request: DiscoveryRequest) -> None:
+        with suppress(BusyError):  # it asks again
+            self.context.raft.read(now, ReplacedRead(request))
 
-    def answer_hail(
-        self, hail: DiscoveryRequest, refused: str = "", replaced: bool = False
+    def on_read(self, read: ReplacedRead) -> None:
+        """The leader is certain: tell an incarnation that is no member any more."""
+        if not self.context.is_member(read.request.id):
+            self.respond(read.request, replaced=True)
+
+    def respond(
+        self, request: DiscoveryRequest, rejected: str = "", replaced: bool = False
     ) -> None:
-        if self.node is None:
-            # Its own entry alone: so the founder learns under which incarnation it would begin.
-            members: Members = (One(self.id, False, self.about.address, self.about.zone),)
-        else:
-            members = self.members
-        self.sends.append(
-            (
-                hail.address,
-                DiscoveryResponse(
-                    hail.id,
-                    self.group,
-                    self.about.first_digest,
-                    members,
-                    self.leader,
-                    refused,
-                    replaced,
-                    self.agreed.state.fenced_groups,
-                ),
-            )
+        """Send what is known of the group; one without a group names its own incarnation alone."""
+        context, config = self.context, self.context.config
+        members: Members = context.members
+        if context.node is None:
+            members = (Member(context.id, False, config.address, config.zone),)
+        response = DiscoveryResponse(
+            request.id,
+            context.group,
+            config.seed_digest,
+            members,
+            context.leader,
+            rejected,
+            replaced,
+            context.state.fenced_groups,
         )
+        context.send(request.address, response)
 
-    def may_join(self, now: int, name: str, hail: DiscoveryRequest) -> str:
-        if name in self.agreed.state.departed:
-            return "it has left the fleet; `fleet join` lets it in again"
-        if len(self.members) >= MEMBERS:
-            return f"the fleet has {MEMBERS} members"
-        for member in self.members:
-            peer = self.node.peers.get(member.id)
-            # Guards against two processes of one name that replace each other in turn.
-            if (
-                member.name == name
-                and peer is not None
-                and peer.answered
-                and now - peer.heard_at < FRESH
-            ):
-                return "a balancer of that name is heard still"
-        self.joining[name] = now, hail
-        return ""
-
-    def hail_answered(self, now: int, answer: DiscoveryResponse) -> None:
-        if answer.id != self.id:
+    def on_response(self, now: int, response: DiscoveryResponse) -> None:
+        """Take over what another balancer knows of the group."""
+        if response.id != self.context.id:
             return
-        if answer.refused:
-            self.once("hail_refused", why=answer.refused)
-        for member in answer.members[:1] if not answer.group else ():
-            self.hails[member.name] = now, answer
-        if not answer.group:
+        if response.refused:
+            self.context.warn_once("discovery_rejected", why=response.refused)
+        if not response.group:
+            for member in response.members[:1]:
+                self.responses[member.name] = now, response
             return
-        self.hails["@" + answer.leader] = now, answer
-        while len(self.hails) > 32:
-            del self.hails[next(iter(self.hails))]
-        if self.node is None:
-            if any(m.id == self.id for m in answer.members):
-                self.adopt(now, answer.group, Snapshot(-1, 0, (), b""))
-                log.info("event=joined group=%s member=%s", self.group, self.id)
-        elif answer.group != self.group:
-            if self.group in answer.fenced:
-                self.reborn = f"group {self.group} was fenced off; {answer.group} took its place"
+        self.responses["@" + response.leader] = now, response
+        while len(self.responses) > MAX_RESPONSES:
+            del self.responses[next(iter(self.responses))]
+        if self.context.node is None:
+            self._join(now, response)
+        else:
+            self._compare_group(response)
+
+    def _join(self, now: int, response: DiscoveryResponse) -> None:
+        context = self.context
+        if any(member.id == context.id for member in response.members):
+            self._adopt(now, response.group, Snapshot(-1, 0, (), b""))
+            log.info("event=group_joined group=%s member=%s", context.group, context.id)
+
+    def _compare_group(self, response: DiscoveryResponse) -> None:
+        context = self.context
+        if response.group != context.group:
+            if context.group in response.fenced:
+                context.identity_lost = (
+                    f"group {context.group} was fenced off; {response.group} took its place"
+                )
             else:
-                self.once("another_group", here=self.group, there=answer.group)
-        elif answer.replaced:
-            self.reborn = "another incarnation of this name took its place, or it was never let in"
+                context.warn_once("other_group_found", here=context.group, there=response.group)
+        elif response.replaced:
+            context.identity_lost = (
+                "another incarnation of this name took its place, or it was never let in"
+            )
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -17,11 +17,11 @@
 
 from cypresswalk.choice import MISSES, RISE
 from cypresswalk.copies.replica import ReservationAnswer
+from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED, AppliedView
 from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.member import CALLED_BACK, DRAINED, AppliedView
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.records import ListedServer
-from cypresswalk.fleet.unavailability import GO
+from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.model import EndpointUpdate, Flow, Outcome, Server, ServerState
 from cypresswalk.net.config import Address, Config, read
@@ -447,7 +447,7 @@
             self.core.reply(
                 call, f"not granted: {body.get('why', body) if isinstance(body, dict) else body}"
             )
-        elif self.fleet.now() - asked > GO:
+        elif self.fleet.now() - asked > LEAVE_WINDOW:
             self.core.reply(call, "the grant came too late to be used; ask again")
         else:
             self.core.act(now, call)
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -17,7 +17,9 @@
 from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
 from cypresswalk.copies.messages import Message as CopyWord
 from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
-from cypresswalk.fleet.member import AppliedView, Member, MemberConfig, UnreadableEntryError
+from cypresswalk.fleet.applied_view import AppliedView
+from cypresswalk.fleet.member import Member, UnreadableEntryError
+from cypresswalk.fleet.member_context import MemberConfig, MemberIdentity
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, Result, ServerReport
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
 from cypresswalk.fleet.transport import STACK, Answers, Transport
@@ -136,7 +138,7 @@
         self.queue.put(("call", name, args, reply, span))
 
     def inherit(self, until: int, version: int) -> None:
-        self.inherited = self.until = min(until, self.now() + self.about.stated)
+        self.inherited = self.until = min(until, self.now() + self.about.max_contradiction)
         self.acted(version)
 
     def acted(self, version: int) -> None:
@@ -169,6 +171,21 @@
             to,
         )
 
+    def settings_objection(self, settings: dict[str, Any]) -> str:
+        return self.check(settings)
+
+    def is_ready(self) -> bool | None:
+        return self.ready()
+
+    def flow_counts(self) -> tuple[int, int, int, int]:
+        return self.served()
+
+    def server_report(self) -> ServerReport:
+        return self.servers()
+
+    def wall_ms(self) -> int:
+        return self.wall() // 1_000_000
+
     def group(self) -> str:
         return self.member.group if self.member else ""
 
@@ -315,20 +332,17 @@
             ReplicaPlacement(ident, copies.copies, copies.least) if copies is not None else None
         )
         self.member = Member(
-            self.about, ident, group, kept, self.now(), self.chance, self.check, self.own, placing
-        )
-        self.member.ready, self.member.served, self.member.servers = (
-            self.ready,
-            self.served,
-            self.servers,
-        )
-        self.member.boot = self.boot
-        self.member.wall = lambda: self.wall() // 1_000_000
-        self.member.wipes, self.member.acts_on, self.inherited = (
-            self.wipes,
+            self.about,
+            MemberIdentity(ident, group, self.boot, self.wipes),
+            kept,
+            self.now(),
+            self.chance,
+            self,
+            self.own,
+            placing,
             self.acts_on,
-            self.until,
         )
+        self.inherited = self.until
         if self.copies is not None:
             # Another incarnation holds nothing of what this one held.
             self.copies.put("identity", ident, self.boot)
@@ -351,7 +365,7 @@
         member = self.member
         for event in events:
             self.happen(self.now(), member, event)
-        member.passed(self.now())
+        member.on_time(self.now())
         self.carry_out(member)
         if self.member is not member:
             member = self.member  # it gave up its identity
@@ -359,8 +373,8 @@
         self.renew(member)
         while member.views:
             self.agreed(member.views.pop(0))
-        while member.placed:
-            views = member.placed.pop(0)
+        while member.placements:
+            views = member.placements.pop(0)
             if self.copies is not None:
                 self.copies.put("placed", views)
 
@@ -373,21 +387,21 @@
 
     def carry_out(self, member: Member) -> None:
         while (step := member.take()) is not None:
-            if step.reborn:
-                self.give_up(step.reborn)
+            if step.identity_lost:
+                self.give_up(step.identity_lost)
                 self.blank()
                 return
-            if step.begin is not None:
-                group, kept = step.begin
+            if step.new_log is not None:
+                group, kept = step.new_log
                 self.store.begin(LogIdentity(self.table.fleet, group, member.id, self.boot), kept)
-            if step.work is not None:
-                if step.work.writes:
-                    self.store.write(step.work)
-                member.written(self.now(), step.work)
-            for to, frame in step.sends:
+            if step.ready is not None:
+                if step.ready.writes:
+                    self.store.write(step.ready)
+                member.on_written(self.now(), step.ready)
+            for to, frame in step.messages:
                 self.send(member, to, frame)
-            if step.work is not None:
-                member.apply(self.now(), step.work)
+            if step.ready is not None:
+                member.apply(self.now(), step.ready)
 
     def send_copies(self, to: str, bundle: MessageBatch) -> None:
         """By the thread that keeps copies."""
@@ -425,12 +439,12 @@
                 if isinstance(frame, MessageBatch):
                     self.bundled(now, member, hello.id, frame)
                 else:
-                    member.heard(now, hello.id, frame)
+                    member.on_frame(now, hello.id, frame)
             case ("holds", holds):
-                member.holds, member.ask_at = holds, now
+                member.on_replica_capability(now, holds)
             case ("to_leader", words):
-                if member.leads:
-                    member.holder_said(now, member.id, words)
+                if member.is_leader:
+                    member.on_replica_messages(now, member.id, words)
                 elif member.leader:
                     self.send(member, member.leader, MessageBatch(words))
             case ("tool", _, Call() as frame, answers):
@@ -438,12 +452,14 @@
             case ("call", name, args, reply, span):
                 member.call(now, name, args, reply, int(span * SECOND))
             case ("acted", version):
-                member.acted(now, version)
+                member.on_version_applied(now, version)
             case ("list", generation, digest, servers):
-                member.told_list(now, generation, digest, servers)
+                member.on_list_received(now, generation, digest, servers)
             case ("refused", to, frame) if frame.code == "put-back":
-                member.reborn = f"{to} has seen a later start of this one: its disk was set back"
-            case ("leave",) if member.leads:
+                member.give_up_identity(
+                    f"{to} has seen a later start of this one: its disk was set back"
+                )
+            case ("leave",) if member.is_leader:
                 try:
                     log.info("event=leadership_handed_over to=%s", member.node.hand_over(now))
                 except Exception as error:
@@ -458,7 +474,7 @@
             if isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
         ]
         if to_leader:
-            member.holder_said(now, source, to_leader)
+            member.on_replica_messages(now, source, to_leader)
         if len(to_leader) < len(bundle.words):
             self.copies.put(
                 "words",
@@ -498,8 +514,8 @@
             "term": node.term if node else 0,
             "index": node.commit if node else -1,
             "last": node.log.last if node else -1,
-            "version": member.agreed.state.version,
-            "acts_on": member.acts_on,
+            "version": member.state.version,
+            "acts_on": member.lease_client.acts_on,
             "lease_s": round((self.until - now) / SECOND, 3),
             "may_act": self.may_act(),
             "boot": self.boot,
--- /dev/null
+++ b/cypresswalk/fleet/leader.py
@@ -0,0 +1,128 @@
+"""The leader's duties, in the order in which it carries them out. No I/O, no clock."""
+
+from contextlib import suppress
+from dataclasses import dataclass
+from typing import Any
+
+from cypresswalk.agreement.node import BusyError
+from cypresswalk.fleet.leader_availability import BalancerDuty, BalancerFigures, ServerDuty
+from cypresswalk.fleet.leader_membership import MembershipDuty
+from cypresswalk.fleet.leader_releases import ReleaseDuty
+from cypresswalk.fleet.leader_replicas import ReplicaDuty
+from cypresswalk.fleet.leader_settings import EndpointListDuty, SettingsDuty
+from cypresswalk.fleet.leases import LeaseGrants
+from cypresswalk.fleet.member_context import SECOND, MemberContext
+from cypresswalk.fleet.messages import LeaseRequest
+from cypresswalk.fleet.replica_placement import ReplicaPlacement
+from cypresswalk.fleet.unavailability import name_of
+from cypresswalk.rollout.evidence import Served
+
+DUTY_INTERVAL = SECOND // 5
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRead:
+    """A read token: a member's lease request that is granted once the read is certain."""
+
+    member: str
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class ActingVersion:
+    """The version that a member acts on, and when it was first heard to, in nanoseconds."""
+
+    version: int
+    since: int
+
+
+class LeaderDuties:
+    """What a leader knows and does.
+
+    Made anew whenever the member begins or ceases to lead, so nothing of an earlier time is
+    believed. Those of a member that does not lead are idle and have no `grants`.
+    """
+
+    def __init__(
+        self,
+        context: MemberContext,
+        now: int,
+        own_settings: dict[str, Any] | None,
+        placement: ReplicaPlacement | None,
+    ):
+        """Begin as the leader if the member leads at `now` (nanoseconds)."""
+        self.context = context
+        self.grants: LeaseGrants | None = None
+        if context.is_leader:
+            self.grants = LeaseGrants(context.config.max_contradiction, now)
+        self.run_at = now
+        # By member's id.
+        self.acting: dict[str, ActingVersion] = {}
+        self.data_losses: dict[str, int] = {}
+        self.settings = SettingsDuty(context, self.grants, own_settings)
+        self.endpoint_list = EndpointListDuty(context)
+        self.membership = MembershipDuty(context)
+        self.replicas = ReplicaDuty(context, placement) if placement is not None else None
+        self.balancers = BalancerDuty(context, self.grants)
+        self.servers = ServerDuty(context, self.grants)
+        self.releases = ReleaseDuty(context, self.balancers, self.servers)
+
+    def run(self, now: int) -> None:
+        """Carry out all duties, up to the first that the log has no room for; the rest wait."""
+        self.run_at = now + DUTY_INTERVAL
+        with suppress(BusyError):  # at the next run
+            self.settings.run(now)
+            self.endpoint_list.run(now)
+            self.membership.run(now)
+            if self.replicas is not None:
+                self.replicas.run(now)
+            self.balancers.run(now)
+            self.servers.run(now)
+            self.releases.run(now)
+
+    def all_act_on(self, version: int, now: int) -> bool:
+        """Whether every balancer acts on that version or a later one, or acts no more."""
+        return self.grants is not None and not self.members_below(version, now)
+
+    def members_below(self, version: int, now: int) -> list[str]:
+        """Return the members that may still act on an older version; none known without grants."""
+        if self.grants is None:
+            return []
+        ids = [member.id for member in self.context.members]
+        return self.grants.may_act_below(now, version, ids)
+
+    def on_lease_request(self, now: int, source: str, request: LeaseRequest) -> None:
+        """Take over what a member reports, and grant its lease once a majority is heard."""
+        if self.grants is None or not self.context.is_leader:
+            return
+        if not self.context.is_member(source):
+            return
+        self._note_report(now, source, request)
+        with suppress(BusyError):  # it asks again
+            self.context.raft.read(now, LeaseRead(source, request.number))
+
+    def _note_report(self, now: int, source: str, request: LeaseRequest) -> None:
+        assert self.grants is not None, "checked by the caller"
+        self.grants.on_version(source, request.version)
+        acting = self.acting.get(source)
+        if acting is None or acting.version != request.version:
+            self.acting[source] = ActingVersion(request.version, now)
+        if request.proposal_id:
+            self.settings.objections[source] = request.proposal_id, request.objection
+        self.endpoint_list.received[source] = request.generation, request.digest
+        self.data_losses[source] = request.data_losses
+        if self.replicas is not None:
+            self.replicas.placement.on_capability(source, request.holds_replicas)
+        figures = BalancerFigures(Served(*request.served), now, request.boot)
+        self.balancers.figures[name_of(source)] = figures
+        self.balancers.tracker.on_readiness(now, source, request.ready, request.last_lease)
+        report = request.servers
+        self.servers.observations.on_report(now, source, request.version, report)
+
+    def grant_lease(self, now: int, read: LeaseRead) -> bool:
+        """Note that the lease is granted; False where this member leads no more."""
+        if self.grants is None:
+            return False
+        self.grants.grant(now, read.member)
+        self.balancers.tracker.on_lease_granted(now, read.member, read.number)
+        return True
--- /dev/null
+++ b/cypresswalk/fleet/leader_availability.py
@@ -0,0 +1,114 @@
+"""The leader's knowledge of which balancers and servers are out, and its duties towards them.
+
+No I/O, no clock.
+"""
+
+from dataclasses import dataclass
+
+from cypresswalk.agreement.node import BusyError
+from cypresswalk.fleet.commands import BalancerReturned, ServersSeenReady
+from cypresswalk.fleet.leases import LeaseGrants
+from cypresswalk.fleet.member_context import MemberContext
+from cypresswalk.fleet.server_observations import INCONCLUSIVE_REASON, ServerObservations
+from cypresswalk.fleet.unavailability import UnavailabilityTracker
+from cypresswalk.rollout.evidence import Served
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerFigures:
+    """What a balancer last reported of itself.
+
+    Attributes:
+        served: its flow counts.
+        received_at: nanoseconds.
+        boot: how often it has started under its identity.
+    """
+
+    served: Served
+    received_at: int
+    boot: int
+
+
+class BalancerDuty:
+    """Which balancers are out, and when their leave grants end."""
+
+    def __init__(self, context: MemberContext, grants: LeaseGrants | None):
+        """Begin with nothing known."""
+        self.context = context
+        self.grants = grants
+        self.tracker = UnavailabilityTracker(context.config.max_contradiction)
+        # By name.
+        self.figures: dict[str, BalancerFigures] = {}
+
+    def unavailable(self, now: int) -> dict[str, str]:
+        """Return the names of balancers that are out, with the reason."""
+        context, grants = self.context, self.grants
+        unheard = {m.id for m in context.members if not context.hears(now, m.id)}
+        # A member that leads no more knows of nobody's lease.
+        lapsed = {member for member in unheard if grants is not None and grants.lapsed(now, member)}
+        departed = context.state.departed
+        return self.tracker.unavailable(now, context.members, departed, unheard, lapsed)
+
+    def run(self, now: int) -> None:
+        """End the next leave grant that is over; raises BusyError where the log takes nothing."""
+        context = self.context
+        grants = context.state.leave_grants
+        release = context.state.release
+        statuses = release.members if release is not None else {}
+        ended = self.tracker.next_ended(
+            now,
+            grants,
+            changing={name for name in grants if statuses.get(name) == "changing"},
+            waiting={name for name in grants if statuses.get(name) == "out"},
+            unavailable=self.unavailable(now),
+            present={member.name for member in context.members},
+        )
+        if ended is not None:
+            context.propose(now, BalancerReturned(*context.command_header("return"), *ended))
+
+
+class ServerDuty:
+    """Which servers are out, and which of the returning ones have been seen ready."""
+
+    def __init__(self, context: MemberContext, grants: LeaseGrants | None):
+        """Begin with nothing known."""
+        self.context = context
+        self.grants = grants
+        self.observations = ServerObservations(context.config.max_contradiction)
+
+    def unhealthy(self, now: int) -> dict[str, str]:
+        """Return the servers that balancers find unhealthy, as far as is known, with the reason."""
+        return self.observations.unhealthy(now, self.context.remaining_ids())
+
+    def is_conclusive(self, now: int) -> bool:
+        """Whether enough balancers have reported lately."""
+        return self.observations.conclusive(now, self.context.remaining_ids())
+
+    def unhealthy_for_bound(self, now: int) -> dict[str, str]:
+        """Like `unhealthy`; raises BusyError where a bound rests on too few reports."""
+        bounds = self.context.state.settings.get("bounds", {})
+        if not self.is_conclusive(now) and bounds.get("servers"):
+            raise BusyError(INCONCLUSIVE_REASON)
+        return self.unhealthy(now)
+
+    def open_flows(self, now: int, server: str) -> int | None:
+        """Return a server's flows over all balancers that may act; None where one has not said."""
+        acting = {
+            member
+            for member in self.context.remaining_ids()
+            if self.grants is None or not self.grants.lapsed(now, member)
+        }
+        return self.observations.open_flows(now, acting, server)
+
+    def run(self, now: int) -> None:
+        """Record returning servers that were seen ready; raises BusyError where the log is busy."""
+        context = self.context
+        members = context.remaining_ids()
+        self.observations.retain(members)
+        returning = context.state.returning_servers
+        if not returning:
+            return
+        listed = {name for name, *_ in context.state.servers}
+        ready = self.observations.seen_ready(now, members, returning, listed)
+        if ready:
+            context.propose(now, ServersSeenReady(*context.command_header("seen"), ready))
--- /dev/null
+++ b/cypresswalk/fleet/lease_client.py
@@ -0,0 +1,67 @@
+"""A member's own lease: when to request one, and what it tells the leader with that. No clock."""
+
+from cypresswalk.fleet.leases import HeldLease
+from cypresswalk.fleet.member_context import MemberContext
+from cypresswalk.fleet.messages import LeaseGrant, LeaseRequest
+
+MAX_OBJECTION_LENGTH = 300  # characters
+# Parts of the lease bound after which the next lease is requested.
+RENEWAL_FRACTION = 4  # while one is held
+RETRY_FRACTION = 20  # without one
+JITTER_FRACTION = 4  # of the wait, drawn off it
+
+
+class LeaseClient:
+    """Requests leases and knows until when the deciding thread may act."""
+
+    def __init__(self, context: MemberContext, now: int, acts_on: int):
+        """Hold no lease; `acts_on` is the version that the deciding thread acts on."""
+        self.context = context
+        self.lease = HeldLease(context.config.max_contradiction, now)
+        self.request_at = now
+        self.acts_on = acts_on
+        self.holds_replicas = False
+
+    def valid_until(self) -> int:
+        """Return until when the deciding thread may act on its version; 0 for not at all."""
+        return self.lease.valid_until(self.acts_on)
+
+    def next_request(self, now: int) -> LeaseRequest | None:
+        """Return a request for the leader, if one is known, and set the time of the next."""
+        context = self.context
+        held = now < self.valid_until()
+        fraction = RENEWAL_FRACTION if held else RETRY_FRACTION
+        wait = context.config.max_contradiction // fraction
+        self.request_at = now + wait - context.random.randrange(wait // JITTER_FRACTION)
+        if not context.leader:
+            return None
+        host, identity = context.host, context.identity
+        pending = context.state.pending
+        objection = ""
+        if pending is not None:
+            objection = host.settings_objection(pending.settings)[:MAX_OBJECTION_LENGTH]
+        return LeaseRequest(
+            number=self.lease.request(now),
+            version=self.acts_on,
+            proposal_id=pending.proposal_id if pending is not None else "",
+            objection=objection,
+            generation=context.received_list.generation,
+            digest=context.received_list.digest,
+            data_losses=identity.data_losses,
+            holds_replicas=self.holds_replicas,
+            ready=host.is_ready(),
+            served=host.flow_counts(),
+            boot=identity.boot,
+            last_lease=self.lease.granted_number,
+            servers=host.server_report(),
+        )
+
+    def on_grant(self, now: int, grant: LeaseGrant) -> None:
+        """Take over a lease that was granted."""
+        self.lease.on_grant(grant.number, grant.version)
+
+    def on_version_applied(self, now: int, version: int) -> None:
+        """The deciding thread acts on that version now; the leader hears of it at once."""
+        if version > self.acts_on:
+            self.acts_on = version
+            self.request_at = now
--- a/cypresswalk/fleet/messages.py
+++ b/cypresswalk/fleet/messages.py
@@ -95,12 +95,12 @@
 
     number: int
     version: int  # that it acts on
-    offer: str  # the pending one it has looked at
+    proposal_id: str  # the pending one it has looked at
     objection: str  # why it can't read that, or empty
     generation: int  # of the list that it was told by its own agent
     digest: bytes
-    wipes: int  # how often its folder was found damaged or put back
-    holds: bool = False  # copies of what others claimed
+    data_losses: int  # how often its folder was found damaged or put back
+    holds_replicas: bool = False  # copies of what others claimed
     ready: bool | None = None  # flows that came now would be placed; None: nobody has said
     served: tuple[int, int, int, int] = (
         0,
@@ -109,7 +109,7 @@
         0,
     )  # flows up, rejected, failed since its process began, and their set-ups' sum
     boot: int = 0  # how often it has started
-    lease: int = 0  # number of the latest that it was granted: what this word says was so after that was given
+    last_lease: int = 0  # number of the latest that it was granted: what this word says was so after that was given
     servers: ServerReport = ServerReport()
 
 
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -1,145 +1,178 @@
-"""What whoever leads tells those who ask: nothing older than what was agreed when they asked. No I/O, no clock."""
+"""Linearizable reads: what the leader answers once it is certain that nothing newer was agreed.
 
-from typing import TYPE_CHECKING, Any
+No I/O, no clock. The keys of the answers are part of the tools' interface.
+"""
+
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
+from cypresswalk.agreement.messages import Member
 from cypresswalk.fleet.disruption_bounds import change_bound
+from cypresswalk.fleet.leader import LeaderDuties
+from cypresswalk.fleet.member_context import SECOND
 from cypresswalk.fleet.records import SERVERS
-from cypresswalk.fleet.unavailability import SECOND
-
-if TYPE_CHECKING:
-    from cypresswalk.fleet.member import Member
+from cypresswalk.fleet.server_observations import INCONCLUSIVE_REASON
+from cypresswalk.rollout.release import Release
 
-UNTOLD = "most balancers have not said yet which servers are bad"
+NEVER = 1 << 62  # a version that nobody acts on
 
 
-def show(member: "Member", now: int) -> dict[str, Any]:
-    s = member.agreed.state
+def show(duties: LeaderDuties, now: int) -> dict[str, Any]:
+    """Return the agreed settings, endpoint list and servers out by hand."""
+    state = duties.context.state
     return {
-        "version": s.version,
-        "settings_version": s.settings_version,
-        "settings": s.settings,
-        "out": s.removed_servers,
-        "list_generation": s.list_generation,
-        "list_version": s.list_version,
-        "servers": s.servers,
-        "pending": msgspec.to_builtins(s.pending),
-        "kept": s.settings_history,
+        "version": state.version,
+        "settings_version": state.settings_version,
+        "settings": state.settings,
+        "out": state.removed_servers,
+        "list_generation": state.list_generation,
+        "list_version": state.list_version,
+        "servers": state.servers,
+        "pending": msgspec.to_builtins(state.pending),
+        "kept": state.settings_history,
     }
 
 
-def copies(member: "Member", now: int) -> dict[str, Any]:
-    return (
-        member.placing.told(now, member.agreed.state.partitions)
-        if member.placing is not None
-        else {"copies": 0}
-    )
+def history(duties: LeaderDuties, now: int) -> dict[str, Any]:
+    """Return who did what when."""
+    return {"history": [msgspec.to_builtins(record) for record in duties.context.state.history]}
+
 
+def copies(duties: LeaderDuties, now: int) -> dict[str, Any]:
+    """Return where replicas of the idempotency keys lie."""
+    if duties.replicas is None:
+        return {"copies": 0}
+    return duties.replicas.placement.report(now, duties.context.state.partitions)
 
-def release(member: "Member", now: int) -> dict[str, Any]:
-    s = member.agreed.state
+
+def release(duties: LeaderDuties, now: int) -> dict[str, Any]:
+    """Return the release under way and all that it waits for."""
+    state = duties.context.state
     return {
-        "release": msgspec.to_builtins(s.release),
-        "halted": s.halted,
-        "halts": s.halt_count,
-        "away": s.leave_grants,
-        "waits": member.releasing.last,
-        "seen_out": member.seen_out(now),
-        "servers_bad": member.wards.bad(now, member.idents()),
-        "coming": s.returning_servers,
+        "release": msgspec.to_builtins(state.release),
+        "halted": state.halted,
+        "halts": state.halt_count,
+        "away": state.leave_grants,
+        "waits": duties.releases.control.waits_for,
+        "seen_out": duties.balancers.unavailable(now),
+        "servers_bad": duties.servers.unhealthy(now),
+        "coming": state.returning_servers,
         "served": {
-            name: [f.up, f.rejected, f.failed, f.took] for name, (f, _) in member.figures.items()
+            name: [f.served.up, f.served.rejected, f.served.failed, f.served.took]
+            for name, f in duties.balancers.figures.items()
         },
     }
 
 
-def turn(member: "Member", now: int, name: str) -> dict[str, Any]:
-    """To its agent, which asks twice a second: no more than that needs. `crowded`: why one that is being changed may not go out now,
-    since others were lost meanwhile."""
-    s = member.agreed.state
-    if s.release is None or name not in s.release.members:
+def turn(duties: LeaderDuties, now: int, name: str) -> dict[str, Any]:
+    """Return what an agent needs to know of the release; it asks twice a second.
+
+    `crowded`: why a target that is being changed may not go out now, since others were lost
+    meanwhile.
+    """
+    current = duties.context.state.release
+    if current is None or name not in current.members:
         return {"status": ""}
-    plan, status = s.release.plan, s.release.members[name]
-    if plan.kind == SERVERS:
-        seen = member.wards.bad(now, member.idents())
-        told = member.wards.can_tell(now, member.idents())
-        return {
-            "status": status,
-            "since": plan.since,
-            "to": plan.to,
-            "phase": s.release.phase,
-            "halted": s.halted is not None,
-            "crowded": ""
-            if status != "changing"
-            else change_bound(member.agreed.state, name, {}, seen)
-            if told
-            else UNTOLD,
-            "settled": member.settled(s.release.outs.get(name, 1 << 62), now),
-            "standing": member.standing(now, name),
-            "empty_s": plan.empty_s,
-        }
+    if current.plan.kind == SERVERS:
+        return _server_turn(duties, now, name, current)
+    return _common_turn(duties, name, current) | {
+        "crowded": _balancer_crowded(duties, now, name, current),
+    }
+
+
+def _common_turn(duties: LeaderDuties, name: str, current: Release) -> dict[str, Any]:
+    return {
+        "status": current.members[name],
+        "since": current.plan.since,
+        "to": current.plan.to,
+        "phase": current.phase,
+        "halted": duties.context.state.halted is not None,
+    }
+
+
+def _balancer_crowded(duties: LeaderDuties, now: int, name: str, current: Release) -> str:
+    if current.members[name] != "changing":
+        return ""
+    context = duties.context
+    unavailable = duties.balancers.unavailable(now)
+    return change_bound(context.state, name, context.zones(), unavailable)
+
+
+def _server_turn(duties: LeaderDuties, now: int, name: str, current: Release) -> dict[str, Any]:
+    crowded = ""
+    if current.members[name] == "changing":
+        crowded = INCONCLUSIVE_REASON
+        if duties.servers.is_conclusive(now):
+            unavailable = duties.servers.unhealthy(now)
+            crowded = change_bound(duties.context.state, name, {}, unavailable)
+    return _common_turn(duties, name, current) | {
+        "crowded": crowded,
+        "settled": duties.all_act_on(current.outs.get(name, NEVER), now),
+        "standing": duties.servers.open_flows(now, name),
+        "empty_s": current.plan.empty_s,
+    }
+
+
+def status(duties: LeaderDuties, now: int) -> dict[str, Any]:
+    """Return who leads, who is a member and how far behind, and what is out."""
+    context = duties.context
+    state = context.state
+    placement = duties.replicas.placement if duties.replicas is not None else None
+    servers_out = sorted(state.servers_out())
     return {
-        "status": status,
-        "since": plan.since,
-        "to": plan.to,
-        "phase": s.release.phase,
-        "halted": s.halted is not None,
-        "crowded": change_bound(member.agreed.state, name, member.zones(), member.seen_out(now))
-        if status == "changing"
-        else "",
+        "group": context.group,
+        "leader": context.id,
+        "term": context.raft.term,
+        "index": context.raft.commit,
+        "version": state.version,
+        "settings_version": state.settings_version,
+        "list_generation": state.list_generation,
+        "list_version": state.list_version,
+        "out": state.removed_servers,
+        "voters": state.voters,
+        "left": state.departed,
+        "pending": msgspec.to_builtins(state.pending),
+        "members": [_member_status(duties, now, member) for member in context.members],
+        "away": state.leave_grants,
+        "seen_out": duties.balancers.unavailable(now),
+        "halted": state.halted,
+        "halts": state.halt_count,
+        "bounds": state.settings.get("bounds", {}),
+        "held_out": sorted(state.servers_out_for_release()),
+        "coming": state.returning_servers,
+        "servers_bad": duties.servers.unhealthy(now),
+        "standing": {name: duties.servers.open_flows(now, name) for name in servers_out},
+        "parts_without_copies": sorted(placement.unreachable) if placement is not None else [],
     }
 
 
-def history(member: "Member", now: int) -> dict[str, Any]:
-    return {"history": [msgspec.to_builtins(record) for record in member.agreed.state.history]}
-
-
-def status(member: "Member", now: int) -> dict[str, Any]:
-    s, members = member.agreed.state, []
-    for m in member.members:
-        peer = member.node.peers.get(m.id)
-        acts, since = member.acting.get(m.id, (None, now))
-        members.append(
-            {
-                "id": m.id,
-                "name": m.name,
-                "voter": m.voter,
-                "address": m.address,
-                "zone": m.zone,
-                "leads": m.id == member.id,
-                "acts_on": acts,
-                "since_s": round((now - since) / SECOND, 1),
-                "lapsed": member.given.lapsed(now, m.id) if member.given else None,
-                "heard_s": 0.0 if peer is None else round((now - peer.heard_at) / SECOND, 1),
-                "behind": 0 if peer is None else member.node.log.last - peer.match,
-                "wipes": member.wiped.get(m.id, 0),
-            }
-        )
+def _member_status(duties: LeaderDuties, now: int, member: Member) -> dict[str, Any]:
+    node = duties.context.raft
+    peer = node.peers.get(member.id)
+    acting = duties.acting.get(member.id)
+    since = acting.since if acting is not None else now
     return {
-        "group": member.group,
-        "leader": member.id,
-        "term": member.node.term,
-        "index": member.node.commit,
-        "version": s.version,
-        "settings_version": s.settings_version,
-        "list_generation": s.list_generation,
-        "list_version": s.list_version,
-        "out": s.removed_servers,
-        "voters": s.voters,
-        "left": s.departed,
-        "pending": msgspec.to_builtins(s.pending),
-        "members": members,
-        "away": s.leave_grants,
-        "seen_out": member.seen_out(now),
-        "halted": s.halted,
-        "halts": s.halt_count,
-        "bounds": s.settings.get("bounds", {}),
-        "held_out": sorted(member.agreed.state.servers_out_for_release()),
-        "coming": s.returning_servers,
-        "servers_bad": member.wards.bad(now, member.idents()),
-        "standing": {
-            name: member.standing(now, name) for name in sorted(member.agreed.state.servers_out())
-        },
-        "parts_without_copies": sorted(member.placing.away) if member.placing is not None else [],
+        "id": member.id,
+        "name": member.name,
+        "voter": member.voter,
+        "address": member.address,
+        "zone": member.zone,
+        "leads": member.id == duties.context.id,
+        "acts_on": acting.version if acting is not None else None,
+        "since_s": round((now - since) / SECOND, 1),
+        "lapsed": duties.grants.lapsed(now, member.id) if duties.grants is not None else None,
+        "heard_s": 0.0 if peer is None else round((now - peer.heard_at) / SECOND, 1),
+        "behind": 0 if peer is None else node.log.last - peer.match,
+        "wipes": duties.data_losses.get(member.id, 0),
     }
+
+
+QUERIES: dict[str, Callable[[LeaderDuties, int], dict[str, Any]]] = {
+    "status": status,
+    "show": show,
+    "history": history,
+    "copies": copies,
+    "release": release,
+}
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -1,207 +1,288 @@
-"""What the leader does about a release: the next balancer to go, whether a wave has held, when to halt. No I/O, no clock.
+"""What the leader does about a release: who goes next, whether a wave is healthy, when to halt.
 
-All that must survive a leader stands in the agreed log; what stands here (since when a wave holds, what each had served then) begins
-anew with the next one, which so looks at least as long."""
+No I/O, no clock. All that must survive a leader stands in the agreed log; what stands here (since
+when a wave is healthy, what each target had served then) begins anew with the next leader, which so
+observes for at least as long.
+"""
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import Enum
 
+from cypresswalk.fleet.records import SERVERS
 from cypresswalk.rollout.evidence import Evidence, Served
 from cypresswalk.rollout.release import Release, may_go
 
 SECOND = 1_000_000_000
-TRY_AGAIN = SECOND // 2  # a place that was refused is asked for again
-LOST = 10 * SECOND  # a changed balancer that is out for so long is taken for lost
-TWICE = 2
-UNUSED = (
-    30 * SECOND
-)  # a server is out for so long while its agent does not begin: all balancers must have heard first
+TURN_RETRY_INTERVAL = SECOND // 2  # a turn that was rejected is asked for again
+MAX_CHANGED_OUT = 10 * SECOND  # a changed target that is out for so long is taken for lost
+MAX_FALLS = 2  # times that a changed server may become unhealthy again
+TURN_UNUSED = 30 * SECOND  # a server's agent has not begun: all balancers must have heard first
+LONG_AGO = -1 << 62
+UNKNOWN_BOOT = 1 << 62
+MAX_NAMES_SHOWN = 5
+
+
+class ReleaseStep(Enum):
+    """Kinds of commands that `ReleaseControl` asks for."""
+
+    GRANT_TURN = "grant_turn"
+    END_UNUSED_TURN = "end_unused_turn"
+    PASS_WAVE = "pass_wave"
+    HALT = "halt"
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAction:
-    """One command to propose: "go", "held", "halt", "unused"."""
+    """One command to propose; `name`, `reason` and `wave` as the step needs them."""
 
-    what: str
+    step: ReleaseStep
     name: str = ""
-    why: str = ""
+    reason: str = ""
     wave: int = 0
 
 
+@dataclass(frozen=True, slots=True)
+class ReleaseSituation:
+    """What is known of a release and its targets.
+
+    Attributes:
+        release: as agreed.
+        halted: whether a halt is in force.
+        served: flow counts by name, of those heard lately.
+        out: targets that are out, for whatever cause.
+        away: targets that count against a bound: with a leave grant, or kept out by the release.
+        boots: how often each target has started, as it last said.
+    """
+
+    release: Release
+    halted: bool
+    served: dict[str, Served]
+    out: set[str]
+    away: set[str]
+    boots: dict[str, int]
+
+
 @dataclass
 class ReleaseControl:
-    release: str = ""  # what stands here is of that one
+    """Observations of the release under way.
+
+    Attributes:
+        observed: name and phase of the release that the other attributes are of.
+        wave: the wave that is observed.
+        healthy_since: since when all of the wave are changed and none is out.
+        evidence: whether changed targets serve as well as the others.
+        changing_since: of targets whose agents are at work.
+        turn_since: of servers whose agents have not begun.
+        returned_since: of changed servers that have not been seen ready yet.
+        falls: of changed servers: how often each became unhealthy again.
+        tried_at: when each target's turn was last asked for.
+        out_since: of changed targets that are out.
+        boots: of changed targets whose starts before their turn are unknown.
+        was_halted: whether a halt was in force at the last look.
+        waits_for: what is waited for, for people.
+    """
+
+    observed: str = ""
     wave: int = -1
-    holds_since: int | None = None
+    healthy_since: int | None = None
     evidence: Evidence = field(default_factory=Evidence)
     changing_since: dict[str, int] = field(default_factory=dict)
-    turn_since: dict[str, int] = field(
-        default_factory=dict
-    )  # of servers whose agents have not begun
-    came_since: dict[str, int] = field(
-        default_factory=dict
-    )  # of changed servers not seen ready yet
-    falls: dict[str, int] = field(
-        default_factory=dict
-    )  # of changed servers: how often each became bad again
+    turn_since: dict[str, int] = field(default_factory=dict)
+    returned_since: dict[str, int] = field(default_factory=dict)
+    falls: dict[str, int] = field(default_factory=dict)
     tried_at: dict[str, int] = field(default_factory=dict)
-    out_since: dict[str, int] = field(default_factory=dict)  # changed ones
-    boots: dict[str, int] = field(
-        default_factory=dict
-    )  # of changed ones of whose turn nothing is known any more
+    out_since: dict[str, int] = field(default_factory=dict)
+    boots: dict[str, int] = field(default_factory=dict)
     was_halted: bool = False
-    last: str = ""  # what is waited for, for people
-
-    def tend(
-        self,
-        now: int,
-        release: Release | None,
-        halted: bool,
-        served: dict[str, Served],
-        out: set[str],
-        away: set[str],
-        boots: dict[str, int],
-    ) -> ReleaseAction | None:
-        """`served`: figures by name, of those heard lately; `out`: seen out, by whatever cause; `away`: with a place of their own;
-        `boots`: how often each has started, as it last said."""
-        if release is None or release.phase not in ("running", "back"):
-            self.last = ""
+    waits_for: str = ""
+
+    def next_action(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        """Return the next command to propose, or None; `now` in nanoseconds."""
+        release = situation.release
+        if release.phase not in ("running", "back"):
+            self.waits_for = ""
             return None
-        if self.release != release.plan.name + release.phase or self.was_halted and not halted:
-            # Also where a person has seen what there was and goes on: what counts is what comes from here on, or one fault would halt it
-            # for ever.
-            self.release, self.wave, self.evidence = (
-                release.plan.name + release.phase,
-                -1,
-                Evidence(),
-            )
-            self.out_since, self.boots, self.falls = {}, {}, {}
+        self._begin_observation(situation)
+        if release.plan.kind == SERVERS:
+            action = self._late_server(now, situation)
+            if action is not None:
+                return action
+        action = self._silent_agent(now, situation)
+        if action is not None:
+            return action
+        if release.phase == "back":
+            return self._grant_next_turn(now, situation, _worst_first(situation))
+        return self._advance_wave(now, situation)
+
+    def _begin_observation(self, situation: ReleaseSituation) -> None:
+        """Forget what was observed of another release, phase or wave.
+
+        Also where a person has resumed: what counts is what comes from then on, or one fault would
+        halt the release for ever.
+        """
+        release = situation.release
+        observed = release.plan.name + release.phase
+        if self.observed != observed or self.was_halted and not situation.halted:
+            self.observed = observed
+            self.wave = -1
+            self.evidence = Evidence()
+            self.out_since = {}
+            self.boots = {}
+            self.falls = {}
         if self.wave != release.wave:
-            self.wave, self.holds_since = release.wave, None
+            self.wave = release.wave
+            self.healthy_since = None
             self.tried_at.clear()
-        self.was_halted = halted
-        plan = release.plan
-        if (
-            plan.kind == "servers"
-            and (do := self.servers_late(now, release, halted, away)) is not None
-        ):
-            return do
-        self.changing_since = {
-            name: self.changing_since.get(name, now)
-            for name, status in release.members.items()
-            if status == "changing"
-        }
-        for name, since in sorted(self.changing_since.items()):
-            if now - since > plan.change_s * SECOND and not halted:
-                return ReleaseAction(
-                    "halt", why=f"the agent of {name} has said nothing for {plan.change_s:g} s"
-                )
-        if release.phase == "running":
-            wave = plan.waves[release.wave]
-            changed = [name for name, status in sorted(release.members.items()) if status == "new"]
-            self.evidence.look(now, release.members, wave, served)
-            if halted:
-                self.last = "halted"
-                return None
-            bad = self.fallen(now, release, changed, out, boots) or self.evidence.bad(plan, now)
-            if bad:
-                return ReleaseAction("halt", why=bad)
-            if all(release.members[name] == "new" for name in wave) and not set(wave) & (
-                out | away
-            ):
-                return self.hold(now, release, wave)
-            self.holds_since = None
-            candidates = [name for name in wave if release.members[name] in ("old", "failed")]
-        else:
-            # The worst first: what failed, then what fails most of its flows.
-            candidates = sorted(
-                (name for name, status in release.members.items() if status in ("new", "failed")),
-                key=lambda name: (
-                    release.members[name] != "failed",
-                    -served.get(name, Served()).bad,
-                    name,
-                ),
-            )
-        return self.next_to_go(now, release, halted, candidates)
+        self.was_halted = situation.halted
 
-    def servers_late(
-        self, now: int, release: Release, halted: bool, away: set[str]
-    ) -> ReleaseAction | None:
-        """`away`: those that are out for it, or not seen ready since they came. A balancer's place ends by its own word (places.py)."""
+    def _late_server(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        """Return what to do about a server whose agent, or whose return, is late."""
+        release = situation.release
         members = sorted(release.members.items())
-        self.turn_since = {
-            name: self.turn_since.get(name, now) for name, status in members if status == "out"
-        }
-        self.came_since = {
-            name: self.came_since.get(name, now)
-            for name, status in members
-            if status == "new" and name in away
-        }
+        out = [name for name, status in members if status == "out"]
+        self.turn_since = _since(self.turn_since, now, out)
+        returned = [name for name, status in members if status == "new" and name in situation.away]
+        self.returned_since = _since(self.returned_since, now, returned)
         for name, since in self.turn_since.items():
-            if now - since > UNUSED or halted and release.phase != "back":
-                return ReleaseAction("unused", name)
-        for name, since in self.came_since.items():
-            if now - since > release.plan.change_s * SECOND and not halted:
-                return ReleaseAction(
-                    "halt",
-                    why=f"{name} was changed, and most balancers have not seen it ready for {release.plan.change_s:g} s",
+            if now - since > TURN_UNUSED or situation.halted and release.phase != "back":
+                return ReleaseAction(ReleaseStep.END_UNUSED_TURN, name)
+        if situation.halted:
+            return None
+        change_s = release.plan.change_s
+        for name, since in self.returned_since.items():
+            if now - since > change_s * SECOND:
+                reason = (
+                    f"{name} was changed, and most balancers have not seen it ready"
+                    f" for {change_s:g} s"
                 )
+                return ReleaseAction(ReleaseStep.HALT, reason=reason)
+        return None
+
+    def _silent_agent(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        """Return a halt where an agent has been at work for too long."""
+        release = situation.release
+        changing = [name for name, status in release.members.items() if status == "changing"]
+        self.changing_since = _since(self.changing_since, now, changing)
+        if situation.halted:
+            return None
+        change_s = release.plan.change_s
+        for name, since in sorted(self.changing_since.items()):
+            if now - since > change_s * SECOND:
+                reason = f"the agent of {name} has said nothing for {change_s:g} s"
+                return ReleaseAction(ReleaseStep.HALT, reason=reason)
         return None
 
-    def next_to_go(
-        self, now: int, release: Release, halted: bool, candidates: list[str]
+    def _advance_wave(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        release = situation.release
+        wave = release.plan.waves[release.wave]
+        self.evidence.look(now, release.members, wave, situation.served)
+        if situation.halted:
+            self.waits_for = "halted"
+            return None
+        problem = self._lost_target(now, situation) or self.evidence.bad(release.plan, now)
+        if problem:
+            return ReleaseAction(ReleaseStep.HALT, reason=problem)
+        all_changed = all(release.members[name] == "new" for name in wave)
+        if all_changed and not set(wave) & (situation.out | situation.away):
+            return self._observe_wave(now, release, wave)
+        self.healthy_since = None
+        candidates = [name for name in wave if release.members[name] in ("old", "failed")]
+        return self._grant_next_turn(now, situation, candidates)
+
+    def _grant_next_turn(
+        self, now: int, situation: ReleaseSituation, candidates: list[str]
     ) -> ReleaseAction | None:
         for name in candidates:
-            if (
-                not may_go(release, name, halted)
-                and now - self.tried_at.get(name, -1 << 62) >= TRY_AGAIN
-            ):
+            if may_go(situation.release, name, situation.halted):
+                continue
+            if now - self.tried_at.get(name, LONG_AGO) >= TURN_RETRY_INTERVAL:
                 self.tried_at[name] = now
-                return ReleaseAction("go", name)
-        self.last = f"waits for {', '.join(candidates[:5]) or 'those that are being changed'}"
+                return ReleaseAction(ReleaseStep.GRANT_TURN, name)
+        names = ", ".join(candidates[:MAX_NAMES_SHOWN])
+        self.waits_for = f"waits for {names or 'those that are being changed'}"
         return None
 
-    def fallen(
-        self, now: int, release: Release, changed: list[str], out: set[str], boots: dict[str, int]
-    ) -> str:
-        """A changed one that does not stay: it is out for long, or its process ended and another was started in its place. One that falls
-        over and over would never be out for long, and no wave of it ever hold."""
-        if release.plan.kind == "servers":
-            # Nobody tells how often a server has started. Once may be the way to it.
-            self.falls |= {
-                name: self.falls.get(name, 0) + 1
-                for name in changed
-                if name in out and name not in self.out_since
-            }
-            for name in changed:
-                if self.falls.get(name, 0) >= TWICE:
-                    return f"{name} was changed, came up and fell over, {TWICE} times"
-        self.out_since = {name: self.out_since.get(name, now) for name in changed if name in out}
+    def _lost_target(self, now: int, situation: ReleaseSituation) -> str:
+        """Return why a changed target does not stay in, or an empty string.
+
+        It is out for long, or its process ended and another was started in its place. One that
+        falls over and over would never be out for long, and no wave of it would ever be healthy.
+        """
+        release, out = situation.release, situation.out
+        changed = [name for name, status in sorted(release.members.items()) if status == "new"]
+        if release.plan.kind == SERVERS:
+            fallen = self._fallen_server(changed, out)
+            if fallen:
+                return fallen
+        self.out_since = _since(self.out_since, now, [name for name in changed if name in out])
         for name, since in self.out_since.items():
-            if now - since > LOST:
+            if now - since > MAX_CHANGED_OUT:
                 return f"{name} was changed and has been out for {(now - since) / SECOND:.0f} s"
+        return self._restarted_target(situation, changed)
+
+    def _fallen_server(self, changed: list[str], out: set[str]) -> str:
+        """Count falls, since nobody tells how often a server has started; one may be its start."""
+        self.falls |= {
+            name: self.falls.get(name, 0) + 1
+            for name in changed
+            if name in out and name not in self.out_since
+        }
+        for name in changed:
+            if self.falls.get(name, 0) >= MAX_FALLS:
+                return f"{name} was changed, came up and fell over, {MAX_FALLS} times"
+        return ""
+
+    def _restarted_target(self, situation: ReleaseSituation, changed: list[str]) -> str:
+        boots = situation.boots
         self.boots = {name: boot for name, boot in self.boots.items() if name in changed}
         for name in changed:
-            # One start is the change itself.
-            known = release.boots.get(name, 0)
-            base = known + 1 if known else self.boots.setdefault(name, boots.get(name, 1 << 62))
-            if boots.get(name, 0) > base:
+            before = situation.release.boots.get(name, 0)
+            if before:
+                expected = before + 1  # one start is the change itself
+            else:
+                expected = self.boots.setdefault(name, boots.get(name, UNKNOWN_BOOT))
+            if boots.get(name, 0) > expected:
                 return f"{name} was changed and then began anew by itself"
         return ""
 
-    def hold(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
+    def _observe_wave(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
+        """All of the wave are changed and in: pass it once enough is known and time is up."""
         plan = release.plan
-        if self.holds_since is None:
-            self.holds_since = now
-        passed = now - self.holds_since
-        why = self.evidence.unknown(plan, wave)
-        self.last = f"wave {release.wave} holds for {passed / SECOND:.1f} of {plan.hold_s:g} s: {why or 'good'}"
+        if self.healthy_since is None:
+            self.healthy_since = now
+        passed = now - self.healthy_since
+        unknown = self.evidence.unknown(plan, wave)
+        self.waits_for = (
+            f"wave {release.wave} holds for {passed / SECOND:.1f} of {plan.hold_s:g} s:"
+            f" {unknown or 'good'}"
+        )
         if passed < plan.hold_s * SECOND:
             return None
-        if not why:
-            return ReleaseAction("held", wave=release.wave)
+        if not unknown:
+            return ReleaseAction(ReleaseStep.PASS_WAVE, wave=release.wave)
         if passed > plan.hold_s * plan.patience * SECOND:
-            return ReleaseAction(
-                "halt",
-                why=f"nothing is known of wave {release.wave} after {passed / SECOND:.0f} s: {why}",
+            reason = (
+                f"nothing is known of wave {release.wave} after {passed / SECOND:.0f} s: {unknown}"
             )
+            return ReleaseAction(ReleaseStep.HALT, reason=reason)
         return None
+
+
+def _since(before: dict[str, int], now: int, names: Iterable[str]) -> dict[str, int]:
+    """Return since when each name has been there, with `now` for new ones."""
+    return {name: before.get(name, now) for name in names}
+
+
+def _worst_first(situation: ReleaseSituation) -> list[str]:
+    """Return targets to be taken back: first those that failed, then by failed flows."""
+    members = situation.release.members
+    candidates = [name for name, status in members.items() if status in ("new", "failed")]
+    return sorted(
+        candidates,
+        key=lambda name: (
+            members[name] != "failed",
+            -situation.served.get(name, Served()).bad,
+            name,
+        ),
+    )
--- a/cypresswalk/fleet/server_observations.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -1,9 +1,12 @@
-"""What whoever leads knows of servers by balancers' words: which are bad, which have been seen ready again, what each has answered. No
-I/O, no clock; it begins anew with each leader, and says then that it can't tell.
+"""What the leader knows of servers from balancers' reports.
 
-One balancer's word counts for little: a server can be bad for some alone, and a balancer that is cut off holds all for bad. So half of
-those heard lately make a server bad, and more than half of those that act on its return make it seen ready. What nobody can tell, since
-most balancers have not spoken, grants nothing."""
+Which are unhealthy, which have been seen ready again, what each has answered. No I/O, no clock. It
+begins empty with each leader, and is inconclusive until most balancers have reported.
+
+A single report counts for little: a server can be unreachable for one balancer alone, and a
+balancer that is cut off finds all of them unhealthy. So half of the recent reports make a server
+unhealthy, and more than half of the members that act on its return make it ready again.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
@@ -11,83 +14,106 @@
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.rollout.evidence import Served
 
-BAD = "held for bad by {} of {} balancers"
+UNHEALTHY_REASON = "held for bad by {} of {} balancers"
+INCONCLUSIVE_REASON = "most balancers have not said yet which servers are bad"
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    at: int
-    version: int  # that its balancer acted on
-    said: ServerReport
+class ReceivedReport:
+    """A report, when it came (nanoseconds) and which version its sender acted on."""
+
+    received_at: int
+    version: int
+    report: ServerReport
 
 
 @dataclass
 class ServerObservations:
-    fresh: int  # nanoseconds for which a word counts
-    words: dict[str, Word] = field(default_factory=dict)  # by member's id
-    counts: dict[str, dict[str, Served]] = field(
-        default_factory=dict
-    )  # of each member's latest word
-    served: dict[str, Served] = field(
-        default_factory=dict
-    )  # by server: all that has been added since this one leads
-
-    def asked(self, now: int, ident: str, version: int, said: ServerReport) -> None:
-        self.words[ident] = Word(now, version, said)
-        before, self.counts[ident] = (
-            self.counts.get(ident),
-            {name: Served(*four) for name, four in said.served.items()},
-        )
+    """The latest report of each member, and totals since this leader began.
+
+    Attributes:
+        fresh: nanoseconds for which a report counts.
+        reports: by member's id.
+        counts: flow counts by server in each member's latest report.
+        served: by server, all that has been added to the counts since this leader began.
+    """
+
+    fresh: int
+    reports: dict[str, ReceivedReport] = field(default_factory=dict)
+    counts: dict[str, dict[str, Served]] = field(default_factory=dict)
+    served: dict[str, Served] = field(default_factory=dict)
+
+    def on_report(self, now: int, member: str, version: int, report: ServerReport) -> None:
+        """Take over a member's report."""
+        self.reports[member] = ReceivedReport(now, version, report)
+        before = self.counts.get(member)
+        self.counts[member] = {name: Served(*counts) for name, counts in report.served.items()}
         if before is None:
-            return  # what it had counted before this leader looked is of no one time
-        for name, figures in self.counts[ident].items():
-            self.served[name] = self.served.get(name, Served()) + figures.since(
-                before.get(name, Served())
-            )
+            return  # counted over a time before this leader began
+        for name, counts in self.counts[member].items():
+            added = counts.since(before.get(name, Served()))
+            self.served[name] = self.served.get(name, Served()) + added
 
-    def keep(self, members: Collection[str]) -> None:
-        self.words = {ident: word for ident, word in self.words.items() if ident in members}
-        self.counts = {ident: counts for ident, counts in self.counts.items() if ident in members}
+    def retain(self, members: Collection[str]) -> None:
+        """Drop what others than these members reported."""
+        self.reports = {
+            member: report for member, report in self.reports.items() if member in members
+        }
+        self.counts = {
+            member: counts for member, counts in self.counts.items() if member in members
+        }
 
-    def heard(self, now: int, members: Collection[str]) -> list[Word]:
+    def recent(self, now: int, members: Collection[str]) -> list[ReceivedReport]:
+        """Return the reports of these members that still count."""
         return [
-            word
-            for ident, word in self.words.items()
-            if ident in members and now - word.at <= self.fresh
+            received
+            for member, received in self.reports.items()
+            if member in members and now - received.received_at <= self.fresh
         ]
 
-    def can_tell(self, now: int, members: Collection[str]) -> bool:
-        return 2 * len(self.heard(now, members)) > len(members)
+    def conclusive(self, now: int, members: Collection[str]) -> bool:
+        """Whether more than half of the members have reported lately."""
+        return 2 * len(self.recent(now, members)) > len(members)
 
-    def bad(self, now: int, members: Collection[str]) -> dict[str, str]:
-        heard = self.heard(now, members)
-        by: dict[str, int] = {}
-        for word in heard:
-            for name in word.said.bad:
-                by[name] = by.get(name, 0) + 1
+    def unhealthy(self, now: int, members: Collection[str]) -> dict[str, str]:
+        """Return servers that at least half of the recent reports find unhealthy, with reasons."""
+        recent = self.recent(now, members)
+        count_of: dict[str, int] = {}
+        for received in recent:
+            for name in received.report.bad:
+                count_of[name] = count_of.get(name, 0) + 1
         return {
-            name: BAD.format(count, len(heard))
-            for name, count in sorted(by.items())
-            if 2 * count >= len(heard)
+            name: UNHEALTHY_REASON.format(count, len(recent))
+            for name, count in sorted(count_of.items())
+            if 2 * count >= len(recent)
         }
 
-    def ready_again(
-        self, now: int, members: Collection[str], coming: dict[str, int], listed: Collection[str]
+    def seen_ready(
+        self,
+        now: int,
+        members: Collection[str],
+        returning: dict[str, int],
+        listed: Collection[str],
     ) -> dict[str, int]:
-        """Of those that came back in a version, those that most balancers, in words said since they act on it, hold for ready; and those
-        that are no more."""
-        heard, found = self.heard(now, members), {}
-        for name, version in coming.items():
-            ready = sum(word.version >= version and name not in word.said.bad for word in heard)
-            if name not in listed or 2 * ready > len(members):
+        """Return returning servers that need not be waited for any more, with their versions.
+
+        These are servers that most members, in reports made while they acted on the return, find
+        healthy, and servers that are listed no more.
+        """
+        recent = self.recent(now, members)
+        found = {}
+        for name, version in returning.items():
+            healthy_at = sum(
+                received.version >= version and name not in received.report.bad
+                for received in recent
+            )
+            if name not in listed or 2 * healthy_at > len(members):
                 found[name] = version
         return found
 
-    def standing(self, now: int, members: Collection[str], name: str) -> int | None:
-        """Flows there; None where one of those that act is not heard: a new leader, too, must not take silence for none."""
-        heard = self.heard(now, members)
-        return (
-            sum(word.said.standing.get(name, 0) for word in heard)
-            if len(heard) == len(members)
-            else None
-        )
+    def open_flows(self, now: int, members: Collection[str], server: str) -> int | None:
+        """Return a server's flows over all these members; None while one of them is not heard."""
+        recent = self.recent(now, members)
+        if len(recent) != len(members):
+            return None
+        return sum(received.report.standing.get(server, 0) for received in recent)
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -1,117 +1,144 @@
-"""Who is out, as whoever leads sees it, and when a place that was granted is free again. No I/O, no clock; it begins anew with each
-leader, so what it does not know yet counts as out.
+"""Which balancers are out, as the leader sees it, and when a leave grant has ended.
 
-A place is free once the balancer has said that it is ready, and said so after it could no longer go out by that grant. A word may
-have been on its way for long: it counts as said after a moment where it names a lease that was given after that moment."""
+No I/O, no clock. It begins empty with each leader, so what is not known yet counts as out.
+
+A grant has ended once its balancer has said that it is ready, and said so after it could no longer
+go out by that grant. Requests may be delayed for long: one counts as made after a moment where it
+names a lease that was granted after that moment.
+"""
 
 from collections import deque
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from cypresswalk.agreement.messages import Member as One
+from cypresswalk.agreement.messages import Member
 
 SECOND = 1_000_000_000
-GO = 2 * SECOND  # within which a balancer that may go out goes, or not at all
-USED = 3 * SECOND  # after which it has, by any clock within the bound on drift
-UNUSED = 10 * SECOND  # after which an agent that has not begun gives its turn up
-UNKNOWN, UNHEARD, UNREADY, LAPSED = (
-    "has not said that it is ready",
-    "not heard",
-    "not ready",
-    "not heard, its lease is over",
-)
-CERTAINLY_OUT = (UNREADY, LAPSED)  # the others may be in all the same
+LEAVE_WINDOW = 2 * SECOND  # a balancer that may go out goes within it, or not at all
+LEAVE_WINDOW_OVER = 3 * SECOND  # after which it has, by any clock within the bound on drift
+TURN_UNUSED = 10 * SECOND  # after which an agent that has not begun gives its turn up
+MAX_REMEMBERED_LEASES = 16  # per leave grant
+
+UNKNOWN = "has not said that it is ready"
+UNHEARD = "not heard"
+UNREADY = "not ready"
+LAPSED = "not heard, its lease is over"
+CERTAINLY_OUT = (UNREADY, LAPSED)  # one that is out for another reason may be in all the same
 
-Granted = tuple[str, int, str]  # by whom, when, why: as agreed
+LeaveGrant = tuple[str, int, str]  # by whom, when, why: as agreed
 
 
 @dataclass(slots=True)
-class Place:
-    """Of one balancer, by one grant."""
+class TrackedLeave:
+    """What is known of one balancer's leave grant.
+
+    Attributes:
+        grant: as agreed.
+        settled_at: when the balancer can no longer go out by it.
+        leases: numbers of leases granted since then.
+        ready_since: whether the balancer was ready after `settled_at`.
+        changing: whether its agent is changing it.
+    """
 
-    granted: Granted
-    settled: int  # when it can no longer go out by it
-    leases: deque = field(default_factory=lambda: deque(maxlen=16))  # numbers of those given since
-    back: bool = False  # it was ready then
-    begun: bool = False
+    grant: LeaveGrant
+    settled_at: int
+    leases: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_REMEMBERED_LEASES))
+    ready_since: bool = False
+    changing: bool = False
 
 
 class UnavailabilityTracker:
-    def __init__(self, stated: int):
-        self.stated = stated
-        self.said: dict[
-            str, tuple[bool | None, int]
-        ] = {}  # by id: whether it is ready, as it last said, and when
-        self.places: dict[str, Place] = {}  # by name
-
-    # What balancers say.
-
-    def asked(self, now: int, ident: str, ready: bool | None, lease: int) -> None:
-        """`lease`: the latest that it knew of when it said so."""
-        self.said[ident] = ready, now
-        place = self.places.get(name_of(ident))
-        if place is not None and lease in place.leases:
-            place.back = bool(ready)
-
-    def leased(self, now: int, ident: str, number: int) -> None:
-        place = self.places.get(name_of(ident))
-        if place is not None and now >= place.settled:
-            place.leases.append(number)
-
-    # What follows.
-
-    def seen_out(
+    """Readiness of all members, and their leave grants."""
+
+    def __init__(self, max_contradiction: int):
+        """Begin empty; what a balancer said counts for `max_contradiction` nanoseconds."""
+        self.max_contradiction = max_contradiction
+        # By member's id: whether it is ready, by its latest lease request, and when that came.
+        self.readiness: dict[str, tuple[bool | None, int]] = {}
+        # By name.
+        self.leaves: dict[str, TrackedLeave] = {}
+
+    def on_readiness(self, now: int, member: str, ready: bool | None, last_lease: int) -> None:
+        """Note a member's readiness; `last_lease` is the latest lease that it knew of then."""
+        self.readiness[member] = ready, now
+        leave = self.leaves.get(name_of(member))
+        if leave is not None and last_lease in leave.leases:
+            leave.ready_since = bool(ready)
+
+    def on_lease_granted(self, now: int, member: str, number: int) -> None:
+        """Note a lease that was granted to a member."""
+        leave = self.leaves.get(name_of(member))
+        if leave is not None and now >= leave.settled_at:
+            leave.leases.append(number)
+
+    def unavailable(
         self,
         now: int,
-        members: Iterable[One],
-        left: Collection[str],
+        members: Iterable[Member],
+        departed: Collection[str],
         unheard: Collection[str],
         lapsed: Collection[str],
     ) -> dict[str, str]:
-        """Members that are out whatever anybody granted, with why. What nobody can tell counts as out. `unheard`, `lapsed`: by id."""
-        out = {}
-        for m in members:
-            if m.name in left:
+        """Return the names of members that are out for whatever cause, with the reason.
+
+        Args:
+            now: nanoseconds.
+            members: all members; a later incarnation of a name overrides an earlier one.
+            departed: names that have left the fleet.
+            unheard: ids of members that are not heard.
+            lapsed: ids among them whose leases are over.
+        """
+        reasons: dict[str, str] = {}
+        for member in members:
+            if member.name in departed:
                 continue
-            ready, at = self.said.get(m.id, (None, 0))
-            if m.id in unheard:
-                out[m.name] = LAPSED if m.id in lapsed else UNHEARD
-            elif ready is None or now - at > self.stated:
-                out[m.name] = UNKNOWN
+            ready, said_at = self.readiness.get(member.id, (None, 0))
+            if member.id in unheard:
+                reasons[member.name] = LAPSED if member.id in lapsed else UNHEARD
+            elif ready is None or now - said_at > self.max_contradiction:
+                reasons[member.name] = UNKNOWN
             elif not ready:
-                out[m.name] = UNREADY
+                reasons[member.name] = UNREADY
             else:
-                out.pop(m.name, None)  # a later incarnation of one that was lost
-        return out
+                reasons.pop(member.name, None)
+        return reasons
 
-    def tend(
+    def next_ended(
         self,
         now: int,
-        away: dict[str, Granted],
-        begun: Collection[str],
+        grants: dict[str, LeaveGrant],
+        changing: Collection[str],
         waiting: Collection[str],
-        out: Collection[str],
-        there: Collection[str],
-    ) -> tuple[str, Granted] | None:
-        """The next whose place is free, and the grant that ends. `begun`: those whose agents work on them, two processes side by side,
-        ready all the while; `waiting`: those whose agents have not begun; `there`: names of members."""
-        self.places = {
-            name: place for name, place in self.places.items() if away.get(name) == place.granted
+        unavailable: Collection[str],
+        present: Collection[str],
+    ) -> tuple[str, LeaveGrant] | None:
+        """Return the next balancer whose leave grant has ended, with that grant.
+
+        Args: now: nanoseconds. grants: all leave grants, by name. changing: names whose agents are
+        at work; two processes run side by side then, ready all the while. waiting: names whose
+        agents have not begun. unavailable: names of members that are out. present: names of
+        members.
+        """
+        self.leaves = {
+            name: leave for name, leave in self.leaves.items() if grants.get(name) == leave.grant
         }
-        for name, granted in away.items():
-            place = self.places.get(name)
-            if place is None:
-                place = self.places[name] = Place(
-                    granted, now + (UNUSED if name in waiting else USED)
-                )
-            if name in begun or place.begun:
-                # What its old process said, and was told until it ended, says nothing of the new one.
-                place.settled, place.back, place.begun = now, False, name in begun
-                place.leases.clear()
-            if name not in there or place.back and name not in out:
-                return name, granted
+        for name, grant in grants.items():
+            leave = self.leaves.get(name)
+            if leave is None:
+                window = TURN_UNUSED if name in waiting else LEAVE_WINDOW_OVER
+                leave = self.leaves[name] = TrackedLeave(grant, now + window)
+            if name in changing or leave.changing:
+                # What the old process said and was granted until it ended says nothing of the new
+                # one.
+                leave.settled_at = now
+                leave.ready_since = False
+                leave.changing = name in changing
+                leave.leases.clear()
+            if name not in present or leave.ready_since and name not in unavailable:
+                return name, grant
         return None
 
 
-def name_of(ident: str) -> str:
-    return ident.partition("#")[0]
+def name_of(member_id: str) -> str:
+    """Return the name in a member's id, which is name#incarnation."""
+    return member_id.partition("#")[0]
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/together/explore.py
@@ -138,7 +138,7 @@
                 base = (
                     0
                     if p.fleet is None or p.fleet.member is None
-                    else p.fleet.member.agreed.state.settings_version
+                    else p.fleet.member.state.settings_version
                 )
                 self.ask(p, "offer", {"base": base, "settings": {"mark": act.number % 50}})
             case "show":
@@ -254,7 +254,7 @@
         if leader is None:
             raise Broken("no leader though all faults were lifted: " + states(w))
         member = leader.fleet.member
-        newest = member.agreed.state.version
+        newest = member.state.version
         for p in w.processes.values():
             if not p.acts or p.acts_on != newest:
                 raise Broken(
@@ -262,10 +262,10 @@
                     + states(w)
                 )
         voters = sorted(m.name for m in member.members if m.voter)
-        if voters != sorted(member.agreed.state.voters) or len(member.members) != len(w.processes):
+        if voters != sorted(member.state.voters) or len(member.members) != len(w.processes):
             raise Broken(f"members are not whole: {member.members}")
         for ident, (name, version) in self.promised.items():
-            if ident not in member.agreed.results:
+            if ident not in member.machine.results:
                 raise Broken(f"forgotten: {ident}, promised at version {version}")
         if len({p.fleet.group() for p in w.processes.values()}) != 1:
             raise Broken("two groups")
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.fleet.member import CALLED_BACK, DRAINED
-from cypresswalk.fleet.unavailability import GO
+from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.lab.together.virtual import (
     MILLISECOND,
     SECOND,
@@ -305,7 +305,7 @@
         asked = p.clock()
 
         def told(ok: bool, body: Any) -> None:
-            if ok and p.clock() - asked <= GO and self.ready():
+            if ok and p.clock() - asked <= LEAVE_WINDOW and self.ready():
                 self.world.goes_out(self, "drain")
                 self.drained = True
                 self.world.look(self)
@@ -472,7 +472,7 @@
 
     def release(self):
         leader = self.leader()
-        return leader.fleet.member.agreed.state if leader is not None else None
+        return leader.fleet.member.state if leader is not None else None
 
 
 KINDS = {
@@ -679,8 +679,8 @@
                     state.release,
                     state.leave_grants,
                     state.halted,
-                    member.releasing.last,
-                    member.seen_out(member.tend_at),
+                    member.duties.releases.control.waits_for,
+                    member.duties.balancers.unavailable(member.duties.run_at),
                 )
             )
             if state and member
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from cypresswalk.fleet.member import AppliedView
+from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.lab.together.releases import (
     HALTED,
@@ -519,8 +519,8 @@
                     state.removed_servers,
                     state.returning_servers,
                     state.halted,
-                    member.releasing.last,
-                    member.wards.bad(member.tend_at, member.idents()),
+                    member.duties.releases.control.waits_for,
+                    member.duties.servers.unhealthy(member.duties.run_at),
                 )
             )
             if state and member
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -14,8 +14,9 @@
 
 from cypresswalk.agreement.node import LogDivergedError, Role
 from cypresswalk.agreement.store import SECTOR, ForeignFileError
+from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.member import AppliedView, UnreadableEntryError
+from cypresswalk.fleet.member import UnreadableEntryError
 from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse, encode, frames
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.operator import FleetTable
@@ -489,7 +490,7 @@
         ]
 
     def leader(self) -> Process | None:
-        leaders = [p for p in self.live() if p.fleet.member.leads]
+        leaders = [p for p in self.live() if p.fleet.member.is_leader]
         return max(leaders, key=lambda p: p.fleet.member.node.term, default=None)
 
     # Invariants.
@@ -524,7 +525,7 @@
                         raise Broken(
                             f"A3: entry {index} was agreed in term {before[0]}, {member.id} has one of term {entry.term}"
                         )
-                version = member.agreed.state.version
+                version = member.state.version
                 if version not in self.active_at:
                     for number in range(max(self.active_at) + 1, version + 1):
                         self.active_at[number] = self.now
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -3,8 +3,8 @@
 from cypresswalk.agreement.node import Node, Role
 from cypresswalk.agreement.store import Store
 from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.lease_client import LeaseClient
 from cypresswalk.fleet.leases import LeaseGrants
-from cypresswalk.fleet.member import Member
 from cypresswalk.fleet.transport import Transport
 
 
@@ -26,10 +26,10 @@
 
         def taken():
             step = take()
-            if step is not None and step.work is not None:
-                for to, frame in step.sends:
+            if step is not None and step.ready is not None:
+                for to, frame in step.messages:
                     self.send(member, to, frame)
-                step.sends = []
+                step.messages = []
             return step
 
         member.take = taken
@@ -43,11 +43,11 @@
 
 def lease_from_the_answer(patch):
     def granted(self, now, grant):
-        if grant.number in self.held.out:
-            self.held.out[grant.number] = now
-        self.held.granted(grant.number, grant.version)
+        if grant.number in self.lease.outstanding:
+            self.lease.outstanding[grant.number] = now
+        self.lease.on_grant(grant.number, grant.version)
 
-    patch.setattr(Member, "granted", granted)
+    patch.setattr(LeaseClient, "on_grant", granted)
 
 
 def lapsed_without_waiting(patch):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -159,7 +159,7 @@
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
-    assert "s0" in world.leader().fleet.member.agreed.state.removed_servers
+    assert "s0" in world.leader().fleet.member.state.removed_servers
     assert (
         all(p.acts for p in world.processes.values())
         and len(world.leader().fleet.member.members) == 3
@@ -200,7 +200,7 @@
         world.leader()
         if world.leader() is not leader
         else max(
-            (p for p in world.live() if p is not leader and p.fleet.member.leads),
+            (p for p in world.live() if p is not leader and p.fleet.member.is_leader),
             key=lambda p: p.fleet.member.node.term,
         )
     )
@@ -212,9 +212,7 @@
     late = ask(world, leader, "out", server="s2")
     world.run(10 * SECOND)
     assert (
-        late[0][0]
-        and leader.acts
-        and {"s1", "s2"} <= set(heir.fleet.member.agreed.state.removed_servers)
+        late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.state.removed_servers)
     )
 
 
@@ -262,15 +260,14 @@
     world.start()
     world.run(8 * SECOND)
     assert all(
-        p.acts and "s0" in p.fleet.member.agreed.state.removed_servers
-        for p in world.processes.values()
+        p.acts and "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
     )
 
 
 def test_a_version_that_one_cannot_read_is_not_made_active_and_says_who_and_why():
     world = begun(8, followers=1)
     world.processes["n3"].refuses.add(9)
-    base = world.leader().fleet.member.agreed.state.settings_version
+    base = world.leader().fleet.member.state.settings_version
     told = ask(world, world.processes["n1"], "offer", base=base, settings={"mark": 9})
     two = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
     world.run(5 * SECOND)
@@ -279,7 +276,7 @@
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
     world.run(5 * SECOND)
     assert told[0][0] and all(
-        p.fleet.member.agreed.state.settings == {"mark": 3} for p in world.processes.values()
+        p.fleet.member.state.settings == {"mark": 3} for p in world.processes.values()
     )
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 4})
     world.run(5 * SECOND)
@@ -354,7 +351,7 @@
     told = ask(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
     assert told[0][0] and all(
-        "s0" in p.fleet.member.agreed.state.removed_servers for p in world.processes.values()
+        "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
     )
 
 
@@ -541,14 +538,14 @@
 
 def test_a_lease_is_given_up_by_its_holder_before_its_giver_counts_it_as_lapsed():
     held, given = HeldLease(5 * SECOND, 0), LeaseGrants(5 * SECOND, 0)
-    number = held.ask(100 * SECOND)
+    number = held.request(100 * SECOND)
     given.grant(100 * SECOND, "a")
-    held.granted(number, 3)
-    assert held.until(2) == 0 and 104 * SECOND < held.until(3) < 105 * SECOND
+    held.on_grant(number, 3)
+    assert held.valid_until(2) == 0 and 104 * SECOND < held.valid_until(3) < 105 * SECOND
     assert not given.lapsed(105 * SECOND, "a") and given.lapsed(106 * SECOND, "a")
     assert not LeaseGrants(5 * SECOND, 100 * SECOND).lapsed(104 * SECOND, "a")
-    held.granted(99, 7)  # an answer to nothing that was asked
-    assert held.until(3) > 0
+    held.on_grant(99, 7)  # an answer to nothing that was asked
+    assert held.valid_until(3) > 0
 
 
 def test_odd_frames_end_a_connection_and_have_no_effect():
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -9,8 +9,8 @@
 from helpers import PARAMS, START, config_data, listed
 
 from cypresswalk.copies.replica import ReservationAnswer
+from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.core_binding import CoreBinding, objection, shared
-from cypresswalk.fleet.member import AppliedView
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.model import EndpointUpdate, Outcome, ServerState
@@ -236,9 +236,9 @@
     fleet.turn = once
     fleet.start()
     until = time.monotonic() + 15
-    while time.monotonic() < until and not (failed and fleet.boot >= 2 and fleet.member.leads):
+    while time.monotonic() < until and not (failed and fleet.boot >= 2 and fleet.member.is_leader):
         time.sleep(0.02)
-    assert failed and fleet.boot >= 2 and fleet.member.leads
+    assert failed and fleet.boot >= 2 and fleet.member.is_leader
     told = Event()
     fleet.call(
         "out",
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -79,9 +79,9 @@
     """A new leader counts those it has not heard as ready."""
     patch.setattr(
         UnavailabilityTracker,
-        "seen_out",
-        lambda self, now, members, left, unheard, lapsed: {
-            m.name: "not ready" for m in members if self.said.get(m.id, (True, 0))[0] is False
+        "unavailable",
+        lambda self, now, members, departed, unheard, lapsed: {
+            m.name: "not ready" for m in members if self.readiness.get(m.id, (True, 0))[0] is False
         },
     )
 
@@ -89,13 +89,13 @@
 def places_are_free_by_any_word(patch):
     """A word that was on its way for long frees the place of who has gone out since."""
 
-    def asked(self, now, ident, ready, lease):
-        self.said[ident] = ready, now
-        place = self.places.get(ident.partition("#")[0])
-        if place is not None:
-            place.back = bool(ready)
+    def on_readiness(self, now, member, ready, last_lease):
+        self.readiness[member] = ready, now
+        leave = self.leaves.get(member.partition("#")[0])
+        if leave is not None:
+            leave.ready_since = bool(ready)
 
-    patch.setattr(UnavailabilityTracker, "asked", asked)
+    patch.setattr(UnavailabilityTracker, "on_readiness", on_readiness)
 
 
 def nobody_is_asked_before_the_old_one_goes(patch):
@@ -103,12 +103,12 @@
 
 
 def a_place_is_given_back_while_an_agent_works(patch):
-    tend = UnavailabilityTracker.tend
+    next_ended = UnavailabilityTracker.next_ended
     patch.setattr(
         UnavailabilityTracker,
-        "tend",
-        lambda self, now, away, begun, waiting, out, there: tend(
-            self, now, away, (), waiting, out, there
+        "next_ended",
+        lambda self, now, grants, changing, waiting, unavailable, present: next_ended(
+            self, now, grants, (), waiting, unavailable, present
         ),
     )
 
--- a/tests/test_placing.py
+++ b/tests/test_replica_placement.py
@@ -6,7 +6,7 @@
 from cypresswalk.copies.messages import PartitionFetched, PartitionSealed, ReplicaSlow
 from cypresswalk.copies.placement import PARTS
 from cypresswalk.copies.replica import Replica
-from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, ReplicaPlacement
+from cypresswalk.fleet.replica_placement import MAX_MAKING_UP, SECOND, ReplicaPlacement
 
 
 class Tier:
@@ -29,11 +29,11 @@
 
     def tell(self) -> None:
         for m in self.members:
-            self.placing.holds(m.id, True)
+            self.placing.on_capability(m.id, True)
 
     def new_leader(self) -> None:
         self.placing = ReplicaPlacement("m1#1", self.copies, self.least)
-        self.placing.turned(self.now)
+        self.placing.reset(self.now)
         self.tell()
 
     def carry(self, name: str) -> None:
@@ -41,13 +41,13 @@
         while holder.out:
             what, *rest = holder.out.pop(0)
             if what == "leader":
-                self.placing.heard(self.now, name, rest[0], self.views)
+                self.placing.on_message(self.now, name, rest[0], self.views)
             elif what == "answer":
                 self.answers.append(rest[1].kind)
             elif what == "send" and rest[0] not in self.dead:
                 to, word = rest
                 if isinstance(word, PartitionSealed | PartitionFetched):
-                    self.placing.heard(self.now, name, word, self.views)
+                    self.placing.on_message(self.now, name, word, self.views)
                 else:
                     self.holders[to].heard(name, word)
                     self.carry(to)
@@ -55,7 +55,7 @@
     def look(self, seconds: float = 0.2, longest: int = 60 * SECOND) -> None:
         for _ in range(round(seconds * 5)):
             self.now += SECOND // 5
-            proposals, sends = self.placing.tend(
+            proposals, sends = self.placing.next_steps(
                 self.now, self.members, self.views, self.left, lambda i: i not in self.dead, longest
             )
             for to, word in sends:
@@ -65,7 +65,7 @@
                     ) else None
                     for kind, target, answer in [o for o in self.holders[to].out if o[0] == "send"]:
                         if isinstance(answer, PartitionSealed | PartitionFetched):
-                            self.placing.heard(self.now, to, answer, self.views)
+                            self.placing.on_message(self.now, to, answer, self.views)
                             self.holders[to].out.remove((kind, target, answer))
                     self.carry(to)
             for part, (view, there) in proposals.items():
@@ -83,7 +83,7 @@
                         and holder.part(part).view == view
                         and not holder.part(part).whole
                     ):
-                        self.placing.heard(
+                        self.placing.on_message(
                             self.now, name, ReplicaSlow(part, view, name), self.views
                         )
 
@@ -139,7 +139,7 @@
     tier.claim_all(
         "z"
     )  # and do again at once, with two copies, but for the few that are being made up
-    assert sum("z" in ids for ids in tier.granted.values()) >= PARTS - AT_ONCE
+    assert sum("z" in ids for ids in tier.granted.values()) >= PARTS - MAX_MAKING_UP
     tier.look(15)
     assert set(tier.copies_whole().values()) == {3} and not any(
         "m1#1" in there for _, there in tier.views.values()
@@ -163,7 +163,7 @@
     assert not any("v" in ids for ids in tier.granted.values())
     tier.back()  # all, with their disks
     tier.look(20)
-    assert set(tier.copies_whole().values()) == {3} and not tier.placing.away
+    assert set(tier.copies_whole().values()) == {3} and not tier.placing.unreachable
 
 
 def test_a_holder_that_lost_its_files_is_filled_again_and_never_believed_meanwhile():
@@ -186,7 +186,7 @@
         tier.holders[there[0]].out.clear()
     tier.new_leader()
     for part, (view, there) in tier.views.items():
-        tier.placing.heard(
+        tier.placing.on_message(
             tier.now, there[0], PartitionSealed(part, view, True), tier.views
         )  # told until the next view begins
     tier.look(3)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 import time
+from dataclasses import replace
 from random import Random
 
 import pytest
@@ -15,7 +16,12 @@
 from cypresswalk.fleet import commands, disruption_bounds
 from cypresswalk.fleet.commands import encode
 from cypresswalk.fleet.core_binding import objection
-from cypresswalk.fleet.release_control import ReleaseAction, ReleaseControl
+from cypresswalk.fleet.release_control import (
+    ReleaseAction,
+    ReleaseControl,
+    ReleaseSituation,
+    ReleaseStep,
+)
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.judges import Span, halted, out_at_once
@@ -293,25 +299,27 @@
     places = UnavailabilityTracker(5 * second)
 
     def tend(now, away=granted, begun=(), waiting=()):
-        out = places.seen_out(
+        out = places.unavailable(
             now, [One("n0#1", True, "", ""), One("n1#1", True, "", "")], [], [], []
         )
-        return places.tend(
+        return places.next_ended(
             now, {"n1": away} if away else {}, begun, waiting, set(out) - {"n0"}, names
         )
 
-    assert set(places.seen_out(0, [One("n1#1", True, "", "")], [], [], [])) == {
+    assert set(places.unavailable(0, [One("n1#1", True, "", "")], [], [], [])) == {
         "n1"
     }  # a new leader knows nobody
     assert tend(0) is None
-    places.leased(second, "n1#1", 10)
-    places.asked(4 * second, "n1#1", True, 10)  # said before it went out, four seconds on the way
+    places.on_lease_granted(second, "n1#1", 10)
+    places.on_readiness(
+        4 * second, "n1#1", True, 10
+    )  # said before it went out, four seconds on the way
     assert tend(4 * second) is None
-    places.leased(4 * second, "n1#1", 11)
-    places.asked(5 * second, "n1#1", False, 11)  # it did go
+    places.on_lease_granted(4 * second, "n1#1", 11)
+    places.on_readiness(5 * second, "n1#1", False, 11)  # it did go
     assert tend(5 * second) is None
-    places.leased(6 * second, "n1#1", 12)
-    places.asked(7 * second, "n1#1", True, 12)
+    places.on_lease_granted(6 * second, "n1#1", 12)
+    places.on_readiness(7 * second, "n1#1", True, 12)
     assert tend(7 * second) == ("n1", granted)
     again = (
         "n1 (call)",
@@ -322,13 +330,13 @@
     # A release: the old process is ready all the while, and its words say nothing of the new one.
     places = UnavailabilityTracker(5 * second)
     assert tend(0, waiting={"n1"}) is None and tend(9 * second, begun={"n1"}) is None
-    places.leased(9 * second, "n1#1", 20)
-    places.asked(9 * second, "n1#1", True, 20)
+    places.on_lease_granted(9 * second, "n1#1", 20)
+    places.on_readiness(9 * second, "n1#1", True, 20)
     assert tend(10 * second) is None
-    places.asked(10 * second, "n1#1", True, 20)
+    places.on_readiness(10 * second, "n1#1", True, 20)
     assert tend(10 * second) is None
-    places.leased(10 * second, "n1#1", 21)
-    places.asked(10 * second, "n1#1", True, 21)
+    places.on_lease_granted(10 * second, "n1#1", 21)
+    places.on_readiness(10 * second, "n1#1", True, 21)
     assert tend(10 * second) == ("n1", granted)
     # Its machine is gone: another takes its name, or it leaves.
     places = UnavailabilityTracker(5 * second)
@@ -390,8 +398,7 @@
         seen = dict.fromkeys(self.unheard, "has not said that it is ready") | dict.fromkeys(
             self.dead, "not heard"
         )
-        do = self.leader.tend(
-            self.now,
+        situation = ReleaseSituation(
             self.release,
             self.machine.state.halted is not None,
             {name: Served(*s) for name, s in self.served.items() if name not in self.dead},
@@ -399,12 +406,13 @@
             set(self.machine.state.leave_grants),
             {},
         )
-        if do is not None:
+        action = self.leader.next_action(self.now, situation)
+        if action is not None:
             kind, words = {
-                "go": (commands.GrantTurn, (do.name, ZONES, seen, 0)),
-                "held": (commands.WaveObserved, (do.wave,)),
-                "halt": (commands.Halt, (do.why,)),
-            }[do.what]
+                ReleaseStep.GRANT_TURN: (commands.GrantTurn, (action.name, ZONES, seen, 0)),
+                ReleaseStep.PASS_WAVE: (commands.WaveObserved, (action.wave,)),
+                ReleaseStep.HALT: (commands.Halt, (action.reason,)),
+            }[action.step]
             self.say(kind, *words)
         for name, status in list(self.release.members.items()):
             if name in self.dead:
@@ -437,7 +445,7 @@
         assert self.release.phase in phases, (
             self.release,
             self.machine.state.halted,
-            self.leader.last,
+            self.leader.waits_for,
         )
 
 
@@ -558,7 +566,7 @@
 
 
 def a_halt_is_forgotten(patch):
-    may_go, tend = release.may_go, ReleaseControl.tend
+    may_go, next_action = release.may_go, ReleaseControl.next_action
     patch.setattr(release, "may_go", lambda now, name, halted: may_go(now, name, False))
     patch.setattr(
         "cypresswalk.fleet.release_control.may_go",
@@ -566,8 +574,8 @@
     )
     patch.setattr(
         ReleaseControl,
-        "tend",
-        lambda self, now, what, halted, *words: tend(self, now, what, False, *words),
+        "next_action",
+        lambda self, now, situation: next_action(self, now, replace(situation, halted=False)),
     )
 
 
@@ -577,12 +585,12 @@
         "held",
         lambda now, wave: setattr(now, "wave", min(now.wave + 1, len(now.plan.waves) - 1)) or "",
     )
-    hold = ReleaseControl.hold
+    observe = ReleaseControl._observe_wave
     patch.setattr(
         ReleaseControl,
-        "hold",
+        "_observe_wave",
         lambda self, now, what, wave: (
-            hold(self, now, what, wave) or ReleaseAction("held", wave=what.wave)
+            observe(self, now, what, wave) or ReleaseAction(ReleaseStep.PASS_WAVE, wave=what.wave)
         ),
     )
 
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cypresswalk.fleet import commands
-from cypresswalk.fleet.member import Member
+from cypresswalk.fleet.leader import LeaderDuties
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.server_observations import ServerObservations
 from cypresswalk.fleet.state_machine import StateMachine
@@ -27,7 +27,7 @@
 
 def everybody_knows_at_once(patch):
     """Servers are stopped though a balancer acts on the version before."""
-    patch.setattr(Member, "settled", lambda self, version, now: True)
+    patch.setattr(LeaderDuties, "all_act_on", lambda self, version, now: True)
 
 
 def flows_are_not_waited_for(patch):
@@ -36,7 +36,7 @@
 
 
 def the_bad_are_not_counted(patch):
-    patch.setattr(ServerObservations, "bad", lambda self, now, members: {})
+    patch.setattr(ServerObservations, "unhealthy", lambda self, now, members: {})
 
 
 def a_halt_is_not_asked_for(patch):
@@ -97,32 +97,36 @@
 
 
 def test_what_most_balancers_say_of_a_server_counts_and_silence_grants_nothing():
-    wards, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
-    wards.asked(0, "n0#1", 4, ServerReport(["s0", "s1"]))
-    wards.asked(0, "n1#1", 4, ServerReport(["s0"]))
-    assert not wards.can_tell(0, members) and wards.standing(0, members, "s0") is None
-    wards.asked(SECOND, "n2#1", 4, ServerReport([], {"s0": 3}))
+    observations, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
+    observations.on_report(0, "n0#1", 4, ServerReport(["s0", "s1"]))
+    observations.on_report(0, "n1#1", 4, ServerReport(["s0"]))
     assert (
-        wards.can_tell(SECOND, members) and wards.standing(SECOND, members, "s0") is None
+        not observations.conclusive(0, members)
+        and observations.open_flows(0, members, "s0") is None
+    )
+    observations.on_report(SECOND, "n2#1", 4, ServerReport([], {"s0": 3}))
+    assert (
+        observations.conclusive(SECOND, members)
+        and observations.open_flows(SECOND, members, "s0") is None
     )  # n3 may have flows there (seed 357)
-    wards.asked(SECOND, "n3#1", 3, ServerReport([]))
-    assert wards.can_tell(SECOND, members) and list(wards.bad(SECOND, members)) == [
-        "s0"
-    ]  # two of four; s1 by one alone
-    assert wards.standing(SECOND, members, "s0") == 3
+    observations.on_report(SECOND, "n3#1", 3, ServerReport([]))
+    assert observations.conclusive(SECOND, members) and list(
+        observations.unhealthy(SECOND, members)
+    ) == ["s0"]  # two of four; s1 by one alone
+    assert observations.open_flows(SECOND, members, "s0") == 3
     # Back in version 4: n3 does not act on it yet, so two of four have seen s1 ready.
-    assert wards.ready_again(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
-    wards.asked(SECOND, "n3#1", 4, ServerReport([]))
-    assert wards.ready_again(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
+    assert observations.seen_ready(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
+    observations.on_report(SECOND, "n3#1", 4, ServerReport([]))
+    assert observations.seen_ready(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
         "s1": 4,
         "s9": 2,
     }  # s9 is listed no more
-    assert not wards.can_tell(6 * SECOND + 1, members)
+    assert not observations.conclusive(6 * SECOND + 1, members)
     # What each answered is added up over balancers, a process that began anew counted from nothing.
-    wards.asked(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
-    wards.asked(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
-    wards.asked(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
-    assert (wards.served["s0"].up, wards.served["s0"].failed) == (17, 1)
+    observations.on_report(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
+    observations.on_report(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
+    observations.on_report(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
+    assert (observations.served["s0"].up, observations.served["s0"].failed) == (17, 1)
 
 
 def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
@@ -232,7 +236,7 @@
     w.start()
     w.run(8 * SECOND)
     leader, said = w.leader(), []
-    leader.fleet.member.wards.words.clear()  # as a leader that has just begun
+    leader.fleet.member.duties.servers.observations.reports.clear()  # as a leader that has just begun
     ask = {"ident": "a", "by": "test", "at": 0, "server": "s0"}
     w.call(
         leader,
