--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -19,7 +19,7 @@
 from cypresswalk.copies.messages import RecordStored, ReservationRecord
 from cypresswalk.copies.placement import partition_of
 from cypresswalk.fleet import client
-from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.together.plan import Plan
 from cypresswalk.lab.together.stage import Rig
@@ -88,11 +88,11 @@
 
 def member(table: str) -> None:
     """Reads what to do from its input: `claim N SECONDS [ID]` with so many out at a time, `fill N`."""
-    fleet = Fleet(
+    fleet = FleetThread(
         FleetTable(**json.loads(table)),
         lambda settings: "",
         {"serviceTypes": []},
-        lambda view: fleet.acted(view.version),
+        lambda view: fleet.on_version_applied(view.version),
         lambda: None,
     )
     fleet.copies.__class__ = Filled
@@ -105,7 +105,7 @@
             claim(fleet, int(words[0]), float(words[1]), *words[2:])
 
 
-def claim(fleet: Fleet, out: int, seconds: float, ident: str = "") -> None:
+def claim(fleet: FleetThread, out: int, seconds: float, ident: str = "") -> None:
     """`ident`: one that all ask for; or "part", ids that fall into one part."""
     took: list[float] = []
     kinds: dict[str, int] = {}
--- a/cypresswalk/cli/fleet.py
+++ b/cypresswalk/cli/fleet.py
@@ -31,7 +31,7 @@
     def command(self, name: str, **args: Any) -> Any:
         from cypresswalk.fleet import client
 
-        return self.call(name, client.command(client.who(), **args))
+        return self.call(name, client.command_args(client.operator_name(), **args))
 
 
 def said_unsure(why: str) -> int:
@@ -347,7 +347,7 @@
             missing.append(f"{member['name']}: {error}")
             continue
         told[member["id"]] = local if ok else {}
-    return missing + client.unlike(body["parts"], told)
+    return missing + client.differing_replicas(body["parts"], told)
 
 
 @copies.command()
@@ -363,7 +363,9 @@
             "Ids claimed in these parts within the last minutes may run a second time. Begin with nothing?",
             abort=True,
         )
-    click.echo(asked.call("copies_renew", {"parts": list(parts), "by": client.who()})["why"])
+    click.echo(
+        asked.call("copies_renew", {"parts": list(parts), "by": client.operator_name()})["why"]
+    )
 
 
 @fleet.group()
@@ -644,7 +646,7 @@
     """Most voters are lost for good: begins a new group from this one's folder and fences the old group off.
 
     What only the lost ones had is lost. Never while most voters of the old group may still run somewhere: both groups would act."""
-    from cypresswalk.fleet import client
+    from cypresswalk.fleet import client, recovery
 
     if not yes:
         click.echo(
@@ -652,5 +654,5 @@
             "old group run on somewhere, two groups act side by side, and rules of both are in force at once."
         )
         click.confirm("Are most voters lost for good?", abort=True)
-    done = client.recover(os.path.abspath(folder), name, member, client.who())
+    done = recovery.recover(os.path.abspath(folder), name, member, client.operator_name())
     click.echo(json.dumps(done, indent=1))
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -83,7 +83,7 @@
     def _known_addresses(self) -> list[str]:
         context = self.context
         return [
-            *(address for _, address in context.config.first),
+            *(address for _, address in context.config.seeds),
             *(member.address for member in context.members),
             *(
                 member.address
@@ -94,17 +94,17 @@
 
     def _bootstrap(self, now: int) -> None:
         context, config = self.context, self.context.config
-        others = [name for name, _ in config.first if name != config.name]
+        others = [name for name, _ in config.seeds if name != config.name]
         if not config.is_seed or any(name < config.name for name in others):
             return
         members = [Member(context.id, True, config.address, config.zone)]
-        addresses = dict(config.first)
+        addresses = dict(config.seeds)
         for name in others:
             received = self.responses.get(name)
             if received is None or now - received[0] > FRESH:
                 return
             response = received[1]
-            if response.group or response.first != config.seed_digest:
+            if response.group or response.seed_digest != config.seed_digest:
                 return
             seed = response.members[0]
             members.append(Member(seed.id, True, addresses[name], seed.zone))
@@ -128,7 +128,7 @@
             context.warn_once(
                 "first_members_differ",
                 here=config.seed_digest,
-                there=request.first,
+                there=request.seed_digest,
                 member=request.id,
             )
             rejected = "the first members in its table are others than in mine"
@@ -149,9 +149,9 @@
         config = self.context.config
         return (
             self.context.node is None
-            and request.founder
+            and request.is_seed
             and config.is_seed
-            and request.first != config.seed_digest
+            and request.seed_digest != config.seed_digest
         )
 
     def _check_replaced(self, now: int, request: DiscoveryRequest) -> None:
@@ -187,8 +187,8 @@
         """Take over what another balancer knows of the group."""
         if response.id != self.context.id:
             return
-        if response.refused:
-            self.context.warn_once("discovery_rejected", why=response.refused)
+        if response.rejected:
+            self.context.warn_once("discovery_rejected", why=response.rejected)
         if not response.group:
             for member in response.members[:1]:
                 self.responses[member.name] = now, response
@@ -210,7 +210,7 @@
     def _compare_group(self, response: DiscoveryResponse) -> None:
         context = self.context
         if response.group != context.group:
-            if context.group in response.fenced:
+            if context.group in response.fenced_groups:
                 context.identity_lost = (
                     f"group {context.group} was fenced off; {response.group} took its place"
                 )
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -1,4 +1,4 @@
-"""What the commands do: a call to any balancer of the fleet, and the way out when most voters are lost for good."""
+"""What command line tools ask of a fleet: calls to any balancer, and checks of their answers."""
 
 import os
 import socket
@@ -6,33 +6,25 @@
 import uuid
 from typing import Any
 
-from cypresswalk.agreement.log import Log, Snapshot
-from cypresswalk.agreement.messages import ENTRY_COMMAND
-from cypresswalk.agreement.messages import Member as One
-from cypresswalk.agreement.node import PersistentState
-from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.fleet.errors import FrameError, UncertainOutcomeError
 from cypresswalk.fleet.messages import (
     PROTOCOL,
-    AnyFrame,
     Call,
-    FrameError,
-    Frames,
+    FrameDecoder,
     Hello,
     HelloRejected,
     Result,
-    pack,
+    encode_frame,
 )
-from cypresswalk.fleet.records import HistoryRecord
-from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.refusal import CommandError
-from cypresswalk.state.disk import DiskFolder
 
-RECOVERED = 1000  # versions skipped, so that none of the new group has the number of one that the old one had in force
-DIAL = 1.0
-
-
-class UncertainOutcomeError(Exception):
-    """What was asked for may or may not come into force; `show` tells."""
+DIAL_TIMEOUT = 1.0  # seconds
+READ_SIZE = 1 << 16  # bytes
+ANSWER_MARGIN = 0.2  # seconds that the balancer has less than the caller
+MIN_CALL_SPAN = 0.2  # seconds
+LATE_ANSWER = 1.0  # seconds that an answer is waited for beyond the span
+MILLISECOND = 1_000_000
+READ_ONLY_CALLS = ("status", "show", "history", "local", "settled")
 
 
 def call(
@@ -42,135 +34,117 @@
     args: dict[str, Any] | None = None,
     span: float = 5.0,
 ) -> tuple[bool, Any]:
-    """Asks the first that answers, whichever it is: it passes on to the leader. Raises Refusal where nobody could be asked, Unsure
-    where one was asked and no answer came."""
-    said, sent = [], False
+    """Ask the first balancer that answers, whichever it is: it forwards to the leader.
+
+    Args:
+        addresses: host:port of balancers.
+        fleet: the fleet's name.
+        name: of the call.
+        args: its arguments.
+        span: seconds to wait.
+
+    Returns:
+        Whether it was carried out, and the answer.
+
+    Raises:
+        CommandError: no balancer could be asked.
+        UncertainOutcomeError: one was asked and its answer does not say what came of it.
+    """
+    errors: list[str] = []
+    sent = False
     until = time.monotonic() + span
-    for where in addresses:
+    for address in addresses:
         left = until - time.monotonic()
         if left <= 0:
             break
-        host, _, port = where.rpartition(":")
+        host, _, port = address.rpartition(":")
         try:
-            with socket.create_connection((host, int(port)), timeout=min(DIAL, left)) as sock:
-                hello = Hello(
-                    PROTOCOL, fleet, "tool", "", f"tool#{uuid.uuid4().hex[:8]}", 0, 0, "", ""
-                )
-                sock.sendall(
-                    pack(hello) + pack(Call(1, name, (args or {}) | {"span": max(left - 0.2, 0.2)}))
-                )
+            timeout = min(DIAL_TIMEOUT, left)
+            with socket.create_connection((host, int(port)), timeout=timeout) as sock:
+                _send_call(sock, fleet, name, args or {}, left)
                 sent = True
-                sock.settimeout(left + 1.0)
-                frame = first(sock)
+                sock.settimeout(left + LATE_ANSWER)
+                frame = _first_answer(sock)
         except (OSError, FrameError) as error:
-            said.append(f"{where}: {error}")
+            errors.append(f"{address}: {error}")
             continue
         if isinstance(frame, HelloRejected):
-            said.append(f"{where}: {frame.why}")
+            errors.append(f"{address}: {frame.reason}")
             continue
         if isinstance(frame.body, dict) and frame.body.get("unsure"):
             raise UncertainOutcomeError(str(frame.body.get("why")))
         return frame.ok, frame.body
-    if sent and name not in ("status", "show", "history", "local", "settled"):
-        raise UncertainOutcomeError("no answer: " + "; ".join(said))
-    raise CommandError("no balancer of the fleet answers: " + "; ".join(said))
+    if sent and name not in READ_ONLY_CALLS:
+        raise UncertainOutcomeError("no answer: " + "; ".join(errors))
+    raise CommandError("no balancer of the fleet answers: " + "; ".join(errors))
 
 
-def first(sock: socket.socket) -> Result | HelloRejected:
-    frames = Frames()
+def _send_call(
+    sock: socket.socket, fleet: str, name: str, args: dict[str, Any], left: float
+) -> None:
+    tool_id = f"tool#{uuid.uuid4().hex[:8]}"
+    hello = Hello(PROTOCOL, fleet, "tool", "", tool_id, 0, 0, "", "")
+    span = max(left - ANSWER_MARGIN, MIN_CALL_SPAN)
+    sock.sendall(encode_frame(hello) + encode_frame(Call(1, name, args | {"span": span})))
+
+
+def _first_answer(sock: socket.socket) -> Result | HelloRejected:
+    decoder = FrameDecoder()
     while True:
-        data = sock.recv(1 << 16)
+        data = sock.recv(READ_SIZE)
         if not data:
             raise ConnectionResetError("the balancer ended the connection")
-        frames.feed(data)
-        frame: AnyFrame | None = frames.frame()
+        decoder.feed(data)
+        frame = decoder.next_frame()
         if isinstance(frame, Result | HelloRejected):
             return frame
 
 
-def unlike(parts: list, told: dict[str, Any]) -> list[str]:
-    """A line for each part that is not whole and alike at all its holders. `parts`: number, view, holders, as who leads has them; `told`:
-    by member's id, what each answered to `copies_local`."""
-    held: dict[int, dict[str, tuple]] = {}
-    soon = max((local.get("soon", 0) for local in told.values()), default=0)
-    for ident, local in told.items():
-        for number, view, whole, shut, _, _, sums in local.get("parts", ()):
-            # Guards against ids whose time ends between two answers: on a busy fleet there are always some.
-            held.setdefault(number, {})[ident] = (
-                [view, whole, shut],
-                {b: total for b, total in sums.items() if int(b) > soon},
-            )
+def differing_replicas(parts: list[Any], answers: dict[str, dict[str, Any]]) -> list[str]:
+    """Return a line for each partition that is not complete and alike at all its replicas.
+
+    Args:
+        parts: number, view and replicas of each partition, as the leader has them.
+        answers: by member's id, what each answered to `copies_local`.
+    """
+    found = _replicas_by_partition(answers)
     lines = []
-    for part, view, holders in parts:
-        found = [held.get(part, {}).get(holder, ([], {})) for holder in holders]
-        if any(shape != [view, True, False] or sums != found[0][1] for shape, sums in found):
+    for number, view, replicas in parts:
+        states = [found.get(number, {}).get(replica, ([], {})) for replica in replicas]
+        complete = [view, True, False]
+        if any(shape != complete or digests != states[0][1] for shape, digests in states):
             lines.append(
-                f"part {part}, view {view}: "
-                + "; ".join(f"{h.partition('#')[0]} {f}" for h, f in zip(holders, found))
+                f"part {number}, view {view}: "
+                + "; ".join(
+                    f"{replica.partition('#')[0]} {state}"
+                    for replica, state in zip(replicas, states, strict=True)
+                )
             )
     return lines
 
 
-def command(by: str, **args: Any) -> dict[str, Any]:
-    return {"ident": uuid.uuid4().hex, "by": by, "at": time.time_ns() // 1_000_000} | args
+def _replicas_by_partition(
+    answers: dict[str, dict[str, Any]],
+) -> dict[int, dict[str, tuple[list[Any], dict[Any, Any]]]]:
+    """Return view, complete and sealed, and digests, of each replica, by partition and member.
 
+    Digests of keys that expire soon are left out: on a busy fleet some expire between two answers.
+    """
+    soon = max((local.get("soon", 0) for local in answers.values()), default=0)
+    found: dict[int, dict[str, tuple[list[Any], dict[Any, Any]]]] = {}
+    for member, local in answers.items():
+        for number, view, complete, sealed, _, _, digests in local.get("parts", ()):
+            lasting = {expiry: total for expiry, total in digests.items() if int(expiry) > soon}
+            found.setdefault(number, {})[member] = [view, complete, sealed], lasting
+    return found
 
-def who() -> str:
-    return os.environ.get("SUDO_USER") or os.environ.get("USER") or f"uid {os.getuid()}"
 
+def command_args(by: str, **args: Any) -> dict[str, Any]:
+    """Return a command's arguments with a new id, its author and the wall clock."""
+    at_ms = time.time_ns() // MILLISECOND
+    return {"ident": uuid.uuid4().hex, "by": by, "at": at_ms} | args
 
-def recover(folder: str, fleet: str, name: str, by: str) -> dict[str, Any]:
-    """Begins a new group from what one member of the old one has on disk: all that it has, agreed or not, since what it does not
-    know to be agreed may have been promised. Raises Refusal."""
-    disk = DiskFolder(folder)
-    try:
-        disk.lock()
-        store = Store(disk)
-        kept = store.load(fleet, name, lambda text: None)
-    except (OSError, DamagedLogError, ForeignFileError) as error:
-        raise CommandError(f"{folder}: {error}") from None
-    if kept is None or kept.snapshot.index < 0:
-        raise CommandError(f"{folder}: it holds nothing that was agreed")
-    try:
-        agreed = StateMachine(kept.snapshot.data)
-        for entry in kept.entries:
-            if entry.kind == ENTRY_COMMAND:
-                agreed.apply(entry.data)
-        state, old = agreed.state, store.life
-        state.version += RECOVERED
-        state.pending, state.voters, state.fenced_groups = (
-            None,
-            [name],
-            [*state.fenced_groups, old.group][-20:],
-        )
-        state.history.append(
-            HistoryRecord(
-                state.version,
-                by,
-                time.time_ns() // 1_000_000,
-                f"group {old.group} given up; {name} begins anew",
-            )
-        )
-        last, term = kept.snapshot.index + len(kept.entries), max(kept.term, kept.snapshot.term) + 1
-        group = f"{fleet}-{uuid.uuid4().hex[:16]}"
-        before = next(
-            (m for m in Log(kept.snapshot, kept.entries).members if m.id == old.member), None
-        )
-        mine = One(
-            old.member, True, before.address if before else "", before.zone if before else ""
-        )
-        store.begin(
-            LogIdentity(fleet, group, old.member, old.boot + 1),
-            PersistentState(Snapshot(last, term, (mine,), agreed.dump()), [], term, ""),
-        )
-    except OSError as error:
-        raise CommandError(f"{folder}: {error}") from None
-    finally:
-        disk.unlock()
-    return {
-        "group": group,
-        "fenced": old.group,
-        "member": old.member,
-        "version": state.version,
-        "out": sorted(state.removed_servers),
-    }
+
+def operator_name() -> str:
+    """Return who runs this tool, for the record."""
+    return os.environ.get("SUDO_USER") or os.environ.get("USER") or f"uid {os.getuid()}"
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -18,7 +18,7 @@
 from cypresswalk.choice import MISSES, RISE
 from cypresswalk.copies.replica import ReservationAnswer
 from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED, AppliedView
-from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.records import ListedServer
 from cypresswalk.fleet.unavailability import LEAVE_WINDOW
@@ -120,7 +120,7 @@
     ):
         self.core, self.registry, self.post = core, registry, post
         self.params = read(config.path)["settings"]
-        self.fleet = Fleet(
+        self.fleet = FleetThread(
             table,
             lambda settings: objection(self.params, settings),
             shared(self.params),
@@ -250,7 +250,7 @@
             self.list_version = view.list_version
             self.follow(now, view.servers)
         self.version = view.version
-        self.fleet.acted(view.version)
+        self.fleet.on_version_applied(view.version)
         log.info(event("acting_on", version=view.version, out=len(self.out)))
 
     def settle(self, now: int, agreed: dict[str, Any]) -> None:
@@ -278,7 +278,7 @@
 
     def handed(self) -> dict[str, Any]:
         return {
-            "until": self.fleet.until,
+            "until": self.fleet.lease_until,
             "version": self.version,
             "settings_version": self.settings_version,
             "settings": self.settings,
@@ -314,7 +314,7 @@
         for ident in sorted(out | here):
             self.core.obey(now, AdminCommand("set-down", ident), known=True)
         self.core.listed(now, EndpointUpdate.DELTA, [])
-        self.fleet.inherit(until, version)
+        self.fleet.inherit_lease(until, version)
 
     # Lists.
 
@@ -367,7 +367,7 @@
         digest = blake2b(msgspec.msgpack.encode(servers), digest_size=16).digest()
         if (registry.version, digest) != self.told and registry.version > 0:
             self.told = registry.version, digest
-            self.fleet.told_list(registry.version, digest, servers)
+            self.fleet.on_list_received(registry.version, digest, servers)
 
     # Calls.
 
@@ -494,7 +494,7 @@
     """Flows that must not run twice wait here for their claim: each is answered within a share of its setup target whatever the
     holders do. Called by the deciding thread alone, but for what it hands to the copies' thread."""
 
-    def __init__(self, core: Core, fleet: Fleet, post: Callable[..., None], share: float):
+    def __init__(self, core: Core, fleet: FleetThread, post: Callable[..., None], share: float):
         self.core, self.fleet, self.post, self.share = core, fleet, post, share
         self.waiting: dict[Session, None] = {}
         self.granted: dict[Flow, str] = {}  # under what name
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -1,163 +1,202 @@
-"""The fleet's thread: runs the core on a real clock, disk and links, and hands what is agreed to the deciding thread.
+"""The fleet's thread: runs a `Member` on a real clock, disk and connections.
 
-Whatever happens here, the deciding thread waits for nothing: it looks at `may_act`, which compares a number with a clock."""
+It hands what is agreed to the deciding thread, which waits for nothing here: `may_act` compares a
+number with a clock.
+"""
 
 import logging
 import os
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from queue import Empty, SimpleQueue
 from random import Random
-from threading import Event
+from threading import Event as Flag
 from typing import Any
 
 import msgspec
 
-from cypresswalk.agreement.node import LogDivergedError, PersistentState, Timing
-from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
-from cypresswalk.copies.messages import Message as CopyWord
-from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
+from cypresswalk.agreement.node import BusyError, LogDivergedError, PersistentState
+from cypresswalk.agreement.store import DamagedLogError, ForeignFileError
+from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
+from cypresswalk.copies.messages import MessageBatch
+from cypresswalk.fleet.addresses import host_and_port
 from cypresswalk.fleet.applied_view import AppliedView
-from cypresswalk.fleet.member import Member, UnreadableEntryError
-from cypresswalk.fleet.member_context import MemberConfig, MemberIdentity
-from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, Result, ServerReport
+from cypresswalk.fleet.errors import UnreadableEntryError
+from cypresswalk.fleet.events import (
+    CallRequested,
+    ConnectionRejected,
+    Event,
+    FrameReceived,
+    LeaderMessagesPosted,
+    LeadershipReleased,
+    ListReceived,
+    ReplicaCapabilityChanged,
+    StopRequested,
+    ToolFrameReceived,
+    VersionApplied,
+)
+from cypresswalk.fleet.leader_calls import Reply
+from cypresswalk.fleet.member import Member, MemberEffects
+from cypresswalk.fleet.member_context import MemberIdentity, config_of
+from cypresswalk.fleet.member_folder import LOCK_RETRY_PAUSE, MemberFolder
+from cypresswalk.fleet.message_router import MessageRouter
+from cypresswalk.fleet.messages import PROTOCOL, Call, FlowCounts, Hello, ServerReport
+from cypresswalk.fleet.records import ListedServer
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
-from cypresswalk.fleet.transport import STACK, Answers, Transport
+from cypresswalk.fleet.tool_calls import local_status, reject_call, reply_to, take_span
+from cypresswalk.fleet.transport import STACK_SIZE, Transport
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.operator import FleetTable
-from cypresswalk.state.disk import DiskFolder, FolderLockedError
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-LOCK_AGAIN = 0.05  # seconds: the process before this one ends soon
-DISK_AGAIN, DISK_AGAIN_MOST = 1.0, 15.0  # seconds until a folder that failed is tried anew
-AT_ONCE = 256  # events taken before time passes and effects go out
-COPIES_END = 3.0  # seconds that the copies' thread may take to end
-TOOL_SPAN = 5.0  # seconds that a tool's call may take if it says nothing else
+MILLISECOND = 1_000_000
+MIN_FOLDER_BACKOFF = 1.0  # seconds until a folder that failed is tried anew
+MAX_FOLDER_BACKOFF = 15.0  # seconds
+MAX_EVENTS_PER_TURN = 256  # taken before time passes and effects go out
+REPLICATION_END_TIMEOUT = 3.0  # seconds
 
 
-def clock() -> int:
-    """Goes on while the machine sleeps."""
+def boottime_ns() -> int:
+    """Return a clock in nanoseconds that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-def address(text: str) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
-    return host, int(port)
+class FleetThread:
+    """Owns the member, its folder and its connections.
 
+    Public methods are for any thread, unless they say otherwise.
+
+    Attributes:
+        served: asked by this thread for the process's flow counts.
+        ready: asked by this thread whether flows that came now would be placed.
+        servers: asked by this thread for a report of servers.
+        started: set once the member runs.
+        ended: set once nothing of it runs any more.
+        lease_until: end of the lease, by `now`; read by the deciding thread.
+    """
 
-class Fleet:
     def __init__(
         self,
         table: FleetTable,
-        check: Callable[[dict], str],
-        own: dict[str, Any],
-        agreed: Callable[[AppliedView], None],
-        leased: Callable[[], None],
-        now: Callable[[], int] = clock,
+        check_settings: Callable[[dict[str, Any]], str],
+        own_settings: dict[str, Any],
+        on_view: Callable[[AppliedView], None],
+        on_lease: Callable[[], None],
+        now: Callable[[], int] = boottime_ns,
     ):
-        """`agreed` and `leased` are called by the fleet's thread: with a view to act on, and when a lease begins anew."""
-        self.table, self.check, self.own, self.agreed, self.leased, self.now = (
-            table,
-            check,
-            own,
-            agreed,
-            leased,
-            now,
-        )
-        self.about = MemberConfig(
-            table.fleet,
-            table.name,
-            table.address,
-            table.zone,
-            tuple(sorted(table.first.items())),
-            int(table.stated_s * SECOND),
-            Timing(),
-        )
-        self.queue: SimpleQueue = SimpleQueue()
-        self.chance = Random(int.from_bytes(os.urandom(16), "little"))
+        """Run nothing yet.
+
+        Args:
+            table: of the operator's file.
+            check_settings: why this balancer could not act on settings, or an empty string.
+            own_settings: this balancer's own settings, offered where the fleet has none yet.
+            on_view: called by this thread with a view to act on.
+            on_lease: called by this thread when a lease begins anew.
+            now: a clock in nanoseconds that goes on while the machine sleeps.
+        """
+        # Over 40 lines since it sets one attribute a line.
+        self.table = table
+        self.check_settings = check_settings
+        self.own_settings = own_settings
+        self.on_view = on_view
+        self.on_lease = on_lease
+        self.now = now
+        self.config = config_of(table)
+        self.queue: SimpleQueue[Event] = SimpleQueue()
+        self.random = Random(int.from_bytes(os.urandom(16), "little"))
         self.member: Member | None = None
-        self.store: Store | None = None
-        self.disk = DiskFolder(table.folder)
-        self.life = self.chance.getrandbits(63)
+        self.folder = MemberFolder(table.folder, table.fleet, table.name)
+        self.start_nonce = self.random.getrandbits(63)
         self.boot = 0
-        self.until = 0  # of the lease; read by the deciding thread
-        self.inherited = 0  # of a lease that an earlier member of this process, or the process before it, was granted
+        self.data_losses = 0
+        self.lease_until = 0
+        # End of the lease of an earlier member of this process, or of the process before it.
+        self.inherited_until = 0
         self.acts_on = 0
-        self.trouble = ""
-        self.wipes = 0
-        self.started = Event()
-        self.over = Event()
-        self.ended = Event()
-        self.links = Transport(
-            address(table.listen or table.address),
-            table.fleet,
-            lambda *event: self.queue.put(event),
+        self.problem = ""  # why the member does not run
+        self.started = Flag()
+        self.ended = Flag()
+        self._stopping = Flag()
+        # Wall time as it was at the start, and what has passed since: a jump of the clock changes
+        # nothing.
+        wall_offset = time.time_ns() - self.now()
+        self.wall: Callable[[], int] = lambda: wall_offset + self.now()
+        self.served: Callable[[], FlowCounts] = lambda: (0, 0, 0, 0)
+        self.ready: Callable[[], bool | None] = lambda: None
+        self.servers: Callable[[], ServerReport] = ServerReport
+        self.copies = self._make_replication_thread()
+        self.transport = self.make_transport()
+        self.router = MessageRouter(table, self.transport, self.copies)
+
+    def make_transport(self) -> Transport:
+        """Return the connections to other members; called once, at the end of the constructor."""
+        return Transport(
+            host_and_port(self.table.listen or self.table.address),
+            self.table.fleet,
+            self.queue.put,
             self.queue.qsize,
             self.hello,
             self.group,
         )
-        # Wall time as it was at the start, and what has passed since: guards against a clock that jumps.
-        base = time.time_ns() - self.now()
-        self.wall: Callable[[], int] = lambda: base + self.now()
-        self.copies: Any = None
-        if table.copies is not None:
-            # Imported here alone: who keeps no copies pays nothing.
-            from cypresswalk.copies.driver import ReplicationThread
-
-            self.copies = ReplicationThread(
-                self.disk,
-                self.now,
-                self.wall,
-                self.send_copies,
-                self.tell_leader,
-                lambda holds: self.queue.put(("holds", holds)),
-                table.copies.most_ids,
-            )
-        self.served: Callable[[], tuple[int, int, int, int]] = lambda: (0, 0, 0, 0)
-        self.ready: Callable[[], bool | None] = lambda: None  # asked by the fleet's thread
-        self.servers: Callable[[], ServerReport] = ServerReport
-        self.places: dict[
-            str, str
-        ] = {}  # addresses that others named: one that just joined knows no members yet
-        self.names = {where: name for name, where in table.first.items()}
 
-    # For any thread.
+    def _make_replication_thread(self) -> Any:
+        copies = self.table.copies
+        if copies is None:
+            return None
+        # Imported here alone: a balancer that keeps no replicas pays nothing.
+        from cypresswalk.copies.driver import ReplicationThread
+
+        return ReplicationThread(
+            self.folder.disk,
+            self.now,
+            self.wall,
+            self.send_copies,
+            self.tell_leader,
+            lambda holds: self.queue.put(ReplicaCapabilityChanged(holds)),
+            copies.most_ids,
+        )
 
     def may_act(self) -> bool:
-        return self.now() < self.until or self.table.without_lease == "hold"
+        """Whether the deciding thread may act on the version that it has."""
+        return self.now() < self.lease_until or self.table.without_lease == "hold"
 
     def start(self) -> None:
-        start_thread(self.run, SECOND, STACK)
+        """Begin, as soon as the folder is free."""
+        start_thread(self.run, SECOND, STACK_SIZE)
         if self.copies is not None:
-            start_thread(self.copies.run, SECOND, STACK)
+            start_thread(self.copies.run, SECOND, STACK_SIZE)
 
-    def call(
-        self, name: str, args: dict[str, Any], reply: Callable[[bool, Any], None], span: float
-    ) -> None:
-        self.queue.put(("call", name, args, reply, span))
+    def call(self, name: str, args: dict[str, Any], reply: Reply, span: float) -> None:
+        """Ask the leader; the fleet's thread calls `reply` once, within `span` seconds."""
+        self.queue.put(CallRequested(name, args, reply, span))
 
-    def inherit(self, until: int, version: int) -> None:
-        self.inherited = self.until = min(until, self.now() + self.about.max_contradiction)
-        self.acted(version)
+    def inherit_lease(self, until: int, version: int) -> None:
+        """Take over the lease of the process before this one, and the version that it acted on."""
+        self.lease_until = min(until, self.now() + self.config.max_contradiction)
+        self.inherited_until = self.lease_until
+        self.on_version_applied(version)
 
-    def acted(self, version: int) -> None:
+    def on_version_applied(self, version: int) -> None:
+        """The deciding thread acts on that version now."""
         self.acts_on = max(self.acts_on, version)
-        self.queue.put(("acted", version))
+        self.queue.put(VersionApplied(version))
 
-    def told_list(self, generation: int, digest: bytes, servers: list) -> None:
-        self.queue.put(("list", generation, digest, servers))
+    def on_list_received(self, generation: int, digest: bytes, servers: list[ListedServer]) -> None:
+        """This balancer's own list agent delivered an endpoint list."""
+        self.queue.put(ListReceived(generation, digest, servers))
 
-    def leave(self) -> None:
-        """A planned stop: leadership goes to another. What runs goes on."""
-        self.queue.put(("leave",))
+    def release_leadership(self) -> None:
+        """A planned stop: leadership goes to another member. What runs goes on."""
+        self.queue.put(LeadershipReleased())
 
     def stop(self) -> None:
-        """Another process of this balancer takes its part from here on; the lease runs on until its end."""
-        self.over.set()
-        self.queue.put(("stop",))
+        """Another process of this balancer takes its part from here on; the lease runs on."""
+        self._stopping.set()
+        self.queue.put(StopRequested())
 
     def hello(self, to: str) -> Hello:
+        """Return this member's Hello for that id."""
         member = self.member
         return Hello(
             PROTOCOL,
@@ -166,360 +205,293 @@
             member.group if member else "",
             member.id if member else "",
             self.boot,
-            self.life,
+            self.start_nonce,
             self.table.address,
             to,
         )
 
+    def group(self) -> str:
+        """Return this member's group, or an empty string."""
+        return self.member.group if self.member else ""
+
+    def send_copies(self, to: str, batch: MessageBatch) -> None:
+        """Send messages between replicas; called by the replication thread."""
+        member = self.member
+        if member is not None:
+            self.router.send(member, to, batch)
+
+    def tell_leader(self, messages: list[ReplicationMessage]) -> None:
+        """Send messages to the leader; called by the replication thread."""
+        self.queue.put(LeaderMessagesPosted(messages))
+
+    # What the member asks of its host (member_context.Host), in the fleet's thread.
+
     def settings_objection(self, settings: dict[str, Any]) -> str:
-        return self.check(settings)
+        """Return why this balancer could not act on those settings, or an empty string."""
+        return self.check_settings(settings)
 
     def is_ready(self) -> bool | None:
+        """Whether flows that came now would be placed; None where nobody has said."""
         return self.ready()
 
-    def flow_counts(self) -> tuple[int, int, int, int]:
+    def flow_counts(self) -> FlowCounts:
+        """Return the process's flow counts."""
         return self.served()
 
     def server_report(self) -> ServerReport:
+        """Return what this balancer knows of servers."""
         return self.servers()
 
     def wall_ms(self) -> int:
-        return self.wall() // 1_000_000
-
-    def group(self) -> str:
-        return self.member.group if self.member else ""
+        """Return the wall clock in milliseconds, for people."""
+        return self.wall() // MILLISECOND
 
     # The fleet's thread.
 
     def run(self) -> None:
-        if not self.lock():
+        """Run the member until stopped; begin anew where its disk or its log has failed."""
+        if not self.folder.lock(self._stopping):
+            self.ended.set()
             return
-        pause = DISK_AGAIN
-        while not self.over.is_set():
+        backoff = MIN_FOLDER_BACKOFF
+        while not self._stopping.is_set():
             try:
                 self.begin()
-                self.serve()
-                pause = DISK_AGAIN
+                self._serve()
+                backoff = MIN_FOLDER_BACKOFF
             except OSError as error:
-                # Nothing is said after a write that failed: what it covered may be lost. All that can be read is then written
-                # anew, whole, and flushed, before this member says a word again.
-                self.say_trouble("fleet_disk_failed", f"{error.strerror or error}")
+                # Nothing is sent after a write that failed: what it covered may be lost. All that
+                # can be read is then written anew and flushed before this member says anything.
+                self._log_problem("fleet_disk_failed", f"{error.strerror or error}")
             except (LogDivergedError, UnreadableEntryError) as error:
-                self.say_trouble("fleet_member_stopped", str(error))
-                pause = DISK_AGAIN_MOST
+                self._log_problem("fleet_member_stopped", str(error))
+                backoff = MAX_FOLDER_BACKOFF
             except ForeignFileError as error:
-                self.say_trouble("fleet_folder_foreign", str(error))
-                pause = DISK_AGAIN_MOST
+                self._log_problem("fleet_folder_foreign", str(error))
+                backoff = MAX_FOLDER_BACKOFF
             self.member = None
-            if not self.over.is_set():
-                self.wait_out(pause)
-                pause = min(2 * pause, DISK_AGAIN_MOST)
+            if not self._stopping.is_set():
+                self._wait_and_reject_calls(backoff)
+                backoff = min(2 * backoff, MAX_FOLDER_BACKOFF)
+        self._end()
+
+    def _end(self) -> None:
         if self.copies is not None:
             self.copies.stop()
-            self.copies.ended.wait(
-                COPIES_END
-            )  # nothing is written once another process has the folder
-        self.links.end()
-        self.disk.unlock()
+            # Nothing is written once another process has the folder.
+            self.copies.ended.wait(REPLICATION_END_TIMEOUT)
+        self.transport.end()
+        self.folder.unlock()
         self.ended.set()
 
-    def wait_out(self, pause: float) -> None:
-        """Calls are answered meanwhile."""
-        until = time.monotonic() + pause
-        while (left := until - time.monotonic()) > 0 and not self.over.is_set():
+    def _wait_and_reject_calls(self, seconds: float) -> None:
+        until = time.monotonic() + seconds
+        while (left := until - time.monotonic()) > 0 and not self._stopping.is_set():
             try:
                 event = self.queue.get(timeout=left)
             except Empty:
                 return
-            if event[0] == "call":
-                event[3](
-                    False,
-                    {
-                        "why": f"this balancer's part in the fleet has stopped: {self.trouble}",
-                        "unsure": False,
-                    },
-                )
-            elif event[0] == "tool" and isinstance(event[2], Call):
-                event[3].send(
-                    Result(
-                        event[2].number,
-                        False,
-                        {"why": f"its part in the fleet has stopped: {self.trouble}"},
-                    )
-                )
-
-    def say_trouble(self, what: str, why: str) -> None:
-        if why != self.trouble:
-            log.error("event=%s folder=%s why=%s", what, self.table.folder, why)
-        self.trouble = why
-
-    def lock(self) -> bool:
-        """The process before this one has it until it ends: two never vote as one."""
-        said = ""
-        if self.disk.held is not None:
-            return True  # this thread has failed in an unforeseen way and begins anew: the lock is this process's still
-        while not self.over.is_set():
-            try:
-                os.makedirs(self.table.folder, mode=0o700, exist_ok=True)
-                self.disk.lock()
-                return True
-            except FolderLockedError:
-                why = "another process of this balancer has the folder"
-            except OSError as error:
-                why = str(error)
-            if why != said:
-                log.info("event=fleet_waits folder=%s why=%s", self.table.folder, why)
-                said = why
-            time.sleep(LOCK_AGAIN)
-        self.ended.set()
-        return False
+            reject_call(event, self.problem)
+
+    def _log_problem(self, event: str, why: str) -> None:
+        """Log a problem, unless it is the same as before."""
+        if why != self.problem:
+            log.error("event=%s folder=%s why=%s", event, self.table.folder, why)
+        self.problem = why
 
     def begin(self) -> None:
-        """What the folder holds, or nothing."""
-        store = self.store = Store(self.disk)
-        kept, why = None, ""
+        """Make a member from what the folder holds, or a new one.
+
+        Raises:
+            OSError: the disk failed.
+            ForeignFileError: another balancer, or a newer program, wrote there.
+        """
         try:
-            kept = store.load(
-                self.table.fleet,
-                self.table.name,
-                lambda text: log.warning("event=fleet_log_cut why=%s", text),
-            )
+            loaded = self.folder.load()
         except DamagedLogError as error:
-            why = str(error)
-        if kept is not None:
-            life = LogIdentity(
-                store.life.fleet, store.life.group, store.life.member, store.life.boot + 1
-            )
-            store.begin(life, kept)
-            self.boot = life.boot
+            self._give_up_identity(str(error))
+            loaded = None
+        if loaded is None:
+            self._begin_blank()
+        else:
+            identity, persisted = loaded
+            self.boot = identity.boot
             try:
-                self.make(life.member, life.group, kept)
+                self._make_member(identity.member, identity.group, persisted)
             except msgspec.DecodeError as error:
-                raise ForeignFileError(f"its state can't be read: {error}") from None
-        else:
-            if why:
-                self.give_up(why)
-            self.blank()
-        if self.links.sock is None:
-            self.listen()
-        if self.trouble:
-            log.info("event=fleet_again folder=%s", self.table.folder)
-            self.trouble = ""
+                raise ForeignFileError(f"its state can't be read: {error}") from error
+        if not self.transport.listening:
+            self._listen()
+        if self.problem:
+            log.info("event=fleet_member_restarted folder=%s", self.table.folder)
+            self.problem = ""
         self.started.set()
 
-    def listen(self) -> None:
-        while not self.over.is_set():
+    def _begin_blank(self) -> None:
+        self.boot = 1
+        self.start_nonce = self.random.getrandbits(63)
+        self._make_member(f"{self.table.name}#{self.random.getrandbits(64):016x}", "", None)
+
+    def _listen(self) -> None:
+        while not self._stopping.is_set():
             try:
-                self.links.start()
+                self.transport.start()
                 return
             except OSError as error:
-                self.say_trouble("fleet_not_listening", str(error))
-                time.sleep(LOCK_AGAIN)
+                self._log_problem("fleet_listen_failed", str(error))
+                time.sleep(LOCK_RETRY_PAUSE)
 
-    def give_up(self, why: str) -> None:
+    def _give_up_identity(self, why: str) -> None:
         log.error("event=fleet_identity_given_up why=%s", why)
-        self.wipes += 1
-        self.store.set_aside()
+        self.data_losses += 1
+        self.folder.set_aside()
 
-    def blank(self) -> None:
-        self.boot = 1
-        self.life = self.chance.getrandbits(63)
-        self.make(f"{self.table.name}#{self.chance.getrandbits(64):016x}", "", None)
-
-    def make(self, ident: str, group: str, kept: PersistentState | None) -> None:
+    def _make_member(self, member_id: str, group: str, persisted: PersistentState | None) -> None:
         copies = self.table.copies
-        placing = (
-            ReplicaPlacement(ident, copies.copies, copies.least) if copies is not None else None
-        )
+        placement = None
+        if copies is not None:
+            placement = ReplicaPlacement(member_id, copies.copies, copies.least)
         self.member = Member(
-            self.about,
-            MemberIdentity(ident, group, self.boot, self.wipes),
-            kept,
+            self.config,
+            MemberIdentity(member_id, group, self.boot, self.data_losses),
+            persisted,
             self.now(),
-            self.chance,
+            self.random,
             self,
-            self.own,
-            placing,
+            self.own_settings,
+            placement,
             self.acts_on,
         )
-        self.inherited = self.until
+        self.inherited_until = self.lease_until
         if self.copies is not None:
             # Another incarnation holds nothing of what this one held.
-            self.copies.put("identity", ident, self.boot)
+            self.copies.put("identity", member_id, self.boot)
 
-    def serve(self) -> None:
+    def _running_member(self) -> Member:
+        assert self.member is not None, "set by begin, which comes before any turn"
+        return self.member
+
+    def _serve(self) -> None:
         queue = self.queue
-        while not self.over.is_set():
-            wait = self.member.due() - self.now()
+        while not self._stopping.is_set():
+            wait = self._running_member().due() - self.now()
             events = []
             try:
                 events.append(queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait())
-                while len(events) < AT_ONCE:
+                while len(events) < MAX_EVENTS_PER_TURN:
                     events.append(queue.get_nowait())
             except Empty:
                 pass
             self.turn(events)
 
-    def turn(self, events: list[tuple]) -> None:
-        """What has come, what time brings, then what follows of it. Raises OSError from the disk, Harmed, Strange."""
-        member = self.member
+    def turn(self, events: Iterable[Event]) -> None:
+        """Take over events and what time brings, then carry out what follows.
+
+        Raises:
+            OSError: the disk failed.
+            LogDivergedError, UnreadableEntryError: this member must not go on.
+        """
+        member = self._running_member()
         for event in events:
-            self.happen(self.now(), member, event)
+            self._on_event(self.now(), member, event)
         member.on_time(self.now())
         self.carry_out(member)
         if self.member is not member:
-            member = self.member  # it gave up its identity
+            member = self._running_member()  # the one before gave up its identity
             self.carry_out(member)
-        self.renew(member)
+        self._renew_lease(member)
         while member.views:
-            self.agreed(member.views.pop(0))
+            self.on_view(member.views.pop(0))
         while member.placements:
-            views = member.placements.pop(0)
+            placed = member.placements.pop(0)
             if self.copies is not None:
-                self.copies.put("placed", views)
+                self.copies.put("placed", placed)
 
-    def renew(self, member: Member) -> None:
-        until = max(member.lease_until(), self.inherited)
-        if until != self.until:
-            before, self.until = self.until, until
-            if before <= self.now() < until:
-                self.leased()
+    def _renew_lease(self, member: Member) -> None:
+        until = max(member.lease_until(), self.inherited_until)
+        if until == self.lease_until:
+            return
+        before, self.lease_until = self.lease_until, until
+        if before <= self.now() < until:
+            self.on_lease()
 
     def carry_out(self, member: Member) -> None:
-        while (step := member.take()) is not None:
-            if step.identity_lost:
-                self.give_up(step.identity_lost)
-                self.blank()
-                return
-            if step.new_log is not None:
-                group, kept = step.new_log
-                self.store.begin(LogIdentity(self.table.fleet, group, member.id, self.boot), kept)
-            if step.ready is not None:
-                if step.ready.writes:
-                    self.store.write(step.ready)
-                member.on_written(self.now(), step.ready)
-            for to, frame in step.messages:
-                self.send(member, to, frame)
-            if step.ready is not None:
-                member.apply(self.now(), step.ready)
-
-    def send_copies(self, to: str, bundle: MessageBatch) -> None:
-        """By the thread that keeps copies."""
-        member = self.member
-        if member is not None:
-            self.send(member, to, bundle)
-
-    def tell_leader(self, words: list) -> None:
-        self.queue.put(("to_leader", words))
-
-    def send(self, member: Member, to: str, frame: object) -> None:
-        if isinstance(frame, CopyWord):
-            if to == member.id:
-                self.copies.put("words", to, [frame])
+        """Carry out all effects; an identity that is lost is followed by a blank member."""
+        while (effects := member.take()) is not None:
+            if effects.identity_lost:
+                self._give_up_identity(effects.identity_lost)
+                self._begin_blank()
                 return
-            frame = MessageBatch([frame])
-        if ":" in to:
-            name, ident, where = self.names.get(to, ""), "", to
-        else:
-            name, ident, where = (
-                to.partition("#")[0],
-                to,
-                member.address_of(to) or self.places.get(to, ""),
-            )
-        where = self.table.via.get(name, where)
-        if where:
-            self.links.send(address(where), ident, frame)
-
-    def happen(self, now: int, member: Member, event: tuple) -> None:
+            self._write(member, effects)
+            for to, message in effects.messages:
+                self.router.send(member, to, message)
+            if effects.ready is not None:
+                member.apply(self.now(), effects.ready)
+
+    def _write(self, member: Member, effects: MemberEffects) -> None:
+        if effects.new_log is not None:
+            group, persisted = effects.new_log
+            self.folder.begin_log(group, member.id, self.boot, persisted)
+        if effects.ready is not None:
+            if effects.ready.writes:
+                self.folder.write(effects.ready)
+            member.on_written(self.now(), effects.ready)
+
+    def _on_event(self, now: int, member: Member, event: Event) -> None:
         match event:
-            case ("heard", hello, frame):
-                self.places[hello.id] = hello.address
-                while len(self.places) > 1000:
-                    del self.places[next(iter(self.places))]
-                if isinstance(frame, MessageBatch):
-                    self.bundled(now, member, hello.id, frame)
-                else:
-                    member.on_frame(now, hello.id, frame)
-            case ("holds", holds):
-                member.on_replica_capability(now, holds)
-            case ("to_leader", words):
-                if member.is_leader:
-                    member.on_replica_messages(now, member.id, words)
-                elif member.leader:
-                    self.send(member, member.leader, MessageBatch(words))
-            case ("tool", _, Call() as frame, answers):
-                self.tool(now, member, frame, answers)
-            case ("call", name, args, reply, span):
-                member.call(now, name, args, reply, int(span * SECOND))
-            case ("acted", version):
-                member.on_version_applied(now, version)
-            case ("list", generation, digest, servers):
-                member.on_list_received(now, generation, digest, servers)
-            case ("refused", to, frame) if frame.code == "put-back":
-                member.give_up_identity(
-                    f"{to} has seen a later start of this one: its disk was set back"
-                )
-            case ("leave",) if member.is_leader:
-                try:
-                    log.info("event=leadership_handed_over to=%s", member.node.hand_over(now))
-                except Exception as error:
-                    log.info("event=leadership_kept why=%s", error)
-
-    def bundled(self, now: int, member: Member, source: str, bundle: MessageBatch) -> None:
-        if self.copies is None:
-            return
-        to_leader = [
-            word
-            for word in bundle.words
-            if isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
-        ]
-        if to_leader:
-            member.on_replica_messages(now, source, to_leader)
-        if len(to_leader) < len(bundle.words):
-            self.copies.put(
-                "words",
-                source,
-                [
-                    word
-                    for word in bundle.words
-                    if not isinstance(word, PartitionSealed | PartitionFetched | ReplicaSlow)
-                ],
+            case FrameReceived():
+                self.router.on_frame(now, member, event)
+            case ToolFrameReceived(frame=Call() as call):
+                self._on_tool_call(now, member, event, call)
+            case CallRequested():
+                span = int(event.span_s * SECOND)
+                member.call(now, event.name, event.args, event.reply, span)
+            case VersionApplied():
+                member.on_version_applied(now, event.version)
+            case ListReceived():
+                member.on_list_received(now, event.generation, event.digest, event.servers)
+            case ReplicaCapabilityChanged():
+                member.on_replica_capability(now, event.holds_replicas)
+            case LeaderMessagesPosted():
+                self.router.send_to_leader(now, member, event.messages)
+            case ConnectionRejected():
+                self._on_rejection(member, event)
+            case LeadershipReleased():
+                self._release_leadership(now, member)
+
+    def _on_rejection(self, member: Member, event: ConnectionRejected) -> None:
+        if event.rejection.code == "put-back":
+            member.give_up_identity(
+                f"{event.to} has seen a later start of this one: its disk was set back"
             )
 
-    def tool(self, now: int, member: Member, frame: Call, answers: Answers) -> None:
-        def reply(ok: bool, body: Any) -> None:
-            answers.send(Result(frame.number, ok, body))
-
-        if frame.name == "local":
-            reply(True, self.local(now, member))
+    def _release_leadership(self, now: int, member: Member) -> None:
+        if not member.is_leader or member.node is None:
             return
-        if frame.name == "copies_local" and self.copies is not None:
-            self.copies.put("tell", reply)
-            return
-        args = dict(frame.args)
         try:
-            span = min(max(float(args.pop("span", TOOL_SPAN)), 0.1), 600.0)
-        except (TypeError, ValueError):
-            span = TOOL_SPAN
-        member.call(now, frame.name, args, reply, int(span * SECOND))
-
-    def local(self, now: int, member: Member) -> dict[str, Any]:
-        """What this balancer knows by itself, asked of nobody."""
-        node = member.node
-        return {
-            "id": member.id,
-            "group": member.group,
-            "leader": member.leader,
-            "role": node.role.value if node else "none",
-            "term": node.term if node else 0,
-            "index": node.commit if node else -1,
-            "last": node.log.last if node else -1,
-            "version": member.state.version,
-            "acts_on": member.lease_client.acts_on,
-            "lease_s": round((self.until - now) / SECOND, 3),
+            heir = member.node.hand_over(now)
+        except BusyError as error:
+            log.info("event=leadership_kept why=%s", error)
+        else:
+            log.info("event=leadership_handed_over to=%s", heir)
+
+    def _on_tool_call(self, now: int, member: Member, event: ToolFrameReceived, call: Call) -> None:
+        reply = reply_to(event, call)
+        if call.name == "local":
+            reply(True, self._local_status(now, member))
+        elif call.name == "copies_local" and self.copies is not None:
+            self.copies.put("tell", reply)
+        else:
+            args = dict(call.args)
+            span = int(take_span(args) * SECOND)
+            member.call(now, call.name, args, reply, span)
+
+    def _local_status(self, now: int, member: Member) -> dict[str, Any]:
+        return local_status(member) | {
+            "lease_s": round((self.lease_until - now) / SECOND, 3),
             "may_act": self.may_act(),
             "boot": self.boot,
-            "wipes": self.wipes,
-            "counts": dict(self.links.counts),
+            "wipes": self.data_losses,
+            "counts": dict(self.transport.counts),
             "members": [[m.id, m.voter, m.address, m.zone] for m in member.members],
         }
--- a/cypresswalk/fleet/leader.py
+++ b/cypresswalk/fleet/leader.py
@@ -93,16 +93,14 @@
 
     def on_lease_request(self, now: int, source: str, request: LeaseRequest) -> None:
         """Take over what a member reports, and grant its lease once a majority is heard."""
-        if self.grants is None or not self.context.is_leader:
-            return
-        if not self.context.is_member(source):
+        if not self.context.is_leader or not self.context.is_member(source):
             return
         self._note_report(now, source, request)
         with suppress(BusyError):  # it asks again
             self.context.raft.read(now, LeaseRead(source, request.number))
 
     def _note_report(self, now: int, source: str, request: LeaseRequest) -> None:
-        assert self.grants is not None, "checked by the caller"
+        assert self.grants is not None, "made with the duties once the member leads"
         self.grants.on_version(source, request.version)
         acting = self.acting.get(source)
         if acting is None or acting.version != request.version:
@@ -113,7 +111,7 @@
         self.data_losses[source] = request.data_losses
         if self.replicas is not None:
             self.replicas.placement.on_capability(source, request.holds_replicas)
-        figures = BalancerFigures(Served(*request.served), now, request.boot)
+        figures = BalancerFigures(Served(*request.flow_counts), now, request.boot)
         self.balancers.figures[name_of(source)] = figures
         self.balancers.tracker.on_readiness(now, source, request.ready, request.last_lease)
         report = request.servers
--- a/cypresswalk/fleet/lease_client.py
+++ b/cypresswalk/fleet/lease_client.py
@@ -50,7 +50,7 @@
             data_losses=identity.data_losses,
             holds_replicas=self.holds_replicas,
             ready=host.is_ready(),
-            served=host.flow_counts(),
+            flow_counts=host.flow_counts(),
             boot=identity.boot,
             last_lease=self.lease.granted_number,
             servers=host.server_report(),
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -27,6 +27,7 @@
     ProposeSettings,
     RejectSettings,
 )
+from cypresswalk.fleet.errors import UnreadableEntryError
 from cypresswalk.fleet.leader import LeaderDuties, LeaseRead
 from cypresswalk.fleet.leader_calls import LeaderCalls, QueryRead, Reply
 from cypresswalk.fleet.lease_client import LeaseClient
@@ -58,10 +59,6 @@
 )
 
 
-class UnreadableEntryError(Exception):
-    """An entry that this program can't read: it must not go on as if it were not there."""
-
-
 @dataclass(slots=True)
 class MemberEffects:
     """What the owner carries out, in the order of the fields.
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -10,9 +10,10 @@
 from cypresswalk.agreement.node import Node, PersistentState, Role, Timing
 from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
 from cypresswalk.fleet.commands import AnyCommand, encode
-from cypresswalk.fleet.messages import AnyFrame, ServerReport
+from cypresswalk.fleet.messages import AnyFrame, FlowCounts, ServerReport
 from cypresswalk.fleet.records import FleetState, ListedServer
 from cypresswalk.fleet.state_machine import StateMachine
+from cypresswalk.operator import FleetTable
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
@@ -31,7 +32,7 @@
     def is_ready(self) -> bool | None:
         """Whether flows that came now would be placed; None where nobody has said."""
 
-    def flow_counts(self) -> tuple[int, int, int, int]:
+    def flow_counts(self) -> FlowCounts:
         """Return flows up, rejected and failed, and the sum of their set-ups in nanoseconds.
 
         Counted since the process began.
@@ -53,7 +54,7 @@
         name: this balancer's.
         address: where others reach it.
         zone: where it stands.
-        first: names and addresses of the seed members.
+        seeds: names and addresses of the seed members.
         max_contradiction: nanoseconds for which two may act on contradicting versions.
         timing: of the Raft node.
     """
@@ -62,20 +63,32 @@
     name: str
     address: str
     zone: str
-    first: tuple[tuple[str, str], ...]
+    seeds: tuple[tuple[str, str], ...]
     max_contradiction: int
     timing: Timing = Timing()
 
     @property
     def seed_digest(self) -> str:
         """A digest of the seed members, the same wherever the tables are alike."""
-        names = "\n".join(f"{name} {address}" for name, address in sorted(self.first))
+        names = "\n".join(f"{name} {address}" for name, address in sorted(self.seeds))
         return blake2b(names.encode(), digest_size=8).hexdigest()
 
     @property
     def is_seed(self) -> bool:
         """Whether this balancer is a seed member."""
-        return any(name == self.name for name, _ in self.first)
+        return any(name == self.name for name, _ in self.seeds)
+
+
+def config_of(table: FleetTable) -> MemberConfig:
+    """Return the configuration in the operator's table."""
+    return MemberConfig(
+        fleet=table.fleet,
+        name=table.name,
+        address=table.address,
+        zone=table.zone,
+        seeds=tuple(sorted(table.first.items())),
+        max_contradiction=int(table.stated_s * SECOND),
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/cypresswalk/fleet/message_router.py
@@ -0,0 +1,61 @@
+"""Routes messages between the member, the replication thread and other members' connections."""
+
+from typing import Any
+
+from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
+from cypresswalk.copies.messages import Message as ReplicationMessageBase
+from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
+from cypresswalk.fleet.addresses import AddressBook, host_and_port
+from cypresswalk.fleet.events import FrameReceived
+from cypresswalk.fleet.member import Member
+from cypresswalk.fleet.messages import AnyFrame
+from cypresswalk.fleet.transport import Transport
+from cypresswalk.operator import FleetTable
+
+# Messages of replicas to the leader; all others are between replicas and their clients.
+TO_LEADER = PartitionSealed | PartitionFetched | ReplicaSlow
+
+
+class MessageRouter:
+    """Knows where each message goes; nothing here waits."""
+
+    def __init__(self, table: FleetTable, transport: Transport, replication: Any):
+        """`replication`: the replication thread, None where this balancer keeps no replicas."""
+        self.addresses = AddressBook(table)
+        self.transport = transport
+        self.replication = replication
+
+    def send(self, member: Member, to: str, message: AnyFrame | ReplicationMessage) -> None:
+        """Send to a member's id, or to an address with a colon; unknown ones are passed over."""
+        if isinstance(message, ReplicationMessageBase):
+            if to == member.id:
+                self.replication.put("words", to, [message])
+                return
+            message = MessageBatch([message])
+        address, member_id = self.addresses.resolve(member, to)
+        if address:
+            self.transport.send(host_and_port(address), member_id, message)
+
+    def on_frame(self, now: int, member: Member, event: FrameReceived) -> None:
+        """Hand a received frame to the member or the replication thread."""
+        self.addresses.on_hello(event.hello)
+        source = event.hello.id
+        if not isinstance(event.frame, MessageBatch):
+            member.on_frame(now, source, event.frame)
+        elif self.replication is not None:
+            self._on_batch(now, member, source, event.frame)
+
+    def _on_batch(self, now: int, member: Member, source: str, batch: MessageBatch) -> None:
+        for_leader = [message for message in batch.words if isinstance(message, TO_LEADER)]
+        if for_leader:
+            member.on_replica_messages(now, source, for_leader)
+        if len(for_leader) < len(batch.words):
+            others = [message for message in batch.words if not isinstance(message, TO_LEADER)]
+            self.replication.put("words", source, others)
+
+    def send_to_leader(self, now: int, member: Member, messages: list[ReplicationMessage]) -> None:
+        """Send the replication thread's messages to the leader; without one they are lost."""
+        if member.is_leader:
+            member.on_replica_messages(now, member.id, messages)
+        elif member.leader:
+            self.send(member, member.leader, MessageBatch(messages))
--- /dev/null
+++ b/cypresswalk/fleet/recovery.py
@@ -0,0 +1,96 @@
+"""The way out when most voters are lost for good: a new group from one member's disk."""
+
+import time
+import uuid
+from typing import Any
+
+from cypresswalk.agreement.log import Log, Snapshot
+from cypresswalk.agreement.messages import ENTRY_COMMAND, Member
+from cypresswalk.agreement.node import PersistentState
+from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.fleet.records import FleetState, HistoryRecord
+from cypresswalk.fleet.state_machine import MAX_FENCED_GROUPS, StateMachine
+from cypresswalk.refusal import CommandError
+from cypresswalk.state.disk import DiskFolder
+
+# Versions skipped, so that none of the new group has the number of one that the old one had in
+# force.
+SKIPPED_VERSIONS = 1000
+MILLISECOND = 1_000_000
+
+
+def recover(folder: str, fleet: str, name: str, by: str) -> dict[str, Any]:
+    """Begin a new group from what one member of the old one has on disk.
+
+    All that it has counts, agreed or not, since what it does not know to be agreed may have been
+    promised.
+
+    Args:
+        folder: the member's.
+        fleet: the fleet's name.
+        name: the balancer's, which becomes the only voter.
+        by: who orders it.
+
+    Returns:
+        What was begun, for people.
+
+    Raises:
+        CommandError: the folder can't be used.
+    """
+    disk = DiskFolder(folder)
+    try:
+        disk.lock()
+        store = Store(disk)
+        persisted = store.load(fleet, name, lambda text: None)
+    except (OSError, DamagedLogError, ForeignFileError) as error:
+        raise CommandError(f"{folder}: {error}") from error
+    old = store.life
+    if persisted is None or old is None or persisted.snapshot.index < 0:
+        raise CommandError(f"{folder}: it holds nothing that was agreed")
+    try:
+        machine = _machine_of(persisted)
+        _give_up_group(machine.state, old.group, name, by)
+        group = f"{fleet}-{uuid.uuid4().hex[:16]}"
+        identity = LogIdentity(fleet, group, old.member, old.boot + 1)
+        store.begin(identity, _new_log(persisted, old.member, machine))
+    except OSError as error:
+        raise CommandError(f"{folder}: {error}") from error
+    finally:
+        disk.unlock()
+    return {
+        "group": group,
+        "fenced": old.group,
+        "member": old.member,
+        "version": machine.state.version,
+        "out": sorted(machine.state.removed_servers),
+    }
+
+
+def _machine_of(persisted: PersistentState) -> StateMachine:
+    machine = StateMachine(persisted.snapshot.data)
+    for entry in persisted.entries:
+        if entry.kind == ENTRY_COMMAND:
+            machine.apply(entry.data)
+    return machine
+
+
+def _give_up_group(state: FleetState, group: str, name: str, by: str) -> None:
+    state.version += SKIPPED_VERSIONS
+    state.pending = None
+    state.voters = [name]
+    state.fenced_groups = [*state.fenced_groups, group][-MAX_FENCED_GROUPS:]
+    what = f"group {group} given up; {name} begins anew"
+    at_ms = time.time_ns() // MILLISECOND
+    state.history.append(HistoryRecord(state.version, by, at_ms, what))
+
+
+def _new_log(persisted: PersistentState, member_id: str, machine: StateMachine) -> PersistentState:
+    snapshot = persisted.snapshot
+    last = snapshot.index + len(persisted.entries)
+    term = max(persisted.term, snapshot.term) + 1
+    members = Log(snapshot, persisted.entries).members
+    before = next((member for member in members if member.id == member_id), None)
+    address = before.address if before else ""
+    zone = before.zone if before else ""
+    only_member = Member(member_id, True, address, zone)
+    return PersistentState(Snapshot(last, term, (only_member,), machine.dump()), [], term, "")
--- a/cypresswalk/fleet/server_observations.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -47,7 +47,7 @@
         """Take over a member's report."""
         self.reports[member] = ReceivedReport(now, version, report)
         before = self.counts.get(member)
-        self.counts[member] = {name: Served(*counts) for name, counts in report.served.items()}
+        self.counts[member] = {name: Served(*counts) for name, counts in report.flow_counts.items()}
         if before is None:
             return  # counted over a time before this leader began
         for name, counts in self.counts[member].items():
@@ -80,7 +80,7 @@
         recent = self.recent(now, members)
         count_of: dict[str, int] = {}
         for received in recent:
-            for name in received.report.bad:
+            for name in received.report.unhealthy:
                 count_of[name] = count_of.get(name, 0) + 1
         return {
             name: UNHEALTHY_REASON.format(count, len(recent))
@@ -104,7 +104,7 @@
         found = {}
         for name, version in returning.items():
             healthy_at = sum(
-                received.version >= version and name not in received.report.bad
+                received.version >= version and name not in received.report.unhealthy
                 for received in recent
             )
             if name not in listed or 2 * healthy_at > len(members):
@@ -116,4 +116,4 @@
         recent = self.recent(now, members)
         if len(recent) != len(members):
             return None
-        return sum(received.report.standing.get(server, 0) for received in recent)
+        return sum(received.report.open_flows.get(server, 0) for received in recent)
--- /dev/null
+++ b/cypresswalk/fleet/tool_calls.py
@@ -0,0 +1,56 @@
+"""Calls of command line tools that arrive at this balancer."""
+
+from typing import Any
+
+from cypresswalk.fleet.events import CallRequested, Event, ToolFrameReceived
+from cypresswalk.fleet.leader_calls import Reply
+from cypresswalk.fleet.member import Member
+from cypresswalk.fleet.messages import Call, Result
+
+DEFAULT_SPAN = 5.0  # seconds that a call may take if it names no other span
+MIN_SPAN = 0.1  # seconds
+MAX_SPAN = 600.0  # seconds
+
+
+def reply_to(event: ToolFrameReceived, call: Call) -> Reply:
+    """Return a function that answers the tool."""
+
+    def reply(ok: bool, body: Any) -> None:
+        event.respond(Result(call.number, ok, body))
+
+    return reply
+
+
+def reject_call(event: Event, problem: str) -> None:
+    """Answer a call while no member runs; other events are passed over."""
+    match event:
+        case CallRequested():
+            why = f"this balancer's part in the fleet has stopped: {problem}"
+            event.reply(False, {"why": why, "unsure": False})
+        case ToolFrameReceived(frame=Call() as call):
+            why = f"its part in the fleet has stopped: {problem}"
+            reply_to(event, call)(False, {"why": why})
+
+
+def take_span(args: dict[str, Any]) -> float:
+    """Remove the span from a call's arguments and return it, in seconds and within bounds."""
+    try:
+        return min(max(float(args.pop("span", DEFAULT_SPAN)), MIN_SPAN), MAX_SPAN)
+    except (TypeError, ValueError):
+        return DEFAULT_SPAN
+
+
+def local_status(member: Member) -> dict[str, Any]:
+    """Return what a member knows by itself; the keys are part of the tools' interface."""
+    node = member.node
+    return {
+        "id": member.id,
+        "group": member.group,
+        "leader": member.leader,
+        "role": node.role.value if node else "none",
+        "term": node.term if node else 0,
+        "index": node.commit if node else -1,
+        "last": node.log.last if node else -1,
+        "version": member.state.version,
+        "acts_on": member.lease_client.acts_on,
+    }
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -1,5 +1,7 @@
-"""Connections between balancers: a thread for each that reads, one for each address that is written to. Small-stack threads on
-blocking sockets; nobody who asks for something to be sent ever waits."""
+"""Connections between balancers: a thread for each that is read, one for each address written to.
+
+Small-stack threads on blocking sockets; nobody who asks for something to be sent ever waits.
+"""
 
 import logging
 import socket
@@ -7,340 +9,300 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from queue import Empty, SimpleQueue
-from threading import Event, Lock
+from contextlib import suppress
+from functools import partial
+from threading import Event as Flag
+from threading import Lock
 
+from cypresswalk.fleet.errors import FrameError
+from cypresswalk.fleet.events import (
+    ConnectionRejected,
+    Event,
+    FrameReceived,
+    ToolFrameReceived,
+)
 from cypresswalk.fleet.messages import (
     PROTOCOL,
     AnyFrame,
     DiscoveryRequest,
     DiscoveryResponse,
-    FrameError,
-    Frames,
+    FrameDecoder,
     Hello,
     HelloRejected,
     Result,
-    pack,
+    encode_frame,
+)
+from cypresswalk.fleet.outgoing_link import (
+    IDLE_TIMEOUT,
+    READ_SIZE,
+    SECOND,
+    SEND_TIMEOUT,
+    OutgoingLink,
 )
 from cypresswalk.net.inbox import start_thread
-from cypresswalk.net.link import dial, timeval
+from cypresswalk.net.link import timeval
 
 log = logging.getLogger(__name__)
-SECOND = 1_000_000_000
-STACK = 512 * 1024  # the serializer needs more than the drivers' stacks
-READ = 64 << 10
-CONNECTIONS = (
-    512  # that others have here at a time: two hundred members, their tools and what just ends
-)
-WAITING = 256  # frames to one address; beyond them the oldest goes, since words may be lost
-WAITING_SIZE = 8 << 20  # and bytes
-QUEUED = 4096  # events that wait for the fleet's thread; beyond them connections are not read
-DIAL = SECOND
-FIRST = 2 * SECOND  # a connection that has not said who it is by then is closed
-IDLE = 30 * SECOND  # and one that says nothing for so long
-UNHEARD = (
-    3 * SECOND
-)  # of whom nothing is heard for so long is dialled anew: guards against a way that swallows bytes
-PAUSE, PAUSE_MOST = SECOND // 10, SECOND
-UNACKED = 4000  # milliseconds: what the other machine's kernel has not acknowledged by then ends the connection
-TOOL_CALLS = 16  # of one tool at a time
-
-
-class OutgoingLink:
-    """What goes to one address."""
-
-    def __init__(self, links: "Transport", address: tuple[str, int], to: str):
-        self.links, self.address, self.to = links, address, to
-        self.queue: SimpleQueue = SimpleQueue()
-        self.size = 0
-        self.used_at = time.monotonic_ns()
-        self.ended = False
-        self.kept: bytes | None = None  # what is to go first on the next connection
-        self.gate = Lock()
-
-    def send(self, data: bytes) -> None:
-        self.used_at = time.monotonic_ns()
-        with self.gate:
-            while self.queue.qsize() >= WAITING or self.size > WAITING_SIZE:
-                try:
-                    self.size -= len(self.queue.get_nowait())
-                    self.links.counts["words_dropped"] += 1
-                except Empty:
-                    break
-            self.size += len(data)
-            self.queue.put(data)
-
-    def run(self) -> None:
-        pause = PAUSE
-        while not self.ended:
-            try:
-                self.connection()
-                pause = PAUSE
-            except (OSError, FrameError) as error:
-                self.links.lost(self, error)
-                pause = min(2 * pause, PAUSE_MOST)
-            # A way on which nothing was heard for a while is dialled anew at once: what waits there has little time.
-            if not self.ended and self.kept is None:
-                time.sleep(pause / SECOND)
-
-    def connection(self) -> None:
-        first = self.next()
-        if first is None:
-            return
-        group = self.links.group()
-        sock = dial(self.address, DIAL)
-        with sock:
-            sock.settimeout(None)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(2 * SECOND))
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED)
-            sock.sendall(pack(self.links.hello(self.to)) + first)
-            since, frames = time.monotonic_ns(), Frames()
-            while (data := self.next()) is not None:
-                self.look(sock, frames)
-                now = time.monotonic_ns()
-                if (
-                    self.links.group() != group
-                    or now - max(since, self.links.heard_at.get(self.to, 0)) > UNHEARD
-                    and self.to
-                ):
-                    self.kept = data
-                    return
-                sock.sendall(data)
-
-    def next(self) -> bytes | None:
-        """None once nothing was to be sent for a while, or at the end."""
-        if self.kept is not None:
-            data, self.kept = self.kept, None
-            return data
-        try:
-            data = self.queue.get(timeout=IDLE / 2 / SECOND)
-        except Empty:
-            if time.monotonic_ns() - self.used_at > IDLE:
-                self.links.forget(self)
-            return None
-        if data is None:
-            return None
-        with self.gate:
-            self.size -= len(data)
-        return data
-
-    def look(self, sock: socket.socket, frames: Frames) -> None:
-        """Whether the other side has refused this connection."""
-        try:
-            data = sock.recv(READ, socket.MSG_DONTWAIT)
-        except BlockingIOError:
-            return
-        if not data:
-            raise ConnectionResetError("ended by the other side")
-        frames.feed(data)
-        while (frame := frames.frame()) is not None:
-            if isinstance(frame, HelloRejected):
-                self.links.post("refused", self.to, frame)
-                raise ConnectionRefusedError(f"{frame.code}: {frame.why}")
+STACK_SIZE = 512 * 1024  # bytes; the serializer needs more than the drivers' stacks
+# Incoming connections at a time: two hundred members, their tools and what just ends.
+MAX_CONNECTIONS = 512
+MAX_REMEMBERED_STARTS = 4 * MAX_CONNECTIONS  # of other members
+MAX_REMEMBERED_ERRORS = 1000  # by address
+MAX_QUEUED_EVENTS = 4096  # for the fleet's thread; beyond them connections are not read
+QUEUE_FULL_PAUSE = 0.01  # seconds
+ACCEPT_RETRY_PAUSE = 0.05  # seconds
+HELLO_TIMEOUT = 2 * SECOND
+MAX_HELLO_SIZE = 4096  # bytes of a frame until a connection has said who it is
 
 
 class Transport:
+    """Accepts, reads and rejects connections, and has a link for each address written to."""
+
     def __init__(
         self,
         listen: tuple[str, int],
         fleet: str,
-        post: Callable[..., None],
+        post: Callable[[Event], None],
         queued: Callable[[], int],
         hello: Callable[[str], Hello],
         group: Callable[[], str],
     ):
-        self.listen_at, self.fleet, self.post, self.queued, self.hello, self.group = (
-            listen,
-            fleet,
-            post,
-            queued,
-            hello,
-            group,
-        )
-        self.outs: dict[tuple[tuple[str, int], str], OutgoingLink] = {}
-        self.gate = Lock()
+        """Listen nowhere yet.
+
+        Args:
+            listen: host and port.
+            fleet: the fleet's name.
+            post: takes events for the fleet's thread.
+            queued: how many events wait there.
+            hello: this member's Hello for an id.
+            group: this member's group.
+        """
+        self.listen_at = listen
+        self.fleet = fleet
+        self.post = post
+        self.queued = queued
+        self.hello = hello
+        self.group = group
+        self.links: dict[tuple[tuple[str, int], str], OutgoingLink] = {}
         self.counts: Counter[str] = Counter()
-        self.heard_at: dict[str, int] = {}  # by id
-        self.lives: dict[
-            str, tuple[int, int]
-        ] = {}  # by id: its latest start, and the life drawn at it
+        # By member's id: when it was last heard, by the monotonic clock.
+        self.heard_at: dict[str, int] = {}
+        # By member's id: boot and nonce of its latest start.
+        self.latest_starts: dict[str, tuple[int, int]] = {}
         self.connections: dict[socket.socket, None] = {}
-        self.sock: socket.socket | None = None
-        self.over = Event()
-        self.said: dict[tuple, str] = {}
+        self.listening = False
+        self._socket: socket.socket | None = None
+        self._lock = Lock()  # of `links`
+        self._stopping = Flag()
+        self._logged_errors: dict[tuple[tuple[str, int], str], str] = {}
 
     def start(self) -> None:
-        """Raises OSError where nobody may listen there."""
-        self.sock = socket.create_server(self.listen_at, backlog=CONNECTIONS)
-        start_thread(self.accept, SECOND // 50, STACK)
+        """Listen; raises OSError where that is impossible."""
+        self._socket = socket.create_server(self.listen_at, backlog=MAX_CONNECTIONS)
+        self.listening = True
+        start_thread(partial(self._accept_connections, self._socket), SECOND // 50, STACK_SIZE)
 
     def send(self, address: tuple[str, int], to: str, frame: AnyFrame) -> None:
+        """Queue a frame for the member `to` at that address; never waits, and it may be lost."""
         try:
-            data = pack(frame)
+            data = encode_frame(frame)
         except FrameError as error:
-            log.error("event=frame_too_long why=%s", error)
+            log.error("event=frame_dropped why=%s", error)
             return
         self.counts["words_sent"] += 1
         self.counts["bytes_sent"] += len(data)
-        with self.gate:
-            out = self.outs.get((address, to))
-            if out is None:
-                out = self.outs[address, to] = OutgoingLink(self, address, to)
-                start_thread(out.run, 0, STACK)
-        out.send(data)
-
-    def forget(self, out: OutgoingLink) -> None:
-        with self.gate:
-            if out.queue.empty():
-                out.ended = True
-                self.outs.pop((out.address, out.to), None)
-
-    def lost(self, out: OutgoingLink, error: Exception) -> None:
-        """Said once until it is another."""
+        with self._lock:
+            link = self.links.get((address, to))
+            if link is None:
+                link = self.links[address, to] = OutgoingLink(self, address, to)
+                start_thread(link.run, 0, STACK_SIZE)
+        link.send(data)
+
+    # Called by outgoing links.
+
+    def make_hello(self, to: str) -> Hello:
+        """Return this member's Hello for that id."""
+        return self.hello(to)
+
+    def current_group(self) -> str:
+        """Return this member's group."""
+        return self.group()
+
+    def on_rejected(self, to: str, rejection: HelloRejected) -> None:
+        """Tell the fleet's thread that a Hello was rejected."""
+        self.post(ConnectionRejected(to, rejection))
+
+    def remove_link(self, link: OutgoingLink) -> None:
+        """Forget an idle link, unless frames wait again; ends it then."""
+        with self._lock:
+            if link.queue.empty():
+                link.ended = True
+                self.links.pop((link.address, link.to), None)
+
+    def on_link_lost(self, link: OutgoingLink, error: Exception) -> None:
+        """Count and log a lost connection; the same error is logged once."""
         self.counts["links_lost"] += 1
-        why, place = f"{type(error).__name__} {error}", (out.address, out.to)
-        if self.said.get(place) != why:
-            self.said[place] = why
-            if len(self.said) > 1000:
-                self.said.clear()
-            log.info("event=link_lost to=%s address=%s:%d why=%s", out.to or "?", *out.address, why)
-
-    def accept(self) -> None:
-        while not self.over.is_set():
+        why = f"{type(error).__name__} {error}"
+        key = link.address, link.to
+        if self._logged_errors.get(key) == why:
+            return
+        self._logged_errors[key] = why
+        if len(self._logged_errors) > MAX_REMEMBERED_ERRORS:
+            self._logged_errors.clear()
+        log.info("event=link_lost to=%s address=%s:%d why=%s", link.to or "?", *link.address, why)
+
+    # Incoming connections.
+
+    def _accept_connections(self, listener: socket.socket) -> None:
+        while not self._stopping.is_set():
             try:
-                sock, _ = self.sock.accept()
+                sock, _ = listener.accept()
             except OSError as error:
-                if self.over.is_set():
+                if self._stopping.is_set():
                     return
                 log.warning("event=fleet_accept_failed why=%s", error)
-                time.sleep(0.05)
+                time.sleep(ACCEPT_RETRY_PAUSE)
                 continue
-            if len(self.connections) >= CONNECTIONS:
+            if len(self.connections) >= MAX_CONNECTIONS:
                 self.counts["connections_beyond"] += 1
                 sock.close()
                 continue
             self.connections[sock] = None
             try:
-                start_thread(lambda sock=sock: self.serve(sock), 0, STACK)
+                start_thread(partial(self._serve, sock), 0, STACK_SIZE)
             except RuntimeError as error:
                 log.error("event=fleet_thread_failed why=%s", error)
                 self.connections.pop(sock, None)
                 sock.close()
 
-    def serve(self, sock: socket.socket) -> None:
+    def _serve(self, sock: socket.socket) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(2 * SECOND))
-            self.read(sock)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(SEND_TIMEOUT))
+            self._read(sock)
         except FrameError as error:
             self.counts["frames_odd"] += 1
-            log.info("event=frame_odd why=%s", str(error)[:200])
+            log.info("event=frame_malformed why=%s", str(error)[:200])
         except (OSError, struct.error):
             pass  # the other side is gone, or silent
         finally:
             self.connections.pop(sock, None)
             sock.close()
 
-    def read(self, sock: socket.socket) -> None:
-        # Until it has said who it is nobody is given much room.
-        frames, hello = Frames(4096), None
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(FIRST))
-        answers = Answers(sock)
-        while not self.over.is_set():
-            data = sock.recv(READ)
+    def _read(self, sock: socket.socket) -> None:
+        decoder = FrameDecoder(MAX_HELLO_SIZE)
+        hello: Hello | None = None
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(HELLO_TIMEOUT))
+        responses = ToolResponses(sock)
+        while not self._stopping.is_set():
+            data = sock.recv(READ_SIZE)
             if not data:
                 return
             self.counts["bytes_heard"] += len(data)
-            frames.feed(data)
-            while (frame := frames.frame()) is not None:
-                if hello is None:
-                    if not isinstance(frame, Hello):
-                        raise FrameError("it did not say who it is")
-                    hello, refused = frame, self.refuse(frame)
-                    if refused is not None:
-                        self.counts["hellos_refused"] += 1
-                        sock.sendall(pack(refused))
-                        return
-                    frames = self.wider(frames)
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(IDLE))
+            decoder.feed(data)
+            while (frame := decoder.next_frame()) is not None:
+                if hello is not None:
+                    self._on_frame(hello, frame, responses)
                     continue
-                self.counts["words_heard"] += 1
-                while self.queued() > QUEUED and not self.over.is_set():
-                    time.sleep(0.01)
-                if hello.kind == "tool":
-                    self.post("tool", hello, frame, answers)
-                elif hello.group == self.group() or isinstance(
-                    frame, DiscoveryRequest | DiscoveryResponse
-                ):
-                    self.heard_at[hello.id] = time.monotonic_ns()
-                    self.post("heard", hello, frame)
-                else:
-                    self.counts["words_of_other_groups"] += 1
+                hello = self._check_hello(sock, frame)
+                if hello is None:
+                    return
+                decoder = _without_hello_limit(decoder)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(IDLE_TIMEOUT))
 
-    def wider(self, narrow: Frames) -> Frames:
-        frames = Frames()
-        frames.feed(bytes(narrow.buffer))
-        return frames
+    def _check_hello(self, sock: socket.socket, frame: AnyFrame) -> Hello | None:
+        """Return a Hello that is accepted; another one is answered and gives None."""
+        if not isinstance(frame, Hello):
+            raise FrameError("it did not say who it is")
+        rejection = self.rejection_of(frame)
+        if rejection is None:
+            return frame
+        self.counts["hellos_refused"] += 1
+        sock.sendall(encode_frame(rejection))
+        return None
+
+    def _on_frame(self, hello: Hello, frame: AnyFrame, responses: "ToolResponses") -> None:
+        self.counts["words_heard"] += 1
+        while self.queued() > MAX_QUEUED_EVENTS and not self._stopping.is_set():
+            time.sleep(QUEUE_FULL_PAUSE)
+        if hello.kind == "tool":
+            self.post(ToolFrameReceived(hello, frame, responses.send))
+        elif hello.group == self.group() or isinstance(frame, DiscoveryRequest | DiscoveryResponse):
+            self.heard_at[hello.id] = time.monotonic_ns()
+            self.post(FrameReceived(hello, frame))
+        else:
+            self.counts["words_of_other_groups"] += 1
 
-    def refuse(self, hello: Hello) -> HelloRejected | None:
-        mine = self.hello("")
+    def rejection_of(self, hello: Hello) -> HelloRejected | None:
+        """Return why a Hello is rejected, or None."""
         if hello.protocol != PROTOCOL:
             return HelloRejected("protocol", f"protocol {hello.protocol}, here {PROTOCOL}")
         if hello.fleet != self.fleet:
             return HelloRejected("fleet", f"this is a balancer of fleet {self.fleet!r}")
         if hello.kind == "tool":
             return None
-        if hello.to not in ("", mine.id):
-            return HelloRejected("replaced", f"this is {mine.id}")
-        known = self.lives.get(hello.id, (0, 0))
-        # A second process under one identity, or a disk set back to before a start that was seen here.
-        if (hello.boot, hello.life) != known and hello.boot <= known[0]:
-            return HelloRejected("put-back", f"{hello.id} was seen at its start {known[0]} already")
-        self.lives[hello.id] = hello.boot, hello.life
-        while len(self.lives) > 4 * CONNECTIONS:
-            del self.lives[next(iter(self.lives))]
+        own_id = self.hello("").id
+        if hello.to not in ("", own_id):
+            return HelloRejected("replaced", f"this is {own_id}")
+        return self._rejection_of_start(hello)
+
+    def _rejection_of_start(self, hello: Hello) -> HelloRejected | None:
+        """Reject a second process under one id, or a disk put back to before a start seen here."""
+        start = hello.boot, hello.start_nonce
+        known = self.latest_starts.get(hello.id, (0, 0))
+        if start != known and hello.boot <= known[0]:
+            reason = f"{hello.id} was seen at its start {known[0]} already"
+            return HelloRejected("put-back", reason)
+        self.latest_starts[hello.id] = start
+        while len(self.latest_starts) > MAX_REMEMBERED_STARTS:
+            del self.latest_starts[next(iter(self.latest_starts))]
         return None
 
     def end(self) -> None:
-        self.over.set()
-        if self.sock is not None:
-            try:
-                self.sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
-            self.sock.close()
-        with self.gate:
-            for out in self.outs.values():
-                out.ended = True
-                out.queue.put(None)
+        """Stop listening and end all connections."""
+        self._stopping.set()
+        if self._socket is not None:
+            with suppress(OSError):
+                self._socket.shutdown(socket.SHUT_RDWR)
+            self._socket.close()
+        with self._lock:
+            for link in self.links.values():
+                link.end()
         for sock in list(self.connections):
-            try:
+            with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
 
 
-class Answers:
-    """To a tool, on its own connection. Never waits: a few short results fit into the socket's buffer, a tool that does not read
-    loses them."""
+def _without_hello_limit(limited: FrameDecoder) -> FrameDecoder:
+    decoder = FrameDecoder()
+    decoder.feed(bytes(limited.buffer))
+    return decoder
+
+
+class ToolResponses:
+    """Results for a tool, on its own connection.
+
+    Never waits: a few short results fit into the socket's buffer, and a tool that does not read
+    loses them.
+    """
 
     def __init__(self, sock: socket.socket):
-        self.sock, self.gate = sock, Lock()
+        """Send on that socket, which another thread reads and closes."""
+        self._socket = sock
+        self._lock = Lock()
 
     def send(self, result: Result) -> None:
-        data = pack(result)
-        with self.gate:
+        """Send a result; a long one by a thread of its own."""
+        data = encode_frame(result)
+        with self._lock:
             try:
-                if len(data) < READ:
-                    self.sock.send(data, socket.MSG_DONTWAIT)
+                if len(data) < READ_SIZE:
+                    self._socket.send(data, socket.MSG_DONTWAIT)
                 else:
-                    start_thread(lambda: self.send_long(data), 0, STACK)
+                    start_thread(partial(self._send_long, data), 0, STACK_SIZE)
             except OSError:
-                pass
+                pass  # the tool is gone, or does not read
 
-    def send_long(self, data: bytes) -> None:
-        with self.gate:
-            try:
-                self.sock.sendall(data)
-            except OSError:
-                pass
+    def _send_long(self, data: bytes) -> None:
+        with self._lock, suppress(OSError):
+            self._socket.sendall(data)
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/together/explore.py
@@ -7,6 +7,7 @@
 from random import Random
 from typing import Any
 
+from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, World
 
 QUIET = (
@@ -146,7 +147,7 @@
             case "settled":
                 self.settled(p)
             case "hand_over" if p.fleet is not None:
-                p.turn([("leave",)])
+                p.turn([LeadershipReleased()])
 
     def may_lose(self, p: Process) -> bool:
         """One disk at a time, and only while all the others have theirs and are whole members: what is promised is promised for
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.lab.together.virtual import (
     MILLISECOND,
@@ -158,14 +159,14 @@
             return
         if pid == self.owner:
             p, self.owner = self.process, 0
-            until, version = (p.fleet.until, p.acts_on) if p.fleet is not None else (0, 0)
+            until, version = (p.fleet.lease_until, p.acts_on) if p.fleet is not None else (0, 0)
             p.end() if planned else p.kill()
             heir = next((o for o in self.running.values() if o.ready_at <= self.world.now), None)
             if heir is not None:
                 self.take(heir)
                 if p.fleet is not None and planned:
                     p.acts_on = version
-                    p.fleet.inherit(until, version)
+                    p.fleet.inherit_lease(until, version)
                     self.world.look_at(p)
         self.world.look(self)
 
@@ -562,7 +563,7 @@
             for m in w.machines.values():
                 m.call_back()
         case "hand_over" if p.fleet is not None:
-            p.turn([("leave",)])
+            p.turn([LeadershipReleased()])
 
 
 def plan_for(names: list[str], chance: Random, hold_s: float = 4.0, canary: int = 1) -> list:
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from cypresswalk.fleet.applied_view import AppliedView
+from cypresswalk.fleet.events import LeadershipReleased, ListReceived
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.lab.together.releases import (
     HALTED,
@@ -148,7 +149,7 @@
             {},
             dict.fromkeys(self.world.servers, True),
         )
-        fleet.agreed = self.act_on
+        fleet.on_view = self.act_on
         fleet.servers = self.of_servers
         fleet.ready = lambda: fleet.may_act()
         servers = [
@@ -156,7 +157,7 @@
             for i, name in enumerate(sorted(self.world.servers))
         ]
         digest = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
-        fleet.queue.put(("list", 1, digest, servers))
+        fleet.queue.put(ListReceived(1, digest, servers))
 
     def act_on(self, view: AppliedView) -> None:
         out = set(view.out)
@@ -386,7 +387,7 @@
                 if s.hand:
                     w.back_by_hand(s)
         case "hand_over" if p.fleet is not None:
-            p.turn([("leave",)])
+            p.turn([LeadershipReleased()])
 
 
 def plan_for(names: list[str], chance: Random) -> list:
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/together/stage.py
@@ -548,7 +548,7 @@
                     m["id"]: (await self.ask(m["name"], "copies_local", span=1.0))[1]
                     for m in status.get("members", ())
                 }
-                lines = client.unlike(body["parts"], told)
+                lines = client.differing_replicas(body["parts"], told)
                 if not lines and all(
                     len(there) == min(self.plan.copies, len(self.names))
                     for _, _, there in body["parts"]
--- a/cypresswalk/lab/together/started.py
+++ b/cypresswalk/lab/together/started.py
@@ -61,12 +61,12 @@
     def join_fleet(self, table: object, config: Config) -> None:
         super().join_fleet(table, config)
         fleet, off = self.binding.fleet, float(os.environ["TOGETHER_CLOCK"])
-        fleet.disk = UnsoundDisk(table.folder, Path(os.environ["TOGETHER_DISK"]))
-        began = driver.clock()
-        fleet.now = clock = lambda: driver.clock() + int((driver.clock() - began) * off)
+        fleet.folder.disk = UnsoundDisk(table.folder, Path(os.environ["TOGETHER_DISK"]))
+        began = driver.boottime_ns()
+        fleet.now = clock = lambda: driver.boottime_ns() + int((driver.boottime_ns() - began) * off)
         if fleet.copies is not None:
             fleet.copies.files, fleet.copies.now = (
-                fleet.disk,
+                fleet.folder.disk,
                 clock,
             )  # its wall time follows fleet.now by itself
 
--- a/cypresswalk/lab/together/virtual.py
+++ b/cypresswalk/lab/together/virtual.py
@@ -15,9 +15,16 @@
 from cypresswalk.agreement.node import LogDivergedError, Role
 from cypresswalk.agreement.store import SECTOR, ForeignFileError
 from cypresswalk.fleet.applied_view import AppliedView
-from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.member import UnreadableEntryError
-from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse, encode, frames
+from cypresswalk.fleet.driver import FleetThread
+from cypresswalk.fleet.errors import UnreadableEntryError
+from cypresswalk.fleet.events import (
+    CallRequested,
+    ConnectionRejected,
+    Event,
+    FrameReceived,
+    VersionApplied,
+)
+from cypresswalk.fleet.messages import FRAME_DECODER, DiscoveryRequest, DiscoveryResponse, encode
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.operator import FleetTable
 
@@ -155,11 +162,11 @@
 class VirtualLinks(Transport):
     """Sends into the world in place of sockets; whom it hears it asks who he is as the real ones do."""
 
-    def __init__(self, world: "World", process: "Process", fleet: Fleet):
+    def __init__(self, world: "World", process: "Process", fleet: FleetThread):
         super().__init__(
             ("127.0.0.1", 0),
             fleet.table.fleet,
-            lambda *event: None,
+            lambda event: None,
             lambda: 0,
             fleet.hello,
             fleet.group,
@@ -167,7 +174,7 @@
         self.world, self.process = world, process
 
     def start(self) -> None:
-        self.sock = self  # it listens
+        self.listening = True
 
     def end(self) -> None: ...
 
@@ -175,17 +182,19 @@
         self.world.carry(self.process, "%s:%d" % address, self.hello(to), frame)
 
 
-class VirtualFleet(Fleet):
+class VirtualFleet(FleetThread):
     def __init__(self, world: "World", process: "Process"):
+        self.world, self.process = world, process
         super().__init__(
             process.table, process.check, world.own, process.act_on, lambda: None, process.clock
         )
-        self.process = process
-        self.disk = process.disk
-        self.chance = Random(f"{world.seed}/{process.name}/{process.starts}")
-        self.life = self.chance.getrandbits(63)
+        self.folder.disk = process.disk
+        self.random = Random(f"{world.seed}/{process.name}/{process.starts}")
+        self.start_nonce = self.random.getrandbits(63)
         self.wall = lambda: EPOCH + world.now
-        self.links = VirtualLinks(world, process, self)
+
+    def make_transport(self) -> Transport:
+        return VirtualLinks(self.world, self.process, self)
 
 
 class Process:
@@ -198,7 +207,7 @@
         self.starts = 0
         self.frozen_until = 0
         self.rate, self.base = 1.0, world.chance.randrange(10**15)
-        self.waiting: list[tuple] = []  # events while it is frozen
+        self.waiting: list[Event] = []  # events while it is frozen
         self.disk_id = ""  # whose its folder was when it last ran
         self.acts_on = 0
         self.again_at = 0
@@ -216,7 +225,7 @@
         """The deciding thread, which takes no time here."""
         if view.version > self.acts_on:
             self.acts_on = view.version
-            self.fleet.queue.put(("acted", view.version))
+            self.fleet.queue.put(VersionApplied(view.version))
             self.fleet.acts_on = view.version
 
     @property
@@ -266,7 +275,7 @@
         self.fleet.member = None
         self.again_at = self.world.now + SECOND
 
-    def turn(self, events: list[tuple]) -> None:
+    def turn(self, events: list[Event]) -> None:
         if self.fleet is None:
             return
         if self.fleet.member is None:
@@ -387,7 +396,7 @@
         fleet = target.fleet
         if fleet is None or fleet.member is None:
             return
-        refused = fleet.links.refuse(hello)
+        refused = fleet.transport.rejection_of(hello)
         if refused is not None:
             self.count(f"refused: {refused.code}")
             sender = self.by_address.get(hello.address)
@@ -396,18 +405,18 @@
                 refused.code == "put-back"
                 and sender is not None
                 and sender.fleet is not None
-                and sender.fleet.life == hello.life
+                and sender.fleet.start_nonce == hello.start_nonce
                 and (sender.name, target.name) not in self.cuts
                 and sender.fleet.hello("").id == hello.id
             ):
-                sender.turn([("refused", fleet.member.id, refused)])
+                sender.turn([ConnectionRejected(fleet.member.id, refused)])
             return
-        frame = frames.decode(data)
+        frame = FRAME_DECODER.decode(data)
         if hello.group != fleet.group() and not isinstance(
             frame, DiscoveryRequest | DiscoveryResponse
         ):
             return
-        event = ("heard", hello, frame)
+        event = FrameReceived(hello, frame)
         if self.now < target.frozen_until:
             target.waiting.append(event)
         else:
@@ -585,4 +594,4 @@
         if at.fleet is None or at.fleet.member is None:
             told(False, {"why": "it does not run"})
             return
-        at.turn([("call", name, args, told, span / SECOND)])
+        at.turn([CallRequested(name, args, told, span / SECOND)])
--- a/cypresswalk/rollout/agent.py
+++ b/cypresswalk/rollout/agent.py
@@ -88,7 +88,7 @@
                 return self.check(admin)
             case CallFleet(name=name, args=args, ident=ident):
                 return self.ask(
-                    name, client.command(self.by, **args) | {"ident": ident} if ident else args
+                    name, client.command_args(self.by, **args) | {"ident": ident} if ident else args
                 )
             case DrawToken():
                 return uuid.uuid4().hex
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -190,7 +190,7 @@
 
     def stop(self, now: int) -> None:
         if self.binding is not None:
-            self.binding.fleet.leave()
+            self.binding.fleet.release_leadership()
         self.core.stop(now)
 
     def reload(self, now: int) -> None:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -2,7 +2,7 @@
 
 from cypresswalk.agreement.node import Node, Role
 from cypresswalk.agreement.store import Store
-from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.lease_client import LeaseClient
 from cypresswalk.fleet.leases import LeaseGrants
 from cypresswalk.fleet.transport import Transport
@@ -19,7 +19,7 @@
 
 
 def answer_before_the_flush(patch):
-    carry_out = Fleet.carry_out
+    carry_out = FleetThread.carry_out
 
     def early(self, member):
         take = member.take
@@ -28,7 +28,7 @@
             step = take()
             if step is not None and step.ready is not None:
                 for to, frame in step.messages:
-                    self.send(member, to, frame)
+                    self.router.send(member, to, frame)
                 step.messages = []
             return step
 
@@ -38,7 +38,7 @@
         finally:
             del member.take
 
-    patch.setattr(Fleet, "carry_out", early)
+    patch.setattr(FleetThread, "carry_out", early)
 
 
 def lease_from_the_answer(patch):
@@ -60,11 +60,13 @@
 
 def wiped_voter_under_its_name(patch):
     def blank(self):
-        self.boot, self.life = self.starts_of_it, self.chance.getrandbits(63)
-        self.make(f"{self.table.name}#0", "", None)
+        self.boot, self.start_nonce = self.starts_of_it, self.random.getrandbits(63)
+        self._make_member(f"{self.table.name}#0", "", None)
 
-    patch.setattr(Fleet, "blank", blank)
-    patch.setattr(Fleet, "starts_of_it", property(lambda self: self.process.starts), raising=False)
+    patch.setattr(FleetThread, "_begin_blank", blank)
+    patch.setattr(
+        FleetThread, "starts_of_it", property(lambda self: self.process.starts), raising=False
+    )
 
 
 def followers_and_removed_are_counted(patch):
@@ -96,13 +98,13 @@
 def put_back_folder_is_believed(patch):
     """By itself, and by the others: either guard alone finds it."""
     patch.setattr(Store, "check_witness", lambda self, file: None)
-    refuse = Transport.refuse
+    rejection_of = Transport.rejection_of
 
     def careless(self, hello):
-        refused = refuse(self, hello)
-        return refused if refused is not None and refused.code != "put-back" else None
+        rejected = rejection_of(self, hello)
+        return rejected if rejected is not None and rejected.code != "put-back" else None
 
-    patch.setattr(Transport, "refuse", careless)
+    patch.setattr(Transport, "rejection_of", careless)
 
 
 def logs_not_compared(patch):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -23,8 +23,9 @@
     Timing,
 )
 from cypresswalk.agreement.store import DamagedLogError, ForeignFileError, LogIdentity, Store
+from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
-from cypresswalk.fleet.messages import PROTOCOL, Call, FrameError, Frames, Hello, pack
+from cypresswalk.fleet.messages import PROTOCOL, Call, FrameDecoder, FrameError, Hello, encode_frame
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.explore import plan_of, run_seed, smaller
@@ -335,7 +336,7 @@
 def test_a_planned_stop_hands_leadership_over():
     world = begun(11)
     leader, term = world.leader(), world.leader().fleet.member.node.term
-    leader.turn([("leave",)])
+    leader.turn([LeadershipReleased()])
     world.run(SECOND // 2)
     assert world.leader() is not leader and world.leader().fleet.member.node.term == term + 1
 
@@ -550,29 +551,29 @@
 
 def test_odd_frames_end_a_connection_and_have_no_effect():
     chance = Random(7)
-    changed = bytearray(pack(Call(1, "status", {"server": "s-1"})))
+    changed = bytearray(encode_frame(Call(1, "status", {"server": "s-1"})))
     changed[-1] ^= 1  # another server's name, and a word as good as before
-    frames = Frames()
+    frames = FrameDecoder()
     frames.feed(bytes(changed))
     with pytest.raises(FrameError, match="checksum"):
-        frames.frame()
-    good = pack(Call(1, "status", {}))
+        frames.next_frame()
+    good = encode_frame(Call(1, "status", {}))
     for _ in range(400):
-        frames = Frames()
+        frames = FrameDecoder()
         data = chance.randbytes(40)
         frames.feed(struct.pack("<II", 40, crc32(data)) + data)
         with pytest.raises(FrameError):
-            frames.frame()
+            frames.next_frame()
     with pytest.raises(FrameError):
-        frames = Frames()
+        frames = FrameDecoder()
         frames.feed(b"\xff" * 8)
-        frames.frame()
-    frames = Frames()
+        frames.next_frame()
+    frames = FrameDecoder()
     for byte in good[:-1]:
         frames.feed(bytes([byte]))
-        assert frames.frame() is None
+        assert frames.next_frame() is None
     frames.feed(good[-1:])
-    assert frames.frame() == Call(1, "status", {})
+    assert frames.next_frame() == Call(1, "status", {})
 
     def hello(
         to: str = "", fleet: str = "f", protocol: int = PROTOCOL, boot: int = 2, life: int = 5
@@ -582,18 +583,18 @@
     links = Transport(
         ("127.0.0.1", 0),
         "f",
-        lambda *event: None,
+        lambda event: None,
         lambda: 0,
         lambda to: Hello(PROTOCOL, "f", "member", "g", "a#1", 1, 1, "", to),
         lambda: "g",
     )
     assert (
-        links.refuse(hello()) is None
-        and links.refuse(hello(to="a#1")) is None
-        and links.refuse(hello(boot=3, life=6)) is None
+        links.rejection_of(hello()) is None
+        and links.rejection_of(hello(to="a#1")) is None
+        and links.rejection_of(hello(boot=3, life=6)) is None
     )
     codes = [
-        links.refuse(odd).code
+        links.rejection_of(odd).code
         for odd in (
             hello(fleet="x"),
             hello(protocol=PROTOCOL + 1),
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -60,7 +60,7 @@
         self.binding = CoreBinding(
             table, config, self.core, lambda *what: self.posted.append(what), lambda: self.registry
         )
-        self.binding.fleet.told_list = lambda *what: self.told.append(what)
+        self.binding.fleet.on_list_received = lambda *what: self.told.append(what)
         self.binding.fleet.started.set()
         self.may_act = True
         self.core.lease = lambda: self.may_act
@@ -127,7 +127,7 @@
     ]
     params["tenants"] = [{"name": "south"}, {"name": "north"}, {"name": "west"}]
     acted = []
-    bound.binding.fleet.acted = acted.append
+    bound.binding.fleet.on_version_applied = acted.append
     bound.view(4, settings_version=4, settings=params)
     assert acted == [4] and list(bound.core.service_types) == ["chat"]
     # A customer keeps its number: flows that stand are counted by it.
@@ -224,7 +224,7 @@
     table = FleetTable(
         fleet="f", name="n0", address=place, folder=str(tmp_path / "kept"), first={"n0": place}
     )
-    fleet = driver.Fleet(table, lambda settings: "", {}, lambda view: None, lambda: None)
+    fleet = driver.FleetThread(table, lambda settings: "", {}, lambda view: None, lambda: None)
     turn, failed = fleet.turn, []
 
     def once(events):
@@ -383,12 +383,12 @@
     assert say() == ServerReport([], {}, {})
     for _ in range(3):
         bound.core.probed(bound.now, server, False, [])
-    assert say().bad == ["s-1"]
+    assert say().unhealthy == ["s-1"]
     bound.view(1, out=("s-1",), watch=True)
-    assert say().bad == ["s-1"]  # out by hand or not
+    assert say().unhealthy == ["s-1"]  # out by hand or not
     bound.view(2, watch=True)
     bound.core.probed(bound.now, server, True, [])
-    assert say().bad == []
+    assert say().unhealthy == []
     sessions = [bound.open(f"a{i}") for i in range(12)]
     at = {session: leg.server for leg, _ in bound.drivers.connects for session in [leg.session]}
     for i, session in enumerate(sessions):
@@ -396,7 +396,7 @@
             bound.core.up(bound.now + 2_000_000, session.leg) if i % 4 else bound.core.ended(
                 bound.now, session.leg, Outcome.TIMEOUT
             )
-    told = say().served
+    told = say().flow_counts
     assert (
         set(told) <= {"s-1", "s-2"}
         and sum(up for up, *_ in told.values()) == sum(s.standing for s in sessions) > 4
@@ -407,4 +407,4 @@
     )
     standing = sum(s.standing and at[s] is server for s in sessions)
     bound.view(3, out=("s-1",))
-    assert say() == ServerReport(say().bad, {"s-1": standing} if standing else {}, {})
+    assert say() == ServerReport(say().unhealthy, {"s-1": standing} if standing else {}, {})
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -554,25 +554,33 @@
 
     parts = [[7, 3, ["a#1", "b#1"]]]
     assert (
-        client.unlike(
+        client.differing_replicas(
             parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(11, {"12": "y"})}
         )
         == []
     )
     assert (
         len(
-            client.unlike(
+            client.differing_replicas(
                 parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(10, {"12": "y"})}
             )
         )
         == 1
     )
     assert (
-        len(client.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})}))
+        len(
+            client.differing_replicas(
+                parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})}
+            )
+        )
         == 1
     )
     assert (
-        len(client.unlike(parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}))
+        len(
+            client.differing_replicas(
+                parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}
+            )
+        )
         == 1
     )
-    assert len(client.unlike(parts, {"a#1": local(10, {"12": "y"})})) == 1
+    assert len(client.differing_replicas(parts, {"a#1": local(10, {"12": "y"})})) == 1
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -54,9 +54,9 @@
     if name == "fleet_frames":
         found = []
         for label, data in rows(name):
-            frames = messages.Frames()
+            frames = messages.FrameDecoder()
             frames.feed(data)
-            found.append((label, data, frames.frame()))
+            found.append((label, data, frames.next_frame()))
         return found
     if name == "agreement_records":
         return [
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("name", FILES)
 def test_every_message_and_record_is_read_and_written_byte_for_byte(name):
     for label, data, value in decoded(name):
-        again = messages.pack(value) if name == "fleet_frames" else encode(value)
+        again = messages.encode_frame(value) if name == "fleet_frames" else encode(value)
         assert again == data, label
 
 
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Where copies lie: the leader's part, with holders that are the real ones and no time but what is handed in."""
+"""Placement of replicas: the leader's part with real replicas, and no time but what is handed in."""
 
 from random import Random
 
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -123,9 +123,9 @@
     }  # s9 is listed no more
     assert not observations.conclusive(6 * SECOND + 1, members)
     # What each answered is added up over balancers, a process that began anew counted from nothing.
-    observations.on_report(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
-    observations.on_report(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
-    observations.on_report(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
+    observations.on_report(7 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (10, 0, 1, 50)}))
+    observations.on_report(8 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (14, 0, 1, 70)}))
+    observations.on_report(9 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (3, 0, 0, 9)}))
     assert (observations.served["s0"].up, observations.served["s0"].failed) == (17, 1)
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -14,7 +14,7 @@
 
 from cypresswalk import operator
 from cypresswalk.agreement.messages import RequestVote
-from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, pack
+from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, encode_frame
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.seen import Event
 from cypresswalk.lab.together import judges
@@ -250,13 +250,13 @@
         odd = [
             chance.randbytes(3000),
             b"\xff" * 8,
-            pack(hello)[:9],
-            pack(hello)[4:] * 50,
-            pack(Call(1, "status", {})),
-            pack(Hello(PROTOCOL, "other", "member", "", "n9#1", 1, 1, "", "")),
-            pack(Hello(PROTOCOL + 1, "rig", "member", "", "n9#1", 1, 1, "", "")),
-            pack(Hello(PROTOCOL, "rig", "member", "another", "n9#2", 1, 1, "", ""))
-            + pack(RequestVote(1 << 40, 9, 9, False, True)),
+            encode_frame(hello)[:9],
+            encode_frame(hello)[4:] * 50,
+            encode_frame(Call(1, "status", {})),
+            encode_frame(Hello(PROTOCOL, "other", "member", "", "n9#1", 1, 1, "", "")),
+            encode_frame(Hello(PROTOCOL + 1, "rig", "member", "", "n9#1", 1, 1, "", "")),
+            encode_frame(Hello(PROTOCOL, "rig", "member", "another", "n9#2", 1, 1, "", ""))
+            + encode_frame(RequestVote(1 << 40, 9, 9, False, True)),
         ]
         socks = []
         for data in odd * 5:
@@ -321,7 +321,7 @@
     assert not report["broken"], report
     assert report["answers"]["UP"] > 500 and report["calls"]["taken_out"] >= 1, report
     said = (tmp_path / "rig/n1/log").read_text()
-    assert "input/output error" in said and "event=fleet_again" in said
+    assert "input/output error" in said and "event=fleet_member_restarted" in said
 
 
 def test_the_oracle_sees_what_all_balancers_together_did_to_a_cold_server_and_what_they_were_told():
