--- a/cypresswalk/cli/fleet/agent.py
+++ b/cypresswalk/cli/fleet/agent.py
@@ -109,7 +109,7 @@
 
     args = call.args
     if call.ident:
-        args = client.command(f"agent of {agent_name}", **args) | {"ident": call.ident}
+        args = client.command_args(f"agent of {agent_name}", **args) | {"ident": call.ident}
     try:
         answer = client.call(caller.addresses, caller.fleet, call.name, args, CALL_TIMEOUT)
     except (CommandError, client.UncertainOutcomeError) as error:
--- a/cypresswalk/cli/fleet/caller.py
+++ b/cypresswalk/cli/fleet/caller.py
@@ -48,7 +48,7 @@
         """Sends a command in the user's name; the answer's body. Raises as `call` does."""
         from cypresswalk.fleet import client
 
-        return self.call(name, client.command(client.who(), **args))
+        return self.call(name, client.command_args(client.operator_name(), **args))
 
     def command_and_print(self, name: str, **args: Any) -> None:
         """Sends a command and prints what the fleet says of it. Raises as `call` does."""
--- a/cypresswalk/cli/fleet/members.py
+++ b/cypresswalk/cli/fleet/members.py
@@ -49,7 +49,7 @@
     For when most voters are lost for good. What only the lost members had is lost. Never use this
     while most voters of the old group may still run somewhere: both groups would act.
     """
-    from cypresswalk.fleet import client
+    from cypresswalk.fleet import client, recovery
 
     if not yes:
         click.echo(
@@ -58,4 +58,4 @@
             "and rules of both are in force at once."
         )
         click.confirm("Are most voters lost for good?", abort=True)
-    print_json(client.recover(os.path.abspath(folder), name, member, client.who()))
+    print_json(recovery.recover(os.path.abspath(folder), name, member, client.operator_name()))
--- a/cypresswalk/cli/fleet/replicas.py
+++ b/cypresswalk/cli/fleet/replicas.py
@@ -87,7 +87,7 @@
             unreachable.append(f"{member['name']}: {error}")
             continue
         answers[member["id"]] = local if ok else {}
-    return unreachable + client.unlike(body["parts"], answers)
+    return unreachable + client.differing_replicas(body["parts"], answers)
 
 
 @copies.command()
@@ -104,4 +104,6 @@
             "Begin with nothing?",
             abort=True,
         )
-    click.echo(caller.call("copies_renew", {"parts": list(parts), "by": client.who()})["why"])
+    click.echo(
+        caller.call("copies_renew", {"parts": list(parts), "by": client.operator_name()})["why"]
+    )
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from cypresswalk.fleet import shared_settings
-from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.applied_view import AppliedView
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.endpoint_merge import EndpointMerge, agreed_list
 from cypresswalk.fleet.fleet_commands import FleetCommands
 from cypresswalk.fleet.local_observations import LocalObservations
-from cypresswalk.fleet.member import AppliedView
 from cypresswalk.fleet.reservation_gate import ReservationGate
 from cypresswalk.fleet.rotation import Rotation
 from cypresswalk.hosting import decode_settings
@@ -58,7 +58,7 @@
         """
         self.core = core
         self.params = read_file(config.path)["settings"]
-        self.fleet = Fleet(
+        self.fleet = FleetThread(
             table,
             lambda settings: shared_settings.objection(self.params, settings),
             shared_settings.shared_part(self.params),
@@ -128,7 +128,7 @@
             self.list_version = view.list_version
             self.endpoints.follow(now, view.servers)
         self.version = view.version
-        self.fleet.acted(view.version)
+        self.fleet.on_version_applied(view.version)
         log.info(event("acting_on", version=view.version, out=len(self.rotation.agreed)))
 
     def apply_settings(self, now: int, agreed: dict[str, Any]) -> None:
@@ -159,7 +159,7 @@
     def handed(self) -> dict[str, Any]:
         """What a successor needs to know of what is agreed."""
         return {
-            "until": self.fleet.until,
+            "until": self.fleet.lease_until,
             "version": self.version,
             "settings_version": self.settings_version,
             "settings": self.settings,
@@ -195,4 +195,4 @@
         self.version = version
         self.rotation.inherit(now, out, forced)
         self.endpoints.refresh(now)
-        self.fleet.inherit(until, version)
+        self.fleet.inherit_lease(until, version)
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.state_machine import Listed
+from cypresswalk.fleet.driver import FleetThread
+from cypresswalk.fleet.records import ListedServer
 from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address
 from cypresswalk.net.core import Core
@@ -29,7 +29,7 @@
             None until there is one.
     """
 
-    def __init__(self, core: Core, fleet: Fleet, registry: Callable[[], EndpointListDecoder]):
+    def __init__(self, core: Core, fleet: FleetThread, registry: Callable[[], EndpointListDecoder]):
         """Starts from the servers that the core knows."""
         self.core = core
         self.fleet = fleet
@@ -42,7 +42,7 @@
         }
         self.reported: tuple[int, bytes] = (-1, b"")  # generation and digest
 
-    def follow(self, now: int, servers: tuple[Listed, ...]) -> None:
+    def follow(self, now: int, servers: tuple[ListedServer, ...]) -> None:
         """Acts on another agreed list."""
         self.agreed = {
             server_number(ident): (ServerState(state), since)
@@ -106,7 +106,7 @@
         digest = blake2b(msgspec.msgpack.encode(servers), digest_size=DIGEST_BYTES).digest()
         if (registry.version, digest) != self.reported and registry.version > 0:
             self.reported = registry.version, digest
-            self.fleet.told_list(registry.version, digest, servers)
+            self.fleet.on_list_received(registry.version, digest, servers)
 
     def handed(self) -> list[list[Any]] | None:
         """The agreed list in the form in which a successor reads it."""
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from cypresswalk.fleet.driver import Fleet
-from cypresswalk.fleet.member import CALLED_BACK, DRAINED
+from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.rotation import Rotation
-from cypresswalk.fleet.unavailability import GO
+from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.net.core import Core
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
@@ -35,7 +35,12 @@
     """
 
     def __init__(
-        self, core: Core, fleet: Fleet, rotation: Rotation, name: str, post: Callable[..., None]
+        self,
+        core: Core,
+        fleet: FleetThread,
+        rotation: Rotation,
+        name: str,
+        post: Callable[..., None],
     ):
         """Takes what commands act on.
 
@@ -134,7 +139,7 @@
         """Drains if the fleet said yes in time; later the grant may be another's again."""
         if not ok:
             self.core.reply(call, f"not granted: {refusal_text(body)}")
-        elif self.fleet.now() - asked_at > GO:
+        elif self.fleet.now() - asked_at > LEAVE_WINDOW:
             self.core.reply(call, "the grant came too late to be used; ask again")
         else:
             self.core.act(now, call)
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cypresswalk.copies.reservations import GRANTED, HELD, NEVER_RAN, REFUSED, ReservationAnswer
-from cypresswalk.fleet.driver import Fleet
+from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.model import Flow
 from cypresswalk.net.core import FAILED, Core, Session
 
@@ -21,7 +21,7 @@
         granted: the reservation's owner of each flow that has one.
     """
 
-    def __init__(self, core: Core, fleet: Fleet, post: Callable[..., None], share: float):
+    def __init__(self, core: Core, fleet: FleetThread, post: Callable[..., None], share: float):
         """Has no reservations.
 
         Args:
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/together/releases.py
@@ -14,8 +14,9 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.fleet.member import CALLED_BACK, DRAINED
-from cypresswalk.fleet.unavailability import GO
+from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.events import LeadershipReleased
+from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.lab.together.virtual import (
     MILLISECOND,
     SECOND,
@@ -158,14 +159,14 @@
             return
         if pid == self.owner:
             p, self.owner = self.process, 0
-            until, version = (p.fleet.until, p.acts_on) if p.fleet is not None else (0, 0)
+            until, version = (p.fleet.lease_until, p.acts_on) if p.fleet is not None else (0, 0)
             p.end() if planned else p.kill()
             heir = next((o for o in self.running.values() if o.ready_at <= self.world.now), None)
             if heir is not None:
                 self.take(heir)
                 if p.fleet is not None and planned:
                     p.acts_on = version
-                    p.fleet.inherit(until, version)
+                    p.fleet.inherit_lease(until, version)
                     self.world.look_at(p)
         self.world.look(self)
 
@@ -305,7 +306,7 @@
         asked = p.clock()
 
         def told(ok: bool, body: Any) -> None:
-            if ok and p.clock() - asked <= GO and self.ready():
+            if ok and p.clock() - asked <= LEAVE_WINDOW and self.ready():
                 self.world.goes_out(self, "drain")
                 self.drained = True
                 self.world.look(self)
@@ -472,7 +473,7 @@
 
     def release(self):
         leader = self.leader()
-        return leader.fleet.member.agreed.state if leader is not None else None
+        return leader.fleet.member.state if leader is not None else None
 
 
 KINDS = {
@@ -562,7 +563,7 @@
             for m in w.machines.values():
                 m.call_back()
         case "hand_over" if p.fleet is not None:
-            p.turn([("leave",)])
+            p.turn([LeadershipReleased()])
 
 
 def plan_for(names: list[str], chance: Random, hold_s: float = 4.0, canary: int = 1) -> list:
@@ -643,11 +644,15 @@
             continue
         release = state.release
         if release is None:
-            if not state.halted and not state.away and all(m.serves() for m in w.machines.values()):
+            if (
+                not state.halted
+                and not state.leave_grants
+                and all(m.serves() for m in w.machines.values())
+            ):
                 return "never begun"
         elif release.phase in ("done", "backed"):
             wanted = NEW if release.phase == "done" else OLD
-            if not state.away and all(
+            if not state.leave_grants and all(
                 m.serves() and not m.being_changed for m in w.machines.values()
             ):
                 runs = {m.name: m.running[m.owner].version for m in w.machines.values()}
@@ -673,10 +678,10 @@
             repr(
                 (
                     state.release,
-                    state.away,
+                    state.leave_grants,
                     state.halted,
-                    member.releasing.last,
-                    member.seen_out(member.tend_at),
+                    member.duties.releases.control.waits_for,
+                    member.duties.balancers.unavailable(member.duties.run_at),
                 )
             )
             if state and member
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/together/servings.py
@@ -13,7 +13,8 @@
 from types import SimpleNamespace
 from typing import Any
 
-from cypresswalk.fleet.member import AppliedView
+from cypresswalk.fleet.applied_view import AppliedView
+from cypresswalk.fleet.events import LeadershipReleased, ListReceived
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.lab.together.releases import (
     HALTED,
@@ -148,7 +149,7 @@
             {},
             dict.fromkeys(self.world.servers, True),
         )
-        fleet.agreed = self.act_on
+        fleet.on_view = self.act_on
         fleet.servers = self.of_servers
         fleet.ready = lambda: fleet.may_act()
         servers = [
@@ -156,7 +157,7 @@
             for i, name in enumerate(sorted(self.world.servers))
         ]
         digest = hashlib.blake2b(repr(servers).encode(), digest_size=16).digest()
-        fleet.queue.put(("list", 1, digest, servers))
+        fleet.queue.put(ListReceived(1, digest, servers))
 
     def act_on(self, view: AppliedView) -> None:
         out = set(view.out)
@@ -386,7 +387,7 @@
                 if s.hand:
                     w.back_by_hand(s)
         case "hand_over" if p.fleet is not None:
-            p.turn([("leave",)])
+            p.turn([LeadershipReleased()])
 
 
 def plan_for(names: list[str], chance: Random) -> list:
@@ -478,13 +479,13 @@
         state = w.release()
         if state is None:
             continue
-        for name in state.out:  # its yes was lost, or came late
+        for name in state.removed_servers:  # its yes was lost, or came late
             w.back_by_hand(w.servers[name])
         release = state.release
         well = (
             not state.halted
-            and not state.out
-            and not state.coming
+            and not state.removed_servers
+            and not state.returning_servers
             and all(s.answers() and not s.being_changed for s in w.servers.values())
             and all(not b.out for b in w.balancers.values())
         )
@@ -516,11 +517,11 @@
             repr(
                 (
                     state.release,
-                    state.out,
-                    state.coming,
+                    state.removed_servers,
+                    state.returning_servers,
                     state.halted,
-                    member.releasing.last,
-                    member.wards.bad(member.tend_at, member.idents()),
+                    member.duties.releases.control.waits_for,
+                    member.duties.servers.unhealthy(member.duties.run_at),
                 )
             )
             if state and member
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -24,8 +24,9 @@
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
 from cypresswalk.agreement.timing import Timing
+from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
-from cypresswalk.fleet.messages import PROTOCOL, Call, FrameError, Frames, Hello, pack
+from cypresswalk.fleet.messages import PROTOCOL, Call, FrameDecoder, FrameError, Hello, encode_frame
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.explore import plan_of, run_seed, smaller
@@ -160,7 +161,7 @@
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
-    assert "s0" in world.leader().fleet.member.agreed.state.out
+    assert "s0" in world.leader().fleet.member.state.removed_servers
     assert (
         all(p.acts for p in world.processes.values())
         and len(world.leader().fleet.member.members) == 3
@@ -201,7 +202,7 @@
         world.leader()
         if world.leader() is not leader
         else max(
-            (p for p in world.live() if p is not leader and p.fleet.member.leads),
+            (p for p in world.live() if p is not leader and p.fleet.member.is_leader),
             key=lambda p: p.fleet.member.node.term,
         )
     )
@@ -212,7 +213,9 @@
     assert not leader.fleet.may_act()  # at once, before it has heard anything
     late = ask(world, leader, "out", server="s2")
     world.run(10 * SECOND)
-    assert late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.agreed.state.out)
+    assert (
+        late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.state.removed_servers)
+    )
 
 
 def test_most_disks_lost_at_once_stop_the_fleet_and_do_nothing_worse():
@@ -258,13 +261,15 @@
     world.run(SECOND)
     world.start()
     world.run(8 * SECOND)
-    assert all(p.acts and "s0" in p.fleet.member.agreed.state.out for p in world.processes.values())
+    assert all(
+        p.acts and "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
+    )
 
 
 def test_a_version_that_one_cannot_read_is_not_made_active_and_says_who_and_why():
     world = begun(8, followers=1)
     world.processes["n3"].refuses.add(9)
-    base = world.leader().fleet.member.agreed.state.settings_version
+    base = world.leader().fleet.member.state.settings_version
     told = ask(world, world.processes["n1"], "offer", base=base, settings={"mark": 9})
     two = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
     world.run(5 * SECOND)
@@ -273,7 +278,7 @@
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
     world.run(5 * SECOND)
     assert told[0][0] and all(
-        p.fleet.member.agreed.state.settings == {"mark": 3} for p in world.processes.values()
+        p.fleet.member.state.settings == {"mark": 3} for p in world.processes.values()
     )
     told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 4})
     world.run(5 * SECOND)
@@ -332,7 +337,7 @@
 def test_a_planned_stop_hands_leadership_over():
     world = begun(11)
     leader, term = world.leader(), world.leader().fleet.member.node.term
-    leader.turn([("leave",)])
+    leader.turn([LeadershipReleased()])
     world.run(SECOND // 2)
     assert world.leader() is not leader and world.leader().fleet.member.node.term == term + 1
 
@@ -348,7 +353,7 @@
     told = ask(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
     assert told[0][0] and all(
-        "s0" in p.fleet.member.agreed.state.out for p in world.processes.values()
+        "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
     )
 
 
@@ -539,41 +544,41 @@
 
 def test_a_lease_is_given_up_by_its_holder_before_its_giver_counts_it_as_lapsed():
     held, given = HeldLease(5 * SECOND, 0), LeaseGrants(5 * SECOND, 0)
-    number = held.ask(100 * SECOND)
+    number = held.request(100 * SECOND)
     given.grant(100 * SECOND, "a")
-    held.granted(number, 3)
-    assert held.until(2) == 0 and 104 * SECOND < held.until(3) < 105 * SECOND
+    held.on_grant(number, 3)
+    assert held.valid_until(2) == 0 and 104 * SECOND < held.valid_until(3) < 105 * SECOND
     assert not given.lapsed(105 * SECOND, "a") and given.lapsed(106 * SECOND, "a")
     assert not LeaseGrants(5 * SECOND, 100 * SECOND).lapsed(104 * SECOND, "a")
-    held.granted(99, 7)  # an answer to nothing that was asked
-    assert held.until(3) > 0
+    held.on_grant(99, 7)  # an answer to nothing that was asked
+    assert held.valid_until(3) > 0
 
 
 def test_odd_frames_end_a_connection_and_have_no_effect():
     chance = Random(7)
-    changed = bytearray(pack(Call(1, "status", {"server": "s-1"})))
+    changed = bytearray(encode_frame(Call(1, "status", {"server": "s-1"})))
     changed[-1] ^= 1  # another server's name, and a word as good as before
-    frames = Frames()
+    frames = FrameDecoder()
     frames.feed(bytes(changed))
     with pytest.raises(FrameError, match="checksum"):
-        frames.frame()
-    good = pack(Call(1, "status", {}))
+        frames.next_frame()
+    good = encode_frame(Call(1, "status", {}))
     for _ in range(400):
-        frames = Frames()
+        frames = FrameDecoder()
         data = chance.randbytes(40)
         frames.feed(struct.pack("<II", 40, crc32(data)) + data)
         with pytest.raises(FrameError):
-            frames.frame()
+            frames.next_frame()
     with pytest.raises(FrameError):
-        frames = Frames()
+        frames = FrameDecoder()
         frames.feed(b"\xff" * 8)
-        frames.frame()
-    frames = Frames()
+        frames.next_frame()
+    frames = FrameDecoder()
     for byte in good[:-1]:
         frames.feed(bytes([byte]))
-        assert frames.frame() is None
+        assert frames.next_frame() is None
     frames.feed(good[-1:])
-    assert frames.frame() == Call(1, "status", {})
+    assert frames.next_frame() == Call(1, "status", {})
 
     def hello(
         to: str = "", fleet: str = "f", protocol: int = PROTOCOL, boot: int = 2, life: int = 5
@@ -583,18 +588,18 @@
     links = Transport(
         ("127.0.0.1", 0),
         "f",
-        lambda *event: None,
+        lambda event: None,
         lambda: 0,
         lambda to: Hello(PROTOCOL, "f", "member", "g", "a#1", 1, 1, "", to),
         lambda: "g",
     )
     assert (
-        links.refuse(hello()) is None
-        and links.refuse(hello(to="a#1")) is None
-        and links.refuse(hello(boot=3, life=6)) is None
+        links.rejection_of(hello()) is None
+        and links.rejection_of(hello(to="a#1")) is None
+        and links.rejection_of(hello(boot=3, life=6)) is None
     )
     codes = [
-        links.refuse(odd).code
+        links.rejection_of(odd).code
         for odd in (
             hello(fleet="x"),
             hello(protocol=PROTOCOL + 1),
--- a/tests/test_core_binding.py
+++ b/tests/test_core_binding.py
@@ -9,8 +9,8 @@
 from helpers import PARAMS, START, config_data, listed
 
 from cypresswalk.copies.reservations import ReservationAnswer
+from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.core_binding import CoreBinding
-from cypresswalk.fleet.member import AppliedView
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.shared_settings import objection, shared_part
 from cypresswalk.lab.balancers import free_port
@@ -61,7 +61,7 @@
         self.binding = CoreBinding(
             table, config, self.core, lambda *what: self.posted.append(what), lambda: self.registry
         )
-        self.binding.fleet.told_list = lambda *what: self.told.append(what)
+        self.binding.fleet.on_list_received = lambda *what: self.told.append(what)
         self.binding.fleet.started.set()
         self.may_act = True
         self.core.lease = lambda: self.may_act
@@ -128,7 +128,7 @@
     ]
     params["tenants"] = [{"name": "south"}, {"name": "north"}, {"name": "west"}]
     acted = []
-    bound.binding.fleet.acted = acted.append
+    bound.binding.fleet.on_version_applied = acted.append
     bound.view(4, settings_version=4, settings=params)
     assert acted == [4] and list(bound.core.service_types) == ["chat"]
     # A customer keeps its number: flows that stand are counted by it.
@@ -226,7 +226,7 @@
     table = FleetTable(
         fleet="f", name="n0", address=place, folder=str(tmp_path / "kept"), first={"n0": place}
     )
-    fleet = driver.Fleet(table, lambda settings: "", {}, lambda view: None, lambda: None)
+    fleet = driver.FleetThread(table, lambda settings: "", {}, lambda view: None, lambda: None)
     turn, failed = fleet.turn, []
 
     def once(events):
@@ -238,9 +238,9 @@
     fleet.turn = once
     fleet.start()
     until = time.monotonic() + 15
-    while time.monotonic() < until and not (failed and fleet.boot >= 2 and fleet.member.leads):
+    while time.monotonic() < until and not (failed and fleet.boot >= 2 and fleet.member.is_leader):
         time.sleep(0.02)
-    assert failed and fleet.boot >= 2 and fleet.member.leads
+    assert failed and fleet.boot >= 2 and fleet.member.is_leader
     told = Event()
     fleet.call(
         "out",
@@ -385,12 +385,12 @@
     assert say() == ServerReport([], {}, {})
     for _ in range(3):
         bound.core.probed(bound.now, server, False, [])
-    assert say().bad == ["s-1"]
+    assert say().unhealthy == ["s-1"]
     bound.view(1, out=("s-1",), watch=True)
-    assert say().bad == ["s-1"]  # out by hand or not
+    assert say().unhealthy == ["s-1"]  # out by hand or not
     bound.view(2, watch=True)
     bound.core.probed(bound.now, server, True, [])
-    assert say().bad == []
+    assert say().unhealthy == []
     sessions = [bound.open(f"a{i}") for i in range(12)]
     at = {session: leg.server for leg, _ in bound.drivers.connects for session in [leg.session]}
     for i, session in enumerate(sessions):
@@ -398,7 +398,7 @@
             bound.core.up(bound.now + 2_000_000, session.leg) if i % 4 else bound.core.ended(
                 bound.now, session.leg, Outcome.TIMEOUT
             )
-    told = say().served
+    told = say().flow_counts
     assert (
         set(told) <= {"s-1", "s-2"}
         and sum(up for up, *_ in told.values()) == sum(s.standing for s in sessions) > 4
@@ -409,4 +409,4 @@
     )
     standing = sum(s.standing and at[s] is server for s in sessions)
     bound.view(3, out=("s-1",))
-    assert say() == ServerReport(say().bad, {"s-1": standing} if standing else {}, {})
+    assert say() == ServerReport(say().unhealthy, {"s-1": standing} if standing else {}, {})
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -20,7 +20,7 @@
 from cypresswalk.agreement import store as agreement_store
 from cypresswalk.agreement.messages import Entry
 from cypresswalk.copies import store as copies_store
-from cypresswalk.fleet import messages, state_machine
+from cypresswalk.fleet import commands, messages, records
 from cypresswalk.hosting import pack_gossip
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.parsers.endpoint_list import server_number
@@ -34,8 +34,8 @@
 
 encode = msgspec.msgpack.encode
 DECODE = {
-    "fleet_commands": state_machine.commands.decode,
-    "fleet_state": state_machine.states.decode,
+    "fleet_commands": commands.COMMAND_DECODER.decode,
+    "fleet_state": records.STATE_DECODER.decode,
     "agreement_members": agreement_log.members_decoder.decode,
     "agreement_witness": agreement_store.witness_decoder.decode,
     "copies_head": copies_store.head_decoder.decode,
@@ -55,9 +55,9 @@
     if name == "fleet_frames":
         found = []
         for label, data in rows(name):
-            frames = messages.Frames()
+            frames = messages.FrameDecoder()
             frames.feed(data)
-            found.append((label, data, frames.frame()))
+            found.append((label, data, frames.next_frame()))
         return found
     if name == "agreement_records":
         return [
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("name", FILES)
 def test_every_message_and_record_is_read_and_written_byte_for_byte(name):
     for label, data, value in decoded(name):
-        again = messages.pack(value) if name == "fleet_frames" else encode(value)
+        again = messages.encode_frame(value) if name == "fleet_frames" else encode(value)
         assert again == data, label
 
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cypresswalk.fleet import state_machine as state
+from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
 from cypresswalk.refusal import CommandError
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def until_over(w: Releases, span: int = 200) -> state.FleetState:
+def until_over(w: Releases, span: int = 200) -> FleetState:
     """Until the release is done, back or halted."""
     w.start()
     w.run(8 * SECOND)
@@ -83,9 +83,9 @@
     """A new leader counts those it has not heard as ready."""
     patch.setattr(
         UnavailabilityTracker,
-        "seen_out",
-        lambda self, now, members, left, unheard, lapsed: {
-            m.name: "not ready" for m in members if self.said.get(m.id, (True, 0))[0] is False
+        "unavailable",
+        lambda self, now, members, departed, unheard, lapsed: {
+            m.name: "not ready" for m in members if self.readiness.get(m.id, (True, 0))[0] is False
         },
     )
 
@@ -93,13 +93,13 @@
 def places_are_free_by_any_word(patch):
     """A word that was on its way for long frees the place of who has gone out since."""
 
-    def asked(self, now, ident, ready, lease):
-        self.said[ident] = ready, now
-        place = self.places.get(ident.partition("#")[0])
-        if place is not None:
-            place.back = bool(ready)
+    def on_readiness(self, now, member, ready, last_lease):
+        self.readiness[member] = ready, now
+        leave = self.leaves.get(member.partition("#")[0])
+        if leave is not None:
+            leave.ready_since = bool(ready)
 
-    patch.setattr(UnavailabilityTracker, "asked", asked)
+    patch.setattr(UnavailabilityTracker, "on_readiness", on_readiness)
 
 
 def nobody_is_asked_before_the_old_one_goes(patch):
@@ -107,12 +107,12 @@
 
 
 def a_place_is_given_back_while_an_agent_works(patch):
-    tend = UnavailabilityTracker.tend
+    next_ended = UnavailabilityTracker.next_ended
     patch.setattr(
         UnavailabilityTracker,
-        "tend",
-        lambda self, now, away, begun, waiting, out, there: tend(
-            self, now, away, (), waiting, out, there
+        "next_ended",
+        lambda self, now, grants, changing, waiting, unavailable, present: next_ended(
+            self, now, grants, (), waiting, unavailable, present
         ),
     )
 
--- a/tests/test_placing.py
+++ b/tests/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Where copies lie: the leader's part, with holders that are the real ones and no time but what is handed in."""
+"""Placement of replicas: the leader's part with real replicas, and no time but what is handed in."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 from cypresswalk.copies.messages import PartitionFetched, PartitionSealed, ReplicaSlow
 from cypresswalk.copies.placement import PARTITIONS
 from cypresswalk.copies.replica import Replica
-from cypresswalk.fleet.replica_placement import AT_ONCE, SECOND, ReplicaPlacement
+from cypresswalk.fleet.replica_placement import MAX_MAKING_UP, SECOND, ReplicaPlacement
 
 
 class Tier:
@@ -30,11 +30,11 @@
 
     def tell(self) -> None:
         for m in self.members:
-            self.placing.holds(m.id, True)
+            self.placing.on_capability(m.id, True)
 
     def new_leader(self) -> None:
         self.placing = ReplicaPlacement("m1#1", self.copies, self.least)
-        self.placing.turned(self.now)
+        self.placing.reset(self.now)
         self.tell()
 
     def carry(self, name: str) -> None:
@@ -42,12 +42,12 @@
         while holder.effects:
             match holder.effects.pop(0):
                 case TellLeader(message):
-                    self.placing.heard(self.now, name, message, self.views)
+                    self.placing.on_message(self.now, name, message, self.views)
                 case AnswerRequest(_, answer):
                     self.answers.append(answer.result)
                 case SendMessage(to, message) if to not in self.dead:
                     if isinstance(message, PartitionSealed | PartitionFetched):
-                        self.placing.heard(self.now, name, message, self.views)
+                        self.placing.on_message(self.now, name, message, self.views)
                     else:
                         self.holders[to].on_message(name, message)
                         self.carry(to)
@@ -55,7 +55,7 @@
     def look(self, seconds: float = 0.2, longest: int = 60 * SECOND) -> None:
         for _ in range(round(seconds * 5)):
             self.now += SECOND // 5
-            proposals, sends = self.placing.tend(
+            proposals, sends = self.placing.next_steps(
                 self.now, self.members, self.views, self.left, lambda i: i not in self.dead, longest
             )
             for to, word in sends:
@@ -66,7 +66,7 @@
                     effects = self.holders[to].effects
                     for effect in [o for o in effects if isinstance(o, SendMessage)]:
                         if isinstance(effect.message, PartitionSealed | PartitionFetched):
-                            self.placing.heard(self.now, to, effect.message, self.views)
+                            self.placing.on_message(self.now, to, effect.message, self.views)
                             effects.remove(effect)
                     self.carry(to)
             for part, (view, there) in proposals.items():
@@ -84,7 +84,7 @@
                         and holder.partition(part).view == view
                         and not holder.partition(part).complete
                     ):
-                        self.placing.heard(
+                        self.placing.on_message(
                             self.now, name, ReplicaSlow(part, view, name), self.views
                         )
 
@@ -142,7 +142,7 @@
     tier.claim_all(
         "z"
     )  # and do again at once, with two copies, but for the few that are being made up
-    assert sum("z" in ids for ids in tier.granted.values()) >= PARTITIONS - AT_ONCE
+    assert sum("z" in ids for ids in tier.granted.values()) >= PARTITIONS - MAX_MAKING_UP
     tier.look(15)
     assert set(tier.copies_whole().values()) == {3} and not any(
         "m1#1" in there for _, there in tier.views.values()
@@ -166,7 +166,7 @@
     assert not any("v" in ids for ids in tier.granted.values())
     tier.back()  # all, with their disks
     tier.look(20)
-    assert set(tier.copies_whole().values()) == {3} and not tier.placing.away
+    assert set(tier.copies_whole().values()) == {3} and not tier.placing.unreachable
 
 
 def test_a_holder_that_lost_its_files_is_filled_again_and_never_believed_meanwhile():
@@ -189,7 +189,7 @@
         tier.holders[there[0]].effects.clear()
     tier.new_leader()
     for part, (view, there) in tier.views.items():
-        tier.placing.heard(
+        tier.placing.on_message(
             tier.now, there[0], PartitionSealed(part, view, True), tier.views
         )  # told until the next view begins
     tier.look(3)
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -5,14 +5,16 @@
 
 import pytest
 
-from cypresswalk.fleet import state_machine as state
-from cypresswalk.fleet.member import Member
+from cypresswalk.fleet import commands
+from cypresswalk.fleet.leader import LeaderDuties
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.server_observations import ServerObservations
+from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.lab.together.plan import Plan, Step
 from cypresswalk.lab.together.releases import SECOND
 from cypresswalk.lab.together.serving import ServerMachines
 from cypresswalk.lab.together.servings import Servings, plan_for, run_seed
+from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.server_agent import ServerAgent
 
 
@@ -25,7 +27,7 @@
 
 def everybody_knows_at_once(patch):
     """Servers are stopped though a balancer acts on the version before."""
-    patch.setattr(Member, "settled", lambda self, version, now: True)
+    patch.setattr(LeaderDuties, "all_act_on", lambda self, version, now: True)
 
 
 def flows_are_not_waited_for(patch):
@@ -34,7 +36,7 @@
 
 
 def the_bad_are_not_counted(patch):
-    patch.setattr(ServerObservations, "bad", lambda self, now, members: {})
+    patch.setattr(ServerObservations, "unhealthy", lambda self, now, members: {})
 
 
 def a_halt_is_not_asked_for(patch):
@@ -46,14 +48,14 @@
 
 
 def a_turn_ends_though_its_agent_works(patch):
-    returned = state.releases.returned
+    returned = releases.returned
 
     def careless(now, name):
         returned(now, name)
         if now.members.get(name) == "changing":
             now.members[name] = "old"
 
-    patch.setattr(state.releases, "returned", careless)
+    patch.setattr(releases, "returned", careless)
 
 
 @pytest.mark.parametrize(
@@ -95,83 +97,87 @@
 
 
 def test_what_most_balancers_say_of_a_server_counts_and_silence_grants_nothing():
-    wards, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
-    wards.asked(0, "n0#1", 4, ServerReport(["s0", "s1"]))
-    wards.asked(0, "n1#1", 4, ServerReport(["s0"]))
-    assert not wards.can_tell(0, members) and wards.standing(0, members, "s0") is None
-    wards.asked(SECOND, "n2#1", 4, ServerReport([], {"s0": 3}))
+    observations, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
+    observations.on_report(0, "n0#1", 4, ServerReport(["s0", "s1"]))
+    observations.on_report(0, "n1#1", 4, ServerReport(["s0"]))
     assert (
-        wards.can_tell(SECOND, members) and wards.standing(SECOND, members, "s0") is None
+        not observations.conclusive(0, members)
+        and observations.open_flows(0, members, "s0") is None
+    )
+    observations.on_report(SECOND, "n2#1", 4, ServerReport([], {"s0": 3}))
+    assert (
+        observations.conclusive(SECOND, members)
+        and observations.open_flows(SECOND, members, "s0") is None
     )  # n3 may have flows there (seed 357)
-    wards.asked(SECOND, "n3#1", 3, ServerReport([]))
-    assert wards.can_tell(SECOND, members) and list(wards.bad(SECOND, members)) == [
-        "s0"
-    ]  # two of four; s1 by one alone
-    assert wards.standing(SECOND, members, "s0") == 3
+    observations.on_report(SECOND, "n3#1", 3, ServerReport([]))
+    assert observations.conclusive(SECOND, members) and list(
+        observations.unhealthy(SECOND, members)
+    ) == ["s0"]  # two of four; s1 by one alone
+    assert observations.open_flows(SECOND, members, "s0") == 3
     # Back in version 4: n3 does not act on it yet, so two of four have seen s1 ready.
-    assert wards.ready_again(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
-    wards.asked(SECOND, "n3#1", 4, ServerReport([]))
-    assert wards.ready_again(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
+    assert observations.seen_ready(SECOND, members, {"s1": 4}, ["s0", "s1"]) == {}
+    observations.on_report(SECOND, "n3#1", 4, ServerReport([]))
+    assert observations.seen_ready(SECOND, members, {"s1": 4, "s9": 2}, ["s0", "s1"]) == {
         "s1": 4,
         "s9": 2,
     }  # s9 is listed no more
-    assert not wards.can_tell(6 * SECOND + 1, members)
+    assert not observations.conclusive(6 * SECOND + 1, members)
     # What each answered is added up over balancers, a process that began anew counted from nothing.
-    wards.asked(7 * SECOND, "n0#1", 4, ServerReport(served={"s0": (10, 0, 1, 50)}))
-    wards.asked(8 * SECOND, "n0#1", 4, ServerReport(served={"s0": (14, 0, 1, 70)}))
-    wards.asked(9 * SECOND, "n0#1", 4, ServerReport(served={"s0": (3, 0, 0, 9)}))
-    assert (wards.served["s0"].established, wards.served["s0"].failed) == (17, 1)
+    observations.on_report(7 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (10, 0, 1, 50)}))
+    observations.on_report(8 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (14, 0, 1, 70)}))
+    observations.on_report(9 * SECOND, "n0#1", 4, ServerReport(flow_counts={"s0": (3, 0, 0, 9)}))
+    assert (observations.served["s0"].established, observations.served["s0"].failed) == (17, 1)
 
 
 def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
-    machine, number = state.StateMachine(), iter(range(100))
+    machine, number = StateMachine(), iter(range(100))
     machine.state.servers = [(name, 0, 1, "ready", 1.0, 0) for name in ("s0", "s1")]
     machine.state.settings = {"bounds": {"servers": {"all": 1}}}
 
     def say(kind, *words):
-        return machine.apply(state.encode(kind(f"c{next(number)}", "test", 0, *words)))[1]
+        return machine.apply(commands.encode(kind(f"c{next(number)}", "test", 0, *words)))[1]
 
     plan = ["r", "v1", "v2", [["s0"], ["s1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers", 5.0]
     assert (
         "s7 is not listed"
         in say(
-            state.BeginRelease,
-            state.releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
+            commands.BeginRelease,
+            releases.Plan("r", "v1", "v2", [["s7"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0, "servers"),
             [],
         )[1]
     )
     assert (
-        say(state.BeginRelease, state.releases.Plan(*plan), [])[0]
-        and say(state.GrantTurn, "s0", {}, {}, 0)[0]
+        say(commands.BeginRelease, releases.Plan(*plan), [])[0]
+        and say(commands.GrantTurn, "s0", {}, {}, 0)[0]
     )
     assert (
-        machine.all_out() == {"s0"}
+        machine.state.servers_out() == {"s0"}
         and machine.state.release.out_since_version["s0"] == machine.state.version
     )
-    assert say(state.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
-        state.RemoveFromRotation, "s1", False, {}
+    assert say(commands.RemoveFromRotation, "s0", False, {})[0] and "1 are out" in say(
+        commands.RemoveFromRotation, "s1", False, {}
     )[1].replace("1 of 2", "1")
-    assert say(state.ReturnToRotation, "s0")[1].endswith(
+    assert say(commands.ReturnToRotation, "s0")[1].endswith(
         "release r has it out still"
-    ) and machine.all_out() == {"s0"}
-    assert say(state.ReturnToRotation, "s0") == (True, "release r has it out")
+    ) and machine.state.servers_out() == {"s0"}
+    assert say(commands.ReturnToRotation, "s0") == (True, "release r has it out")
     assert (
-        say(state.ChangeStarted, "s0", "v2", {}, {})[0]
-        and say(state.ChangeFinished, "s0", "v2", "")[0]
+        say(commands.ChangeStarted, "s0", "v2", {}, {})[0]
+        and say(commands.ChangeFinished, "s0", "v2", "")[0]
     )
-    assert not machine.all_out() and list(machine.state.coming) == ["s0"]
-    assert not say(state.RemoveFromRotation, "s1", False, {})[0]  # s0 is not seen ready yet
+    assert not machine.state.servers_out() and list(machine.state.returning_servers) == ["s0"]
+    assert not say(commands.RemoveFromRotation, "s1", False, {})[0]  # s0 is not seen ready yet
     assert (
-        say(state.ServersSeenReady, machine.state.coming)[0]
-        and say(state.RemoveFromRotation, "s1", False, {})[0]
+        say(commands.ServersSeenReady, machine.state.returning_servers)[0]
+        and say(commands.RemoveFromRotation, "s1", False, {})[0]
     )
     assert (
-        say(state.ReturnToRotation, "s1")[0]
-        and say(state.ServersSeenReady, machine.state.coming)[0]
+        say(commands.ReturnToRotation, "s1")[0]
+        and say(commands.ServersSeenReady, machine.state.returning_servers)[0]
     )
     assert (
-        not say(state.RemoveFromRotation, "s1", False, {"s0": "held for bad"})[0]
-        and say(state.RemoveFromRotation, "s1", True, {"s0": "held for bad"})[0]
+        not say(commands.RemoveFromRotation, "s1", False, {"s0": "held for bad"})[0]
+        and say(commands.RemoveFromRotation, "s1", True, {"s0": "held for bad"})[0]
     )
 
 
@@ -230,7 +236,7 @@
     w.start()
     w.run(8 * SECOND)
     leader, said = w.leader(), []
-    leader.fleet.member.wards.words.clear()  # as a leader that has just begun
+    leader.fleet.member.duties.servers.observations.reports.clear()  # as a leader that has just begun
     ask = {"ident": "a", "by": "test", "at": 0, "server": "s0"}
     w.call(
         leader,
@@ -249,4 +255,4 @@
     w.run(SECOND // 2)
     assert said == [("forced", True)] and "server s0 out" in w.release().history[-1].what
     w.run(4 * SECOND)  # they have told it meanwhile
-    assert said[1:] == [("asked", True)] and set(w.release().out) == {"s0", "s1"}
+    assert said[1:] == [("asked", True)] and set(w.release().removed_servers) == {"s0", "s1"}
