--- a/cypresswalk/cli/faults.py
+++ b/cypresswalk/cli/faults.py
@@ -12,7 +12,8 @@
 from cypresswalk.refusal import CommandError
 
 if TYPE_CHECKING:  # imported when the command runs, so that `--help` costs nothing
-    from cypresswalk.faults.proxy import DatagramProxy, Proxy
+    from cypresswalk.faults.datagram_proxy import DatagramProxy
+    from cypresswalk.faults.proxy import Proxy
 
 MAX_PORT = 65535
 
@@ -67,7 +68,8 @@
     names the faults that were never reached.
     """
     from cypresswalk.faults import plan as plans
-    from cypresswalk.faults.proxy import DatagramProxy, Proxy
+    from cypresswalk.faults.datagram_proxy import DatagramProxy
+    from cypresswalk.faults.proxy import Proxy
 
     if plan and replay:
         raise CommandError("--plan and --replay: one of them only")
--- a/cypresswalk/faults/__init__.py
+++ b/cypresswalk/faults/__init__.py
@@ -1,4 +1,6 @@
-"""Faults between sockets: a proxy for TCP and UDP that delays, cuts, garbles and the like, by a plan or by a seed.
+"""Fault injection between sockets: a proxy for TCP and UDP, driven by a plan and a seed.
 
-For people `cypresswalk faults`; for tests `running.Running`. The plan's form is in `plan`, what each fault does to the
-bytes in `stream` and `datagrams` (no I/O, no clock), the sockets in `proxy`."""
+The command is `cypresswalk faults`; tests use `proxy_thread.ProxyThread`. `plan` has the plan's
+form, `stream` and `datagram_stream` what each fault does to the bytes (no I/O, no clock), `proxy`
+and `datagram_proxy` the sockets.
+"""
--- a/cypresswalk/faults/kinds.py
+++ b/cypresswalk/faults/kinds.py
@@ -1,22 +1,26 @@
-"""What can go wrong between two sockets, and the one type that says where it does."""
+"""The kinds of faults, and one fault at one place."""
 
 import json
 from dataclasses import dataclass
-from enum import Enum
+from enum import StrEnum
 
 
-class Kind(str, Enum):
-    """The first four end something, the rest change how bytes pass. Those marked in DATAGRAMS exist for UDP too."""
+class Kind(StrEnum):
+    """What a fault does.
+
+    The first four end something, the others change how bytes pass. Kinds in DATAGRAMS exist for
+    UDP.
+    """
 
     CUT = "cut"  # both sides get a reset
-    TRUNCATE = "truncate"  # nothing passes any more, either way; both sides get an end of stream
-    HALF_CLOSE = "half_close"  # an end of stream this way; the other way goes on
-    BLACK_HOLE = "black_hole"  # nothing passes this way, and no end either
-    DELAY = "delay"  # a pause once
+    TRUNCATE = "truncate"  # nothing passes any more either way; both sides get an end of stream
+    HALF_CLOSE = "half_close"  # an end of stream in this direction; the other goes on
+    BLACK_HOLE = "black_hole"  # nothing passes in this direction, and no end either
+    DELAY = "delay"  # one pause
     LATENCY = "latency"  # from here on each byte arrives later
-    THROTTLE = "throttle"  # from here on so many bytes a second
-    SPLIT = "split"  # from here on writes of at most `size` bytes, apart by `ms`
-    JOIN = "join"  # from here on writes wait until `size` bytes are there, at most `ms`
+    THROTTLE = "throttle"  # from here on at most so many bytes per second
+    SPLIT = "split"  # from here on writes of at most `size` bytes, `ms` apart
+    JOIN = "join"  # from here on writes wait for `size` bytes, at most `ms`
     GARBLE = "garble"  # `size` bytes are changed
     DROP = "drop"  # `size` bytes, or one datagram, are left out
     DUPLICATE = "duplicate"  # a datagram comes twice
@@ -28,7 +32,7 @@
     {Kind.DROP, Kind.DELAY, Kind.DUPLICATE, Kind.GARBLE, Kind.TRUNCATE, Kind.SWAP}
 )
 STREAMS = frozenset(set(Kind) - {Kind.DUPLICATE, Kind.SWAP})
-# What each kind needs to be told; what is not named here it does not take.
+# The parameters each kind needs; it takes no others.
 NEEDS = {
     Kind.DELAY: {"ms"},
     Kind.LATENCY: {"ms"},
@@ -43,37 +47,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: of the connection with that number, in one direction, at a byte's offset (UDP: a datagram's number).
-    Bound to bytes and not to time, so that it strikes at the same place however late the machine is."""
+    """One fault at one place.
+
+    It is bound to bytes and not to time, so that it is injected at the same place however late the
+    machine is.
+
+    Attributes:
+        connection: from 1, in the order of acceptance; UDP: the peer, in the order of first
+        datagrams. direction: "up", from who connected, or "down". at: offset of a byte; UDP: the
+        datagram's number from 0. kind: what it does. size: bytes. ms: milliseconds. rate: bytes per
+        second. mask: the seed for what garbled bytes become.
+    """
 
-    connection: (
-        int  # from 1, in the order in which they were accepted; UDP: in which peers first spoke
-    )
-    direction: str  # "up", from who connected, or "down"
+    connection: int
+    direction: str
     at: int
     kind: Kind
     size: int = 0
     ms: int = 0
     rate: int = 0
-    mask: int = 0  # the seed of what garbled bytes become
+    mask: int = 0
 
     def line(self) -> str:
-        """As JSON, always the same for the same fault; without what does not concern its kind."""
-        said = {
+        """The fault as JSON, without parameters of other kinds; alike for equal faults."""
+        parameters = {name: getattr(self, name) for name in ("size", "ms", "rate", "mask")}
+        fields = {
             "connection": self.connection,
             "direction": self.direction,
             "at": self.at,
             "kind": self.kind.value,
-        }
-        said |= {
-            name: getattr(self, name)
-            for name in ("size", "ms", "rate", "mask")
-            if getattr(self, name)
-        }
-        return json.dumps(said, separators=(",", ":"))
+        } | {name: value for name, value in parameters.items() if value}
+        return json.dumps(fields, separators=(",", ":"))
 
     @property
-    def place(self) -> tuple:
+    def place(self) -> tuple[int, str, int, str, int, int, int, int]:
+        """The key by which faults are sorted."""
         return (
             self.connection,
             self.direction,
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -1,12 +1,15 @@
-"""The plan: which faults strike which connection. Decoded from TOML, drawn from a seed, or read back from a record.
+"""The plan: which faults are injected into which connection.
 
-`Plan.for_connection` gives the faults of one connection; chance comes from the seed and the connection's number alone,
-so that neither the machine's load nor other connections change it."""
+It is decoded from TOML, drawn from a seed, or read back from a record. Chance comes from the seed
+and the connection's number alone, so that neither the machine's load nor other connections change
+it.
+"""
 
 import json
+from collections.abc import Sequence
 from pathlib import Path
 from random import Random
-from typing import ClassVar, Literal
+from typing import ClassVar, Literal, Protocol
 
 from pydantic import Field, ValidationError, field_validator, model_validator
 
@@ -15,184 +18,237 @@
 from cypresswalk.refusal import CommandError
 
 Direction = Literal["up", "down", "both"]
+MAX_OFFSET = 1 << 40
+MAX_SIZE = 1 << 30
+MAX_PAUSE_MS = 3_600_000
+PARAMETERS = ("size", "ms", "rate")
 
 
-class Named(toml.Table):
-    """A fault at a stated place."""
+class PlacedFault(toml.Table):
+    """`[[fault]]`: a fault at a stated place.
+
+    Attributes:
+        connection: a number from 1, several, or all.
+        direction: of the bytes.
+        kind: what it does.
+        at: offset of a byte.
+        size: bytes.
+        ms: milliseconds.
+        rate: bytes per second.
+    """
 
     connection: int | list[int] | Literal["all"] = "all"
     direction: Direction = "both"
     kind: Kind
-    at: int = Field(0, ge=0, le=1 << 40)
-    size: int = Field(0, ge=0, le=1 << 30)
-    ms: int = Field(0, ge=0, le=3_600_000)
-    rate: int = Field(0, ge=0, le=1 << 40)
+    at: int = Field(0, ge=0, le=MAX_OFFSET)
+    size: int = Field(0, ge=0, le=MAX_SIZE)
+    ms: int = Field(0, ge=0, le=MAX_PAUSE_MS)
+    rate: int = Field(0, ge=0, le=MAX_OFFSET)
     needs: ClassVar[dict[Kind, set[str]]] = NEEDS
 
     @field_validator("connection")
     @classmethod
-    def counted_from_one(cls, value: int | list[int] | str) -> int | list[int] | str:
-        if any(
-            number < 1
-            for number in (
-                [value] if isinstance(value, int) else value if isinstance(value, list) else []
-            )
-        ):
+    def check_connection(cls, value: int | list[int] | str) -> int | list[int] | str:
+        """Raises ValueError for a number below 1."""
+        numbers: list[int] = []
+        if isinstance(value, int):
+            numbers = [value]
+        elif isinstance(value, list):
+            numbers = value
+        if any(number < 1 for number in numbers):
             raise ValueError("connections count from 1")
         return value
 
     @model_validator(mode="after")
-    def complete(self) -> "Named":
+    def check_parameters(self) -> "PlacedFault":
+        """Raises ValueError where a parameter lacks, or is not the kind's."""
         needs = self.needs.get(self.kind, set())
-        given = {name for name in ("size", "ms", "rate") if getattr(self, name)}
+        given = {name for name in PARAMETERS if getattr(self, name)}
         if self.kind is Kind.SPLIT:
-            needs = {"size"} | given & {
-                "ms"
-            }  # a gap may be left out: then reads split where the kernel lets them
+            # The gap may be left out: then reads split where the kernel lets them.
+            needs = {"size"} | given & {"ms"}
         if missing := needs - given:
             raise ValueError(f"{self.kind.value} needs {' and '.join(sorted(missing))} above 0")
         if extra := given - needs:
             raise ValueError(f"{self.kind.value} takes no {' and no '.join(sorted(extra))}")
         return self
 
-    def strikes(self, connection: int) -> bool:
-        where = self.connection
-        return (
-            where == "all" or where == connection or isinstance(where, list) and connection in where
-        )
+    def concerns(self, connection: int) -> bool:
+        """Whether the fault is one of that connection."""
+        if isinstance(self.connection, list):
+            return connection in self.connection
+        return self.connection == "all" or self.connection == connection
 
 
-class NamedDatagram(Named):
-    """The same for UDP: `connection` is the peer, `at` the datagram's number in that direction, from 0."""
+class PlacedDatagramFault(PlacedFault):
+    """`[[datagram]]`: for UDP; `connection` is the peer, `at` the datagram's number from 0."""
 
     needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
 
 
-class Drawn(toml.Table):
-    """Faults by chance: each direction of each connection gets one of the kinds with that chance."""
+class RandomFaults(toml.Table):
+    """`[[random]]`: each direction of each connection gets one of the kinds with that chance.
+
+    Attributes:
+        chance: above 0, at most 1.
+        kinds: to choose from.
+        direction: of the bytes.
+        within: the offset is below this.
+        size: range of bytes.
+        ms: range of milliseconds.
+        rate: range of bytes per second.
+        first: connections from this number on.
+    """
 
     needs: ClassVar[dict[Kind, set[str]]] = NEEDS
     chance: float = Field(gt=0, le=1)
     kinds: list[Kind] = Field(min_length=1)
     direction: Direction = "both"
-    within: int = Field(4096, ge=1, le=1 << 30)  # the offset is below this
+    within: int = Field(4096, ge=1, le=MAX_SIZE)
     size: tuple[int, int] = (1, 16)
     ms: tuple[int, int] = (1, 50)
     rate: tuple[int, int] = (1000, 100_000)
-    first: int = Field(1, ge=1)  # connections from this number on
+    first: int = Field(1, ge=1)
 
-    @field_validator("size", "ms", "rate")
+    @field_validator(*PARAMETERS)
     @classmethod
-    def range(cls, value: tuple[int, int]) -> tuple[int, int]:
-        if not 1 <= value[0] <= value[1] <= 1 << 30:
+    def check_range(cls, value: tuple[int, int]) -> tuple[int, int]:
+        """Raises ValueError where the range is empty or has values that are not allowed."""
+        if not 1 <= value[0] <= value[1] <= MAX_SIZE:
             raise ValueError("a range is [least, most], both from 1 on")
         return value
 
 
-class DrawnDatagram(Drawn):
-    """Each datagram is struck with that chance; `within` has no meaning here."""
+class RandomDatagramFaults(RandomFaults):
+    """`[[random_datagram]]`: each datagram gets one with that chance; `within` has no meaning."""
 
     needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
 
 
+class FaultPlan(Protocol):
+    """What a proxy asks for the faults of connections and datagrams."""
+
+    def for_connection(self, number: int, seed: int) -> list[Fault]:
+        """The faults of one TCP connection, sorted by direction and offset."""
+
+    def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
+        """The faults of one datagram, counted from 0 for each peer and direction."""
+
+    def named(self) -> Sequence[PlacedFault | Fault]:
+        """The faults at stated places."""
+
+
 class Plan(toml.Table):
-    fault: list[Named] = []
-    random: list[Drawn] = []
-    datagram: list[NamedDatagram] = []
-    random_datagram: list[DrawnDatagram] = []
+    """A plan's file; its tables are the attributes."""
+
+    fault: list[PlacedFault] = []
+    random: list[RandomFaults] = []
+    datagram: list[PlacedDatagramFault] = []
+    random_datagram: list[RandomDatagramFaults] = []
 
     @model_validator(mode="after")
-    def kinds(self) -> "Plan":
-        for name, kinds, entries in (
+    def check_kinds(self) -> "Plan":
+        """Raises ValueError where a kind does not exist for TCP, or for UDP."""
+        for name, allowed, entries in (
             ("fault", STREAMS, [[f.kind] for f in self.fault]),
             ("random", STREAMS, [r.kinds for r in self.random]),
             ("datagram", DATAGRAMS, [[f.kind] for f in self.datagram]),
             ("random_datagram", DATAGRAMS, [r.kinds for r in self.random_datagram]),
         ):
-            for i, asked in enumerate(entries):
-                for kind in asked:
-                    if kind not in kinds:
-                        allowed = ", ".join(sorted(k.value for k in kinds))
-                        raise ValueError(f"{name}[{i}]: {kind.value} is not one of {allowed}")
+            for i, kinds in enumerate(entries):
+                check_allowed(f"{name}[{i}]", kinds, allowed)
         return self
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
-        """The faults of one TCP connection, by direction and offset."""
+        """The faults of one TCP connection, sorted by direction and offset."""
         faults = []
-        for i, spec in enumerate(self.fault):
-            for way in ways(spec.direction) if spec.strikes(number) else ():
-                faults.append(
-                    at_place(spec, number, way, spec.at, Random(f"{seed}/named/{i}/{number}/{way}"))
-                )
-        for i, spec in enumerate(self.random):
-            for way in ways(spec.direction) if number >= spec.first else ():
+        for i, placed in enumerate(self.fault):
+            for way in ways(placed.direction) if placed.concerns(number) else ():
+                chance = Random(f"{seed}/named/{i}/{number}/{way}")
+                faults.append(placed_fault(placed, number, way, placed.at, chance))
+        for i, drawn in enumerate(self.random):
+            for way in ways(drawn.direction) if number >= drawn.first else ():
                 chance = Random(f"{seed}/random/{i}/{number}/{way}")
-                if chance.random() < spec.chance:
-                    faults.append(drawn(spec, number, way, chance.randrange(spec.within), chance))
+                if chance.random() < drawn.chance:
+                    at = chance.randrange(drawn.within)
+                    faults.append(random_fault(drawn, number, way, at, chance))
         return sorted(faults, key=lambda f: f.place)
 
     def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
         """The faults of one datagram, counted from 0 for each peer and direction."""
         faults = []
-        for i, spec in enumerate(self.datagram):
-            if spec.strikes(peer) and way in ways(spec.direction) and spec.at == number:
-                faults.append(
-                    at_place(spec, peer, way, number, Random(f"{seed}/datagram/{i}/{peer}/{way}"))
-                )
-        for i, spec in enumerate(self.random_datagram):
-            if way in ways(spec.direction) and peer >= spec.first:
+        for i, placed in enumerate(self.datagram):
+            if placed.concerns(peer) and way in ways(placed.direction) and placed.at == number:
+                chance = Random(f"{seed}/datagram/{i}/{peer}/{way}")
+                faults.append(placed_fault(placed, peer, way, number, chance))
+        for i, drawn in enumerate(self.random_datagram):
+            if way in ways(drawn.direction) and peer >= drawn.first:
                 chance = Random(f"{seed}/random_datagram/{i}/{peer}/{way}/{number}")
-                if chance.random() < spec.chance:
-                    faults.append(drawn(spec, peer, way, number, chance))
+                if chance.random() < drawn.chance:
+                    faults.append(random_fault(drawn, peer, way, number, chance))
         return sorted(faults, key=lambda f: f.place)
 
-    def named(self) -> list[Named]:
+    def named(self) -> Sequence[PlacedFault | Fault]:
+        """The faults at stated places."""
         return [*self.fault, *self.datagram]
 
 
+def check_allowed(place: str, kinds: list[Kind], allowed: frozenset[Kind]) -> None:
+    """Raises ValueError where a kind is not allowed at that place of the plan."""
+    for kind in kinds:
+        if kind not in allowed:
+            names = ", ".join(sorted(k.value for k in allowed))
+            raise ValueError(f"{place}: {kind.value} is not one of {names}")
+
+
 def ways(direction: str) -> tuple[str, ...]:
+    """The directions that a plan's direction stands for."""
     return ("down", "up") if direction == "both" else (direction,)
 
 
-def mask(kind: Kind, chance: Random) -> int:
+def draw_mask(kind: Kind, chance: Random) -> int:
+    """The seed for garbled bytes, 0 for other kinds."""
     return chance.randrange(1, 1 << 32) if kind is Kind.GARBLE else 0
 
 
-def at_place(spec: Named, number: int, way: str, at: int, chance: Random) -> Fault:
-    return Fault(number, way, at, spec.kind, spec.size, spec.ms, spec.rate, mask(spec.kind, chance))
+def placed_fault(spec: PlacedFault, number: int, way: str, at: int, chance: Random) -> Fault:
+    """The fault of one connection and direction at a stated place."""
+    mask = draw_mask(spec.kind, chance)
+    return Fault(number, way, at, spec.kind, spec.size, spec.ms, spec.rate, mask)
 
 
-def drawn(spec: Drawn, number: int, way: str, at: int, chance: Random) -> Fault:
+def random_fault(spec: RandomFaults, number: int, way: str, at: int, chance: Random) -> Fault:
+    """A fault of one connection and direction with a drawn kind and drawn parameters."""
     kind = chance.choice(spec.kinds)
-    values = {name: chance.randint(*getattr(spec, name)) for name in ("size", "ms", "rate")}
+    drawn = {name: chance.randint(*getattr(spec, name)) for name in PARAMETERS}
     needs = spec.needs.get(kind, set())
-    return Fault(
-        number,
-        way,
-        at,
-        kind,
-        **{name: value if name in needs else 0 for name, value in values.items()},
-        mask=mask(kind, chance),
-    )
+    parameters = {name: value if name in needs else 0 for name, value in drawn.items()}
+    return Fault(number, way, at, kind, **parameters, mask=draw_mask(kind, chance))
 
 
 class Replay:
-    """The faults of a record, where they were. Stands in for a plan."""
+    """The faults of a record, at their places."""
 
     def __init__(self, faults: list[Fault]):
+        """Takes the record's faults in any order."""
         self.faults = sorted(faults, key=lambda f: f.place)
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
+        """The faults of one TCP connection, sorted by direction and offset."""
         return [fault for fault in self.faults if fault.connection == number]
 
     def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
+        """The faults of one datagram, counted from 0 for each peer and direction."""
         return [f for f in self.faults if (f.connection, f.direction, f.at) == (peer, way, number)]
 
-    def named(self) -> list[Fault]:
+    def named(self) -> Sequence[PlacedFault | Fault]:
+        """All faults: each stands at its place."""
         return self.faults
 
 
 class Line(toml.Table):
+    """A line of a record; its keys are a fault's attributes."""
+
     connection: int = Field(ge=1)
     direction: Literal["up", "down"]
     at: int = Field(ge=0)
@@ -204,24 +260,28 @@
 
 
 def read(path: str | Path) -> Plan:
+    """Reads a plan. Raises CommandError with a line for each error."""
     return toml.read(path, Plan)
 
 
 def read_record(path: str | Path) -> Replay:
-    """Raises Refusal where a line is none that a record holds."""
+    """Reads a record. Raises CommandError for the first line that is not one of a record."""
     faults = []
     try:
         with open(path, encoding="utf-8") as file:
             for number, text in enumerate(file, 1):
-                try:
-                    faults.append(Fault(**Line.model_validate(json.loads(text)).model_dump()))
-                except ValidationError as error:
-                    first = error.errors()[0]
-                    raise CommandError(
-                        f"{path}: line {number}: {toml.field(first['loc'])}: {toml.message(first)}"
-                    ) from None
-                except (ValueError, RecursionError) as error:
-                    raise CommandError(f"{path}: line {number}: not JSON: {error}") from None
+                faults.append(read_line(f"{path}: line {number}", text))
     except (OSError, UnicodeDecodeError) as error:
-        raise CommandError(f"{path}: {error}") from None
+        raise CommandError(f"{path}: {error}") from error
     return Replay(faults)
+
+
+def read_line(place: str, text: str) -> Fault:
+    """Reads one line of a record; `place` names it in the CommandError that is raised."""
+    try:
+        return Fault(**Line.model_validate(json.loads(text)).model_dump())
+    except ValidationError as error:
+        first = error.errors()[0]
+        raise CommandError(f"{place}: {toml.field(first['loc'])}: {toml.message(first)}") from error
+    except (ValueError, RecursionError) as error:
+        raise CommandError(f"{place}: not JSON: {error}") from error
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -1,53 +1,68 @@
-"""What was done, as JSON lines.
+"""The record of injected faults, as JSON lines.
 
-Lines are kept in the order of connection, direction and offset: the order in which several connections come to their
-faults follows from the machine's load, and a record must not."""
+Lines are sorted by connection, direction and offset: the order in which several connections reach
+their faults follows from the machine's load, and a record must not.
+"""
 
 import os
 from pathlib import Path
 
 from cypresswalk.faults.kinds import Fault
-from cypresswalk.faults.plan import Plan, Replay
+from cypresswalk.faults.plan import FaultPlan
+
+MAX_FAULTS = 1_000_000
 
 
 class Record:
-    def __init__(self, most: int = 1_000_000):
+    """Collects injected faults.
+
+    Attributes:
+        left_out: how many were not kept, beyond the limit.
+    """
+
+    def __init__(self, limit: int = MAX_FAULTS):
+        """Keeps at most `limit` faults."""
         self.faults: list[Fault] = []
-        self.most, self.left_out = most, 0
+        self.limit = limit
+        self.left_out = 0
 
     def add(self, fault: Fault) -> None:
-        if len(self.faults) < self.most:
+        """Adds one, or counts it as left out."""
+        if len(self.faults) < self.limit:
             self.faults.append(fault)
         else:
             self.left_out += 1
 
     def text(self) -> str:
+        """The record's lines."""
         return "".join(fault.line() + "\n" for fault in sorted(self.faults, key=lambda f: f.place))
 
     def save(self, path: str | Path) -> None:
-        """Whole or not at all."""
-        new = f"{path}.new"
-        with open(new, "w", encoding="utf-8") as file:
+        """Replaces a file in one step. Raises OSError."""
+        temporary = f"{path}.new"
+        with open(temporary, "w", encoding="utf-8") as file:
             file.write(self.text())
             file.flush()
             os.fsync(file.fileno())
-        os.replace(new, path)
+        os.replace(temporary, path)
+
+    def missed(self, plan: FaultPlan, connections: int) -> list[str]:
+        """A line for each fault of a named connection that was never injected.
 
-    def missed(self, plan: Plan | Replay, connections: int) -> list[str]:
-        """A line for each fault that names a connection which never came, or a place which was never reached."""
+        Args:
+            plan: that was carried out.
+            connections: how many there were.
+        """
         done = {(fault.connection, fault.kind, fault.at) for fault in self.faults}
         lines = []
         for spec in plan.named():
             numbers = spec.connection if isinstance(spec.connection, list) else [spec.connection]
             for number in numbers:
-                if number == "all":
-                    continue
+                if isinstance(number, str):
+                    continue  # "all"
+                place = f"{spec.kind.value} at {spec.at}: connection {number} never came"
                 if number > connections:
-                    lines.append(
-                        f"{spec.kind.value} at {spec.at}: connection {number} never came, {connections} did"
-                    )
+                    lines.append(f"{place}, {connections} did")
                 elif (number, spec.kind, spec.at) not in done:
-                    lines.append(
-                        f"{spec.kind.value} at {spec.at}: connection {number} never came that far"
-                    )
+                    lines.append(f"{place} that far")
         return lines
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/together/stage.py
@@ -662,7 +662,7 @@
                         self.harm(proxy, step)
             case "half_close":
                 if proxy := self.proxies.get((who, other)):
-                    proxy.impose(Kind.HALF_CLOSE, "up")
+                    proxy.inject(Kind.HALF_CLOSE, "up")
             case "disk_full" | "disk_fails" | "disk_slow":
                 (p.folder / "disk").write_text(step.do)
             case "server_restart":
@@ -672,7 +672,7 @@
             case "isolate":
                 for pair, proxy in self.proxies.items():
                     if who in pair:
-                        proxy.impose(Kind.BLACK_HOLE, "both")
+                        proxy.inject(Kind.BLACK_HOLE, "both")
             case "heal":
                 self.healed += 1
                 self.agents.lagging.clear()
@@ -680,7 +680,7 @@
                 for q in self.processes.values():
                     (q.folder / "disk").unlink(missing_ok=True)
                 for proxy in self.proxies.values():
-                    proxy.lift()
+                    proxy.remove_injected()
                 for q in self.processes.values():
                     self.thaw(q)
                     if q.popen is None:
@@ -726,11 +726,11 @@
 
     def harm(self, proxy: Proxy, step: Step) -> None:
         if step.do == "slow":
-            proxy.impose(Kind.LATENCY, "up", ms=step.ms)
+            proxy.inject(Kind.LATENCY, "up", ms=step.ms)
         elif step.do == "garble":
-            proxy.impose(Kind.GARBLE, "up", size=64, mask=self.chance.randrange(1, 1 << 32))
+            proxy.inject(Kind.GARBLE, "up", size=64, mask=self.chance.randrange(1, 1 << 32))
         else:
-            proxy.impose(Kind.BLACK_HOLE, "both" if step.do == "cut" else "up")
+            proxy.inject(Kind.BLACK_HOLE, "both" if step.do == "cut" else "up")
 
     def thaw(self, p: Process) -> None:
         if p.frozen and p.popen is not None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault tool: what each fault does to the bytes, that the same seed does the same, and that ends pass as they came."""
+"""Fault injection: what each fault does to bytes, that a seed repeats it, and that ends pass as they came."""
 
 import json
 import socket
@@ -12,10 +12,11 @@
 from hypothesis import strategies as st
 
 from cypresswalk import toml
+from cypresswalk.faults.datagram_stream import DatagramStream
 from cypresswalk.faults.kinds import NEEDS, STREAMS, Fault, Kind
 from cypresswalk.faults.plan import Plan, Replay, read, read_record
-from cypresswalk.faults.running import Running
-from cypresswalk.faults.stream import Close, Datagrams, Finish, Reset, Stream, Write
+from cypresswalk.faults.proxy_thread import ProxyThread
+from cypresswalk.faults.stream import Close, Finish, Reset, Stream, Write
 from cypresswalk.refusal import CommandError
 
 MILLISECOND = 1_000_000
@@ -81,7 +82,7 @@
         ([fault(Kind.JOIN, 0, size=8, ms=5), fault(Kind.CUT, 9)], b"OPEN a b\r", [Reset]),
     ],
 )
-def test_each_fault_strikes_at_its_byte(faults, out, ends):
+def test_each_fault_is_injected_at_its_byte(faults, out, ends):
     data, how, done, _ = play(faults, [b"OPEN a b\r\n"])
     assert (data, how) == (out, ends)
     assert set(done) == {f for f in faults if f.at <= 10}
@@ -112,7 +113,7 @@
     assert times[1] - times[0] == 100 * MILLISECOND
 
 
-def test_datagrams_are_dropped_doubled_and_swapped_by_their_number():
+def test_datagrams_are_dropped_duplicated_and_swapped_by_their_number():
     plan = {
         1: [fault(Kind.DROP, 1)],
         2: [fault(Kind.DUPLICATE, 2)],
@@ -120,7 +121,7 @@
         5: [fault(Kind.DELAY, 5, ms=7)],
         6: [fault(Kind.TRUNCATE, 6)],
     }
-    stream, out = Datagrams(lambda n: plan.get(n, []), lambda f: None), []
+    stream, out = DatagramStream(lambda n: plan.get(n, []), lambda f: None), []
     for i in range(7):
         out += stream.feed(0, b"%d%d" % (i, i))
     assert [w.data for w in out] == [b"00", b"22", b"22", b"44", b"33", b"55", b"6"]
@@ -182,7 +183,7 @@
 
 
 def test_a_half_close_while_data_is_in_flight_lets_it_arrive_first(target):
-    with Running(target, plan({"kind": "latency", "ms": 30})) as proxy:
+    with ProxyThread(target, plan({"kind": "latency", "ms": 30})) as proxy:
         sock = dial(proxy.address)
         sock.sendall(b"x" * 50_000)
         sock.shutdown(socket.SHUT_WR)  # at once: all of it is still on its way
@@ -191,8 +192,8 @@
 
 def test_two_proxies_in_a_chain_pass_resets_and_ends(target):
     with (
-        Running(target) as near,
-        Running(near.address, plan({"connection": 2, "kind": "cut", "at": 3})) as far,
+        ProxyThread(target) as near,
+        ProxyThread(near.address, plan({"connection": 2, "kind": "cut", "at": 3})) as far,
     ):
         sock = dial(far.address)
         sock.sendall(b"abc")
@@ -207,7 +208,7 @@
 def test_a_refused_connection_is_a_reset():
     with socket.create_server(("127.0.0.1", 0)) as free:
         nobody = free.getsockname()
-    with Running(nobody) as proxy:
+    with ProxyThread(nobody) as proxy:
         sock = dial(proxy.address)
         sock.settimeout(5)
         assert hear(sock) == (b"", "reset")
@@ -218,7 +219,7 @@
     listener = socket.create_server(("127.0.0.1", 0))
     with (
         listener,
-        Running(
+        ProxyThread(
             listener.getsockname(), plan({"kind": "latency", "direction": "up", "ms": 150})
         ) as proxy,
     ):
@@ -274,7 +275,7 @@
     for seed in range(50):
         runs = []
         for again in range(2):
-            with Running(target, plan(**CHANCE), seed) as proxy:
+            with ProxyThread(target, plan(**CHANCE), seed) as proxy:
                 for _ in range(3):
                     lockstep(proxy.address, seed)
             runs.append(proxy.record.text())
@@ -285,7 +286,7 @@
                 Fault(**json.loads(line) | {"kind": Kind(json.loads(line)["kind"])})
                 for line in runs[0].splitlines()
             ]
-            with Running(target, Replay(faults), 99) as proxy:
+            with ProxyThread(target, Replay(faults), 99) as proxy:
                 for _ in range(3):
                     lockstep(proxy.address, seed)
             assert proxy.record.text() == runs[0], f"replay of seed {seed}"
@@ -299,7 +300,7 @@
     with (
         server,
         client,
-        Running(
+        ProxyThread(
             server.getsockname(),
             toml.decode(
                 {
@@ -357,7 +358,7 @@
         ("\xff", "not TOML: "),
     ],
 )
-def test_an_odd_plan_is_refused_by_one_line(tmp_path, text, line):
+def test_an_invalid_plan_is_refused_by_one_line(tmp_path, text, line):
     file = tmp_path / "plan.toml"
     file.write_bytes(text.encode("latin-1"))
     with pytest.raises(CommandError) as refusal:
@@ -366,7 +367,7 @@
     assert said.startswith(f"{file}: {line}") and "\n" not in said
 
 
-def test_an_odd_record_is_refused_by_one_line(tmp_path):
+def test_an_invalid_record_is_refused_by_one_line(tmp_path):
     file = tmp_path / "record"
     file.write_text(
         fault(Kind.CUT).line() + '\n{"connection":0,"direction":"up","at":1,"kind":"cut"}\n'
@@ -377,7 +378,7 @@
         read_record(file)
 
 
-def test_the_command_says_what_it_did_and_what_was_never_reached(tmp_path, target):
+def test_the_command_prints_injected_faults_and_names_those_never_reached(tmp_path, target):
     (tmp_path / "plan.toml").write_text(
         '[[fault]]\nkind = "cut"\nconnection = [1, 9]\ndirection = "up"\nat = 4\n'
     )
@@ -455,7 +456,7 @@
 
 
 def test_time_passes_only_as_the_plan_says(target):
-    with Running(target, plan({"kind": "delay", "ms": 200, "direction": "up"})) as proxy:
+    with ProxyThread(target, plan({"kind": "delay", "ms": 200, "direction": "up"})) as proxy:
         sock, began = dial(proxy.address), time.monotonic()
         sock.sendall(b"a")
         assert sock.recv(1) == b"a" and time.monotonic() - began >= 0.2
