--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 12, 6))
-def test_faults_by_seed_keep_bounds_and_halts_and_always_leave_a_way_to_the_end(first):
+def test_under_random_faults_bounds_and_halts_hold_and_the_release_can_always_end(first):
     for seed in range(first, first + 6):
         outcome = run_seed(seed)
         assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
@@ -64,13 +64,13 @@
         )
 
 
-def test_good_ones_are_never_halted():
+def test_good_builds_are_never_halted():
     for seed in range(6):
         agreed = until_over(Releases(seed, 3, 3, 1 + seed % 3))
         assert agreed.release.phase == "done" and agreed.halted is None, (seed, agreed.halted)
 
 
-def test_a_fleet_of_one_and_a_zone_of_one_are_changed_where_the_bound_lets_one_go():
+def test_a_fleet_of_one_is_changed_if_the_bound_allows_one_to_be_out():
     w = Releases(1, 1, 0, {"share": 0.5, "least": 1})
     assert until_over(w).release.phase == "done" and w.machines["n0"].saved.version == NEW
     w = Releases(1, 1, 0, {"share": 0.5})  # half of one is none
@@ -79,7 +79,7 @@
     assert w.machines["n0"].saved.version == OLD and "1 are out" not in w.release().history[-1].what
 
 
-def nobody_is_unknown(patch):
+def unheard_members_count_as_ready(patch):
     """A new leader counts those it has not heard as ready."""
     patch.setattr(
         UnavailabilityTracker,
@@ -90,7 +90,7 @@
     )
 
 
-def places_are_free_by_any_word(patch):
+def slots_are_freed_by_any_report(patch):
     """A word that was on its way for long frees the place of who has gone out since."""
 
     def asked(self, now, ident, ready, lease):
@@ -102,11 +102,11 @@
     patch.setattr(UnavailabilityTracker, "asked", asked)
 
 
-def nobody_is_asked_before_the_old_one_goes(patch):
+def the_fleet_is_not_asked_before_the_old_process_is_stopped(patch):
     patch.setattr(BalancerAgent, "confirm_stop", lambda self: iter(()))
 
 
-def a_place_is_given_back_while_an_agent_works(patch):
+def a_slot_is_freed_while_an_agent_works(patch):
     tend = UnavailabilityTracker.tend
     patch.setattr(
         UnavailabilityTracker,
@@ -120,13 +120,13 @@
 @pytest.mark.parametrize(
     "mistake, seed",
     [
-        (nobody_is_unknown, 3),
-        (places_are_free_by_any_word, 21),
-        (a_place_is_given_back_while_an_agent_works, 19),
-        (nobody_is_asked_before_the_old_one_goes, 0),
+        (unheard_members_count_as_ready, 3),
+        (slots_are_freed_by_any_report, 21),
+        (a_slot_is_freed_while_an_agent_works, 19),
+        (the_fleet_is_not_asked_before_the_old_process_is_stopped, 0),
     ],
 )
-def test_a_planted_mistake_is_found(mistake, seed, monkeypatch):
+def test_a_deliberately_broken_rule_is_detected(mistake, seed, monkeypatch):
     mistake(monkeypatch)
     assert run_seed(seed).broken
 
@@ -150,7 +150,7 @@
     assert len(told) == 1 and "goes out: release" in told.pop()
 
 
-def test_an_agent_changes_nothing_while_its_balancer_is_only_beginning():
+def test_an_agent_changes_nothing_while_its_balancer_is_starting():
     """Else two processes listen at one port, and the one without a part in the fleet rejects what comes to it."""
 
     def asked(check: str, since: float) -> list[str]:
@@ -182,7 +182,7 @@
     ]  # a crash loop must find the way back
 
 
-def test_an_agent_that_no_release_names_asks_every_two_seconds_and_at_each_look_while_one_does():
+def test_an_idle_agent_polls_every_two_seconds_and_at_each_step_during_a_release():
     """Each call costs who leads a round of the voters: of 200 idle agents more words than of all else."""
 
     def asks(status: str) -> int:
@@ -206,7 +206,7 @@
     assert asks("") == 5 and asks("old") == 20
 
 
-def test_the_agents_file_is_written_and_read_byte_for_byte_as_before(tmp_path):
+def test_the_agents_state_file_is_read_and_written_byte_for_byte(tmp_path):
     before = (
         '{"version": "v1", "pid": 7, "admin": "127.0.0.1:9", "to": "v2", "young": 8, '
         '"step": "beside", "why": "slow", "change": "d1", "failed": true}'
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -78,7 +78,7 @@
     )
 
 
-def test_zones_and_the_whole_are_bounded_each_and_what_is_out_by_itself_counts():
+def test_each_zone_and_all_members_have_a_bound_and_lost_members_count():
     zones = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
     scopes = {"all": 3, "zone": 1}
     assert not violation_reason(scopes, zones, {"a1": "drained"}, {}, "b1")
@@ -181,7 +181,7 @@
             assert set(machine.state.away) == away
 
 
-def test_of_two_drains_at_once_one_is_granted_and_a_dead_balancer_takes_a_place(tmp_path):
+def test_of_two_concurrent_drains_one_is_granted_and_a_lost_balancer_counts(tmp_path):
     async def test(rig):
         _, body = await rig.ask("n0", "show")
         settings = body["settings"] | {"bounds": {"balancers": {"all": 1}, "servers": {"all": 1}}}
@@ -287,7 +287,7 @@
     raise AssertionError(body)
 
 
-def test_a_place_is_free_only_by_a_word_said_after_it_could_no_longer_be_used():
+def test_a_slot_is_free_only_after_a_report_sent_once_its_grant_has_expired():
     second, granted, names = 10**9, ("n1 (call)", 7, "drained"), {"n0", "n1"}
     places = UnavailabilityTracker(5 * second)
 
@@ -438,7 +438,7 @@
         )
 
 
-def test_a_good_release_goes_wave_by_wave_within_the_bound_also_with_a_new_leader_each_moment():
+def test_a_good_release_goes_wave_by_wave_within_the_bound_under_leader_changes():
     for seed in range(6):
         fleet = Fleet(seed)
         while fleet.release.phase == "running" and fleet.now < 900 * 10**9:
@@ -459,7 +459,7 @@
 
 
 @pytest.mark.parametrize("how", ["bad", "slow"])
-def test_a_bad_release_is_halted_in_its_first_wave_and_goes_back(how):
+def test_a_bad_release_is_halted_in_its_first_wave_and_rolled_back(how):
     for seed in range(4):
         fleet = Fleet(seed)
         setattr(fleet, how, "v2")
@@ -478,7 +478,7 @@
         assert set(fleet.runs.values()) == {"v1"}
 
 
-def test_too_few_flows_are_unknown_and_halt_it_in_the_end():
+def test_too_few_flows_give_no_verdict_and_halt_the_release_in_the_end():
     fleet = Fleet(1)
     fleet.rate = 0
     while fleet.machine.state.halted is None and fleet.now < 300 * 10**9:
@@ -521,12 +521,12 @@
     assert set(fleet.runs.values()) == {"v1"}
 
 
-def test_the_dead_take_places_an_agent_that_dies_halts_it_and_there_is_always_a_way_back():
+def test_lost_members_count_a_dead_agent_halts_and_rolling_back_is_always_possible():
     for seed in range(12):
         a_release_among_faults(seed)
 
 
-def freed_though_it_changes(patch):
+def slots_are_freed_while_an_agent_works(patch):
     """As if a grant that nobody was seen to use were free while its agent works."""
     returned = release.returned
 
@@ -546,7 +546,7 @@
     patch.setattr(Fleet, "step", freeing)
 
 
-def the_dead_are_not_counted(patch):
+def lost_balancers_are_not_counted(patch):
     patch.setattr(
         state,
         "violation_reason",
@@ -586,7 +586,7 @@
     )
 
 
-def unknown_ones_are_taken_for_out(patch):
+def unknown_members_are_taken_for_out(patch):
     """As a new leader once did: who has not said anything yet is out already, and may go."""
     patch.setattr(
         state,
@@ -600,26 +600,26 @@
 @pytest.mark.parametrize(
     "mistake",
     [
-        freed_though_it_changes,
-        the_dead_are_not_counted,
+        slots_are_freed_while_an_agent_works,
+        lost_balancers_are_not_counted,
         a_halt_is_forgotten,
-        unknown_ones_are_taken_for_out,
+        unknown_members_are_taken_for_out,
     ],
 )
-def test_a_planted_mistake_is_found(mistake, monkeypatch):
+def test_a_deliberately_broken_rule_is_detected(mistake, monkeypatch):
     mistake(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(60):
             a_release_among_faults(seed)
 
 
-def test_a_wave_that_does_not_hold_is_found(monkeypatch):
+def test_a_wave_that_is_not_observed_is_detected(monkeypatch):
     waves_do_not_wait(monkeypatch)
     with pytest.raises(AssertionError):
-        test_a_bad_release_is_halted_in_its_first_wave_and_goes_back("bad")
+        test_a_bad_release_is_halted_in_its_first_wave_and_rolled_back("bad")
 
 
-def test_a_second_release_waits_and_wrong_plans_are_named_whole(tmp_path):
+def test_a_second_release_is_refused_and_all_errors_of_a_plan_are_named(tmp_path):
     fleet = Fleet(1)
     ok, why = fleet.say(state.BeginRelease, PLAN, sorted(ZONES))
     assert not ok and "r1 by test is running" in why
@@ -647,7 +647,7 @@
     assert plans.read_plan(str(file), ZONES, {"s1": "0", "n0": "1"})[-2:] == ["servers", 9.0]
 
 
-def test_a_failed_one_that_did_not_use_its_second_turn_is_failed_still():
+def test_a_failed_member_that_did_not_use_its_second_turn_stays_failed():
     """Else the release would be back with the new version running there."""
     fleet = Fleet(1)
     assert (
@@ -674,7 +674,7 @@
     assert not fleet.say(state.Resume, 1)[0] and fleet.machine.state.halted
 
 
-def test_evidence_wants_enough_flows_and_is_not_misled_by_one_failure():
+def test_a_verdict_needs_enough_flows_and_one_failure_does_not_decide_it():
     others = ServedCounts(10_000, 0, 50, 10_000 * 3_000_000)
 
     def of(up, rejected, failed, ms=3, against=others):
@@ -693,7 +693,7 @@
     )  # nobody to hold it against
 
 
-def test_evidence_is_of_the_same_time_at_all_and_of_those_left_when_all_are_changed():
+def test_evidence_compares_the_same_time_and_with_passed_waves_once_all_are_changed():
     """Else a server lost for a moment, or the last wave, would halt every good release."""
     evidence, served, now = Evidence(), {name: [0, 0, 0, 0] for name in ("n0", "n1", "n2")}, 0
 
@@ -732,7 +732,7 @@
 # With real processes: agents that start them, builds in folders.
 
 
-def test_a_release_changes_real_processes_in_waves_and_a_bad_one_is_halted_and_taken_back(tmp_path):
+def test_a_release_changes_real_processes_in_waves_and_a_bad_one_is_rolled_back(tmp_path):
     async def run():
         rig = Machines(
             Plan_(balancers=4, zones=2, flows_per_s=120, agents=True, bound=2), tmp_path / "rig"
@@ -836,7 +836,7 @@
         )
 
 
-def test_a_history_with_too_many_out_or_a_halt_that_was_not_kept_is_found():
+def test_a_history_with_too_many_out_or_an_ignored_halt_is_detected():
     s = 10**9
     own = [Span("n0", 10 * s, 20 * s, "changed"), Span("n1", 15 * s, 25 * s, "changed")]
     assert out_at_once(own, [], [], 2, [], 0) == (2, 2, [])
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -17,27 +17,27 @@
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
-def test_faults_by_seed_keep_bounds_and_halts_and_always_leave_a_way_to_the_end(first):
+def test_under_random_faults_bounds_and_halts_hold_and_the_release_can_always_end(first):
     for seed in range(first, first + 8):
         outcome = run_seed(seed)
         assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
 
 
-def everybody_knows_at_once(patch):
+def views_are_taken_for_settled(patch):
     """Servers are stopped though a balancer acts on the version before."""
     patch.setattr(Member, "settled", lambda self, version, now: True)
 
 
-def flows_are_not_waited_for(patch):
+def servers_are_not_drained(patch):
     patch.setattr(ServerAgent, "wait_until_drained", lambda self: iter(()))
     patch.setattr(ServerAgent, "stop_objection", lambda self, turn: "")
 
 
-def the_bad_are_not_counted(patch):
+def bad_servers_are_not_counted(patch):
     patch.setattr(ServerObservations, "bad", lambda self, now, members: {})
 
 
-def a_halt_is_not_asked_for(patch):
+def the_fleet_is_not_asked_before_a_server_is_stopped(patch):
     def confirm_stop(self):
         return ""
         yield
@@ -45,7 +45,7 @@
     patch.setattr(ServerAgent, "confirm_stop", confirm_stop)
 
 
-def a_turn_ends_though_its_agent_works(patch):
+def a_turn_ends_while_its_agent_works(patch):
     returned = state.releases.returned
 
     def careless(now, name):
@@ -59,14 +59,14 @@
 @pytest.mark.parametrize(
     "mistake, seed",
     [
-        (everybody_knows_at_once, 24),
-        (flows_are_not_waited_for, 0),
-        (the_bad_are_not_counted, 1),
-        (a_halt_is_not_asked_for, 46),
-        (a_turn_ends_though_its_agent_works, 13),
+        (views_are_taken_for_settled, 24),
+        (servers_are_not_drained, 0),
+        (bad_servers_are_not_counted, 1),
+        (the_fleet_is_not_asked_before_a_server_is_stopped, 46),
+        (a_turn_ends_while_its_agent_works, 13),
     ],
 )
-def test_a_planted_mistake_is_found(mistake, seed, monkeypatch):
+def test_a_deliberately_broken_rule_is_detected(mistake, seed, monkeypatch):
     mistake(monkeypatch)
     assert run_seed(seed).broken
 
@@ -94,7 +94,7 @@
     assert agreed.release.wave == 0 and sum(s.version() == "v1" for s in w.servers.values()) >= 5
 
 
-def test_what_most_balancers_say_of_a_server_counts_and_silence_grants_nothing():
+def test_the_majority_of_reports_on_a_server_counts_and_silence_grants_nothing():
     wards, members = ServerObservations(5 * SECOND), {"n0#1", "n1#1", "n2#1", "n3#1"}
     wards.asked(0, "n0#1", 4, ServerReport(["s0", "s1"]))
     wards.asked(0, "n1#1", 4, ServerReport(["s0"]))
@@ -123,7 +123,7 @@
     assert (wards.served["s0"].established, wards.served["s0"].failed) == (17, 1)
 
 
-def test_one_out_by_hand_and_by_a_release_is_in_once_both_have_ended():
+def test_a_server_out_for_two_causes_is_in_once_both_have_ended():
     machine, number = state.StateMachine(), iter(range(100))
     machine.state.servers = [(name, 0, 1, "ready", 1.0, 0) for name in ("s0", "s1")]
     machine.state.settings = {"bounds": {"servers": {"all": 1}}}
@@ -175,7 +175,7 @@
     )
 
 
-def test_servers_are_changed_by_agents_and_a_bad_build_is_halted_and_taken_back_with_real_processes(
+def test_a_release_changes_real_servers_and_a_bad_build_is_rolled_back(
     tmp_path,
 ):
     async def run():
@@ -225,7 +225,7 @@
     asyncio.run(run())
 
 
-def test_where_most_balancers_are_silent_a_server_goes_out_by_force_alone():
+def test_while_most_balancers_have_not_reported_a_server_goes_out_by_force_only():
     w = Servings(1, 4, 2, voters=3, followers=2)
     w.start()
     w.run(8 * SECOND)
