--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -25,10 +25,12 @@
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.model import EndpointUpdate, Flow, Outcome, Server, ServerState
 from cypresswalk.net.config import Address, Config, read
-from cypresswalk.net.core import FAILED, Attempt, Core, Phase, Session
+from cypresswalk.net.core import Core
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
+from cypresswalk.net.session import ERROR_REPLY, Attempt, Session
 from cypresswalk.operator import FleetTable
 from cypresswalk.rollout import bounds
 
@@ -135,18 +137,18 @@
         self.list_agreed: dict[int, tuple[ServerState, int]] | None = None
         # What this balancer's own agent says, by number.
         self.own: dict[int, tuple[Server, Address]] = {
-            server.id: (as_listed(server), core.addresses[server.id])
+            server.id: (as_listed(server), core.endpoints.addresses[server.id])
             for server in core.balancer.servers.values()
-            if server.id in core.addresses
+            if server.id in core.endpoints.addresses
         }
         self.told: tuple[int, bytes] = (-1, b"")
         self.who = table.name
         self.settings: dict[str, Any] | None = None
-        self.places = dict(core.customers)  # customers' numbers, which flows that are held count by
+        self.places = dict(core.tenants)  # customers' numbers, which flows that are held count by
         if self.fleet.copies is not None:
-            core.claims = Claims(core, self.fleet, post, table.copies.share)
+            core.extensions.reservations = Claims(core, self.fleet, post, table.copies.share)
             if (
-                core.phase is not Phase.STARTING
+                core.lifecycle.phase is not Phase.STARTING
             ):  # else the process before this one tells what it spent
                 core.balancer.on_predecessor_lost(core.balancer.started)
         self.took = 0  # the sum of set-ups, nanoseconds
@@ -157,13 +159,13 @@
             int, list[int]
         ] = {}  # connects brought up, rejected, failed, and their set-ups' sum
         self.fleet.servers = self.of_servers
-        self.fleet.ready = lambda: core.ready and self.fleet.may_act()
-        core.agreement = self
-        core.lease = self.fleet.may_act
+        self.fleet.ready = lambda: core.lifecycle.ready and self.fleet.may_act()
+        core.extensions.fleet = self
+        core.extensions.holds_lease = self.fleet.may_act
 
     def served(self) -> tuple[int, int, int, int]:
         """By the fleet's thread: what this process has answered since it began."""
-        counts = self.core.figures.counts
+        counts = self.core.metrics.counts
         try:
             up, rejected, failed = (
                 sum(counts[end].values()) for end in ("fulfilled", "throttled", "faulted")
@@ -175,16 +177,16 @@
 
     # What this balancer sees of servers.
 
-    def came_up(self, leg: Attempt, took: int) -> None:
+    def came_up(self, attempt: Attempt, took: int) -> None:
         self.took += took
-        counts = self.by_server.setdefault(leg.server.id, [0, 0, 0, 0])
+        counts = self.by_server.setdefault(attempt.server.id, [0, 0, 0, 0])
         counts[UP] += 1
         counts[TOOK] += took
 
-    def fell(self, leg: Attempt, outcome: Outcome) -> None:
+    def fell(self, attempt: Attempt, outcome: Outcome) -> None:
         """A connect that came to nothing, or what stood there and was broken off."""
         if outcome in ENDS:
-            self.by_server.setdefault(leg.server.id, [0, 0, 0, 0])[ENDS[outcome]] += 1
+            self.by_server.setdefault(attempt.server.id, [0, 0, 0, 0])[ENDS[outcome]] += 1
 
     def of_servers(self) -> ServerReport:
         """By the fleet's thread: copies are taken in one step, each figure by itself."""
@@ -217,7 +219,7 @@
     # The lease.
 
     def leased(self, now: int) -> None:
-        self.core.settle()
+        self.core.lifecycle.update_readiness()
 
     # Views.
 
@@ -225,11 +227,11 @@
         """Raises nothing that would leave it half done: a view that can't be followed is not acted on, so no lease holds."""
         if view.version <= self.version:
             return
-        if self.version == 0 and self.who in view.away and not self.core.drained:
+        if self.version == 0 and self.who in view.away and not self.core.lifecycle.drained:
             # Drained in its life before, or on the machine that this one replaces: the yes holds until drain-off. It has taken
             # nothing until now, since it has no lease yet.
             log.info(event("drained_still"))
-            self.core.obey(now, AdminCommand("drain-on"))
+            self.core.commands.apply(now, AdminCommand("drain-on"))
         if view.settings_version > self.settings_version:
             why = objection(self.params, view.settings)
             if why:
@@ -241,10 +243,10 @@
             self.settings_version = view.settings_version
             log.info(event("settings_agreed", version=view.settings_version))
         for ident in sorted(set(view.out) - self.out):
-            self.core.obey(now, AdminCommand("set-down", ident), known=True)
+            self.core.commands.apply(now, AdminCommand("set-down", ident), known=True)
         for ident in sorted(self.out - set(view.out)):
             if ident not in self.here:
-                self.core.obey(now, AdminCommand("set-up", ident), known=True)
+                self.core.commands.apply(now, AdminCommand("set-up", ident), known=True)
         self.out, self.watch = set(view.out), view.watch
         if view.list_version > self.list_version:
             self.list_version = view.list_version
@@ -268,11 +270,11 @@
             ]
         core.balancer.on_settings(now, settings)
         self.settings = agreed
-        core.service_types, core.customers = kinds, {name: places[name] for name in names}
-        for counts in core.figures.counts.values():
+        core.service_types, core.tenants = kinds, {name: places[name] for name in names}
+        for counts in core.metrics.counts.values():
             for name in kinds:
                 counts.setdefault(name, 0)
-        core.settle()
+        core.lifecycle.update_readiness()
 
     # Two processes of this balancer side by side (net/handover.py): one part in the fleet, one lease.
 
@@ -312,8 +314,8 @@
         self.out, self.here, self.list_agreed = out, here, list_agreed
         self.list_version, self.version = int(told["list_version"]), version
         for ident in sorted(out | here):
-            self.core.obey(now, AdminCommand("set-down", ident), known=True)
-        self.core.listed(now, EndpointUpdate.DELTA, [])
+            self.core.commands.apply(now, AdminCommand("set-down", ident), known=True)
+        self.core.on_endpoints(now, EndpointUpdate.DELTA, [])
         self.fleet.inherit(until, version)
 
     # Lists.
@@ -322,7 +324,7 @@
         self.list_agreed = {}
         for ident, _, _, state, _, since in servers:
             self.list_agreed[server_number(ident)] = ServerState(state), since
-        self.core.listed(now, EndpointUpdate.DELTA, [])
+        self.core.on_endpoints(now, EndpointUpdate.DELTA, [])
 
     def listed(
         self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]]
@@ -343,7 +345,7 @@
             before = known and (known.state, known.since, known.zone, known.cell, known.weight)
             if (
                 before != (state, since, server.zone, server.cell, server.weight)
-                or self.core.addresses.get(ident) != where
+                or self.core.endpoints.addresses.get(ident) != where
             ):
                 made = as_listed(server)
                 made.state, made.since = state, since
@@ -373,18 +375,18 @@
 
     def takes(self, now: int, call: AdminCommand) -> bool:
         """Whether the answer comes from the fleet."""
-        if call.name == "drain-on" and not self.core.drained:
+        if call.name == "drain-on" and not self.core.lifecycle.drained:
             self.ask_out(call, False)
             return True
-        if call.name == "drain-off" and self.core.drained:
-            self.core.act(now, call)
+        if call.name == "drain-off" and self.core.lifecycle.drained:
+            self.core.commands.run(now, call)
             # Its place is free once it is seen ready; until then a restart must not drain it anew.
             self.fleet.call(
                 "go_out", self.out_args(CALLED_BACK, True), lambda ok, body: None, 600.0
             )
             return True
         if call.name == "drain-on-here":
-            self.core.act(now, call)
+            self.core.commands.run(now, call)
             self.fleet.call(
                 "go_out",
                 self.out_args(f"{DRAINED} by force at it alone", True),
@@ -403,7 +405,7 @@
             self.by_force(now, call)
             return True
         if call.name == "set-down" and server_number(call.server) not in self.core.balancer.servers:
-            self.core.reply(call, "no list has named that server")
+            self.core.commands.reply(call, "no list has named that server")
             return True
         args = {
             "ident": uuid.uuid4().hex,
@@ -444,37 +446,37 @@
 
     def may_go(self, now: int, call: AdminCommand, asked: int, ok: bool, body: Any) -> None:
         if not ok:
-            self.core.reply(
+            self.core.commands.reply(
                 call, f"not granted: {body.get('why', body) if isinstance(body, dict) else body}"
             )
         elif self.fleet.now() - asked > GO:
-            self.core.reply(call, "the grant came too late to be used; ask again")
+            self.core.commands.reply(call, "the grant came too late to be used; ask again")
         else:
-            self.core.act(now, call)
+            self.core.commands.run(now, call)
 
     def agreed(self, now: int, call: AdminCommand, ok: bool, body: Any) -> None:
         """The yes comes after the fleet's and this balancer's own: it acts already on what it has agreed to."""
         if not ok:
-            self.core.reply(
+            self.core.commands.reply(
                 call, f"not agreed: {body.get('why', body) if isinstance(body, dict) else body}"
             )
             return
         if call.name == "set-down":
             self.out.add(call.server)
-            self.core.obey(now, AdminCommand("set-down", call.server), known=True)
+            self.core.commands.apply(now, AdminCommand("set-down", call.server), known=True)
         elif call.server in self.out and call.server not in self.here:
             self.out.discard(call.server)
-            self.core.obey(now, AdminCommand("set-up", call.server), known=True)
-        self.core.reply(call, None)
+            self.core.commands.apply(now, AdminCommand("set-up", call.server), known=True)
+        self.core.commands.reply(call, None)
 
     def by_force(self, now: int, call: AdminCommand) -> None:
         """At this balancer alone, said so and recorded with the fleet as soon as that can be had."""
         down = call.name == "set-down-here"
-        why = self.core.obey(now, call)
+        why = self.core.commands.apply(now, call)
         if why is None:
             self.here.add(call.server) if down else self.here.discard(call.server)
             if not down and call.server in self.out:
-                self.core.obey(now, AdminCommand("set-down", call.server), known=True)
+                self.core.commands.apply(now, AdminCommand("set-down", call.server), known=True)
                 why = "out by the fleet still: `set-up` ends that"
             self.fleet.call(
                 "note",
@@ -487,7 +489,7 @@
                 lambda ok, body: None,
                 600.0,
             )
-        self.core.reply(call, why)
+        self.core.commands.reply(call, why)
 
 
 class Claims:
@@ -508,7 +510,7 @@
         held = kind.idempotency_window + max(flow.deadline - now, 0) + self.core.limits.longest
         self.waiting[session] = None
         # Whatever becomes of the copies' thread: guards a flow against a process that hands over or fails just now.
-        self.core.at(now + left + SPARE, self.late, session)
+        self.core.timers.schedule(now + left + SPARE, self.late, session)
         self.core.counters.add("claims")
 
         def reply(answer: ReservationAnswer, by: str) -> None:
@@ -523,21 +525,25 @@
         core.counters.add("claims_" + answer.kind)
         if answer.kind == "granted":
             self.granted[flow] = by
-            if session.over or late:  # its client has left, or has its answer
+            if session.finished or late:  # its client has left, or has its answer
                 self.finish(flow, "never")
-            elif core.close_at is not None and now >= core.close_at or not core.may_act():
-                core.end(now, session, core.come_back(flow))
+            elif (
+                core.lifecycle.answer_deadline is not None
+                and now >= core.lifecycle.answer_deadline
+                or not core.extensions.may_act()
+            ):
+                core.end_session(now, session, core.retry_reply(flow))
             else:
                 core.place(now, session)
-        elif session.over or late:
+        elif session.finished or late:
             pass
         elif answer.kind == "held" and answer.how != "never":
             core.counters.add("flows_claimed_elsewhere")
-            core.end(
-                now, session, FAILED
+            core.end_session(
+                now, session, ERROR_REPLY
             )  # it runs, or may have run: not again, and no word that a repeat does no harm
         else:
-            core.end(now, session, core.come_back(flow))
+            core.end_session(now, session, core.retry_reply(flow))
 
     def late(self, now: int, session: Session) -> None:
         if session in self.waiting:
--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/together/machines.py
@@ -25,13 +25,21 @@
 
 # What is put behind the program's own code to make a build that is bad in one way.
 BAD = {
-    "rejects": "Core.place = lambda self, now, session: self.end(now, session, core.BUSY)",
-    "aborts": "place = Core.place\nCore.place = lambda self, now, session: (self.end(now, session, core.FAILED) if session.flow.id % 10 == 0\n"
-    "                                             else place(self, now, session))",
-    "slow": "place = Core.place\nCore.place = lambda self, now, session: self.at(now + 30_000_000, lambda at, s: s.over or place(self, at, s), session)",
+    "rejects": "Core.place = lambda self, now, session: self.end_session(now, session, BUSY_REPLY)",
+    "aborts": "place = Core.place\n"
+    "Core.place = lambda self, now, session: (\n"
+    "    self.end_session(now, session, ERROR_REPLY)\n"
+    "    if session.flow.id % 10 == 0\n"
+    "    else place(self, now, session)\n"
+    ")",
+    "slow": "place = Core.place\n"
+    "Core.place = lambda self, now, session: self.timers.schedule(\n"
+    "    now + 30_000_000, lambda at, s: s.finished or place(self, at, s), session\n"
+    ")",
     "falls": "import os, threading\nthreading.Timer(10, os._exit, (1,)).start()",
-    "never_ready": "Core.may_act = lambda self: False",
-    "unreadable": "from cypresswalk.fleet import binding\nbinding.objection = lambda own, settings: 'this build can not read them'",
+    "never_ready": "Extensions.may_act = lambda self: False",
+    "unreadable": "from cypresswalk.fleet import core_binding\n"
+    "core_binding.objection = lambda own, settings: 'this build can not read them'",
 }
 
 
@@ -47,7 +55,10 @@
     )
     with open(root / name / "cypresswalk/service/program.py", "a") as file:
         file.write(
-            f"\n\nfrom cypresswalk.net import core\nfrom cypresswalk.net.core import Core\n{BAD[kind]}\n"
+            "\n\nfrom cypresswalk.net.core import Core\n"
+            "from cypresswalk.net.ports import Extensions\n"
+            "from cypresswalk.net.session import BUSY_REPLY, ERROR_REPLY\n"
+            f"{BAD[kind]}\n"
         )
 
 
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -14,7 +14,7 @@
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import Link
 from cypresswalk.net.logs import event
-from cypresswalk.net.parsers.admin_commands import AdminCommandParser
+from cypresswalk.net.parsers.admin_commands import AdminCommandParser, error_reply
 from cypresswalk.net.parsers.lines import ProtocolError
 
 log = logging.getLogger(__name__)
@@ -96,14 +96,14 @@
                     break
         except ProtocolError as error:
             self.core.counters.add("calls_odd")
-            return refusal(str(error))
+            return error_reply(str(error))
         with self.using:
             self.waiting.pop(link, None)
-        self.inbox.first(self.core.called, call)
+        self.inbox.first(self.core.commands.on_command, call)
         answer = call.wait(self.limits.call)
         if answer is None:
             self.core.counters.add("calls_late")
-            return refusal("busy; nothing was done")
+            return error_reply("busy; nothing was done")
         return answer
 
     def drain(self, link: Link) -> None:
@@ -115,7 +115,3 @@
             if not data:
                 return
             left -= len(data)
-
-
-def refusal(why: str) -> bytes:
-    return b"ERR " + why.encode() + b"\r\n"
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -8,12 +8,13 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
-from cypresswalk.net.core import BUSY, FAILED, Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.link import Link, pass_end_on
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.lines import LineParser, OpenRequest, ProtocolError, parse_open_request
+from cypresswalk.net.session import BUSY_REPLY, ERROR_REPLY, Session
 
 log = logging.getLogger(__name__)
 
@@ -41,7 +42,7 @@
         try:
             first = self.first()
             if first is not None:
-                self.inbox.post(self.core.opened, self.session, first)
+                self.inbox.post(self.core.on_open, self.session, first)
                 self.pass_lines()
         except ProtocolError as error:
             log.warning(event("client_odd", why=error))
@@ -53,12 +54,14 @@
             self.link.done.set()
             if self.opened:
                 self.inbox.post(
-                    self.core.impatient if odd and self.server is None else self.core.left,
+                    self.core.on_early_client_data
+                    if odd and self.server is None
+                    else self.core.on_client_left,
                     self.session,
                 )
             elif odd:
                 # Nothing was sent on for it: to one that was only in the way, coming again does no harm.
-                self.link.send_now(BUSY if self.unwanted else FAILED)
+                self.link.send_now(BUSY_REPLY if self.unwanted else ERROR_REPLY)
                 if not self.unwanted:  # with both ways shut the kernel resets what still comes
                     self.link.shut(socket.SHUT_WR)
             if self.server is not None:
@@ -88,7 +91,11 @@
                 # A client waits for its answer: guards against commands by the hundred.
                 raise ProtocolError("more than one line at once")
             elif line == b"PING":
-                self.link.send(b"PONG\r\n" if self.core.ready and self.core.may_act() else FAILED)
+                self.link.send(
+                    b"PONG\r\n"
+                    if self.core.lifecycle.ready and self.core.extensions.may_act()
+                    else ERROR_REPLY
+                )
             else:
                 first = parse_open_request(line)
                 with self.passing:
@@ -268,7 +275,7 @@
         """With no place left for it; what it has said by now is read, or the answer would be taken back."""
         try:
             sock.setblocking(False)
-            sock.send(BUSY)
+            sock.send(BUSY_REPLY)
             sock.shutdown(socket.SHUT_WR)
             sock.recv(self.limits.line)
         except OSError:
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -1,19 +1,19 @@
-"""The balancer without its sockets: what comes in becomes a call of the module, what the module decides a call
-of the drivers. No I/O and no clock of its own; one thread alone calls it."""
+"""The balancer without its sockets: events call the decisions, decisions call the drivers.
+
+No I/O and no clock of its own; one thread alone calls it. A request goes through this module from
+top to bottom: accepted, admitted, placed, attempted, established or retried or rejected, ended.
+"""
 
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
-from enum import Enum
-from heapq import heappop, heappush
-from typing import Protocol
 
 from cypresswalk.choice import Balancer
 from cypresswalk.hosting import current, nanoseconds, pack_hint, unpack_hint
 from cypresswalk.model import (
-    SECOND,
     Abort,
     CheckHealth,
+    Decision,
     Effect,
     EndpointUpdate,
     Flow,
@@ -27,112 +27,36 @@
     StartAttempt,
     Subscribe,
 )
-from cypresswalk.net.config import Address, Config
+from cypresswalk.net.config import Config
 from cypresswalk.net.counters import Counters
+from cypresswalk.net.delay_gauge import DelayGauge
+from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.lifecycle import Lifecycle, Phase
 from cypresswalk.net.limits import MILLISECOND
 from cypresswalk.net.logs import event
-from cypresswalk.net.metrics import Metrics
-from cypresswalk.net.parsers.admin_commands import AdminCommand
-from cypresswalk.net.parsers.endpoint_list import number_of, server_number
+from cypresswalk.net.metrics import ESTABLISHED, FAILED, REJECTED, Metrics
+from cypresswalk.net.operator_commands import OperatorCommands
+from cypresswalk.net.parsers.endpoint_list import number_of
 from cypresswalk.net.parsers.lines import OpenRequest
 from cypresswalk.net.parsers.load_reports import LoadReportParser
+from cypresswalk.net.ports import Drivers, Endpoint, Extensions
+from cypresswalk.net.resumption import Resumption
+from cypresswalk.net.session import BUSY_REPLY, ERROR_REPLY, Attempt, Session, busy_reply
+from cypresswalk.net.silence import SilenceDetector
+from cypresswalk.net.timers import Timers
 
-FAILED, BUSY = b"ERR\r\n", b"BUSY\r\n"
-WAITS_MOST = (
-    20  # times the longest connect timeout: what waits longer has no clock, or means no good
-)
 log = logging.getLogger(__name__)
 
+# Times the longest connect timeout of any service type; a client that asks for more is refused.
+MAX_CONNECT_TIMEOUTS = 20
 
-class Phase(Enum):
-    """Of this process. From one to the next by an operator's call or a signal, never by itself."""
-
-    STARTING = "starting"  # beside an older process that serves still: places nothing
-    SERVING = "serving"
-    DRAINED = "drained"  # by hand: says no to PING, sends its clients away, and may be called back
-    LEAVING = "leaving"  # a planned stop: goes on answering until it ends
-
-
-class Session:
-    """A client's connection, from its first line to its end."""
-
-    __slots__ = ("opening", "flow", "leg", "standing", "over", "link")
-
-    def __init__(self, link: object):
-        self.opening: OpenRequest | None = None
-        self.flow: Flow | None = None
-        self.leg: Attempt | None = None  # the latest connect on its behalf
-        self.standing = False  # lines pass
-        self.over = False  # answered with a no, moved, or ended
-        self.link = link  # the driver's
-
-
-class Attempt:
-    """One connect to a server."""
-
-    __slots__ = ("session", "server", "number", "sent", "latest", "gauge", "asked_at", "link")
-
-    def __init__(
-        self, session: Session, server: Server, number: int, sent: int, latest: int, gauge: "Gauge"
-    ):
-        self.session, self.server, self.number, self.sent, self.gauge = (
-            session,
-            server,
-            number,
-            sent,
-            gauge,
-        )
-        self.latest = latest  # its line goes out before then or not at all
-        self.asked_at = 0  # when the oldest line went out that nothing came back for
-        self.link: object = None  # the driver's
-
-
-class Gauge:
-    """What lines say of one server's delay, where it does not tell that itself. Thinned out to what the module
-    uses: one word a second while messages take long, and the first that does not."""
-
-    __slots__ = ("server", "enough", "every", "told_at", "long", "way", "answered")
-
-    def __init__(self, server: Server, enough: int, every: int):
-        self.server, self.enough, self.every = server, enough, every
-        self.told_at, self.long = 0, False
-        self.way: int | None = None  # the shortest set-up seen: the network's part of a delay
-        self.answered = 0  # when the latest line went out that something came back for
-
-    def set_up(self, took: int) -> None:
-        self.way = took if self.way is None else min(self.way, took)
-
-    def worth_telling(self, now: int, took: int) -> int | None:
-        delay = max(took - (self.way or 0), 0)
-        if delay > self.enough:
-            if self.long and now - self.told_at < self.every:
-                return None
-            self.long = True
-        elif not self.long:
-            return None
-        else:
-            self.long = False
-        self.told_at = now
-        return delay
-
-
-class Drivers(Protocol):
-    """What the core asks of the sockets; none of these waits."""
 
-    def connect(self, leg: Attempt, address: Address, line: bytes) -> None: ...
-    def join(self, leg: Attempt) -> None: ...
-    def drop(self, leg: Attempt) -> None: ...
-    def recall(self, leg: Attempt) -> bool: ...
-    def close_door(self, at: int) -> None: ...
-    def answer(self, session: Session, line: bytes) -> None: ...
-    def close(self, session: Session) -> None: ...
-    def move(self, session: Session) -> None: ...
-    def probe(self, server: Server, address: Address) -> None: ...
-    def subscribe(self) -> None: ...
-    def tell(self, message: bytes) -> None: ...
+class Core:
+    """The on_... methods take events; `carry_out_decisions` does what the decisions ask for.
 
+    All times are nanoseconds of one monotonic clock.
+    """
 
-class Core:
     def __init__(
         self,
         config: Config,
@@ -141,593 +65,390 @@
         now: int,
         policy: type[Balancer] = Balancer,
     ):
-        self.limits, self.drivers, self.counters = config.limits, drivers, counters
-        self.service_types, self.customers = config.service_types, config.customers
+        """`policy` is the class of the decisions."""
+        self.limits = config.limits
+        self.drivers = drivers
+        self.counters = counters
+        self.service_types = config.service_types
+        self.tenants = config.customers
         self.groups = config.groups
-        self.notes = LoadReportParser(config.tells_load, config.tells_delay, self.limits)
+        self.load_reports = LoadReportParser(config.tells_load, config.tells_delay, self.limits)
         self.balancer = policy(config.settings, config.seed, now)
-        self.addresses: dict[int, Address] = {}
-        self.withheld: dict[int, tuple[int, Server, Address]] = {}  # believed from then on
-        self.gauges: dict[int, Gauge] = {}
-        self.sessions: dict[Flow, Session] = {}
-        self.seen: OrderedDict[int, None] = OrderedDict()  # the latest ids, the oldest first
-        self.timers: list[tuple[int, int, Callable, tuple]] = []
-        self.entered = 0
-        self.phase = Phase.SERVING
-        self.ready = False  # flows can be placed
-        self.close_at: int | None = (
-            None  # no flow is answered later: this process is drained or leaves
-        )
-        self.departures = (
-            0  # rounds of moving all clients; a new one, or a call back, ends the one before
+        self.sessions: dict[Flow, Session] = {}  # flows that are held or established
+        self.seen_ids: OrderedDict[int, None] = OrderedDict()  # the latest flows', oldest first
+        self.delay_gauges: dict[int, DelayGauge] = {}  # by the server's number
+        self.timers = Timers()
+        self.extensions = Extensions()
+        self.metrics = Metrics(self.service_types, self.balancer, counters, self.sessions)
+        self.endpoints = EndpointBook(self.balancer, self.limits, self.timers, self.on_endpoints)
+        self.lifecycle = Lifecycle(
+            self.limits,
+            self.timers,
+            drivers,
+            self.extensions,
+            self.endpoints,
+            self.sessions,
+            self,
         )
-        self.figures = Metrics(self.service_types)
-        self.side = None  # what stands beside this process, where operators upgrade it under load
-        self.agreement = None  # what balancers have agreed, where they do (cypresswalk/fleet/)
-        self.lease: Callable[[], bool] | None = (
-            None  # there: whether this one may act now. Asked at each decision,
+        self.resumption = Resumption(self.balancer, self.limits, self.timers, self.extensions, self)
+        self.commands = OperatorCommands(
+            self.balancer,
+            self.endpoints,
+            self.lifecycle,
+            self.extensions,
+            self.metrics,
+            counters,
+            self.recall_attempts,
         )
-        # not by a timer: guards against a process that was frozen and wakes with a queue full of work.
-        self.claims = (
-            None  # ids that must not run twice lie on further machines (cypresswalk/copies/)
+        self.silence = SilenceDetector(
+            self.sessions, self.balancer, counters, self.limits, self.timers
         )
-        self.drained = False  # by hand; stays so over an upgrade
-        self.stopped = False
-        self.hear(now)
+        self.silence.check(now)
 
-    # What has come in.
+    # A request is accepted, admitted and placed.
 
-    def opened(self, now: int, session: Session, opening: OpenRequest) -> None:
-        values, settings = opening.values, self.balancer.settings
-        kind, customer = (
-            self.service_types.get(values.get("c")),
-            self.customers.get(values.get("t"), 0),
-        )
-        wait = nanoseconds(float(values.get("d", 0)), "d")
-        unknown = kind is None or (
-            values.get("t") not in self.customers if self.customers else "t" in values
-        )
-        # Guards servers, and what is known of their health, against lines that they would turn away.
-        if unknown or not 0 < wait <= WAITS_MOST * self.limits.longest and "at" not in values:
-            return self.refuse(now, session, "opening_odd", line=opening.line(0)[:200])
-        until = now + wait - self.limits.early
-        ident, group = number_of(opening.ident), values.get("g") if self.groups else None
-        key = number_of(group or opening.key) if group or opening.key.strip("0-") else ident
-        # An id is new with every connection: guards a client's flow, and servers, against those who say its id again.
-        if ident in self.seen:
-            return self.refuse(now, session, "flow_twice", flow=opening.ident)
-        self.seen[ident] = None
-        if len(self.seen) > self.limits.ids:
-            self.seen.popitem(last=False)
-        if self.close_at is not None:
-            until = min(until, self.close_at)
-        flow = Flow(
-            ident,
-            settings.service_types[kind],
-            key,
-            until,
-            customer,
-            grouped=bool(group),
-            returning=values.get("r") == "1" or values.get("again") == "1",
-        )
-        session.opening, session.flow = opening, flow
-        if "at" in values:
+    def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
+        """A client's first line has come."""
+        timeout = nanoseconds(float(request.values.get("d", 0)), "d")
+        if not self._is_acceptable(request, timeout):
+            self._refuse(now, session, "opening_odd", line=request.line(0)[:200])
+            return
+        flow_id = number_of(request.ident)
+        # An id is new with every connection: sent again it may not disturb the flow that has it.
+        if flow_id in self.seen_ids:
+            self._refuse(now, session, "flow_twice", flow=request.ident)
+            return
+        self.seen_ids[flow_id] = None
+        if len(self.seen_ids) > self.limits.ids:
+            self.seen_ids.popitem(last=False)
+        session.request = request
+        session.flow = flow = self._make_flow(now, request, flow_id, timeout)
+        if "at" in request.values:
             self.counters.add("flows_handed_over")
-            self.at(now + self.limits.first_line, self.resume_unknown, session)
-            self.at(now + self.limits.resume, self.resume_late, session)
-            self.resume(now, session)
+            self.resumption.begin(now, session)
             return
         self.counters.add("flows_taken")
         if flow.returning:
             self.counters.add("flows_again")
-        # Guards against running out of descriptors: nothing was sent, so a reject does no harm.
-        beside = self.side.held if self.side is not None else 0
-        if self.claims is not None:
-            beside += len(self.claims.waiting)
-        if len(self.sessions) + beside >= self.limits.flows:
+        self._admit(now, session)
+
+    def _is_acceptable(self, request: OpenRequest, timeout: int) -> bool:
+        """Whether the settings know what the request names; servers would refuse it otherwise."""
+        values = request.values
+        tenant = values.get("t")
+        known_tenant = tenant in self.tenants if self.tenants else tenant is None
+        if values.get("c") not in self.service_types or not known_tenant:
+            return False
+        return 0 < timeout <= MAX_CONNECT_TIMEOUTS * self.limits.longest or "at" in values
+
+    def _make_flow(self, now: int, request: OpenRequest, flow_id: int, timeout: int) -> Flow:
+        values = request.values
+        group = values.get("g") if self.groups else None
+        has_key = group or request.key.strip("0-")
+        key = number_of(group or request.key) if has_key else flow_id
+        deadline = now + timeout - self.limits.early
+        if self.lifecycle.answer_deadline is not None:
+            deadline = min(deadline, self.lifecycle.answer_deadline)
+        return Flow(
+            flow_id,
+            self.balancer.settings.service_types[self.service_types[values["c"]]],
+            key,
+            deadline,
+            self.tenants.get(values.get("t", ""), 0),
+            grouped=bool(group),
+            returning=values.get("r") == "1" or values.get("again") == "1",
+        )
+
+    def _admit(self, now: int, session: Session) -> None:
+        """Places the flow if this process may take it, after its reservation where it needs one."""
+        flow = session.flow
+        extensions = self.extensions
+        # Descriptors must not run out in mid-flow. Nothing was sent, so a reject does no harm.
+        if len(self.sessions) + extensions.flows_elsewhere() >= self.limits.flows:
             self.counters.add("flows_beyond_sockets")
-            self.end(now, session, BUSY)
-            return
-        if not self.may_act():
+            self.end_session(now, session, BUSY_REPLY)
+        elif not extensions.may_act():
             self.counters.add("flows_without_lease")
-            self.end(now, session, self.come_back(flow))
-            return
-        if self.claims is not None and flow.service_type.effect is not Effect.IDEMPOTENT:
-            self.claims.ask(now, session)
-            return
-        self.place(now, session)
+            self.end_session(now, session, self.retry_reply(flow))
+        elif (
+            extensions.reservations is not None
+            and flow.service_type.effect is not Effect.IDEMPOTENT
+        ):
+            extensions.reservations.ask(now, session)
+        else:
+            self.place(now, session)
 
     def place(self, now: int, session: Session) -> None:
+        """Hands an admitted flow to the decisions."""
         self.sessions[session.flow] = session
         self.balancer.on_flow(now, session.flow)
 
-    def refuse(self, now: int, session: Session, why: str, **words: object) -> None:
-        log.warning(event(why, **words))
-        self.counters.add("flows_odd")
-        self.end(now, session, FAILED)
+    # What the decisions ask for.
 
-    def resume(self, now: int, session: Session) -> None:
-        """A connection that stood at a server before this balancer started. Many come at once: one that fails
-        is tried again."""
-        if session.over or session.leg is not None:
+    def carry_out_decisions(self, now: int) -> None:
+        """Pulls decisions until there is none, and carries each out at once."""
+        if self.lifecycle.phase is Phase.STARTING:
             return
-        server = self.balancer.servers.get(server_number(session.opening.values["at"]))
-        if (
-            server is None
-            or server.state is ServerState.GONE
-            or server.barred
-            or not self.may_act()
-        ):
-            self.at(now + self.limits.resume_retry, self.resume, session)
-            return
-        self.connect(now, session, server, 0, now + self.limits.resume)
-
-    def resume_unknown(self, now: int, session: Session) -> None:
-        """The list would have named that server by now: guards against names made up."""
-        if server_number(session.opening.values["at"]) not in self.balancer.servers:
-            self.resume_late(now, session)
-
-    def resume_late(self, now: int, session: Session) -> None:
-        if not session.over and not session.standing:
-            if session.leg is not None:
-                self.drivers.drop(session.leg)
-            asked = session.opening
-            self.refuse(now, session, "resume_failed", flow=asked.ident, server=asked.values["at"])
-
-    def up(self, now: int, leg: Attempt) -> None:
-        session, flow = leg.session, leg.session.flow
-        if session.leg is not leg or session.over:
-            self.drivers.drop(leg)
+        while (decision := self.balancer.next_decision(now)) is not None:
+            self._carry_out(now, decision)
+
+    def _carry_out(self, now: int, decision: Decision) -> None:  # noqa: C901 (one case a decision)
+        match decision:
+            case StartAttempt(flow) if not self.extensions.may_act():
+                self._end_without_lease(now, flow)
+            case StartAttempt(flow, server, timeout):
+                deadline = min(now + timeout, flow.deadline) if timeout else flow.deadline
+                number = len(flow.attempts) - 1
+                self.start_attempt(now, self.sessions[flow], server, number, deadline)
+            case Reject(flow, retry_after):
+                self.counters.add("flows_rejected")
+                self.end_session(now, self.sessions.pop(flow), busy_reply(retry_after))
+            case Abort(flow):
+                self.counters.add("flows_aborted")
+                self.end_session(now, self.sessions.pop(flow), ERROR_REPLY)
+            case Migrate(flow):
+                self.migrate(now, flow)
+            case CheckHealth() if self.extensions.is_replaced():
+                pass  # the other process checks for both
+            case CheckHealth(server):
+                self.counters.add("probes_sent")
+                self.drivers.probe(server, self.endpoints.addresses[server.id])
+            case SendGossip(server, load):
+                self.counters.add("hints_told")
+                self.drivers.tell(pack_hint(server, load))
+            case Subscribe():
+                self.drivers.subscribe()
+            case ScheduleWakeup(delay):
+                self.timers.schedule(now + delay, self.balancer.on_wakeup)
+
+    def start_attempt(
+        self, now: int, session: Session, server: Server, number: int, deadline: int
+    ) -> None:
+        """Connects a session to a server; the attempt ends by `deadline`."""
+        flow = session.flow
+        if flow.may_have_run_on is None:
+            send_deadline: int | float = deadline
+        else:
+            send_deadline = min(deadline, flow.idempotency_expires_at())
+        gauge = self._delay_gauge(server)
+        attempt = Attempt(session, server, number, now, send_deadline, gauge)
+        session.attempt = attempt
+        self.timers.schedule(deadline, self.on_attempt_timeout, attempt)
+        self.counters.add("connects")
+        line = session.request.line(max((deadline - now) // MILLISECOND, 1))
+        self.drivers.connect(attempt, self.endpoints.addresses[server.id], line)
+
+    def _delay_gauge(self, server: Server) -> DelayGauge:
+        gauge = self.delay_gauges.get(server.id)
+        if gauge is None:
+            threshold = max(self.limits.delay_long, self.limits.own_delay)
+            gauge = DelayGauge(server, threshold, self.limits.told_every)
+            self.delay_gauges[server.id] = gauge
+        return gauge
+
+    # An attempt is established, or ends.
+
+    def on_established(self, now: int, attempt: Attempt) -> None:
+        """The server has accepted the session."""
+        session = attempt.session
+        flow = session.flow
+        if session.attempt is not attempt or session.finished:
+            self.drivers.drop(attempt)
             return
+        duration = now - attempt.started_at
         if flow not in self.sessions:
             self.sessions[flow] = session
-            self.balancer.on_flow_resumed(now, flow, leg.server)
-        elif current(self.balancer, flow.id, leg.number) is not flow or now >= flow.deadline:
-            self.drivers.drop(leg)  # the timer that is due gives it up
+            self.balancer.on_flow_resumed(now, flow, attempt.server)
+        elif current(self.balancer, flow.id, attempt.number) is not flow or now >= flow.deadline:
+            self.drivers.drop(attempt)  # the timer that is due ends it
             return
         else:
-            self.balancer.on_established(now, flow, now - leg.sent)
-        session.standing = True
-        if self.claims is not None:
-            self.claims.finish(flow, "ran")
-        if self.agreement is not None:
-            self.agreement.came_up(leg, now - leg.sent)
+            self.balancer.on_established(now, flow, duration)
+        session.established = True
+        if self.extensions.reservations is not None:
+            self.extensions.reservations.finish(flow, "ran")
+        if self.extensions.fleet is not None:
+            self.extensions.fleet.came_up(attempt, duration)
         self.counters.add("flows_established")
-        self.figures.ended("fulfilled", session.opening.values["c"])
-        self.drivers.join(leg)
+        self.metrics.count(ESTABLISHED, session.request.values["c"])
+        self.drivers.join(attempt)
+
+    def on_attempt_timeout(self, now: int, attempt: Attempt) -> None:
+        """The attempt's time is up."""
+        session = attempt.session
+        if session.attempt is attempt and not session.finished and not session.established:
+            # Without a connection yet it is certain that nothing ran.
+            recalled = self.drivers.recall(attempt)
+            outcome = Outcome.CONNECT_FAILED if recalled else Outcome.TIMEOUT
+            self.drivers.drop(attempt)
+            if session.flow in self.sessions:
+                self.on_attempt_ended(now, attempt, outcome)
 
-    def ended(self, now: int, leg: Attempt, outcome: Outcome) -> None:
-        """The server's side has ended: before UP, or with all that it had to say passed on."""
-        session, flow = leg.session, leg.session.flow
-        if session.leg is not leg or session.over:
+    def on_attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
+        """The server's side has ended: before UP, or with all that it had to say relayed."""
+        session = attempt.session
+        flow = session.flow
+        if session.attempt is not attempt or session.finished:
             return
         self.counters.add("connects_" + outcome.name.lower())
-        if self.agreement is not None:
-            self.agreement.fell(leg, outcome)
-        if session.standing:
-            session.over = True
+        if self.extensions.fleet is not None:
+            self.extensions.fleet.fell(attempt, outcome)
+        if session.established:
+            session.finished = True
         else:
-            session.leg = None
+            session.attempt = None
         if flow not in self.sessions:
-            self.at(now + self.limits.resume_retry, self.resume, session)
-        elif current(self.balancer, flow.id, leg.number) is flow:
-            final = session.standing
+            self.resumption.retry_later(now, session)
+        elif current(self.balancer, flow.id, attempt.number) is flow:
+            final = session.established
             if final:
                 del self.sessions[flow]
-            self.balancer.on_ended(now, flow, outcome, final, now - leg.sent)
+            self.balancer.on_ended(now, flow, outcome, final, now - attempt.started_at)
 
-    def left(self, now: int, session: Session) -> None:
-        """The client's side has ended, or has never been sound."""
-        if session.over:
+    def recall_attempts(self, now: int, leaves: Callable[[Server], bool]) -> None:
+        """Attempts that have sent nothing yet to a server that leaves go elsewhere.
+
+        A connection takes its time to be set up: without this a first line would go out after the
+        server was known to leave, or after an operator's OK.
+        """
+        for session in list(self.sessions.values()):
+            attempt = session.attempt
+            if (
+                attempt is not None
+                and not session.established
+                and leaves(attempt.server)
+                and self.drivers.recall(attempt)
+            ):
+                self.on_attempt_ended(now, attempt, Outcome.MOOT)
+
+    # A session ends.
+
+    def on_client_left(self, now: int, session: Session) -> None:
+        """The client's side has ended, or broke the protocol."""
+        if session.finished:
             return
-        session.over = True
-        flow = session.flow
-        if session.leg is not None and not session.standing:
-            self.drivers.drop(session.leg)
-        if self.claims is not None and flow is not None and not session.standing:
-            self.claims.finish(
-                flow, "never" if flow.may_have_run_on is None and session.leg is None else "unknown"
-            )
-        if flow is not None and self.sessions.pop(flow, None) is not None:
-            self.counters.add("flows_left")
-            self.balancer.on_client_gone(now, flow)
-
-    def impatient(self, now: int, session: Session) -> None:
-        """A client that said more before it had its answer. Guards against commands by the hundred being served."""
-        answered = session.over or session.standing
-        self.left(now, session)
+        session.finished = True
+        if session.attempt is not None and not session.established:
+            self.drivers.drop(session.attempt)
+        if session.has_flow:
+            if not session.established:
+                self._finish_reservation(session)
+            if self.sessions.pop(session.flow, None) is not None:
+                self.counters.add("flows_left")
+                self.balancer.on_client_gone(now, session.flow)
+
+    def on_early_client_data(self, now: int, session: Session) -> None:
+        """The client sent more before its reply; served, it could send commands by the hundred."""
+        answered = session.finished or session.established
+        self.on_client_left(now, session)
         if not answered:
-            self.refuse(now, session, "client_impatient", flow=session.opening.ident)
+            self._refuse(now, session, "client_impatient", flow=session.request.ident)
+
+    def on_resume_failed(self, now: int, session: Session) -> None:
+        """A resumed connection did not come up at its server in time, if it did not."""
+        if not session.finished and not session.established:
+            if session.attempt is not None:
+                self.drivers.drop(session.attempt)
+            request = session.request
+            server = request.values["at"]
+            self._refuse(now, session, "resume_failed", flow=request.ident, server=server)
+
+    def migrate(self, now: int, flow: Flow) -> None:
+        """Tells an established client to look for another server."""
+        session = self.sessions.pop(flow)
+        attempt = session.attempt
+        assert attempt is not None  # the session is established
+        session.finished = True
+        self.counters.add("flows_moved")
+        self.drivers.move(session)
+        self.balancer.on_ended(now, flow, Outcome.CANCELLED, True, now - attempt.started_at)
+
+    def end_session(self, now: int, session: Session, reply: bytes) -> None:
+        """Sends a session that is not established its only reply."""
+        session.finished = True
+        if session.has_flow:
+            self._finish_reservation(session)
+            result = FAILED if reply == ERROR_REPLY else REJECTED
+            self.metrics.count(result, session.request.values["c"])
+        self.drivers.answer(session, reply)
+        self.timers.schedule(now + self.limits.linger, self._close, session)
+
+    def _close(self, now: int, session: Session) -> None:
+        self.drivers.close(session)
 
-    def probed(self, now: int, server: Server, passed: bool, load: list[float]) -> None:
-        self.counters.add("probes_passed" if passed else "probes_failed")
-        at = self.balancer.settings.load_index
-        self.balancer.on_health_check_result(
-            now, server, passed, load[at] if 0 <= at < len(load) else None
-        )
+    def _refuse(self, now: int, session: Session, log_event: str, **fields: object) -> None:
+        log.warning(event(log_event, **fields))
+        self.counters.add("flows_odd")
+        self.end_session(now, session, ERROR_REPLY)
 
-    def delayed(self, now: int, server: Server, delay: int) -> None:
-        """A message takes that long at the server, by its own word or by what its lines show."""
-        self.counters.add("delays")
-        self.balancer.on_message_delay(now, server, delay)
+    def _end_without_lease(self, now: int, flow: Flow) -> None:
+        """Answers a flow at once: the rules by which its server was chosen may be out of date."""
+        self.counters.add("flows_without_lease")
+        idempotent = flow.service_type.effect is Effect.IDEMPOTENT
+        harmless = flow.may_have_run_on is None or idempotent
+        self.balancer.on_client_gone(now, flow)
+        reply = self.retry_reply(flow) if harmless else ERROR_REPLY
+        self.end_session(now, self.sessions.pop(flow), reply)
+
+    def _finish_reservation(self, session: Session) -> None:
+        if self.extensions.reservations is not None:
+            never_ran = session.flow.may_have_run_on is None and session.attempt is None
+            self.extensions.reservations.finish(session.flow, "never" if never_ran else "unknown")
+
+    def retry_reply(self, flow: Flow) -> bytes:
+        """The reply to a flow that has not run: when to come back, where that is allowed."""
+        settings = self.balancer.settings
+        if not settings.retry_after_allowed:
+            return BUSY_REPLY
+        objective = flow.service_type.setup_latency_objective
+        return busy_reply(min(objective, settings.max_retry_after))
 
-    def listed(
+    # What is known of servers.
+
+    def on_endpoints(
         self,
         now: int,
-        form: EndpointUpdate,
-        entries: list[tuple[Server, Address]],
+        update: EndpointUpdate,
+        entries: list[Endpoint],
         older: bool = False,
     ) -> None:
+        """The endpoint list has changed; `older`: it knows less than a list that was acted on."""
         self.counters.add("lists")
-        if self.agreement is not None:
-            form, entries = self.agreement.listed(now, form, entries)
+        if self.extensions.fleet is not None:
+            update, entries = self.extensions.fleet.listed(now, update, entries)
         if older:
-            entries = [entry for entry in entries if not self.withhold(now, *entry)]
-        for server, address in entries:
-            self.withheld.pop(server.id, None)
-            self.addresses[server.id] = address
-        self.balancer.on_endpoints(now, form, [server for server, _ in entries])
-        self.settle()
-        if form is not EndpointUpdate.DELTA or any(
-            server.state is not ServerState.READY for server, _ in entries
+            entries = self.endpoints.withhold_returning(now, entries)
+        servers = self.endpoints.accept(entries)
+        self.balancer.on_endpoints(now, update, servers)
+        self.lifecycle.update_readiness()
+        if update is not EndpointUpdate.DELTA or any(
+            server.state is not ServerState.READY for server in servers
         ):
-            self.recall(now, lambda server: server.state is not ServerState.READY)
+            self.recall_attempts(now, lambda server: server.state is not ServerState.READY)
 
-    def recall(self, now: int, leaves: Callable[[Server], bool]) -> None:
-        """Connects in dial to such a server go elsewhere. Guards against a first line that goes out once that is told, or after
-        an operator's yes, since a dial takes its time."""
-        for session in list(self.sessions.values()):
-            leg = session.leg
-            if (
-                leg is not None
-                and not session.standing
-                and leaves(leg.server)
-                and self.drivers.recall(leg)
-            ):
-                self.ended(now, leg, Outcome.MOOT)
-
-    def settle(self) -> None:
-        # Of two processes at one door the elder says yes for both: guards against a front that hears a no in between.
-        beside = self.side is not None and self.side.other is not None
-        here = (
-            self.phase is Phase.SERVING
-            or self.phase is Phase.LEAVING
-            and beside
-            and not self.drained
-        )
-        self.ready = here and self.placeable() > 0
-
-    def may_act(self) -> bool:
-        return self.lease is None or self.lease()
-
-    def come_back(self, flow: Flow) -> bytes:
-        """A reject that tells when, where that is allowed. Nothing of the flow has run."""
-        settings = self.balancer.settings
-        wait = (
-            min(flow.service_type.setup_latency_objective, settings.max_retry_after)
-            if settings.retry_after_allowed
-            else 0
-        )
-        return b"BUSY %d\r\n" % (wait // MILLISECOND) if wait else BUSY
-
-    def unleased(self, now: int, flow: Flow) -> None:
-        """The module has chosen a server, on rules that others may act on no more: the flow is answered at once."""
-        self.counters.add("flows_without_lease")
-        harmless = flow.may_have_run_on is None or flow.service_type.effect is Effect.IDEMPOTENT
-        self.balancer.on_client_gone(now, flow)
-        self.end(now, self.sessions.pop(flow), self.come_back(flow) if harmless else FAILED)
-
-    def succeeded(self) -> bool:
-        """Another process takes this one's clients already, at the same door."""
-        return self.side is not None and self.side.succeeded
-
-    def withhold(self, now: int, server: Server, address: Address) -> bool:
-        """Whether an older list brings back, without a start since, a server that drains or is gone: that waits until the
-        address has caught up. Guards against new flows there after all; of two addresses the newer may know less."""
-        known = self.balancer.servers.get(server.id)
-        back = (
-            known is not None
-            and known.state is not ServerState.READY
-            and server.state is ServerState.READY
-            and server.since <= known.since
-        )
-        if back:
-            self.withheld[server.id] = now + self.limits.list_settles, server, address
-            self.at(now + self.limits.list_settles, self.believe, server.id)
-        return back
-
-    def believe(self, now: int, ident: int) -> None:
-        # One that a second address has withheld since waits its own time.
-        if ident in self.withheld and self.withheld[ident][0] <= now:
-            self.listed(now, EndpointUpdate.DELTA, [self.withheld.pop(ident)[1:]])
-
-    def taken_back(self, entries: list[tuple[Server, Address]]) -> list[tuple[Server, Address]]:
-        """Of an address's last words those that have servers drain or go, but for such as have started again since."""
-        known = self.balancer.servers
-        return [
-            (server, address)
-            for server, address in entries
-            if server.state is not ServerState.READY
-            and server.id in known
-            and server.since >= known[server.id].since
-        ]
-
-    def list_failed(self, now: int) -> None:
+    def on_endpoints_failed(self, now: int) -> None:
+        """A call for the endpoint list failed, or its watch broke."""
         self.counters.add("lists_failed")
         if self.balancer.settings.list_polled:
             self.balancer.on_endpoints(now, EndpointUpdate.FAILED, [])
 
-    def hint(self, now: int, message: bytes) -> None:
+    def on_health_check_result(
+        self, now: int, server: Server, passed: bool, load: list[float]
+    ) -> None:
+        """A health check has ended; `load` holds the figures of the server's report, or nothing."""
+        self.counters.add("probes_passed" if passed else "probes_failed")
+        index = self.balancer.settings.load_index
+        reported = load[index] if 0 <= index < len(load) else None
+        self.balancer.on_health_check_result(now, server, passed, reported)
+
+    def on_message_delay(self, now: int, server: Server, delay: int) -> None:
+        """A message takes so long at the server, as it reports or as relayed lines show."""
+        self.counters.add("delays")
+        self.balancer.on_message_delay(now, server, delay)
+
+    def on_gossip(self, now: int, message: bytes) -> None:
+        """Another balancer has sent a datagram."""
         hint = unpack_hint(self.balancer, message)
         self.counters.add("hints_heard" if hint else "hints_odd")
         if hint:
             self.balancer.on_gossip(now, *hint)
-
-    def woken(self, now: int) -> None:
-        self.balancer.on_wakeup(now)
-
-    # Time.
-
-    def at(self, when: int, call: Callable, *words: object) -> None:
-        self.entered += 1
-        heappush(self.timers, (when, self.entered, call, words))
-
-    def next_due(self) -> int | None:
-        return self.timers[0][0] if self.timers else None
-
-    def pass_time(self, now: int) -> None:
-        while self.timers and self.timers[0][0] <= now:
-            _, _, call, words = heappop(self.timers)
-            call(now, *words)
-
-    def connect_late(self, now: int, leg: Attempt) -> None:
-        session = leg.session
-        if session.leg is leg and not session.over and not session.standing:
-            # In dial still: then it is certain that nothing ran.
-            outcome = Outcome.CONNECT_FAILED if self.drivers.recall(leg) else Outcome.TIMEOUT
-            self.drivers.drop(leg)
-            if session.flow in self.sessions:
-                self.ended(now, leg, outcome)
-
-    def hear(self, now: int) -> None:
-        """Tells the module of connections on which nothing comes back."""
-        for flow, session in list(self.sessions.items()):
-            asked_at = session.leg.asked_at if session.standing else 0
-            if not asked_at:
-                continue
-            # Who asked later has its answer: then it is this connection, and not the server that is slow.
-            alone = session.leg.gauge.answered > asked_at
-            if now - asked_at > (self.limits.silence_alone if alone else self.limits.silence):
-                session.leg.asked_at = 0
-                self.counters.add("flows_silent")
-                self.balancer.on_silence(now, flow, alone)
-        self.at(now + self.limits.silence_tick, self.hear)
-
-    # What the module decides.
-
-    def pull(self, now: int) -> None:
-        if self.phase is Phase.STARTING:
-            return
-        while (decision := self.balancer.next_decision(now)) is not None:
-            match decision:
-                case StartAttempt(flow) if not self.may_act():
-                    self.unleased(now, flow)
-                case StartAttempt(flow, server, timeout):
-                    until = min(now + timeout, flow.deadline) if timeout else flow.deadline
-                    self.connect(now, self.sessions[flow], server, len(flow.attempts) - 1, until)
-                case Reject(flow, wait):
-                    self.counters.add("flows_rejected")
-                    answer = b"BUSY %d\r\n" % (wait // MILLISECOND) if wait else BUSY
-                    self.end(now, self.sessions.pop(flow), answer)
-                case Abort(flow):
-                    self.counters.add("flows_aborted")
-                    self.end(now, self.sessions.pop(flow), FAILED)
-                case Migrate(flow):
-                    self.move(now, flow)
-                case CheckHealth() if self.succeeded():
-                    pass  # the other process probes for both
-                case CheckHealth(server):
-                    self.counters.add("probes_sent")
-                    self.drivers.probe(server, self.addresses[server.id])
-                case SendGossip(server, strain):
-                    self.counters.add("hints_told")
-                    self.drivers.tell(pack_hint(server, strain))
-                case Subscribe():
-                    self.drivers.subscribe()
-                case ScheduleWakeup(after):
-                    self.at(now + after, self.woken)
-
-    def connect(self, now: int, session: Session, server: Server, number: int, until: int) -> None:
-        gauge = self.gauges.get(server.id)
-        if gauge is None:
-            gauge = self.gauges[server.id] = Gauge(
-                server, max(self.limits.delay_long, self.limits.own_delay), self.limits.told_every
-            )
-        flow = session.flow
-        latest = (
-            until if flow.may_have_run_on is None else min(until, flow.idempotency_expires_at())
-        )
-        leg = session.leg = Attempt(session, server, number, now, latest, gauge)
-        self.at(until, self.connect_late, leg)
-        self.counters.add("connects")
-        line = session.opening.line(max((until - now) // MILLISECOND, 1))
-        self.drivers.connect(leg, self.addresses[server.id], line)
-
-    def end(self, now: int, session: Session, line: bytes) -> None:
-        session.over = True
-        if self.claims is not None and session.flow is not None:
-            self.claims.finish(
-                session.flow,
-                "never"
-                if session.flow.may_have_run_on is None and session.leg is None
-                else "unknown",
-            )
-        if session.flow is not None:
-            self.figures.ended(
-                "faulted" if line == FAILED else "throttled", session.opening.values["c"]
-            )
-        self.drivers.answer(session, line)
-        self.at(now + self.limits.linger, self.close, session)
-
-    def close(self, now: int, session: Session) -> None:
-        self.drivers.close(session)
-
-    def move(self, now: int, flow: Flow) -> None:
-        session = self.sessions.pop(flow)
-        session.over = True
-        self.counters.add("flows_moved")
-        self.drivers.move(session)
-        self.balancer.on_ended(now, flow, Outcome.CANCELLED, True, now - session.leg.sent)
-
-    # Clients sent away: a planned stop, or a drain by hand.
-
-    def stop(self, now: int) -> None:
-        """Goes on taking and answering flows while those that stand are moved evenly; then all is over well
-        before the kill."""
-        if self.phase is Phase.LEAVING:
-            return
-        span = min(self.limits.longest, self.limits.leave_most) + self.limits.leave_more
-        # A client moved at once would come straight back: some still come here for a while. And in a round of restarts
-        # the balancer before this one is often away still, with nobody to go to.
-        # One that stands beside this one is there: the longer the moves take, the less they press on anyone.
-        beside = self.side is not None and self.side.other is not None
-        self.depart(
-            now,
-            Phase.LEAVING,
-            self.limits.leave_first if beside else max(span // 2, self.limits.leave_first),
-            span,
-        )
-        self.drivers.close_door(self.close_at)
-        if self.side is not None:
-            self.side.hand_over(now)
-
-    def depart(self, now: int, phase: Phase, begin: int, span: int) -> None:
-        self.phase, self.close_at = phase, now + span
-        self.departures += 1
-        self.settle()
-        standing = sum(session.standing for session in self.sessions.values())
-        log.info(
-            event(
-                "stop" if phase is Phase.LEAVING else "drain",
-                standing=standing,
-                seconds=span / SECOND,
-            )
-        )
-        for flow, session in self.sessions.items():
-            if not session.standing and flow.deadline > self.close_at:
-                flow.deadline = self.close_at
-                if session.leg is not None:
-                    self.at(flow.deadline, self.connect_late, session.leg)
-        self.at(now + begin, self.leave, self.departures)
-
-    def leave(self, now: int, departure: int) -> None:
-        if departure != self.departures:
-            return
-        if self.side is not None:
-            self.side.tell_held()
-        standing = [flow for flow, session in self.sessions.items() if session.standing]
-        if now >= self.close_at:
-            for flow in standing:
-                self.move(now, flow)
-            if self.phase is Phase.LEAVING:
-                waiting = self.claims is not None and self.claims.waiting
-                self.stopped = not self.sessions and not waiting
-            self.at(now + self.limits.leave_tick, self.leave, departure)
-        elif standing:
-            self.move(now, standing[0])
-            self.at(now + (self.close_at - now) // len(standing), self.leave, departure)
-        else:
-            self.at(min(now + self.limits.leave_tick, self.close_at), self.leave, departure)
-
-    def begin(self, now: int) -> None:
-        """The process before this one has handed over, or has gone."""
-        if self.phase is Phase.STARTING:
-            self.phase = Phase.SERVING
-            log.info(event("taken_over", drained=self.drained))
-            if self.drained:
-                self.depart(now, Phase.DRAINED, 0, 0)
-            self.settle()
-
-    # What operators ask.
-
-    def called(self, now: int, call: AdminCommand) -> None:
-        """A yes is a promise: it is said once this has acted, and a call given up by its caller is not begun."""
-        if not call.begin():
-            return
-        self.counters.add("calls_" + call.name.replace("-", "_"))
-        if call.name == "vars":
-            call.answers.put(self.figures.text(now, self))
-            return
-        if self.agreement is not None and self.agreement.takes(now, call):
-            return
-        self.act(now, call)
-
-    def act(self, now: int, call: AdminCommand) -> None:
-        why = self.obey(now, call)
-        if call.name == "check" or self.side is None or not self.side.forward(now, call, why):
-            self.reply(call, why)
-
-    def reply(self, call: AdminCommand, why: str | None) -> None:
-        if call.name != "check":
-            log.info(event("call", call=call.name, server=call.server, refused=why or "no"))
-        call.answers.put(b"ERR " + why.encode() + b"\r\n" if why else b"OK\r\n")
-
-    def obey(
-        self, now: int, call: AdminCommand, forwarded: bool = False, known: bool = False
-    ) -> str | None:
-        """Why not, if not. `forwarded`: it was called at the process beside this one, whose list names the server if it is
-        `known`; that process answers for both."""
-        match call.name:
-            case "check":
-                beside = self.phase is Phase.STARTING and self.side.informed and not self.drained
-                if (beside or self.phase is Phase.SERVING) and self.placeable() and self.may_act():
-                    return None
-                return f"{self.phase.value}, {self.placeable()} servers to place flows on" + (
-                    "" if self.may_act() else ", no lease of the fleet's"
-                )
-            case "set-down-here" | "set-up-here" | "drain-on-here" if self.agreement is None:
-                return "balancers agree on nothing here; set-down and set-up are this one's alone"
-            case "drain-on" | "drain-on-here" | "drain-off" if self.phase is Phase.LEAVING:
-                return (
-                    None
-                    if forwarded or self.side is not None and self.side.other
-                    else "this process is leaving"
-                )
-            case "drain-on" | "drain-on-here" | "drain-off" if self.phase is Phase.STARTING:
-                self.drained = call.name != "drain-off"
-            case "drain-on" | "drain-on-here":
-                self.drained = True
-                if self.phase is Phase.SERVING:
-                    self.depart(now, Phase.DRAINED, self.limits.drain_first, self.limits.drain_span)
-            case "drain-off":
-                self.phase, self.close_at, self.drained = Phase.SERVING, None, False
-                self.departures += 1
-                self.settle()
-            case "set-down" | "set-up" | "set-down-here" | "set-up-here":
-                number = server_number(call.server)
-                if number not in self.balancer.servers:
-                    if not known:
-                        return "no list has named that server"
-                    # The other process knows it already; until this one's list names it, it is gone and out.
-                    self.balancer.on_endpoints(
-                        now, EndpointUpdate.DELTA, [Server(id=number, state=ServerState.GONE)]
-                    )
-                server = self.balancer.servers[number]
-                self.bar(now, server) if call.name.startswith("set-down") else self.unbar(
-                    now, server
-                )
-        return None
-
-    def placeable(self) -> int:
-        return sum(
-            s.state is ServerState.READY and not s.barred for s in self.balancer.servers.values()
-        )
-
-    def bar(self, now: int, server: Server) -> None:
-        self.balancer.remove_from_rotation(now, server)
-        self.settle()
-        self.recall(now, lambda other: other is server)
-
-    def unbar(self, now: int, server: Server) -> None:
-        self.balancer.return_to_rotation(now, server)
-        self.settle()
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -126,13 +126,13 @@
     ) -> None:
         if self.ended:
             # It was read before its end, or just then: what it takes back binds, the rest is for the new address to say.
-            form, entries = EndpointUpdate.DELTA, self.core.taken_back(entries)
+            form, entries = EndpointUpdate.DELTA, self.core.endpoints.withdrawals(entries)
         if not self.ended or entries:
-            self.core.listed(now, form, entries, older)
+            self.core.on_endpoints(now, form, entries, older)
 
     def fail(self, now: int) -> None:
         if not self.ended:
-            self.core.list_failed(now)
+            self.core.on_endpoints_failed(now)
 
     def call(self) -> None:
         """Now rather than at the end of a pause; one that is connected stays so."""
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -19,7 +19,8 @@
 from cypresswalk.choice import Decaying
 from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address, ConfigError, address
-from cypresswalk.net.core import Core, Phase
+from cypresswalk.net.core import Core
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.lines import ProtocolError
@@ -57,14 +58,14 @@
     """All that this process knows, as the other reads it. Times are this clock's, whose `now` is told beside them."""
     balancer = core.balancer
     list_address, version = drivers.list_at()
-    agreed = {} if core.agreement is None else {"agreed": core.agreement.handed()}
+    agreed = {} if core.extensions.fleet is None else {"agreed": core.extensions.fleet.handed()}
     yield {
         "state": agreed
         | {
             "now": now,
             "list": list_address,
             "version": version,
-            "drained": core.drained,
+            "drained": core.lifecycle.drained,
             "started": balancer.started,
             "sums": {name: fading(getattr(balancer, name)) for name in OWN_SUMS},
         }
@@ -72,11 +73,11 @@
     told = [
         server_told(server, core, drivers)
         for server in balancer.servers.values()
-        if server.id in core.addresses
+        if server.id in core.endpoints.addresses
     ]
     for start in range(0, len(told), CHUNK):
         yield {"servers": told[start : start + CHUNK]}
-    ids = list(core.seen)
+    ids = list(core.seen_ids)
     for start in range(0, len(ids), 10 * CHUNK):
         yield {"ids": ids[start : start + 10 * CHUNK]}
     yield {"end": True}
@@ -89,7 +90,7 @@
         | {name: fading(getattr(server, name)) for name in SUMS}
         | {
             "name": drivers.names()[server.id],
-            "address": "%s:%d" % core.addresses[server.id],
+            "address": "%s:%d" % core.endpoints.addresses[server.id],
             "zone": server.zone,
             "cell": server.cell,
             "weight": server.weight,
@@ -183,8 +184,10 @@
     newer_here = list_address == told.state["list"] and version > told.state["version"]
     for server, _, name, _ in servers:
         drivers.names()[server.id] = name
-    core.addresses |= {
-        server.id: where for server, where, _, _ in servers if server.id not in core.addresses
+    core.endpoints.addresses |= {
+        server.id: where
+        for server, where, _, _ in servers
+        if server.id not in core.endpoints.addresses
     }
     balancer.on_endpoints(
         now,
@@ -215,8 +218,8 @@
     balancer.started = min(told.state["started"] + later, now)
     balancer.stale = True
     for ident in ids[-core.limits.ids :]:
-        core.seen[ident] = None
-    core.settle()
+        core.seen_ids[ident] = None
+    core.lifecycle.update_readiness()
 
 
 class Handover:
@@ -224,78 +227,87 @@
 
     def __init__(self, core: Core, drivers: Drivers, elder: Other | None = None):
         self.core, self.drivers = core, drivers
-        self.other = elder
-        self.younger = elder is not None  # waits for the elder to hand over
-        if self.younger:
-            core.phase = Phase.STARTING
-            core.settle()
-        self.told: ReceivedState | None = None
-        self.informed = False  # a whole state has been read
-        self.succeeded = False  # the other accepts clients in this process's place
-        self.held = 0  # flows that the other holds still, of what both may hold
-        self.held_told = -1
-        self.asked: dict[
+        self.peer = elder
+        self.is_successor = elder is not None  # waits for the elder to hand over
+        if self.is_successor:
+            core.lifecycle.phase = Phase.STARTING
+            core.lifecycle.update_readiness()
+        self.received: ReceivedState | None = None
+        self.state_received = False  # a whole state has been read
+        self.replaced = False  # the other accepts clients in this process's place
+        self.peer_sessions = 0  # flows that the other holds still, of what both may hold
+        self.reported_sessions = -1
+        self.unconfirmed: dict[
             int, tuple[AdminCommand, str | None]
         ] = {}  # calls that the other has not confirmed
-        self.asked_last = 0
+        self.last_command = 0
+
+    @property
+    def connected(self) -> bool:
+        """Whether another process stands beside this one."""
+        return self.peer is not None
 
     # The elder.
 
-    def hello(self, now: int, other: Other) -> None:
+    def on_hello(self, now: int, other: Other) -> None:
         """Another process wants to stand beside this one. One at a time; one that waits itself has nothing to hand on."""
-        if self.other is not None or self.younger:
+        if self.peer is not None or self.is_successor:
             other.send({"refused": "another process stands beside this one"})
             other.close()
             return
-        self.other, self.succeeded = other, False
+        self.peer, self.replaced = other, False
         other.send({"welcome": VERSION}, self.drivers.sockets())
-        self.tell_state(now)
-        if self.core.phase is Phase.LEAVING:
+        self.send_state(now)
+        if self.core.lifecycle.phase is Phase.LEAVING:
             self.hand_over(now)
 
-    def tell_state(self, now: int) -> None:
+    def send_state(self, now: int) -> None:
         for message in messages(now, self.core, self.drivers):
-            self.other.send(message)
+            self.peer.send(message)
 
     def hand_over(self, now: int) -> None:
         """What is left of budgets goes with it. This process accepts until the other has said that it does."""
-        if self.other is not None and not self.younger:
-            self.tell_state(now)
+        if self.peer is not None and not self.is_successor:
+            self.send_state(now)
             self.core.balancer.yield_budgets(now)
-            self.other.send({"yours": True})
+            self.peer.send({"yours": True})
 
-    def tell_held(self) -> None:
-        if self.succeeded and self.other is not None and self.held_told != len(self.core.sessions):
-            self.held_told = len(self.core.sessions)
-            self.other.send({"held": self.held_told})
+    def send_session_count(self) -> None:
+        if (
+            self.replaced
+            and self.peer is not None
+            and self.reported_sessions != len(self.core.sessions)
+        ):
+            self.reported_sessions = len(self.core.sessions)
+            self.peer.send({"held": self.reported_sessions})
 
     # Both.
 
-    def heard(self, now: int, other: Other, message: dict) -> None:
-        if other is not self.other:
+    def on_message(self, now: int, other: Other, message: dict) -> None:
+        if other is not self.peer:
             return
         match message:
             case {"state": dict(state)}:
-                self.told = ReceivedState(state)
-            case {"servers": list()} | {"ids": list()} if self.told is not None:
-                self.told.add(message)
-            case {"end": _} if self.told is not None and self.younger:
-                told, self.told = self.told, None
+                self.received = ReceivedState(state)
+            case {"servers": list()} | {"ids": list()} if self.received is not None:
+                self.received.add(message)
+            case {"end": _} if self.received is not None and self.is_successor:
+                told, self.received = self.received, None
                 believe(now, self.core, self.drivers, told)
-                if self.core.agreement is not None and "agreed" in told.state:
-                    self.core.agreement.inherit(now, told.state["agreed"])
-                self.core.drained = told.state.get("drained") is True
-                self.informed = True
-            case {"yours": _} if self.younger:
-                self.take_over(now)
+                if self.core.extensions.fleet is not None and "agreed" in told.state:
+                    self.core.extensions.fleet.inherit(now, told.state["agreed"])
+                self.core.lifecycle.drained = told.state.get("drained") is True
+                self.state_received = True
+            case {"yours": _} if self.is_successor:
+                self._take_over(now)
                 other.send({"mine": True})
-            case {"mine": _} if not self.younger:
-                self.succeeded = True
+            case {"mine": _} if not self.is_successor:
+                self.replaced = True
                 self.drivers.stop_accepting()
-                self.core.settle()
-                self.tell_held()
+                self.core.lifecycle.update_readiness()
+                self.send_session_count()
             case {"held": int(held)}:
-                self.held = held
+                self.peer_sessions = held
             case {
                 "call": int(number),
                 "name": str(name),
@@ -305,60 +317,64 @@
                 other.send(
                     {
                         "done": number,
-                        "why": self.core.obey(
+                        "why": self.core.commands.apply(
                             now, AdminCommand(name, server), forwarded=True, known=known
                         ),
                     }
                 )
-            case {"done": int(number), "why": why} if number in self.asked:
-                self.confirmed(now, number, why)
+            case {"done": int(number), "why": why} if number in self.unconfirmed:
+                self.on_confirmed(now, number, why)
 
-    def parted(self, now: int, other: Other) -> None:
+    def on_disconnected(self, now: int, other: Other) -> None:
         """The other process has ended, or its way here has: this one serves, whatever was agreed."""
-        if other is not self.other:
+        if other is not self.peer:
             return
-        self.other, self.told, self.held = None, None, 0
-        for number in list(self.asked):
-            self.confirmed(now, number, None)
-        if self.younger:
-            self.take_over(now)
-        elif self.succeeded:
-            self.succeeded = False
+        self.peer, self.received, self.peer_sessions = None, None, 0
+        for number in list(self.unconfirmed):
+            self.on_confirmed(now, number, None)
+        if self.is_successor:
+            self._take_over(now)
+        elif self.replaced:
+            self.replaced = False
             self.drivers.accept()
-        self.core.settle()
+        self.core.lifecycle.update_readiness()
 
-    def take_over(self, now: int) -> None:
-        self.younger = False
-        self.core.begin(now)
+    def _take_over(self, now: int) -> None:
+        self.is_successor = False
+        self.core.lifecycle.begin_serving(now)
         self.drivers.accept()
 
     # Calls.
 
     def forward(self, now: int, call: AdminCommand, why: str | None) -> bool:
         """Whether the answer waits for the other process."""
-        if self.other is None:
+        if self.peer is None:
             return False
-        self.asked_last += 1
-        self.asked[self.asked_last] = call, why
-        self.other.send(
+        self.last_command += 1
+        self.unconfirmed[self.last_command] = call, why
+        self.peer.send(
             {
-                "call": self.asked_last,
+                "call": self.last_command,
                 "name": call.name,
                 "server": call.server,
                 "known": why is None,
             }
         )
-        self.core.at(now + self.core.limits.call_beside, self.late, self.asked_last)
+        self.core.timers.schedule(
+            now + self.core.limits.call_beside, self.on_confirmation_late, self.last_command
+        )
         return True
 
-    def confirmed(self, now: int, number: int, why: str | None) -> None:
+    def on_confirmed(self, now: int, number: int, why: str | None) -> None:
         """A server that one of the two lists names is known to both."""
-        call, why_here = self.asked.pop(number)
-        if why_here is not None and why is None and self.other is not None:
-            why_here = self.core.obey(now, call, forwarded=True, known=True)
-        self.core.reply(call, why_here if why_here is not None else why)
-
-    def late(self, now: int, number: int) -> None:
-        if number in self.asked:
-            call, why = self.asked.pop(number)
-            self.core.reply(call, why or "done here; the other process has not confirmed it")
+        call, why_here = self.unconfirmed.pop(number)
+        if why_here is not None and why is None and self.peer is not None:
+            why_here = self.core.commands.apply(now, call, forwarded=True, known=True)
+        self.core.commands.reply(call, why_here if why_here is not None else why)
+
+    def on_confirmation_late(self, now: int, number: int) -> None:
+        if number in self.unconfirmed:
+            call, why = self.unconfirmed.pop(number)
+            self.core.commands.reply(
+                call, why or "done here; the other process has not confirmed it"
+            )
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -82,11 +82,11 @@
     def read(self) -> None:
         try:
             while (message := self.message()) is not None:
-                self.inbox.first(self.side.heard, self, message)
+                self.inbox.first(self.side.on_message, self, message)
         except (OSError, ProtocolError) as error:
             log.warning(event("beside_lost", why=error))
         finally:
-            self.inbox.first(self.side.parted, self)
+            self.inbox.first(self.side.on_disconnected, self)
             self.close()
 
 
@@ -246,4 +246,4 @@
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
         channel.start(side)
-        self.inbox.first(side.hello, channel)
+        self.inbox.first(side.on_hello, channel)
--- /dev/null
+++ b/cypresswalk/net/operator_commands.py
@@ -0,0 +1,145 @@
+"""Carries out what operators ask at the admin address."""
+
+import logging
+from collections.abc import Callable
+
+from cypresswalk.choice import Balancer
+from cypresswalk.model import EndpointUpdate, Server, ServerState
+from cypresswalk.net.counters import Counters
+from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.lifecycle import Lifecycle, Phase
+from cypresswalk.net.logs import event
+from cypresswalk.net.metrics import Metrics
+from cypresswalk.net.parsers.admin_commands import AdminCommand, error_reply
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.ports import Extensions
+
+log = logging.getLogger(__name__)
+
+OK_REPLY = b"OK\r\n"
+
+
+class OperatorCommands:
+    """Runs commands in the deciding thread. An OK is sent once the command holds."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        endpoints: EndpointBook,
+        lifecycle: Lifecycle,
+        extensions: Extensions,
+        metrics: Metrics,
+        counters: Counters,
+        recall_attempts: Callable[[int, Callable[[Server], bool]], None],
+    ):
+        """`recall_attempts` has attempts that sent nothing yet go to other servers."""
+        self.balancer = balancer
+        self.endpoints = endpoints
+        self.lifecycle = lifecycle
+        self.extensions = extensions
+        self.metrics = metrics
+        self.counters = counters
+        self.recall_attempts = recall_attempts
+
+    def on_command(self, now: int, command: AdminCommand) -> None:
+        """A command has come. One that its caller has given up has no effect."""
+        if not command.begin():
+            return
+        self.counters.add("calls_" + command.name.replace("-", "_"))
+        if command.name == "vars":
+            command.answers.put(self.metrics.render(now))
+            return
+        fleet = self.extensions.fleet
+        if fleet is not None and fleet.takes(now, command):
+            return
+        self.run(now, command)
+
+    def run(self, now: int, command: AdminCommand) -> None:
+        """Applies a command here and at the process beside this one, and replies."""
+        reason = self.apply(now, command)
+        handover = self.extensions.handover
+        if (
+            command.name == "check"
+            or handover is None
+            or not handover.forward(now, command, reason)
+        ):
+            self.reply(command, reason)
+
+    def reply(self, command: AdminCommand, reason: str | None) -> None:
+        """OK, or the reason why not."""
+        if command.name != "check":
+            log.info(
+                event("call", call=command.name, server=command.server, refused=reason or "no")
+            )
+        command.answers.put(error_reply(reason) if reason else OK_REPLY)
+
+    def apply(
+        self, now: int, command: AdminCommand, forwarded: bool = False, known: bool = False
+    ) -> str | None:
+        """Has a command take effect here; returns why it did not, or None.
+
+        Args:
+            now: the time.
+            command: its name and server.
+            forwarded: it was sent to the process beside this one, which replies for both.
+            known: the other process's list names the server.
+        """
+        match command.name:
+            case "check":
+                return self._check()
+            case "set-down-here" | "set-up-here" | "drain-on-here" if self.extensions.fleet is None:
+                return "balancers agree on nothing here; set-down and set-up are this one's alone"
+            case "drain-on" | "drain-on-here" | "drain-off":
+                return self._set_drained(now, command.name != "drain-off", forwarded)
+            case "set-down" | "set-down-here":
+                return self._set_in_rotation(now, command.server, False, known)
+            case "set-up" | "set-up-here":
+                return self._set_in_rotation(now, command.server, True, known)
+        return None
+
+    def _check(self) -> str | None:
+        """Why a flow that came now would not be placed."""
+        lifecycle, handover = self.lifecycle, self.extensions.handover
+        informed = (
+            lifecycle.phase is Phase.STARTING
+            and handover is not None
+            and handover.state_received
+            and not lifecycle.drained
+        )
+        serves = informed or lifecycle.phase is Phase.SERVING
+        placeable = self.endpoints.count_placeable()
+        if serves and placeable and self.extensions.may_act():
+            return None
+        reason = f"{lifecycle.phase.value}, {placeable} servers to place flows on"
+        return reason if self.extensions.may_act() else reason + ", no lease of the fleet's"
+
+    def _set_drained(self, now: int, drained: bool, forwarded: bool) -> str | None:
+        lifecycle = self.lifecycle
+        if lifecycle.phase is Phase.LEAVING:
+            holds = forwarded or self.extensions.has_neighbour()
+            return None if holds else "this process is leaving"
+        if lifecycle.phase is Phase.STARTING:
+            lifecycle.drained = drained
+        elif drained:
+            lifecycle.drain(now)
+        else:
+            lifecycle.return_to_service()
+        return None
+
+    def _set_in_rotation(self, now: int, name: str, in_rotation: bool, known: bool) -> str | None:
+        number = server_number(name)
+        if number not in self.balancer.servers:
+            if not known:
+                return "no list has named that server"
+            # The other process knows it already; until this one's list names it, it is gone.
+            gone = Server(id=number, state=ServerState.GONE)
+            self.balancer.on_endpoints(now, EndpointUpdate.DELTA, [gone])
+        server = self.balancer.servers[number]
+        if in_rotation:
+            self.balancer.return_to_rotation(now, server)
+            self.lifecycle.update_readiness()
+        else:
+            self.balancer.remove_from_rotation(now, server)
+            self.lifecycle.update_readiness()
+            self.recall_attempts(now, lambda other: other is server)
+        return None
--- a/cypresswalk/net/parsers/admin_commands.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -71,3 +71,8 @@
         raise ProtocolError(
             "no such call; there are check, vars, set-down ID, set-up ID, drain-on and drain-off"
         )
+
+
+def error_reply(reason: str) -> bytes:
+    """The reply that refuses a command."""
+    return b"ERR " + reason.encode() + b"\r\n"
--- a/cypresswalk/net/peers.py
+++ b/cypresswalk/net/peers.py
@@ -54,4 +54,4 @@
                 log.debug(event("hint_lost", why=error))
                 time.sleep(self.limits.accept_pause / SECOND)
                 continue
-            self.inbox.post(self.core.hint, message)
+            self.inbox.post(self.core.on_gossip, message)
--- a/cypresswalk/net/probes.py
+++ b/cypresswalk/net/probes.py
@@ -26,7 +26,7 @@
         try:
             start_thread(lambda: self.wait(server, address))
         except RuntimeError:
-            self.inbox.post(self.core.probed, server, False, [])
+            self.inbox.post(self.core.on_health_check_result, server, False, [])
 
     def end(self) -> None:
         """Another process probes from now on."""
@@ -65,7 +65,7 @@
             passed = False
         finally:
             # Whatever went wrong, the module hears: a probe without an end would be the last of its server.
-            self.inbox.post(self.core.probed, server, passed, load)
+            self.inbox.post(self.core.on_health_check_result, server, passed, load)
             with self.using:
                 if passed and len(self.kept) < self.limits.kept_probes:
                     self.kept[server] = address, sock
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -7,12 +7,13 @@
 
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.config import Address
-from cypresswalk.net.core import Attempt, Core
+from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.link import Link, dial, pass_end_on
 from cypresswalk.net.parsers.lines import LineParser, ProtocolError
 from cypresswalk.net.parsers.load_reports import Told, load_number
+from cypresswalk.net.session import Attempt
 
 FIRST = {
     b"BUSY": Outcome.FULL,
@@ -33,7 +34,7 @@
 
     def __init__(
         self,
-        leg: Attempt,
+        attempt: Attempt,
         address: Address,
         line: bytes,
         core: Core,
@@ -42,9 +43,9 @@
         places: Semaphore,
     ):
         self.places = places  # how many may be connected or dialing at once
-        self.leg, self.address, self.opening = leg, address, line
+        self.attempt, self.address, self.opening = attempt, address, line
         self.core, self.inbox, self.limits = core, inbox, limits
-        self.client, self.told = leg.session.link, Told()
+        self.client, self.told = attempt.session.client, Told()
         self.lines = LineParser(limits.line)
         self.link: Link | None = None
         self.sending = (
@@ -78,7 +79,7 @@
             elif not UP.fullmatch(first):
                 self.end(FIRST.get(first.partition(b" ")[0], Outcome.ERROR))
             else:
-                self.inbox.post(self.core.up, self.leg)
+                self.inbox.post(self.core.on_established, self.attempt)
                 self.verdict.acquire()
                 if not self.dropped:
                     self.serve(first)
@@ -91,13 +92,13 @@
             self.link.close()
 
     def end(self, outcome: Outcome) -> None:
-        self.inbox.post(self.core.ended, self.leg, outcome)
+        self.inbox.post(self.core.on_attempt_ended, self.attempt, outcome)
 
     def client_gone(self) -> bool:
         """Its word to the deciding thread may still be on its way: guards servers against flows that nobody waits for."""
         if not self.client.gone():
             return False
-        self.inbox.post(self.core.left, self.leg.session)
+        self.inbox.post(self.core.on_client_left, self.attempt.session)
         return True
 
     def dial(self) -> socket.socket | None:
@@ -111,7 +112,7 @@
             # Short of what this machine has: no word on the server.
             self.end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
             return None
-        self.leg.gauge.set_up(self.inbox.clock() - began)
+        self.attempt.delay_gauge.on_setup(self.inbox.clock() - began)
         return sock
 
     def send_opening(self) -> bool:
@@ -121,7 +122,7 @@
             if self.dropped:
                 return False
             # A dial takes its time: the window of a flow that may have run binds when the line goes out.
-            if late := self.inbox.clock() >= self.leg.latest:
+            if late := self.inbox.clock() >= self.attempt.send_deadline:
                 self.dropped = True
             else:
                 self.sent = True
@@ -170,7 +171,7 @@
             self.end(FIRST.get(last.rstrip(b"\r\n").rpartition(b"\n")[2], Outcome.RESET))
         else:
             # Guards a sound server against being blamed for its client's end, which comes back from here as a reset.
-            self.inbox.post(self.core.left, self.leg.session)
+            self.inbox.post(self.core.on_client_left, self.attempt.session)
         self.link.done.set()
         pass_end_on(reset, self.client.link, self.limits)
 
@@ -185,8 +186,8 @@
     # What lines say of the server.
 
     def asked(self, data: bytes) -> None:
-        if not self.leg.asked_at:
-            self.leg.asked_at = self.inbox.clock()
+        if not self.attempt.unanswered_since:
+            self.attempt.unanswered_since = self.inbox.clock()
         self.link.send(data)
 
     def answered(self, data: bytes) -> None:
@@ -197,16 +198,19 @@
             told = [line for line in lines if load_number(line) is not None]
             echoed = len(told) < len(lines)
             for line in told:
-                self.tell(self.core.notes.delay(self.told, now, line))
-        if echoed and self.leg.asked_at:
-            took, gauge = now - self.leg.asked_at, self.leg.gauge
-            gauge.answered, self.leg.asked_at = max(gauge.answered, self.leg.asked_at), 0
-            if not self.core.notes.delays:
-                self.tell(self.leg.gauge.worth_telling(now, took))
+                self.tell(self.core.load_reports.delay(self.told, now, line))
+        if echoed and self.attempt.unanswered_since:
+            took, gauge = now - self.attempt.unanswered_since, self.attempt.delay_gauge
+            gauge.latest_answered, self.attempt.unanswered_since = (
+                max(gauge.latest_answered, self.attempt.unanswered_since),
+                0,
+            )
+            if not self.core.load_reports.delays:
+                self.tell(self.attempt.delay_gauge.delay_to_report(now, took))
 
     def tell(self, delay: int | None) -> None:
         if delay is not None:
-            self.inbox.post(self.core.delayed, self.leg.server, delay)
+            self.inbox.post(self.core.on_message_delay, self.attempt.server, delay)
 
     # For the deciding thread.
 
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresswalk.net.core import Phase
+from cypresswalk.net.lifecycle import Phase
 
 log = logging.getLogger(__name__)
 LOOK = 0.5  # seconds between two looks at the release
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -16,7 +16,7 @@
 from cypresswalk.net.clients import Listener
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import Address, Config, ConfigError, discovery_anew, load
-from cypresswalk.net.core import Attempt, Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import Watch
 from cypresswalk.net.inbox import Inbox, start_thread
@@ -26,6 +26,7 @@
 from cypresswalk.net.peers import Peers
 from cypresswalk.net.probes import Prober
 from cypresswalk.net.servers import ServerLink
+from cypresswalk.net.session import Attempt, Session
 
 log = logging.getLogger(__name__)
 # The interpreter's own is 5 ms. Measured on two cores: while 300 clients came at once, the echo of a standing one's
@@ -48,7 +49,7 @@
             _, entries = registry.decode(config.known)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
-        self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
+        self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
         asked = config.settings.list_polled
         self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
         self.places = threading.Semaphore(self.limits.flows + self.limits.links_over)
@@ -91,7 +92,7 @@
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
         self.elder = self.beside.meet()
-        self.core.side = Handover(self.core, self, self.elder)
+        self.core.extensions.handover = Handover(self.core, self, self.elder)
         return (
             [socket.socket(fileno=number) for number in self.elder.descriptors]
             if self.elder
@@ -128,7 +129,7 @@
         if self.binding is not None:
             self.binding.fleet.start()
         if self.admin is not None and self.elder is not None:
-            self.elder.start(self.core.side)
+            self.elder.start(self.core.extensions.handover)
         else:
             self.accept()
         start_thread(self.watch.run, pause, self.limits.list_stack)
@@ -138,9 +139,9 @@
             self.keeper.start()
         queue, calls, core, last = self.inbox.queue, self.inbox.calls, self.core, self.clock()
         while not self.over():
-            due = core.next_due()
+            due = core.timers.next_due()
             wait = SECOND if due is None else due - self.clock()
-            if core.stopped:
+            if core.lifecycle.stopped:
                 wait = min(wait, self.limits.leave_tick)
             try:
                 item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
@@ -159,15 +160,15 @@
             except Empty:
                 pass
             last = max(last, self.clock())
-            self.guarded(core.pass_time, last)
-            self.guarded(core.pull, last)
+            self.guarded(core.timers.run_due, last)
+            self.guarded(core.carry_out_decisions, last)
         if self.keeper is not None:
             self.guarded(self.keeper.finish, self.clock())
 
     def over(self) -> bool:
         """Whether nothing is owed any more: flows are answered, the door is shut, and whoever was told something has gone or
         had time to read it. Guards clients that come in the last moments against being taken and never answered."""
-        if not self.core.stopped:
+        if not self.core.lifecycle.stopped:
             return False
         self.ends_at = self.ends_at or self.clock() + self.limits.leave_end
         if self.listener.closed:
@@ -191,7 +192,7 @@
     def stop(self, now: int) -> None:
         if self.binding is not None:
             self.binding.fleet.leave()
-        self.core.stop(now)
+        self.core.lifecycle.stop(now)
 
     def reload(self, now: int) -> None:
         self.reloads += 1
@@ -206,7 +207,9 @@
             discovery = discovery_anew(self.path)
         except ConfigError as error:
             if now < until:
-                self.core.at(now + self.limits.list_retry, self.reload_until, number, until)
+                self.core.timers.schedule(
+                    now + self.limits.list_retry, self.reload_until, number, until
+                )
             else:
                 log.error(event("reload_failed", why=error))
             return
@@ -243,7 +246,7 @@
             self.peers.reading = True
             start_thread(self.peers.run, self.limits.fault_pause)
         if self.beside is not None:
-            self.beside.wait(self.core.side)
+            self.beside.wait(self.core.extensions.handover)
 
     def stop_accepting(self) -> None:
         self.listener.taking = False
@@ -264,35 +267,37 @@
 
     # What the core asks for.
 
-    def connect(self, leg: Attempt, address: Address, line: bytes) -> None:
-        leg.link = ServerLink(leg, address, line, self.core, self.inbox, self.limits, self.places)
+    def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
+        attempt.connection = ServerLink(
+            attempt, address, line, self.core, self.inbox, self.limits, self.places
+        )
         try:
-            start_thread(leg.link.run)
+            start_thread(attempt.connection.run)
         except RuntimeError as error:
             log.error(event("connect_not_started", why=error))
-            self.inbox.post(self.core.ended, leg, Outcome.CONNECT_FAILED)
+            self.inbox.post(self.core.on_attempt_ended, attempt, Outcome.CONNECT_FAILED)
 
-    def join(self, leg: Attempt) -> None:
-        leg.link.join()
+    def join(self, attempt: Attempt) -> None:
+        attempt.connection.join()
 
-    def drop(self, leg: Attempt) -> None:
-        leg.link.drop()
+    def drop(self, attempt: Attempt) -> None:
+        attempt.connection.drop()
 
-    def recall(self, leg: Attempt) -> bool:
-        return leg.link.recall()
+    def recall(self, attempt: Attempt) -> bool:
+        return attempt.connection.recall()
 
     def close_door(self, at: int) -> None:
         self.listener.ends_at = at
 
     def answer(self, session: Session, line: bytes) -> None:
-        session.link.link.send_now(line)
-        session.link.link.shut(socket.SHUT_WR)
+        session.client.link.send_now(line)
+        session.client.link.shut(socket.SHUT_WR)
 
     def close(self, session: Session) -> None:
-        session.link.link.shut(socket.SHUT_RDWR)
+        session.client.link.shut(socket.SHUT_RDWR)
 
     def move(self, session: Session) -> None:
-        session.leg.link.move()
+        session.attempt.connection.move()
 
     def probe(self, server: Server, address: Address) -> None:
         self.prober.probe(server, address)
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -88,7 +88,7 @@
         believed = set(found)
         self.ids.extend((ident, at) for ident, at in kept.ids if ident in believed)
         for ident in found[-self.core.limits.ids :]:
-            self.core.seen[ident] = None
+            self.core.seen_ids[ident] = None
         log.info(
             event(
                 "state_recovered",
@@ -226,7 +226,7 @@
         """Those that came since the last time, the newest first in the core's table."""
         last = self.ids[-1][0] if self.ids else None
         new = []
-        for ident in islice(reversed(self.core.seen), IDS_CHUNK):
+        for ident in islice(reversed(self.core.seen_ids), IDS_CHUNK):
             if ident == last:
                 break
             new.append(ident)
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -15,11 +15,12 @@
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.model import EndpointUpdate, Outcome, ServerState
 from cypresswalk.net.config import build
-from cypresswalk.net.core import Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 from cypresswalk.net.parsers.lines import parse_open_request
+from cypresswalk.net.session import Session
 from cypresswalk.operator import FleetTable
 
 
@@ -27,8 +28,8 @@
     def __init__(self):
         self.connects, self.answers = [], []
 
-    def connect(self, leg, address, line):
-        self.connects.append((leg, address))
+    def connect(self, attempt, address, line):
+        self.connects.append((attempt, address))
 
     def answer(self, session, line):
         self.answers.append(line)
@@ -48,7 +49,7 @@
         self.core = Core(config, self.drivers, Counters(), self.now)
         self.registry = EndpointListDecoder(config.zones)
         _, known = self.registry.decode(config.known)
-        self.core.listed(self.now, EndpointUpdate.CACHED, known)
+        self.core.on_endpoints(self.now, EndpointUpdate.CACHED, known)
         table = FleetTable(
             fleet="f",
             name="n0",
@@ -63,13 +64,13 @@
         self.binding.fleet.told_list = lambda *what: self.told.append(what)
         self.binding.fleet.started.set()
         self.may_act = True
-        self.core.lease = lambda: self.may_act
+        self.core.extensions.holds_lease = lambda: self.may_act
 
     def list(self, generation, *entries, reset=False):
         form, found = self.registry.decode(
             {"generation": generation, "reset": reset, "instances": list(entries)}
         )
-        self.core.listed(self.now, form, found)
+        self.core.on_endpoints(self.now, form, found)
 
     def view(self, version, **changes):
         fields = dict(settings_version=0, settings={}, out=(), list_version=0, servers=())
@@ -80,14 +81,14 @@
 
     def open(self, ident, kind="view", **more):
         session = Session(None)
-        self.core.opened(
+        self.core.on_open(
             self.now,
             session,
             parse_open_request(
                 f"OPEN {ident} {ident.encode().hex()} c={kind},t=north,d=900".encode()
             ),
         )
-        self.core.pull(self.now)
+        self.core.carry_out_decisions(self.now)
         return session
 
 
@@ -131,12 +132,12 @@
     bound.view(4, settings_version=4, settings=params)
     assert acted == [4] and list(bound.core.service_types) == ["chat"]
     # A customer keeps its number: flows that stand are counted by it.
-    assert bound.core.customers == {"north": 0, "south": 1, "west": 2}
+    assert bound.core.tenants == {"north": 0, "south": 1, "west": 2}
     assert (
         first.flow.service_type.setup_latency_objective == 300_000_000
         and bound.open("a2", "chat").flow.service_type.setup_latency_objective == 200_000_000
     )
-    assert bound.open("a3", "book").flow is None and bound.drivers.answers[-1] == b"ERR\r\n"
+    assert not bound.open("a3", "book").has_flow and bound.drivers.answers[-1] == b"ERR\r\n"
     bound.view(
         5, settings_version=5, settings=params | {"limits": params["limits"] | {"dialTimeout": 1.0}}
     )
@@ -168,19 +169,21 @@
     assert len(bound.drivers.connects) == 1
     bound.may_act = False
     assert (
-        bound.open("b2").over
+        bound.open("b2").finished
         and bound.drivers.answers == [b"BUSY\r\n"]
         and len(bound.drivers.connects) == 1
     )
     # One that is chosen a server again after the lease has ended goes nowhere.
-    leg = bound.drivers.connects[0][0]
-    bound.core.ended(bound.now, leg, Outcome.FULL)
+    attempt = bound.drivers.connects[0][0]
+    bound.core.on_attempt_ended(bound.now, attempt, Outcome.FULL)
     for _ in range(50):
         bound.now += 20_000_000
-        bound.core.pass_time(bound.now)
-        bound.core.pull(bound.now)
+        bound.core.timers.run_due(bound.now)
+        bound.core.carry_out_decisions(bound.now)
     assert (
-        held.over and len(bound.drivers.connects) == 1 and bound.drivers.answers[-1] == b"BUSY\r\n"
+        held.finished
+        and len(bound.drivers.connects) == 1
+        and bound.drivers.answers[-1] == b"BUSY\r\n"
     )
     assert bound.core.counters.counts["flows_without_lease"] >= 1 and not bound.core.sessions
 
@@ -190,7 +193,7 @@
     calls = []
     bound.binding.fleet.call = lambda name, args, reply, span: calls.append((name, args, reply))
     call = AdminCommand("set-down-here", "s-1")
-    bound.core.called(bound.now, call)
+    bound.core.commands.on_command(bound.now, call)
     assert call.answers.get_nowait() == b"OK\r\n" and calls[0][0] == "note"
     bound.view(1, out=("s-1", "s-2"))
     bound.view(2, out=())
@@ -199,7 +202,7 @@
     }
     assert barred == {"s-1": True, "s-2": False}
     call = AdminCommand("set-down", "s-2")
-    bound.core.called(bound.now, call)
+    bound.core.commands.on_command(bound.now, call)
     assert call.answers.empty()  # the yes comes after the fleet's
     calls[-1][2](True, {"version": 3})
     answer, *words = bound.posted[-1]
@@ -209,7 +212,7 @@
         and bound.core.balancer.servers[server_number("s-2")].barred
     )
     call = AdminCommand("set-down", "s-1")
-    bound.core.called(bound.now, call)
+    bound.core.commands.on_command(bound.now, call)
     calls[-1][2](False, {"why": "nobody answered", "unsure": True})
     answer, *words = bound.posted[-1]
     answer(bound.now, *words)
@@ -263,7 +266,7 @@
     reply(ReservationAnswer(kind, "n9#1/1.1", how), "n0#1/1.1")
     call, *words = bound.posted.pop()
     call(bound.now, *words)
-    bound.core.pull(bound.now)
+    bound.core.carry_out_decisions(bound.now)
 
 
 def test_a_flow_that_must_not_run_twice_waits_for_its_claim_and_others_do_not(tmp_path):
@@ -271,15 +274,15 @@
     bound.open("r1")
     assert len(bound.drivers.connects) == 1 and not bound.claims  # a repeatable one pays nothing
     session = bound.open("o1", "book")
-    assert len(bound.drivers.connects) == 1 and len(bound.core.claims.waiting) == 1
+    assert len(bound.drivers.connects) == 1 and len(bound.core.extensions.reservations.waiting) == 1
     what, ident, held, until, _ = bound.claims[0]
     kind = session.flow.service_type
     assert what == "claim" and len(ident) == 16 and held >= kind.idempotency_window
     assert until - bound.binding.fleet.now() <= kind.setup_latency_objective // 2
     answer(bound, "granted")
     assert len(bound.drivers.connects) == 2
-    leg = bound.drivers.connects[-1][0]
-    bound.core.up(bound.now, leg)
+    attempt = bound.drivers.connects[-1][0]
+    bound.core.on_established(bound.now, attempt)
     assert bound.claims[1] == ("finish", ident, "n0#1/1.1", "ran")
 
 
@@ -308,19 +311,19 @@
     assert (
         bound.drivers.answers == [line]
         and not bound.drivers.connects
-        and not bound.core.claims.waiting
+        and not bound.core.extensions.reservations.waiting
     )
 
 
 def test_a_client_that_leaves_while_its_claim_is_out_has_it_ended_as_never(tmp_path):
     bound = claimed(tmp_path)
     session = bound.open("o1", "book")
-    bound.core.left(bound.now, session)
+    bound.core.on_client_left(bound.now, session)
     answer(bound, "granted")
     assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
     session = bound.open("o2", "book")
     answer(bound, "granted", which=2)
-    bound.core.left(bound.now, session)  # its connect is out: nobody knows
+    bound.core.on_client_left(bound.now, session)  # its connect is out: nobody knows
     assert bound.claims[3][0::3] == ("finish", "unknown")
 
 
@@ -328,19 +331,19 @@
     tmp_path,
 ):
     bound = claimed(tmp_path)
-    bound.core.stop(bound.now)
+    bound.core.lifecycle.stop(bound.now)
     session = bound.open("o1", "book")
     bound.now += session.flow.service_type.setup_latency_objective // 4
-    bound.core.pass_time(bound.now)
-    assert not bound.drivers.answers and not bound.core.stopped
+    bound.core.timers.run_due(bound.now)
+    assert not bound.drivers.answers and not bound.core.lifecycle.stopped
     bound.now += session.flow.service_type.setup_latency_objective // 2
-    bound.core.pass_time(bound.now)
+    bound.core.timers.run_due(bound.now)
     assert bound.drivers.answers == [b"BUSY\r\n"]
     answer(bound, "granted")  # after all: nothing is sent, and its end is told
     assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
     bound.now += 10 * 10**9
-    bound.core.pass_time(bound.now)
-    assert bound.core.stopped
+    bound.core.timers.run_due(bound.now)
+    assert bound.core.lifecycle.stopped
 
 
 def test_one_that_was_drained_stays_so_over_a_restart_or_a_lost_machine_until_it_is_called_back(
@@ -348,17 +351,17 @@
 ):
     bound = Bound(tmp_path, listed("s-1"))
     bound.view(7, away=("n0", "n2"))
-    assert bound.core.drained and not bound.core.ready
+    assert bound.core.lifecycle.drained and not bound.core.lifecycle.ready
     bound.binding.fleet.call = lambda name, args, reply, span: bound.told.append(
         (name, args["why"])
     )
-    bound.core.called(bound.now, AdminCommand("drain-off"))
+    bound.core.commands.on_command(bound.now, AdminCommand("drain-off"))
     assert bound.told[-1] == ("go_out", "called back")
     bound.view(8, away=("n0",))  # word of it that is older than the call
-    assert not bound.core.drained and bound.core.ready
+    assert not bound.core.lifecycle.drained and bound.core.lifecycle.ready
     other = Bound(tmp_path, listed("s-1"))
     other.view(7, away=("n2",))
-    assert not other.core.drained
+    assert not other.core.lifecycle.drained
 
 
 def test_one_in_a_lost_balancers_place_counts_cold_budgets_as_spent_for_their_window(tmp_path):
@@ -382,29 +385,33 @@
     say = bound.binding.of_servers
     assert say() == ServerReport([], {}, {})
     for _ in range(3):
-        bound.core.probed(bound.now, server, False, [])
+        bound.core.on_health_check_result(bound.now, server, False, [])
     assert say().bad == ["s-1"]
     bound.view(1, out=("s-1",), watch=True)
     assert say().bad == ["s-1"]  # out by hand or not
     bound.view(2, watch=True)
-    bound.core.probed(bound.now, server, True, [])
+    bound.core.on_health_check_result(bound.now, server, True, [])
     assert say().bad == []
     sessions = [bound.open(f"a{i}") for i in range(12)]
-    at = {session: leg.server for leg, _ in bound.drivers.connects for session in [leg.session]}
+    at = {
+        session: attempt.server
+        for attempt, _ in bound.drivers.connects
+        for session in [attempt.session]
+    }
     for i, session in enumerate(sessions):
         if session in at:
-            bound.core.up(bound.now + 2_000_000, session.leg) if i % 4 else bound.core.ended(
-                bound.now, session.leg, Outcome.TIMEOUT
-            )
+            bound.core.on_established(
+                bound.now + 2_000_000, session.attempt
+            ) if i % 4 else bound.core.on_attempt_ended(bound.now, session.attempt, Outcome.TIMEOUT)
     told = say().served
     assert (
         set(told) <= {"s-1", "s-2"}
-        and sum(up for up, *_ in told.values()) == sum(s.standing for s in sessions) > 4
+        and sum(up for up, *_ in told.values()) == sum(s.established for s in sessions) > 4
     )
     failed = sum(session in at for session in sessions[::4])
     assert sum(fell for _, _, fell, _ in told.values()) == failed > 1 and all(
         took == up * 2_000_000 for up, _, _, took in told.values()
     )
-    standing = sum(s.standing and at[s] is server for s in sessions)
+    standing = sum(s.established and at[s] is server for s in sessions)
     bound.view(3, out=("s-1",))
     assert say() == ServerReport(say().bad, {"s-1": standing} if standing else {}, {})
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,7 +8,7 @@
 from test_net import CUTS, SEEDED, Bench, pieces
 
 from cypresswalk.model import SECOND, EndpointUpdate, Outcome
-from cypresswalk.net.core import Phase
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.parsers.admin_commands import AdminCommand, AdminCommandParser
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.lines import ProtocolError
@@ -60,24 +60,24 @@
 def test_a_call_that_its_caller_gave_up_has_no_effect():
     bench, call = Bench(), AdminCommand("drain-on")
     assert call.wait(1) is None
-    bench.tell(bench.core.called, call)
-    assert bench.core.ready and call.answers.empty()
+    bench.tell(bench.core.commands.on_command, call)
+    assert bench.core.lifecycle.ready and call.answers.empty()
 
 
 def ask(bench, name, server="") -> str:
     call = AdminCommand(name, server)
-    bench.tell(bench.core.called, call)
+    bench.tell(bench.core.commands.on_command, call)
     return call.answers.get_nowait().decode().split()[0]
 
 
 def stand(bench, count, first=0):
-    legs = []
+    attempts = []
     for number in range(first, first + count):
         session = bench.open(number)
         if session in bench.sockets.out:
-            legs.append(bench.sockets.out[session])
-            bench.tell(bench.core.up, legs[-1])
-    return legs
+            attempts.append(bench.sockets.out[session])
+            bench.tell(bench.core.on_established, attempts[-1])
+    return attempts
 
 
 def test_a_server_out_by_hand_gets_nothing_whatever_the_list_says_until_it_is_put_back():
@@ -97,18 +97,20 @@
             for i, state in enumerate(states)
         ]
         bench.tell(
-            bench.core.listed,
+            bench.core.on_endpoints,
             *bench.registry.decode({"generation": 2, "reset": True, "instances": told}),
         )
         for server in list(bench.sockets.probes):
             bench.sockets.probes.remove(server)
-            bench.tell(bench.core.probed, server, True, [])
-        assert away not in [leg.server for leg in stand(bench, 12, first=len(bench.sockets.legs))]
+            bench.tell(bench.core.on_health_check_result, server, True, [])
+        assert away not in [
+            attempt.server for attempt in stand(bench, 12, first=len(bench.sockets.attempts))
+        ]
         bench.pass_time(SECOND)
     assert ask(bench, "set-up", "s-1") == "OK"
     bench.pass_time(SECOND // 10)
     assert away in bench.sockets.probes  # at once, not when its turn comes
-    bench.tell(bench.core.probed, away, True, [])
+    bench.tell(bench.core.on_health_check_result, away, True, [])
     assert stand(bench, 1, first=100)[0].server is away
 
 
@@ -117,7 +119,7 @@
     assert {ask(bench, "set-down", f"s-{i}") for i in range(2)} == {"OK"} and ask(
         bench, "check"
     ) == "ERR"
-    assert bench.sockets.answers[bench.open(1)] == b"BUSY\r\n" and not bench.core.ready
+    assert bench.sockets.answers[bench.open(1)] == b"BUSY\r\n" and not bench.core.lifecycle.ready
     assert ask(bench, "set-up", "s-0") == "OK" and ask(bench, "check") == "OK"
 
 
@@ -127,12 +129,15 @@
     sessions = [bench.open(number) for number in range(6)]
     dialled = [bench.sockets.out[session] for session in sessions]
     server = dialled[0].server
-    there = [leg for leg in dialled if leg.server is server]
+    there = [attempt for attempt in dialled if attempt.server is server]
     bench.sockets.in_dial = {there[0]}
     assert len(there) > 1
     ask(bench, "set-down", next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == server.id))
     now = [bench.sockets.out[session] for session in sessions]
-    assert there[0] not in now and [leg for leg in now if leg.server is server] == there[1:]
+    assert (
+        there[0] not in now
+        and [attempt for attempt in now if attempt.server is server] == there[1:]
+    )
     assert not server.misses
 
 
@@ -170,7 +175,11 @@
 def test_drained_by_hand_all_are_moved_well_before_four_seconds_and_it_serves_again_when_called():
     bench = Bench()
     stand(bench, 10)
-    assert ask(bench, "drain-on") == "OK" and not bench.core.ready and ask(bench, "check") == "ERR"
+    assert (
+        ask(bench, "drain-on") == "OK"
+        and not bench.core.lifecycle.ready
+        and ask(bench, "check") == "ERR"
+    )
     bench.pass_time(SECOND * 3 // 10)
     assert not bench.sockets.moved
     late = stand(bench, 1, first=10)  # the front has not heard of the no yet
@@ -178,7 +187,11 @@
     bench.pass_time(SECOND * 6 // 10)
     assert 0 < len(bench.sockets.moved) < 9
     bench.pass_time(SECOND * 22 // 10)
-    assert len(bench.sockets.moved) == 11 and not bench.core.sessions and not bench.core.stopped
+    assert (
+        len(bench.sockets.moved) == 11
+        and not bench.core.sessions
+        and not bench.core.lifecycle.stopped
+    )
     assert bench.sockets.answers[bench.open(11)] == b"BUSY\r\n"
     assert ask(bench, "drain-off") == "OK" and ask(bench, "check") == "OK"
     assert stand(bench, 2, first=12)
@@ -196,22 +209,22 @@
     bench.pass_time(5 * SECOND)
     assert 0 < moved == len(bench.sockets.moved) < 10
     ask(bench, "drain-on")
-    bench.tell(bench.core.stop)
-    assert ask(bench, "drain-off") == "ERR" and bench.core.phase is Phase.LEAVING
+    bench.tell(bench.core.lifecycle.stop)
+    assert ask(bench, "drain-off") == "ERR" and bench.core.lifecycle.phase is Phase.LEAVING
     bench.pass_time(2 * SECOND)
-    assert len(bench.sockets.moved) == 10 and bench.core.stopped
+    assert len(bench.sockets.moved) == 10 and bench.core.lifecycle.stopped
 
 
 def test_each_connection_counts_once_under_its_end_and_classes_without_any_stand_at_none():
     bench = Bench(servers=2)
-    legs = stand(bench, 3)
-    bench.tell(bench.core.ended, legs[0], Outcome.OK)
+    attempts = stand(bench, 3)
+    bench.tell(bench.core.on_attempt_ended, attempts[0], Outcome.OK)
     once = bench.open(7, "c=book,t=north,d=900")
-    bench.tell(bench.core.ended, bench.sockets.out.pop(once), Outcome.ERROR)
+    bench.tell(bench.core.on_attempt_ended, bench.sockets.out.pop(once), Outcome.ERROR)
     bench.open(8, "c=none,t=north,d=900")
     ask(bench, "set-down", "s-0")
     call = AdminCommand("vars")
-    bench.tell(bench.core.called, call)
+    bench.tell(bench.core.commands.on_command, call)
     figures, end = call.answers.get_nowait().decode().split("\r\n")[:2]
     told = json.loads(figures)
     assert (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -201,7 +201,7 @@
         data = config_data([listed("s-0")])
         self.core = Core(build({}, data), None, Counters(), self.inbox.clock())
         registry = EndpointListDecoder(self.core.balancer.settings.zone and {} or {"a": 0, "b": 1})
-        self.core.listed(self.inbox.clock(), *registry.decode(data["known"]))
+        self.core.on_endpoints(self.inbox.clock(), *registry.decode(data["known"]))
         host, port = agent.address.split(":")
         self.watch = Watch((host, int(port)), registry, self.core, self.inbox, limits, asked)
 
@@ -315,7 +315,7 @@
 
     def list_says(lifecycle, older):
         bench.tell(
-            bench.core.listed,
+            bench.core.on_endpoints,
             *bench.registry.decode({"instances": [listed("s-0", lifecycle=lifecycle)]}),
             older,
         )
@@ -336,19 +336,19 @@
     # Guards against a first line after the grace: a dial may take longer than that.
     bench = Bench(servers=3)
     session = bench.open(1)
-    leg = bench.sockets.out[session]
+    attempt = bench.sockets.out[session]
     if order == "drain first":
-        bench.sockets.in_dial.add(leg)
-    name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == leg.server.id)
+        bench.sockets.in_dial.add(attempt)
+    name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == attempt.server.id)
     bench.tell(
-        bench.core.listed,
+        bench.core.on_endpoints,
         *bench.registry.decode({"instances": [listed(name, lifecycle="terminating")]}),
     )
     now_at = bench.sockets.out[session].server
     assert (
-        (now_at is not leg.server and now_at.state is ServerState.READY)
+        (now_at is not attempt.server and now_at.state is ServerState.READY)
         if order == "drain first"
-        else now_at is leg.server
+        else now_at is attempt.server
     )
 
 
@@ -452,7 +452,7 @@
     crossing.link.limits = replace(crossing.limits, dial=50 * MILLISECOND)
     assert crossing.link.places.acquire(blocking=False)
     crossing.run()
-    assert crossing.posted() == [("ended", Outcome.MOOT)] and not crossing.began.is_set()
+    assert crossing.posted() == [("on_attempt_ended", Outcome.MOOT)] and not crossing.began.is_set()
 
 
 # Clients that leave.
@@ -483,16 +483,16 @@
 
         monkeypatch.setattr(servers_module, "dial", held)
         session = self.client.session
-        session.opening = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
-        leg = type("Leg", (), {})()
-        leg.session, leg.latest, leg.gauge = (
+        session.request = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
+        attempt = type("Attempt", (), {})()
+        attempt.session, attempt.send_deadline, attempt.delay_gauge = (
             session,
             self.inbox.clock() + 60 * SECOND,
-            type("G", (), {"set_up": lambda *_: None})(),
+            type("G", (), {"on_setup": lambda *_: None})(),
         )
-        self.leg = leg
+        self.attempt = attempt
         self.link = ServerLink(
-            leg,
+            attempt,
             self.server.getsockname(),
             b"OPEN a1 7 c=view,t=north,d=900\r\n",
             self.core,
@@ -554,7 +554,7 @@
     leave(crossing.far)
     until_true(crossing.client.gone)
     crossing.go.set()
-    assert crossing.heard() == b"" and crossing.posted() == [("left",)]
+    assert crossing.heard() == b"" and crossing.posted() == [("on_client_left",)]
 
 
 def test_a_client_that_left_before_the_dial_costs_its_server_no_connection(monkeypatch):
@@ -562,7 +562,7 @@
     crossing.far.close()
     until_true(crossing.client.gone)
     crossing.run()
-    assert crossing.posted() == [("left",)] and not crossing.began.is_set()
+    assert crossing.posted() == [("on_client_left",)] and not crossing.began.is_set()
 
 
 def test_in_the_other_order_the_line_has_gone_out_whole(monkeypatch):
@@ -574,18 +574,18 @@
     assert sock.recv(4096) == crossing.link.opening
     crossing.far.close()
     sock.sendall(b"ERR\r\n")
-    assert crossing.posted() == [("ended", Outcome.ERROR)]
+    assert crossing.posted() == [("on_attempt_ended", Outcome.ERROR)]
 
 
 def test_a_window_that_ends_while_the_connect_dials_binds_when_the_line_would_go_out(monkeypatch):
     # Guards against a second effect: the servers' memory of the first connect has ended by then.
     crossing = Leaving(monkeypatch)
-    crossing.leg.latest = crossing.inbox.clock() + 20 * MILLISECOND
+    crossing.attempt.send_deadline = crossing.inbox.clock() + 20 * MILLISECOND
     crossing.run()
     assert crossing.began.wait(5)
-    until_true(lambda: crossing.inbox.clock() > crossing.leg.latest)
+    until_true(lambda: crossing.inbox.clock() > crossing.attempt.send_deadline)
     crossing.go.set()
-    assert crossing.heard() == b"" and crossing.posted() == [("ended", Outcome.MOOT)]
+    assert crossing.heard() == b"" and crossing.posted() == [("on_attempt_ended", Outcome.MOOT)]
     assert not crossing.link.recall()
 
 
@@ -633,7 +633,7 @@
     sock.recv(4096)
     sock.sendall(answer)
     sock.close()
-    assert crossing.posted() == [("ended", outcome)]
+    assert crossing.posted() == [("on_attempt_ended", outcome)]
 
 
 def test_decisions_go_on_while_a_server_reads_nothing(monkeypatch):
@@ -649,7 +649,7 @@
     crossing.link.drop()
     assert time.monotonic() - began < 1
     assert crossing.posted()[:1] == [
-        ("ended", Outcome.CONNECT_FAILED)
+        ("on_attempt_ended", Outcome.CONNECT_FAILED)
     ]  # its last byte never went out
     sock.close()
 
@@ -698,7 +698,7 @@
 
     monkeypatch.setattr(servers_module, "dial", short)
     crossing.run()
-    assert crossing.posted() == [("ended", Outcome.MOOT)]
+    assert crossing.posted() == [("on_attempt_ended", Outcome.MOOT)]
 
 
 # The stop.
@@ -765,7 +765,7 @@
     waiting = [here.open(f"a{i}", 4000) for i in range(1, 12)]
     resting = [here.connect() for _ in range(4)]
     here.stop()
-    until_true(lambda: here.program.core.stopped)
+    until_true(lambda: here.program.core.lifecycle.stopped)
     go.set()
     assert here.ended()
     for link in [first, *waiting]:
@@ -787,7 +787,7 @@
         pass
     waiting = [here.open(f"b{i}", 4000) for i in range(1, 9)]
     here.stop()
-    until_true(lambda: here.program.core.stopped)
+    until_true(lambda: here.program.core.lifecycle.stopped)
     go.set()
     assert here.ended()
     assert [link.hear() for link in waiting] == ["BUSY"] * 8 and first.hear() == "BUSY"
@@ -921,12 +921,15 @@
 def test_up_and_the_connect_timeout_in_one_turn_leave_one_answer(order):
     bench = Bench()
     session = bench.open(1)
-    leg = bench.sockets.out[session]
-    bench.now = leg.session.flow.deadline - (1 if order == "up first" else 0)
-    steps = [lambda: bench.core.up(bench.now, leg), lambda: bench.core.pass_time(bench.now)]
+    attempt = bench.sockets.out[session]
+    bench.now = attempt.session.flow.deadline - (1 if order == "up first" else 0)
+    steps = [
+        lambda: bench.core.on_established(bench.now, attempt),
+        lambda: bench.core.timers.run_due(bench.now),
+    ]
     for step in steps if order == "up first" else reversed(steps):
         step()
-    bench.now = leg.session.flow.deadline
+    bench.now = attempt.session.flow.deadline
     bench.step()
     assert bench.sockets.answers[session] == (b"UP" if order == "up first" else b"BUSY\r\n")
 
@@ -939,25 +942,27 @@
     for _ in range(60):
         events = []
 
-        def end(leg):
-            bench.sockets.drop(leg)
-            bench.core.ended(
-                bench.now, leg, chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED])
+        def end(attempt):
+            bench.sockets.drop(attempt)
+            bench.core.on_attempt_ended(
+                bench.now,
+                attempt,
+                chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]),
             )
 
-        for session, leg in list(bench.sockets.out.items()):
+        for session, attempt in list(bench.sockets.out.items()):
             events.append(
                 chance.choice(
                     [
-                        lambda leg=leg: bench.core.up(bench.now, leg),
-                        lambda leg=leg: end(leg),
-                        lambda session=session: bench.core.left(bench.now, session),
+                        lambda attempt=attempt: bench.core.on_established(bench.now, attempt),
+                        lambda attempt=attempt: end(attempt),
+                        lambda session=session: bench.core.on_client_left(bench.now, session),
                         lambda: None,
                     ]
                 )
             )
             if chance.random() < 0.5:
-                events.append(lambda session=session: bench.core.left(bench.now, session))
+                events.append(lambda session=session: bench.core.on_client_left(bench.now, session))
         chance.shuffle(events)
         bench.now += chance.randrange(100 * MILLISECOND)
         for act in events:
@@ -965,7 +970,7 @@
         bench.step()
     bench.pass_time(2 * SECOND)
     left = [session for session in sessions if session not in bench.sockets.answers]
-    assert all(session.over for session in left) and not bench.sockets.out
+    assert all(session.finished for session in left) and not bench.sockets.out
 
 
 def test_a_connect_that_never_came_up_by_its_time_is_known_not_to_have_run():
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -201,13 +201,15 @@
         if session in bench.sockets.out:
             sent.append(bench.sockets.line.decode())
             if number == 0x11:
-                bench.tell(bench.core.ended, bench.sockets.out.pop(session), Outcome.RESET)
+                bench.tell(
+                    bench.core.on_attempt_ended, bench.sockets.out.pop(session), Outcome.RESET
+                )
             else:
-                bench.tell(bench.core.up, bench.sockets.out[session])
+                bench.tell(bench.core.on_established, bench.sockets.out[session])
         answers.append(bench.sockets.answers[session].decode())
     server = bench.core.balancer.servers[server_number("s-1")]
     hints = [pack_hint(server, strain).hex() for strain in (0.0, 0.3, 1.0, 7.5, 1e9)]
-    figures = bench.core.figures.text(bench.now, bench.core).decode()
+    figures = bench.core.metrics.render(bench.now).decode()
     elder = Process()
     stand(elder, 4, 0)
     elder.core.balancer.on_gossip(elder.now, elder.core.balancer.servers[server_number("s-0")], 2.0)
@@ -219,7 +221,7 @@
     elder.call("set-up", "s-1")
     beside += younger.way.back.sent
     younger.settle()
-    elder.tell(elder.core.stop)
+    elder.tell(elder.core.lifecycle.stop)
     beside += younger.way.back.sent
     younger.settle()
     elder.pass_time(SECOND)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,10 +22,10 @@
 
 from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.clock import Clock
-from cypresswalk.net.core import Phase
 from cypresswalk.net.handover import VERSION, Handover, ReceivedState, messages
 from cypresswalk.net.handover_socket import HandoverSocket
 from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import server_number
 from cypresswalk.net.parsers.lines import ProtocolError
@@ -48,7 +48,7 @@
         while self.sent and done < most:
             message, done = json.loads(self.sent.pop(0)), done + 1
             if "welcome" not in message:  # read by the driver, before there is a core
-                self.to.tell(self.to.core.side.heard, self.back, message)
+                self.to.tell(self.to.core.extensions.handover.on_message, self.back, message)
         return done
 
 
@@ -79,10 +79,10 @@
         super().__init__(**more)
         self.door = Door(self, elder is None)
         self.way = Way(elder) if elder else None
-        self.core.side = Handover(self.core, self.door, self.way)
+        self.core.extensions.handover = Handover(self.core, self.door, self.way)
         if elder:
             self.now, self.way.back.to = elder.now, self
-            elder.tell(elder.core.side.hello, self.way.back)
+            elder.tell(elder.core.extensions.handover.on_hello, self.way.back)
 
     def settle(self):
         while self.way.carry() + self.way.back.carry():
@@ -90,11 +90,11 @@
 
     def part(self, ended: "Process"):
         """That process is killed: this one finds an end."""
-        self.tell(self.core.side.parted, self.core.side.other)
+        self.tell(self.core.extensions.handover.on_disconnected, self.core.extensions.handover.peer)
 
     def call(self, name, server="") -> AdminCommand:
         call = AdminCommand(name, server)
-        self.tell(self.core.called, call)
+        self.tell(self.core.commands.on_command, call)
         return call
 
 
@@ -114,12 +114,15 @@
     younger.settle()
     assert answer(younger.call("check")) == answer(elder.call("check")) == "OK"
     assert (elder.door.accepting, younger.door.accepting) == (True, False)
-    assert not younger.core.ready  # the clients' door is the elder's still
-    elder.tell(elder.core.stop)
+    assert not younger.core.lifecycle.ready  # the clients' door is the elder's still
+    elder.tell(elder.core.lifecycle.stop)
     assert elder.door.accepting  # until the younger has said that it accepts
     younger.settle()
-    assert (elder.door.accepting, younger.door.accepting) == (False, True) and younger.core.ready
-    assert elder.core.ready  # its address is served, whoever answers
+    assert (elder.door.accepting, younger.door.accepting) == (
+        False,
+        True,
+    ) and younger.core.lifecycle.ready
+    assert elder.core.lifecycle.ready  # its address is served, whoever answers
     here = younger.core.balancer.servers
     assert (
         here[away.id].barred
@@ -128,9 +131,9 @@
     )
     again = younger.open(3)  # an id that the elder has served
     assert younger.sockets.answers[again] == b"ERR\r\n"
-    assert away.id not in {leg.server.id for leg in stand(younger, 9, 20)}
+    assert away.id not in {attempt.server.id for attempt in stand(younger, 9, 20)}
     elder.pass_time(2 * SECOND)
-    assert elder.core.stopped and len(elder.sockets.moved) == 6
+    assert elder.core.lifecycle.stopped and len(elder.sockets.moved) == 6
 
 
 def test_what_both_hold_stays_within_what_one_may_hold():
@@ -139,7 +142,7 @@
     stand(elder, most, 0)
     younger = Process(elder, sockets=64)
     younger.settle()
-    elder.tell(elder.core.stop)
+    elder.tell(elder.core.lifecycle.stop)
     younger.settle()
     held = len(elder.core.sessions)
     assert len(stand(younger, 40, 100)) == most - held < most
@@ -149,7 +152,7 @@
         younger.settle()
         stand(younger, 3, 1000 + 3 * _)
         assert len(elder.core.sessions) + len(younger.core.sessions) <= most
-    assert elder.core.stopped and len(younger.core.sessions) == most
+    assert elder.core.lifecycle.stopped and len(younger.core.sessions) == most
 
 
 @pytest.mark.parametrize("caller", ["elder", "younger"])
@@ -159,7 +162,7 @@
     pair["younger"] = younger = Process(pair["elder"])
     younger.settle()
     if stopped:
-        pair["elder"].tell(pair["elder"].core.stop)
+        pair["elder"].tell(pair["elder"].core.lifecycle.stop)
         younger.settle()
     asked = [pair[caller].call("set-down", "s-1"), pair[caller].call("drain-on")]
     assert [answer(call) for call in asked] == [None, None]
@@ -167,14 +170,14 @@
     assert [answer(call) for call in asked] == ["OK", "OK"]
     for process in pair.values():
         assert process.core.balancer.servers[server_number("s-1")].barred and not (
-            process is younger and process.core.ready
+            process is younger and process.core.lifecycle.ready
         )
     unknown = pair[caller].call("set-down", "s-9")
     younger.settle()
     assert answer(unknown) == "ERR"
     # One that a single list names so far is known to both, and out at both.
     pair["elder"].tell(
-        pair["elder"].core.listed,
+        pair["elder"].core.on_endpoints,
         *pair["elder"].registry.decode({"generation": 2, "instances": [listed("s-7")]}),
     )
     known = pair[caller].call("set-down", "s-7")
@@ -201,7 +204,7 @@
     younger = Process(elder)
     younger.settle()
     elder.part(younger)  # before its yes: a further one may come
-    assert elder.door.accepting and elder.core.ready
+    assert elder.door.accepting and elder.core.lifecycle.ready
     second = Process(elder)
     second.settle()
     assert answer(elder.call("set-down", "s-2")) is None
@@ -209,13 +212,13 @@
     second.part(elder)  # killed before it was told to stop
     assert (
         second.door.accepting
-        and second.core.ready
+        and second.core.lifecycle.ready
         and second.core.balancer.servers[server_number("s-2")].barred
     )
     third = Process(second)  # a second upgrade right after the first
     third.settle()
     assert third.core.balancer.servers[server_number("s-2")].barred
-    second.tell(second.core.stop)
+    second.tell(second.core.lifecycle.stop)
     third.settle()
     second.part(third)  # the new one is killed: the old one takes clients for as long as it lives
     assert second.door.accepting
@@ -226,7 +229,7 @@
     younger = Process(elder)
     for process in (elder, younger):
         third = Way(process).back
-        process.tell(process.core.side.hello, third)
+        process.tell(process.core.extensions.handover.on_hello, third)
         assert "refused" in json.loads(third.sent[0]) and third.closed
 
 
@@ -235,12 +238,12 @@
     elder.call("drain-on")
     younger = Process(elder)
     younger.settle()
-    elder.tell(elder.core.stop)
+    elder.tell(elder.core.lifecycle.stop)
     younger.settle()
-    assert younger.core.phase is Phase.DRAINED and not younger.core.ready
+    assert younger.core.lifecycle.phase is Phase.DRAINED and not younger.core.lifecycle.ready
     assert answer(younger.call("drain-off")) is None
     younger.settle()
-    assert younger.core.ready
+    assert younger.core.lifecycle.ready
 
 
 def test_of_a_cold_budget_nothing_stays_behind():
@@ -249,10 +252,10 @@
     cold.since, cold.health = elder.now, 4
     younger = Process(elder)
     younger.settle()
-    elder.tell(elder.core.stop)
+    elder.tell(elder.core.lifecycle.stop)
     younger.settle()
     stand(elder, 40, 0)
-    assert not any(leg.server is cold for leg in elder.sockets.legs)
+    assert not any(attempt.server is cold for attempt in elder.sockets.attempts)
 
 
 def test_a_later_list_and_a_later_start_go_before_the_elder_s_word_and_an_older_list_after_it():
@@ -264,13 +267,13 @@
             listed("s-1", lifecycle="terminating"),
         ],
     }
-    elder.tell(elder.core.listed, *elder.registry.decode(gone))
+    elder.tell(elder.core.on_endpoints, *elder.registry.decode(gone))
     for version, states in (
         (4, (ServerState.GONE, ServerState.DRAINING)),
         (6, (ServerState.READY, ServerState.READY)),
     ):
         elder.door.version = 5
-        elder.core.side.other = None
+        elder.core.extensions.handover.peer = None
         younger = Process(elder)
         younger.door.version = version
         younger.settle()
@@ -324,7 +327,9 @@
         self.first, self.second, self.count, self.out = Process(sockets=140), None, 0, set()
 
     def living(self):
-        return [p for p in (self.first, self.second) if p is not None and not p.core.stopped]
+        return [
+            p for p in (self.first, self.second) if p is not None and not p.core.lifecycle.stopped
+        ]
 
     @rule()
     def upgrade(self):
@@ -340,7 +345,7 @@
     @rule()
     def stop(self):
         if answer(self.second.call("check")) == "OK":
-            self.first.tell(self.first.core.stop)
+            self.first.tell(self.first.core.lifecycle.stop)
 
     @rule(kind=st.sampled_from(["view", "book"]))
     def open(self, kind):
@@ -356,14 +361,14 @@
     )
     def end(self, which, outcome):
         for process in self.living():
-            legs = list(process.sockets.out.values())
-            if legs:
-                leg = legs[which % len(legs)]
+            attempts = list(process.sockets.out.values())
+            if attempts:
+                attempt = attempts[which % len(attempts)]
                 if outcome is None:
-                    process.tell(process.core.up, leg)
+                    process.tell(process.core.on_established, attempt)
                 else:
-                    process.sockets.drop(leg)
-                    process.tell(process.core.ended, leg, outcome)
+                    process.sockets.drop(attempt)
+                    process.tell(process.core.on_attempt_ended, attempt, outcome)
 
     @rule(out=st.booleans(), server=st.integers(0, 2), which=st.integers(0, 1))
     def hand(self, out, server, which):
@@ -382,7 +387,7 @@
     @rule()
     def check(self):
         for process in self.living():
-            informed = process is self.first or process.core.side.informed
+            informed = process is self.first or process.core.extensions.handover.state_received
             assert not informed or self.out == {
                 s.id for s in process.core.balancer.servers.values() if s.barred
             }
@@ -568,9 +573,9 @@
     looking.join(0.3)
     assert looking.is_alive()
     side = SimpleNamespace(
-        hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
-        heard=None,
-        parted=lambda now, other: None,
+        on_hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
+        on_message=None,
+        on_disconnected=lambda now, other: None,
     )
     first.wait(side)
     call, words = inboxes[0].calls.get(timeout=3)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,8 +13,9 @@
 
 from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.config import ConfigError, build, load
-from cypresswalk.net.core import Core, Gauge, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
+from cypresswalk.net.delay_gauge import DelayGauge
 from cypresswalk.net.inbox import start_thread
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.logs import Flood, event
@@ -25,6 +26,7 @@
 from cypresswalk.net.parsers.lines import LineParser, ProtocolError, parse_open_request
 from cypresswalk.net.parsers.load_reports import LoadReportParser, Told
 from cypresswalk.net.probes import load_report
+from cypresswalk.net.session import Session
 
 SEEDED = runs(derandomize=True, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 9), min_size=1, max_size=60)
@@ -194,10 +196,10 @@
 
 
 def test_echoes_tell_of_a_slow_server_once_a_second_and_once_when_it_is_over():
-    gauge = Gauge(None, enough=50, every=100)
-    gauge.set_up(10)
+    gauge = DelayGauge(None, threshold=50, interval=100)
+    gauge.on_setup(10)
     assert [
-        gauge.worth_telling(now, took)
+        gauge.delay_to_report(now, took)
         for now, took in [(0, 40), (1, 90), (2, 95), (101, 99), (102, 30), (103, 30)]
     ] == [None, 80, None, 89, 20, None]
 
@@ -298,30 +300,30 @@
 
     def __init__(self):
         self.out, self.passing, self.answers, self.moved = {}, {}, {}, set()
-        self.legs, self.probes, self.hints, self.asked = [], [], [], 0
+        self.attempts, self.probes, self.hints, self.asked = [], [], [], 0
         self.in_dial = set()  # nothing was written on these yet
 
-    def connect(self, leg, address, line):
-        session = leg.session
+    def connect(self, attempt, address, line):
+        session = attempt.session
         assert session not in self.answers and session not in self.out, "a connect too many"
-        assert leg.server.state is ServerState.READY or "at" in session.opening.values, (
+        assert attempt.server.state is ServerState.READY or "at" in session.request.values, (
             "a connect to a server that drains"
         )
-        assert not leg.server.barred, "a connect to a server out by hand"
-        self.out[session], self.line = leg, line
-        self.legs.append(leg)
+        assert not attempt.server.barred, "a connect to a server out by hand"
+        self.out[session], self.line = attempt, line
+        self.attempts.append(attempt)
 
-    def join(self, leg):
-        assert self.out.pop(leg.session) is leg, "an answer of a connect that was given up"
-        assert leg.session not in self.answers, "answered twice"
-        self.answers[leg.session], self.passing[leg.session] = b"UP", leg
+    def join(self, attempt):
+        assert self.out.pop(attempt.session) is attempt, "an answer of a connect that was given up"
+        assert attempt.session not in self.answers, "answered twice"
+        self.answers[attempt.session], self.passing[attempt.session] = b"UP", attempt
 
-    def drop(self, leg):
-        if self.out.get(leg.session) is leg:
-            del self.out[leg.session]
+    def drop(self, attempt):
+        if self.out.get(attempt.session) is attempt:
+            del self.out[attempt.session]
 
-    def recall(self, leg):
-        return leg in self.in_dial and self.out.pop(leg.session, None) is leg
+    def recall(self, attempt):
+        return attempt in self.in_dial and self.out.pop(attempt.session, None) is attempt
 
     def answer(self, session, line):
         assert session not in self.answers, "answered twice"
@@ -357,7 +359,7 @@
         config = build({}, data)
         self.registry = EndpointListDecoder(config.zones)
         self.core = Core(config, self.sockets, Counters(), self.now)
-        self.tell(self.core.listed, *self.registry.decode(data["known"]))
+        self.tell(self.core.on_endpoints, *self.registry.decode(data["known"]))
         self.due = {}
 
     def tell(self, call, *words):
@@ -365,20 +367,20 @@
         self.step()
 
     def step(self):
-        self.core.pass_time(self.now)
-        self.core.pull(self.now)
+        self.core.timers.run_due(self.now)
+        self.core.carry_out_decisions(self.now)
 
     def open(self, number, values="c=view,t=north,d=900"):
         session = Session(None)
         self.due[session] = self.now + 900 * SECOND // 1000
         self.tell(
-            self.core.opened, session, parse_open_request(f"OPEN {number:x} 5 {values}".encode())
+            self.core.on_open, session, parse_open_request(f"OPEN {number:x} 5 {values}".encode())
         )
         return session
 
     def pass_time(self, span):
         end = self.now + span
-        while (due := self.core.next_due()) is not None and due <= end:
+        while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(due, self.now)
             self.step()
         self.now = end
@@ -388,11 +390,11 @@
 def test_a_flow_is_established_and_its_end_is_told_once():
     bench = Bench()
     session = bench.open(1)
-    leg = bench.sockets.out[session]
+    attempt = bench.sockets.out[session]
     assert bench.sockets.line.startswith(b"OPEN 1 5 c=view,t=north,d=")
-    bench.tell(bench.core.up, leg)
-    bench.tell(bench.core.ended, leg, Outcome.OK)
-    bench.tell(bench.core.left, session)
+    bench.tell(bench.core.on_established, attempt)
+    bench.tell(bench.core.on_attempt_ended, attempt, Outcome.OK)
+    bench.tell(bench.core.on_client_left, session)
     assert (
         bench.sockets.answers[session] == b"UP"
         and not bench.core.sessions
@@ -405,11 +407,11 @@
     session = bench.open(1)
     late = bench.sockets.out[session]
     bench.pass_time(SECOND)
-    bench.tell(bench.core.up, late)
+    bench.tell(bench.core.on_established, late)
     assert bench.sockets.answers[session] == b"BUSY\r\n"
     session = bench.open(2)
     bench.now += SECOND  # it was in the queue when the time was up
-    bench.tell(bench.core.up, bench.sockets.out[session])
+    bench.tell(bench.core.on_established, bench.sockets.out[session])
     assert bench.sockets.answers[session] == b"BUSY\r\n"
 
 
@@ -434,11 +436,11 @@
     bench = Bench()
     session = bench.open(1, "c=view,t=north,d=99999,at=s-2")
     first = bench.sockets.out.pop(session)
-    bench.tell(bench.core.ended, first, Outcome.FULL)
+    bench.tell(bench.core.on_attempt_ended, first, Outcome.FULL)
     bench.pass_time(SECOND)
     second = bench.sockets.out[session]
     assert first.server.id == second.server.id == server_number("s-2")
-    bench.tell(bench.core.up, second)
+    bench.tell(bench.core.on_established, second)
     assert bench.sockets.answers[session] == b"UP" and second.server.flows
 
 
@@ -453,9 +455,9 @@
     # Guards against servers being asked, and blamed, for a flow that they know to be another's, open or ended.
     bench = Bench()
     first = bench.open(1)
-    bench.tell(bench.core.up, bench.sockets.out[first])
+    bench.tell(bench.core.on_established, bench.sockets.out[first])
     assert bench.sockets.answers[bench.open(1)] == b"ERR\r\n"
-    bench.tell(bench.core.left, first)
+    bench.tell(bench.core.on_client_left, first)
     again = bench.open(1)
     assert bench.sockets.answers[again] == b"ERR\r\n" and again not in bench.sockets.out
 
@@ -464,15 +466,15 @@
     # Guards against commands by the hundred, of which the first would be served.
     bench = Bench()
     session = bench.open(1)
-    leg = bench.sockets.out[session]
-    bench.tell(bench.core.impatient, session)
+    attempt = bench.sockets.out[session]
+    bench.tell(bench.core.on_early_client_data, session)
     assert (
         bench.sockets.answers[session] == b"ERR\r\n"
         and not bench.core.sessions
         and not bench.core.balancer.flows
     )
-    bench.tell(bench.core.up, leg)
-    bench.tell(bench.core.impatient, session)
+    bench.tell(bench.core.on_established, attempt)
+    bench.tell(bench.core.on_early_client_data, session)
     assert bench.sockets.answers[session] == b"ERR\r\n"
 
 
@@ -505,7 +507,7 @@
     def list_says(lifecycle, older, **more):
         entry = listed("s-0", lifecycle=lifecycle, **more)
         bench.tell(
-            bench.core.listed,
+            bench.core.on_endpoints,
             *bench.registry.decode({"generation": 9, "instances": [entry]}),
             older,
         )
@@ -531,9 +533,9 @@
     bench = Bench()
     for number in range(10):
         session = bench.open(number)
-        bench.tell(bench.core.up, bench.sockets.out[session])
+        bench.tell(bench.core.on_established, bench.sockets.out[session])
     waiting = bench.open(10)
-    bench.tell(bench.core.stop)
+    bench.tell(bench.core.lifecycle.stop)
     # A stop takes 1.3 s here. Guards against clients moved while the balancer before this one is away still.
     bench.pass_time(SECOND * 6 // 10)
     assert not bench.sockets.moved
@@ -546,18 +548,18 @@
         and waiting in bench.sockets.answers
         and late in bench.sockets.answers
     )
-    assert bench.core.stopped
+    assert bench.core.lifecycle.stopped
 
 
 def test_a_connection_on_which_nothing_comes_back_is_moved_within_seven_seconds_of_its_last_answer():
     bench = Bench()
     heard, silent = bench.open(1), bench.open(2)
     for session in (heard, silent):
-        bench.tell(bench.core.up, bench.sockets.out[session])
+        bench.tell(bench.core.on_established, bench.sockets.out[session])
     bench.pass_time(2 * SECOND)
-    silent.leg.asked_at = bench.now
+    silent.attempt.unanswered_since = bench.now
     for _ in range(9):
-        heard.leg.asked_at = bench.now
+        heard.attempt.unanswered_since = bench.now
         bench.pass_time(SECOND // 2)
     assert bench.sockets.moved == {silent}
 
@@ -567,19 +569,19 @@
     bench = Bench(servers=1)
     heard, silent = bench.open(1), bench.open(2)
     for session in (heard, silent):
-        bench.tell(bench.core.up, bench.sockets.out[session])
-    silent.leg.asked_at = bench.now
+        bench.tell(bench.core.on_established, bench.sockets.out[session])
+    silent.attempt.unanswered_since = bench.now
     bench.pass_time(SECOND // 2)
-    silent.leg.gauge.answered = bench.now  # to a line of the other
+    silent.attempt.delay_gauge.latest_answered = bench.now  # to a line of the other
     bench.pass_time(SECOND)
-    assert bench.sockets.moved == {silent} and heard.leg.server is silent.leg.server
-    assert heard.leg.server.misses == 0
+    assert bench.sockets.moved == {silent} and heard.attempt.server is silent.attempt.server
+    assert heard.attempt.server.misses == 0
 
 
 def test_a_delay_told_by_a_server_reaches_the_module():
     bench = Bench(extra={"messageAim": [100.0, 100.0], "tellsDelay": True})
     server = next(iter(bench.core.balancer.servers.values()))
-    bench.tell(bench.core.delayed, server, SECOND)
+    bench.tell(bench.core.on_message_delay, server, SECOND)
     assert server.strain == 10.0
 
 
@@ -606,38 +608,40 @@
 
     @rule(which=st.integers(0, 99))
     def up(self, which):
-        legs = [
-            leg
-            for leg in self.bench.sockets.legs
-            if leg not in self.told_up and leg not in self.told_end
+        attempts = [
+            attempt
+            for attempt in self.bench.sockets.attempts
+            if attempt not in self.told_up and attempt not in self.told_end
         ]
-        if legs:
-            leg = legs[which % len(legs)]
-            self.told_up.add(leg)
-            self.bench.tell(self.bench.core.up, leg)
+        if attempts:
+            attempt = attempts[which % len(attempts)]
+            self.told_up.add(attempt)
+            self.bench.tell(self.bench.core.on_established, attempt)
 
     @rule(which=st.integers(0, 99), outcome=st.sampled_from(Outcome))
     def ended(self, which, outcome):
-        legs = [leg for leg in self.bench.sockets.legs if leg not in self.told_end]
-        if legs:
-            leg = legs[which % len(legs)]
-            self.told_end.add(leg)
-            self.bench.sockets.drop(leg)
-            self.bench.tell(self.bench.core.ended, leg, outcome)
+        attempts = [
+            attempt for attempt in self.bench.sockets.attempts if attempt not in self.told_end
+        ]
+        if attempts:
+            attempt = attempts[which % len(attempts)]
+            self.told_end.add(attempt)
+            self.bench.sockets.drop(attempt)
+            self.bench.tell(self.bench.core.on_attempt_ended, attempt, outcome)
 
     @precondition(lambda self: self.bench.due)
     @rule(which=st.integers(0, 99))
     def leave(self, which):
         session = list(self.bench.due)[which % len(self.bench.due)]
         self.left.add(session)
-        self.bench.tell(self.bench.core.left, session)
+        self.bench.tell(self.bench.core.on_client_left, session)
         assert session not in self.bench.sockets.out, "a connect without its client"
 
     @rule(which=st.integers(0, 99), passed=st.booleans())
     def probed(self, which, passed):
         if self.bench.sockets.probes:
             server = self.bench.sockets.probes.pop(which % len(self.bench.sockets.probes))
-            self.bench.tell(self.bench.core.probed, server, passed, [])
+            self.bench.tell(self.bench.core.on_health_check_result, server, passed, [])
 
     @rule(
         reset=st.booleans(),
@@ -646,7 +650,7 @@
     def relist(self, reset, states):
         entries = [listed(f"s-{i}", lifecycle=state) for i, state in enumerate(states)]
         self.bench.tell(
-            self.bench.core.listed,
+            self.bench.core.on_endpoints,
             *self.bench.registry.decode({"generation": 2, "reset": reset, "instances": entries}),
         )
 
@@ -664,20 +668,20 @@
     def call(self, name, server):
         self.bench.sockets.in_dial = set(list(self.bench.sockets.out.values())[::2]) - self.told_up
         call = AdminCommand(name, f"s-{server}")
-        self.bench.tell(self.bench.core.called, call)
+        self.bench.tell(self.bench.core.commands.on_command, call)
         self.told_end |= set(self.bench.sockets.in_dial) - set(self.bench.sockets.out.values())
         assert not call.answers.empty(), "a caller without an answer"
 
     @rule()
     def stop(self):
         if self.count > 30:
-            self.bench.tell(self.bench.core.stop)
+            self.bench.tell(self.bench.core.lifecycle.stop)
 
     def teardown(self):
         if hasattr(self, "bench"):
-            self.bench.tell(self.bench.core.stop)
+            self.bench.tell(self.bench.core.lifecycle.stop)
             self.wait(20)
-            standing = {s for s in self.bench.sockets.passing if not s.over}
+            standing = {s for s in self.bench.sockets.passing if not s.finished}
             assert not standing, "not moved before the stop"
 
 
