--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -37,7 +37,7 @@
     core = SimpleNamespace(
         balancer=balancer,
         counters=Counters(),
-        seen=OrderedDict(),
+        seen_ids=OrderedDict(),
         limits=SimpleNamespace(max_remembered_flows=8192),
     )
     with tempfile.TemporaryDirectory() as folder:
--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -62,6 +62,8 @@
 )
 
 MAX_SLEEP = 60 * SECOND  # nothing to do: any time will do
+# Of the sums that outlive a process, the names under which they are stored.
+PERSISTENT_SUMS = ("carried", "borne", "arrivals", "hints", "setup_time", "setups")
 
 
 class Balancer:
@@ -139,14 +141,15 @@
 
     def sums(self) -> dict[str, DecayingSum]:
         """Return the sums that outlive a process, by the names under which they are stored."""
-        return {
-            "carried": self.traffic.completed,
-            "borne": self.slow_start.held_when_warm,
-            "arrivals": self.traffic.arrivals,
-            "hints": self.gossip.sent,
-            "setup_time": self.traffic.setup_time,
-            "setups": self.traffic.setups,
-        }
+        sums = (
+            self.traffic.completed,
+            self.slow_start.held_when_warm,
+            self.traffic.arrivals,
+            self.gossip.sent,
+            self.traffic.setup_time,
+            self.traffic.setups,
+        )
+        return dict(zip(PERSISTENT_SUMS, sums, strict=True))
 
     # Events: the settings, the endpoint list, operators, other processes.
 
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -18,7 +18,8 @@
 from cypresswalk.fleet.rotation import Rotation
 from cypresswalk.hosting import decode_settings
 from cypresswalk.net.config import Config, read_file
-from cypresswalk.net.core import Core, Phase
+from cypresswalk.net.core import Core
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
@@ -70,7 +71,7 @@
         self.settings_version = 0
         self.list_version = 0
         self.settings: dict[str, Any] | None = None
-        self.tenant_numbers = dict(core.customers)  # flows in flight are counted by them
+        self.tenant_numbers = dict(core.tenants)  # flows in flight are counted by them
         self.rotation = Rotation(core)
         self.endpoints = EndpointMerge(core, self.fleet, registry)
         self.observations = LocalObservations(core, registry)
@@ -85,19 +86,21 @@
         """Has the core and the fleet call the parts of this binding."""
         core = self.core
         if table.copies is not None:
-            core.claims = ReservationGate(core, self.fleet, post, table.copies.share)
-            if core.phase is not Phase.STARTING:
+            core.extensions.reservations = ReservationGate(
+                core, self.fleet, post, table.copies.share
+            )
+            if core.lifecycle.phase is not Phase.STARTING:
                 # While starting, the process before this one may tell what it spent.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
         self.fleet.served = self.observations.served_counts
         self.fleet.servers = self.observations.server_report
-        self.fleet.ready = lambda: core.ready and self.fleet.may_act()
-        core.agreement = self
-        core.lease = self.fleet.may_act
+        self.fleet.ready = lambda: core.lifecycle.ready and self.fleet.may_act()
+        core.extensions.fleet = self
+        core.extensions.holds_lease = self.fleet.may_act
 
     def on_lease_changed(self, now: int) -> None:
         """The lease was given, or has ended."""
-        self.core.settle()
+        self.core.lifecycle.update_readiness()
 
     def apply_view(self, now: int, view: AppliedView) -> None:
         """Acts on a version of the agreed state.
@@ -107,11 +110,11 @@
         """
         if view.version <= self.version:
             return
-        if self.version == 0 and self.name in view.away and not self.core.drained:
+        if self.version == 0 and self.name in view.away and not self.core.lifecycle.drained:
             # Drained in its life before, or on the machine that this one replaces: that holds until
             # drain-off. Nothing was taken until now, since there was no lease yet.
             log.info(event("drained_still"))
-            self.core.obey(now, AdminCommand("drain-on"))
+            self.core.commands.apply(now, AdminCommand("drain-on"))
         if view.settings_version > self.settings_version:
             error = shared_settings.objection(self.params, view.settings)
             if error:
@@ -148,11 +151,11 @@
         core.balancer.on_settings(now, settings)
         self.settings = agreed
         core.service_types = {kind["name"]: i for i, kind in enumerate(params["serviceTypes"])}
-        core.customers = {name: numbers[name] for name in names}
-        for counts in core.figures.counts.values():
+        core.tenants = {name: numbers[name] for name in names}
+        for counts in core.metrics.counts.values():
             for name in core.service_types:
                 counts.setdefault(name, 0)
-        core.settle()
+        core.lifecycle.update_readiness()
 
     # Two processes of this balancer side by side (net/handover.py) share one member and one lease.
 
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -36,9 +36,9 @@
         self.registry = registry
         self.agreed: dict[int, tuple[ServerState, int]] | None = None
         self.own: dict[int, tuple[Server, Address]] = {
-            server.id: (as_listed(server), core.addresses[server.id])
+            server.id: (as_listed(server), core.endpoints.addresses[server.id])
             for server in core.balancer.servers.values()
-            if server.id in core.addresses
+            if server.id in core.endpoints.addresses
         }
         self.reported: tuple[int, bytes] = (-1, b"")  # generation and digest
 
@@ -52,7 +52,7 @@
 
     def refresh(self, now: int) -> None:
         """Has the core act on both lists as they are."""
-        self.core.listed(now, EndpointUpdate.DELTA, [])
+        self.core.on_endpoints(now, EndpointUpdate.DELTA, [])
 
     def listed(
         self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]]
@@ -81,7 +81,7 @@
             known = self.core.balancer.servers.get(number)
             before = known and (known.state, known.started_at, known.zone, known.cell, known.weight)
             after = (state, since, server.zone, server.cell, server.weight)
-            if before != after or self.core.addresses.get(number) != address:
+            if before != after or self.core.endpoints.addresses.get(number) != address:
                 changed = as_listed(server)
                 changed.state = state
                 changed.started_at = since
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -59,14 +59,14 @@
 
     def takes(self, now: int, call: AdminCommand) -> bool:
         """Whether the reply comes from here; if not, the core carries the command out by itself."""
-        if call.name == "drain-on" and not self.core.drained:
+        if call.name == "drain-on" and not self.core.lifecycle.drained:
             self.ask_to_drain(call)
-        elif call.name == "drain-off" and self.core.drained:
-            self.core.act(now, call)
+        elif call.name == "drain-off" and self.core.lifecycle.drained:
+            self.core.commands.run(now, call)
             # Its place is free once it is seen ready; until then a restart must not drain it again.
             self.record_leave(CALLED_BACK)
         elif call.name == "drain-on-here":
-            self.core.act(now, call)
+            self.core.commands.run(now, call)
             self.record_leave(f"{DRAINED} by force at it alone")
         elif call.name in SERVER_COMMANDS:
             self.on_server_command(now, call)
@@ -85,7 +85,7 @@
         elif (
             call.name == "set-down" and server_number(call.server) not in self.core.balancer.servers
         ):
-            self.core.reply(call, "no list has named that server")
+            self.core.commands.reply(call, "no list has named that server")
         else:
             self.ask_about_server(call)
 
@@ -102,13 +102,13 @@
     def on_server_agreed(self, now: int, call: AdminCommand, ok: bool, body: Any) -> None:
         """Acts on the fleet's word and then replies: a yes means that this balancer acts on it."""
         if not ok:
-            self.core.reply(call, f"not agreed: {refusal_text(body)}")
+            self.core.commands.reply(call, f"not agreed: {refusal_text(body)}")
             return
         if call.name == "set-down":
             self.rotation.remove(now, call.server)
         else:
             self.rotation.restore(now, call.server)
-        self.core.reply(call, None)
+        self.core.commands.reply(call, None)
 
     def force(self, now: int, call: AdminCommand) -> None:
         """Acts at this balancer alone, and has the fleet record it as soon as that can be had."""
@@ -117,7 +117,7 @@
             what = f"{call.name} {call.server} at {self.name} alone"
             args = self.command_args(self.name) | {"what": what}
             self.fleet.call("note", args, ignore_result, RECORD_TIMEOUT)
-        self.core.reply(call, error)
+        self.core.commands.reply(call, error)
 
     def ask_to_drain(self, call: AdminCommand) -> None:
         """Asks the fleet's leave: what it grants is used at once or not at all."""
@@ -138,11 +138,11 @@
     ) -> None:
         """Drains if the fleet said yes in time; later the grant may be another's again."""
         if not ok:
-            self.core.reply(call, f"not granted: {refusal_text(body)}")
+            self.core.commands.reply(call, f"not granted: {refusal_text(body)}")
         elif self.fleet.now() - asked_at > LEAVE_WINDOW:
-            self.core.reply(call, "the grant came too late to be used; ask again")
+            self.core.commands.reply(call, "the grant came too late to be used; ask again")
         else:
-            self.core.act(now, call)
+            self.core.commands.run(now, call)
 
     def record_leave(self, reason: str) -> None:
         """Has the fleet record that this balancer goes out, or comes back, whatever the bounds."""
--- a/cypresswalk/fleet/local_observations.py
+++ b/cypresswalk/fleet/local_observations.py
@@ -6,18 +6,19 @@
 from cypresswalk.decisions.outliers import MAX_FAILURES
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.model import Outcome, Server, ServerState
-from cypresswalk.net.core import Attempt, Core
+from cypresswalk.net.core import Core
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
+from cypresswalk.net.session import Attempt
 
 MAX_REPORTED_SERVERS = 1000  # the first by name, the same ones at all balancers
 COUNT_FIELDS = 4
-ESTABLISHED, REJECTED, FAILED, SETUP_NS = range(COUNT_FIELDS)
+ESTABLISHED, REJECTED, ERROR_REPLY, SETUP_NS = range(COUNT_FIELDS)
 FIELD_OF_OUTCOME = {
     Outcome.FULL: REJECTED,
-    Outcome.ERROR: FAILED,
-    Outcome.TIMEOUT: FAILED,
-    Outcome.CONNECT_FAILED: FAILED,
-    Outcome.RESET: FAILED,
+    Outcome.ERROR: ERROR_REPLY,
+    Outcome.TIMEOUT: ERROR_REPLY,
+    Outcome.CONNECT_FAILED: ERROR_REPLY,
+    Outcome.RESET: ERROR_REPLY,
 }
 Counts = tuple[int, int, int, int]  # established, rejected, failed, sum of set-up times in ns
 
@@ -55,7 +56,7 @@
 
     def served_counts(self) -> Counts:
         """What this process has answered since it began."""
-        counts = self.core.figures.counts
+        counts = self.core.metrics.counts
         try:
             established, rejected, failed = (
                 sum(counts[end].values()) for end in ("fulfilled", "throttled", "faulted")
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -5,7 +5,8 @@
 from cypresswalk.copies.reservations import GRANTED, HELD, NEVER_RAN, REFUSED, ReservationAnswer
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.model import Flow
-from cypresswalk.net.core import FAILED, Core, Session
+from cypresswalk.net.core import Core
+from cypresswalk.net.session import ERROR_REPLY, Session
 
 REPLY_MARGIN = 50_000_000  # nanoseconds beyond its share that a flow waits for an answer
 
@@ -52,7 +53,7 @@
         )
         self.waiting[session] = None
         # The replication thread may answer nothing: its process may be handing over, or failing.
-        self.core.at(now + timeout + REPLY_MARGIN, self.on_timeout, session)
+        self.core.timers.schedule(now + timeout + REPLY_MARGIN, self.on_timeout, session)
         self.core.counters.add("claims")
 
         def reply(answer: ReservationAnswer, by: str) -> None:
@@ -77,20 +78,24 @@
         core.counters.add("claims_" + answer.result)
         if answer.result == GRANTED:
             self.granted[flow] = by
-            if session.over or answered:
+            if session.finished or answered:
                 self.finish(flow, NEVER_RAN)
-            elif core.close_at is not None and now >= core.close_at or not core.may_act():
-                core.end(now, session, core.come_back(flow))
+            elif (
+                core.lifecycle.answer_deadline is not None
+                and now >= core.lifecycle.answer_deadline
+                or not core.extensions.may_act()
+            ):
+                core.end_session(now, session, core.retry_reply(flow))
             else:
                 core.place(now, session)
-        elif session.over or answered:
+        elif session.finished or answered:
             pass
         elif answer.result == HELD and answer.outcome != NEVER_RAN:
             # It runs, or may have run: not again, and no reply that makes a repeat seem harmless.
             core.counters.add("flows_claimed_elsewhere")
-            core.end(now, session, FAILED)
+            core.end_session(now, session, ERROR_REPLY)
         else:
-            core.end(now, session, core.come_back(flow))
+            core.end_session(now, session, core.retry_reply(flow))
 
     def on_timeout(self, now: int, session: Session) -> None:
         """Rejects a flow whose reservation was not answered."""
--- a/cypresswalk/fleet/rotation.py
+++ b/cypresswalk/fleet/rotation.py
@@ -54,7 +54,7 @@
         Returns:
             Why the reply is no, or None; and whether anything was done.
         """
-        error = self.core.obey(now, command)
+        error = self.core.commands.apply(now, command)
         if error is not None:
             return error, False
         if command.name == "set-down-here":
@@ -68,8 +68,8 @@
 
     def take_down(self, now: int, server: str) -> None:
         """Has the core send nothing new to a server."""
-        self.core.obey(now, AdminCommand("set-down", server), known=True)
+        self.core.commands.apply(now, AdminCommand("set-down", server), known=True)
 
     def take_up(self, now: int, server: str) -> None:
         """Has the core use a server again."""
-        self.core.obey(now, AdminCommand("set-up", server), known=True)
+        self.core.commands.apply(now, AdminCommand("set-up", server), known=True)
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -106,7 +106,7 @@
             return refusal(str(error))
         with self.using:
             self.waiting.pop(link, None)
-        self.inbox.post_urgent(self.core.called, call)
+        self.inbox.post_urgent(self.core.commands.on_command, call)
         answer = call.wait(self.limits.admin_call_timeout)
         if answer is None:
             self.core.counters.add("calls_late")
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -7,13 +7,14 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.connection import Connection, forward_end
-from cypresswalk.net.core import BUSY, FAILED, Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.lines import LineParser, OpenRequest, parse_open_request
 from cypresswalk.net.relay import Relay
+from cypresswalk.net.session import BUSY_REPLY, ERROR_REPLY, Session
 
 log = logging.getLogger(__name__)
 
@@ -68,7 +69,7 @@
         try:
             request = self._receive_open_request()
             if request is not None:
-                self.inbox.post(self.core.opened, self.session, request)
+                self.inbox.post(self.core.on_open, self.session, request)
                 self._forward_lines()
         except ProtocolError as error:
             log.warning(event("client_invalid", reason=error))
@@ -83,10 +84,13 @@
         self.link.reader_done.set()
         if self._opened:
             unanswered = malformed and self.relay is None
-            self.inbox.post(self.core.impatient if unanswered else self.core.left, self.session)
+            self.inbox.post(
+                self.core.on_early_client_data if unanswered else self.core.on_client_left,
+                self.session,
+            )
         elif malformed:
             # Nothing was sent to a server: a client that is only in the way may come again.
-            self.link.send_nowait(BUSY if self._dismissed else FAILED)
+            self.link.send_nowait(BUSY_REPLY if self._dismissed else ERROR_REPLY)
             # Reading of a dismissed one is shut down already; with both directions shut down the
             # kernel would answer what still arrives with a reset.
             if not self._dismissed:
@@ -109,8 +113,8 @@
                 # A client waits for its answer, so that commands do not come by the hundred.
                 raise ProtocolError("more than one line at once")
             elif line == b"PING":
-                able = self.core.ready and self.core.may_act()
-                self.link.send(b"PONG\r\n" if able else FAILED)
+                able = self.core.lifecycle.ready and self.core.extensions.may_act()
+                self.link.send(b"PONG\r\n" if able else ERROR_REPLY)
             else:
                 return self._open(line)
 
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -169,14 +169,14 @@
         """
         if self.ended:
             update = EndpointUpdate.DELTA
-            entries = self.core.taken_back(entries)
+            entries = self.core.endpoints.withdrawals(entries)
         if not self.ended or entries:
-            self.core.listed(now, update, entries, older)
+            self.core.on_endpoints(now, update, entries, older)
 
     def on_failure(self, now: int) -> None:
         """Tells the core that the list could not be followed."""
         if not self.ended:
-            self.core.list_failed(now)
+            self.core.on_endpoints_failed(now)
 
     def request_update(self) -> None:
         """Begins a call now rather than at the end of a pause; a connected watch stays so."""
--- a/cypresswalk/net/gossip.py
+++ b/cypresswalk/net/gossip.py
@@ -79,4 +79,4 @@
                 log.debug(event("gossip_receive_failed", error=error))
                 time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
-            self.inbox.post(self.core.hint, message)
+            self.inbox.post(self.core.on_gossip, message)
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -84,11 +84,11 @@
     def read(self) -> None:
         try:
             while (message := self.message()) is not None:
-                self.inbox.post_urgent(self.side.heard, self, message)
+                self.inbox.post_urgent(self.side.on_message, self, message)
         except (OSError, ProtocolError) as error:
             log.warning(event("beside_lost", why=error))
         finally:
-            self.inbox.post_urgent(self.side.parted, self)
+            self.inbox.post_urgent(self.side.on_disconnected, self)
             self.close()
 
 
@@ -248,4 +248,4 @@
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
         channel.start(side)
-        self.inbox.post_urgent(side.hello, channel)
+        self.inbox.post_urgent(side.on_hello, channel)
--- a/cypresswalk/net/health_checks.py
+++ b/cypresswalk/net/health_checks.py
@@ -67,7 +67,7 @@
         try:
             start_thread(lambda: self._run_in_slot(server, address), name="health_check")
         except RuntimeError:
-            self.inbox.post(self.core.probed, server, False, [])
+            self.inbox.post(self.core.on_health_check_result, server, False, [])
 
     def close_idle(self) -> None:
         """Closes the connections that are kept: another process checks from now on."""
@@ -102,7 +102,7 @@
             answer = HealthCheckAnswer(False, [])
         finally:
             # The result is told whatever failed: without one the server is never checked again.
-            self.inbox.post(self.core.probed, server, answer.passed, answer.load)
+            self.inbox.post(self.core.on_health_check_result, server, answer.passed, answer.load)
             if sock is not None:
                 self._keep_or_close(server, address, sock, answer.passed)
 
--- a/cypresswalk/net/listener.py
+++ b/cypresswalk/net/listener.py
@@ -9,10 +9,11 @@
 from cypresswalk.model import SECOND
 from cypresswalk.net.clients import ClientConnection
 from cypresswalk.net.config import Address
-from cypresswalk.net.core import BUSY, Core
+from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.logs import event
+from cypresswalk.net.session import BUSY_REPLY
 from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
@@ -164,7 +165,7 @@
         """
         try:
             sock.setblocking(False)
-            sock.send(BUSY)
+            sock.send(BUSY_REPLY)
             sock.shutdown(socket.SHUT_WR)
             sock.recv(self.limits.max_line_bytes)
         except OSError:
--- a/cypresswalk/net/relay.py
+++ b/cypresswalk/net/relay.py
@@ -5,12 +5,13 @@
 
 from cypresswalk.model import Outcome
 from cypresswalk.net.connection import Connection, forward_end
-from cypresswalk.net.core import Attempt, Core
+from cypresswalk.net.core import Core
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.parsers.lines import LineParser
 from cypresswalk.net.parsers.load_reports import LoadReportHistory, parse_load_line
+from cypresswalk.net.session import Attempt
 
 # What a server's first or last line says of the flow, by its first word.
 OUTCOME_BY_WORD = {
@@ -104,10 +105,10 @@
         elif delivered and not client.reader_done.is_set():
             last_line = last.rstrip(b"\r\n").rpartition(b"\n")[2]
             outcome = OUTCOME_BY_WORD.get(last_line, Outcome.RESET)
-            self.inbox.post(self.core.ended, self.attempt, outcome)
+            self.inbox.post(self.core.on_attempt_ended, self.attempt, outcome)
         else:
             # The client's end comes back from the server as a reset, which is not its fault.
-            self.inbox.post(self.core.left, self.attempt.session)
+            self.inbox.post(self.core.on_client_left, self.attempt.session)
         self.server.reader_done.set()
         forward_end(reset, client, self.limits)
 
@@ -118,8 +119,8 @@
             OSError: The server's connection has failed.
         """
         attempt = self.attempt
-        if not attempt.asked_at:
-            attempt.asked_at = self.inbox.clock()
+        if not attempt.unanswered_since:
+            attempt.unanswered_since = self.inbox.clock()
         self.server.send(data)
 
     def migrate(self) -> None:
@@ -151,15 +152,17 @@
             reports = [line for line in lines if parse_load_line(line) is not None]
             answered = len(reports) < len(lines)
             for line in reports:
-                self._report_delay(self.core.notes.parse_delay(self._load_history, now, line))
-        if answered and attempt.asked_at:
-            took = now - attempt.asked_at
-            gauge = attempt.gauge
-            gauge.answered = max(gauge.answered, attempt.asked_at)
-            attempt.asked_at = 0
-            if not self.core.notes.delays:
-                self._report_delay(gauge.worth_telling(now, took))
+                self._report_delay(
+                    self.core.load_reports.parse_delay(self._load_history, now, line)
+                )
+        if answered and attempt.unanswered_since:
+            took = now - attempt.unanswered_since
+            gauge = attempt.delay_gauge
+            gauge.latest_answered = max(gauge.latest_answered, attempt.unanswered_since)
+            attempt.unanswered_since = 0
+            if not self.core.load_reports.delays:
+                self._report_delay(gauge.delay_to_report(now, took))
 
     def _report_delay(self, delay: int | None) -> None:
         if delay is not None:
-            self.inbox.post(self.core.delayed, self.attempt.server, delay)
+            self.inbox.post(self.core.on_message_delay, self.attempt.server, delay)
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -10,12 +10,13 @@
 from cypresswalk.net.clients import ClientConnection
 from cypresswalk.net.config import Address
 from cypresswalk.net.connection import Connection, dial, receive_line
-from cypresswalk.net.core import Attempt, Core
+from cypresswalk.net.core import Core
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.parsers.lines import LineParser
 from cypresswalk.net.relay import OUTCOME_BY_WORD, Relay
+from cypresswalk.net.session import Attempt
 
 # A server's acceptance carries its receipt; a line without one is no acceptance.
 UP_LINE = re.compile(rb"UP [!-~][ -~]*")
@@ -67,7 +68,7 @@
         self.slots = slots
         self.sent = False
         # The core keeps the driver's object for a session as it was handed over.
-        self._client = cast(ClientConnection, attempt.session.link)
+        self._client = cast(ClientConnection, attempt.session.client)
         self._lines = LineParser(limits.max_line_bytes)
         self._link: Connection | None = None  # once it is dialed
         self._relay: Relay | None = None  # once the server has accepted
@@ -125,13 +126,13 @@
     # By the attempt's own thread.
 
     def _end(self, outcome: Outcome) -> None:
-        self.inbox.post(self.core.ended, self.attempt, outcome)
+        self.inbox.post(self.core.on_attempt_ended, self.attempt, outcome)
 
     def _client_has_ended(self) -> bool:
         """Whether nobody waits for the flow, though the deciding thread may not know it yet."""
         if not self._client.has_ended():
             return False
-        self.inbox.post(self.core.left, self.attempt.session)
+        self.inbox.post(self.core.on_client_left, self.attempt.session)
         return True
 
     def _dial(self) -> socket.socket | None:
@@ -144,7 +145,7 @@
         except OSError as error:
             self._end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
             return None
-        self.attempt.gauge.set_up(self.inbox.clock() - began)
+        self.attempt.delay_gauge.on_setup(self.inbox.clock() - began)
         return sock
 
     def _talk(self, sock: socket.socket) -> None:
@@ -177,7 +178,7 @@
             if self._dropped:
                 return False
             # Dialing takes its time, and a flow that may have run has a latest time to run again.
-            late = self.inbox.clock() >= self.attempt.latest
+            late = self.inbox.clock() >= self.attempt.send_deadline
             if late:
                 self._dropped = True
             else:
@@ -211,7 +212,7 @@
             self.inbox,
             self.limits,
         )
-        self.inbox.post(self.core.up, self.attempt)
+        self.inbox.post(self.core.on_established, self.attempt)
         self._verdict.acquire()
         if not self._dropped:
             self._relay.run(first_line, self._client.flush)
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -11,7 +11,7 @@
 
 import logging
 
-from cypresswalk.net.core import Phase
+from cypresswalk.net.lifecycle import Phase
 from cypresswalk.rollout.actions import (
     CheckReady,
     EndProcess,
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -15,7 +15,7 @@
 from cypresswalk.net import logs
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.config import Address, Config, load, read_discovery_address
-from cypresswalk.net.core import Attempt, Core, Session
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import EndpointWatch
 from cypresswalk.net.errors import ConfigError, ProtocolError
@@ -26,6 +26,7 @@
 from cypresswalk.net.logs import event
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.net.servers import ServerConnection
+from cypresswalk.net.session import Attempt, Session
 from cypresswalk.net.threads import start_thread
 
 log = logging.getLogger(__name__)
@@ -49,7 +50,7 @@
             _, entries = registry.decode(config.known)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
-        self.core.listed(self.clock(), EndpointUpdate.CACHED, entries)
+        self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
         asked = config.settings.list_polled
         self.watch = EndpointWatch(
             config.discovery, registry, self.core, self.inbox, self.limits, asked
@@ -96,7 +97,7 @@
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
         self.elder = self.beside.meet()
-        self.core.side = Handover(self.core, self, self.elder)
+        self.core.extensions.handover = Handover(self.core, self, self.elder)
         return (
             [socket.socket(fileno=number) for number in self.elder.descriptors]
             if self.elder
@@ -133,7 +134,7 @@
         if self.binding is not None:
             self.binding.fleet.start()
         if self.admin is not None and self.elder is not None:
-            self.elder.start(self.core.side)
+            self.elder.start(self.core.extensions.handover)
         else:
             self.accept()
         start_thread(self.watch.run, pause, self.limits.list_thread_stack)
@@ -143,9 +144,9 @@
             self.keeper.start()
         queue, calls, core, last = self.inbox.queue, self.inbox.urgent, self.core, self.clock()
         while not self.over():
-            due = core.next_due()
+            due = core.timers.next_due()
             wait = SECOND if due is None else due - self.clock()
-            if core.stopped:
+            if core.lifecycle.stopped:
                 wait = min(wait, self.limits.leave_poll_interval)
             try:
                 item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
@@ -164,15 +165,15 @@
             except Empty:
                 pass
             last = max(last, self.clock())
-            self.guarded(core.pass_time, last)
-            self.guarded(core.pull, last)
+            self.guarded(core.timers.run_due, last)
+            self.guarded(core.carry_out_decisions, last)
         if self.keeper is not None:
             self.guarded(self.keeper.finish, self.clock())
 
     def over(self) -> bool:
         """Whether nothing is owed any more: flows are answered, the door is shut, and whoever was told something has gone or
         had time to read it. Guards clients that come in the last moments against being taken and never answered."""
-        if not self.core.stopped:
+        if not self.core.lifecycle.stopped:
             return False
         self.ends_at = self.ends_at or self.clock() + self.limits.leave_read_time
         if self.listener.closed:
@@ -196,7 +197,7 @@
     def stop(self, now: int) -> None:
         if self.binding is not None:
             self.binding.fleet.release_leadership()
-        self.core.stop(now)
+        self.core.lifecycle.stop(now)
 
     def reload(self, now: int) -> None:
         self.reloads += 1
@@ -211,7 +212,7 @@
             discovery = read_discovery_address(self.path)
         except ConfigError as error:
             if now < until:
-                self.core.at(
+                self.core.timers.schedule(
                     now + self.limits.min_list_retry_pause, self.reload_until, number, until
                 )
             else:
@@ -250,7 +251,7 @@
             self.peers.receiving = True
             start_thread(self.peers.run, self.limits.fault_pause)
         if self.beside is not None:
-            self.beside.wait(self.core.side)
+            self.beside.wait(self.core.extensions.handover)
 
     def stop_accepting(self) -> None:
         self.listener.accepting = False
@@ -260,48 +261,48 @@
         if self.binding is not None:
             self.binding.fleet.stop()
 
-    def list_at(self) -> tuple[str, int]:
+    def list_position(self) -> tuple[str, int]:
         return "%s:%d" % self.watch.address, self.watch.decoder.version
 
-    def names(self) -> dict[int, str]:
+    def server_names(self) -> dict[int, str]:
         return self.watch.decoder.names
 
-    def sockets(self) -> tuple[int, ...]:
+    def listening_sockets(self) -> tuple[int, ...]:
         return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
 
     # What the core asks for.
 
     def connect(self, leg: Attempt, address: Address, line: bytes) -> None:
-        leg.link = ServerConnection(
+        leg.connection = ServerConnection(
             leg, address, line, self.core, self.inbox, self.limits, self.places
         )
         try:
-            start_thread(leg.link.run)
+            start_thread(leg.connection.run)
         except RuntimeError as error:
             log.error(event("connect_not_started", why=error))
-            self.inbox.post(self.core.ended, leg, Outcome.CONNECT_FAILED)
+            self.inbox.post(self.core.on_attempt_ended, leg, Outcome.CONNECT_FAILED)
 
     def join(self, leg: Attempt) -> None:
-        leg.link.start_relay()
+        leg.connection.start_relay()
 
     def drop(self, leg: Attempt) -> None:
-        leg.link.drop()
+        leg.connection.drop()
 
     def recall(self, leg: Attempt) -> bool:
-        return leg.link.recall()
+        return leg.connection.recall()
 
     def close_door(self, at: int) -> None:
         self.listener.closes_at = at
 
     def answer(self, session: Session, line: bytes) -> None:
-        session.link.link.send_nowait(line)
-        session.link.link.shutdown(socket.SHUT_WR)
+        session.client.link.send_nowait(line)
+        session.client.link.shutdown(socket.SHUT_WR)
 
     def close(self, session: Session) -> None:
-        session.link.link.shutdown(socket.SHUT_RDWR)
+        session.client.link.shutdown(socket.SHUT_RDWR)
 
     def move(self, session: Session) -> None:
-        session.leg.link.migrate()
+        session.attempt.connection.migrate()
 
     def probe(self, server: Server, address: Address) -> None:
         self.prober.check(server, address)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -158,7 +158,7 @@
         data = config_data([listed("s-0")])
         self.core = Core(build({}, data), None, Counters(), self.inbox.clock())
         registry = EndpointListDecoder(self.core.balancer.settings.zone and {} or {"a": 0, "b": 1})
-        self.core.listed(self.inbox.clock(), *registry.decode(data["known"]))
+        self.core.on_endpoints(self.inbox.clock(), *registry.decode(data["known"]))
         host, port = agent.address.split(":")
         self.watch = EndpointWatch(
             (host, int(port)), registry, self.core, self.inbox, limits, asked
@@ -279,7 +279,7 @@
 
     def list_says(lifecycle, older):
         bench.tell(
-            bench.core.listed,
+            bench.core.on_endpoints,
             *bench.registry.decode({"instances": [listed("s-0", lifecycle=lifecycle)]}),
             older,
         )
@@ -305,7 +305,7 @@
         bench.sockets.in_dial.add(attempt)
     name = next(f"s-{i}" for i in range(3) if server_number(f"s-{i}") == attempt.server.id)
     bench.tell(
-        bench.core.listed,
+        bench.core.on_endpoints,
         *bench.registry.decode({"instances": [listed(name, lifecycle="terminating")]}),
     )
     now_at = bench.sockets.out[session].server
@@ -416,7 +416,7 @@
     crossing.link.limits = replace(crossing.limits, dial_timeout=50 * MILLISECOND)
     assert crossing.link.slots.acquire(blocking=False)
     crossing.run()
-    assert crossing.posted() == [("ended", Outcome.MOOT)] and not crossing.began.is_set()
+    assert crossing.posted() == [("on_attempt_ended", Outcome.MOOT)] and not crossing.began.is_set()
 
 
 # Clients that leave.
@@ -447,12 +447,12 @@
 
         monkeypatch.setattr(servers_module, "dial", held)
         session = self.client.session
-        session.opening = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
+        session.request = parse_open_request(b"OPEN a1 7 c=view,t=north,d=900")
         attempt = type("Attempt", (), {})()
-        attempt.session, attempt.latest, attempt.gauge = (
+        attempt.session, attempt.send_deadline, attempt.delay_gauge = (
             session,
             self.inbox.clock() + 60 * SECOND,
-            type("G", (), {"set_up": lambda *_: None})(),
+            type("G", (), {"on_setup": lambda *_: None})(),
         )
         self.attempt = attempt
         self.link = ServerConnection(
@@ -518,7 +518,7 @@
     leave(crossing.far)
     until_true(crossing.client.has_ended)
     crossing.go.set()
-    assert crossing.heard() == b"" and crossing.posted() == [("left",)]
+    assert crossing.heard() == b"" and crossing.posted() == [("on_client_left",)]
 
 
 def test_a_client_that_left_before_the_dial_costs_its_server_no_connection(monkeypatch):
@@ -526,7 +526,7 @@
     crossing.far.close()
     until_true(crossing.client.has_ended)
     crossing.run()
-    assert crossing.posted() == [("left",)] and not crossing.began.is_set()
+    assert crossing.posted() == [("on_client_left",)] and not crossing.began.is_set()
 
 
 def test_a_client_that_leaves_after_the_dial_has_had_its_line_sent_whole(monkeypatch):
@@ -538,18 +538,18 @@
     assert sock.recv(4096) == crossing.link.open_line
     crossing.far.close()
     sock.sendall(b"ERR\r\n")
-    assert crossing.posted() == [("ended", Outcome.ERROR)]
+    assert crossing.posted() == [("on_attempt_ended", Outcome.ERROR)]
 
 
 def test_an_idempotency_window_that_ends_during_the_dial_keeps_the_line_back(monkeypatch):
     # The servers' memory of the first attempt has ended by then: a second one could take effect again.
     crossing = AttemptHarness(monkeypatch)
-    crossing.attempt.latest = crossing.inbox.clock() + 20 * MILLISECOND
+    crossing.attempt.send_deadline = crossing.inbox.clock() + 20 * MILLISECOND
     crossing.run()
     assert crossing.began.wait(5)
-    until_true(lambda: crossing.inbox.clock() > crossing.attempt.latest)
+    until_true(lambda: crossing.inbox.clock() > crossing.attempt.send_deadline)
     crossing.go.set()
-    assert crossing.heard() == b"" and crossing.posted() == [("ended", Outcome.MOOT)]
+    assert crossing.heard() == b"" and crossing.posted() == [("on_attempt_ended", Outcome.MOOT)]
     assert not crossing.link.recall()
 
 
@@ -597,7 +597,7 @@
     sock.recv(4096)
     sock.sendall(answer)
     sock.close()
-    assert crossing.posted() == [("ended", outcome)]
+    assert crossing.posted() == [("on_attempt_ended", outcome)]
 
 
 def test_decisions_go_on_while_a_server_reads_nothing(monkeypatch):
@@ -613,7 +613,7 @@
     crossing.link.drop()
     assert time.monotonic() - began < 1
     assert crossing.posted()[:1] == [
-        ("ended", Outcome.CONNECT_FAILED)
+        ("on_attempt_ended", Outcome.CONNECT_FAILED)
     ]  # its last byte never went out
     sock.close()
 
@@ -662,7 +662,7 @@
 
     monkeypatch.setattr(servers_module, "dial", short)
     crossing.run()
-    assert crossing.posted() == [("ended", Outcome.MOOT)]
+    assert crossing.posted() == [("on_attempt_ended", Outcome.MOOT)]
 
 
 # The stop.
@@ -729,7 +729,7 @@
     waiting = [here.open(f"a{i}", 4000) for i in range(1, 12)]
     resting = [here.connect() for _ in range(4)]
     here.stop()
-    until_true(lambda: here.program.core.stopped)
+    until_true(lambda: here.program.core.lifecycle.stopped)
     go.set()
     assert here.ended()
     for link in [first, *waiting]:
@@ -751,7 +751,7 @@
         pass
     waiting = [here.open(f"b{i}", 4000) for i in range(1, 9)]
     here.stop()
-    until_true(lambda: here.program.core.stopped)
+    until_true(lambda: here.program.core.lifecycle.stopped)
     go.set()
     assert here.ended()
     assert [link.hear() for link in waiting] == ["BUSY"] * 8 and first.hear() == "BUSY"
@@ -887,7 +887,10 @@
     session = bench.open(1)
     attempt = bench.sockets.out[session]
     bench.now = attempt.session.flow.deadline - (1 if order == "up first" else 0)
-    steps = [lambda: bench.core.up(bench.now, attempt), lambda: bench.core.pass_time(bench.now)]
+    steps = [
+        lambda: bench.core.on_established(bench.now, attempt),
+        lambda: bench.core.timers.run_due(bench.now),
+    ]
     for step in steps if order == "up first" else reversed(steps):
         step()
     bench.now = attempt.session.flow.deadline
@@ -905,7 +908,7 @@
 
         def end(attempt):
             bench.sockets.drop(attempt)
-            bench.core.ended(
+            bench.core.on_attempt_ended(
                 bench.now,
                 attempt,
                 chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED]),
@@ -915,15 +918,15 @@
             events.append(
                 chance.choice(
                     [
-                        lambda attempt=attempt: bench.core.up(bench.now, attempt),
+                        lambda attempt=attempt: bench.core.on_established(bench.now, attempt),
                         lambda attempt=attempt: end(attempt),
-                        lambda session=session: bench.core.left(bench.now, session),
+                        lambda session=session: bench.core.on_client_left(bench.now, session),
                         lambda: None,
                     ]
                 )
             )
             if chance.random() < 0.5:
-                events.append(lambda session=session: bench.core.left(bench.now, session))
+                events.append(lambda session=session: bench.core.on_client_left(bench.now, session))
         chance.shuffle(events)
         bench.now += chance.randrange(100 * MILLISECOND)
         for act in events:
@@ -931,7 +934,7 @@
         bench.step()
     bench.pass_time(2 * SECOND)
     left = [session for session in sessions if session not in bench.sockets.answers]
-    assert all(session.over for session in left) and not bench.sockets.out
+    assert all(session.finished for session in left) and not bench.sockets.out
 
 
 def test_an_attempt_that_still_dials_at_its_timeout_is_known_not_to_have_run():
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -287,7 +287,7 @@
         self.balancer.on_endpoints(
             self.now, EndpointUpdate.CACHED, [e for e in entries(servers, started_at=since)]
         )
-        self.counters, self.seen, self.limits = (
+        self.counters, self.seen_ids, self.limits = (
             Counters(),
             {},
             SimpleNamespace(max_remembered_flows=8192),
@@ -321,10 +321,10 @@
         4.0,
         START,
     )
-    first.seen |= {11: None, 12: None}
+    first.seen_ids |= {11: None, 12: None}
     first.keeper.copy_ids(START)
     first.keeper.keep()
-    first.seen[13] = None
+    first.seen_ids[13] = None
     first.keeper.finish(START)
     first.keeper.disk.unlock()
     second = Harness(tmp_path, now=START + 2 * SECOND)
@@ -336,7 +336,7 @@
         again.concurrency_limit,
         again.limit_cut_at,
     ) == (3, 9, 4.0, START)
-    assert list(second.seen) == [11, 12, 13]
+    assert list(second.seen_ids) == [11, 12, 13]
     assert sorted(p.name for p in tmp_path.iterdir()) == ["lock", "state.1", "state.2"]
     assert first.log(caplog) == ["event=state_none", "event=state_recovered"]
 
@@ -479,7 +479,7 @@
     harness = Harness(tmp_path, servers=10_000)
     harness.keeper.recover(START)
     harness.keeper.ids.extend((ident, START) for ident in range(100_000))
-    harness.seen |= dict.fromkeys(range(200_000, 202_000))
+    harness.seen_ids |= dict.fromkeys(range(200_000, 202_000))
     harness.keeper.copy_ids(START)
     harness.keeper.keep()
     harness.keeper.longest = 0
