--- /dev/null
+++ b/cypresswalk/net/handover_state.py
@@ -0,0 +1,322 @@
+"""What a process hands over of what it knows: read from the core, written to JSON, read back, put into a core.
+
+Times are nanoseconds of the predecessor's clock, whose `now` goes with them. The tables below map each key
+on the wire to the attribute that it stands for; a key stays what it is when an attribute is renamed.
+"""
+
+import math
+from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any, Protocol
+
+from cypresswalk.choice import Decaying
+from cypresswalk.model import EndpointUpdate, Server, ServerState
+from cypresswalk.net.config import Address, ConfigError, address
+from cypresswalk.net.core import Core
+from cypresswalk.net.parsers.endpoint_list import server_number
+from cypresswalk.net.parsers.lines import ProtocolError
+
+SERVERS_PER_MESSAGE = 200  # well under the longest line
+IDS_PER_MESSAGE = 2000
+
+
+class FieldKind(Enum):
+    """How a server's figure is checked and read back."""
+
+    COUNT = "count"  # whole, from 0 on
+    TIME = "time"  # of the predecessor's clock; 0: never
+    FLAG = "flag"
+    AMOUNT = "amount"  # from 0 on, perhaps infinite
+
+
+@dataclass(frozen=True, slots=True)
+class ServerField:
+    """One figure of a server."""
+
+    key: str  # on the wire
+    attribute: str  # of model.Server
+    kind: FieldKind
+
+
+# In the order in which they are written.
+SERVER_FIELDS = (
+    ServerField("since", "since", FieldKind.COUNT),
+    ServerField("health", "health", FieldKind.COUNT),
+    ServerField("misses", "misses", FieldKind.COUNT),
+    ServerField("errors", "errors", FieldKind.COUNT),
+    ServerField("failed", "failed", FieldKind.COUNT),
+    ServerField("answers", "answers", FieldKind.COUNT),
+    ServerField("trial_at", "trial_at", FieldKind.TIME),
+    ServerField("strain_at", "strain_at", FieldKind.TIME),
+    ServerField("full_until", "full_until", FieldKind.TIME),
+    ServerField("cut_at", "cut_at", FieldKind.TIME),
+    ServerField("told_at", "told_at", FieldKind.TIME),
+    ServerField("barred_at", "barred_at", FieldKind.TIME),
+    ServerField("known", "known", FieldKind.FLAG),
+    ServerField("fresh", "fresh", FieldKind.FLAG),
+    ServerField("barred", "barred", FieldKind.FLAG),
+    ServerField("owed", "owed", FieldKind.FLAG),
+    ServerField("strain", "strain", FieldKind.AMOUNT),
+    ServerField("limit", "limit", FieldKind.AMOUNT),
+    ServerField("cut_delay", "cut_delay", FieldKind.AMOUNT),
+    ServerField("delay", "delay", FieldKind.AMOUNT),
+)
+# Decaying sums by their key on the wire: attributes of model.Server, and of the decisions' Balancer.
+SERVER_SUMS = {"dealt": "dealt", "filled": "filled", "drops": "drops"}
+BALANCER_SUMS = {
+    "carried": "carried",
+    "borne": "borne",
+    "arrivals": "arrivals",
+    "hints": "hints",
+    "setup_time": "setup_time",
+    "setups": "setups",
+}
+# Set apart from the other figures: by the list, and whatever else is newer.
+APPLIED_APART = ("since", "barred", "barred_at")
+
+
+class ListSource(Protocol):
+    """Where this process has its endpoint list from."""
+
+    def list_position(self) -> tuple[str, int]:
+        """The list's address, and the version that was read last."""
+
+    def server_names(self) -> dict[int, str]:
+        """Names by number; more may be put in."""
+
+
+@dataclass(slots=True)
+class DecayingSumState:
+    """A decaying sum and when it was that."""
+
+    total: float
+    at: int
+
+
+@dataclass(slots=True)
+class ReceivedServer:
+    """A server as the predecessor knows it."""
+
+    server: Server  # as listed
+    address: Address
+    name: str
+    figures: dict[str, int | float | bool]  # by key
+    sums: dict[str, DecayingSumState]  # by key
+
+
+@dataclass(slots=True)
+class PredecessorState:
+    """All that the predecessor knows, checked."""
+
+    now: int
+    list_address: str
+    list_version: int
+    started: int
+    servers: list[ReceivedServer]
+    flow_ids: list[int]
+    sums: dict[str, DecayingSumState]  # by key
+
+
+def state_messages(now: int, core: Core, source: ListSource) -> Iterator[dict[str, Any]]:
+    """All that this process knows, as messages in their order."""
+    balancer = core.balancer
+    list_address, version = source.list_position()
+    fleet = core.extensions.fleet
+    agreed = {} if fleet is None else {"agreed": fleet.handed()}
+    yield {
+        "state": agreed
+        | {
+            "now": now,
+            "list": list_address,
+            "version": version,
+            "drained": core.lifecycle.drained,
+            "started": balancer.started,
+            "sums": {
+                key: encode_sum(getattr(balancer, attribute))
+                for key, attribute in BALANCER_SUMS.items()
+            },
+        }
+    }
+    servers = [
+        encode_server(server, core, source)
+        for server in balancer.servers.values()
+        if server.id in core.endpoints.addresses
+    ]
+    for start in range(0, len(servers), SERVERS_PER_MESSAGE):
+        yield {"servers": servers[start : start + SERVERS_PER_MESSAGE]}
+    ids = list(core.seen_ids)
+    for start in range(0, len(ids), IDS_PER_MESSAGE):
+        yield {"ids": ids[start : start + IDS_PER_MESSAGE]}
+    yield {"end": True}
+
+
+def encode_sum(decaying: Decaying) -> list[float]:
+    """Its total, and when it was that."""
+    return [decaying.total, decaying.at]
+
+
+def encode_server(server: Server, core: Core, source: ListSource) -> dict[str, Any]:
+    """A server's figures, then what the list says of it."""
+    encoded = {field.key: getattr(server, field.attribute) for field in SERVER_FIELDS}
+    for key, attribute in SERVER_SUMS.items():
+        encoded[key] = encode_sum(getattr(server, attribute))
+    return encoded | {
+        "name": source.server_names()[server.id],
+        "address": "%s:%d" % core.endpoints.addresses[server.id],
+        "zone": server.zone,
+        "cell": server.cell,
+        "weight": server.weight,
+        "state": server.state.value,
+    }
+
+
+class StateReceiver:
+    """Collects what comes between `state` and `end`; nothing of it counts before all is there and valid."""
+
+    def __init__(self, state: dict[str, Any]):
+        """`state` is the first message's content."""
+        self.state = state
+        self.servers: list[Any] = []
+        self.ids: list[Any] = []
+
+    def add(self, message: dict[str, Any]) -> None:
+        """Takes a message with servers or ids."""
+        self.servers += message.get("servers", [])
+        self.ids += message.get("ids", [])
+
+    def decode(self) -> PredecessorState:
+        """All of it.
+
+        Raises:
+            ProtocolError: something in it is malformed.
+        """
+        try:
+            sums = self.state["sums"]
+            return PredecessorState(
+                int(self.state["now"]),
+                str(self.state["list"]),
+                int(self.state["version"]),
+                int(self.state["started"]),
+                [decode_server(encoded) for encoded in self.servers],
+                [int(ident) for ident in self.ids],
+                {key: decode_sum(sums[key]) for key in BALANCER_SUMS if key in sums},
+            )
+        except (
+            KeyError,
+            TypeError,
+            ValueError,
+            AttributeError,
+            OverflowError,
+            ConfigError,
+        ) as error:
+            message = f"what the other process told: {type(error).__name__} {error}"
+            raise ProtocolError(message) from None
+
+
+def decode_sum(encoded: list[Any]) -> DecayingSumState:
+    """Raises ValueError where the total is no number from 0 on."""
+    total, at = encoded
+    if not 0 <= total < math.inf:
+        raise ValueError(f"a sum of {total}")
+    return DecayingSumState(float(total), int(at))
+
+
+def decode_figure(kind: FieldKind, value: Any) -> int | float | bool:
+    """Raises ValueError or TypeError for what is no such figure."""
+    match kind:
+        case FieldKind.FLAG:
+            return value is True
+        case FieldKind.AMOUNT:
+            return float(value)
+        case _:
+            return int(value)
+
+
+def decode_server(encoded: dict[str, Any]) -> ReceivedServer:
+    """Raises KeyError, TypeError, ValueError or ConfigError where something in it is malformed."""
+    server = Server(
+        id=server_number(encoded["name"]),
+        zone=int(encoded["zone"]),
+        cell=int(encoded["cell"]),
+        weight=float(encoded["weight"]),
+        since=int(encoded["since"]),
+        state=ServerState(encoded["state"]),
+    )
+    figures = {
+        field.key: decode_figure(field.kind, encoded[field.key])
+        for field in SERVER_FIELDS
+        if field.key in encoded
+    }
+    amounts = [
+        figures.get(field.key, 0)
+        for field in SERVER_FIELDS
+        if field.kind in (FieldKind.COUNT, FieldKind.AMOUNT)
+    ]
+    if min(amounts) < 0 or math.isnan(figures.get("limit", 0)) or not 0 < server.weight < math.inf:
+        raise ValueError(f"{encoded['name']}: a figure out of its range")
+    sums = {key: decode_sum(encoded[key]) for key in SERVER_SUMS if key in encoded}
+    where = address(encoded["address"], "address")
+    return ReceivedServer(server, where, encoded["name"], figures, sums)
+
+
+def apply_state(now: int, core: Core, source: ListSource, state: PredecessorState) -> None:
+    """Puts what the predecessor knows into a core that places nothing yet.
+
+    Its word goes before an older list's; a later start of a server, or a later version of the list,
+    before its word.
+    """
+    balancer = core.balancer
+    offset = now - state.now  # between the two clocks
+    apply_endpoints(now, core, source, state)
+    for received in state.servers:
+        apply_server(now, offset, balancer.servers[received.server.id], received)
+    for key, decaying in state.sums.items():
+        apply_sum(now, offset, getattr(balancer, BALANCER_SUMS[key]), decaying)
+    balancer.assume_retry_budget_spent(now)
+    balancer.started = min(state.started + offset, now)
+    balancer.stale = True
+    for ident in state.flow_ids[-core.limits.ids :]:
+        core.seen_ids[ident] = None
+    core.lifecycle.update_readiness()
+
+
+def apply_endpoints(now: int, core: Core, source: ListSource, state: PredecessorState) -> None:
+    """Names, addresses, and the entries that this process's own list does not know better."""
+    known = core.balancer.servers
+    names = source.server_names()
+    list_address, version = source.list_position()
+    newer_here = list_address == state.list_address and version > state.list_version
+    for received in state.servers:
+        names[received.server.id] = received.name
+        core.endpoints.addresses.setdefault(received.server.id, received.address)
+    accepted = []
+    for received in state.servers:
+        here = known.get(received.server.id)
+        if here is None or (here.since <= received.server.since and not newer_here):
+            accepted.append(received.server)
+    core.balancer.on_endpoints(now, EndpointUpdate.DELTA, accepted)
+
+
+def apply_server(now: int, offset: int, here: Server, received: ReceivedServer) -> None:
+    """Takes the predecessor's figures of a server, unless it has started again since."""
+    figures = received.figures
+    # Out of rotation by an operator is a fact whatever else is newer.
+    here.barred = bool(figures.get("barred", False))
+    here.barred_at = int(figures.get("barred_at", 0)) + offset
+    if here.since != received.server.since:
+        return
+    for field in SERVER_FIELDS:
+        if field.key in figures and field.key not in APPLIED_APART:
+            value = figures[field.key]
+            if field.kind is FieldKind.TIME and value:
+                value += offset
+            setattr(here, field.attribute, value)
+    for key, decaying in received.sums.items():
+        apply_sum(now, offset, getattr(here, SERVER_SUMS[key]), decaying)
+
+
+def apply_sum(now: int, offset: int, here: Decaying, received: DecayingSumState) -> None:
+    """Takes the predecessor's sum in place of this process's own."""
+    here.total = received.total
+    here.at = min(received.at + offset, now)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -256,13 +256,13 @@
         if self.binding is not None:
             self.binding.fleet.stop()
 
-    def list_at(self) -> tuple[str, int]:
+    def list_position(self) -> tuple[str, int]:
         return "%s:%d" % self.watch.address, self.watch.registry.version
 
-    def names(self) -> dict[int, str]:
+    def server_names(self) -> dict[int, str]:
         return self.watch.registry.names
 
-    def sockets(self) -> tuple[int, ...]:
+    def listening_sockets(self) -> tuple[int, ...]:
         return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
 
     # What the core asks for.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,8 @@
 
 from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.clock import Clock
-from cypresswalk.net.handover import VERSION, Handover, ReceivedState, messages
+from cypresswalk.net.handover import VERSION, Handover
+from cypresswalk.net.handover_state import StateReceiver, state_messages
 from cypresswalk.net.handover_socket import HandoverSocket
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.lifecycle import Phase
@@ -64,13 +65,13 @@
     def stop_accepting(self):
         self.accepting = False
 
-    def list_at(self):
+    def list_position(self):
         return "127.0.0.1:9", self.version
 
-    def names(self):
+    def server_names(self):
         return self.process.registry.names
 
-    def sockets(self):
+    def listening_sockets(self):
         return 7, 8
 
 
@@ -303,17 +304,17 @@
     elder = Process()
     stand(elder, 3, 0)
     whole = {}
-    for message in messages(elder.now, elder.core, elder.door):
+    for message in state_messages(elder.now, elder.core, elder.door):
         whole |= message
 
     def told(whole):
-        told = ReceivedState(whole["state"])
+        told = StateReceiver(whole["state"])
         told.add({"servers": whole["servers"]})
         told.add({"ids": whole["ids"]})
-        return told.read()
+        return told.decode()
 
     whole["servers"][0]["a later field"] = 1
-    assert len(told(whole)[0]) == 3
+    assert len(told(whole).servers) == 3
     spoil(whole)
     with pytest.raises(ProtocolError):
         told(whole)
