--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -1,14 +1,16 @@
-"""Hand-over between two processes of one balancer side by side: who serves, and what one tells the other.
+"""Hand-over between two processes of one balancer: who serves, and what one tells the other.
 
-Knows no socket. The predecessor serves until it is told to stop; then it tells the successor all that it
-knows and that new clients are the successor's, and goes on answering what it has taken. Both wait at one
-listening socket, which the predecessor passes on: no client waits at an address that closes (as in
-Facebook's Socket Takeover, "Zero Downtime Release", SIGCOMM 2020). An operator's command holds
-for both before its OK. Whichever of the two ends, the other serves.
+Knows no socket. The predecessor serves until it is told to stop; then it tells the successor all
+that it knows and that new clients are the successor's, and goes on answering what it has taken. Both
+wait at one listening socket, which the predecessor passes on: no client waits where nobody listens
+(as in Facebook's Socket Takeover, "Zero Downtime Release", SIGCOMM 2020). An operator's command
+holds for both before its OK. Whichever of the two ends, the other serves.
 
-    successor: hello              predecessor: welcome (with the sockets), state, servers ..., ids ..., end
-    either: call N                the other: done N
-    predecessor, told to stop: state ... end, yours, then held N as that changes      successor: mine
+    successor: hello
+    predecessor: welcome (with the sockets), state, servers ..., ids ..., end
+    either: call N        the other: done N
+    predecessor, told to stop: state ... end, yours, then held N as that changes
+    successor: mine
 
 Messages are JSON objects of one key that names them. An unknown one, and an unknown field, is passed over;
 an unknown version is refused, and means a plain start.
@@ -84,7 +86,7 @@
     # The predecessor.
 
     def on_hello(self, now: int, peer: PeerChannel) -> None:
-        """Another process wants to stand beside this one: one at a time, and not beside a successor."""
+        """Another process wants to stand beside this one: one at a time, never two in wait."""
         if self.peer is not None or self.is_successor:
             peer.send({"refused": "another process stands beside this one"})
             peer.close()
@@ -168,7 +170,7 @@
         self.send_session_count()
 
     def on_disconnected(self, now: int, peer: PeerChannel) -> None:
-        """The other process has ended, or the connection to it: this one serves, whatever was agreed."""
+        """The other process or the connection to it has ended: this one serves."""
         if peer is not self.peer:
             return
         self.peer = None
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -1,4 +1,4 @@
-"""The way to another process of this balancer: a Unix socket in the folder that both share, by which sockets pass too."""
+"""The Unix socket between two processes of this balancer, by which descriptors pass too."""
 
 import fcntl
 import json
@@ -7,9 +7,10 @@
 import socket
 import time
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from queue import SimpleQueue
 from threading import Lock
+from typing import Any
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
@@ -22,51 +23,78 @@
 from cypresswalk.net.parsers.lines import LineParser, ProtocolError
 
 log = logging.getLogger(__name__)
-PATH_MOST = 100  # bytes: a Unix socket's path may have 107
+
+MAX_PATH_BYTES = 100  # a Unix socket's path may have 107
+MAX_DESCRIPTORS = 4  # read with one message
+BACKLOG = 4  # processes that wait to be accepted
+
+
+class HandoverError(Exception):
+    """The process that serves here does not hand over.
+
+    Attributes:
+        retry: it may do so later, when no other process stands beside it.
+    """
+
+    def __init__(self, reason: object, retry: bool):
+        """`reason` is logged."""
+        super().__init__(reason)
+        self.retry = retry
 
 
 class Channel:
-    """One connection between two processes. Whoever sends never waits: a thread of its own writes."""
+    """One connection between two processes. Sending never waits: a thread of its own writes."""
 
     def __init__(self, sock: socket.socket, inbox: Inbox, limits: Limits):
-        self.sock, self.inbox, self.limits = sock, inbox, limits
+        """`sock` is connected."""
+        self.sock = sock
+        self.inbox = inbox
+        self.limits = limits
         sock.settimeout(None)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write))
-        self.lines, self.out = LineParser(limits.list_line), SimpleQueue()
-        self.descriptors: list[int] = []
-        self.side: Handover | None = None
+        self.lines = LineParser(limits.list_line)
+        self.outgoing: SimpleQueue[tuple[bytes, tuple[int, ...]] | None] = SimpleQueue()
+        self.descriptors: list[int] = []  # received; the reader's to close
 
-    def send(self, message: dict, descriptors: tuple[int, ...] = ()) -> None:
-        self.out.put((json.dumps(message, separators=(",", ":")).encode() + b"\n", descriptors))
+    def send(self, message: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
+        """Sends a message, with descriptors of sockets."""
+        data = json.dumps(message, separators=(",", ":")).encode() + b"\n"
+        self.outgoing.put((data, descriptors))
 
     def close(self) -> None:
-        """Once all has been sent."""
-        self.out.put(None)
+        """Ends the connection once all has been sent."""
+        self.outgoing.put(None)
 
-    def start(self, side: Handover) -> None:
-        self.side = side
-        start_thread(self.write)
-        start_thread(self.read)
+    def start(self, handover: Handover) -> None:
+        """Has messages and the end of the connection posted to the deciding thread."""
+        start_thread(self._write)
+        start_thread(lambda: self._read(handover))
 
-    def write(self) -> None:
+    def _write(self) -> None:
+        """The writing thread; ends when the connection does."""
         try:
-            while (item := self.out.get()) is not None:
+            while (item := self.outgoing.get()) is not None:
                 data, descriptors = item
                 if descriptors:
                     sent = socket.send_fds(self.sock, [data], descriptors)
                     data = data[sent:]
                 self.sock.sendall(data)
         except OSError as error:
-            log.warning(event("beside_lost", why=error))
-        try:
+            log.warning(event("handover_connection_lost", why=error))
+        with suppress(OSError):  # the other side was first
             self.sock.shutdown(socket.SHUT_RDWR)
-        except OSError:
-            pass
 
-    def message(self) -> dict | None:
-        """The next one, None at the end. Raises OSError, ProtocolError."""
+    def read_message(self) -> dict[str, Any] | None:
+        """The next message, or None at the end.
+
+        Raises:
+            OSError: the connection broke.
+            ProtocolError: what came is no message.
+        """
         while (line := self.lines.line()) is None:
-            data, descriptors, _, _ = socket.recv_fds(self.sock, self.limits.list_read, 4)
+            data, descriptors, _, _ = socket.recv_fds(
+                self.sock, self.limits.list_read, MAX_DESCRIPTORS
+            )
             self.descriptors += descriptors
             if not data:
                 return None
@@ -79,37 +107,40 @@
             raise ProtocolError("no object")
         return message
 
-    def read(self) -> None:
+    def _read(self, handover: Handover) -> None:
+        """The reading thread; ends when the connection does."""
         try:
-            while (message := self.message()) is not None:
-                self.inbox.first(self.side.on_message, self, message)
+            while (message := self.read_message()) is not None:
+                self.inbox.first(handover.on_message, self, message)
         except (OSError, ProtocolError) as error:
-            log.warning(event("beside_lost", why=error))
+            log.warning(event("handover_connection_lost", why=error))
         finally:
-            self.inbox.first(self.side.on_disconnected, self)
+            self.inbox.first(handover.on_disconnected, self)
             self.close()
 
 
 class HandoverSocket:
-    """Where the process that serves waits for one that is to succeed it."""
+    """The socket at which the process that serves waits for its successor."""
 
     def __init__(
         self, folder: str | None, name: str, listen: Address, inbox: Inbox, limits: Limits
     ):
-        self.inbox, self.limits = inbox, limits
+        """`folder` is shared by both processes; without one there is no hand-over."""
+        self.inbox = inbox
+        self.limits = limits
         self.name = f"{name} {listen[0]}:{listen[1]}"
-        self.folder, self.file = folder, f"cypresswalk-{number_of(self.name):x}"
+        self.folder = folder or ""
+        self.file = f"cypresswalk-{number_of(self.name):x}"
         self.sock: socket.socket | None = None
-        self.waiting = Lock()
-        self.turn: int | None = (
-            None  # held from this process's look for another until another can find it
-        )
+        self.listening = Lock()
+        # A lock file's descriptor, held until a successor can find this process.
+        self.start_lock: int | None = None
 
     @contextmanager
     def path(self, file: str) -> Iterator[str]:
-        """By a descriptor of the folder where the folder's own name is too long for a socket's path."""
+        """The file's path, by a descriptor of the folder where it would be too long."""
         whole = os.path.join(self.folder, file)
-        if len(whole.encode()) <= PATH_MOST:
+        if len(whole.encode()) <= MAX_PATH_BYTES:
             yield whole
             return
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -118,125 +149,147 @@
         finally:
             os.close(folder)
 
-    # The younger.
+    # The successor.
+
+    def find_predecessor(self) -> Channel | None:
+        """The process that serves here, if there is one that hands over, its welcome read.
 
-    def meet(self) -> Channel | None:
-        """The process that serves here, if there is one that can hand over, its welcome read. Tried for as long as another
-        stands beside it; whatever else is in the way is said, and means a plain start."""
+        Tried for as long as another stands beside it; whatever else is in the way is logged, and
+        means a plain start.
+        """
         if not self.folder:
             return None
-        until = self.inbox.clock() + self.limits.bind
-        self.take_turn(until)
+        deadline = self.inbox.clock() + self.limits.bind
+        self._take_start_lock(deadline)
         while True:
             try:
-                sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                sock.settimeout(self.limits.bind / SECOND)
-                with self.path(self.file) as path:
-                    sock.connect(path)
-            except (FileNotFoundError, ConnectionRefusedError):
-                sock.close()  # nobody is there, or one that was killed
-                return None
-            except OSError as error:
-                sock.close()
-                log.warning(event("handover_none", why=error))
-                return None
-            channel = Channel(sock, self.inbox, self.limits)
+                sock = self._connect()
+                return None if sock is None else self._greet_predecessor(sock)
+            except HandoverError as error:
+                if not error.retry or self.inbox.clock() > deadline:
+                    log.warning(event("handover_unavailable", why=error))
+                    return None
+            time.sleep(self.limits.list_retry / SECOND)
+
+    def _connect(self) -> socket.socket | None:
+        """None where nobody listens. Raises HandoverError."""
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
             sock.settimeout(self.limits.bind / SECOND)
-            try:
-                sock.sendall(
-                    json.dumps({"hello": {"version": VERSION, "name": self.name}}).encode() + b"\n"
-                )
-                welcome = channel.message()
-                if welcome and welcome.get("welcome") == VERSION and channel.descriptors:
-                    sock.settimeout(None)
-                    self.end_turn()  # whoever starts now is refused by the one that both have found
-                    return channel
-                why = (welcome or {}).get("refused", "no welcome")
-            except (OSError, ProtocolError) as error:
-                why = error
-            for descriptor in channel.descriptors:
-                os.close(descriptor)
+            with self.path(self.file) as path:
+                sock.connect(path)
+        except (FileNotFoundError, ConnectionRefusedError):
+            sock.close()  # nobody is there, or a process that was killed
+            return None
+        except OSError as error:
             sock.close()
-            if self.inbox.clock() > until or not isinstance(why, str) or "version" in why:
-                log.warning(event("handover_none", why=why))
-                return None
-            time.sleep(self.limits.list_retry / SECOND)
+            raise HandoverError(error, retry=False) from error
+        return sock
 
-    def take_turn(self, until: int) -> None:
-        """One process at a time looks for another. Guards against two that start in the same moment: neither would find the
-        other, both would listen, and the first to end would take the place of the other's socket along. The kernel ends the
-        turn of one that dies."""
+    def _greet_predecessor(self, sock: socket.socket) -> Channel:
+        """Sends hello and reads the welcome. Raises HandoverError."""
+        channel = Channel(sock, self.inbox, self.limits)
+        sock.settimeout(self.limits.bind / SECOND)
         try:
-            turn = os.open(
+            hello = {"hello": {"version": VERSION, "name": self.name}}
+            sock.sendall(json.dumps(hello).encode() + b"\n")
+            welcome = channel.read_message() or {}
+            if welcome.get("welcome") == VERSION and channel.descriptors:
+                sock.settimeout(None)
+                # Whoever starts now is refused by the process that both have found.
+                self._release_start_lock()
+                return channel
+            reason = welcome.get("refused", "no welcome")
+            failure = HandoverError(
+                reason, retry=isinstance(reason, str) and "version" not in reason
+            )
+        except (OSError, ProtocolError) as error:
+            failure = HandoverError(error, retry=False)
+        for descriptor in channel.descriptors:
+            os.close(descriptor)
+        sock.close()
+        raise failure
+
+    def _take_start_lock(self, deadline: int) -> None:
+        """Has one process at a time look for another.
+
+        Of two that start in the same moment neither would find the other, both would listen, and
+        the first to end would take the place of the other's socket along. The kernel releases the
+        lock of a process that dies.
+        """
+        try:
+            lock = os.open(
                 os.path.join(self.folder, self.file + ".turn"),
                 os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC,
                 0o600,
             )
         except OSError as error:
-            log.warning(event("handover_turn_none", why=error))
+            log.warning(event("handover_lock_failed", why=error))
             return
         while True:
             try:
-                fcntl.flock(turn, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                self.turn = turn
+                fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                self.start_lock = lock
                 return
             except OSError as error:
-                if not isinstance(error, BlockingIOError) or self.inbox.clock() > until:
-                    log.warning(event("handover_turn_none", why=error))
-                    os.close(turn)
+                if not isinstance(error, BlockingIOError) or self.inbox.clock() > deadline:
+                    log.warning(event("handover_lock_failed", why=error))
+                    os.close(lock)
                     return
             time.sleep(self.limits.list_retry / SECOND)
 
-    def end_turn(self) -> None:
-        if self.turn is not None:
-            os.close(self.turn)
-            self.turn = None
+    def _release_start_lock(self) -> None:
+        if self.start_lock is not None:
+            os.close(self.start_lock)
+            self.start_lock = None
 
-    # The elder.
+    # The predecessor.
 
-    def wait(self, side: Handover) -> None:
+    def wait_for_successor(self, handover: Handover) -> None:
         """From now on another process finds this one."""
-        with self.waiting:
+        with self.listening:
             if not self.folder or self.sock is not None:
                 return
             try:
-                self.listen(side)
+                self._listen(handover)
             finally:
-                self.end_turn()
+                self._release_start_lock()
 
-    def listen(self, side: Handover) -> None:
-        beside = f"{self.file}.{os.getpid()}"
+    def _listen(self, handover: Handover) -> None:
+        file = f"{self.file}.{os.getpid()}"
+        sock = self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            with self.path(beside) as path:
-                self.sock.bind(path)
+            with self.path(file) as path:
+                sock.bind(path)
                 os.chmod(path, 0o600)  # whoever speaks here is handed the clients
-            self.sock.listen(4)
+            sock.listen(BACKLOG)
             # In one step over what an earlier process left: there is never a moment without a name.
-            os.rename(os.path.join(self.folder, beside), os.path.join(self.folder, self.file))
+            os.rename(os.path.join(self.folder, file), os.path.join(self.folder, self.file))
         except OSError as error:
-            log.warning(event("handover_off", why=error))
-            self.sock.close()
+            log.warning(event("handover_disabled", why=error))
+            sock.close()
             return
-        start_thread(lambda: self.run(side))
+        start_thread(lambda: self._accept_successors(sock, handover))
 
-    def run(self, side: Handover) -> None:
+    def _accept_successors(self, listener: socket.socket, handover: Handover) -> None:
+        """The accepting thread; ends with the process."""
         while True:
             try:
-                sock, _ = self.sock.accept()
+                sock, _ = listener.accept()
             except OSError as error:
                 log.warning(event("handover_accept_failed", why=error))
                 time.sleep(self.limits.accept_pause / SECOND)
                 continue
             try:
-                self.greet(Channel(sock, self.inbox, self.limits), side)
+                self._greet_successor(Channel(sock, self.inbox, self.limits), handover)
             except (OSError, ProtocolError, RuntimeError) as error:
-                log.warning(event("hello_odd", why=error))
+                log.warning(event("handover_hello_refused", why=error))
                 sock.close()
 
-    def greet(self, channel: Channel, side: Handover) -> None:
+    def _greet_successor(self, channel: Channel, handover: Handover) -> None:
+        """Reads its hello. Raises OSError, ProtocolError, or RuntimeError without threads."""
         channel.sock.settimeout(self.limits.list_retry / SECOND)
-        hello = (channel.message() or {}).get("hello")
+        hello = (channel.read_message() or {}).get("hello")
         channel.sock.settimeout(None)
         if (
             not isinstance(hello, dict)
@@ -245,5 +298,5 @@
         ):
             channel.sock.sendall(b'{"refused":"another version or name"}\n')
             raise ProtocolError(f"hello: {hello!r}"[:200])
-        channel.start(side)
-        self.inbox.first(side.on_hello, channel)
+        channel.start(handover)
+        self.inbox.first(handover.on_hello, channel)
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -1,7 +1,7 @@
-"""What a process hands over of what it knows: read from the core, written to JSON, read back, put into a core.
+"""What a process hands over of what it knows, to JSON and back.
 
-Times are nanoseconds of the predecessor's clock, whose `now` goes with them. The tables below map each key
-on the wire to the attribute that it stands for; a key stays what it is when an attribute is renamed.
+Times are nanoseconds of the predecessor's clock, whose `now` goes with them. The tables below map
+each key on the wire to its attribute; a key stays what it is when an attribute is renamed.
 """
 
 import math
@@ -62,7 +62,7 @@
     ServerField("cut_delay", "cut_delay", FieldKind.AMOUNT),
     ServerField("delay", "delay", FieldKind.AMOUNT),
 )
-# Decaying sums by their key on the wire: attributes of model.Server, and of the decisions' Balancer.
+# Decaying sums by their key on the wire: attributes of model.Server, and of Balancer.
 SERVER_SUMS = {"dealt": "dealt", "filled": "filled", "drops": "drops"}
 BALANCER_SUMS = {
     "carried": "carried",
@@ -161,9 +161,10 @@
     encoded = {field.key: getattr(server, field.attribute) for field in SERVER_FIELDS}
     for key, attribute in SERVER_SUMS.items():
         encoded[key] = encode_sum(getattr(server, attribute))
+    host, port = core.endpoints.addresses[server.id]
     return encoded | {
         "name": source.server_names()[server.id],
-        "address": "%s:%d" % core.endpoints.addresses[server.id],
+        "address": f"{host}:{port}",
         "zone": server.zone,
         "cell": server.cell,
         "weight": server.weight,
@@ -172,7 +173,7 @@
 
 
 class StateReceiver:
-    """Collects what comes between `state` and `end`; nothing of it counts before all is there and valid."""
+    """Collects what comes between `state` and `end`; it counts once all is there and valid."""
 
     def __init__(self, state: dict[str, Any]):
         """`state` is the first message's content."""
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -91,7 +91,7 @@
         self.beside = HandoverSocket(
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
-        self.elder = self.beside.meet()
+        self.elder = self.beside.find_predecessor()
         self.core.extensions.handover = Handover(self.core, self, self.elder)
         return (
             [socket.socket(fileno=number) for number in self.elder.descriptors]
@@ -246,7 +246,7 @@
             self.peers.reading = True
             start_thread(self.peers.run, self.limits.fault_pause)
         if self.beside is not None:
-            self.beside.wait(self.core.extensions.handover)
+            self.beside.wait_for_successor(self.core.extensions.handover)
 
     def stop_accepting(self) -> None:
         self.listener.taking = False
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,8 +23,8 @@
 from cypresswalk.model import SECOND, Outcome, ServerState
 from cypresswalk.net.clock import Clock
 from cypresswalk.net.handover import VERSION, Handover
-from cypresswalk.net.handover_state import StateReceiver, state_messages
 from cypresswalk.net.handover_socket import HandoverSocket
+from cypresswalk.net.handover_state import StateReceiver, state_messages
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.lifecycle import Phase
 from cypresswalk.net.parsers.admin_commands import AdminCommand
@@ -567,9 +567,9 @@
     first, second = (
         HandoverSocket(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
     )
-    assert first.meet() is None
+    assert first.find_predecessor() is None
     found = []
-    looking = Thread(target=lambda: found.append(second.meet()), daemon=True)
+    looking = Thread(target=lambda: found.append(second.find_predecessor()), daemon=True)
     looking.start()
     looking.join(0.3)
     assert looking.is_alive()
@@ -578,11 +578,11 @@
         on_message=None,
         on_disconnected=lambda now, other: None,
     )
-    first.wait(side)
+    first.wait_for_successor(side)
     call, words = inboxes[0].calls.get(timeout=3)
     call(clock(), *words)
     looking.join(3)
-    assert found[0] is not None and first.turn is None and second.turn is None
+    assert found[0] is not None and first.start_lock is None and second.start_lock is None
     found[0].sock.close()
 
 
