--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -35,7 +35,10 @@
     balancer = Balancer(settings(), 1, now)
     balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers))
     core = SimpleNamespace(
-        balancer=balancer, counters=Counters(), seen=OrderedDict(), limits=SimpleNamespace(ids=8192)
+        balancer=balancer,
+        counters=Counters(),
+        seen_ids=OrderedDict(),
+        limits=SimpleNamespace(ids=8192),
     )
     with tempfile.TemporaryDirectory() as folder:
         keeper = SnapshotWriter(folder, 1, core, inbox, SimpleNamespace(version=1), "n0", "a:1")
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -1,10 +1,10 @@
 """Hand-over between two processes of one balancer: who serves, and what one tells the other.
 
 Knows no socket. The predecessor serves until it is told to stop; then it tells the successor all
-that it knows and that new clients are the successor's, and goes on answering what it has taken. Both
-wait at one listening socket, which the predecessor passes on: no client waits where nobody listens
-(as in Facebook's Socket Takeover, "Zero Downtime Release", SIGCOMM 2020). An operator's command
-holds for both before its OK. Whichever of the two ends, the other serves.
+that it knows and that new clients are the successor's, and goes on answering what it has taken.
+Both wait at one listening socket, which the predecessor passes on: no client waits where nobody
+listens (as in Facebook's Socket Takeover, "Zero Downtime Release", SIGCOMM 2020). An operator's
+command holds for both before its OK. Whichever of the two ends, the other serves.
 
     successor: hello
     predecessor: welcome (with the sockets), state, servers ..., ids ..., end
@@ -12,8 +12,8 @@
     predecessor, told to stop: state ... end, yours, then held N as that changes
     successor: mine
 
-Messages are JSON objects of one key that names them. An unknown one, and an unknown field, is passed over;
-an unknown version is refused, and means a plain start.
+Messages are JSON objects of one key that names them. An unknown one, and an unknown field, is
+passed over; an unknown version is refused, and means a plain start.
 """
 
 from dataclasses import dataclass
--- a/cypresswalk/state/snapshot.py
+++ b/cypresswalk/state/snapshot.py
@@ -1,33 +1,24 @@
-"""What is kept of a balancer's knowledge, how it loses weight with age, and how it goes back into a balancer.
+"""What is persisted of a balancer's knowledge, as records, and how it is copied from the balancer.
 
-No I/O and no clock. Times are nanoseconds of wall time, as the balancer's own clock counts them; a file from the future, or
-one whose age cannot be told, counts as endlessly old. Old knowledge may make a balancer careful and never shuts a sound
-fleet out: see `Recovery`."""
-
-import math
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+No I/O and no clock. Times are nanoseconds of wall time, as the balancer's own clock counts them.
+The records' fields stand in files; this module and `recovery` are where they meet the attributes of
+model.Server and of the decisions' Balancer.
+"""
 
 from msgspec import Struct
 
-from cypresswalk.choice import FALL, MISSES, RISE, Balancer
-from cypresswalk.model import SECOND, Server, ServerState
+from cypresswalk.choice import Balancer, Decaying
+from cypresswalk.model import Server
 
-# Half-lives: after one, half of it is believed.
-# A server's troubles last tens of seconds (hangs of 7 to 24 s were seen, returns after 6 to 28 s).
-TROUBLE_HALF = 20 * SECOND
-# A client's id comes again within its own retries, which end within a minute; five of those and it is let go.
-IDS_KEPT = 300 * SECOND
-# Sums of flows are read beside their own decay; past ten minutes nothing is left of any.
-SUMS_KEPT = 600 * SECOND
-SKEW = 2 * SECOND  # what two readings of wall time may differ by without one being from the future
-HALF_THE_FLEET = 0.5  # more of it put aside by old knowledge than this: none of that is believed
-CHUNK = 250  # servers in one slice: a tenth of a millisecond
-IDS_CHUNK = 2000  # ids in one slice: a third of a millisecond
+SERVERS_PER_SLICE = 250  # copied at once: a tenth of a millisecond
+IDS_PER_SLICE = 2000  # likewise: a third of a millisecond
 
 
 class ServerRecord(Struct, array_like=True, forbid_unknown_fields=True):
-    """One server. `learned`: when something was last heard of it, by whichever life of the balancer heard it."""
+    """One server.
+
+    `learned` is when something was last heard of it, by whichever incarnation of the balancer.
+    """
 
     id: int
     since: int  # its start, as the list told it
@@ -52,7 +43,7 @@
 
 
 class SumsRecord(Struct, forbid_unknown_fields=True):
-    """The balancer's own sums, as (total, when)."""
+    """The balancer's own decaying sums, each as its total and when that held."""
 
     carried: tuple[float, int]
     arrivals: tuple[float, int]
@@ -61,58 +52,77 @@
     setups: tuple[float, int]
 
 
+# By field of SumsRecord, in its order: the attribute of Balancer.
+SUM_ATTRIBUTES = {
+    "carried": "carried",
+    "arrivals": "arrivals",
+    "hints": "hints",
+    "setup_time": "setup_time",
+    "setups": "setups",
+}
+
+
 class Header(Struct, forbid_unknown_fields=True):
+    """Whose snapshot it is, when it was taken, and the balancer's sums."""
+
     balancer: str
     taken: int  # when it was copied
     started: int  # since when the sums have run
     list_version: int
     list_address: str
-    again: float  # the share of flows that came again, as clients marked them
+    again: float  # the fraction of flows that came again, as clients marked them
     sums: SumsRecord
 
 
 class Snapshot(Struct):
+    """All that one file holds."""
+
     head: Header
     servers: list[ServerRecord]
     ids: list[tuple[int, int]]  # a flow's id, and when it was served
 
 
-def sum_of(decaying: object) -> tuple[float, int]:
-    return (decaying.total, decaying.at) if decaying is not None else (0.0, 0)
+def copy_sum(decaying: object) -> tuple[float, int]:
+    """A decaying sum's total and time; zeros for None."""
+    return (decaying.total, decaying.at) if isinstance(decaying, Decaying) else (0.0, 0)
 
 
-def server_kept(server: Server, learned: int) -> ServerRecord:
+def copy_server(server: Server, learned: int) -> ServerRecord:
+    """The server's record; `learned` as there."""
     return ServerRecord(
-        server.id,
-        server.since,
-        server.state.value,
-        learned,
-        server.health,
-        server.known,
-        server.fresh,
-        server.misses,
-        server.errors,
-        server.failed,
-        server.answers,
-        server.trial_at,
-        server.full_until,
-        server.strain,
-        server.strain_at,
-        server.limit,
-        server.cut_at,
-        server.delay,
-        sum_of(server.dealt),
-        sum_of(server.drops),
+        id=server.id,
+        since=server.since,
+        state=server.state.value,
+        learned=learned,
+        health=server.health,
+        known=server.known,
+        fresh=server.fresh,
+        misses=server.misses,
+        errors=server.errors,
+        failed=server.failed,
+        answers=server.answers,
+        trial_at=server.trial_at,
+        full_until=server.full_until,
+        strain=server.strain,
+        strain_at=server.strain_at,
+        limit=server.limit,
+        cut_at=server.cut_at,
+        delay=server.delay,
+        dealt=copy_sum(server.dealt),
+        drops=copy_sum(server.drops),
     )
 
 
-def sums_kept(balancer: Balancer) -> SumsRecord:
-    return SumsRecord(*(sum_of(getattr(balancer, name)) for name in SumsRecord.__struct_fields__))
+def copy_sums(balancer: Balancer) -> SumsRecord:
+    """The balancer's own sums."""
+    return SumsRecord(*(copy_sum(getattr(balancer, name)) for name in SUM_ATTRIBUTES.values()))
 
 
-def evidence(server: Server) -> tuple:
-    """Changes whenever something is heard of the server, and not when time passes. Guards against a loop of restarts that
-    writes old knowledge anew as if it had just been learned."""
+def observations(server: Server) -> tuple[object, ...]:
+    """Changes whenever something is heard of the server, and not when time passes.
+
+    Without it a loop of restarts would write old knowledge anew as if it had just been learned.
+    """
     return (
         server.health,
         server.known,
@@ -128,135 +138,3 @@
         server.since,
         server.state,
     )
-
-
-def weight(age: int, half: int) -> float:
-    """What is left of a belief of that age: 1 at once, a half after one half-life."""
-    return 0.5 ** (age / half) if age >= 0 else 0.0
-
-
-def age_of(learned: int, now: int) -> int | None:
-    """None where it can't be told: from the future, since a clock went back or the file came from elsewhere."""
-    return None if learned > now + SKEW else max(now - learned, 0)
-
-
-@dataclass(slots=True)
-class Recovery:
-    """Puts what was kept back into a balancer that has just been started with its last list.
-
-    Facts go back whatever their age: a server that was told to drain or gone, and was not started since, is not sent
-    anything until a live list names it. Beliefs go back by weight: counts of misses shrink and vanish; health returns to
-    unknown. If what remains would put more than half of the servers in service aside, it is not believed at all: then the
-    fault lay nearer than the servers, or the file is from another time."""
-
-    kept: Snapshot
-    now: int
-    list_version: int  # of the list that the balancer was started with
-    list_address: str
-    done: dict[str, int] = field(default_factory=dict)
-    before: dict[int, tuple[tuple, int]] = field(
-        default_factory=dict
-    )  # evidence and when it was learned, by server
-
-    def into(self, balancer: Balancer) -> dict[str, int]:
-        """What was taken over, in counts for the log."""
-        self.done = dict.fromkeys(("drains", "beliefs", "aside", "restarted", "unknown"), 0)
-        pairs = []
-        for kept in self.kept.servers:
-            server = balancer.servers.get(kept.id)
-            if server is None:
-                self.done["unknown"] += 1
-            elif server.since != kept.since:
-                self.done["restarted"] += (
-                    1  # it started since: what was known is of another process
-                )
-            else:
-                pairs.append((server, kept))
-        for server, kept in pairs:
-            self.drained(server, kept)
-        self.believe(balancer, pairs)
-        self.sums(balancer)
-        balancer.stale = True
-        for server, kept in pairs:
-            self.before[server.id] = evidence(server), kept.learned
-        return self.done
-
-    def drained(self, server: Server, kept: ServerRecord) -> None:
-        state = ServerState(kept.state)
-        newer_list = (
-            self.list_address == self.kept.head.list_address
-            and self.list_version > self.kept.head.list_version
-        )
-        if state is not ServerState.READY and server.state is ServerState.READY and not newer_list:
-            server.state = state
-            self.done["drains"] += 1
-
-    def believe(self, balancer: Balancer, pairs: list[tuple[Server, ServerRecord]]) -> None:
-        ready = [s for s in balancer.servers.values() if s.state is ServerState.READY]
-        aside = sum(s.state is ServerState.READY and self.bad(k) for s, k in pairs)
-        if not ready or aside > HALF_THE_FLEET * len(ready):
-            return
-        self.done["aside"] = aside
-        for server, kept in pairs:
-            part = self.part(kept)
-            if part <= 0.01:
-                continue
-            self.done["beliefs"] += 1
-            server.misses, server.errors = faded(kept.misses, part), faded(kept.errors, part)
-            server.failed = faded(kept.failed, part)
-            if kept.known and faded(FALL, part) >= MISSES:
-                # Down stays down until a probe says otherwise; up is what an unknown server is taken for anyhow.
-                server.health, server.known = min(kept.health, RISE), kept.health < RISE
-            server.fresh = kept.fresh
-            server.answers = kept.answers
-            # These run out by themselves; none may reach further than it would have.
-            server.trial_at, server.full_until = (
-                min(kept.trial_at, self.now + SECOND),
-                min(kept.full_until, self.now + SECOND),
-            )
-            server.strain, server.strain_at, server.delay = (
-                kept.strain,
-                min(kept.strain_at, self.now),
-                kept.delay,
-            )
-            server.limit, server.cut_at = kept.limit, min(kept.cut_at, self.now)
-            restore(server.drops, kept.drops, self.now)
-            # What was dealt of a cold server's budget counts on, or a restart would spend it twice.
-            restore(server.dealt, kept.dealt, self.now)
-
-    def part(self, kept: ServerRecord) -> float:
-        age = age_of(kept.learned, self.now)
-        return 0.0 if age is None else weight(age, TROUBLE_HALF)
-
-    def bad(self, kept: ServerRecord) -> bool:
-        """Whether it would be put aside by what is left of what was known."""
-        part = self.part(kept)
-        down = kept.known and kept.health < RISE and faded(FALL, part) >= MISSES
-        return down or max(faded(kept.misses, part), faded(kept.errors, part)) >= MISSES
-
-    def sums(self, balancer: Balancer) -> None:
-        head = self.kept.head
-        age = age_of(head.taken, self.now)
-        if age is None or age > SUMS_KEPT or head.started > head.taken:
-            return
-        for name in SumsRecord.__struct_fields__:
-            restore(getattr(balancer, name), getattr(head.sums, name), self.now)
-        balancer.started = min(head.started, balancer.started)
-
-    def ids(self) -> Iterable[int]:
-        """The ids that may still come again, the oldest first."""
-        for ident, served in self.kept.ids:
-            age = age_of(served, self.now)
-            if age is not None and age <= IDS_KEPT:
-                yield ident
-
-
-def faded(count: int, part: float) -> int:
-    """Rounded half down: one miss may be chance, and half of one is none."""
-    return math.ceil(count * part - 0.5)
-
-
-def restore(decaying: object, kept: tuple[float, int], now: int) -> None:
-    total, at = kept
-    if at <= now + SKEW and math.isfinite(total) and total >= 0:
-        decaying.total, decaying.at = total, min(at, now)
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -16,16 +16,15 @@
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.state import file_format, store
 from cypresswalk.state.disk import DiskFolder, FolderLockedError
+from cypresswalk.state.recovery import MAX_ID_AGE, Recovery
 from cypresswalk.state.snapshot import (
-    CHUNK,
-    IDS_CHUNK,
-    IDS_KEPT,
+    IDS_PER_SLICE,
+    SERVERS_PER_SLICE,
     Header,
-    Recovery,
     ServerRecord,
-    evidence,
-    server_kept,
-    sums_kept,
+    copy_server,
+    copy_sums,
+    observations,
 )
 
 log = logging.getLogger(__name__)
@@ -82,9 +81,9 @@
             return
         self.floor = kept.head.list_version
         recovery = Recovery(kept, now, self.registry.version, self.list_address)
-        done = recovery.into(self.core.balancer)
-        self.learned = recovery.before
-        found = list(recovery.ids())
+        done = recovery.apply(self.core.balancer)
+        self.learned = recovery.learned
+        found = list(recovery.recent_ids())
         believed = set(found)
         self.ids.extend((ident, at) for ident, at in kept.ids if ident in believed)
         for ident in found[-self.core.limits.ids :]:
@@ -155,9 +154,9 @@
         ):
             return
         parts = [file_format.part(b"h", heads[0])]
-        for at in range(0, len(servers), CHUNK):
+        for at in range(0, len(servers), SERVERS_PER_SLICE):
             copies: list[ServerRecord] = []
-            if not self.sliced(self.copy_servers, servers[at : at + CHUNK], copies):
+            if not self.sliced(self.copy_servers, servers[at : at + SERVERS_PER_SLICE], copies):
                 return
             parts.append(file_format.part(b"s", copies))
             time.sleep(PAUSE)
@@ -165,8 +164,8 @@
 
     def write(self, parts: list[bytes]) -> None:
         ids = list(self.ids)
-        for at in range(0, len(ids), IDS_CHUNK):
-            parts.append(file_format.part(b"i", ids[at : at + IDS_CHUNK]))
+        for at in range(0, len(ids), IDS_PER_SLICE):
+            parts.append(file_format.part(b"i", ids[at : at + IDS_PER_SLICE]))
             if not self.ended.is_set():
                 time.sleep(PAUSE)
         with self.writing:
@@ -211,27 +210,27 @@
             self.registry.version,
             self.list_address,
             counts.get("flows_again", 0) / taken,
-            sums_kept(self.core.balancer),
+            copy_sums(self.core.balancer),
         )
 
     def copy_servers(self, now: int, servers: list, into: list[ServerRecord]) -> None:
         for server in servers:
-            seen = evidence(server)
+            seen = observations(server)
             known = self.learned.get(server.id)
             if known is None or known[0] != seen:
                 known = self.learned[server.id] = seen, now
-            into.append(server_kept(server, known[1]))
+            into.append(copy_server(server, known[1]))
 
     def copy_ids(self, now: int) -> None:
         """Those that came since the last time, the newest first in the core's table."""
         last = self.ids[-1][0] if self.ids else None
         new = []
-        for ident in islice(reversed(self.core.seen_ids), IDS_CHUNK):
+        for ident in islice(reversed(self.core.seen_ids), IDS_PER_SLICE):
             if ident == last:
                 break
             new.append(ident)
         self.ids.extend((ident, now) for ident in reversed(new))
-        for _ in range(IDS_CHUNK):
-            if not self.ids or now - self.ids[0][1] <= IDS_KEPT:
+        for _ in range(IDS_PER_SLICE):
+            if not self.ids or now - self.ids[0][1] <= MAX_ID_AGE:
                 break
             self.ids.popleft()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -19,18 +19,14 @@
 from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, ServerState
 from cypresswalk.net.counters import Counters
 from cypresswalk.state import file_format, store
-from cypresswalk.state.snapshot import (
-    IDS_KEPT,
-    TROUBLE_HALF,
-    Header,
+from cypresswalk.state.recovery import (
+    FAULT_HALF_LIFE,
+    MAX_ID_AGE,
     Recovery,
-    ServerRecord,
-    Snapshot,
-    SumsRecord,
-    evidence,
-    faded,
-    weight,
+    belief_weight,
+    decayed,
 )
+from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot, SumsRecord, observations
 from cypresswalk.state.snapshot_writer import SnapshotWriter
 
 SAMPLES = Path(__file__).parent / "state-samples"
@@ -285,7 +281,7 @@
         self.balancer.on_endpoints(
             self.now, EndpointUpdate.CACHED, [e for e in entries(servers, since=since)]
         )
-        self.counters, self.seen, self.limits = Counters(), {}, SimpleNamespace(ids=8192)
+        self.counters, self.seen_ids, self.limits = Counters(), {}, SimpleNamespace(ids=8192)
         self.registry = SimpleNamespace(version=more.pop("version", 5))
         self.keeper = SnapshotWriter(
             str(folder), 1, self, self, self.registry, name, more.pop("address", "a:1")
@@ -310,17 +306,17 @@
     first.keeper.recover(START)
     one = first.balancer.servers[7]
     one.misses, one.answers, one.limit, one.cut_at = 3, 9, 4.0, START
-    first.seen |= {11: None, 12: None}
+    first.seen_ids |= {11: None, 12: None}
     first.keeper.copy_ids(START)
     first.keeper.keep()
-    first.seen[13] = None
+    first.seen_ids[13] = None
     first.keeper.finish(START)
     first.keeper.disk.unlock()
     second = Harness(tmp_path, now=START + 2 * SECOND)
     second.keeper.recover(second.now)
     again = second.balancer.servers[7]
     assert (again.misses, again.answers, again.limit, again.cut_at) == (3, 9, 4.0, START)
-    assert list(second.seen) == [11, 12, 13]
+    assert list(second.seen_ids) == [11, 12, 13]
     assert sorted(p.name for p in tmp_path.iterdir()) == ["lock", "state.1", "state.2"]
     assert first.log(caplog) == ["event=state_none", "event=state_recovered"]
 
@@ -463,7 +459,7 @@
     harness = Harness(tmp_path, servers=10_000)
     harness.keeper.recover(START)
     harness.keeper.ids.extend((ident, START) for ident in range(100_000))
-    harness.seen |= dict.fromkeys(range(200_000, 202_000))
+    harness.seen_ids |= dict.fromkeys(range(200_000, 202_000))
     harness.keeper.copy_ids(START)
     harness.keeper.keep()
     harness.keeper.longest = 0
@@ -481,7 +477,7 @@
     balancer = Balancer(settings(), 1, now)
     balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers, **entry))
     recovery = Recovery(kept, now, version, address)
-    return balancer, recovery.into(balancer), recovery
+    return balancer, recovery.apply(balancer), recovery
 
 
 def bad_server(kept, place=0, **more):
@@ -496,14 +492,16 @@
 
 
 def test_counts_fade_with_their_half_life():
-    assert [faded(4, weight(age * SECOND, TROUBLE_HALF)) for age in (0, 20, 40, 60, 80)] == [
+    assert [
+        decayed(4, belief_weight(age * SECOND, FAULT_HALF_LIFE)) for age in (0, 20, 40, 60, 80)
+    ] == [
         4,
         2,
         1,
         0,
         0,
     ]
-    assert weight(-1, TROUBLE_HALF) == 0
+    assert belief_weight(-1, FAULT_HALF_LIFE) == 0
     for age, misses, up in ((0, 4, False), (20, 2, True), (60, 0, True), (7200, 0, True)):
         balancer, _, _ = recovered(bad_server(good_servers()), START + age * SECOND)
         assert balancer.servers[7].misses == misses and balancer.up(balancer.servers[7]) is up
@@ -549,7 +547,7 @@
     assert (
         balancer.servers[7].misses == 0 and balancer.up(balancer.servers[7]) and done["drains"] == 1
     )
-    assert list(recovery.ids()) == [6]
+    assert list(recovery.recent_ids()) == [6]
 
 
 def test_a_server_that_started_since_starts_afresh():
@@ -634,11 +632,11 @@
     balancer = Balancer(settings(), 1, START)
     balancer.on_endpoints(START, EndpointUpdate.CACHED, entries(2))
     server = balancer.servers[7]
-    seen = evidence(server)
+    seen = observations(server)
     balancer.on_wakeup(START + 100 * SECOND // 1000)
-    assert evidence(server) == seen
+    assert observations(server) == seen
     balancer.on_health_check_result(START + SECOND, server, True, None)
-    assert evidence(server) != seen
+    assert observations(server) != seen
 
 
 def test_the_budget_of_a_cold_server_is_not_dealt_twice():
@@ -652,8 +650,8 @@
 
 def test_ids_are_kept_for_minutes_only():
     kept = make(0, servers=1)
-    kept.ids = [(1, START - IDS_KEPT), (2, START), (3, START + SECOND)]
-    assert list(Recovery(kept, START + SECOND, 0, "").ids()) == [2, 3]
+    kept.ids = [(1, START - MAX_ID_AGE), (2, START), (3, START + SECOND)]
+    assert list(Recovery(kept, START + SECOND, 0, "").recent_ids()) == [2, 3]
 
 
 # The program and the commands.
