--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -1,4 +1,9 @@
-"""Puts the parts together and runs the deciding thread."""
+"""Puts the parts together, runs the deciding thread, and handles signals.
+
+Threads: the deciding thread is the main one and alone calls the core. The listener, the watch of
+the endpoint list, peers and the admin address have one each, started by `Program.run` or `accept`,
+which lives as long as the process or until its part is stopped; each connection has its own.
+"""
 
 import logging
 import os
@@ -9,6 +14,7 @@
 import time
 from collections.abc import Callable
 from queue import Empty
+from typing import TYPE_CHECKING
 
 from cypresswalk.choice import Balancer
 from cypresswalk.model import SECOND, EndpointUpdate, Outcome, Server
@@ -28,9 +34,18 @@
 from cypresswalk.net.servers import ServerLink
 from cypresswalk.net.session import Attempt, Session
 
+if TYPE_CHECKING:  # imported at run time only where an operator turns them on
+    from cypresswalk.fleet.core_binding import CoreBinding
+    from cypresswalk.net.admin import Admin
+    from cypresswalk.net.handover import Handover
+    from cypresswalk.net.handover_socket import Channel, HandoverSocket
+    from cypresswalk.operator import FleetTable
+    from cypresswalk.state.snapshot_writer import SnapshotWriter
+
 log = logging.getLogger(__name__)
-# The interpreter's own is 5 ms. Measured on two cores: while 300 clients came at once, the echo of a standing one's
-# line took 2.5 to 3.2 ms (median of three runs each) instead of 3.7 to 7.6; on quiet days there is no difference.
+
+# Seconds; the interpreter's own is 5 ms. With 300 clients coming at once on two cores, the echo of
+# an established one's line took 2.5 to 3.2 ms instead of 3.7 to 7.6; on quiet days it is the same.
 SWITCH_INTERVAL = 0.0005
 
 
@@ -38,11 +53,22 @@
     """The drivers that the core calls, and the one thread that calls the core."""
 
     def __init__(
-        self, config: Config, policy: type[Balancer] = Balancer, core: Callable[..., Core] = Core
+        self,
+        config: Config,
+        policy: type[Balancer] = Balancer,
+        core: Callable[..., Core] = Core,
     ):
-        self.limits, self.path = config.limits, config.path
+        """Opens all sockets; `policy` and `core` as in `main`.
+
+        Raises:
+            ConfigError: the configuration's list of servers cannot be read.
+            OSError: an address cannot be listened at.
+        """
+        self.limits = config.limits
+        self.path = config.path
         self.clock = Clock()
-        self.inbox, self.counters = Inbox(self.clock), Counters()
+        self.inbox = Inbox(self.clock)
+        self.counters = Counters()
         self.core = core(config, self, self.counters, self.clock(), policy)
         registry = EndpointListDecoder(config.zones)
         try:
@@ -50,13 +76,45 @@
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
         self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
-        asked = config.settings.list_polled
-        self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, asked)
-        self.places = threading.Semaphore(self.limits.flows + self.limits.links_over)
+        polled = config.settings.list_polled
+        self.watch = Watch(config.discovery, registry, self.core, self.inbox, self.limits, polled)
+        self.server_slots = threading.Semaphore(self.limits.flows + self.limits.links_over)
         self.prober = Prober(self.core, self.inbox, self.limits, config.load_fields)
-        self.peers, self.admin, self.beside, sockets = None, None, None, []
-        if shared := config.admin is not None:
-            sockets = self.operate(config)
+        self.peers: Peers | None = None
+        self.admin: Admin | None = None
+        self.handover: Handover | None = None
+        self.handover_socket: HandoverSocket | None = None
+        self.predecessor: Channel | None = None
+        self.snapshot_writer: SnapshotWriter | None = None
+        self.binding: CoreBinding | None = None
+        inherited = self._enable_operators(config, config.admin) if config.admin else []
+        self._open_sockets(config, inherited)
+        self.reloads = 0  # signals that asked for one
+        self.exit_deadline = 0  # nanoseconds, once all flows are answered
+
+    def _enable_operators(self, config: Config, address: Address) -> list[socket.socket]:
+        """Lets operators call and upgrade this process; returns the predecessor's sockets, if any.
+
+        Imported here alone: without an admin address no such call and no Unix socket exists.
+        """
+        from cypresswalk.net.admin import Admin
+        from cypresswalk.net.handover import Handover
+        from cypresswalk.net.handover_socket import HandoverSocket
+
+        self.admin = Admin(address, self.core, self.inbox, self.limits)
+        self.handover_socket = HandoverSocket(
+            os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
+        )
+        self.predecessor = self.handover_socket.find_predecessor()
+        self.handover = Handover(self.core, self, self.predecessor)
+        self.core.extensions.handover = self.handover
+        if self.predecessor is None:
+            return []
+        return [socket.socket(fileno=number) for number in self.predecessor.descriptors]
+
+    def _open_sockets(self, config: Config, inherited: list[socket.socket]) -> None:
+        """Opens the clients' and peers' sockets, or takes those of a predecessor."""
+        shared = config.admin is not None
         if config.peer_listen is not None:
             self.peers = Peers(
                 config.peer_listen,
@@ -65,7 +123,7 @@
                 self.inbox,
                 self.limits,
                 shared,
-                sockets[1] if len(sockets) > 1 else None,
+                inherited[1] if len(inherited) > 1 else None,
             )
         self.listener = Listener(
             config.listen,
@@ -73,51 +131,31 @@
             self.inbox,
             self.limits,
             shared,
-            sockets[0] if sockets else None,
-        )
-        self.keeper = None
-        self.binding = None
-        self.reloads = 0  # signals that asked for it
-        self.ends_at = 0  # once all flows are answered: when it ends whoever still reads
-
-    def operate(self, config: Config) -> list[socket.socket]:
-        """Operators may call and upgrade it; the sockets that a process before this one has passed on, if there is one.
-        Imported here alone: the platform's earlier days have no operators who call, and allow no Unix sockets."""
-        from cypresswalk.net.admin import Admin
-        from cypresswalk.net.handover import Handover
-        from cypresswalk.net.handover_socket import HandoverSocket
-
-        self.admin = Admin(config.admin, self.core, self.inbox, self.limits)
-        self.beside = HandoverSocket(
-            os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
-        )
-        self.elder = self.beside.find_predecessor()
-        self.core.extensions.handover = Handover(self.core, self, self.elder)
-        return (
-            [socket.socket(fileno=number) for number in self.elder.descriptors]
-            if self.elder
-            else []
+            inherited[0] if inherited else None,
         )
 
     def keep_state(self, folder: str, every: float, config: Config) -> None:
-        """Imported here alone: the platform's balancer has no folder that outlasts it, and no memory for this."""
+        """Recovers persisted state and writes it every so many seconds.
+
+        Imported here alone: without the operator file nothing of it is loaded.
+        """
         from cypresswalk.state.snapshot_writer import SnapshotWriter
 
-        self.keeper = SnapshotWriter(
+        self.snapshot_writer = SnapshotWriter(
             folder,
             every,
             self.core,
             self.inbox,
             self.watch.registry,
             config.name,
-            "%s:%d" % config.discovery,
+            "%s:%d" % config.discovery,  # noqa: UP031 (a tuple)
         )
-        self.keeper.recover(self.clock())
-        # A list that knows less than this balancer was told in its life before is an older one.
-        self.watch.floor = self.keeper.floor
+        self.snapshot_writer.recover(self.clock())
+        # A list that knows less than the incarnation before was told is an older one.
+        self.watch.floor = self.snapshot_writer.floor
 
-    def join_fleet(self, table: object, config: Config) -> None:
-        """Imported here alone: the platform's balancer has nobody to agree with, and no disk."""
+    def join_fleet(self, table: "FleetTable", config: Config) -> None:
+        """Binds the core to what a fleet agrees on. Imported here alone, as above."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
@@ -125,82 +163,98 @@
         )
 
     def run(self) -> None:
+        """Starts all threads and is the deciding thread until the process may end."""
+        self._start_threads()
+        core = self.core
+        last = self.clock()
+        while not self._may_exit():
+            due = core.timers.next_due()
+            wait = SECOND if due is None else due - self.clock()
+            if core.lifecycle.stopped:
+                wait = min(wait, self.limits.leave_tick)
+            last = self._apply_events(wait, last)
+            last = max(last, self.clock())
+            self._call_guarded(core.timers.run_due, last)
+            self._call_guarded(core.carry_out_decisions, last)
+        if self.snapshot_writer is not None:
+            self._call_guarded(self.snapshot_writer.finish, self.clock())
+
+    def _start_threads(self) -> None:
         pause = self.limits.fault_pause
         if self.binding is not None:
             self.binding.fleet.start()
-        if self.admin is not None and self.elder is not None:
-            self.elder.start(self.core.extensions.handover)
+        if self.predecessor is not None and self.handover is not None:
+            self.predecessor.start(self.handover)
         else:
             self.accept()
         start_thread(self.watch.run, pause, self.limits.list_stack)
         if self.admin is not None:
             start_thread(self.admin.run, pause)
-        if self.keeper is not None:
-            self.keeper.start()
-        queue, calls, core, last = self.inbox.queue, self.inbox.calls, self.core, self.clock()
-        while not self.over():
-            due = core.timers.next_due()
-            wait = SECOND if due is None else due - self.clock()
-            if core.lifecycle.stopped:
-                wait = min(wait, self.limits.leave_tick)
-            try:
-                item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
-                # All that waits now, and no more: a flood of events must not keep decisions waiting.
-                for left in range(queue.qsize(), -1, -1):
-                    at, call, words = item
-                    # Threads stamp what they read: two stamps can come in the wrong order.
-                    last = max(last, at)
-                    while not calls.empty():
-                        asked, about = calls.get_nowait()
-                        last = max(last, self.clock())
-                        self.guarded(asked, last, *about)
-                    self.guarded(call, last, *words)
-                    if left:
-                        item = queue.get_nowait()
-            except Empty:
-                pass
-            last = max(last, self.clock())
-            self.guarded(core.timers.run_due, last)
-            self.guarded(core.carry_out_decisions, last)
-        if self.keeper is not None:
-            self.guarded(self.keeper.finish, self.clock())
-
-    def over(self) -> bool:
-        """Whether nothing is owed any more: flows are answered, the door is shut, and whoever was told something has gone or
-        had time to read it. Guards clients that come in the last moments against being taken and never answered."""
+        if self.snapshot_writer is not None:
+            self.snapshot_writer.start()
+
+    def _apply_events(self, wait: int, last: int) -> int:
+        """Waits for an event and applies all there are, operators' first; returns the time."""
+        queue = self.inbox.queue
+        calls = self.inbox.calls
+        try:
+            item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
+            # All that waits now, and no more: a flood of events must not keep decisions waiting.
+            for left in range(queue.qsize(), -1, -1):
+                at, call, args = item
+                # Threads stamp what they read: two stamps can come in the wrong order.
+                last = max(last, at)
+                while not calls.empty():
+                    urgent_call, urgent_args = calls.get_nowait()
+                    last = max(last, self.clock())
+                    self._call_guarded(urgent_call, last, *urgent_args)
+                self._call_guarded(call, last, *args)
+                if left:
+                    item = queue.get_nowait()
+        except Empty:
+            pass
+        return last
+
+    def _may_exit(self) -> bool:
+        """Whether flows are answered, none can come, and clients have had time to read.
+
+        Clients that come in the last moments must not be accepted and never answered.
+        """
         if not self.core.lifecycle.stopped:
             return False
-        self.ends_at = self.ends_at or self.clock() + self.limits.leave_end
+        self.exit_deadline = self.exit_deadline or self.clock() + self.limits.leave_end
         if self.listener.closed:
             self.listener.send_off_silent()
         return (
             self.listener.closed
             and not self.listener.clients
             and not self.inbox.queue.qsize()
-            or self.clock() > self.ends_at
+            or self.clock() > self.exit_deadline
         )
 
-    def guarded(self, call: Callable, now: int, *words: object) -> None:
-        """Guards the clients that stand against a fault over one flow."""
+    def _call_guarded(self, call: Callable[..., object], now: int, *args: object) -> None:
+        """Logs a fault over one flow, which must not end the others."""
         try:
-            call(now, *words)
+            call(now, *args)
         except Exception:
             self.counters.add("faults")
-            log.error(event("fault", call=call.__qualname__), exc_info=True)
+            name = getattr(call, "__qualname__", call)
+            log.error(event("fault", call=name), exc_info=True)
             time.sleep(self.limits.fault_pause / SECOND)
 
     def stop(self, now: int) -> None:
+        """SIGTERM or SIGINT: a graceful shutdown."""
         if self.binding is not None:
             self.binding.fleet.leave()
         self.core.lifecycle.stop(now)
 
     def reload(self, now: int) -> None:
+        """SIGHUP: the endpoint list comes from where the configuration file says now."""
         self.reloads += 1
-        self.reload_until(now, self.reloads, now + self.limits.reload_again)
+        self._reload_until(now, self.reloads, now + self.limits.reload_again)
 
-    def reload_until(self, now: int, number: int, until: int) -> None:
-        """The list comes from where the file says now; what runs stays. A file that can't be used is looked at again for a
-        while, unless the next SIGHUP has come: guards against one that is half written when the signal comes."""
+    def _reload_until(self, now: int, number: int, until: int) -> None:
+        """Reads the file; half written, it is read again until then or the next SIGHUP."""
         if number != self.reloads:
             return
         try:
@@ -208,14 +262,17 @@
         except ConfigError as error:
             if now < until:
                 self.core.timers.schedule(
-                    now + self.limits.list_retry, self.reload_until, number, until
+                    now + self.limits.list_retry, self._reload_until, number, until
                 )
             else:
                 log.error(event("reload_failed", why=error))
             return
-        log.info(
-            event("reload", discovery="%s:%d" % discovery, before="%s:%d" % self.watch.address)
-        )
+        self._follow_list_at(discovery)
+
+    def _follow_list_at(self, discovery: Address) -> None:
+        """Follows the list at another address; flows and health stay."""
+        before = "%s:%d" % self.watch.address  # noqa: UP031 (a tuple)
+        log.info(event("reload", discovery="%s:%d" % discovery, before=before))  # noqa: UP031
         if discovery == self.watch.address:
             self.watch.call()
             return
@@ -229,26 +286,29 @@
             old.asked,
             max(old.floor, old.registry.version),
         )
-        new.call()  # what the module has asked for it has asked of any address
+        new.call()  # what the decisions have asked for they have asked of any address
         start_thread(new.run, self.limits.fault_pause, self.limits.list_stack)
         self.watch = new
         old.end()
 
     def report(self, now: int) -> None:
+        """SIGUSR1: logs the counters."""
         log.info(f"event=counters {self.counters.line()}")
 
     # What two processes of one balancer do for each other.
 
     def accept(self) -> None:
+        """Accepts clients and peers' datagrams, and lets a successor find this process."""
         self.listener.taking = True
         start_thread(self.listener.run, self.limits.fault_pause)
         if self.peers is not None:
             self.peers.reading = True
             start_thread(self.peers.run, self.limits.fault_pause)
-        if self.beside is not None:
-            self.beside.wait_for_successor(self.core.extensions.handover)
+        if self.handover_socket is not None and self.handover is not None:
+            self.handover_socket.wait_for_successor(self.handover)
 
     def stop_accepting(self) -> None:
+        """The successor accepts, checks health and takes part in the fleet from now on."""
         self.listener.taking = False
         if self.peers is not None:
             self.peers.reading = False
@@ -257,55 +317,72 @@
             self.binding.fleet.stop()
 
     def list_position(self) -> tuple[str, int]:
-        return "%s:%d" % self.watch.address, self.watch.registry.version
+        """The endpoint list's address, and the version that was read last."""
+        host, port = self.watch.address
+        return f"{host}:{port}", self.watch.registry.version
 
     def server_names(self) -> dict[int, str]:
+        """Servers' names by number."""
         return self.watch.registry.names
 
     def listening_sockets(self) -> tuple[int, ...]:
+        """Descriptors of the clients' socket and, where there is one, the peers'."""
         return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
 
-    # What the core asks for.
+    # What the core asks for; see net/ports.py.
 
     def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
-        attempt.connection = ServerLink(
-            attempt, address, line, self.core, self.inbox, self.limits, self.places
+        """Starts the attempt's thread."""
+        link = ServerLink(
+            attempt, address, line, self.core, self.inbox, self.limits, self.server_slots
         )
+        attempt.connection = link
         try:
-            start_thread(attempt.connection.run)
+            start_thread(link.run)
         except RuntimeError as error:
             log.error(event("connect_not_started", why=error))
             self.inbox.post(self.core.on_attempt_ended, attempt, Outcome.CONNECT_FAILED)
 
     def join(self, attempt: Attempt) -> None:
+        """Starts relaying lines."""
         attempt.connection.join()
 
     def drop(self, attempt: Attempt) -> None:
+        """Closes the connection to the server."""
         attempt.connection.drop()
 
     def recall(self, attempt: Attempt) -> bool:
+        """Drops an attempt that has sent nothing yet."""
         return attempt.connection.recall()
 
     def close_door(self, at: int) -> None:
+        """Ends the listening for clients at that time."""
         self.listener.ends_at = at
 
     def answer(self, session: Session, line: bytes) -> None:
+        """Sends the client its last line."""
         session.client.link.send_now(line)
         session.client.link.shut(socket.SHUT_WR)
 
     def close(self, session: Session) -> None:
+        """Closes the client's connection."""
         session.client.link.shut(socket.SHUT_RDWR)
 
     def move(self, session: Session) -> None:
+        """Sends an established client MOVE."""
+        assert session.attempt is not None  # it is established
         session.attempt.connection.move()
 
     def probe(self, server: Server, address: Address) -> None:
+        """Checks a server's health."""
         self.prober.probe(server, address)
 
     def subscribe(self) -> None:
+        """Asks for the endpoint list's changes."""
         self.watch.call()
 
     def tell(self, message: bytes) -> None:
+        """Sends gossip to the other balancers."""
         if self.peers is not None:
             self.peers.tell(message)
 
@@ -325,43 +402,58 @@
         program.join_fleet(asked.fleet, config)
 
 
+def handle_signals(program: Program) -> None:
+    """Has signals posted to the deciding thread."""
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *_: program.inbox.post(program.stop))
+    signal.signal(signal.SIGHUP, lambda *_: program.inbox.post(program.reload))
+    signal.signal(signal.SIGUSR1, lambda *_: program.inbox.post(program.report))
+
+
+def build_program(
+    config: Config,
+    policy: type[Balancer],
+    core: Callable[..., Core],
+    program_class: type[Program],
+) -> Program:
+    """The program with all that the operator file turns on. Raises ConfigError or OSError."""
+    logs.start(config.name, config.limits.log_lines)
+    sys.setswitchinterval(SWITCH_INTERVAL)
+    threading.stack_size(config.limits.stack)
+    program = program_class(config, policy, core)
+    if operator := os.environ.get("PROXY_OPERATOR"):
+        enable(program, operator, config)
+    return program
+
+
 def main(
     policy: type[Balancer] = Balancer,
     core: Callable[..., Core] = Core,
     made: type[Program] = Program,
 ) -> int:
-    """Another policy, core or program than the product's own is for comparison, tracing and faults alone."""
+    """Runs the balancer; returns an exit code where it cannot start.
+
+    Another policy, core or program than the product's is for comparison, tracing and faults alone.
+    """
     # Until there is something to reload; its own action would end the start.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Guards those whom the machine accepts from the listening socket on against an end without an answer.
-    told_to_end = []
+    # From listening on, clients are accepted by the machine: none may be left without an answer.
+    stop_signals = []
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: told_to_end.append(True))
+        signal.signal(number, lambda *_: stop_signals.append(True))
     try:
         config = load(dict(os.environ))
-    except ConfigError as error:
-        print(f"cypresswalk: {error}", file=sys.stderr)
-        return 1
-    logs.start(config.name, config.limits.log_lines)
-    sys.setswitchinterval(SWITCH_INTERVAL)
-    threading.stack_size(config.limits.stack)
-    try:
-        program = made(config, policy, core)
-        if operator := os.environ.get("PROXY_OPERATOR"):
-            enable(program, operator, config)
+        program = build_program(config, policy, core, made)
     except (ConfigError, OSError) as error:
         print(f"cypresswalk: {error}", file=sys.stderr)
         return 1
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: program.inbox.post(program.stop))
-    if told_to_end:
+    handle_signals(program)
+    if stop_signals:
         program.inbox.post(program.stop)
-    signal.signal(signal.SIGHUP, lambda *_: program.inbox.post(program.reload))
-    signal.signal(signal.SIGUSR1, lambda *_: program.inbox.post(program.report))
     log.info(
         event(
             "start",
-            listen="%s:%d" % config.listen,
+            listen="%s:%d" % config.listen,  # noqa: UP031 (a tuple)
             servers=len(program.core.balancer.servers),
             sockets=config.limits.sockets,
             flows=config.limits.flows,
@@ -370,5 +462,5 @@
     program.run()
     log.info(f"event=end {program.counters.line()}")
     logging.shutdown()
-    # Threads still stand in reads: taken down with the interpreter they could abort it while one of them logs.
+    # Threads still read: ended with the interpreter, one of them could abort it while it logs.
     os._exit(0)
