--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -1,12 +1,13 @@
-"""How knowledge stands in a file: a head of fixed size, then chunks, under one checksum. No I/O.
+r"""The file format of persisted state: a head of fixed size, then chunks, under one checksum.
 
-    magic "CWSTATE\\n" | version u16 | length of the rest u64 | BLAKE2b-128 of all but itself | chunks
+    magic "CWSTATE\n" | version u16 | length of the rest u64 | BLAKE2b-128 of the others | chunks
     chunk: kind u8 ("h" head, "s" servers, "i" ids, "e" end) | length u32 | MessagePack
 
-Little-endian. Chunks are encoded one by one: encoding ten thousand servers at once would hold the interpreter's lock, and
-with it the deciding thread, for ten milliseconds. msgspec serializes: it checks types as it decodes, so that a file with a
-right checksum and wrong contents is refused too. BLAKE2b (RFC 7693) is the standard library's; any bit flipped in the head
-or the body is seen."""
+No I/O. Little-endian. Chunks are encoded one by one: encoding ten thousand servers at once would
+hold the interpreter's lock, and with it the deciding thread, for ten milliseconds. msgspec checks
+types as it decodes, so that a file with a right checksum and wrong contents is refused too. The
+checksum is BLAKE2b (RFC 7693); any bit flipped in the head or the body is seen.
+"""
 
 import math
 import struct
@@ -18,53 +19,64 @@
 from cypresswalk.model import ServerState
 from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot
 
-MAGIC, VERSION = b"CWSTATE\n", 1
+MAGIC = b"CWSTATE\n"
+VERSION = 1
 FIXED = struct.Struct("<8sHQ")
-DIGEST = 16
+DIGEST = 16  # bytes
 PART = struct.Struct("<cI")
-LARGEST = 64 << 20  # bytes of a file: a hundred thousand ids and servers take a tenth of it
+# A hundred thousand ids and servers take a tenth of it.
+MAX_BODY_BYTES = 64 << 20
 STATES = {state.value for state in ServerState}
 
 encoder = msgspec.msgpack.Encoder()
-heads, servers, ids = (
-    msgspec.msgpack.Decoder(t) for t in (Header, list[ServerRecord], list[tuple[int, int]])
-)
+heads = msgspec.msgpack.Decoder(Header)
+servers = msgspec.msgpack.Decoder(list[ServerRecord])
+ids = msgspec.msgpack.Decoder(list[tuple[int, int]])
 
 
 class FormatError(Exception):
-    """The file can't be believed; the message says why. `newer`: a later version of this program wrote it."""
+    """The file is invalid; the message says why.
 
-    def __init__(self, why: str, newer: bool = False):
-        super().__init__(why)
+    Attributes:
+        newer: a later version of this program wrote it.
+    """
+
+    def __init__(self, reason: str, newer: bool = False):
+        """As above."""
+        super().__init__(reason)
         self.newer = newer
 
 
 def part(kind: bytes, value: object) -> bytes:
+    """One chunk."""
     data = encoder.encode(value)
     return PART.pack(kind, len(data)) + data
 
 
 def whole(parts: Iterable[bytes]) -> bytes:
-    """The file, from its parts. Raises FormError beyond the largest size."""
+    """The file, from its chunks. Raises FormatError beyond the largest size."""
     body = b"".join(parts) + part(b"e", None)
-    if len(body) > LARGEST:
-        raise FormatError(f"{len(body)} bytes, more than {LARGEST}")
+    if len(body) > MAX_BODY_BYTES:
+        raise FormatError(f"{len(body)} bytes, more than {MAX_BODY_BYTES}")
     fixed = FIXED.pack(MAGIC, VERSION, len(body))
     return fixed + digest(fixed, body) + body
 
 
 def digest(fixed: bytes, body: bytes) -> bytes:
-    sum_ = blake2b(fixed, digest_size=DIGEST)
-    sum_.update(body)
-    return sum_.digest()
+    """The checksum of the head's other fields and the body."""
+    checksum = blake2b(fixed, digest_size=DIGEST)
+    checksum.update(body)
+    return checksum.digest()
 
 
-def encode(kept: Snapshot) -> bytes:
-    return whole([part(b"h", kept.head), part(b"s", kept.servers), part(b"i", kept.ids)])
+def encode(snapshot: Snapshot) -> bytes:
+    """The file, encoded at once."""
+    parts = [part(b"h", snapshot.head), part(b"s", snapshot.servers), part(b"i", snapshot.ids)]
+    return whole(parts)
 
 
 def decode(data: bytes) -> Snapshot:
-    """All of it or a FormError. Never half: nothing is looked at before the checksum is right."""
+    """All of it, or a FormatError. Nothing is decoded before the checksum is right."""
     if len(data) < FIXED.size + DIGEST:
         raise FormatError(f"{len(data)} bytes, too short for a head")
     magic, version, length = FIXED.unpack_from(data)
@@ -86,6 +98,7 @@
 
 
 def chunks(body: bytes) -> Iterator[tuple[bytes, bytes]]:
+    """Each chunk's kind and contents. Raises ValueError or struct.error where one is cut short."""
     at = 0
     while at < len(body):
         kind, length = PART.unpack_from(body, at)
@@ -97,22 +110,24 @@
 
 
 def build(found: list[tuple[bytes, bytes]]) -> Snapshot:
+    """The snapshot from all chunks. Raises ValueError and msgspec's errors."""
     if not found or found[0][0] != b"h" or found[-1][0] != b"e":
         raise ValueError("no head or no end")
-    kept = Snapshot(heads.decode(found[0][1]), [], [])
+    snapshot = Snapshot(heads.decode(found[0][1]), [], [])
     for kind, data in found[1:-1]:
         if kind == b"s":
-            kept.servers += servers.decode(data)
+            snapshot.servers += servers.decode(data)
         elif kind == b"i":
-            kept.ids += ids.decode(data)
+            snapshot.ids += ids.decode(data)
         else:
             raise ValueError(f"a chunk of kind {kind!r}")
-    for server in kept.servers:
+    for server in snapshot.servers:
         check(server)
-    return kept
+    return snapshot
 
 
 def check(server: ServerRecord) -> None:
+    """Raises ValueError where a figure is out of its range."""
     if server.state not in STATES:
         raise ValueError(f"server {server.id}: state {server.state!r}")
     counts = (
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -1,15 +1,18 @@
-"""Keeps a running balancer's knowledge: recovers it at the start, copies it in slices, writes it on a thread of its own.
+"""Persists a running balancer's state: recovers it at the start, copies it in slices, writes it.
 
-The deciding thread does the copying alone, a slice of well under a millisecond at a time; the keeper's thread encodes and
-writes. Whatever goes wrong with folder or file is logged once, until it changes, and the balancer runs on without."""
+The deciding thread does the copying alone, a slice of well under a millisecond at a time; the
+writer's thread encodes and writes. Whatever goes wrong with folder or file is logged once, until it
+changes, and the balancer runs on without.
+"""
 
 import logging
 import time
 from collections import deque
+from collections.abc import Callable
 from itertools import islice
 from threading import Event, Lock
 
-from cypresswalk.model import SECOND
+from cypresswalk.model import SECOND, Server
 from cypresswalk.net.core import Core
 from cypresswalk.net.inbox import Inbox, start_thread
 from cypresswalk.net.logs import event
@@ -28,16 +31,18 @@
 )
 
 log = logging.getLogger(__name__)
-IDS_MOST = 100_000  # of the file: five minutes of three hundred flows a second
-IDS_EVERY = SECOND  # how often new ids are copied: no more than a slice comes in between
-PAUSE = 0.001  # seconds between two slices: the deciding thread takes what waits
-STACK = (
-    512 * 1024
-)  # of the keeper's thread: the serializer and the file layer need more than the drivers'
-SLICE_WAIT = 10  # seconds for the deciding thread to come to a slice; longer, it is ending
+
+MAX_IDS = 100_000  # in the file: five minutes of three hundred flows a second
+IDS_INTERVAL = SECOND  # between two copies of new ids: no more than a slice comes in between
+SLICE_PAUSE = 0.001  # seconds between two slices: the deciding thread takes what waits
+# Bytes of the writer's thread: the serializer and the file layer need more than the drivers'.
+STACK_BYTES = 512 * 1024
+SLICE_TIMEOUT = 10  # seconds for the deciding thread to come to a slice; longer, it is ending
 
 
 class SnapshotWriter:
+    """Recovers the state before anything runs, then writes a generation at each interval."""
+
     def __init__(
         self,
         folder: str,
@@ -48,25 +53,32 @@
         balancer: str,
         list_address: str,
     ):
-        self.core, self.inbox, self.registry, self.every = core, inbox, registry, every
-        self.balancer, self.list_address = balancer, list_address
+        """Writes each `every` seconds, as the balancer of that name; its list is at the address."""
+        self.core = core
+        self.inbox = inbox
+        self.registry = registry
+        self.every = every
+        self.balancer = balancer
+        self.list_address = list_address
         self.disk = DiskFolder(folder)
         self.off = False  # the folder is another's, or holds what must be left alone
         self.number = 0
-        self.learned: dict[int, tuple[tuple, int]] = {}
-        self.ids: deque[tuple[int, int]] = deque(maxlen=IDS_MOST)
-        self.said = ""  # the trouble that was logged last
-        self.writing, self.ended = Lock(), Event()
-        self.floor = 0  # the list's version in the life before
+        # By server: what was observed of it last, and when that was learned.
+        self.learned: dict[int, tuple[tuple[object, ...], int]] = {}
+        self.ids: deque[tuple[int, int]] = deque(maxlen=MAX_IDS)
+        self.logged_error = ""  # while it lasts
+        self.writing = Lock()
+        self.ended = Event()
+        self.floor = 0  # the list's version in the incarnation before
         self.longest = 0  # nanoseconds that one slice took
 
     # At the start, before anything runs.
 
     def recover(self, now: int) -> None:
-        """Takes over what the folder holds. Never fails: a balancer without its past is still a balancer."""
+        """Takes over what the folder holds. Errors are logged, and the balancer starts without."""
         try:
             self.disk.lock()
-            kept, self.number = store.load(self.disk, self.balancer, self.unreadable)
+            kept, self.number = store.load(self.disk, self.balancer, self.on_invalid_file)
         except FolderLockedError as error:
             self.turn_off("state_folder_taken", error)
             return
@@ -74,7 +86,7 @@
             self.turn_off("state_file_foreign", error)
             return
         except OSError as error:
-            self.trouble("read", error)
+            self.on_error("read", error)
             return
         if kept is None:
             log.info(event("state_none", folder=self.disk.path))
@@ -99,97 +111,102 @@
             )
         )
 
-    def unreadable(self, name: str, why: str) -> None:
-        log.warning(event("state_file_odd", file=name, why=why))
+    def on_invalid_file(self, name: str, reason: str) -> None:
+        """Logs a file that was passed over."""
+        log.warning(event("state_file_odd", file=name, why=reason))
 
-    def turn_off(self, what: str, why: object) -> None:
+    def turn_off(self, log_event: str, reason: object) -> None:
+        """Leaves the folder alone for good."""
         self.off = True
         self.disk.unlock()
-        log.error(event(what, folder=self.disk.path, why=why, state="off"))
+        log.error(event(log_event, folder=self.disk.path, why=reason, state="off"))
 
-    def trouble(self, what: str, error: Exception) -> None:
-        """Once, until it is another or has gone."""
-        why = f"{what}: {getattr(error, 'strerror', None) or error}"
-        if why != self.said:
-            log.error(event("state_not_kept", folder=self.disk.path, why=why))
-        self.said = why
+    def on_error(self, operation: str, error: Exception) -> None:
+        """Logs an error once, until it is another or has gone."""
+        reason = f"{operation}: {getattr(error, 'strerror', None) or error}"
+        if reason != self.logged_error:
+            log.error(event("state_not_kept", folder=self.disk.path, why=reason))
+        self.logged_error = reason
 
     # While it runs.
 
     def start(self) -> None:
+        """Starts the writing thread, unless the folder must be left alone."""
         if not self.off:
-            start_thread(self.run, SECOND, STACK)
+            start_thread(self.run, SECOND, STACK_BYTES)
 
     def run(self) -> None:
+        """The writing thread; ends with `finish`, or when the deciding thread no longer answers."""
         due = time.monotonic() + self.every
-        while not self.ended.wait(min(max(due - time.monotonic(), 0.01), IDS_EVERY / SECOND)):
-            if not self.sliced(self.copy_ids):
+        while not self.ended.wait(min(max(due - time.monotonic(), 0.01), IDS_INTERVAL / SECOND)):
+            if not self._run_slice(self.copy_ids):
                 return
             if time.monotonic() >= due:
                 due = time.monotonic() + self.every
                 self.keep()
 
-    def sliced(self, copy, *words: object) -> bool:
+    def _run_slice(self, copy: Callable[..., object], *args: object) -> bool:
         """Has the deciding thread run it, and waits; False where that thread has ended."""
         done = Event()
 
         def run(now: int) -> None:
             began = time.perf_counter_ns()
-            copy(now, *words)
+            copy(now, *args)
             self.longest = max(self.longest, time.perf_counter_ns() - began)
             done.set()
 
         self.inbox.post(run)
-        return done.wait(SLICE_WAIT)
+        return done.wait(SLICE_TIMEOUT)
 
     def keep(self) -> None:
-        """One generation."""
+        """Copies and writes one generation."""
         heads: list[Header] = []
-        servers: list = []
-        if not self.sliced(
-            lambda now: (
-                heads.append(self.head(now)),
-                servers.extend(self.core.balancer.servers.values()),
-            )
-        ):
+        servers: list[Server] = []
+
+        def copy_head(now: int) -> None:
+            heads.append(self.head(now))
+            servers.extend(self.core.balancer.servers.values())
+
+        if not self._run_slice(copy_head):
             return
         parts = [file_format.part(b"h", heads[0])]
         for at in range(0, len(servers), SERVERS_PER_SLICE):
             copies: list[ServerRecord] = []
-            if not self.sliced(self.copy_servers, servers[at : at + SERVERS_PER_SLICE], copies):
+            if not self._run_slice(self.copy_servers, servers[at : at + SERVERS_PER_SLICE], copies):
                 return
             parts.append(file_format.part(b"s", copies))
-            time.sleep(PAUSE)
+            time.sleep(SLICE_PAUSE)
         self.write(parts)
 
     def write(self, parts: list[bytes]) -> None:
+        """Adds the ids to head and servers, and writes the file."""
         ids = list(self.ids)
         for at in range(0, len(ids), IDS_PER_SLICE):
             parts.append(file_format.part(b"i", ids[at : at + IDS_PER_SLICE]))
             if not self.ended.is_set():
-                time.sleep(PAUSE)
+                time.sleep(SLICE_PAUSE)
         with self.writing:
             try:
                 if self.disk.held is None:
-                    # The folder was not there at the start. Guards a file in it that is another's or of a newer version: its
-                    # number would be counted on from, and it be removed two generations later.
+                    # The folder was not there at the start. A file in it that is another's or of a
+                    # newer version would be counted on from, and removed two generations later.
                     self.disk.lock()
-                    _, self.number = store.load(self.disk, self.balancer, self.unreadable)
+                    _, self.number = store.load(self.disk, self.balancer, self.on_invalid_file)
                 store.save(self.disk, file_format.whole(parts), self.number + 1)
                 self.number += 1
-                if self.said:
+                if self.logged_error:
                     log.info(event("state_kept_again", generation=self.number))
-                self.said = ""
+                self.logged_error = ""
                 self.core.counters.add("state_written")
                 self.core.counters.add("state_bytes", sum(map(len, parts)))
             except store.ForeignFileError as error:
                 self.ended.set()
                 self.turn_off("state_file_foreign", error)
             except (OSError, file_format.FormatError) as error:
-                self.trouble("write", error)
+                self.on_error("write", error)
 
     def finish(self, now: int) -> None:
-        """The last generation of a planned stop, by the deciding thread itself, which has nothing else left to do."""
+        """The last generation, by the deciding thread, which has nothing else to do."""
         if self.off or self.ended.is_set():
             return
         self.ended.set()
@@ -201,6 +218,7 @@
     # By the deciding thread.
 
     def head(self, now: int) -> Header:
+        """The header of a snapshot that is taken now."""
         counts = self.core.counters.counts
         taken = max(counts.get("flows_taken", 0), 1)
         return Header(
@@ -213,7 +231,8 @@
             copy_sums(self.core.balancer),
         )
 
-    def copy_servers(self, now: int, servers: list, into: list[ServerRecord]) -> None:
+    def copy_servers(self, now: int, servers: list[Server], into: list[ServerRecord]) -> None:
+        """Appends their records; what is new of them is learned now."""
         for server in servers:
             seen = observations(server)
             known = self.learned.get(server.id)
@@ -222,7 +241,7 @@
             into.append(copy_server(server, known[1]))
 
     def copy_ids(self, now: int) -> None:
-        """Those that came since the last time, the newest first in the core's table."""
+        """Copies the flows' ids that came since the last time, and drops those that are too old."""
         last = self.ids[-1][0] if self.ids else None
         new = []
         for ident in islice(reversed(self.core.seen_ids), IDS_PER_SLICE):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -443,7 +443,7 @@
 harness.keeper.keep()
 resource.setrlimit(resource.RLIMIT_FSIZE, (100, 100))       # a write beyond 100 bytes fails from here on
 harness.keeper.keep()
-print(harness.keeper.number, harness.keeper.said)
+print(harness.keeper.number, harness.keeper.logged_error)
 """
     run = subprocess.run(
         [sys.executable, "-c", script, str(tmp_path)],
