--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -65,7 +65,7 @@
         now: int,
         policy: type[Balancer] = Balancer,
     ):
-        """`policy` is the class of the decisions. Over 40 lines, since each part is connected here."""
+        """`policy` is the class of the decisions; over 40 lines, since it connects all parts."""
         self.limits = config.limits
         self.drivers = drivers
         self.counters = counters
