--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -567,9 +567,9 @@
     first, second = (
         HandoverSocket(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
     )
-    assert first.meet() is None
+    assert first.find_predecessor() is None
     found = []
-    looking = Thread(target=lambda: found.append(second.meet()), daemon=True)
+    looking = Thread(target=lambda: found.append(second.find_predecessor()), daemon=True)
     looking.start()
     looking.join(0.3)
     assert looking.is_alive()
@@ -578,11 +578,11 @@
         heard=None,
         parted=lambda now, other: None,
     )
-    first.wait(side)
+    first.wait_for_successor(side)
     call, words = inboxes[0].urgent.get(timeout=3)
     call(clock(), *words)
     looking.join(3)
-    assert found[0] is not None and first.turn is None and second.turn is None
+    assert found[0] is not None and first.start_lock is None and second.start_lock is None
     found[0].sock.close()
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -21,18 +21,14 @@
 from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, ServerState
 from cypresswalk.net.counters import Counters
 from cypresswalk.state import file_format, store
-from cypresswalk.state.snapshot import (
-    IDS_KEPT,
-    TROUBLE_HALF,
-    Header,
+from cypresswalk.state.recovery import (
+    FAULT_HALF_LIFE,
+    MAX_ID_AGE,
     Recovery,
-    ServerRecord,
-    Snapshot,
-    SumsRecord,
-    evidence,
-    faded,
-    weight,
+    belief_weight,
+    decayed,
 )
+from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot, SumsRecord, observations
 from cypresswalk.state.snapshot_writer import SnapshotWriter
 
 SAMPLES = Path(__file__).parent / "state-samples"
@@ -463,7 +459,7 @@
 harness.keeper.keep()
 resource.setrlimit(resource.RLIMIT_FSIZE, (100, 100))       # a write beyond 100 bytes fails from here on
 harness.keeper.keep()
-print(harness.keeper.number, harness.keeper.said)
+print(harness.keeper.number, harness.keeper.logged_error)
 """
     run = subprocess.run(
         [sys.executable, "-c", script, str(tmp_path)],
@@ -497,7 +493,7 @@
     balancer = Balancer(settings(), 1, now)
     balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers, **entry))
     recovery = Recovery(kept, now, version, address)
-    return balancer, recovery.into(balancer), recovery
+    return balancer, recovery.apply(balancer), recovery
 
 
 def bad_server(kept, place=0, **more):
@@ -512,14 +508,16 @@
 
 
 def test_counts_fade_with_their_half_life():
-    assert [faded(4, weight(age * SECOND, TROUBLE_HALF)) for age in (0, 20, 40, 60, 80)] == [
+    assert [
+        decayed(4, belief_weight(age * SECOND, FAULT_HALF_LIFE)) for age in (0, 20, 40, 60, 80)
+    ] == [
         4,
         2,
         1,
         0,
         0,
     ]
-    assert weight(-1, TROUBLE_HALF) == 0
+    assert belief_weight(-1, FAULT_HALF_LIFE) == 0
     for age, misses, up in ((0, 4, False), (20, 2, True), (60, 0, True), (7200, 0, True)):
         balancer, _, _ = recovered(bad_server(good_servers()), START + age * SECOND)
         assert (
@@ -569,7 +567,7 @@
         and is_up(balancer.servers[7])
         and done["drains"] == 1
     )
-    assert list(recovery.ids()) == [6]
+    assert list(recovery.recent_ids()) == [6]
 
 
 def test_a_server_that_started_since_starts_afresh():
@@ -655,11 +653,11 @@
     balancer = Balancer(settings(), 1, START)
     balancer.on_endpoints(START, EndpointUpdate.CACHED, entries(2))
     server = balancer.servers[7]
-    seen = evidence(server)
+    seen = observations(server)
     balancer.on_wakeup(START + 100 * SECOND // 1000)
-    assert evidence(server) == seen
+    assert observations(server) == seen
     balancer.on_health_check_result(START + SECOND, server, True, None)
-    assert evidence(server) != seen
+    assert observations(server) != seen
 
 
 def test_the_budget_of_a_cold_server_is_not_dealt_twice():
@@ -673,8 +671,8 @@
 
 def test_ids_are_kept_for_minutes_only():
     kept = make(0, servers=1)
-    kept.ids = [(1, START - IDS_KEPT), (2, START), (3, START + SECOND)]
-    assert list(Recovery(kept, START + SECOND, 0, "").ids()) == [2, 3]
+    kept.ids = [(1, START - MAX_ID_AGE), (2, START), (3, START + SECOND)]
+    assert list(Recovery(kept, START + SECOND, 0, "").recent_ids()) == [2, 3]
 
 
 # The program and the commands.
