--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -218,20 +218,21 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def verdict(file: str, folder: Path) -> int:
     """Checks the rules again on the events of an earlier run."""
-    from cypresswalk.lab import seen
-    from cypresswalk.lab.oracle import Rules, judge
+    from cypresswalk.lab import observations
+    from cypresswalk.lab.checker import check
+    from cypresswalk.lab.rules import Rules
 
     experiment, _, _ = read_experiment(file)
     path = folder / "events.jsonl"
     try:
-        events = seen.load(path)
+        events = observations.load(path)
     except (OSError, ValueError, KeyError) as error:
         raise CommandError(f"{path}: {error}") from error
-    breaches = judge(events, Rules.of(experiment))
-    for breach in breaches:
-        click.echo(str(breach))
-    click.echo(f"{len(events)} events, {len(breaches)} breaches")
-    return BROKEN if breaches else 0
+    violations = check(events, Rules.of(experiment))
+    for violation in violations:
+        click.echo(str(violation))
+    click.echo(f"{len(events)} events, {len(violations)} breaches")
+    return BROKEN if violations else 0
 
 
 @click.command()
@@ -266,7 +267,7 @@
     experiment = capacity_experiment(rate, seconds)
     day = play_day(experiment, experiment.variant[0], 1, folder)
     summary = Figures(experiment, day).summary()
-    echoes = sum(event.what == "echo" for event in day.events) / seconds
+    echoes = sum(event.kind == "echo" for event in day.events) / seconds
     late = summary["lateness_ms"]
     said = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
     line = (
--- a/cypresswalk/lab/baselines.py
+++ b/cypresswalk/lab/baselines.py
@@ -1,8 +1,10 @@
-"""Plain policies to hold the product against, each in the product's own program: `python -m cypresswalk.lab.baselines
-random | least | maglev`. Baselines of the lab, never of the product.
+"""Plain policies to compare the product with, each in the product's own program.
 
-Each keeps the product's probes, health counters, bookkeeping and answers, and replaces the choice of the server alone;
-none moves a standing flow, limits a server or spares a cold one."""
+`python -m cypresswalk.lab.baselines random|least|maglev` runs one. They belong to the lab, never to
+the product. Each keeps the product's health checks, failure counters, bookkeeping and answers, and
+replaces the choice of the server alone; none migrates an established flow, limits a server or
+spares a cold one.
+"""
 
 import sys
 
--- /dev/null
+++ b/cypresswalk/lab/checker.py
@@ -0,0 +1,285 @@
+"""Checks whether the four rules held, by the observations of clients, servers and lists.
+
+Written from the rules, not from the balancer: it imports nothing of the product. Each violation
+names the flow, the rule, the time and the observations that show it. What a client could not have
+been owed is no violation: a balancer that is killed takes its waiting flows along (the client
+retries), a client that left is owed nothing, and a scenario's end cuts off what is under way.
+"""
+
+from bisect import bisect_right
+from collections import defaultdict
+from collections.abc import Iterable
+
+from cypresswalk.lab.history import IN_SERVICE, NEVER, Attempt, History, ObservedFlow
+from cypresswalk.lab.observations import Observation
+from cypresswalk.lab.rules import Rules, ServerRule, TypeRule, Violation
+from cypresswalk.lab.world import MILLISECOND, SECOND
+
+ONE_ANSWER = "one answer"
+ONE_EFFECT = "no effect twice"
+DRAINS = "drains"
+COLD_SERVERS = "cold"
+LINES = "lines"
+
+
+class Checker:
+    """Holds one scenario's observations against the rules."""
+
+    def __init__(self, observations: Iterable[Observation], rules: Rules):
+        """Read all observations."""
+        self.rules = rules
+        self.history = History(observations)
+        self.violations: list[Violation] = []
+
+    def check(self) -> list[Violation]:
+        """Return all violations by time; none if the rules held."""
+        for ident, flow in self.history.flows.items():
+            if flow.sent:
+                self._check_answers(ident, flow)
+                self._check_effect(ident, flow)
+                self._check_lines(ident, flow)
+                continue
+            for attempt in flow.attempts:
+                message = "a server was sent what no client had sent"
+                self._add(ONE_ANSWER, ident, attempt.at, message, [attempt.opened])
+        self._check_drains()
+        self._check_cold_servers()
+        return sorted(self.violations, key=lambda violation: violation.at)
+
+    def _add(
+        self, rule: str, flow: str, at: int, message: str, evidence: list[Observation]
+    ) -> None:
+        self.violations.append(Violation(rule, flow, at, message, evidence))
+
+    # Rule one: each flow has one answer, by its deadline.
+
+    def _check_answers(self, ident: str, flow: ObservedFlow) -> None:
+        sent = flow.sent[0]
+        deadline = sent.at + sent.fields["wait_ms"] * MILLISECOND + self.rules.slack
+        evidence = [sent, *flow.answers, *(attempt.opened for attempt in flow.attempts)]
+        if len(flow.answers) > 1:
+            second = flow.answers[1]
+            self._add(ONE_ANSWER, ident, second.at, "a second final answer", evidence)
+        if flow.answers:
+            self._check_first_answer(ident, flow, deadline, evidence)
+        else:
+            self._check_unanswered(ident, flow, deadline, evidence)
+
+    def _check_unanswered(
+        self, ident: str, flow: ObservedFlow, deadline: int, evidence: list[Observation]
+    ) -> None:
+        sent = flow.sent[0]
+        ended_at = flow.ended.at if flow.ended else NEVER
+        left_at = flow.left.at if flow.left else NEVER
+        over = min(deadline, ended_at, left_at)
+        if (
+            flow.hit_by_fault
+            or flow.left is not None
+            or self.history.scenario_end < deadline
+            or self.history.balancer_died(sent.subject, sent.at, over, self.rules.slack)
+        ):
+            return
+        message = "no final answer in time"
+        if flow.ended and flow.ended.at < deadline and flow.ended.fields["how"]:
+            message = f"its connection ended ({flow.ended.fields['how']}) with no answer"
+            evidence = [*evidence, flow.ended]
+        self._add(ONE_ANSWER, ident, over, message, evidence)
+
+    def _check_first_answer(
+        self, ident: str, flow: ObservedFlow, deadline: int, evidence: list[Observation]
+    ) -> None:
+        answer = flow.answers[0]
+        if answer.at > deadline:
+            late_ms = (answer.at - deadline + self.rules.slack) / MILLISECOND
+            message = f"answered {late_ms:.0f} ms after its connect timeout"
+            self._add(ONE_ANSWER, ident, answer.at, message, evidence)
+        for attempt in flow.attempts:
+            if attempt.at > answer.at + self.rules.slack:
+                message = "a server was sent it after its final answer"
+                self._add(ONE_ANSWER, ident, attempt.at, message, evidence)
+        if answer.fields["kind"] == "up":
+            line = answer.fields["line"]
+            replies = [attempt.reply for attempt in flow.attempts if attempt.reply]
+            if not any(reply.fields.get("receipt") == line for reply in replies):
+                message = "established with what no server gave for it"
+                self._add(ONE_ANSWER, ident, answer.at, message, evidence)
+
+    # Rule two: no flow has its effect twice.
+
+    def _check_effect(self, ident: str, flow: ObservedFlow) -> None:
+        rule = self.rules.types[flow.sent[0].fields["type"]]
+        evidence = flow.evidence()
+        self._check_attempts(ident, flow, evidence)
+        first_run: Attempt | None = None
+        for attempt in flow.attempts:
+            if first_run is not None and rule.effect != "repeatable":
+                self._check_retry(ident, rule, first_run, attempt, evidence)
+            if first_run is None and attempt.may_have_run:
+                first_run = attempt
+        repeat_is_harmless = rule.effect == "repeatable" or (
+            rule.effect == "referenced" and rule.scope == "all"
+        )
+        if repeat_is_harmless or first_run is None:
+            return
+        for answer in flow.answers:
+            if answer.fields["kind"] == "busy" and first_run.at <= answer.at:
+                message = "rejected, though it may have run"
+                self._add(ONE_EFFECT, ident, answer.at, message, [*evidence, answer])
+
+    def _check_attempts(self, ident: str, flow: ObservedFlow, evidence: list[Observation]) -> None:
+        """Check how many attempts there were, and that one was pending at a time."""
+        limit = self.rules.max_attempts
+        if len(flow.attempts) > limit:
+            message = f"{len(flow.attempts)} connects of {limit} allowed"
+            self._add(ONE_EFFECT, ident, flow.attempts[-1].at, message, evidence)
+        for before, after in zip(flow.attempts, flow.attempts[1:], strict=False):
+            if before.over > after.at + self.rules.slack:
+                message = "a second connect while one was out"
+                self._add(ONE_EFFECT, ident, after.at, message, evidence)
+
+    def _check_retry(
+        self,
+        ident: str,
+        rule: TypeRule,
+        first_run: Attempt,
+        retry: Attempt,
+        evidence: list[Observation],
+    ) -> None:
+        """Check a retry of a flow that may have run at an earlier attempt."""
+        if rule.effect == "once-only":
+            message = "sent again, though it may have run"
+            self._add(ONE_EFFECT, ident, retry.at, message, evidence)
+            return
+        if retry.at > first_run.at + rule.window + self.rules.slack:
+            self._add(ONE_EFFECT, ident, retry.at, "sent again after its window", evidence)
+        first = self.rules.servers[first_run.server]
+        second = self.rules.servers[retry.server]
+        other_zone = rule.scope == "zone" and first.zone != second.zone
+        other_cell = rule.scope == "cell" and first.cell != second.cell
+        if other_zone or other_cell:
+            self._add(ONE_EFFECT, ident, retry.at, "sent again outside its group", evidence)
+
+    # Established connections: each side hears what the other said.
+
+    def _check_lines(self, ident: str, flow: ObservedFlow) -> None:
+        numbers = {attempt.number for attempt in flow.attempts}
+        sides = {
+            lines.fields["side"]: lines
+            for lines in flow.lines
+            if lines.fields["side"] == "client" or lines.fields["number"] in numbers
+        }
+        client = sides.get("client")
+        server = sides.get("server")
+        # What an injected fault garbles or cuts is not the balancer's doing; one answer and one
+        # effect are owed all the same.
+        if client is None or server is None or flow.hit_by_fault:
+            return
+        how = flow.ended.fields["how"] if flow.ended else None
+        self._check_direction(ident, flow, "up", client, server, how == "own")
+        self._check_direction(ident, flow, "down", server, client, how == "bye")
+        if flow.ended and how in ("end", "reset") and not self._end_explained(flow, flow.ended):
+            message = "cut off without MOVE from a server that still answered"
+            evidence = [flow.ended, *(attempt.opened for attempt in flow.attempts)]
+            self._add(LINES, ident, flow.ended.at, message, evidence)
+
+    def _check_direction(
+        self,
+        ident: str,
+        flow: ObservedFlow,
+        direction: str,
+        speaker: Observation,
+        listener: Observation,
+        all_owed: bool,
+    ) -> None:
+        """Check that the listener heard a beginning of what was said; all of it if that is owed."""
+        said = speaker.fields["said"]
+        heard = listener.fields["heard"]
+        evidence = [speaker, listener]
+        if heard != said[: len(heard)]:
+            message = f"{direction}: heard {heard} of what was said {said}"
+            self._add(LINES, ident, listener.at, message, evidence)
+            return
+        lost = len(said) - len(heard)
+        if all_owed and flow.ended and lost > 0 and not self._end_explained(flow, flow.ended):
+            message = f"{direction}: {lost} of {len(said)} lines lost at an orderly end"
+            self._add(LINES, ident, listener.at, message, evidence)
+
+    def _end_explained(self, flow: ObservedFlow, ended: Observation) -> bool:
+        return self.history.end_explained(flow, ended.at, self.rules.slack)
+
+    # Rule three: a draining server gets nothing new past its grace.
+
+    def _check_drains(self) -> None:
+        for ident, flow in self.history.flows.items():
+            for attempt in flow.attempts:
+                self._check_drain(ident, attempt)
+
+    def _check_drain(self, ident: str, attempt: Attempt) -> None:
+        balancer = attempt.opened.fields["balancer"]
+        updates = self.history.list_updates[balancer, attempt.server]
+        index = bisect_right(updates, (attempt.at, "~"))
+        if not index or updates[index - 1][1] == IN_SERVICE:
+            return
+        first = index - 1
+        while first and updates[first - 1][1] != IN_SERVICE:
+            first -= 1
+        notified_at, state = updates[first]
+        late = attempt.at - notified_at - self.rules.drain_grace - self.rules.slack
+        if late > 0:
+            message = (
+                f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace"
+                f" after it was told {state} at {notified_at / 1e9:.3f} s"
+            )
+            self._add(DRAINS, ident, attempt.at, message, [attempt.opened])
+
+    # Rule four: a cold server gets no more than its budget.
+
+    def _check_cold_servers(self) -> None:
+        attempts: dict[str, list[Observation]] = defaultdict(list)
+        for flow in self.history.flows.values():
+            for attempt in flow.attempts:
+                attempts[attempt.server].append(attempt.opened)
+        for server, starts in self.history.server_starts.items():
+            rule = self.rules.servers[server]
+            in_order = sorted(attempts[server], key=lambda opened: opened.at)
+            for start in starts:
+                warming = [e for e in in_order if start <= e.at < start + rule.warm_up]
+                self._check_start(server, rule, start, warming)
+
+    def _check_start(
+        self, server: str, rule: ServerRule, start: int, attempts: list[Observation]
+    ) -> None:
+        """Check the attempts at a server while it warmed up after one start."""
+        first = 0
+        load = 0.0
+        for attempt in attempts:
+            load += attempt.fields["load"]
+            while attempts[first].at <= attempt.at - self.rules.overload_window:
+                load -= attempts[first].fields["load"]
+                first += 1
+            budget = self._budget(rule, attempt.at - start)
+            within = [e for e in attempts[first:] if e.at <= attempt.at]
+            if load > max(budget, 1.0) and len(within) > 1:
+                message = (
+                    f"{server}, started at {start / 1e9:.3f} s, was sent loads of "
+                    f"{load:.1f} within the rule's time, {budget:.1f} are allowed"
+                )
+                self._add(COLD_SERVERS, attempt.flow, attempt.at, message, within)
+                return
+
+    def _budget(self, rule: ServerRule, age: int) -> float:
+        """Loads that a server may be sent within the overload window, so long after its start."""
+        warmth = rule.cold_share + (1 - rule.cold_share) * age / rule.warm_up
+        return (
+            self.rules.overload_factor
+            * rule.capacity
+            * warmth
+            * self.rules.turnover
+            * self.rules.overload_window
+            / SECOND
+        )
+
+
+def check(observations: Iterable[Observation], rules: Rules) -> list[Violation]:
+    """Return all violations by time; none if the rules held."""
+    return Checker(observations, rules).check()
--- a/cypresswalk/lab/figures.py
+++ b/cypresswalk/lab/figures.py
@@ -10,8 +10,8 @@
 from hdrh.histogram import HdrHistogram
 
 from cypresswalk.lab.experiment import Experiment
+from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.play import Day
-from cypresswalk.lab.seen import Event
 from cypresswalk.lab.world import MILLISECOND, SECOND
 
 LONGEST = 60_000_000  # microseconds, of a histogram
@@ -64,13 +64,13 @@
         self.read(day.events)
         self.count()
 
-    def read(self, events: list[Event]) -> None:
+    def read(self, events: list[Observation]) -> None:
         person_of: dict[str, int] = {}
         sent_at: dict[str, int] = {}
         sent_to: dict[str, str] = {}
         for event in sorted(events, key=lambda e: e.at):
-            words = event.words
-            match event.what:
+            words = event.fields
+            match event.kind:
                 case "comes":
                     until = min(event.at + words["life_ms"] * MILLISECOND, self.day.ended)
                     self.people[words["person"]] = PersonSeen(
@@ -79,7 +79,7 @@
                 case "sent":
                     self.sent += 1
                     person_of[event.flow], sent_at[event.flow] = words["person"], event.at
-                    sent_to[event.flow] = event.who
+                    sent_to[event.flow] = event.subject
                 case "attempt":
                     # Not those for a bad client that said another's id elsewhere.
                     self.attempts += sent_to.get(event.flow) == words["balancer"]
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -14,11 +14,12 @@
 from pathlib import Path
 from random import Random
 
-from cypresswalk.lab import seen
+from cypresswalk.lab import observations
 from cypresswalk.lab.balancers import ROOT, Balancer, known
+from cypresswalk.lab.checker import check
 from cypresswalk.lab.experiment import SERVER_TROUBLES, Experiment, Trouble, Variant
 from cypresswalk.lab.listing import Agent
-from cypresswalk.lab.oracle import Breach, Rules, judge
+from cypresswalk.lab.rules import Rules, Violation
 from cypresswalk.lab.stage import AgentDriver, ClientDriver, Relay, ServerDriver, Stage, life_of
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, grown, named
 from cypresswalk.refusal import CommandError
@@ -52,10 +53,10 @@
     )  # second, balancer, RSS, fds, CPU s
     counters: dict[str, dict[str, int]] = field(default_factory=dict)
     lateness_ms: dict[str, float] = field(default_factory=dict)
-    events: list[seen.Event] = field(default_factory=list)
+    events: list[observations.Observation] = field(default_factory=list)
 
     def save(self, folder: Path) -> None:
-        seen.save(self.events, folder / "events.jsonl")
+        observations.save(self.events, folder / "events.jsonl")
         data = asdict(self) | {"events": len(self.events)}
         (folder / "day.json").write_text(json.dumps(data, indent=1))
 
@@ -105,7 +106,7 @@
         self.agents: dict[str, AgentDriver] = {}
         self.chance = Random(f"{seed}/troubles")
         self.seeds = Random(f"{seed}/balancers")
-        self.crashes: list[Breach] = []
+        self.crashes: list[Violation] = []
 
     async def run(self, told: Callable[[float], None]) -> Day:
         stage = self.stage
@@ -242,7 +243,7 @@
                 if code is not None:
                     event = self.stage.note("balancer_down", who=name, code=code)
                     self.crashes.append(
-                        Breach(
+                        Violation(
                             "crash", "", event.at, f"{name} ended with exit code {code}", [event]
                         )
                     )
@@ -427,11 +428,13 @@
     def verdict(self) -> None:
         day, stage = self.day, self.stage
         day.events = stage.events
-        breaches = self.crashes + judge(stage.events, Rules.of(self.experiment))
+        breaches = self.crashes + check(stage.events, Rules.of(self.experiment))
         breaches += [
-            Breach("cold", "", e.at, f"{e.who} fell over: pushed beyond its budget while cold", [e])
+            Violation(
+                "cold", "", e.at, f"{e.subject} fell over: pushed beyond its budget while cold", [e]
+            )
             for e in stage.events
-            if e.what == "fell"
+            if e.kind == "fell"
         ]
         day.breaches = [str(b) for b in breaches[:50]]
         for breach in breaches:
--- a/cypresswalk/lab/stage.py
+++ b/cypresswalk/lab/stage.py
@@ -19,8 +19,8 @@
 from cypresswalk.lab.experiment import Experiment
 from cypresswalk.lab.front import Front
 from cypresswalk.lab.listing import Agent, Entry, Listing, first_list
+from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.people import People, Person, span
-from cypresswalk.lab.seen import Event
 from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
 
 LINE = 8192  # the longest line that a stand-in reads: twice the protocol's
@@ -57,7 +57,7 @@
         self.experiment, self.seed = experiment, seed
         # Wall time as it was at the start, moved by the monotonic clock: start times in the list are wall time.
         self.offset = time.time_ns() - time.monotonic_ns()
-        self.events: list[Event] = []
+        self.events: list[Observation] = []
         self.servers = servers_of(experiment, seed)
         self.listing: Listing = first_list(list(self.servers.values()))
         self.balancers = experiment.balancer_names()
@@ -104,8 +104,8 @@
         self.proxies.append(proxy)
         return proxy.address
 
-    def note(self, what: str, flow: str = "", who: str = "", **words: object) -> Event:
-        event = Event(self.now(), what, flow, who, words)
+    def note(self, what: str, flow: str = "", who: str = "", **words: object) -> Observation:
+        event = Observation(self.now(), what, flow, who, words)
         self.events.append(event)
         return event
 
@@ -278,7 +278,7 @@
                     pass
                 gone = True
             if gone or not model.running:
-                # A crash in the middle of a set-up ends it as well: the oracle must not take it for one still out.
+                # A crash in the middle of a set-up ends it as well: the checker must not take it for one still out.
                 stage.note(
                     "let_go" if model.running else "broke",
                     flow,
--- a/cypresswalk/lab/together/judges.py
+++ b/cypresswalk/lab/together/judges.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cypresswalk.lab import oracle
-from cypresswalk.lab.seen import Event
+from cypresswalk.lab.checker import check
+from cypresswalk.lab.observations import Observation
+from cypresswalk.lab.rules import Rules
 
 FOREVER = 1 << 62
 
@@ -145,25 +146,27 @@
 
 
 def four_rules(
-    seen: Iterable[Event],
-    rules: oracle.Rules,
+    seen: Iterable[Observation],
+    rules: Rules,
     flows: list[Flow],
     harmed: dict[str, list[tuple[int, int]]],
     slack: int,
 ) -> list[str]:
-    """The lab's own oracle over the fleet: rules 1 and 2 flow by flow, 3 by what each balancer's own list told, 4 over the sum of
+    """The lab's own checker over the fleet: rules 1 and 2 flow by flow, 3 by what each balancer's own list told, 4 over the sum of
     all. A flow that a balancer held while the rig froze or killed it counts as its client's that left."""
     lost = {flow.ident for flow in flows if excused(flow, harmed, slack)}
     events = [
-        Event(e.at, "left", e.flow, e.who, e.words) if e.what == "answer" and e.flow in lost else e
+        Observation(e.at, "left", e.flow, e.subject, e.fields)
+        if e.kind == "answer" and e.flow in lost
+        else e
         for e in seen
     ]
     events += [
-        Event(flow.asked, "left", flow.ident, flow.balancer, {})
+        Observation(flow.asked, "left", flow.ident, flow.balancer, {})
         for flow in flows
         if flow.ident in lost
     ]
-    return [str(breach) for breach in oracle.judge(events, rules)]
+    return [str(breach) for breach in check(events, rules)]
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresswalk/lab/together/serving.py
+++ b/cypresswalk/lab/together/serving.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from cypresswalk.lab.balancers import die_with_parent
-from cypresswalk.lab.seen import Event
+from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.machines import FIRST, HOME, LOOK, Released
 from cypresswalk.lab.together.plan import Plan, Step
@@ -221,7 +221,7 @@
                 event["balancer"] = self.names[event["balancer"]]
                 self.events.append(event)
                 self.seen.append(
-                    Event(
+                    Observation(
                         at,
                         "attempt",
                         flow,
@@ -231,7 +231,7 @@
                 )
             case "reply":
                 self.seen.append(
-                    Event(
+                    Observation(
                         at,
                         "reply",
                         flow,
@@ -245,19 +245,21 @@
                 )
             case "gone":
                 self.seen.append(
-                    Event(at, "let_go", flow, server, {"number": event["number"], "how": "end"})
+                    Observation(
+                        at, "let_go", flow, server, {"number": event["number"], "how": "end"}
+                    )
                 )
             case "started":
                 self.events.append(event)
                 if (
                     server in self.begun
                 ):  # their first start was long ago, as far as anybody is told
-                    self.seen.append(Event(at, "server_up", "", server))
+                    self.seen.append(Observation(at, "server_up", "", server))
                     self.agents.changes.append((server, "in_service", event["wall_ms"]))
                 self.begun.add(server)
             case "stopped":
                 self.events.append(event)
-                self.seen.append(Event(at, "server_down", "", server))
+                self.seen.append(Observation(at, "server_down", "", server))
                 self.cut_off += event["standing"]
 
     # Load: clients that stay, and come again when they are told to move.
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/together/stage.py
@@ -23,8 +23,8 @@
 from cypresswalk.faults.proxy import Proxy
 from cypresswalk.fleet import client
 from cypresswalk.lab.balancers import die_with_parent, free_port, own_host
-from cypresswalk.lab.oracle import Rules, ServerRule, TypeRule
-from cypresswalk.lab.seen import Event
+from cypresswalk.lab.observations import Observation
+from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together.plan import DISKS, Plan, Step
 from cypresswalk.refusal import CommandError
@@ -276,10 +276,10 @@
         self.ports: set[int] = set()
         self.names = [f"n{i}" for i in range(plan.balancers)]
         self.events: list[dict] = []
-        self.seen: list[Event] = []  # what the oracle reads
+        self.seen: list[Observation] = []  # what the checker reads
         self.repeated: set[str] = (
             set()
-        )  # ids that clients say twice, which the oracle's one answer a flow does not fit
+        )  # ids that clients say twice, which the checker's one answer a flow does not fit
         self.numbers = 0  # of connections at servers
         self.closing: list = []
         self.chance = Random(f"{plan.seed}/rig")
@@ -309,7 +309,7 @@
         self.events.append({"at": time.monotonic_ns(), "what": what} | words)
 
     def see(self, what: str, flow: str = "", who: str = "", **words: object) -> None:
-        self.seen.append(Event(time.monotonic_ns(), what, flow, who, words))
+        self.seen.append(Observation(time.monotonic_ns(), what, flow, who, words))
 
     # Begin and end.
 
--- a/tests/test_oracle.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The oracle on events written by hand, and on wrong balancers that are played by the lab."""
+"""The checker on observations written by hand, and on wrong balancers that are played by the lab."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -9,9 +9,10 @@
 from helpers import played
 
 from cypresswalk import toml
+from cypresswalk.lab.checker import check
 from cypresswalk.lab.experiment import Experiment
-from cypresswalk.lab.oracle import Rules, ServerRule, TypeRule, judge
-from cypresswalk.lab.seen import Event, load, save
+from cypresswalk.lab.observations import Observation, load, save
+from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
 from cypresswalk.lab.world import SECOND
 
 MS = 1_000_000
@@ -35,45 +36,47 @@
 
 
 def sent(at, kind="view", flow="f", who="b0"):
-    return Event(at * MS, "sent", flow, who, {"type": kind, "wait_ms": 1000, "person": 1})
+    return Observation(at * MS, "sent", flow, who, {"type": kind, "wait_ms": 1000, "person": 1})
 
 
 def answer(at, kind="up", line="UP r1", flow="f"):
-    return Event(at * MS, "answer", flow, "b0", {"kind": kind, "line": line})
+    return Observation(at * MS, "answer", flow, "b0", {"kind": kind, "line": line})
 
 
 def attempt(at, number=1, server="s0", flow="f", load=1.0, balancer="b0"):
-    return Event(
+    return Observation(
         at * MS, "attempt", flow, server, {"balancer": balancer, "number": number, "load": load}
     )
 
 
 def reply(at, kind="up", number=1, server="s0", flow="f"):
-    return Event(
+    return Observation(
         at * MS, "reply", flow, server, {"number": number, "kind": kind, "receipt": f"UP r{number}"}
     )
 
 
 def let_go(at, number=1):
-    return Event(at * MS, "let_go", "f", "s0", {"number": number})
+    return Observation(at * MS, "let_go", "f", "s0", {"number": number})
 
 
 def lines(side, said, heard, at=900):
-    return Event(
+    return Observation(
         at * MS, "lines", "f", "b0", {"side": side, "said": said, "heard": heard, "number": 1}
     )
 
 
 def ended(at, how):
-    return Event(at * MS, "ended", "f", "b0", {"how": how})
+    return Observation(at * MS, "ended", "f", "b0", {"how": how})
 
 
 def told(at, life, server="s0", version=0):
-    return Event(at * MS, "told", "", "b0", {"server": server, "life": life, "version": version})
+    return Observation(
+        at * MS, "told", "", "b0", {"server": server, "life": life, "version": version}
+    )
 
 
 def down(at, who="b0", what="balancer_down"):
-    return Event(at * MS, what, "", who)
+    return Observation(at * MS, what, "", who)
 
 
 GOOD = [sent(0), attempt(5), reply(10), answer(12)]
@@ -127,8 +130,8 @@
         ],
         [sent(0), down(500)],  # the balancer died with it
         [sent(0), ended(30, "reset"), down(31)],
-        [sent(0), Event(400 * MS, "left", "f", "b0")],
-        [sent(0), Event(700 * MS, "day_ended")],
+        [sent(0), Observation(400 * MS, "left", "f", "b0")],
+        [sent(0), Observation(700 * MS, "day_ended")],
         GOOD
         + [
             lines("client", ["a", "b"], ["a"]),
@@ -157,11 +160,11 @@
             reply(1942),
             answer(1944),
         ],
-        [Event(0, "said_again", "f", "b1"), *GOOD, attempt(14, 9, "s1", balancer="b1")],
+        [Observation(0, "said_again", "f", "b1"), *GOOD, attempt(14, 9, "s1", balancer="b1")],
     ],
 )  # a bad client's copy elsewhere
-def test_what_the_rules_allow_passes(events):
-    assert [str(b) for b in judge(events, RULES)] == []
+def test_histories_that_the_rules_allow_pass(events):
+    assert [str(b) for b in check(events, RULES)] == []
 
 
 @pytest.mark.parametrize(
@@ -185,7 +188,7 @@
         (
             "one answer",
             "after its final answer",
-            [Event(0, "said_again", "f", "b0"), *GOOD, attempt(80, 2, "s1")],
+            [Observation(0, "said_again", "f", "b0"), *GOOD, attempt(80, 2, "s1")],
         ),
         (
             "no effect twice",
@@ -326,15 +329,15 @@
         ),
     ],
 )
-def test_each_breach_is_found_and_named(rule, said, events):
-    found = judge(events, RULES)
-    assert [(b.rule, said in b.said) for b in found] == [(rule, True)], [str(b) for b in found]
+def test_each_violation_is_found_and_named(rule, said, events):
+    found = check(events, RULES)
+    assert [(b.rule, said in b.message) for b in found] == [(rule, True)], [str(b) for b in found]
     assert found[0].evidence and found[0].flow == (
         "f3" if rule == "cold" else "x" if "client had" in said else "f"
     )
 
 
-def test_events_are_kept_as_they_were(tmp_path):
+def test_saved_observations_load_unchanged(tmp_path):
     save(GOOD, tmp_path / "events")
     assert load(tmp_path / "events") == GOOD
 
@@ -395,7 +398,7 @@
     return day.void, day.broken, day.breaches
 
 
-def test_a_wrong_balancer_is_found_out_in_each_way_and_a_right_one_passes(tmp_path):
+def test_each_kind_of_wrong_balancer_is_detected_and_a_right_one_passes(tmp_path):
     with ProcessPoolExecutor(5) as pool:
         found = dict(zip(WAYS, pool.map(partial(play, folder=str(tmp_path)), WAYS)))
     for way, expected in WAYS.items():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -399,7 +399,7 @@
         tmp_path,
     )
     assert day.broken == {} and not day.void, (day.void, day.breaches)
-    kinds = {event.what for event in day.events}
+    kinds = {event.kind for event in day.events}
     assert {
         "told",
         "server_down",
@@ -410,7 +410,7 @@
         "left",
     } <= kinds
     assert (
-        sum(event.what == "balancer_up" for event in day.events) == 3
+        sum(event.kind == "balancer_up" for event in day.events) == 3
     )  # two starts and the one after the kill
     assert Figures(small(seconds=8), day).summary()["answers"]["up"] > 40
 
@@ -441,9 +441,9 @@
         5,
         tmp_path,
     )
-    struck = [event for event in day.events if event.what == "fault"]
+    struck = [event for event in day.events if event.kind == "fault"]
     assert day.broken == {} and not day.void and len(struck) > 20, (day.void, day.breaches)
-    assert {event.who for event in struck} == {"client", "server"}
+    assert {event.subject for event in struck} == {"client", "server"}
 
 
 def test_an_earlier_revision_is_played_from_its_own_files(tmp_path):
@@ -458,7 +458,7 @@
         variant=[{"name": "before", "revision": head}, {"name": "odd", "revision": "no-such"}],
     )
     day = played(experiment, experiment.variant[0], 1, tmp_path)
-    assert day.broken == {} and sum(event.what == "answer" for event in day.events) > 5
+    assert day.broken == {} and sum(event.kind == "answer" for event in day.events) > 5
     with pytest.raises(CommandError, match="variant odd: revision 'no-such': "):
         play_day(experiment, experiment.variant[1], 1, tmp_path)
 
@@ -471,11 +471,11 @@
         trouble=[{"kind": "grow", "at_s": 1, "servers": ["s"], "amount": 1}],
     )
     day = played(experiment, experiment.variant[0], 1, tmp_path)
-    up = next(event for event in day.events if event.what == "server_up")
-    there = [event.at for event in day.events if event.what == "attempt" and event.who == "s-2"]
-    assert up.who == "s-2" and there and min(there) > up.at and day.broken == {} and not day.void, (
-        day.breaches
-    )
+    up = next(event for event in day.events if event.kind == "server_up")
+    there = [event.at for event in day.events if event.kind == "attempt" and event.subject == "s-2"]
+    assert (
+        up.subject == "s-2" and there and min(there) > up.at and day.broken == {} and not day.void
+    ), day.breaches
 
 
 def test_a_port_that_another_process_took_is_the_labs_fault():
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -16,7 +16,7 @@
 from cypresswalk.agreement.messages import RequestVote
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, pack
 from cypresswalk.lab.balancers import free_port
-from cypresswalk.lab.seen import Event
+from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.together import judges
 from cypresswalk.lab.together import plan as plans
 from cypresswalk.lab.together.plan import Plan, Step
@@ -324,17 +324,21 @@
     assert "input/output error" in said and "event=fleet_again" in said
 
 
-def test_the_oracle_sees_what_all_balancers_together_did_to_a_cold_server_and_what_they_were_told():
-    second, flows, seen = 10**9, [], [Event(0, "server_up", who="s-0")]
+def test_the_checker_sees_what_all_balancers_together_did_to_a_cold_server_and_what_they_were_told():
+    second, flows, seen = 10**9, [], [Observation(0, "server_up", subject="s-0")]
     for i in range(
         40
     ):  # each of four balancers sends ten: little for one, too much for a server that has just begun
         at, name = second + i * second // 100, f"n{i % 4}"
         seen += [
-            Event(at, "sent", f"f{i}", name, {"type": "view", "wait_ms": 1500}),
-            Event(at, "attempt", f"f{i}", "s-0", {"balancer": name, "number": i, "load": 1.0}),
-            Event(at, "reply", f"f{i}", "s-0", {"number": i, "kind": "up", "receipt": "UP r"}),
-            Event(at, "answer", f"f{i}", name, {"kind": "up", "line": "UP r"}),
+            Observation(at, "sent", f"f{i}", name, {"type": "view", "wait_ms": 1500}),
+            Observation(
+                at, "attempt", f"f{i}", "s-0", {"balancer": name, "number": i, "load": 1.0}
+            ),
+            Observation(
+                at, "reply", f"f{i}", "s-0", {"number": i, "kind": "up", "receipt": "UP r"}
+            ),
+            Observation(at, "answer", f"f{i}", name, {"kind": "up", "line": "UP r"}),
         ]
         flows.append(judges.Flow(f"f{i}", "repeatable", at, at + 2 * second, "UP", at, name))
     rules = Rig(Plan(), Path("unused")).rules()
@@ -346,13 +350,15 @@
         == []
     )
     drained = [
-        Event(0, "told", who="n1", words={"server": "s-0", "life": "terminating", "version": 1}),
+        Observation(
+            0, "told", subject="n1", fields={"server": "s-0", "life": "terminating", "version": 1}
+        ),
         *seen[1:],
     ]
     assert {line.split(":")[0] for line in judges.four_rules(drained, rules, flows, {}, 0)} == {
         "drains"
     }
-    unanswered = [e for e in seen[1:] if (e.what, e.flow) != ("answer", "f5")]
+    unanswered = [e for e in seen[1:] if (e.kind, e.flow) != ("answer", "f5")]
     assert [line.split(":")[0] for line in judges.four_rules(unanswered, rules, flows, {}, 0)] == [
         "one answer"
     ]
--- a/tests/wrong_balancer.py
+++ b/tests/wrong_balancer.py
@@ -1,4 +1,4 @@
-"""A small balancer that is wrong in one chosen way, or in none: what the oracle must find, or pass. `python
+"""A small balancer that is wrong in one chosen way, or in none: what the checker must find, or pass. `python
 wrong_balancer.py WAY`; it reads PROXY_CONFIG as the real one does."""
 
 import asyncio
