--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -42,7 +42,7 @@
     from cypresswalk.lab.play import play_day
 
     experiment = read(file)
-    chosen = next(v for v in experiment.variant if v.name == variant)
+    chosen = next(v for v in experiment.variants if v.name == variant)
     day = play_day(experiment, chosen, seed, Path(folder))
     summary = Figures(experiment, day).summary()
     (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
@@ -69,7 +69,7 @@
     from cypresswalk.lab.experiment import read
 
     experiment = read(file)
-    names = [variant.name for variant in experiment.variant]
+    names = [variant.name for variant in experiment.variants]
     for name in variants:
         if name not in names:
             raise CommandError(f"{file}: variant: {name!r} is not one of {', '.join(names)}")
@@ -124,7 +124,7 @@
     click.echo(
         f"{experiment.name}: {experiment.seconds:g} s, "
         f"{sum(m.count for m in experiment.servers)} servers, "
-        f"{len(experiment.balancer_names())} balancers, {len(experiment.trouble)} troubles, "
+        f"{len(experiment.balancer_names())} balancers, {len(experiment.faults)} troubles, "
         f"variants {', '.join(names)}, {len(seeds)} seeds"
     )
     return 0
@@ -145,9 +145,9 @@
         file, (variant,) if variant else (), () if seed is None else (seed,), 1
     )
     name = names[0]
-    chosen = next(v for v in experiment.variant if v.name == name)
+    chosen = next(v for v in experiment.variants if v.name == name)
     click.echo(f"{experiment.name}: {experiment.about}", err=True)
-    for fault in experiment.trouble:
+    for fault in experiment.faults:
         where = ", ".join(fault.servers + fault.balancers)
         click.echo(f"  from {fault.at_s:g} s: {fault.kind} {where}", err=True)
     folder = out / f"{experiment.name}-{name}-{seeds[0]}"
@@ -265,7 +265,7 @@
     from cypresswalk.lab.play import play_day
 
     experiment = capacity_experiment(rate, seconds)
-    day = play_day(experiment, experiment.variant[0], 1, folder)
+    day = play_day(experiment, experiment.variants[0], 1, folder)
     summary = Figures(experiment, day).summary()
     echoes = sum(event.kind == "echo" for event in day.events) / seconds
     late = summary["lateness_ms"]
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -12,7 +12,7 @@
 
 import psutil
 
-from cypresswalk.lab.experiment import Balancers, Experiment, Settings, Variant
+from cypresswalk.lab.experiment import BalancerGroup, Experiment, Settings, Variant
 from cypresswalk.lab.listing import Agent
 
 ROOT = Path(__file__).parents[2]
@@ -27,8 +27,8 @@
 
 def params(experiment: Experiment, settings: Settings, me: int) -> dict:
     """The settings, in the form in which the platform hands them out."""
-    tables = experiment.balancer_tables()
-    shares = sum(c.share for c in experiment.customers)
+    tables = experiment.balancer_groups()
+    shares = sum(c.share for c in experiment.tenants)
     capacity = sum(m.count * m.cores * m.speed * m.per_core for m in experiment.servers)
     return {
         "me": me,
@@ -36,26 +36,26 @@
         "zone": experiment.zones.index(tables[me].zone),
         "azs": experiment.zones,
         "family": "conn",
-        "discovery": "on_request" if experiment.list_service.asked else "pushed",
+        "discovery": "on_request" if experiment.list_service.polled else "pushed",
         "limits": {
-            "maxConnects": settings.max_connects,
+            "maxConnects": settings.max_attempts,
             "retryAfter": settings.retry_after,
             "maxRetryAfter": settings.max_retry_after_ms,
-            "probes": settings.probes,
+            "probes": settings.health_checks,
             "dialTimeout": settings.dial_timeout_ms,
-            "peerMessages": settings.peers,
+            "peerMessages": settings.gossip,
         },
         "rules": {
             "askWithin": 10_000.0,
-            "cold": max(m.cold_s for m in experiment.servers) * 1000,
-            "coldShare": min(m.cold_share for m in experiment.servers),
-            "fall": settings.fall_ms,
+            "cold": max(m.warm_up_s for m in experiment.servers) * 1000,
+            "coldShare": min(m.warm_up_initial_fraction for m in experiment.servers),
+            "fall": settings.overload_window_ms,
             "overloadFactor": settings.overload_factor,
         },
         "deductions": {
-            "crossZone": settings.zone_price,
-            "moves": settings.move_price,
-            "probe": settings.probe_price,
+            "crossZone": settings.zone_crossing_price,
+            "moves": settings.migration_price,
+            "probe": settings.health_check_price,
             "peer": 0.01,
         },
         "stats": {"via": "probes", "fields": ["x0"]}
@@ -64,18 +64,18 @@
         "extra": {
             "groups": bool(experiment.clients.groups),
             "tellsDelay": True,
-            "messageAim": [t.message_target_ms for t in experiment.types],
-            "tenantQuotaConnections": [c.share / shares * capacity for c in experiment.customers],
+            "messageAim": [t.message_latency_objective_ms for t in experiment.types],
+            "tenantQuotaConnections": [c.share / shares * capacity for c in experiment.tenants],
         },
         "overagePayoff": 0.2,
-        "tenants": [{"name": c.name} for c in experiment.customers],
+        "tenants": [{"name": c.name} for c in experiment.tenants],
         "serviceTypes": [
             {
                 "name": t.name,
                 "semantics": EFFECTS[t.effect],
                 "group": t.scope,
                 "window": t.window_ms,
-                "setupTarget": t.setup_target_ms,
+                "setupTarget": t.setup_latency_objective_ms,
                 "giveUp": t.timeout_ms,
             }
             for t in experiment.types
@@ -103,7 +103,7 @@
         self,
         name: str,
         number: int,
-        table: Balancers,
+        table: BalancerGroup,
         experiment: Experiment,
         variant: Variant,
         tree: Path,
@@ -152,7 +152,7 @@
             "known": known,
             "settings": self.params,
         }
-        if self.settings.peers:
+        if self.settings.gossip:
             data |= {
                 "peer_listen": "%s:%d" % self.peer,
                 "peers_all": "%s:%d" % self.relay,
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -269,7 +269,9 @@
 
     def _budget(self, rule: ServerRule, age: int) -> float:
         """Loads that a server may be sent within the overload window, so long after its start."""
-        warmth = rule.cold_share + (1 - rule.cold_share) * age / rule.warm_up
+        warmth = (
+            rule.warm_up_initial_fraction + (1 - rule.warm_up_initial_fraction) * age / rule.warm_up
+        )
         return (
             self.rules.overload_factor
             * rule.capacity
--- a/cypresswalk/lab/experiment.py
+++ b/cypresswalk/lab/experiment.py
@@ -1,113 +1,161 @@
-"""The experiment file: a world, the course of the load, troubles on a schedule, seeds, and variants to hold side by side.
+"""The experiment file: servers, balancers, load over time, scheduled faults, seeds and variants.
 
-Decoded from TOML by pydantic (see cypresswalk.toml). Times in the file are seconds (`_s`) or milliseconds (`_ms`);
-everything else in the lab counts in nanoseconds."""
+Decoded from TOML by pydantic (see cypresswalk.toml). Times in the file are seconds (`_s`) or
+milliseconds (`_ms`); everything else in the lab counts in nanoseconds. A field with an alias has
+the alias as its key in the file and in messages of errors; nothing outside this module knows those.
+"""
 
 from pathlib import Path
-from typing import Literal
+from typing import Literal, TypeAlias
 
 from pydantic import Field, field_validator, model_validator
 
 from cypresswalk import toml
 from cypresswalk.faults.plan import Plan
 
-Range = tuple[float, float]
+Range: TypeAlias = tuple[float, float]  # least and most
 NAME = r"^[A-Za-z][A-Za-z0-9_-]{0,31}$"
+MAX_RANGE = 1e6
+MAX_RATE = 10_000  # new clients a second
+ALL = "all"  # names every server or balancer
 
 
 def ordered(value: Range | None) -> Range | None:
-    if value is not None and not 0 <= value[0] <= value[1] <= 1e6:
+    """Return a range whose ends are in order.
+
+    Raises:
+        ValueError: They are not, or out of bounds.
+    """
+    if value is not None and not 0 <= value[0] <= value[1] <= MAX_RANGE:
         raise ValueError("a range is [least, most], both from 0 on")
     return value
 
 
-class Machines(toml.Table):
-    """Servers that are alike. One core of speed 1 carries `per_core` connections of load 1."""
+class ServerGroup(toml.Table):
+    """Servers that are alike. One core of speed 1 carries `per_core` connections of load 1.
+
+    Attributes:
+        max_connections: Beyond it the server answers BUSY.
+        setup_ms: Time of one core that each connection's set-up takes.
+        health_check_ms: Time of one core that each health check takes.
+        group_work: Loads that each group of connections adds, however many of it are there.
+        warm_up_initial_fraction: The share of its capacity that a server has as it starts.
+        warm_up_s: How long until it has the whole.
+        max_backlog_s: Work beyond it makes the server drop its newest connection.
+    """
 
     name: str = Field(pattern=NAME)
     zone: str
     count: int = Field(ge=1, le=400)
-    cores: int = Field(2, ge=1, le=256)
-    speed: float = Field(1.0, gt=0, le=100)
-    per_core: float = Field(20, gt=0)
-    most: int = Field(10_000, ge=1)  # connections; beyond it BUSY
-    weight: float = Field(1.0, gt=0)
-    cell: int = Field(0, ge=0)
-    setup_ms: float = Field(2, ge=0)  # of one core's time, for each connection
-    probe_ms: float = Field(1, ge=0)  # and for each probe
-    group_work: float = Field(2, ge=0)  # loads that each group asks, wherever any of it stands
-    cold_share: float = Field(0.2, gt=0, le=1)  # of its capacity, as it starts
-    cold_s: float = Field(20, ge=0)  # until it is warm
-    gives_up_s: float = Field(2, gt=0)  # a pile of that much work: it drops what came last
+    cores: int = Field(default=2, ge=1, le=256)
+    speed: float = Field(default=1.0, gt=0, le=100)
+    per_core: float = Field(default=20, gt=0)
+    max_connections: int = Field(default=10_000, ge=1, alias="most")
+    weight: float = Field(default=1.0, gt=0)
+    cell: int = Field(default=0, ge=0)
+    setup_ms: float = Field(default=2, ge=0)
+    health_check_ms: float = Field(default=1, ge=0, alias="probe_ms")
+    group_work: float = Field(default=2, ge=0)
+    warm_up_initial_fraction: float = Field(default=0.2, gt=0, le=1, alias="cold_share")
+    warm_up_s: float = Field(default=20, ge=0, alias="cold_s")
+    max_backlog_s: float = Field(default=2, gt=0, alias="gives_up_s")
 
 
 class ServiceType(toml.Table):
+    """A type of flow: its share of the load, its effect and its objectives.
+
+    Attributes:
+        effect: Whether it may be retried: any time, within window and scope, or never.
+        scope: Where a retry must stay.
+        window_ms: How long after its first attempt a retry is allowed.
+        timeout_ms: The client's own patience for an answer.
+        priority_weight: What a second of service is worth beside other types.
+        lifetime_s: How long a client wants to be served.
+        load: The load of one connection.
+    """
+
     name: str = Field(pattern=NAME)
     share: float = Field(gt=0)
     effect: Literal["repeatable", "referenced", "once-only"] = "repeatable"
     scope: Literal["all", "zone", "cell"] = "all"
-    window_ms: float = Field(1000, ge=0)
-    setup_target_ms: float = Field(300, gt=0)
-    timeout_ms: float = Field(1500, gt=0, le=60_000)
-    message_target_ms: float = Field(150, gt=0)
-    payoff: float = Field(1, gt=0)
-    life_s: Range = (4, 12)
+    window_ms: float = Field(default=1000, ge=0)
+    setup_latency_objective_ms: float = Field(default=300, gt=0, alias="setup_target_ms")
+    timeout_ms: float = Field(default=1500, gt=0, le=60_000)
+    message_latency_objective_ms: float = Field(default=150, gt=0, alias="message_target_ms")
+    priority_weight: float = Field(default=1, gt=0, alias="payoff")
+    lifetime_s: Range = Field(default=(4, 12), alias="life_s")
     load: Range = (0.5, 1.5)
-    _ordered = field_validator("life_s", "load")(ordered)
+    _ordered = field_validator("lifetime_s", "load")(ordered)
 
 
-class Customer(toml.Table):
+class Tenant(toml.Table):
+    """A tenant and its share of the load."""
+
     name: str = Field(pattern=NAME)
     share: float = Field(gt=0)
 
 
 class Clients(toml.Table):
-    """What clients do. `habit`: what one does that got no server: nothing, at once, after a wait; `ignores` is the share
-    of those who do not keep to a wait that they were told."""
-
-    habit: Literal["none", "at once", "wait"] = "wait"
-    retries: int = Field(2, ge=0, le=100)
+    """What clients do.
+
+    Attributes:
+        after_rejection: What one does that got no server: give up, retry at once, or after a wait.
+        retries: How often it retries.
+        wait_ms: How long it waits by itself.
+        ignore_retry_after: The share of those who don't keep to a wait that they were told.
+        reconnect: Whether one connects again after its connection broke or was migrated.
+        reconnect_ms: After how long.
+        leave: The share that goes away before its answer.
+        groups: Number of groups of connections; 0 for none.
+        line_ms: Between two lines on a connection.
+        bad_per_s: Misbehaving clients a second: garbage, silence, half lines, floods, repeated ids.
+    """
+
+    after_rejection: Literal["none", "at once", "wait"] = Field(default="wait", alias="habit")
+    retries: int = Field(default=2, ge=0, le=100)
     wait_ms: Range = (50, 400)
-    ignores: float = Field(0.0, ge=0, le=1)
-    returns: bool = True  # after a break or MOVE
-    return_ms: Range = (50, 800)
-    leaves: float = Field(0.0, ge=0, le=1)  # share that goes away before its answer
-    groups: int = Field(20, ge=0)  # 0: no groups
-    line_ms: float = Field(500, ge=20)  # between two lines
-    bad_per_s: float = Field(
-        0.0, ge=0
-    )  # bad clients: garbage, silence, half lines, floods, ids said again
-    _ordered = field_validator("wait_ms", "return_ms")(ordered)
-
-
-class Balancers(toml.Table):
+    ignore_retry_after: float = Field(default=0.0, ge=0, le=1, alias="ignores")
+    reconnect: bool = Field(default=True, alias="returns")
+    reconnect_ms: Range = Field(default=(50, 800), alias="return_ms")
+    leave: float = Field(default=0.0, ge=0, le=1, alias="leaves")
+    groups: int = Field(default=20, ge=0)
+    line_ms: float = Field(default=500, ge=20)
+    bad_per_s: float = Field(default=0.0, ge=0)
+    _ordered = field_validator("wait_ms", "reconnect_ms")(ordered)
+
+
+class BalancerGroup(toml.Table):
+    """Balancers of one zone and what each may use."""
+
     zone: str
-    count: int = Field(1, ge=1, le=64)
-    sockets: int = Field(512, ge=64)
-    memory_mb: int = Field(96, ge=24)
+    count: int = Field(default=1, ge=1, le=64)
+    sockets: int = Field(default=512, ge=64)
+    memory_mb: int = Field(default=96, ge=24)
 
 
-class Net(toml.Table):
-    """One way, in milliseconds."""
+class Network(toml.Table):
+    """Delays of one way within a zone, across zones and between balancers, and gossip lost."""
 
-    within_ms: float = Field(0.2, ge=0)
-    across_ms: float = Field(8, ge=0)
+    within_ms: float = Field(default=0.2, ge=0)
+    across_ms: float = Field(default=8, ge=0)
     peers_ms: Range = (1, 10)
-    peers_lost: float = Field(0.0, ge=0, le=1)
+    peers_lost: float = Field(default=0.0, ge=0, le=1)
     _ordered = field_validator("peers_ms")(ordered)
 
 
 class ListService(toml.Table):
-    late_ms: Range = (300, 1500)
-    asked: bool = False  # the list comes on request only
-    _ordered = field_validator("late_ms")(ordered)
+    """How late the endpoint list is, and whether balancers must poll it."""
 
+    delay_ms: Range = Field(default=(300, 1500), alias="late_ms")
+    polled: bool = Field(default=False, alias="asked")
+    _ordered = field_validator("delay_ms")(ordered)
 
-class Front(toml.Table):
-    """Deals clients out among the balancers of a zone, and notices a dead one late."""
 
-    notice_ms: Range = (800, 2000)
-    _ordered = field_validator("notice_ms")(ordered)
+class EdgeSettings(toml.Table):
+    """How late the edge load balancer of a zone notices a dead balancer."""
+
+    detection_ms: Range = Field(default=(800, 2000), alias="notice_ms")
+    _ordered = field_validator("detection_ms")(ordered)
 
 
 class Load(toml.Table):
@@ -117,24 +165,25 @@
 
     @field_validator("course")
     @classmethod
-    def in_order(cls, value: list[tuple[float, float]]) -> list[tuple[float, float]]:
-        if any(rate < 0 or rate > 10_000 for _, rate in value) or any(
-            a[0] >= b[0] for a, b in zip(value, value[1:])
-        ):
+    def _in_order(cls, value: list[tuple[float, float]]) -> list[tuple[float, float]]:
+        rate_wrong = any(rate < 0 or rate > MAX_RATE for _, rate in value)
+        pairs = zip(value, value[1:], strict=False)
+        if rate_wrong or any(before[0] >= after[0] for before, after in pairs):
             raise ValueError("points are [second, rate], the seconds rising, rates from 0 to 10000")
         return value
 
     def rate(self, second: float) -> float:
+        """Return the rate at a second of the scenario."""
         points = self.course
         if second <= points[0][0]:
             return points[0][1]
-        for (a, low), (b, high) in zip(points, points[1:]):
-            if second <= b:
-                return low + (high - low) * (second - a) / (b - a)
+        for (begin, first), (end, last) in zip(points, points[1:], strict=False):
+            if second <= end:
+                return first + (last - first) * (second - begin) / (end - begin)
         return points[-1][1]
 
 
-SERVER_TROUBLES = (
+SERVER_FAULTS = (
     "crash",
     "vanish",
     "hang",
@@ -145,7 +194,10 @@
     "drain",
     "restart",
 )
-Kind = Literal[
+BALANCER_FAULTS = ("balancer_kill", "balancer_stop", "reload")
+FAULTS_WITH_AMOUNT = ("slow", "neighbour", "errors", "resets", "cut_clients", "burst", "grow")
+FAULTS_WITH_SHARE = ("neighbour", "errors", "resets", "cut_clients")
+FaultKind = Literal[
     "crash",
     "vanish",
     "hang",
@@ -166,139 +218,172 @@
 ]
 
 
-class Trouble(toml.Table):
-    """`servers` and `balancers` take names, a zone's name, or `all`. What `amount` says depends on the kind: slow: so many
-    times slower; neighbour: the share that another program takes; errors, resets, cut_clients: the share struck; burst: so
-    many clients at one instant; grow: so many servers like those named."""
+class ScheduledFault(toml.Table):
+    """A fault at a moment of the scenario.
+
+    `servers` and `balancers` take names, a zone's name, or `all`. What `amount` says depends on the
+    kind: slow: so many times slower; neighbour: the share that another program takes; errors,
+    resets, cut_clients: the share affected; burst: so many clients at one instant; grow: so many
+    servers like those named.
 
-    kind: Kind
+    Attributes:
+        at_s: When it begins.
+        for_s: How long it lasts; 0: to the scenario's end. Of drains: until the server is gone.
+    """
+
+    kind: FaultKind
     at_s: float = Field(ge=0)
-    for_s: float = Field(0, ge=0)  # 0: to the end of the day; drains: until it is gone
+    for_s: float = Field(default=0, ge=0)
     servers: list[str] = []
     balancers: list[str] = []
-    amount: float = Field(0, ge=0)
+    amount: float = Field(default=0, ge=0)
 
     @model_validator(mode="after")
-    def complete(self) -> "Trouble":
-        if self.kind in SERVER_TROUBLES + ("grow", "release") and not self.servers:
+    def _complete(self) -> "ScheduledFault":
+        if self.kind in (*SERVER_FAULTS, "grow", "release") and not self.servers:
             raise ValueError(f"{self.kind} needs servers")
-        if self.kind in ("balancer_kill", "balancer_stop", "reload") and not self.balancers:
+        if self.kind in BALANCER_FAULTS and not self.balancers:
             raise ValueError(f"{self.kind} needs balancers")
-        if (
-            self.kind in ("slow", "neighbour", "errors", "resets", "cut_clients", "burst", "grow")
-            and not self.amount
-        ):
+        if self.kind in FAULTS_WITH_AMOUNT and not self.amount:
             raise ValueError(f"{self.kind} needs an amount above 0")
-        if self.kind in ("neighbour", "errors", "resets", "cut_clients") and self.amount > 1:
+        if self.kind in FAULTS_WITH_SHARE and self.amount > 1:
             raise ValueError(f"{self.kind}: the amount is a share, at most 1")
         return self
 
 
-class Between(toml.Table):
-    """Fault plans (cypresswalk.faults) between clients and balancers, and between balancers and servers."""
+class ConnectionFaults(toml.Table):
+    """Fault plans (cypresswalk.faults) on the connections of clients and of servers."""
 
     clients: Plan = Plan()
     servers: Plan = Plan()
 
 
 class Settings(toml.Table):
-    """What the balancers are told, besides the world."""
+    """What the balancers are configured with, besides the servers and tenants.
+
+    Attributes:
+        state: Whether a balancer persists its state in a folder over its restarts.
+        state_every_s: How often it writes that.
+        overload_window_ms: The span over which a cold server's budget counts.
+    """
 
-    max_connects: int = Field(4, ge=1, le=20)
-    probes: bool = True
-    peers: bool = False
+    max_attempts: int = Field(default=4, ge=1, le=20, alias="max_connects")
+    health_checks: bool = Field(default=True, alias="probes")
+    gossip: bool = Field(default=False, alias="peers")
     retry_after: bool = False
-    max_retry_after_ms: float = Field(2000, ge=0)
+    max_retry_after_ms: float = Field(default=2000, ge=0)
     reports_load: bool = False
-    state: bool = False  # what balancers know is kept in a folder over their restarts
-    state_every_s: float = Field(1, ge=0.2)
-    dial_timeout_ms: float = Field(150, gt=0)
-    drain_grace_ms: float = Field(3000, gt=0)
-    overload_factor: float = Field(4, gt=0)
-    fall_ms: float = Field(3000, gt=0)
-    zone_price: float = Field(0.0, ge=0)
-    move_price: float = Field(0.014, ge=0)
-    probe_price: float = Field(0.004, ge=0)
+    state: bool = False
+    state_every_s: float = Field(default=1, ge=0.2)
+    dial_timeout_ms: float = Field(default=150, gt=0)
+    drain_grace_ms: float = Field(default=3000, gt=0)
+    overload_factor: float = Field(default=4, gt=0)
+    overload_window_ms: float = Field(default=3000, gt=0, alias="fall_ms")
+    zone_crossing_price: float = Field(default=0.0, ge=0, alias="zone_price")
+    migration_price: float = Field(default=0.014, ge=0, alias="move_price")
+    health_check_price: float = Field(default=0.004, ge=0, alias="probe_price")
 
 
 class Variant(toml.Table):
-    """Another balancer in the same world: one of the lab's baselines, an earlier revision, or other settings."""
+    """Another balancer among the same servers and clients.
+
+    It is one of the lab's baselines, an earlier revision, or the product with other settings.
+    """
 
     name: str = Field(pattern=NAME)
     policy: Literal["product", "random", "least", "maglev"] = "product"
-    revision: str = Field("", max_length=100)
+    revision: str = Field(default="", max_length=100)
     settings: Settings | None = None
 
     @model_validator(mode="after")
-    def either(self) -> "Variant":
+    def _either(self) -> "Variant":
         if self.revision and self.policy != "product":
             raise ValueError("a revision plays its own policy")
         return self
 
 
 class Experiment(toml.Table):
+    """One experiment file."""
+
     name: str = Field(pattern=NAME)
     about: str = ""
     seconds: float = Field(gt=0, le=3600)
-    seeds: list[int] = Field([1, 2, 3, 4, 5], min_length=1)
-    zones: list[str] = Field(["north"], min_length=1, max_length=16)
-    net: Net = Net()
-    servers: list[Machines] = Field(min_length=1)
-    balancers: list[Balancers] = Field(min_length=1)
+    seeds: list[int] = Field(default=[1, 2, 3, 4, 5], min_length=1)
+    zones: list[str] = Field(default=["north"], min_length=1, max_length=16)
+    network: Network = Field(default=Network(), alias="net")
+    servers: list[ServerGroup] = Field(min_length=1)
+    balancers: list[BalancerGroup] = Field(min_length=1)
     types: list[ServiceType] = Field(min_length=1)
-    customers: list[Customer] = [Customer(name="all", share=1)]
+    tenants: list[Tenant] = Field(default=[Tenant(name="all", share=1)], alias="customers")
     load: Load
     clients: Clients = Clients()
     list_service: ListService = ListService()
-    front: Front = Front()
-    between: Between = Between()
+    edge: EdgeSettings = Field(default=EdgeSettings(), alias="front")
+    connection_faults: ConnectionFaults = Field(default=ConnectionFaults(), alias="between")
     settings: Settings = Settings()
-    trouble: list[Trouble] = []
-    variant: list[Variant] = [Variant(name="product")]
+    faults: list[ScheduledFault] = Field(default=[], alias="trouble")
+    variants: list[Variant] = Field(default=[Variant(name="product")], alias="variant")
 
     @model_validator(mode="after")
-    def hangs_together(self) -> "Experiment":
-        for what, tables in (("servers", self.servers), ("balancers", self.balancers)):
-            for i, table in enumerate(tables):
-                if table.zone not in self.zones:
-                    raise ValueError(
-                        f"{what}[{i}].zone: {table.zone!r} is not one of {', '.join(self.zones)}"
-                    )
-        for what, names in (
-            ("servers", [m.name for m in self.servers]),
-            ("types", [t.name for t in self.types]),
-            ("customers", [c.name for c in self.customers]),
-            ("variant", [v.name for v in self.variant]),
-        ):
-            if len(set(names)) < len(names):
-                raise ValueError(f"{what}: a name stands twice")
-        machines = {name for m in self.servers for name in (m.name, *names_of(m))} | {
-            *self.zones,
-            "all",
-        }
-        balancers = set(self.balancer_names()) | {*self.zones, "all"}
-        for i, trouble in enumerate(self.trouble):
-            if trouble.at_s >= self.seconds:
-                raise ValueError(f"trouble[{i}].at_s: the day ends after {self.seconds:g} s")
-            for field, allowed in (("servers", machines), ("balancers", balancers)):
-                for name in getattr(trouble, field):
-                    if name not in allowed:
-                        raise ValueError(
-                            f"trouble[{i}].{field}: {name!r} is not one of {', '.join(sorted(allowed))}"
-                        )
+    def _consistent(self) -> "Experiment":
+        self._check_zones("servers", [group.zone for group in self.servers])
+        self._check_zones("balancers", [group.zone for group in self.balancers])
+        check_unique("servers", [group.name for group in self.servers])
+        check_unique("types", [flow_type.name for flow_type in self.types])
+        check_unique("customers", [tenant.name for tenant in self.tenants])
+        check_unique("variant", [variant.name for variant in self.variants])
+        self._check_faults()
         return self
 
+    def _check_zones(self, key: str, zones: list[str]) -> None:
+        for index, zone in enumerate(zones):
+            if zone not in self.zones:
+                known = ", ".join(self.zones)
+                raise ValueError(f"{key}[{index}].zone: {zone!r} is not one of {known}")
+
+    def _check_faults(self) -> None:
+        groups = {group.name for group in self.servers}
+        servers = {name for group in self.servers for name in server_names(group)}
+        any_server = groups | servers | {*self.zones, ALL}
+        any_balancer = {*self.balancer_names(), *self.zones, ALL}
+        for index, fault in enumerate(self.faults):
+            if fault.at_s >= self.seconds:
+                message = f"the day ends after {self.seconds:g} s"
+                raise ValueError(f"trouble[{index}].at_s: {message}")
+            check_known(f"trouble[{index}].servers", fault.servers, any_server)
+            check_known(f"trouble[{index}].balancers", fault.balancers, any_balancer)
+
     def balancer_names(self) -> list[str]:
-        return [f"b{i}" for i in range(sum(b.count for b in self.balancers))]
+        """Return the names of all balancers, in the order of `balancer_groups`."""
+        return [f"b{i}" for i in range(sum(group.count for group in self.balancers))]
 
-    def balancer_tables(self) -> list[Balancers]:
-        return [table for table in self.balancers for _ in range(table.count)]
+    def balancer_groups(self) -> list[BalancerGroup]:
+        """Return each balancer's group."""
+        return [group for group in self.balancers for _ in range(group.count)]
 
 
-def names_of(machines: Machines) -> list[str]:
-    return [f"{machines.name}-{i}" for i in range(machines.count)]
+def check_unique(key: str, names: list[str]) -> None:
+    """Raise ValueError if a name occurs twice."""
+    if len(set(names)) < len(names):
+        raise ValueError(f"{key}: a name stands twice")
+
+
+def check_known(key: str, names: list[str], known: set[str]) -> None:
+    """Raise ValueError at the first name that is not known."""
+    for name in names:
+        if name not in known:
+            raise ValueError(f"{key}: {name!r} is not one of {', '.join(sorted(known))}")
+
+
+def server_names(group: ServerGroup) -> list[str]:
+    """Return the names of a group's servers."""
+    return [f"{group.name}-{i}" for i in range(group.count)]
 
 
 def read(path: str | Path) -> Experiment:
-    """Raises Refusal with a line for each wrong field."""
+    """Read an experiment file.
+
+    Raises:
+        CommandError: The file can't be read or is wrong, a line for each wrong field.
+    """
     return toml.read(path, Experiment)
--- a/cypresswalk/lab/figures.py
+++ b/cypresswalk/lab/figures.py
@@ -111,20 +111,23 @@
                 self.asked[person.type],
                 person.comes - self.day.began,
                 person.until - self.day.began,
-                kind.payoff,
+                kind.priority_weight,
             )
             for stand in person.stands.values():
                 spread(
                     self.standing, stand.since - self.day.began, stand.until - self.day.began, 1.0
                 )
                 for since, until in good(
-                    stand, person.until, kind.message_target_ms, self.experiment.clients.line_ms
+                    stand,
+                    person.until,
+                    kind.message_latency_objective_ms,
+                    self.experiment.clients.line_ms,
                 ):
                     spread(
                         self.served[person.type],
                         since - self.day.began,
                         until - self.day.began,
-                        kind.payoff,
+                        kind.priority_weight,
                     )
 
     # What comes of it.
--- a/cypresswalk/lab/listing.py
+++ b/cypresswalk/lab/listing.py
@@ -41,7 +41,7 @@
     its own may begin further back: an older list at a new address."""
 
     def __init__(self, listing: Listing, experiment: Experiment, chance: Random, version: int):
-        self.listing, self.chance, self.late = listing, chance, experiment.list_service.late_ms
+        self.listing, self.chance, self.late = listing, chance, experiment.list_service.delay_ms
         self.version = version
         self.silent = False
 
--- a/cypresswalk/lab/people.py
+++ b/cypresswalk/lab/people.py
@@ -40,15 +40,15 @@
     def after_reject(self, habits: Clients, advice: int | None) -> int | None:
         """How long until it tries again; None: it gives up. Advice goes before habit, for those who keep to it."""
         self.tries += 1
-        if habits.habit == "none" or self.tries > habits.retries:
+        if habits.after_rejection == "none" or self.tries > habits.retries:
             return None
         if advice is not None and not self.ignores:
             return advice
-        return 0 if habits.habit == "at once" else span(self.chance, habits.wait_ms)
+        return 0 if habits.after_rejection == "at once" else span(self.chance, habits.wait_ms)
 
     def after_break(self, habits: Clients) -> int | None:
         self.tries = 0
-        return span(self.chance, habits.return_ms) if habits.returns else None
+        return span(self.chance, habits.reconnect_ms) if habits.reconnect else None
 
 
 def span(chance: Random, milliseconds: tuple[float, float]) -> int:
@@ -62,8 +62,8 @@
             experiment.types,
             list(accumulate(t.share for t in experiment.types)),
         )
-        self.customers = experiment.customers
-        self.customer_sums = list(accumulate(c.share for c in experiment.customers))
+        self.customers = experiment.tenants
+        self.customer_sums = list(accumulate(c.share for c in experiment.tenants))
 
     def person(self, number: int, comes: int) -> Person:
         chance, habits = Random(f"{self.seed}/person/{number}"), self.experiment.clients
@@ -72,12 +72,12 @@
             bisect(self.customer_sums, chance.random() * self.customer_sums[-1])
         ].name
         group = f"{customer}-{chance.randrange(habits.groups)}" if habits.groups else ""
-        zone = chance.choice([table.zone for table in self.experiment.balancer_tables()])
-        life = int(chance.uniform(*kind.life_s) * SECOND)
+        zone = chance.choice([table.zone for table in self.experiment.balancer_groups()])
+        life = int(chance.uniform(*kind.lifetime_s) * SECOND)
         load = chance.uniform(*kind.load)
         leaves = (
-            int(chance.random() * kind.setup_target_ms * MILLISECOND) + 1
-            if chance.random() < habits.leaves
+            int(chance.random() * kind.setup_latency_objective_ms * MILLISECOND) + 1
+            if chance.random() < habits.leave
             else 0
         )
         return Person(
@@ -90,7 +90,7 @@
             life,
             load,
             leaves,
-            chance.random() < habits.ignores,
+            chance.random() < habits.ignore_retry_after,
             chance,
         )
 
@@ -108,7 +108,7 @@
     def all(self) -> list[Person]:
         """Everyone of the day, the bursts' clients with their own moments, in the order in which they come."""
         moments = list(self.arrivals())
-        for trouble in self.experiment.trouble:
+        for trouble in self.experiment.faults:
             if trouble.kind == "burst":
                 moments += [int(trouble.at_s * SECOND)] * int(trouble.amount)
         # Numbers go by the plain course first: a burst in one variant of a file changes nobody else.
@@ -119,7 +119,7 @@
     def bad(self) -> list[tuple[int, str, str]]:
         """Bad clients: when, of what sort, in which zone."""
         chance, rate = Random(f"{self.seed}/bad"), self.experiment.clients.bad_per_s
-        zones = [table.zone for table in self.experiment.balancer_tables()]
+        zones = [table.zone for table in self.experiment.balancer_groups()]
         at, found = 0.0, []
         while rate and (at := at + chance.expovariate(rate)) < self.experiment.seconds:
             found.append((int(at * SECOND), chance.choice(BAD), chance.choice(zones)))
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -17,7 +17,7 @@
 from cypresswalk.lab import observations
 from cypresswalk.lab.balancers import ROOT, Balancer, known
 from cypresswalk.lab.checker import check
-from cypresswalk.lab.experiment import SERVER_TROUBLES, Experiment, Trouble, Variant
+from cypresswalk.lab.experiment import SERVER_FAULTS, Experiment, ScheduledFault, Variant
 from cypresswalk.lab.listing import Agent
 from cypresswalk.lab.rules import Rules, Violation
 from cypresswalk.lab.stage import AgentDriver, ClientDriver, Relay, ServerDriver, Stage, life_of
@@ -139,7 +139,7 @@
         )
         self.relay = relay
         for number, (name, table) in enumerate(
-            zip(stage.balancers, self.experiment.balancer_tables())
+            zip(stage.balancers, self.experiment.balancer_groups())
         ):
             balancer = self.balancers[name] = Balancer(
                 name,
@@ -154,7 +154,7 @@
             )
             relay.members.append(balancer.peer)
             stage.addresses[name] = await stage.behind(
-                balancer.address, self.experiment.between.clients, "client"
+                balancer.address, self.experiment.connection_faults.clients, "client"
             )
             await self.new_agent(name, len(stage.listing.changes))
             self.start_balancer(name)
@@ -213,7 +213,7 @@
             stage.spawn(self.clients.live(person, began))
         for number, (at, sort, zone) in enumerate(stage.people.bad()):
             stage.spawn(self.at(began + at, self.clients.bad(sort, zone, number)))
-        for trouble in self.experiment.trouble:
+        for trouble in self.experiment.faults:
             stage.spawn(self.at(began + int(trouble.at_s * SECOND), self.strike(trouble)))
         stage.spawn(self.look())
         while (left := began + span - stage.now()) > 0:
@@ -268,12 +268,12 @@
     def listed(self, name: str, life: Life, started_ms: int = 0) -> None:
         life_of(self.stage, name, life, started_ms, lambda: list(self.agents.values()))
 
-    async def strike(self, trouble: Trouble) -> None:
+    async def strike(self, trouble: ScheduledFault) -> None:
         self.stage.note(
             "trouble", who=trouble.kind, servers=trouble.servers, balancers=trouble.balancers
         )
         span = trouble.for_s or self.experiment.seconds
-        if trouble.kind in SERVER_TROUBLES:
+        if trouble.kind in SERVER_FAULTS:
             await asyncio.gather(
                 *(
                     getattr(self, trouble.kind)(d, trouble, span)
@@ -297,7 +297,7 @@
                 *(work(name, span) for name in self.named_balancers(trouble.balancers))
             )
 
-    async def crash(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def crash(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Dies with resets; the list hears of it late; it returns cold."""
         driver.crash()
         self.listed(driver.model.name, Life.GONE)
@@ -310,7 +310,7 @@
         started = await driver.start()
         self.listed(driver.model.name, Life.SERVING, started)
 
-    async def vanish(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def vanish(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Says nothing any more, and is back cold. The kernel goes on accepting for it: a set-up that never comes up is
         what this stage can't show."""
         self.stage.note("server_mute", who=driver.model.name)
@@ -320,20 +320,20 @@
         driver.crash()
         await self.come_back(driver)
 
-    async def hang(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def hang(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         self.stage.note("server_mute", who=driver.model.name)
         driver.model.hangs = True
         await asyncio.sleep(span)
         driver.model.hangs = False
 
-    async def slow(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def slow(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         driver.model.settle(self.stage.now())
         driver.model.slowness = max(trouble.amount, 1.0)
         await asyncio.sleep(span)
         driver.model.settle(self.stage.now())
         driver.model.slowness = 1.0
 
-    async def neighbour(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def neighbour(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Another program takes a share of the machine, on and off."""
         until = self.stage.now() + int(span * SECOND)
         while self.stage.now() < until:
@@ -343,17 +343,17 @@
                 await asyncio.sleep(self.chance.uniform(0.5, 2))
         driver.model.taken = 0.0
 
-    async def errors(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def errors(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         driver.model.errors = trouble.amount
         await asyncio.sleep(span)
         driver.model.errors = 0.0
 
-    async def resets(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def resets(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         driver.model.resets = trouble.amount
         await asyncio.sleep(span)
         driver.model.resets = 0.0
 
-    async def drain(self, driver: ServerDriver, trouble: Trouble, span: float) -> None:
+    async def drain(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Is told to go: sends its clients away, wants nothing new, and is gone after the span."""
         model = driver.model
         model.life = Life.DRAINING
@@ -365,7 +365,7 @@
         self.listed(model.name, Life.GONE, model.started // MILLISECOND)
         driver.crash()
 
-    async def grow(self, trouble: Trouble) -> None:
+    async def grow(self, trouble: ScheduledFault) -> None:
         """Servers that were switched off all day so far come into service, cold."""
         for name in grown(self.experiment, trouble):
             await self.come_back(self.stage.drivers[name])
@@ -380,7 +380,7 @@
             agent.wake()
 
     async def noticed(self, name: str) -> None:
-        notice = self.experiment.front.notice_ms
+        notice = self.experiment.edge.detection_ms
         starts = self.balancers[name].starts
         await asyncio.sleep(self.chance.uniform(*notice) / 1000)
         if self.balancers[name].starts == starts:  # not back already
--- a/cypresswalk/lab/rules.py
+++ b/cypresswalk/lab/rules.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from cypresswalk.lab.experiment import Experiment, names_of
+from cypresswalk.lab.experiment import Experiment, server_names
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.world import MILLISECOND, SECOND, turnover
 
@@ -35,14 +35,14 @@
         zone: Its zone.
         cell: Its cell.
         capacity: Loads that it carries when warm.
-        cold_share: The share of its capacity that it has as it starts.
+        warm_up_initial_fraction: The share of its capacity that it has as it starts.
         warm_up: How long until it has the whole, in nanoseconds.
     """
 
     zone: str
     cell: int
     capacity: float
-    cold_share: float
+    warm_up_initial_fraction: float
     warm_up: int
 
 
@@ -85,19 +85,19 @@
                 group.zone,
                 group.cell,
                 group.cores * group.speed * group.per_core,
-                group.cold_share,
-                int(group.cold_s * SECOND),
+                group.warm_up_initial_fraction,
+                int(group.warm_up_s * SECOND),
             )
             for group in experiment.servers
-            for name in names_of(group)
+            for name in server_names(group)
         }
         return Rules(
             types,
             servers,
-            settings.max_connects,
+            settings.max_attempts,
             int(settings.drain_grace_ms * MILLISECOND),
             settings.overload_factor,
-            int(settings.fall_ms * MILLISECOND),
+            int(settings.overload_window_ms * MILLISECOND),
             turnover(experiment),
         )
 
--- a/cypresswalk/lab/stage.py
+++ b/cypresswalk/lab/stage.py
@@ -62,7 +62,7 @@
         self.listing: Listing = first_list(list(self.servers.values()))
         self.balancers = experiment.balancer_names()
         self.balancer_zone = dict(
-            zip(self.balancers, (t.zone for t in experiment.balancer_tables()))
+            zip(self.balancers, (t.zone for t in experiment.balancer_groups()))
         )
         self.people = People(experiment, seed)
         zones = dict.fromkeys(self.balancer_zone.values())
@@ -135,7 +135,7 @@
     def way(self, balancer: str, server: Server) -> int:
         """One way between a balancer and a server."""
         near = self.balancer_zone[balancer] == server.machines.zone
-        net = self.experiment.net
+        net = self.experiment.network
         return int((net.within_ms if near else net.across_ms) * MILLISECOND)
 
     def entry(self, entry: Entry, balancer: str) -> dict:
@@ -205,7 +205,7 @@
                 self.ports[balancer] = listener.sockets[0].getsockname()[1]
                 self.shown[balancer] = await self.stage.behind(
                     ("127.0.0.1", self.ports[balancer]),
-                    self.stage.experiment.between.servers,
+                    self.stage.experiment.connection_faults.servers,
                     "server",
                 )
             self.listeners.append(listener)
@@ -384,7 +384,7 @@
 
     async def work(self) -> None:
         """Once a second a word on its delay, on one connection, while that is long; and what it can't hold is dropped."""
-        targets = [t.message_target_ms for t in self.stage.experiment.types]
+        targets = [t.message_latency_objective_ms for t in self.stage.experiment.types]
         enough, chance = min(targets) / 3, Random(f"{self.stage.seed}/load/{self.model.name}")
         while True:
             await asyncio.sleep(0.25)
@@ -500,7 +500,7 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        net = self.stage.experiment.net
+        net = self.stage.experiment.network
         for member in self.members:
             if member == sender[:2]:
                 continue
@@ -750,7 +750,7 @@
     def odd(self, sort: str, number: int) -> bytes:
         kind, customer = (
             self.stage.experiment.types[0].name,
-            self.stage.experiment.customers[0].name,
+            self.stage.experiment.tenants[0].name,
         )
         good = f"OPEN x{number} k1 c={kind},t={customer},d=1000\r\n".encode()
         return {
--- a/cypresswalk/lab/world.py
+++ b/cypresswalk/lab/world.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from random import Random
 
-from cypresswalk.lab.experiment import Experiment, Machines, Trouble, names_of
+from cypresswalk.lab.experiment import Experiment, ScheduledFault, ServerGroup, server_names
 
 MILLISECOND = 1_000_000
 SECOND = 1_000 * MILLISECOND
@@ -41,7 +41,7 @@
     def __init__(
         self,
         name: str,
-        machines: Machines,
+        machines: ServerGroup,
         chance: Random,
         overload_factor: float,
         fall: int,
@@ -51,7 +51,10 @@
         serves a second, at this experiment's mix of types."""
         self.name, self.machines, self.chance = name, machines, chance
         self.overload_factor, self.fall, self.turnover = overload_factor, fall, turnover
-        self.cold_share, self.cold = machines.cold_share, int(machines.cold_s * SECOND)
+        self.cold_share, self.cold = (
+            machines.warm_up_initial_fraction,
+            int(machines.warm_up_s * SECOND),
+        )
         self.life = Life.SERVING
         self.running, self.started = True, 0  # 0: long ago
         self.standing: dict[int, Standing] = {}
@@ -113,7 +116,7 @@
             return Reply.SILENT, 0
         if not self.running:
             return Reply.RESET, 0
-        if self.life is not Life.SERVING or len(self.standing) >= self.machines.most:
+        if self.life is not Life.SERVING or len(self.standing) >= self.machines.max_connections:
             return Reply.BUSY, MILLISECOND
         if self.chance.random() < self.resets:
             return Reply.RESET, MILLISECOND
@@ -146,13 +149,18 @@
         if self.silent or not self.running:
             return None
         self.settle(now)
-        self.add_work(now, self.machines.probe_ms / 1000)
+        self.add_work(now, self.machines.health_check_ms / 1000)
         return MILLISECOND if self.hangs else self.delay(now)
 
     def dropped(self, now: int) -> int | None:
         """The number of a connection that it breaks off since its pile is too high: the newest, as a full one does."""
         self.settle(now)
-        if self.pile <= self.machines.gives_up_s or not self.standing or self.hangs or self.silent:
+        if (
+            self.pile <= self.machines.max_backlog_s
+            or not self.standing
+            or self.hangs
+            or self.silent
+        ):
             return None
         return max(self.standing, key=lambda number: self.standing[number].since)
 
@@ -195,7 +203,7 @@
     """Loads served a second by each place of load: the mean load of a new connection over load times life, by the mix."""
     total = sum(t.share for t in experiment.types)
     loads = sum(t.share / total * sum(t.load) / 2 for t in experiment.types)
-    held = sum(t.share / total * sum(t.load) / 2 * sum(t.life_s) / 2 for t in experiment.types)
+    held = sum(t.share / total * sum(t.load) / 2 * sum(t.lifetime_s) / 2 for t in experiment.types)
     return loads / max(held, 1e-9)
 
 
@@ -208,20 +216,20 @@
             machines,
             Random(f"{seed}/server/{name}"),
             rule.overload_factor,
-            int(rule.fall_ms * MILLISECOND),
+            int(rule.overload_window_ms * MILLISECOND),
             speed,
         )
         for machines in experiment.servers
-        for name in names_of(machines)
+        for name in server_names(machines)
     }
-    for trouble in experiment.trouble:
+    for trouble in experiment.faults:
         if trouble.kind == "grow":
             for name in grown(experiment, trouble):
                 servers[name].running = False  # switched off until then
     return servers
 
 
-def grown(experiment: Experiment, trouble: Trouble) -> list[str]:
+def grown(experiment: Experiment, trouble: ScheduledFault) -> list[str]:
     """The servers that a `grow` brings: so many of those named, the last ones first."""
     return named(experiment, trouble.servers)[::-1][: int(trouble.amount)]
 
@@ -231,6 +239,6 @@
     return [
         server
         for machines in experiment.servers
-        for server in names_of(machines)
+        for server in server_names(machines)
         if any(name in (server, machines.name, machines.zone, "all") for name in names)
     ]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 
 from cypresswalk import toml
 from cypresswalk.lab import report
-from cypresswalk.lab.experiment import Experiment, Machines, read
+from cypresswalk.lab.experiment import Experiment, ServerGroup, read
 from cypresswalk.lab.figures import Figures, Stand, good, spread
 from cypresswalk.lab.front import Front
 from cypresswalk.lab.listing import Agent, Listing, first_list
@@ -30,7 +30,7 @@
 from cypresswalk.refusal import CommandError
 
 ROOT = Path(__file__).parent.parent
-MACHINES = Machines(
+MACHINES = ServerGroup(
     name="m",
     zone="a",
     count=1,
@@ -394,7 +394,7 @@
                 {"kind": "balancer_stop", "at_s": 6, "for_s": 0.3, "balancers": ["b1"]},
             ],
         ),
-        small().variant[0],
+        small().variants[0],
         3,
         tmp_path,
     )
@@ -437,7 +437,7 @@
                 },
             },
         ),
-        small().variant[0],
+        small().variants[0],
         5,
         tmp_path,
     )
@@ -457,10 +457,10 @@
         seconds=2,
         variant=[{"name": "before", "revision": head}, {"name": "odd", "revision": "no-such"}],
     )
-    day = played(experiment, experiment.variant[0], 1, tmp_path)
+    day = played(experiment, experiment.variants[0], 1, tmp_path)
     assert day.broken == {} and sum(event.kind == "answer" for event in day.events) > 5
     with pytest.raises(CommandError, match="variant odd: revision 'no-such': "):
-        play_day(experiment, experiment.variant[1], 1, tmp_path)
+        play_day(experiment, experiment.variants[1], 1, tmp_path)
 
 
 def test_servers_that_grow_are_off_before_and_cold_after(tmp_path):
@@ -470,7 +470,7 @@
         servers=[{"name": "s", "zone": "north", "count": 3, "cold_share": 0.9, "cold_s": 5}],
         trouble=[{"kind": "grow", "at_s": 1, "servers": ["s"], "amount": 1}],
     )
-    day = played(experiment, experiment.variant[0], 1, tmp_path)
+    day = played(experiment, experiment.variants[0], 1, tmp_path)
     up = next(event for event in day.events if event.kind == "server_up")
     there = [event.at for event in day.events if event.kind == "attempt" and event.subject == "s-2"]
     assert (
@@ -512,14 +512,14 @@
             stalled.append(True)
             time.sleep(0.6)
 
-    day = play_day(small(seconds=2), small().variant[0], 1, tmp_path, told=stall)
+    day = play_day(small(seconds=2), small().variants[0], 1, tmp_path, told=stall)
     assert stalled and day.void.startswith("the lab itself was late: ")
 
 
 def test_a_balancer_that_ends_by_itself_is_a_breach(tmp_path):
     command = [sys.executable, "-c", "import time; time.sleep(0.1); raise SystemExit(7)"]
     with pytest.raises(CommandError, match="balancer b0 does not serve"):
-        play_day(small(seconds=1), small().variant[0], 1, tmp_path, command=command)
+        play_day(small(seconds=1), small().variants[0], 1, tmp_path, command=command)
 
 
 def test_ctrl_c_ends_every_child_and_leaves_nothing(tmp_path):
