--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -12,8 +12,8 @@
 
 import psutil
 
+from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.experiment import BalancerGroup, Experiment, Settings, Variant
-from cypresswalk.lab.listing import Agent
 
 ROOT = Path(__file__).parents[2]
 EFFECTS = {"repeatable": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
@@ -239,5 +239,5 @@
         return {k: total.get(k, 0) + run.get(k, 0) for k in total | run}
 
 
-def known(agent: Agent, entries: list[dict]) -> dict:
+def known(agent: ListAgent, entries: list[dict]) -> dict:
     return {"generation": agent.version, "reset": True, "instances": entries}
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -13,7 +13,7 @@
 from cypresswalk.lab.history import IN_SERVICE, NEVER, Attempt, History, ObservedFlow
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.rules import Rules, ServerRule, TypeRule, Violation
-from cypresswalk.lab.world import MILLISECOND, SECOND
+from cypresswalk.lab.units import MILLISECOND, SECOND
 
 ONE_ANSWER = "one answer"
 ONE_EFFECT = "no effect twice"
--- /dev/null
+++ b/cypresswalk/lab/clients.py
@@ -0,0 +1,169 @@
+"""Simulated clients: who comes when, and what each does next. No I/O, no clock.
+
+All random numbers come from the seed. What a client is and when it comes is drawn from the seed and
+its number alone: so each variant gets the same clients, however they are served.
+"""
+
+from bisect import bisect
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from itertools import accumulate
+from random import Random
+
+from cypresswalk.lab.experiment import Clients, Experiment, ServiceType
+from cypresswalk.lab.units import MILLISECOND, SECOND
+
+MISBEHAVIOURS = (
+    "silent",
+    "garbage",
+    "half a line",
+    "flood",
+    "unknown type",
+    "endless line",
+    "twice",
+)
+
+
+@dataclass(slots=True)
+class Client:
+    """One client, from its arrival until it was served for its lifetime or gave up.
+
+    Attributes:
+        number: Its number, from 0 on.
+        arrives_at: Nanoseconds since the scenario's start.
+        type: The type of its flows.
+        tenant: The tenant that it belongs to.
+        group: Its group of connections; empty if of none.
+        zone: The zone in which it arrives.
+        lifetime: How long it wants to be served, all connections together, in nanoseconds.
+        load: The load of each of its connections.
+        leaves_after: Nanoseconds after its first line at which it goes away; 0: it stays.
+        ignores_retry_after: Whether it retries without the wait that it was told.
+        random: The source of its own random numbers.
+        rejections: Without a served connection in between.
+        connections: Begun so far.
+    """
+
+    number: int
+    arrives_at: int
+    type: ServiceType
+    tenant: str
+    group: str
+    zone: str
+    lifetime: int
+    load: float
+    leaves_after: int
+    ignores_retry_after: bool
+    random: Random = field(repr=False)
+    rejections: int = 0
+    connections: int = 0
+
+    def next_id(self) -> str:
+        """Begin a connection and return the id of its flow."""
+        self.connections += 1
+        return f"p{self.number}.{self.connections}"
+
+    def delay_after_rejection(self, habits: Clients, retry_after: int | None) -> int | None:
+        """Return nanoseconds until it retries; None: it gives up.
+
+        A Retry-After, in nanoseconds, goes before its habit if it heeds that.
+        """
+        self.rejections += 1
+        if habits.after_rejection == "none" or self.rejections > habits.retries:
+            return None
+        if retry_after is not None and not self.ignores_retry_after:
+            return retry_after
+        if habits.after_rejection == "at once":
+            return 0
+        return draw_ms(self.random, habits.wait_ms)
+
+    def delay_after_disconnect(self, habits: Clients) -> int | None:
+        """Return nanoseconds until it connects again after a break or MOVE; None: it does not."""
+        self.rejections = 0
+        return draw_ms(self.random, habits.reconnect_ms) if habits.reconnect else None
+
+
+def draw_ms(random: Random, milliseconds: tuple[float, float]) -> int:
+    """Draw nanoseconds from a range of milliseconds."""
+    return int(random.uniform(*milliseconds) * MILLISECOND)
+
+
+class ClientPopulation:
+    """All clients of a scenario, drawn from its seed."""
+
+    def __init__(self, experiment: Experiment, seed: int):
+        """Prepare the draws; nothing is drawn yet."""
+        self.experiment = experiment
+        self.seed = seed
+        self.types = experiment.types
+        self.type_sums = list(accumulate(flow_type.share for flow_type in self.types))
+        self.tenants = experiment.tenants
+        self.tenant_sums = list(accumulate(tenant.share for tenant in self.tenants))
+
+    def client(self, number: int, arrives_at: int) -> Client:
+        """Draw the client with a number. The order of its draws is part of what a seed means."""
+        random = Random(f"{self.seed}/person/{number}")
+        habits = self.experiment.clients
+        flow_type = self.types[bisect(self.type_sums, random.random() * self.type_sums[-1])]
+        tenant_index = bisect(self.tenant_sums, random.random() * self.tenant_sums[-1])
+        tenant = self.tenants[tenant_index].name
+        group = f"{tenant}-{random.randrange(habits.groups)}" if habits.groups else ""
+        zone = random.choice([balancers.zone for balancers in self.experiment.balancer_groups()])
+        lifetime = int(random.uniform(*flow_type.lifetime_s) * SECOND)
+        load = random.uniform(*flow_type.load)
+        leaves_after = 0
+        if random.random() < habits.leave:
+            objective_ms = flow_type.setup_latency_objective_ms
+            leaves_after = int(random.random() * objective_ms * MILLISECOND) + 1
+        return Client(
+            number,
+            arrives_at,
+            flow_type,
+            tenant,
+            group,
+            zone,
+            lifetime,
+            load,
+            leaves_after,
+            random.random() < habits.ignore_retry_after,
+            random,
+        )
+
+    def arrivals(self) -> Iterator[int]:
+        """Yield when clients arrive, in nanoseconds since the scenario's start.
+
+        A Poisson process whose rate follows the load's course, by thinning (Lewis and Shedler,
+        "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
+        """
+        random = Random(f"{self.seed}/arrivals")
+        load = self.experiment.load
+        max_rate = max(rate for _, rate in load.course)
+        second = 0.0
+        while max_rate:
+            second += random.expovariate(max_rate)
+            if second >= self.experiment.seconds:
+                return
+            if random.random() * max_rate < load.rate(second):
+                yield int(second * SECOND)
+
+    def all(self) -> list[Client]:
+        """Return all clients in the order in which they arrive, those of bursts included."""
+        moments = list(self.arrivals())
+        for fault in self.experiment.faults:
+            if fault.kind == "burst":
+                moments += [int(fault.at_s * SECOND)] * int(fault.amount)
+        # Bursts get the last numbers: one in a single variant of a file changes no other client.
+        clients = [self.client(number, at) for number, at in enumerate(moments)]
+        return sorted(clients, key=lambda client: (client.arrives_at, client.number))
+
+    def misbehaving(self) -> list[tuple[int, str, str]]:
+        """Return the misbehaving clients: when each comes, its misbehaviour, its zone."""
+        random = Random(f"{self.seed}/bad")
+        rate = self.experiment.clients.bad_per_s
+        zones = [balancers.zone for balancers in self.experiment.balancer_groups()]
+        found: list[tuple[int, str, str]] = []
+        second = 0.0
+        while rate and (second := second + random.expovariate(rate)) < self.experiment.seconds:
+            misbehaviour = random.choice(MISBEHAVIOURS)
+            found.append((int(second * SECOND), misbehaviour, random.choice(zones)))
+        return found
--- a/cypresswalk/lab/figures.py
+++ b/cypresswalk/lab/figures.py
@@ -12,7 +12,7 @@
 from cypresswalk.lab.experiment import Experiment
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.play import Day
-from cypresswalk.lab.world import MILLISECOND, SECOND
+from cypresswalk.lab.units import MILLISECOND, SECOND
 
 LONGEST = 60_000_000  # microseconds, of a histogram
 WINDOW = 10  # seconds: the worst that follow one another
--- a/cypresswalk/lab/history.py
+++ b/cypresswalk/lab/history.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.world import SECOND
+from cypresswalk.lab.units import SECOND
 
 NEVER = 1 << 62  # nanoseconds: later than any observation
 IN_SERVICE = "in_service"
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -17,11 +17,12 @@
 from cypresswalk.lab import observations
 from cypresswalk.lab.balancers import ROOT, Balancer, known
 from cypresswalk.lab.checker import check
+from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.experiment import SERVER_FAULTS, Experiment, ScheduledFault, Variant
-from cypresswalk.lab.listing import Agent
 from cypresswalk.lab.rules import Rules, Violation
+from cypresswalk.lab.servers import ServerState, added_servers, matching_servers
 from cypresswalk.lab.stage import AgentDriver, ClientDriver, Relay, ServerDriver, Stage, life_of
-from cypresswalk.lab.world import MILLISECOND, SECOND, Life, grown, named
+from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.refusal import CommandError
 
 READY = 30 * SECOND  # balancers answer PING by then, or the day can't be played
@@ -130,7 +131,7 @@
         stage, loop = self.stage, asyncio.get_running_loop()
         for driver in stage.drivers.values():
             await driver.listen()
-            driver.model.pile_at = stage.now()
+            driver.model.backlog_at = stage.now()
             if not driver.model.running:
                 driver.close()
             stage.spawn(driver.work())
@@ -161,7 +162,7 @@
         await asyncio.gather(*(self.ready(name) for name in self.balancers))
 
     async def new_agent(self, name: str, version: int) -> None:
-        agent = Agent(
+        agent = ListAgent(
             self.stage.listing,
             self.experiment,
             Random(f"{self.seed}/agent/{name}/{version}"),
@@ -173,11 +174,11 @@
 
     def start_balancer(self, name: str) -> None:
         stage, agent = self.stage, self.agents[name].agent
-        whole = stage.listing.whole(agent.version)
+        whole = stage.listing.complete(agent.version)
         # The list it starts with tells it too: guards one that goes by that from being blamed for an older word.
         for entry in whole:
             stage.note(
-                "told", who=name, server=entry.server, life=entry.life.value, version=agent.version
+                "told", who=name, server=entry.server, life=entry.state.value, version=agent.version
             )
         entries = [stage.entry(entry, name) for entry in whole]
         self.balancers[name].write(
@@ -196,7 +197,7 @@
                 writer.close()
                 if line == b"PONG\r\n":
                     stage.note("balancer_up", who=name)
-                    stage.fronts[stage.balancer_zone[name]].serves(name)
+                    stage.fronts[stage.balancer_zone[name]].mark_up(name)
                     return
             except (OSError, asyncio.TimeoutError):
                 pass
@@ -211,7 +212,7 @@
         began = stage.began = self.day.began = stage.now() + 100 * MILLISECOND
         for person in stage.people.all():
             stage.spawn(self.clients.live(person, began))
-        for number, (at, sort, zone) in enumerate(stage.people.bad()):
+        for number, (at, sort, zone) in enumerate(stage.people.misbehaving()):
             stage.spawn(self.at(began + at, self.clients.bad(sort, zone, number)))
         for trouble in self.experiment.faults:
             stage.spawn(self.at(began + int(trouble.at_s * SECOND), self.strike(trouble)))
@@ -255,8 +256,8 @@
 
     # Troubles.
 
-    def named(self, names: list[str]) -> list[ServerDriver]:
-        return [self.stage.drivers[name] for name in named(self.experiment, names)]
+    def matching_drivers(self, names: list[str]) -> list[ServerDriver]:
+        return [self.stage.drivers[name] for name in matching_servers(self.experiment, names)]
 
     def named_balancers(self, names: list[str]) -> list[str]:
         return [
@@ -265,7 +266,7 @@
             if any(n in (b, self.stage.balancer_zone[b], "all") for n in names)
         ]
 
-    def listed(self, name: str, life: Life, started_ms: int = 0) -> None:
+    def listed(self, name: str, life: ServerState, started_ms: int = 0) -> None:
         life_of(self.stage, name, life, started_ms, lambda: list(self.agents.values()))
 
     async def strike(self, trouble: ScheduledFault) -> None:
@@ -277,11 +278,11 @@
             await asyncio.gather(
                 *(
                     getattr(self, trouble.kind)(d, trouble, span)
-                    for d in self.named(trouble.servers)
+                    for d in self.matching_drivers(trouble.servers)
                 )
             )
         elif trouble.kind == "release":
-            for driver in self.named(trouble.servers):
+            for driver in self.matching_drivers(trouble.servers):
                 await self.drain(driver, trouble, 1.0)
                 await self.come_back(driver)
                 await asyncio.sleep(0.5)
@@ -300,7 +301,7 @@
     async def crash(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Dies with resets; the list hears of it late; it returns cold."""
         driver.crash()
-        self.listed(driver.model.name, Life.GONE)
+        self.listed(driver.model.name, ServerState.TERMINATED)
         await asyncio.sleep(span)
         await self.come_back(driver)
 
@@ -308,29 +309,29 @@
 
     async def come_back(self, driver: ServerDriver) -> None:
         started = await driver.start()
-        self.listed(driver.model.name, Life.SERVING, started)
+        self.listed(driver.model.name, ServerState.IN_SERVICE, started)
 
     async def vanish(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Says nothing any more, and is back cold. The kernel goes on accepting for it: a set-up that never comes up is
         what this stage can't show."""
         self.stage.note("server_mute", who=driver.model.name)
         driver.model.silent = True
-        self.listed(driver.model.name, Life.GONE)
+        self.listed(driver.model.name, ServerState.TERMINATED)
         await asyncio.sleep(span)
         driver.crash()
         await self.come_back(driver)
 
     async def hang(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         self.stage.note("server_mute", who=driver.model.name)
-        driver.model.hangs = True
+        driver.model.hanging = True
         await asyncio.sleep(span)
-        driver.model.hangs = False
+        driver.model.hanging = False
 
     async def slow(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
-        driver.model.settle(self.stage.now())
+        driver.model.update_backlog(self.stage.now())
         driver.model.slowness = max(trouble.amount, 1.0)
         await asyncio.sleep(span)
-        driver.model.settle(self.stage.now())
+        driver.model.update_backlog(self.stage.now())
         driver.model.slowness = 1.0
 
     async def neighbour(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
@@ -338,36 +339,36 @@
         until = self.stage.now() + int(span * SECOND)
         while self.stage.now() < until:
             for share in (trouble.amount, 0.0):
-                driver.model.settle(self.stage.now())
-                driver.model.taken = share
+                driver.model.update_backlog(self.stage.now())
+                driver.model.stolen_share = share
                 await asyncio.sleep(self.chance.uniform(0.5, 2))
-        driver.model.taken = 0.0
+        driver.model.stolen_share = 0.0
 
     async def errors(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
-        driver.model.errors = trouble.amount
+        driver.model.error_share = trouble.amount
         await asyncio.sleep(span)
-        driver.model.errors = 0.0
+        driver.model.error_share = 0.0
 
     async def resets(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
-        driver.model.resets = trouble.amount
+        driver.model.reset_share = trouble.amount
         await asyncio.sleep(span)
-        driver.model.resets = 0.0
+        driver.model.reset_share = 0.0
 
     async def drain(self, driver: ServerDriver, trouble: ScheduledFault, span: float) -> None:
         """Is told to go: sends its clients away, wants nothing new, and is gone after the span."""
         model = driver.model
-        model.life = Life.DRAINING
-        self.listed(model.name, Life.DRAINING, model.started // MILLISECOND)
+        model.state = ServerState.DRAINING
+        self.listed(model.name, ServerState.DRAINING, model.started // MILLISECOND)
         await asyncio.sleep(min(span, 0.5))
         for conn in list(driver.standing.values()):
             driver.end(conn, "move")
         await asyncio.sleep(max(span - 0.5, 0))
-        self.listed(model.name, Life.GONE, model.started // MILLISECOND)
+        self.listed(model.name, ServerState.TERMINATED, model.started // MILLISECOND)
         driver.crash()
 
     async def grow(self, trouble: ScheduledFault) -> None:
         """Servers that were switched off all day so far come into service, cold."""
-        for name in grown(self.experiment, trouble):
+        for name in added_servers(self.experiment, trouble):
             await self.come_back(self.stage.drivers[name])
 
     async def list_outage(self, span: float) -> None:
@@ -384,7 +385,7 @@
         starts = self.balancers[name].starts
         await asyncio.sleep(self.chance.uniform(*notice) / 1000)
         if self.balancers[name].starts == starts:  # not back already
-            self.stage.fronts[self.stage.balancer_zone[name]].gone(name)
+            self.stage.fronts[self.stage.balancer_zone[name]].mark_down(name)
 
     async def balancer_kill(self, name: str, span: float) -> None:
         self.balancers[name].kill()
@@ -400,7 +401,7 @@
         balancer.expected_end = True
         balancer.send(signal.SIGTERM)
         await asyncio.sleep(self.chance.uniform(0.2, 0.4))
-        front.gone(name)
+        front.mark_down(name)
         longest = max(t.timeout_ms for t in self.experiment.types) / 1000
         until = self.stage.now() + int((min(longest, 3) + 0.7) * SECOND)
         while self.stage.now() < until and balancer.process.poll() is None:
@@ -418,7 +419,7 @@
         latest = len(self.stage.listing.changes)
         self.stage.spawn(self.agents[name].learn(latest))
         balancer, agent = self.balancers[name], self.agents[name].agent
-        entries = [self.stage.entry(e, name) for e in self.stage.listing.whole(agent.version)]
+        entries = [self.stage.entry(e, name) for e in self.stage.listing.complete(agent.version)]
         balancer.write(self.agents[name].address, known(agent, entries), self.seeds.getrandbits(64))
         balancer.send(signal.SIGHUP)
         await old.retire()
--- a/cypresswalk/lab/rules.py
+++ b/cypresswalk/lab/rules.py
@@ -4,7 +4,8 @@
 
 from cypresswalk.lab.experiment import Experiment, server_names
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.world import MILLISECOND, SECOND, turnover
+from cypresswalk.lab.servers import turnover
+from cypresswalk.lab.units import MILLISECOND, SECOND
 
 # Granted beyond each limit on sockets by the platform's own rules.
 DEFAULT_SLACK = 50 * MILLISECOND
--- a/cypresswalk/lab/stage.py
+++ b/cypresswalk/lab/stage.py
@@ -16,12 +16,13 @@
 
 from cypresswalk.faults.plan import Plan
 from cypresswalk.faults.proxy import Proxy
+from cypresswalk.lab.clients import Client, ClientPopulation, draw_ms
+from cypresswalk.lab.edge import EdgeLoadBalancer
+from cypresswalk.lab.endpoint_list import Endpoint, EndpointList, ListAgent, initial_list
 from cypresswalk.lab.experiment import Experiment
-from cypresswalk.lab.front import Front
-from cypresswalk.lab.listing import Agent, Entry, Listing, first_list
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.people import People, Person, span
-from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
+from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
+from cypresswalk.lab.units import MILLISECOND, SECOND
 
 LINE = 8192  # the longest line that a stand-in reads: twice the protocol's
 TICK = 20 * MILLISECOND  # how often the lab looks how late it is itself
@@ -58,19 +59,18 @@
         # Wall time as it was at the start, moved by the monotonic clock: start times in the list are wall time.
         self.offset = time.time_ns() - time.monotonic_ns()
         self.events: list[Observation] = []
-        self.servers = servers_of(experiment, seed)
-        self.listing: Listing = first_list(list(self.servers.values()))
+        self.servers = build_servers(experiment, seed)
+        self.listing: EndpointList = initial_list(list(self.servers.values()))
         self.balancers = experiment.balancer_names()
         self.balancer_zone = dict(
             zip(self.balancers, (t.zone for t in experiment.balancer_groups()))
         )
-        self.people = People(experiment, seed)
+        self.people = ClientPopulation(experiment, seed)
         zones = dict.fromkeys(self.balancer_zone.values())
         self.fronts = {
-            zone: Front(
+            zone: EdgeLoadBalancer(
                 zone,
                 [b for b in self.balancers if self.balancer_zone[b] == zone],
-                Random(f"{seed}/front/{zone}"),
             )
             for zone in zones
         }
@@ -132,23 +132,23 @@
             await self.sleep_until(due)
             self.lateness.append(max(self.now() - due, 0))
 
-    def way(self, balancer: str, server: Server) -> int:
+    def way(self, balancer: str, server: SimulatedServer) -> int:
         """One way between a balancer and a server."""
-        near = self.balancer_zone[balancer] == server.machines.zone
+        near = self.balancer_zone[balancer] == server.group.zone
         net = self.experiment.network
         return int((net.within_ms if near else net.across_ms) * MILLISECOND)
 
-    def entry(self, entry: Entry, balancer: str) -> dict:
+    def entry(self, entry: Endpoint, balancer: str) -> dict:
         """In the platform's form, with the address that this balancer reaches the server by."""
         server = self.servers[entry.server]
-        m = server.machines
+        m = server.group
         return {
             "instanceId": server.name,
             "hostPort": "%s:%d" % self.drivers[server.name].shown[balancer],
             "zone": m.zone,
             "machineType": m.name,
             "cell": m.cell,
-            "lifecycle": entry.life.value,
+            "lifecycle": entry.state.value,
             "weight": m.weight,
             "startedAtMs": entry.started_ms,
         }
@@ -174,7 +174,7 @@
 class ServerDriver:
     """One server on sockets: a port for each balancer, so that the way between them is known."""
 
-    def __init__(self, stage: Stage, model: Server):
+    def __init__(self, stage: Stage, model: SimulatedServer):
         self.stage, self.model = stage, model
         self.ports: dict[str, int] = {}
         self.shown: dict[
@@ -235,10 +235,10 @@
         while line := await reader.readline():
             word = line.split(b" ", 1)[0].strip()
             if word in (b"PING", b"STATS"):
-                wait = model.probe(stage.now())
+                wait = model.health_check_delay(stage.now())
                 if wait is not None:
                     await asyncio.sleep((wait + 2 * stage.way(balancer, model)) / SECOND)
-                    report = " x0=%.3f" % model.strain(stage.now()) if word == b"STATS" else ""
+                    report = " x0=%.3f" % model.utilization(stage.now()) if word == b"STATS" else ""
                     writer.write(f"PONG{report}\r\n".encode())
             elif word == b"OPEN" and line.endswith(b"\r\n"):
                 return await self.opened(balancer, line.decode().split(), reader, writer)
@@ -267,13 +267,13 @@
             port=writer.get_extra_info("peername")[1],
         )
         reply, wait = model.open(stage.now(), number, load, values.get("g", ""))
-        if model.fallen:
+        if model.overloaded:
             return self.fall()
         try:
             gone = reply is not Reply.SILENT and await self.gone(
                 reader, wait + 3 * stage.way(balancer, model)
             )
-            if not gone and (reply is Reply.SILENT or model.silent or model.hangs):
+            if not gone and (reply is Reply.SILENT or model.silent or model.hanging):
                 while await reader.read(LINE):  # it fell silent in the meantime, or was so before
                     pass
                 gone = True
@@ -298,7 +298,7 @@
             writer.write(receipt.encode() + b"\r\n")
             await self.stand(conn, balancer, reader)
         finally:
-            model.closed(stage.now(), number)
+            model.close(stage.now(), number)
 
     async def gone(self, reader: asyncio.StreamReader, wait: int) -> bool:
         """Whether the balancer lets go within that time."""
@@ -318,7 +318,7 @@
                 conn.heard.append(text)
                 if text == "END":
                     return self.end(conn, "bye")
-                wait = model.line(stage.now())
+                wait = model.echo_delay(stage.now())
                 if wait is not None:
                     # In the order in which they came, as one connection's lines are served.
                     conn.last = max(conn.last, stage.now() + wait + way)
@@ -388,14 +388,14 @@
         enough, chance = min(targets) / 3, Random(f"{self.stage.seed}/load/{self.model.name}")
         while True:
             await asyncio.sleep(0.25)
-            number = self.model.dropped(self.stage.now())
+            number = self.model.connection_to_drop(self.stage.now())
             if number in self.standing:
                 self.end(self.standing[number], "reset")
-                self.model.closed(self.stage.now(), number)
+                self.model.close(self.stage.now(), number)
             if (
                 self.stage.now() // (250 * MILLISECOND) % 4
                 or not self.standing
-                or self.model.line(self.stage.now()) is None
+                or self.model.echo_delay(self.stage.now()) is None
             ):
                 continue
             late = self.model.delay(self.stage.now()) / MILLISECOND
@@ -407,7 +407,7 @@
 class AgentDriver:
     """One address of the list service, for one balancer."""
 
-    def __init__(self, stage: Stage, balancer: str, agent: Agent):
+    def __init__(self, stage: Stage, balancer: str, agent: ListAgent):
         self.stage, self.balancer, self.agent = stage, balancer, agent
         self.news = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
@@ -467,13 +467,13 @@
                 "told",
                 who=self.balancer,
                 server=entry.server,
-                life=entry.life.value,
+                life=entry.state.value,
                 version=version,
             )
         return version
 
     async def learn(self, version: int) -> None:
-        await asyncio.sleep(self.agent.lateness() / SECOND)
+        await asyncio.sleep(self.agent.next_delay() / SECOND)
         if self.agent.learn(version):
             self.news.set()
 
@@ -509,7 +509,7 @@
                 continue
             self.passed += 1
             asyncio.get_running_loop().call_later(
-                span(self.chance, net.peers_ms) / SECOND, self.arrive, data, member
+                draw_ms(self.chance, net.peers_ms) / SECOND, self.arrive, data, member
             )
 
     def arrive(self, data: bytes, member: tuple[str, int]) -> None:
@@ -525,33 +525,33 @@
         self.open: dict[str, asyncio.StreamWriter] = {}  # of flows that stand
         self.latest = ""  # the id said last, for bad clients to say again
 
-    async def live(self, person: Person, began: int) -> None:
+    async def live(self, person: Client, began: int) -> None:
         stage = self.stage
-        await stage.sleep_until(began + person.comes)
-        end, marks = stage.now() + person.life, ""
+        await stage.sleep_until(began + person.arrives_at)
+        end, marks = stage.now() + person.lifetime, ""
         stage.note(
             "comes",
             who=person.zone,
             person=person.number,
             type=person.type.name,
-            customer=person.customer,
-            life_ms=person.life // MILLISECOND,
+            customer=person.tenant,
+            life_ms=person.lifetime // MILLISECOND,
         )
         while stage.now() < end:
             stood, advice = await self.once(person, end, marks)
             if stood == "own":
                 break
             wait = (
-                person.after_break(stage.experiment.clients)
+                person.delay_after_disconnect(stage.experiment.clients)
                 if stood
-                else person.after_reject(stage.experiment.clients, advice)
+                else person.delay_after_rejection(stage.experiment.clients, advice)
             )
             if wait is None:
                 break
             marks = ",again=1" if stood else ",r=1"
             await asyncio.sleep(wait / SECOND)
 
-    async def once(self, person: Person, end: int, marks: str) -> tuple[str, int | None]:
+    async def once(self, person: Client, end: int, marks: str) -> tuple[str, int | None]:
         """How the connection ended, '' if it never stood; and the wait that was advised, in nanoseconds."""
         stage, kind = self.stage, person.type
         balancer = stage.fronts[person.zone].pick()
@@ -563,12 +563,12 @@
         except OSError:
             stage.note("refused", who=balancer, person=person.number)
             return "", None
-        ident = person.ident()
+        ident = person.next_id()
         group = f",g={person.group}" if person.group else ""
         try:
             nodelay(writer)
             writer.write(
-                f"OPEN {ident} k{person.number} c={kind.name},t={person.customer},d={kind.timeout_ms:g}"
+                f"OPEN {ident} k{person.number} c={kind.name},t={person.tenant},d={kind.timeout_ms:g}"
                 f",h={person.load:.3f}{group}{marks}\r\n".encode()
             )
             self.latest = ident
@@ -588,7 +588,7 @@
 
     async def answered(
         self,
-        person: Person,
+        person: Client,
         ident: str,
         balancer: str,
         end: int,
@@ -598,7 +598,9 @@
         stage = self.stage
         # Somewhat longer than it waits: an answer that comes late is seen to be late.
         limit = person.type.timeout_ms / 1000 + 0.3
-        leaves = person.leaves / SECOND if person.leaves and person.connections == 1 else 0
+        leaves = (
+            person.leaves_after / SECOND if person.leaves_after and person.connections == 1 else 0
+        )
         try:
             line = await asyncio.wait_for(reader.readline(), min(leaves or limit, limit))
         except asyncio.TimeoutError:
@@ -641,7 +643,7 @@
 
     async def stand(
         self,
-        person: Person,
+        person: Client,
         ident: str,
         balancer: str,
         end: int,
@@ -650,8 +652,8 @@
     ) -> str:
         stage, every = self.stage, int(self.stage.experiment.clients.line_ms * MILLISECOND)
         said, heard, asked = [], [], {}
-        person.tries, how = 0, "own"
-        next_line = stage.now() + person.chance.randrange(every)
+        person.rejections, how = 0, "own"
+        next_line = stage.now() + person.random.randrange(every)
         try:
             while (now := stage.now()) < end:
                 if now >= next_line:
@@ -765,9 +767,13 @@
 
 
 def life_of(
-    stage: Stage, name: str, life: Life, started_ms: int, agents: Callable[[], list[AgentDriver]]
+    stage: Stage,
+    name: str,
+    life: ServerState,
+    started_ms: int,
+    agents: Callable[[], list[AgentDriver]],
 ) -> None:
     """Something changed: the list knows, and each agent learns of it late."""
-    version = stage.listing.change(name, life, started_ms)
+    version = stage.listing.add(name, life, started_ms)
     for agent in agents():
         stage.spawn(agent.learn(version))
--- /dev/null
+++ b/cypresswalk/lab/units.py
@@ -0,0 +1,4 @@
+"""Units of time in nanoseconds."""
+
+MILLISECOND = 1_000_000
+SECOND = 1_000 * MILLISECOND
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -13,7 +13,7 @@
 from cypresswalk.lab.experiment import Experiment
 from cypresswalk.lab.observations import Observation, load, save
 from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
-from cypresswalk.lab.world import SECOND
+from cypresswalk.lab.units import SECOND
 
 MS = 1_000_000
 RULES = Rules(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,14 +19,15 @@
 
 from cypresswalk import toml
 from cypresswalk.lab import report
+from cypresswalk.lab.clients import ClientPopulation
+from cypresswalk.lab.edge import EdgeLoadBalancer
+from cypresswalk.lab.endpoint_list import EndpointList, ListAgent, initial_list
 from cypresswalk.lab.experiment import Experiment, ServerGroup, read
 from cypresswalk.lab.figures import Figures, Stand, good, spread
-from cypresswalk.lab.front import Front
-from cypresswalk.lab.listing import Agent, Listing, first_list
-from cypresswalk.lab.people import People
 from cypresswalk.lab.play import play_day
+from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
 from cypresswalk.lab.stage import Stage
-from cypresswalk.lab.world import MILLISECOND, SECOND, Life, Reply, Server, servers_of
+from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.refusal import CommandError
 
 ROOT = Path(__file__).parent.parent
@@ -44,7 +45,9 @@
 
 
 def server(**troubles):
-    made = Server("m-0", MACHINES, Random(1), overload_factor=2, fall=2 * SECOND, turnover=0.1)
+    made = SimulatedServer(
+        "m-0", MACHINES, Random(1), overload_factor=2, overload_window=2 * SECOND, turnover=0.1
+    )
     for name, value in troubles.items():
         setattr(made, name, value)
     return made
@@ -53,114 +56,121 @@
 # The server.
 
 
-def test_lines_wait_behind_the_pile_that_grows_beyond_capacity_and_goes_again():
+def test_lines_wait_behind_the_backlog_that_grows_beyond_capacity_and_shrinks_again():
     s = server()
     for number in range(40):  # twice what 2 cores of 10 carry
         s.open(0, number, 1.0, "")
-    idle, late = s.line(0), s.line(2 * SECOND)
+    idle, late = s.echo_delay(0), s.echo_delay(2 * SECOND)
     assert late > idle + 1.9 * SECOND
     for number in range(40):
-        s.closed(2 * SECOND, number)
-    assert s.line(6 * SECOND) < 2 * MILLISECOND
+        s.close(2 * SECOND, number)
+    assert s.echo_delay(6 * SECOND) < 2 * MILLISECOND
 
 
-def test_a_group_asks_its_own_work_once_for_all_its_members():
+def test_a_group_adds_its_own_load_once_for_all_its_connections():
     s = server()
     s.open(0, 1, 1.0, "g")
     s.open(0, 2, 1.0, "g")
     assert s.demand() == 2 + MACHINES.group_work
-    s.closed(0, 1)
-    s.closed(0, 2)
-    s.closed(0, 2)
+    s.close(0, 1)
+    s.close(0, 2)
+    s.close(0, 2)
     assert s.demand() == 0
 
 
-def test_a_cold_server_can_do_its_share_and_grows_warm():
+def test_a_cold_server_has_its_initial_fraction_of_capacity_and_warms_up():
     s = server()
     s.start(SECOND, SECOND)
     assert (
         s.capacity(SECOND) == 5 and s.capacity(6 * SECOND) == 12.5 and s.capacity(11 * SECOND) == 20
     )
     # 2 * 5 loads * 0.1 a second * 2 s = 2 loads: the third within the rule's time topples it.
-    assert [s.open(SECOND + n, n, 1.0, "") and s.fallen for n in range(3)] == [False, False, True]
+    assert [s.open(SECOND + n, n, 1.0, "") and s.overloaded for n in range(3)] == [
+        False,
+        False,
+        True,
+    ]
     s = server()
     s.start(SECOND, SECOND)
     for n in range(5):
         s.open(SECOND + n * 2 * SECOND, n, 1.0, "")
-    assert not s.fallen
+    assert not s.overloaded
 
 
-def test_troubles_show_as_they_should():
-    assert server(hangs=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
-    assert server(hangs=True).probe(0) is not None and server(hangs=True).line(0) is None
+def test_each_injected_fault_shows_in_the_servers_replies():
+    assert server(hanging=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
     assert (
-        server(silent=True).probe(0) is None
+        server(hanging=True).health_check_delay(0) is not None
+        and server(hanging=True).echo_delay(0) is None
+    )
+    assert (
+        server(silent=True).health_check_delay(0) is None
         and server(silent=True).open(0, 1, 1.0, "")[0] is Reply.SILENT
     )
-    assert server(errors=1.0).open(0, 1, 1.0, "")[0] is Reply.ERROR
-    assert server(resets=1.0).open(0, 1, 1.0, "")[0] is Reply.RESET
-    assert server(life=Life.DRAINING).open(0, 1, 1.0, "")[0] is Reply.BUSY
+    assert server(error_share=1.0).open(0, 1, 1.0, "")[0] is Reply.ERROR
+    assert server(reset_share=1.0).open(0, 1, 1.0, "")[0] is Reply.RESET
+    assert server(state=ServerState.DRAINING).open(0, 1, 1.0, "")[0] is Reply.BUSY
     assert server(running=False).open(0, 1, 1.0, "")[0] is Reply.RESET
-    assert server(slowness=4.0).capacity(0) == 5 and server(taken=0.5).capacity(0) == 10
+    assert server(slowness=4.0).capacity(0) == 5 and server(stolen_share=0.5).capacity(0) == 10
     full = server()
     assert [full.open(0, n, 0.01, "")[0] for n in range(51)][-2:] == [Reply.UP, Reply.BUSY]
     drops = server()
     for n in range(45):
         drops.open(n, n, 1.0, "")
-    assert drops.dropped(10) is None and drops.dropped(5 * SECOND) == 44
+    assert drops.connection_to_drop(10) is None and drops.connection_to_drop(5 * SECOND) == 44
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(
     st.lists(st.tuples(st.integers(0, 5), st.integers(0, 10**9), st.integers(0, 9)), max_size=60)
 )
-def test_a_server_accounts_for_all_that_stands_there(steps):
+def test_a_servers_load_and_groups_match_its_connections(steps):
     s, now = server(), 0
     for what, wait, number in steps:
         now += wait
-        if what < 3 and number not in s.standing:
+        if what < 3 and number not in s.connections:
             s.open(now, number, 1 + number / 10, f"g{number % 3}" if number % 2 else "")
         elif what == 3:
-            s.closed(now, number)
+            s.close(now, number)
         elif what == 4:
-            s.probe(now)
+            s.health_check_delay(now)
         else:
-            assert s.line(now) >= 0
-        assert abs(s.asked - sum(c.load for c in s.standing.values())) < 1e-9
+            assert s.echo_delay(now) >= 0
+        assert abs(s.connection_load - sum(c.load for c in s.connections.values())) < 1e-9
         assert (
-            sum(s.groups.values()) == sum(bool(c.group) for c in s.standing.values())
-            and s.pile >= 0
+            sum(s.groups.values()) == sum(bool(c.group) for c in s.connections.values())
+            and s.backlog_s >= 0
         )
 
 
-# The list, the front, the people.
+# The endpoint list, the edge load balancer, the clients.
 
 
-def test_an_agent_knows_what_has_reached_it_and_an_older_one_less():
+def test_a_list_agent_answers_with_the_changes_that_arrived_and_an_older_agent_with_fewer():
     experiment = small()
-    listing = Listing()
-    listing.change("s-0", Life.SERVING, 0)
-    listing.change("s-1", Life.SERVING, 0)
-    agent = Agent(listing, experiment, Random(1), 2)
-    drained = listing.change("s-0", Life.DRAINING, 0)
-    gone = listing.change("s-0", Life.GONE, 0)
+    listing = EndpointList()
+    listing.add("s-0", ServerState.IN_SERVICE, 0)
+    listing.add("s-1", ServerState.IN_SERVICE, 0)
+    agent = ListAgent(listing, experiment, Random(1), 2)
+    drained = listing.add("s-0", ServerState.DRAINING, 0)
+    gone = listing.add("s-0", ServerState.TERMINATED, 0)
     assert agent.answer(2) == (False, [], 2) and not agent.learn(2)
     assert agent.learn(gone) and not agent.learn(drained)  # late ones come in any order
     whole, entries, version = agent.answer(2)
-    assert (whole, [e.life for e in entries], version) == (False, [Life.GONE], 4)
+    assert (whole, [e.state for e in entries], version) == (False, [ServerState.TERMINATED], 4)
     assert [e.server for e in agent.answer(0)[1]] == ["s-1"] and agent.answer(9)[0]
-    older = Agent(listing, experiment, Random(1), 2)
+    older = ListAgent(listing, experiment, Random(1), 2)
     assert [e.server for e in older.answer(4)[1]] == ["s-0", "s-1"] and older.answer(4)[0]
-    assert len(first_list(list(servers_of(experiment, 1).values())).changes) == 3
+    assert len(initial_list(list(build_servers(experiment, 1).values())).changes) == 3
 
 
-def test_a_front_sends_nobody_to_one_it_believes_dead():
-    front = Front("a", ["b0", "b1"], Random(1))
+def test_the_edge_load_balancer_sends_no_client_to_a_balancer_marked_down():
+    front = EdgeLoadBalancer("a", ["b0", "b1"])
     assert front.pick() is None
-    front.serves("b0")
-    front.serves("b1")
+    front.mark_up("b0")
+    front.mark_up("b1")
     assert {front.pick() for _ in range(4)} == {"b0", "b1"}
-    front.gone("b0")
+    front.mark_down("b0")
     assert {front.pick() for _ in range(4)} == {"b1"}
 
 
@@ -178,31 +188,34 @@
     return toml.decode(data | changes, Experiment, "small")
 
 
-def test_the_same_people_come_on_a_seed_whatever_else_is_in_the_file():
+def test_a_seed_draws_the_same_clients_whatever_else_is_in_the_file():
     plain, burst = (
-        People(small(), 7),
-        People(small(trouble=[{"kind": "burst", "at_s": 1, "amount": 300}]), 7),
+        ClientPopulation(small(), 7),
+        ClientPopulation(small(trouble=[{"kind": "burst", "at_s": 1, "amount": 300}]), 7),
     )
-    alike = {(p.number, p.comes, p.life, p.group, p.type.name) for p in plain.all()}
-    assert alike < {(p.number, p.comes, p.life, p.group, p.type.name) for p in burst.all()}
+    alike = {(p.number, p.arrives_at, p.lifetime, p.group, p.type.name) for p in plain.all()}
+    assert alike < {(p.number, p.arrives_at, p.lifetime, p.group, p.type.name) for p in burst.all()}
     assert (
-        len(burst.all()) == len(alike) + 300 and sum(p.comes == SECOND for p in burst.all()) >= 300
+        len(burst.all()) == len(alike) + 300
+        and sum(p.arrives_at == SECOND for p in burst.all()) >= 300
     )
-    assert [p.comes for p in People(small(), 8).all()] != [p.comes for p in plain.all()]
-    rates = [len(People(small(seconds=100), seed).all()) / 100 for seed in range(5)]
+    assert [p.arrives_at for p in ClientPopulation(small(), 8).all()] != [
+        p.arrives_at for p in plain.all()
+    ]
+    rates = [len(ClientPopulation(small(seconds=100), seed).all()) / 100 for seed in range(5)]
     assert 9 < sum(rates) / 5 < 11
 
 
-def test_clients_heed_advice_or_do_not_and_stop_trying():
+def test_clients_heed_or_ignore_retry_after_and_stop_retrying():
     wait = {"habit": "wait", "retries": 2, "wait_ms": [10, 20]}
-    person = People(small(clients=wait), 1).person(0, 0)
+    person = ClientPopulation(small(clients=wait), 1).client(0, 0)
     habits = small(clients=wait).clients
-    assert person.after_reject(habits, 5 * SECOND) == 5 * SECOND
-    assert 10 * MILLISECOND <= person.after_reject(habits, None) <= 20 * MILLISECOND
-    assert person.after_reject(habits, None) is None
-    person.tries, person.ignores = 0, True
-    assert person.after_reject(habits, 5 * SECOND) <= 20 * MILLISECOND
-    assert person.after_break(habits) is not None and person.tries == 0
+    assert person.delay_after_rejection(habits, 5 * SECOND) == 5 * SECOND
+    assert 10 * MILLISECOND <= person.delay_after_rejection(habits, None) <= 20 * MILLISECOND
+    assert person.delay_after_rejection(habits, None) is None
+    person.rejections, person.ignores_retry_after = 0, True
+    assert person.delay_after_rejection(habits, 5 * SECOND) <= 20 * MILLISECOND
+    assert person.delay_after_disconnect(habits) is not None and person.rejections == 0
 
 
 # Figures.
@@ -290,7 +303,7 @@
         ),
     ],
 )
-def test_an_odd_experiment_is_refused_by_one_line(change, said):
+def test_an_invalid_experiment_is_rejected_with_one_line(change, said):
     with pytest.raises(CommandError) as refusal:
         small(**change)
     assert str(refusal.value).startswith(f"small: {said}") and "\n" not in str(refusal.value)
@@ -324,7 +337,7 @@
     }
 
 
-def test_the_shipped_experiments_are_sound():
+def test_the_shipped_experiment_files_are_valid():
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 6 and all(read(file).name == file.stem for file in files)
 
@@ -332,7 +345,7 @@
 # Short days.
 
 
-def test_a_day_with_a_hanging_server_is_played_and_told(tmp_path):
+def test_a_scenario_with_a_hanging_server_is_played_and_reported(tmp_path):
     file = tmp_path / "hang.toml"
     file.write_text(
         (ROOT / "experiments/hang.toml")
@@ -365,7 +378,7 @@
     assert again.returncode == 0 and again.stdout.endswith(" 0 breaches\n")
 
 
-def test_troubles_of_all_kinds_in_one_short_day_keep_the_rules(tmp_path):
+def test_faults_of_all_kinds_in_one_short_scenario_keep_the_rules(tmp_path):
     """A drain, a release, a killed, a stopped and a reloaded balancer, a zone's burst, bad clients, lost hints."""
     day = played(
         small(
@@ -415,7 +428,7 @@
     assert Figures(small(seconds=8), day).summary()["answers"]["up"] > 40
 
 
-def test_under_cuts_on_both_sides_the_rules_hold(tmp_path):
+def test_cut_connections_on_both_sides_keep_the_rules(tmp_path):
     """Cuts at any byte of opening line, answer and first lines: what may have run is not sent again, nobody gets two answers."""
     kinds = {"kinds": ["cut", "half_close", "truncate", "black_hole"], "within": 110}
     day = played(
@@ -503,7 +516,7 @@
     assert len(hosts) == 3 and all(host.startswith("127.") for host in hosts)
 
 
-def test_a_lab_that_was_late_voids_its_day(tmp_path):
+def test_a_lab_that_was_late_voids_its_scenario(tmp_path):
     """Guards the balancer against being blamed for a machine that stood still."""
     stalled = []
 
@@ -516,7 +529,7 @@
     assert stalled and day.void.startswith("the lab itself was late: ")
 
 
-def test_a_balancer_that_ends_by_itself_is_a_breach(tmp_path):
+def test_a_balancer_that_ends_by_itself_is_a_violation(tmp_path):
     command = [sys.executable, "-c", "import time; time.sleep(0.1); raise SystemExit(7)"]
     with pytest.raises(CommandError, match="balancer b0 does not serve"):
         play_day(small(seconds=1), small().variants[0], 1, tmp_path, command=command)
