--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -39,11 +39,11 @@
     """Runs one variant with one seed, in a process of its own; the run's summary."""
     from cypresswalk.lab.experiment import read
     from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.play import play_scenario
 
     experiment = read(file)
     chosen = next(v for v in experiment.variants if v.name == variant)
-    day = play_day(experiment, chosen, seed, Path(folder))
+    day = play_scenario(experiment, chosen, seed, Path(folder))
     summary = Figures(experiment, day).summary()
     (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
     return summary
@@ -139,7 +139,7 @@
     """Runs one variant with one seed, reports on it and checks the rules."""
     from cypresswalk.lab import report
     from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.play import play_scenario
 
     experiment, names, seeds = read_experiment(
         file, (variant,) if variant else (), () if seed is None else (seed,), 1
@@ -160,7 +160,7 @@
             bar.update(int(second * PROGRESS_STEPS) - done)
             done = int(second * PROGRESS_STEPS)
 
-        day = play_day(experiment, chosen, seeds[0], folder, show_progress)
+        day = play_scenario(experiment, chosen, seeds[0], folder, show_progress)
     summary = Figures(experiment, day).summary()
     click.echo(report.day(summary))
     report.save([summary], folder)
@@ -262,10 +262,10 @@
 def measure_capacity(rate: float, seconds: int, folder: Path) -> tuple[str, bool]:
     """A row of the table for so many clients per second, and whether the lab was late."""
     from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.play import play_scenario
 
     experiment = capacity_experiment(rate, seconds)
-    day = play_day(experiment, experiment.variants[0], 1, folder)
+    day = play_scenario(experiment, experiment.variants[0], 1, folder)
     summary = Figures(experiment, day).summary()
     echoes = sum(event.kind == "echo" for event in day.events) / seconds
     late = summary["lateness_ms"]
--- a/cypresswalk/lab/__init__.py
+++ b/cypresswalk/lab/__init__.py
@@ -1,5 +1,6 @@
-"""The lab: a small world of servers, clients, a list and a front on loopback, with real balancers in its middle.
+"""The lab: simulated servers, clients and endpoint list on loopback around real balancers.
 
-`play.play_day(experiment, variant, seed, folder)` plays one day; `checker.check(observations, rules)` says whether the rules
-held; `report` and `compare` say what the day was worth. `servers`, `clients`, `endpoint_list`, `edge` and `checker` know no
-socket and no clock; `stage` and `balancers` are the drivers."""
+`play.play_scenario` plays one scenario; `checker.check` says whether the rules held; `figures` and
+`report` say how well clients were served. `servers`, `clients`, `endpoint_list`, `edge` and
+`checker` know no socket and no clock; `testbed` and `balancers` hold the drivers.
+"""
--- /dev/null
+++ b/cypresswalk/lab/balancer_control.py
@@ -0,0 +1,241 @@
+"""Starts, watches and stops the real balancers of a scenario, with their list agents."""
+
+import asyncio
+import signal
+from pathlib import Path
+from random import Random
+
+from cypresswalk.lab.balancers import Balancer, known
+from cypresswalk.lab.endpoint_list import ListAgent
+from cypresswalk.lab.experiment import Variant
+from cypresswalk.lab.rules import Violation
+from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.gossip_relay import GossipRelay
+from cypresswalk.lab.testbed.list_driver import ListAgentDriver
+from cypresswalk.lab.testbed.streams import LOOPBACK
+from cypresswalk.lab.units import SECOND
+from cypresswalk.refusal import CommandError
+
+READY_WITHIN = 30 * SECOND  # balancers answer PING by then, or the scenario can't be played
+READY_CHECK_INTERVAL_S = 0.05
+READY_ANSWER_S = 1
+SAMPLE_INTERVAL_S = 0.5  # between two samples of what balancers cost
+# A planned stop: the edge load balancer notices within these seconds of SIGTERM, and SIGKILL comes
+# so long after the longest client timeout, which counts up to a limit.
+PLANNED_NOTICE_S = (0.2, 0.4)
+MAX_TIMEOUT_AWAITED_S = 3
+KILL_AFTER_TIMEOUT_S = 0.7
+EXIT_CHECK_INTERVAL_S = 0.02
+MAX_PLANNED_DOWN_S = 1.0
+
+Sample = tuple[float, str, int, int, float]
+
+
+class BalancerControl:
+    """All balancers of a scenario.
+
+    Attributes:
+        balancers: The processes by balancer name.
+        agents: Each balancer's current list agent.
+        random: Also used by the fault injector.
+        crashes: A violation for each end that nobody asked for.
+        samples: What balancers cost: see `ScenarioResult.samples`.
+    """
+
+    def __init__(
+        self, bed: Bed, variant: Variant, folder: Path, files: Path, command: list[str] | None
+    ):
+        """Prepare them.
+
+        Args:
+            bed: The test bed.
+            variant: What runs as a balancer.
+            folder: Where configuration and logs go.
+            files: The program's files.
+            command: Runs instead of the program, if not None.
+        """
+        self.bed = bed
+        self.variant = variant
+        self.folder = folder
+        self.files = files
+        self.command = command
+        self.balancers: dict[str, Balancer] = {}
+        self.agents: dict[str, ListAgentDriver] = {}
+        self.random = Random(f"{bed.seed}/troubles")
+        self.balancer_seeds = Random(f"{bed.seed}/balancers")
+        self.crashes: list[Violation] = []
+        self.samples: list[Sample] = []
+
+    async def start_all(self) -> None:
+        """Start all balancers and wait until they serve.
+
+        Raises:
+            CommandError: One does not.
+        """
+        bed = self.bed
+        transport, relay = await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: GossipRelay(bed), local_addr=(LOOPBACK, 0)
+        )
+        groups = bed.experiment.balancer_groups()
+        client_faults = bed.experiment.connection_faults.clients
+        for number, (name, group) in enumerate(zip(bed.balancers, groups, strict=True)):
+            balancer = Balancer(
+                name,
+                number,
+                group,
+                bed.experiment,
+                self.variant,
+                self.files,
+                self.folder,
+                transport.get_extra_info("sockname")[:2],
+                self.command,
+            )
+            self.balancers[name] = balancer
+            relay.members.append(balancer.peer)
+            address = await bed.with_faults(balancer.address, client_faults, "client")
+            bed.balancer_addresses[name] = address
+            await self._new_agent(name, len(bed.listing.changes))
+            self.start(name)
+        await asyncio.gather(*(self.wait_until_ready(name) for name in self.balancers))
+
+    def matching(self, names: list[str]) -> list[str]:
+        """Return the balancers that names mean: a balancer's or a zone's name, or `all`."""
+        return [
+            balancer
+            for balancer in self.balancers
+            if any(name in (balancer, self.bed.balancer_zone[balancer], "all") for name in names)
+        ]
+
+    def start(self, name: str) -> None:
+        """Start a balancer with the list that its agent knows."""
+        agent = self.agents[name].agent
+        endpoints = agent.listing.complete(agent.version)
+        # The list that it starts with counts as a notification, as what its agent sends later.
+        for endpoint in endpoints:
+            self.bed.observe(
+                "told",
+                "",
+                name,
+                server=endpoint.server,
+                life=endpoint.state.value,
+                version=agent.version,
+            )
+        self._write_configuration(name)
+        self.balancers[name].start()
+
+    async def wait_until_ready(self, name: str) -> None:
+        """Wait until a balancer answers PING; then its edge load balancer sends it clients.
+
+        Raises:
+            CommandError: It does not, before the scenario began.
+        """
+        bed = self.bed
+        until = bed.now() + READY_WITHIN
+        while bed.now() < until and self.balancers[name].crashed() is None:
+            if await answers_ping(self.balancers[name]):
+                bed.observe("balancer_up", "", name)
+                bed.edges[bed.balancer_zone[name]].mark_up(name)
+                return
+            await asyncio.sleep(READY_CHECK_INTERVAL_S)
+        if not bed.began:
+            log = self.balancers[name].log.read_text(errors="replace").strip().splitlines()
+            last = log[-1] if log else "nothing logged"
+            raise CommandError(f"balancer {name} does not serve ({self.variant.name}): {last}")
+
+    async def watch(self) -> None:
+        """Sample for ever what balancers cost, and restart those that ended by themselves."""
+        while True:
+            second = (self.bed.now() - self.bed.began) / SECOND
+            for name, balancer in self.balancers.items():
+                if (cost := balancer.cost()) is not None:
+                    self.samples.append((round(second, 2), name, *cost))
+                code = balancer.crashed()
+                if code is not None:
+                    self._on_crash(name, code)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+    def _on_crash(self, name: str, code: int) -> None:
+        observation = self.bed.observe("balancer_down", "", name, code=code)
+        message = f"{name} ended with exit code {code}"
+        self.crashes.append(Violation("crash", "", observation.at, message, [observation]))
+        self.balancers[name].expected_end = True
+        self.bed.spawn(self._mark_down_late(name))
+        self.start(name)
+        self.bed.spawn(self.wait_until_ready(name))
+
+    async def _mark_down_late(self, name: str) -> None:
+        """Let the edge load balancer notice a dead balancer, unless it is back by then."""
+        starts = self.balancers[name].starts
+        detection_ms = self.bed.experiment.edge.detection_ms
+        await asyncio.sleep(self.random.uniform(*detection_ms) / 1000)
+        if self.balancers[name].starts == starts:
+            self.bed.edges[self.bed.balancer_zone[name]].mark_down(name)
+
+    # Faults.
+
+    async def kill(self, name: str, span_s: float) -> None:
+        """Kill a balancer, and start it again after some seconds."""
+        self.balancers[name].kill()
+        self.bed.observe("balancer_down", "", name)
+        self.bed.spawn(self._mark_down_late(name))
+        await asyncio.sleep(span_s)
+        self.start(name)
+        await self.wait_until_ready(name)
+
+    async def stop(self, name: str, span_s: float) -> None:
+        """Restart a balancer as planned.
+
+        The edge load balancer stops sending soon after SIGTERM; SIGKILL comes as on the platform.
+        """
+        bed = self.bed
+        balancer = self.balancers[name]
+        balancer.expected_end = True
+        balancer.send(signal.SIGTERM)
+        await asyncio.sleep(self.random.uniform(*PLANNED_NOTICE_S))
+        bed.edges[bed.balancer_zone[name]].mark_down(name)
+        longest_s = max(t.timeout_ms for t in bed.experiment.types) / 1000
+        grace_s = min(longest_s, MAX_TIMEOUT_AWAITED_S) + KILL_AFTER_TIMEOUT_S
+        until = bed.now() + int(grace_s * SECOND)
+        while bed.now() < until and balancer.running():
+            await asyncio.sleep(EXIT_CHECK_INTERVAL_S)
+        balancer.kill()
+        bed.observe("balancer_down", "", name, planned=True)
+        await asyncio.sleep(min(span_s, MAX_PLANNED_DOWN_S))
+        self.start(name)
+        await self.wait_until_ready(name)
+
+    async def reload(self, name: str) -> None:
+        """Move a balancer's list to a new address that knows less, and send SIGHUP."""
+        old = self.agents[name]
+        await self._new_agent(name, max(old.agent.version - 1, 1))
+        self.bed.spawn(self.agents[name].learn(len(self.bed.listing.changes)))
+        self._write_configuration(name)
+        self.balancers[name].send(signal.SIGHUP)
+        await old.retire()
+
+    async def _new_agent(self, name: str, version: int) -> None:
+        bed = self.bed
+        random = Random(f"{bed.seed}/agent/{name}/{version}")
+        driver = ListAgentDriver(bed, name, ListAgent(bed.listing, bed.experiment, random, version))
+        await driver.listen()
+        self.agents[name] = driver
+
+    def _write_configuration(self, name: str) -> None:
+        driver = self.agents[name]
+        agent = driver.agent
+        endpoints = agent.listing.complete(agent.version)
+        entries = [self.bed.encode_endpoint(endpoint, name) for endpoint in endpoints]
+        seed = self.balancer_seeds.getrandbits(64)
+        self.balancers[name].write(driver.address, known(agent, entries), seed)
+
+
+async def answers_ping(balancer: Balancer) -> bool:
+    """Return whether a balancer answers PING now."""
+    try:
+        reader, writer = await asyncio.open_connection(*balancer.address)
+        writer.write(b"PING\r\n")
+        line = await asyncio.wait_for(reader.readline(), READY_ANSWER_S)
+        writer.close()
+    except OSError:  # a timeout is one too
+        return False
+    return line == b"PONG\r\n"
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -204,6 +204,10 @@
             self.process.kill()
             self.process.wait()
 
+    def running(self) -> bool:
+        """Return whether its process runs."""
+        return self.process is not None and self.process.poll() is None
+
     def crashed(self) -> int | None:
         """The exit code of an end that nobody asked for."""
         if self.process is None or self.expected_end:
--- /dev/null
+++ b/cypresswalk/lab/fault_injector.py
@@ -0,0 +1,171 @@
+"""Injects the scheduled faults of an experiment into a scenario."""
+
+import asyncio
+
+from cypresswalk.lab.balancer_control import BalancerControl
+from cypresswalk.lab.experiment import SERVER_FAULTS, ScheduledFault
+from cypresswalk.lab.servers import ServerState, added_servers, matching_servers
+from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.client_driver import ClientDriver
+from cypresswalk.lab.testbed.list_driver import publish
+from cypresswalk.lab.testbed.server_driver import ServerDriver
+from cypresswalk.lab.units import MILLISECOND, SECOND
+
+RELEASE_DRAIN_S = 1.0  # for each server of a release
+RELEASE_PAUSE_S = 0.5  # between two servers of a release
+MIGRATE_AFTER_S = 0.5  # of a drain's begin
+NEIGHBOUR_PHASE_S = (0.5, 2)  # of another program on the server's machine, on and off
+
+
+class FaultInjector:
+    """Carries out each kind of fault on servers, balancers, clients and the endpoint list."""
+
+    def __init__(
+        self,
+        bed: Bed,
+        servers: dict[str, ServerDriver],
+        clients: ClientDriver,
+        control: BalancerControl,
+    ):
+        """Take what it injects faults into."""
+        self.bed = bed
+        self.servers = servers
+        self.clients = clients
+        self.control = control
+        self.server_faults = {
+            "crash": self._crash,
+            "restart": self._crash,
+            "vanish": self._vanish,
+            "hang": self._hang,
+            "slow": self._slow,
+            "neighbour": self._neighbour,
+            "errors": self._errors,
+            "resets": self._resets,
+            "drain": self._drain,
+        }
+
+    async def inject(self, fault: ScheduledFault) -> None:
+        """Carry out one fault from its begin to its end."""
+        self.bed.observe(
+            "trouble", "", fault.kind, servers=fault.servers, balancers=fault.balancers
+        )
+        span_s = fault.for_s or self.bed.experiment.seconds
+        if fault.kind in SERVER_FAULTS:
+            work = self.server_faults[fault.kind]
+            drivers = self._matching(fault.servers)
+            await asyncio.gather(*(work(driver, fault.amount, span_s) for driver in drivers))
+        elif fault.kind == "release":
+            await self._release(fault)
+        elif fault.kind == "grow":
+            for name in added_servers(self.bed.experiment, fault):
+                await self._return_to_service(self.servers[name])
+        elif fault.kind == "list_outage":
+            await self._list_outage(span_s)
+        elif fault.kind == "cut_clients":
+            self.clients.cut(fault.amount)
+        else:
+            await self._inject_into_balancers(fault, span_s)
+
+    async def _inject_into_balancers(self, fault: ScheduledFault, span_s: float) -> None:
+        names = self.control.matching(fault.balancers)
+        if fault.kind == "balancer_kill":
+            await asyncio.gather(*(self.control.kill(name, span_s) for name in names))
+        elif fault.kind == "balancer_stop":
+            await asyncio.gather(*(self.control.stop(name, span_s) for name in names))
+        elif fault.kind == "reload":
+            await asyncio.gather(*(self.control.reload(name) for name in names))
+
+    def _matching(self, names: list[str]) -> list[ServerDriver]:
+        return [self.servers[name] for name in matching_servers(self.bed.experiment, names)]
+
+    def _publish(self, server: str, state: ServerState, started_ms: int = 0) -> None:
+        publish(self.bed, self.control.agents.values(), server, state, started_ms)
+
+    async def _return_to_service(self, driver: ServerDriver) -> None:
+        started_ms = await driver.start()
+        self._publish(driver.model.name, ServerState.IN_SERVICE, started_ms)
+
+    # Of servers: each takes the driver, the fault's amount and its length in seconds.
+
+    async def _crash(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        """End with resets; the list learns of it late; the server returns cold."""
+        driver.crash()
+        self._publish(driver.model.name, ServerState.TERMINATED)
+        await asyncio.sleep(span_s)
+        await self._return_to_service(driver)
+
+    async def _vanish(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        """Fall silent, and return cold.
+
+        The kernel goes on accepting connections: one that is never accepted can't be shown here.
+        """
+        self.bed.observe("server_mute", "", driver.model.name)
+        driver.model.silent = True
+        self._publish(driver.model.name, ServerState.TERMINATED)
+        await asyncio.sleep(span_s)
+        driver.crash()
+        await self._return_to_service(driver)
+
+    async def _hang(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        self.bed.observe("server_mute", "", driver.model.name)
+        driver.model.hanging = True
+        await asyncio.sleep(span_s)
+        driver.model.hanging = False
+
+    async def _slow(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        driver.model.update_backlog(self.bed.now())
+        driver.model.slowness = max(amount, 1.0)
+        await asyncio.sleep(span_s)
+        driver.model.update_backlog(self.bed.now())
+        driver.model.slowness = 1.0
+
+    async def _neighbour(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        """Let another program take a share of the server's machine, on and off."""
+        until = self.bed.now() + int(span_s * SECOND)
+        while self.bed.now() < until:
+            for share in (amount, 0.0):
+                driver.model.update_backlog(self.bed.now())
+                driver.model.stolen_share = share
+                await asyncio.sleep(self.control.random.uniform(*NEIGHBOUR_PHASE_S))
+        driver.model.stolen_share = 0.0
+
+    async def _errors(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        driver.model.error_share = amount
+        await asyncio.sleep(span_s)
+        driver.model.error_share = 0.0
+
+    async def _resets(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        driver.model.reset_share = amount
+        await asyncio.sleep(span_s)
+        driver.model.reset_share = 0.0
+
+    async def _drain(self, driver: ServerDriver, amount: float, span_s: float) -> None:
+        """Drain: send clients away, take nothing new, and be gone after the span."""
+        model = driver.model
+        model.state = ServerState.DRAINING
+        self._publish(model.name, ServerState.DRAINING, model.started // MILLISECOND)
+        await asyncio.sleep(min(span_s, MIGRATE_AFTER_S))
+        for connection in list(driver.connections.values()):
+            driver.end(connection, "move")
+        await asyncio.sleep(max(span_s - MIGRATE_AFTER_S, 0))
+        self._publish(model.name, ServerState.TERMINATED, model.started // MILLISECOND)
+        driver.crash()
+
+    # Of others.
+
+    async def _release(self, fault: ScheduledFault) -> None:
+        """Drain and restart servers, one after the other."""
+        for driver in self._matching(fault.servers):
+            await self._drain(driver, 0.0, RELEASE_DRAIN_S)
+            await self._return_to_service(driver)
+            await asyncio.sleep(RELEASE_PAUSE_S)
+
+    async def _list_outage(self, span_s: float) -> None:
+        """Let all list agents fall silent for a while."""
+        agents = list(self.control.agents.values())
+        for agent in agents:
+            agent.agent.silent = True
+        await asyncio.sleep(span_s)
+        for agent in agents:
+            agent.agent.silent = False
+            agent.wake()
--- a/cypresswalk/lab/figures.py
+++ b/cypresswalk/lab/figures.py
@@ -11,7 +11,7 @@
 
 from cypresswalk.lab.experiment import Experiment
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.play import Day
+from cypresswalk.lab.result import ScenarioResult
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 LONGEST = 60_000_000  # microseconds, of a histogram
@@ -49,7 +49,7 @@
 class Figures:
     """Of one day. `summary()` is what reports and comparisons use."""
 
-    def __init__(self, experiment: Experiment, day: Day):
+    def __init__(self, experiment: Experiment, day: ScenarioResult):
         self.experiment, self.day = experiment, day
         self.types = {t.name: t for t in experiment.types}
         self.people: dict[int, PersonSeen] = {}
--- /dev/null
+++ b/cypresswalk/lab/source_tree.py
@@ -0,0 +1,46 @@
+"""The program's files of a variant: this checkout's, or those of an earlier revision."""
+
+import shutil
+import subprocess
+import tarfile
+import tempfile
+from collections.abc import Iterator
+from contextlib import contextmanager
+from io import BytesIO
+from pathlib import Path
+
+from cypresswalk.lab.balancers import ROOT
+from cypresswalk.lab.experiment import Variant
+from cypresswalk.refusal import CommandError
+
+
+@contextmanager
+def source_tree(variant: Variant) -> Iterator[Path]:
+    """Give the folder of a variant's files; one made for it is removed at the end.
+
+    Raises:
+        CommandError: The revision can't be had from git.
+    """
+    if not variant.revision:
+        yield ROOT
+        return
+    archive = archive_of(variant)
+    folder = Path(tempfile.mkdtemp(prefix="cypresswalk-revision-"))
+    try:
+        with tarfile.open(fileobj=BytesIO(archive)) as files:
+            files.extractall(folder, filter="data")
+        yield folder
+    finally:
+        shutil.rmtree(folder, ignore_errors=True)
+
+
+def archive_of(variant: Variant) -> bytes:
+    """Return a variant's revision as a tar archive."""
+    command = ["git", "archive", "--format=tar", variant.revision, "--", "cypresswalk"]
+    try:
+        return subprocess.run(command, cwd=ROOT, capture_output=True, check=True).stdout
+    except (OSError, subprocess.CalledProcessError) as error:
+        stderr = getattr(error, "stderr", b"").decode(errors="replace").strip().splitlines()
+        reason = stderr[0] if stderr else error
+        message = f"variant {variant.name}: revision {variant.revision!r}: {reason}"
+        raise CommandError(message) from None
--- /dev/null
+++ b/cypresswalk/lab/testbed/misbehaving_clients.py
@@ -0,0 +1,58 @@
+"""Clients that break the protocol. They are owed an error or an end, and no more."""
+
+import asyncio
+
+from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.client_driver import ClientDriver
+from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, MAX_LINE_BYTES
+from cypresswalk.lab.units import MILLISECOND
+
+ANSWER_WITHIN_S = 3
+FLOOD_LINES = 200
+ENDLESS_LINE_BYTES = 20_000
+
+
+async def misbehave(
+    bed: Bed, clients: ClientDriver, misbehaviour: str, zone: str, number: int
+) -> None:
+    """Play one misbehaving client; see `lab.clients.MISBEHAVIOURS`."""
+    balancer = bed.edges[zone].pick()
+    if balancer is None:
+        return
+    began = bed.now()
+    address = bed.balancer_addresses[balancer]
+    answer = "neither"
+    try:
+        reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE_BYTES)
+    except OSError:
+        return
+    try:
+        if misbehaviour == "twice" and clients.latest_id:
+            bed.observe("said_again", clients.latest_id, balancer)
+        writer.write(bytes_of(bed, misbehaviour, number, clients.latest_id))
+        line = await asyncio.wait_for(reader.readline(), ANSWER_WITHIN_S)
+        answer = line.decode("ascii", "replace").strip().split(" ")[0] or "end"
+    except TimeoutError:
+        pass
+    except CONNECTION_ENDS:
+        answer = "reset"
+    finally:
+        writer.close()
+    took_ms = (bed.now() - began) / MILLISECOND
+    bed.observe("bad", "", balancer, sort=misbehaviour, answer=answer, took_ms=took_ms)
+
+
+def bytes_of(bed: Bed, misbehaviour: str, number: int, latest_id: str) -> bytes:
+    """Return what a misbehaving client sends."""
+    flow_type = bed.experiment.types[0].name
+    tenant = bed.experiment.tenants[0].name
+    valid = f"OPEN x{number} k1 c={flow_type},t={tenant},d=1000\r\n".encode()
+    return {
+        "silent": b"",
+        "garbage": b"\x00\xff\x17GET / HTTP/1.1\r\n",
+        "half a line": valid[: len(valid) // 2],
+        "flood": valid * FLOOD_LINES,
+        "unknown type": valid.replace(flow_type.encode(), b"no-such-type"),
+        "endless line": b"OPEN " + b"a" * ENDLESS_LINE_BYTES,
+        "twice": valid.replace(b"x%d" % number, latest_id.encode() or b"x0"),
+    }[misbehaviour]
--- /dev/null
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -0,0 +1,337 @@
+"""A simulated server on sockets."""
+
+import asyncio
+from functools import partial
+from random import Random
+
+from cypresswalk.lab.servers import Reply, SimulatedServer
+from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.streams import (
+    CONNECTION_ENDS,
+    LOOPBACK,
+    MAX_LINE_BYTES,
+    reset,
+    set_nodelay,
+)
+from cypresswalk.lab.units import MILLISECOND, SECOND
+
+LISTEN_BACKLOG = 512  # connections
+WORK_INTERVAL_S = 0.25
+LOAD_REPORT_EVERY = 4  # work intervals
+REPORT_ABOVE_PART = 3  # a delay over this part of the tightest message latency objective
+
+
+class ServerConnection:
+    """A connection established at a server, and what was said on it."""
+
+    __slots__ = ("number", "flow", "writer", "said", "heard", "last_echo_at", "broken")
+
+    def __init__(self, number: int, flow: str, writer: asyncio.StreamWriter):
+        """Start with nothing said."""
+        self.number = number
+        self.flow = flow
+        self.writer = writer
+        self.said: list[str] = []
+        self.heard: list[str] = []
+        self.last_echo_at = 0
+        self.broken = False
+
+    def say(self, text: str) -> None:
+        """Send a line unless the connection ended."""
+        if not self.broken and not self.writer.transport.is_closing():
+            self.said.append(text)
+            self.writer.write(text.encode() + b"\r\n")
+
+
+class ServerDriver:
+    """One server on sockets, with a port for each balancer: so the way between them is known."""
+
+    def __init__(self, bed: Bed, model: SimulatedServer):
+        """Prepare it; it does not listen yet."""
+        self.bed = bed
+        self.model = model
+        self.ports: dict[str, int] = {}
+        self.listeners: list[asyncio.Server] = []
+        self.writers: set[asyncio.StreamWriter] = set()
+        self.connections: dict[int, ServerConnection] = {}
+        self.reported_delay = False
+
+    # Listening and reading.
+
+    async def listen(self) -> None:
+        """Listen, at the same ports as before if it did.
+
+        A port that another process took is recorded as a failure of the lab.
+        """
+        for balancer in self.bed.balancers:
+            port = self.ports.get(balancer)
+            try:
+                listener = await asyncio.start_server(
+                    partial(self._accept, balancer),
+                    LOOPBACK,
+                    port or 0,
+                    backlog=LISTEN_BACKLOG,
+                    limit=MAX_LINE_BYTES,
+                )
+            except OSError as error:
+                self.bed.failures.append(f"{self.model.name} can't listen at {port}: {error}")
+                return
+            if port is None:
+                await self._publish(balancer, listener.sockets[0].getsockname()[1])
+            self.listeners.append(listener)
+
+    async def _publish(self, balancer: str, port: int) -> None:
+        """Take a port; its address, behind a proxy if faults are planned, goes into the list."""
+        self.ports[balancer] = port
+        plan = self.bed.experiment.connection_faults.servers
+        address = await self.bed.with_faults((LOOPBACK, port), plan, "server")
+        self.bed.server_addresses[self.model.name][balancer] = address
+
+    def _accept(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        self.bed.spawn(self._serve(balancer, reader, writer))
+
+    async def _serve(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        self.writers.add(writer)
+        try:
+            set_nodelay(writer)
+            await self._read_requests(balancer, reader, writer)
+        except CONNECTION_ENDS:
+            pass
+        finally:
+            self.writers.discard(writer)
+            writer.close()
+
+    async def _read_requests(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Answer health checks until the opening line of a flow."""
+        while line := await reader.readline():
+            word = line.split(b" ", 1)[0].strip()
+            if word in (b"PING", b"STATS"):
+                await self._answer_health_check(balancer, word, writer)
+            elif word == b"OPEN" and line.endswith(b"\r\n"):
+                await self._open(balancer, line.decode().split(), reader, writer)
+                return
+            else:
+                writer.write(b"SYNTAX\r\n")
+                shown = repr(line[:80])
+                self.bed.observe("odd_line", "", self.model.name, balancer=balancer, line=shown)
+                return
+
+    async def _answer_health_check(
+        self, balancer: str, word: bytes, writer: asyncio.StreamWriter
+    ) -> None:
+        wait = self.model.health_check_delay(self.bed.now())
+        if wait is None:
+            return
+        way = self.bed.one_way_delay(balancer, self.model)
+        await asyncio.sleep((wait + 2 * way) / SECOND)
+        utilization = self.model.utilization(self.bed.now())
+        report = f" x0={utilization:.3f}" if word == b"STATS" else ""
+        writer.write(f"PONG{report}\r\n".encode())
+
+    # Flows.
+
+    async def _open(
+        self,
+        balancer: str,
+        words: list[str],
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        number = next(self.bed.connection_numbers)
+        values = dict(pair.split("=", 1) for pair in words[3].split(","))
+        flow = words[1]
+        load = float(values.get("h", 1))
+        self.bed.observe(
+            "attempt",
+            flow,
+            self.model.name,
+            balancer=balancer,
+            number=number,
+            load=load,
+            port=writer.get_extra_info("peername")[1],
+        )
+        reply, wait = self.model.open(self.bed.now(), number, load, values.get("g", ""))
+        if self.model.overloaded:
+            self._fail()
+            return
+        try:
+            released = await self._wait_before_reply(reply, wait, balancer, reader)
+            if released or not self.model.running:
+                # A crash ends a pending attempt too: the checker must not take it for pending.
+                kind = "let_go" if self.model.running else "broke"
+                self.bed.observe(kind, flow, self.model.name, number=number, how="reset")
+                return
+            if self._reply(reply, flow, number, writer):
+                connection = ServerConnection(number, flow, writer)
+                self.connections[number] = connection
+                writer.write(receipt_of(number).encode() + b"\r\n")
+                await self._echo(connection, balancer, reader)
+        finally:
+            self.model.close(self.bed.now(), number)
+
+    async def _wait_before_reply(
+        self, reply: Reply, wait: int, balancer: str, reader: asyncio.StreamReader
+    ) -> bool:
+        """Wait until the reply is due; return whether the balancer ended the connection first.
+
+        A server that fell silent has no reply: it waits for the balancer's end.
+        """
+        if reply is not Reply.SILENT:
+            way = self.bed.one_way_delay(balancer, self.model)
+            if await ended_within(reader, wait + 3 * way):
+                return True
+        if reply is Reply.SILENT or self.model.silent or self.model.hanging:
+            while await reader.read(MAX_LINE_BYTES):
+                pass
+            return True
+        return False
+
+    def _reply(self, reply: Reply, flow: str, number: int, writer: asyncio.StreamWriter) -> bool:
+        """Record the reply, send it unless it is UP, and return whether it is UP."""
+        self.bed.observe(
+            "reply",
+            flow,
+            self.model.name,
+            number=number,
+            kind=reply.value,
+            receipt=receipt_of(number),
+        )
+        if reply is Reply.RESET:
+            reset(writer)
+        elif reply is not Reply.UP:
+            writer.write(b"BUSY\r\n" if reply is Reply.BUSY else b"ERR\r\n")
+        return reply is Reply.UP
+
+    async def _echo(
+        self, connection: ServerConnection, balancer: str, reader: asyncio.StreamReader
+    ) -> None:
+        """Echo each line, late as the model says, until one side ends the connection."""
+        try:
+            while line := await reader.readline():
+                text = line.decode().rstrip("\r\n")
+                connection.heard.append(text)
+                if text == "END":
+                    self.end(connection, "bye")
+                    return
+                self._schedule_echo(connection, balancer, text)
+        except CONNECTION_ENDS:
+            pass
+        finally:
+            if not connection.broken:
+                name = self.model.name
+                self.bed.observe("let_go", connection.flow, name, number=connection.number)
+            self.connections.pop(connection.number, None)
+            self.bed.observe(
+                "lines",
+                connection.flow,
+                self.model.name,
+                side="server",
+                said=connection.said,
+                heard=connection.heard,
+                number=connection.number,
+            )
+
+    def _schedule_echo(self, connection: ServerConnection, balancer: str, text: str) -> None:
+        wait = self.model.echo_delay(self.bed.now())
+        if wait is None:
+            return
+        way = 2 * self.bed.one_way_delay(balancer, self.model)
+        # Lines of one connection are served in the order in which they came.
+        connection.last_echo_at = max(connection.last_echo_at, self.bed.now() + wait + way)
+        delay = max(connection.last_echo_at - self.bed.now(), 0)
+        asyncio.get_running_loop().call_later(delay / SECOND, connection.say, text)
+
+    def end(self, connection: ServerConnection, how: str) -> None:
+        """End a connection: "bye" or "move" say so and close it, "reset" resets it."""
+        if connection.broken:
+            return
+        if how != "reset":
+            connection.say("BYE" if how == "bye" else "MOVE")
+        connection.broken = True
+        name = self.model.name
+        self.bed.observe("broke", connection.flow, name, number=connection.number, how=how)
+        if how == "reset":
+            reset(connection.writer)
+        else:
+            connection.writer.close()
+
+    # Its process.
+
+    def _fail(self) -> None:
+        """Crash from too much load while cold; it stays down."""
+        self.bed.observe("fell", "", self.model.name)
+        self.crash()
+
+    def close(self) -> None:
+        """Stop listening."""
+        for listener in self.listeners:
+            listener.close()
+        self.listeners.clear()
+
+    def crash(self) -> None:
+        """End its process: all connections are reset."""
+        name = self.model.name
+        self.bed.observe("server_down", "", name)
+        self.model.stop(self.bed.now())
+        self.close()
+        for connection in list(self.connections.values()):
+            connection.broken = True
+            number = connection.number
+            self.bed.observe("broke", connection.flow, name, number=number, how="reset")
+        for writer in list(self.writers):
+            reset(writer)
+
+    async def start(self) -> int:
+        """Start it cold; return its start time for the list, in milliseconds."""
+        now = self.bed.now()
+        self.model.start(now, now)
+        self.bed.observe("server_up", "", self.model.name)
+        await self.listen()
+        return now // MILLISECOND
+
+    async def work(self) -> None:
+        """Drop connections that are too much, and report the delay on one while it is long."""
+        objectives = [t.message_latency_objective_ms for t in self.bed.experiment.types]
+        min_reported_ms = min(objectives) / REPORT_ABOVE_PART
+        random = Random(f"{self.bed.seed}/load/{self.model.name}")
+        while True:
+            await asyncio.sleep(WORK_INTERVAL_S)
+            number = self.model.connection_to_drop(self.bed.now())
+            if number is not None and number in self.connections:
+                self.end(self.connections[number], "reset")
+                self.model.close(self.bed.now(), number)
+            if self._load_report_due():
+                delay_ms = self.model.delay(self.bed.now()) / MILLISECOND
+                late = delay_ms > min_reported_ms
+                if late or self.reported_delay:
+                    self.reported_delay = late
+                    connection = random.choice(list(self.connections.values()))
+                    connection.say(f"LOAD {delay_ms:.1f}")
+
+    def _load_report_due(self) -> bool:
+        """Whether this is the one of some work intervals in which the server can report."""
+        interval = self.bed.now() // int(WORK_INTERVAL_S * SECOND)
+        if interval % LOAD_REPORT_EVERY or not self.connections:
+            return False
+        return self.model.echo_delay(self.bed.now()) is not None
+
+
+def receipt_of(number: int) -> str:
+    """Return the line with which a server accepts a connection."""
+    return f"UP r{number}"
+
+
+async def ended_within(reader: asyncio.StreamReader, wait: int) -> bool:
+    """Return whether the peer ends a connection within so many nanoseconds."""
+    try:
+        return not await asyncio.wait_for(reader.readline(), wait / SECOND)
+    except TimeoutError:
+        return False
+    except CONNECTION_ENDS:
+        return True
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -273,10 +273,10 @@
 
 def played(*words, **more):
     """A day of the lab. One on which the machine itself was late says nothing, and is played again."""
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.play import play_scenario
 
     for _ in range(3):
-        day = play_day(*words, **more)
+        day = play_scenario(*words, **more)
         if not day.void:
             break
     return day
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -24,9 +24,10 @@
 from cypresswalk.lab.endpoint_list import EndpointList, ListAgent, initial_list
 from cypresswalk.lab.experiment import Experiment, ServerGroup, read
 from cypresswalk.lab.figures import Figures, Stand, good, spread
-from cypresswalk.lab.play import play_day
+from cypresswalk.lab.play import play_scenario
 from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
-from cypresswalk.lab.stage import Stage
+from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.refusal import CommandError
 
@@ -473,7 +474,7 @@
     day = played(experiment, experiment.variants[0], 1, tmp_path)
     assert day.broken == {} and sum(event.kind == "answer" for event in day.events) > 5
     with pytest.raises(CommandError, match="variant odd: revision 'no-such': "):
-        play_day(experiment, experiment.variants[1], 1, tmp_path)
+        play_scenario(experiment, experiment.variants[1], 1, tmp_path)
 
 
 def test_servers_that_grow_are_off_before_and_cold_after(tmp_path):
@@ -493,12 +494,12 @@
 
 def test_a_port_that_another_process_took_is_the_labs_fault():
     async def run():
-        stage = Stage(small(), 1)
-        driver = stage.drivers["s-0"]
+        bed = Bed(small(), 1)
+        driver = ServerDriver(bed, bed.servers["s-0"])
         with socket.create_server(("127.0.0.1", 0)) as other:
             driver.ports["b0"] = other.getsockname()[1]
             await driver.listen()
-        return stage.faults
+        return bed.failures
 
     faults = asyncio.run(run())
     assert len(faults) == 1 and faults[0].startswith("s-0 can't listen at ")
@@ -525,14 +526,14 @@
             stalled.append(True)
             time.sleep(0.6)
 
-    day = play_day(small(seconds=2), small().variants[0], 1, tmp_path, told=stall)
+    day = play_scenario(small(seconds=2), small().variants[0], 1, tmp_path, on_progress=stall)
     assert stalled and day.void.startswith("the lab itself was late: ")
 
 
 def test_a_balancer_that_ends_by_itself_is_a_violation(tmp_path):
     command = [sys.executable, "-c", "import time; time.sleep(0.1); raise SystemExit(7)"]
     with pytest.raises(CommandError, match="balancer b0 does not serve"):
-        play_day(small(seconds=1), small().variants[0], 1, tmp_path, command=command)
+        play_scenario(small(seconds=1), small().variants[0], 1, tmp_path, command=command)
 
 
 def test_ctrl_c_ends_every_child_and_leaves_nothing(tmp_path):
