--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -38,13 +38,13 @@
 def run_variant(file: str, variant: str, seed: int, folder: str) -> dict[str, Any]:
     """Runs one variant with one seed, in a process of its own; the run's summary."""
     from cypresswalk.lab.experiment import read
-    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
 
     experiment = read(file)
     chosen = next(v for v in experiment.variants if v.name == variant)
     day = play_scenario(experiment, chosen, seed, Path(folder))
-    summary = Figures(experiment, day).summary()
+    summary = ScenarioMetrics(experiment, day).summary()
     (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
     return summary
 
@@ -138,7 +138,7 @@
 def play(file: str, variant: str, seed: int | None, out: Path) -> int:
     """Runs one variant with one seed, reports on it and checks the rules."""
     from cypresswalk.lab import report
-    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
 
     experiment, names, seeds = read_experiment(
@@ -161,8 +161,8 @@
             done = int(second * PROGRESS_STEPS)
 
         day = play_scenario(experiment, chosen, seeds[0], folder, show_progress)
-    summary = Figures(experiment, day).summary()
-    click.echo(report.day(summary))
+    summary = ScenarioMetrics(experiment, day).summary()
+    click.echo(report.scenario_report(summary))
     report.save([summary], folder)
     click.echo(f"events, logs, report and plots are in {folder}", err=True)
     if summary["void"]:
@@ -261,12 +261,12 @@
 
 def measure_capacity(rate: float, seconds: int, folder: Path) -> tuple[str, bool]:
     """A row of the table for so many clients per second, and whether the lab was late."""
-    from cypresswalk.lab.figures import Figures
+    from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
 
     experiment = capacity_experiment(rate, seconds)
     day = play_scenario(experiment, experiment.variants[0], 1, folder)
-    summary = Figures(experiment, day).summary()
+    summary = ScenarioMetrics(experiment, day).summary()
     echoes = sum(event.kind == "echo" for event in day.events) / seconds
     late = summary["lateness_ms"]
     said = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
--- a/cypresswalk/lab/report.py
+++ b/cypresswalk/lab/report.py
@@ -1,30 +1,46 @@
-"""Reports of days: Markdown to read, JSON to keep, plots to look at; and variants held side by side."""
+"""Reports of scenarios: Markdown to read, JSON to keep; and variants compared side by side."""
 
 import json
 import statistics
+from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
-# What is compared: the name, how it is had from a summary, which way is better, and its decimals.
-MEASURES = {
-    "service": (lambda s: s["service"], 1, 4),
-    "worst ten seconds": (lambda s: s["worst_10_s"], 1, 4),
-    "worst type": (lambda s: min(s["by_type"].values()), 1, 4),
-    "set-up p50, ms": (lambda s: s["setup_ms"]["p50"], -1, 2),
-    "set-up p99, ms": (lambda s: s["setup_ms"]["p99"], -1, 2),
-    "message p99, ms": (lambda s: s["message_ms"]["p99"], -1, 2),
-    "connects a flow": (lambda s: s["connects_a_flow"], -1, 3),
-    "rejected": (lambda s: s["answers"].get("busy", 0), -1, 0),
-    "failed": (lambda s: s["answers"].get("failed", 0), -1, 0),
-    "moves": (lambda s: s["moves"], -1, 0),
-    "probes": (lambda s: s["probes"], -1, 0),
-    "memory of a balancer, MB": (lambda s: s["memory_mb"], -1, 1),
-    "descriptors": (lambda s: s["descriptors"], -1, 0),
-    "rules broken": (lambda s: sum(s["broken"].values()), -1, 0),
-}
-
-
-def spread(values: list[float], decimals: int) -> str:
-    """Median and range."""
+MIN_REPEATS = 5  # scenarios for a difference to count: a two-sided sign test at 1/16
+HIGHER_IS_BETTER = 1
+LOWER_IS_BETTER = -1
+
+
+@dataclass(frozen=True, slots=True)
+class Measure:
+    """What is compared: a name, its value in a summary, which way is better, and its decimals."""
+
+    name: str
+    value: Callable[[dict], float]
+    better: int
+    decimals: int
+
+
+MEASURES = (
+    Measure("service", lambda s: s["service"], HIGHER_IS_BETTER, 4),
+    Measure("worst ten seconds", lambda s: s["worst_10_s"], HIGHER_IS_BETTER, 4),
+    Measure("worst type", lambda s: min(s["by_type"].values()), HIGHER_IS_BETTER, 4),
+    Measure("set-up p50, ms", lambda s: s["setup_ms"]["p50"], LOWER_IS_BETTER, 2),
+    Measure("set-up p99, ms", lambda s: s["setup_ms"]["p99"], LOWER_IS_BETTER, 2),
+    Measure("message p99, ms", lambda s: s["message_ms"]["p99"], LOWER_IS_BETTER, 2),
+    Measure("connects a flow", lambda s: s["connects_a_flow"], LOWER_IS_BETTER, 3),
+    Measure("rejected", lambda s: s["answers"].get("busy", 0), LOWER_IS_BETTER, 0),
+    Measure("failed", lambda s: s["answers"].get("failed", 0), LOWER_IS_BETTER, 0),
+    Measure("moves", lambda s: s["moves"], LOWER_IS_BETTER, 0),
+    Measure("probes", lambda s: s["probes"], LOWER_IS_BETTER, 0),
+    Measure("memory of a balancer, MB", lambda s: s["memory_mb"], LOWER_IS_BETTER, 1),
+    Measure("descriptors", lambda s: s["descriptors"], LOWER_IS_BETTER, 0),
+    Measure("rules broken", lambda s: sum(s["broken"].values()), LOWER_IS_BETTER, 0),
+)
+
+
+def median_and_range(values: list[float], decimals: int) -> str:
+    """Return the median, with the range if there is one."""
     median = statistics.median(values)
     if len(values) == 1 or min(values) == max(values):
         return f"{median:.{decimals}f}"
@@ -32,98 +48,131 @@
 
 
 def verdict(summary: dict) -> str:
+    """Return whether the rules held, as a line."""
     if summary["void"]:
         return f"void: {summary['void']}"
     if summary["broken"]:
-        return "broken: " + ", ".join(
-            f"{rule} {count}" for rule, count in sorted(summary["broken"].items())
-        )
+        counts = [f"{rule} {count}" for rule, count in sorted(summary["broken"].items())]
+        return "broken: " + ", ".join(counts)
     return "the rules held"
 
 
-def day(summary: dict) -> str:
-    """One day in Markdown."""
+def scenario_report(summary: dict) -> str:
+    """Return the report of one scenario in Markdown."""
     rows = [
         f"# {summary['experiment']}, {summary['variant']}, seed {summary['seed']}",
         "",
         verdict(summary),
         "",
-        "| figure | value |",
-        "| --- | --- |",
-    ]
-    rows += [
-        f"| {name} | {of(summary):.{decimals}f} |" for name, (of, _, decimals) in MEASURES.items()
-    ]
-    rows += [f"| service of {name} | {value:.4f} |" for name, value in summary["by_type"].items()]
-    rows += [
-        f"| clients, flows | {summary['clients']}, {summary['flows']} |",
-        f"| clients that found no balancer | {summary['nobody']} |",
-        f"| bad clients, without their due | {summary['bad']}, {summary['bad_unanswered']} |",
-        f"| the lab's own lateness, ms: median, p99, most | {summary['lateness_ms']['median']:.2f}, "
-        f"{summary['lateness_ms']['p99']:.2f}, {summary['lateness_ms']['most']:.1f} |",
+        *figure_rows(summary),
         "",
-        "| | " + " | ".join(summary["setup_ms"]) + " |",
-        "| --- |" + " --- |" * len(summary["setup_ms"]),
-        "| set-up, ms | " + " | ".join(f"{v:.2f}" for v in summary["setup_ms"].values()) + " |",
-        "| message, ms | " + " | ".join(f"{v:.2f}" for v in summary["message_ms"].values()) + " |",
+        *latency_rows(summary),
         "",
     ]
-    rows += [
-        f"| {name} | {c['memory_mb']:.1f} MB | {c['descriptors']} descriptors | {c['cpu_s']:.2f} s of CPU |"
-        for name, c in summary["balancers"].items()
-    ]
+    for name, cost in summary["balancers"].items():
+        memory = f"{cost['memory_mb']:.1f} MB"
+        descriptors = f"{cost['descriptors']} descriptors"
+        rows.append(f"| {name} | {memory} | {descriptors} | {cost['cpu_s']:.2f} s of CPU |")
     if summary["breaches"]:
-        rows += ["", "## What broke the rules", ""] + [
-            f"    {line}" for b in summary["breaches"] for line in b.splitlines()
-        ]
+        rows += ["", "## What broke the rules", ""]
+        rows += [f"    {line}" for text in summary["breaches"] for line in text.splitlines()]
     return "\n".join(rows) + "\n"
 
 
-def difference(base: list[dict], other: list[dict], of, better: int) -> str:
-    """Against the first variant, by seed: the same people came to both. It counts only if it points the same way on all
-    seeds that both played, five at the least; else it is within the spread."""
-    by_seed = {s["seed"]: of(s) for s in base}
-    apart = [of(s) - by_seed[s["seed"]] for s in other if s["seed"] in by_seed]
-    if not apart or all(a == 0 for a in apart):
+def figure_rows(summary: dict) -> list[str]:
+    """Return the table of all figures."""
+    rows = ["| figure | value |", "| --- | --- |"]
+    for measure in MEASURES:
+        rows.append(f"| {measure.name} | {measure.value(summary):.{measure.decimals}f} |")
+    for name, value in summary["by_type"].items():
+        rows.append(f"| service of {name} | {value:.4f} |")
+    bad = f"{summary['bad']}, {summary['bad_unanswered']}"
+    lateness = summary["lateness_ms"]
+    late = f"{lateness['median']:.2f}, {lateness['p99']:.2f}, {lateness['most']:.1f}"
+    return [
+        *rows,
+        f"| clients, flows | {summary['clients']}, {summary['flows']} |",
+        f"| clients that found no balancer | {summary['nobody']} |",
+        f"| bad clients, without their due | {bad} |",
+        f"| the lab's own lateness, ms: median, p99, most | {late} |",
+    ]
+
+
+def latency_rows(summary: dict) -> list[str]:
+    """Return the table of latencies by percentile."""
+    setups = summary["setup_ms"]
+    messages = summary["message_ms"]
+    return [
+        "| | " + " | ".join(setups) + " |",
+        "| --- |" + " --- |" * len(setups),
+        "| set-up, ms | " + " | ".join(f"{value:.2f}" for value in setups.values()) + " |",
+        "| message, ms | " + " | ".join(f"{value:.2f}" for value in messages.values()) + " |",
+    ]
+
+
+def difference(
+    base: list[dict], other: list[dict], value: Callable[[dict], float], better: int
+) -> str:
+    """Compare a variant with the first one, seed by seed: the same clients came to both.
+
+    A difference counts only if it points the same way on all seeds that both played, and these are
+    `MIN_REPEATS` at least; else it is within the spread.
+    """
+    by_seed = {summary["seed"]: value(summary) for summary in base}
+    differences = [
+        value(summary) - by_seed[summary["seed"]] for summary in other if summary["seed"] in by_seed
+    ]
+    if not any(differences):
         return "the same"
-    if len(apart) < 5:
+    if len(differences) < MIN_REPEATS:
         return "too few repeats"
-    if min(apart) > 0 or max(apart) < 0:
-        return "better" if min(apart) * better > 0 or max(apart) * better > 0 else "worse"
+    if min(differences) > 0 or max(differences) < 0:
+        return "better" if differences[0] * better > 0 else "worse"
     return "within the spread"
 
 
 def compare(summaries: list[dict]) -> str:
-    """Variants of one experiment side by side, in Markdown: median and range over the repeats. Void days are left out."""
+    """Return a table of an experiment's variants: median and range. Void scenarios are left out."""
     variants: dict[str, list[dict]] = {}
     for summary in summaries:
-        variants.setdefault(summary["variant"], [])
+        valid = variants.setdefault(summary["variant"], [])
         if not summary["void"]:
-            variants[summary["variant"]].append(summary)
-    names = [name for name, days in variants.items() if days]
+            valid.append(summary)
+    variants = {name: valid for name, valid in variants.items() if valid}
     void = len(summaries) - sum(map(len, variants.values()))
-    if not names:
+    if not variants:
         return f"All {void} days are void: {summaries[0]['void']}\n"
-    first = variants[names[0]]
-    head = ["figure", names[0]] + [
-        part for name in names[1:] for part in (name, "against " + names[0])
-    ]
+    first = next(iter(variants.values()))
+    seeds = ", ".join(str(summary["seed"]) for summary in first)
+    text = "\n".join(comparison_rows(variants)) + f"\n\nSeeds {seeds}; median and range."
+    return text + (f" {void} days were void and are left out.\n" if void else "\n")
+
+
+def comparison_rows(variants: dict[str, list[dict]]) -> list[str]:
+    """Return the rows of a table that compares each variant with the first."""
+    (first_name, first), *others = variants.items()
+    head = ["figure", first_name]
+    for name, _ in others:
+        head += [name, "against " + first_name]
     rows = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
-    for measure, (of, better, decimals) in MEASURES.items():
-        cells = [measure, spread([of(s) for s in first], decimals)]
-        for name in names[1:]:
-            cells += [
-                spread([of(s) for s in variants[name]], decimals),
-                difference(first, variants[name], of, better),
-            ]
+    for measure in MEASURES:
+        cells = [
+            measure.name,
+            median_and_range([measure.value(s) for s in first], measure.decimals),
+        ]
+        for _, summaries in others:
+            values = [measure.value(summary) for summary in summaries]
+            cells.append(median_and_range(values, measure.decimals))
+            cells.append(difference(first, summaries, measure.value, measure.better))
         rows.append("| " + " | ".join(cells) + " |")
-    seeds = ", ".join(str(s["seed"]) for s in first)
-    text = "\n".join(rows) + f"\n\nSeeds {seeds}; median and range."
-    return text + (f" {void} days were void and are left out.\n" if void else "\n")
+    return rows
 
 
 def save(summaries: list[dict], folder: Path) -> None:
-    """report.md, report.json and the plots."""
+    """Write report.md, report.json and the plots into a folder."""
+    # Loading matplotlib takes long; reports without plots do without it.
+    from cypresswalk.lab.plots import save_plots
+
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "report.json").write_text(json.dumps(summaries, indent=1))
     parts = [
@@ -137,69 +186,6 @@
         "![memory](memory.png)",
         "",
     ]
-    parts += [day(summary).replace("# ", "## ", 1) for summary in summaries]
+    parts += [scenario_report(summary).replace("# ", "## ", 1) for summary in summaries]
     (folder / "report.md").write_text("\n".join(parts))
-    plots(summaries, folder)
-
-
-def plots(summaries: list[dict], folder: Path) -> None:
-    import matplotlib
-
-    matplotlib.use("Agg")
-    from hdrh.histogram import HdrHistogram
-    from matplotlib import pyplot
-
-    variants = list(dict.fromkeys(s["variant"] for s in summaries))
-    colours = {name: f"C{i}" for i, name in enumerate(variants)}
-
-    def finish(name: str, axes, y: str, x: str = "seconds into the day") -> None:
-        axes.set_xlabel(x)
-        axes.set_ylabel(y)
-        axes.grid(alpha=0.3)
-        axes.legend()
-        axes.figure.savefig(folder / name, dpi=110, bbox_inches="tight")
-        pyplot.close(axes.figure)
-
-    axes = pyplot.figure(figsize=(8, 4)).add_subplot()
-    for name in variants:
-        courses = [s["course"] for s in summaries if s["variant"] == name]
-        for course in courses:
-            axes.plot(course, color=colours[name], alpha=0.2, linewidth=0.8)
-        axes.plot(
-            [statistics.median(values) for values in zip(*courses)], color=colours[name], label=name
-        )
-    axes.set_ylim(0, 1.02)
-    finish("service.png", axes, "service, second by second")
-    axes = pyplot.figure(figsize=(8, 4)).add_subplot()
-    for name in variants:
-        total = HdrHistogram(1, 60_000_000, 3)
-        for s in summaries:
-            if s["variant"] == name:
-                total.add(HdrHistogram.decode(s["setup_hdr"]))
-        if total.get_total_count():
-            shares = [0, 25, 50, 75, 90, 95, 99, 99.5, 99.9]
-            axes.plot(
-                [1 / (1 - p / 100) for p in shares],
-                [total.get_value_at_percentile(p) / 1000 for p in shares],
-                marker=".",
-                color=colours[name],
-                label=name,
-            )
-    axes.set_xscale("log")
-    axes.set_yscale("log")
-    axes.set_xticks([1, 2, 4, 10, 100, 1000], ["0%", "50%", "75%", "90%", "99%", "99.9%"])
-    finish("setups.png", axes, "set-up, ms", "share of flows set up sooner")
-    axes = pyplot.figure(figsize=(8, 4)).add_subplot()
-    for name in variants:
-        labelled = False
-        for s in [s for s in summaries if s["variant"] == name][:1]:
-            for balancer in s["balancers"]:
-                points = [(at, memory) for at, who, memory, _ in s["samples"] if who == balancer]
-                axes.plot(
-                    *zip(*points),
-                    color=colours[name],
-                    alpha=0.7,
-                    label=None if labelled else f"{name}, first seed",
-                )
-                labelled = True
-    finish("memory.png", axes, "memory of each balancer, MB")
+    save_plots(summaries, folder)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,7 +23,7 @@
 from cypresswalk.lab.edge import EdgeLoadBalancer
 from cypresswalk.lab.endpoint_list import EndpointList, ListAgent, initial_list
 from cypresswalk.lab.experiment import Experiment, ServerGroup, read
-from cypresswalk.lab.figures import Figures, Stand, good, spread
+from cypresswalk.lab.metrics import EstablishedConnection, ScenarioMetrics, add_span, served_spans
 from cypresswalk.lab.play import play_scenario
 from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
 from cypresswalk.lab.testbed.bed import Bed
@@ -219,21 +219,23 @@
     assert person.delay_after_disconnect(habits) is not None and person.rejections == 0
 
 
-# Figures.
+# Metrics.
 
 
 def test_service_counts_only_what_came_back_in_time():
-    stand = Stand(0, 5 * SECOND, [(SECOND, 5.0), (2 * SECOND, 900.0), (3 * SECOND, 5.0)])
-    assert good(stand, 10 * SECOND, 100, 500) == [
+    stand = EstablishedConnection(
+        0, 5 * SECOND, [(SECOND, 5.0), (2 * SECOND, 900.0), (3 * SECOND, 5.0)]
+    )
+    assert served_spans(stand, 10 * SECOND, 100, 500) == [
         (0, SECOND),
         (2 * SECOND, 3 * SECOND),
         (3 * SECOND, 4_100_000_000),
     ]
-    assert good(Stand(0, 9 * SECOND), 9 * SECOND, 100, 500) == [
+    assert served_spans(EstablishedConnection(0, 9 * SECOND), 9 * SECOND, 100, 500) == [
         (0, 1_100_000_000)
     ]  # silent ever since
     into = [0.0] * 3
-    spread(into, SECOND // 2, int(2.25 * SECOND), 2.0)
+    add_span(into, SECOND // 2, int(2.25 * SECOND), 2.0)
     assert into == [1.0, 2.0, 0.5]
 
 
@@ -343,7 +345,7 @@
     assert len(files) >= 6 and all(read(file).name == file.stem for file in files)
 
 
-# Short days.
+# Short scenarios.
 
 
 def test_a_scenario_with_a_hanging_server_is_played_and_reported(tmp_path):
@@ -426,7 +428,7 @@
     assert (
         sum(event.kind == "balancer_up" for event in day.events) == 3
     )  # two starts and the one after the kill
-    assert Figures(small(seconds=8), day).summary()["answers"]["up"] > 40
+    assert ScenarioMetrics(small(seconds=8), day).summary()["answers"]["up"] > 40
 
 
 def test_cut_connections_on_both_sides_keep_the_rules(tmp_path):
