--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -1,4 +1,4 @@
-"""Real balancer processes: their configuration, start, kill, planned stop and reload, and what they cost."""
+"""Real balancer processes: configuration, start, signals, and what they cost."""
 
 import ctypes
 import json
@@ -13,27 +13,34 @@
 import psutil
 
 from cypresswalk.lab.endpoint_list import ListAgent
-from cypresswalk.lab.experiment import BalancerGroup, Experiment, Settings, Variant
+from cypresswalk.lab.experiment import (
+    BalancerGroup,
+    Experiment,
+    ServiceType,
+    Settings,
+    Variant,
+)
 
 ROOT = Path(__file__).parents[2]
 EFFECTS = {"repeatable": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
 SET_DEATH_SIGNAL = 1  # of prctl(2)
+POLL_WITHIN_MS = 10_000.0
+GOSSIP_PRICE = 0.01
+OVERAGE_WEIGHT = 0.2
 
 
 def die_with_parent() -> None:
-    """In the child: a lab that is killed outright must not leave balancers behind."""
+    """Let the kernel kill this child process when the lab's process dies."""
     ctypes.CDLL(None).prctl(SET_DEATH_SIGNAL, signal.SIGKILL)
 
 
-def params(experiment: Experiment, settings: Settings, me: int) -> dict:
-    """The settings, in the form in which the platform hands them out."""
-    tables = experiment.balancer_groups()
-    shares = sum(c.share for c in experiment.tenants)
-    capacity = sum(m.count * m.cores * m.speed * m.per_core for m in experiment.servers)
+def params(experiment: Experiment, settings: Settings, number: int) -> dict:
+    """Return the settings of the balancer with a number, in the platform's form."""
+    groups = experiment.balancer_groups()
     return {
-        "me": me,
-        "instances": len(tables),
-        "zone": experiment.zones.index(tables[me].zone),
+        "me": number,
+        "instances": len(groups),
+        "zone": experiment.zones.index(groups[number].zone),
         "azs": experiment.zones,
         "family": "conn",
         "discovery": "on_request" if experiment.list_service.polled else "pushed",
@@ -45,18 +52,12 @@
             "dialTimeout": settings.dial_timeout_ms,
             "peerMessages": settings.gossip,
         },
-        "rules": {
-            "askWithin": 10_000.0,
-            "cold": max(m.warm_up_s for m in experiment.servers) * 1000,
-            "coldShare": min(m.warm_up_initial_fraction for m in experiment.servers),
-            "fall": settings.overload_window_ms,
-            "overloadFactor": settings.overload_factor,
-        },
+        "rules": rules_of(experiment, settings),
         "deductions": {
             "crossZone": settings.zone_crossing_price,
             "moves": settings.migration_price,
             "probe": settings.health_check_price,
-            "peer": 0.01,
+            "peer": GOSSIP_PRICE,
         },
         "stats": {"via": "probes", "fields": ["x0"]}
         if settings.reports_load
@@ -65,45 +66,71 @@
             "groups": bool(experiment.clients.groups),
             "tellsDelay": True,
             "messageAim": [t.message_latency_objective_ms for t in experiment.types],
-            "tenantQuotaConnections": [c.share / shares * capacity for c in experiment.tenants],
+            "tenantQuotaConnections": quotas_of(experiment),
         },
-        "overagePayoff": 0.2,
-        "tenants": [{"name": c.name} for c in experiment.tenants],
-        "serviceTypes": [
-            {
-                "name": t.name,
-                "semantics": EFFECTS[t.effect],
-                "group": t.scope,
-                "window": t.window_ms,
-                "setupTarget": t.setup_latency_objective_ms,
-                "giveUp": t.timeout_ms,
-            }
-            for t in experiment.types
-        ],
+        "overagePayoff": OVERAGE_WEIGHT,
+        "tenants": [{"name": tenant.name} for tenant in experiment.tenants],
+        "serviceTypes": [encode_type(flow_type) for flow_type in experiment.types],
+    }
+
+
+def rules_of(experiment: Experiment, settings: Settings) -> dict:
+    """Return the platform's rules on cold servers and polls."""
+    return {
+        "askWithin": POLL_WITHIN_MS,
+        "cold": max(group.warm_up_s for group in experiment.servers) * 1000,
+        "coldShare": min(group.warm_up_initial_fraction for group in experiment.servers),
+        "fall": settings.overload_window_ms,
+        "overloadFactor": settings.overload_factor,
+    }
+
+
+def quotas_of(experiment: Experiment) -> list[float]:
+    """Return each tenant's quota: its share of the capacity of all servers."""
+    shares = sum(tenant.share for tenant in experiment.tenants)
+    capacity = sum(
+        group.count * group.cores * group.speed * group.per_core for group in experiment.servers
+    )
+    return [tenant.share / shares * capacity for tenant in experiment.tenants]
+
+
+def encode_type(flow_type: ServiceType) -> dict:
+    """Return a type of flow in the platform's form."""
+    return {
+        "name": flow_type.name,
+        "semantics": EFFECTS[flow_type.effect],
+        "group": flow_type.scope,
+        "window": flow_type.window_ms,
+        "setupTarget": flow_type.setup_latency_objective_ms,
+        "giveUp": flow_type.timeout_ms,
     }
 
 
 def own_host() -> str:
-    """A loopback address of this process alone. Guards against two labs side by side, or a client's own port, taking the
-    port of a balancer between its choice and its start, or while it is away: one day then spoke to the other's."""
+    """Return a loopback address of this process alone.
+
+    Two labs side by side, or a client's own port, could else take the port of a balancer between
+    its choice and its start, or while it is away.
+    """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16) % 128}.{pid >> 8 & 255}.{pid & 255}"
 
 
 def free_port(host: str, kind: int = socket.SOCK_STREAM) -> int:
+    """Return a port of an address that is free now."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((host, 0))
         return sock.getsockname()[1]
 
 
 class Balancer:
-    """One balancer's process, over its starts on a day."""
+    """One balancer's process, over its starts in a scenario."""
 
     def __init__(
         self,
         name: str,
         number: int,
-        table: BalancerGroup,
+        group: BalancerGroup,
         experiment: Experiment,
         variant: Variant,
         tree: Path,
@@ -111,51 +138,62 @@
         relay: tuple[str, int],
         command: list[str] | None = None,
     ):
-        self.name, self.number, self.table, self.variant, self.tree = (
-            name,
-            number,
-            table,
-            variant,
-            tree,
-        )
+        """Choose its addresses and files; it does not run yet.
+
+        Args:
+            name: The balancer's name.
+            number: Its place among all balancers.
+            group: What it may use.
+            experiment: The experiment.
+            variant: What runs.
+            tree: The folder of the program's files.
+            folder: Where its configuration, log and state go.
+            relay: Where it sends gossip.
+            command: Runs instead of the program, if not None.
+        """
+        self.name = name
+        self.number = number
+        self.group = group
+        self.variant = variant
+        self.tree = tree
         self.settings = variant.settings or experiment.settings
         self.params = params(experiment, self.settings, number)
         host = own_host()
-        self.address, self.peer = (
-            (host, free_port(host)),
-            (host, free_port(host, socket.SOCK_DGRAM)),
-        )
-        self.relay, self.starts = relay, 0
-        module = (
-            ["cypresswalk"]
-            if variant.policy == "product"
-            else ["cypresswalk.lab.baselines", variant.policy]
-        )
+        self.address = (host, free_port(host))
+        self.peer = (host, free_port(host, socket.SOCK_DGRAM))
+        self.relay = relay
+        self.starts = 0
+        module = ["cypresswalk"]
+        if variant.policy != "product":
+            module = ["cypresswalk.lab.baselines", variant.policy]
         self.command = command or [sys.executable, "-B", "-m", *module]
-        self.folder, self.operator = folder, folder / f"{name}.operator.toml"
-        self.config, self.log = folder / f"{name}.json", folder / f"{name}.log"
+        self.folder = folder
+        self.operator = folder / f"{name}.operator.toml"
+        self.config = folder / f"{name}.json"
+        self.log = folder / f"{name}.log"
         self.process: subprocess.Popen | None = None
-        self.seen: psutil.Process | None = None
+        self.usage: psutil.Process | None = None
         self.expected_end = False
 
     def write(self, discovery: tuple[str, int], known: dict, seed: int) -> None:
+        """Write its configuration: the list service, the list it starts with, its seed."""
         data = {
             "name": self.name,
-            "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % discovery,
+            "listen": address_text(self.address),
+            "discovery": address_text(discovery),
             "seed": f"{seed:016x}",
             "limits": {
                 "cores": 1.0,
-                "memory_mb": self.table.memory_mb,
-                "sockets": self.table.sockets,
+                "memory_mb": self.group.memory_mb,
+                "sockets": self.group.sockets,
             },
             "known": known,
             "settings": self.params,
         }
         if self.settings.gossip:
             data |= {
-                "peer_listen": "%s:%d" % self.peer,
-                "peers_all": "%s:%d" % self.relay,
+                "peer_listen": address_text(self.peer),
+                "peers_all": address_text(self.relay),
                 "peers": [],
             }
         new = self.config.with_suffix(".new")
@@ -163,23 +201,27 @@
         os.replace(new, self.config)
 
     def environment(self) -> dict[str, str]:
-        """Of the platform's variables only what the lab says; an operator file where the variant asks for one."""
+        """Return its environment: of the platform's variables only what the lab sets.
+
+        Where the settings ask for persisted state, an operator file is written for it.
+        """
         plain = {
             k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
         }
         plain["PROXY_CONFIG"] = str(self.config.absolute())
         if self.settings.state:
-            kept = (self.folder / f"{self.name}.state").absolute()
+            state = (self.folder / f"{self.name}.state").absolute()
             if not self.starts:
-                shutil.rmtree(kept, ignore_errors=True)  # a day begins without a past
-            kept.mkdir(exist_ok=True)
+                shutil.rmtree(state, ignore_errors=True)  # a scenario begins without a past
+            state.mkdir(exist_ok=True)
             self.operator.write_text(
-                f'[state]\nfolder = "{kept}"\nevery_s = {self.settings.state_every_s}\n'
+                f'[state]\nfolder = "{state}"\nevery_s = {self.settings.state_every_s}\n'
             )
             plain["PROXY_OPERATOR"] = str(self.operator.absolute())
         return plain
 
     def start(self) -> None:
+        """Start it; its log goes on after the first start."""
         with open(self.log, "ab" if self.starts else "wb") as log:
             self.process = subprocess.Popen(
                 self.command,
@@ -191,14 +233,17 @@
                 preexec_fn=die_with_parent,
                 start_new_session=True,
             )
-        self.seen, self.expected_end = psutil.Process(self.process.pid), False
+        self.usage = psutil.Process(self.process.pid)
+        self.expected_end = False
         self.starts += 1
 
     def send(self, number: int) -> None:
+        """Send it a signal if it runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
+        """Kill it if it runs, and wait for its end."""
         self.expected_end = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
@@ -209,22 +254,28 @@
         return self.process is not None and self.process.poll() is None
 
     def crashed(self) -> int | None:
-        """The exit code of an end that nobody asked for."""
+        """Return the exit code of an end that nobody asked for."""
         if self.process is None or self.expected_end:
             return None
         return self.process.poll()
 
     def cost(self) -> tuple[int, int, float] | None:
-        """Bytes resident, descriptors, seconds of CPU since its start; None while it does not run."""
+        """Return resident bytes, descriptors and seconds of processor time since its start.
+
+        None while it does not run.
+        """
+        if self.usage is None:
+            return None
         try:
-            with self.seen.oneshot():
-                times = self.seen.cpu_times()
-                return self.seen.memory_info().rss, self.seen.num_fds(), times.user + times.system
+            with self.usage.oneshot():
+                times = self.usage.cpu_times()
+                memory = self.usage.memory_info().rss
+                return memory, self.usage.num_fds(), times.user + times.system
         except (psutil.Error, AttributeError):
             return None
 
     def counters(self) -> dict[str, int]:
-        """The sums of the counters that its runs logged at their ends, or when last asked."""
+        """Return the sums of the counters that its runs logged, at their ends or when asked."""
         total: dict[str, int] = {}
         run: dict[str, int] = {}
         try:
@@ -243,5 +294,12 @@
         return {k: total.get(k, 0) + run.get(k, 0) for k in total | run}
 
 
+def address_text(address: tuple[str, int]) -> str:
+    """Return an address as "host:port"."""
+    host, port = address
+    return f"{host}:{port}"
+
+
 def known(agent: ListAgent, entries: list[dict]) -> dict:
+    """Return the list that a balancer starts with, in the platform's form."""
     return {"generation": agent.version, "reset": True, "instances": entries}
