--- a/cypresswalk/lab/testbed/gossip_relay.py
+++ b/cypresswalk/lab/testbed/gossip_relay.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from random import Random
+from typing import cast
 
 from cypresswalk.lab.clients import draw_ms
 from cypresswalk.lab.testbed.bed import Address, Bed
@@ -21,8 +22,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the socket; called by asyncio."""
-        assert isinstance(transport, asyncio.DatagramTransport)  # of a datagram endpoint
-        self.transport = transport
+        # Of a datagram endpoint; Python 3.11's own class does not derive from DatagramTransport.
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
         """Pass a message on; called by asyncio."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -27,6 +27,7 @@
 from cypresswalk.lab.play import play_scenario
 from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
 from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.gossip_relay import GossipRelay
 from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.refusal import CommandError
@@ -507,6 +508,32 @@
     assert len(faults) == 1 and faults[0].startswith("s-0 can't listen at ")
 
 
+def test_the_gossip_relay_passes_a_message_to_all_other_balancers():
+    async def run():
+        relayed = []
+        with (
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
+        ):
+            for sock in (sender, receiver):
+                sock.bind(("127.0.0.1", 0))
+                sock.setblocking(False)
+            transport, relay = await asyncio.get_running_loop().create_datagram_endpoint(
+                lambda: GossipRelay(Bed(small(), 1)), local_addr=("127.0.0.1", 0)
+            )
+            relay.members += [sender.getsockname(), receiver.getsockname()]
+            sender.sendto(b"hint", transport.get_extra_info("sockname"))
+            relayed.append(
+                await asyncio.wait_for(asyncio.get_running_loop().sock_recv(receiver, 100), 5)
+            )
+            with pytest.raises(BlockingIOError):
+                sender.recv(100)
+            transport.close()
+        return relayed, relay.passed
+
+    assert asyncio.run(run()) == ([b"hint"], 1)
+
+
 def test_each_lab_process_has_an_address_of_its_own():
     """Two days side by side once chose one port: the second day's clients spoke to the first day's balancer."""
     script = "from cypresswalk.lab.balancers import own_host; print(own_host())"
