--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -38,13 +38,13 @@
 def run_variant(file: str, variant: str, seed: int, folder: str) -> dict[str, Any]:
     """Runs one variant with one seed, in a process of its own; the run's summary."""
     from cypresswalk.lab.experiment import read
-    from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.metrics import ScenarioMetrics
+    from cypresswalk.lab.play import play_scenario
 
     experiment = read(file)
-    chosen = next(v for v in experiment.variant if v.name == variant)
-    day = play_day(experiment, chosen, seed, Path(folder))
-    summary = Figures(experiment, day).summary()
+    chosen = next(v for v in experiment.variants if v.name == variant)
+    day = play_scenario(experiment, chosen, seed, Path(folder))
+    summary = ScenarioMetrics(experiment, day).summary()
     (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
     return summary
 
@@ -69,7 +69,7 @@
     from cypresswalk.lab.experiment import read
 
     experiment = read(file)
-    names = [variant.name for variant in experiment.variant]
+    names = [variant.name for variant in experiment.variants]
     for name in variants:
         if name not in names:
             raise CommandError(f"{file}: variant: {name!r} is not one of {', '.join(names)}")
@@ -124,7 +124,7 @@
     click.echo(
         f"{experiment.name}: {experiment.seconds:g} s, "
         f"{sum(m.count for m in experiment.servers)} servers, "
-        f"{len(experiment.balancer_names())} balancers, {len(experiment.trouble)} troubles, "
+        f"{len(experiment.balancer_names())} balancers, {len(experiment.faults)} troubles, "
         f"variants {', '.join(names)}, {len(seeds)} seeds"
     )
     return 0
@@ -138,16 +138,16 @@
 def play(file: str, variant: str, seed: int | None, out: Path) -> int:
     """Runs one variant with one seed, reports on it and checks the rules."""
     from cypresswalk.lab import report
-    from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.metrics import ScenarioMetrics
+    from cypresswalk.lab.play import play_scenario
 
     experiment, names, seeds = read_experiment(
         file, (variant,) if variant else (), () if seed is None else (seed,), 1
     )
     name = names[0]
-    chosen = next(v for v in experiment.variant if v.name == name)
+    chosen = next(v for v in experiment.variants if v.name == name)
     click.echo(f"{experiment.name}: {experiment.about}", err=True)
-    for fault in experiment.trouble:
+    for fault in experiment.faults:
         where = ", ".join(fault.servers + fault.balancers)
         click.echo(f"  from {fault.at_s:g} s: {fault.kind} {where}", err=True)
     folder = out / f"{experiment.name}-{name}-{seeds[0]}"
@@ -160,9 +160,9 @@
             bar.update(int(second * PROGRESS_STEPS) - done)
             done = int(second * PROGRESS_STEPS)
 
-        day = play_day(experiment, chosen, seeds[0], folder, show_progress)
-    summary = Figures(experiment, day).summary()
-    click.echo(report.day(summary))
+        day = play_scenario(experiment, chosen, seeds[0], folder, show_progress)
+    summary = ScenarioMetrics(experiment, day).summary()
+    click.echo(report.scenario_report(summary))
     report.save([summary], folder)
     click.echo(f"events, logs, report and plots are in {folder}", err=True)
     if summary["void"]:
@@ -218,20 +218,21 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def verdict(file: str, folder: Path) -> int:
     """Checks the rules again on the events of an earlier run."""
-    from cypresswalk.lab import seen
-    from cypresswalk.lab.oracle import Rules, judge
+    from cypresswalk.lab import observations
+    from cypresswalk.lab.checker import check
+    from cypresswalk.lab.rules import Rules
 
     experiment, _, _ = read_experiment(file)
     path = folder / "events.jsonl"
     try:
-        events = seen.load(path)
+        events = observations.load(path)
     except (OSError, ValueError, KeyError) as error:
         raise CommandError(f"{path}: {error}") from error
-    breaches = judge(events, Rules.of(experiment))
-    for breach in breaches:
-        click.echo(str(breach))
-    click.echo(f"{len(events)} events, {len(breaches)} breaches")
-    return BROKEN if breaches else 0
+    violations = check(events, Rules.of(experiment))
+    for violation in violations:
+        click.echo(str(violation))
+    click.echo(f"{len(events)} events, {len(violations)} breaches")
+    return BROKEN if violations else 0
 
 
 @click.command()
@@ -260,13 +261,13 @@
 
 def measure_capacity(rate: float, seconds: int, folder: Path) -> tuple[str, bool]:
     """A row of the table for so many clients per second, and whether the lab was late."""
-    from cypresswalk.lab.figures import Figures
-    from cypresswalk.lab.play import play_day
+    from cypresswalk.lab.metrics import ScenarioMetrics
+    from cypresswalk.lab.play import play_scenario
 
     experiment = capacity_experiment(rate, seconds)
-    day = play_day(experiment, experiment.variant[0], 1, folder)
-    summary = Figures(experiment, day).summary()
-    echoes = sum(event.what == "echo" for event in day.events) / seconds
+    day = play_scenario(experiment, experiment.variants[0], 1, folder)
+    summary = ScenarioMetrics(experiment, day).summary()
+    echoes = sum(event.kind == "echo" for event in day.events) / seconds
     late = summary["lateness_ms"]
     said = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
     line = (
