--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -62,7 +62,7 @@
 )
 
 MAX_SLEEP = 60 * SECOND  # nothing to do: any time will do
-# Of the sums that outlive a process, the names under which they are stored.
+# Names of the sums that a hand-over carries; the state folder keeps all but "borne".
 PERSISTENT_SUMS = ("carried", "borne", "arrivals", "hints", "setup_time", "setups")
 
 
@@ -140,7 +140,7 @@
         self._next_wakeup_at = 0
 
     def sums(self) -> dict[str, DecayingSum]:
-        """Return the sums that outlive a process, by the names under which they are stored."""
+        """Return the sums that a hand-over carries, by their names on the wire."""
         sums = (
             self.traffic.completed,
             self.slow_start.held_when_warm,
@@ -215,7 +215,7 @@
         self.slow_start.give_away(now)
 
     def is_avoided(self, now: int, server: Server) -> bool:
-        """Return whether new flows pass the server over, for whatever reason."""
+        """Return whether the server is in no pool, just said it is full, or is an outlier."""
         if not self.placement.is_placeable(server):
             return True
         return now < server.ejected_until or is_outlier(server)
@@ -282,7 +282,7 @@
             return
         if outcome is not Outcome.RESET or not is_up(server):
             return
-        if self.overload.drops_as_full(now, server):
+        if self.overload.record_drop(now, server):
             self.limits.cut(now, server)
             if now - flow.attempt_sent_at < SETTLED_AFTER:
                 self.outliers.on_new_flow_dropped(now, server)
--- a/cypresswalk/decisions/flow_queue.py
+++ b/cypresswalk/decisions/flow_queue.py
@@ -9,7 +9,7 @@
     """Flows to place now, and those held for capacity or for health checks of their places.
 
     Attributes:
-        capacity_freed: something has ended since flows were last placed; set by whoever ends it.
+        capacity_freed: an end, establishment or check since may let held flows be placed.
     """
 
     def __init__(self) -> None:
--- a/cypresswalk/decisions/list_polling.py
+++ b/cypresswalk/decisions/list_polling.py
@@ -8,7 +8,7 @@
 
 
 class ListPolling:
-    """Keeps a subscription, and asks again after a failed call with exponential backoff.
+    """Asks for the list once, and again after each failed call, with exponential backoff.
 
     Calls wait in turn at one service: coming back at once would keep it jammed.
     """
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -89,8 +89,8 @@
             server.load = load
             server.load_at = now
 
-    def drops_as_full(self, now: int, server: Server) -> bool:
-        """Count a flow that the server broke off; return whether that says that it is full.
+    def record_drop(self, now: int, server: Server) -> bool:
+        """Count a flow that the server broke off; return whether it now counts as full.
 
         It does where the server is overloaded or drops one flow after another. A network that
         breaks a connection here and there says nothing about sound servers.
--- a/cypresswalk/decisions/retries.py
+++ b/cypresswalk/decisions/retries.py
@@ -21,7 +21,7 @@
 
 
 def in_idempotency_scope(flow: Flow, server: Server) -> bool:
-    """Return whether the server would drop a repeat of the flow, if it may have run."""
+    """Return whether an attempt there does no harm, where `may_retry` allows one."""
     ran_on = flow.may_have_run_on
     kind = flow.service_type
     if ran_on is None or kind.effect is Effect.IDEMPOTENT or kind.scope is Scope.ALL:
--- a/cypresswalk/decisions/reviews.py
+++ b/cypresswalk/decisions/reviews.py
@@ -1,6 +1,6 @@
 """Servers of which something was heard: flows there may have to migrate.
 
-Only these are looked at. Walking all servers at each event took hundreds of balancers more time
+Only these are looked at: walking all servers at each event would cost hundreds of balancers more
 than all else together.
 """
 
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -149,10 +149,10 @@
     # Flows that would be given up.
 
     def observe(self, now: int) -> None:
-        """Follow what a warm server holds from here, at most once in a while.
+        """Sample what a warm server holds from here, at most once a HELD_INTERVAL.
 
-        Up slowly, since a mass return is not proven yet, and down more slowly still: when most
-        servers have restarted none is left to tell.
+        It rises over about 10 s, so that a surge counts little, and decays over 30 s: after a mass
+        restart there is no warm server to sample.
         """
         if now < self._next_observation_at:
             return
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class MemberEffects:
-    """What the owner carries out, in the order of the fields.
+    """What the owner carries out: write, `on_written`, send, `apply`.
 
     Attributes:
         identity_lost: why this identity is given up; the rest is void.
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -47,7 +47,7 @@
 
 log = logging.getLogger(__name__)
 
-# Times the longest connect timeout of any service type; a client that asks for more is refused.
+# Times the longest `giveUp` of any service type; a client that asks for more is refused.
 MAX_CONNECT_TIMEOUTS = 20
 
 
@@ -65,7 +65,7 @@
         now: int,
         policy: type[Balancer] = Balancer,
     ):
-        """`policy` is the class of the decisions; over 40 lines, since it connects all parts."""
+        """Connects all parts; `policy` is the class that makes the decisions."""
         self.limits = config.limits
         self.drivers = drivers
         self.counters = counters
@@ -291,7 +291,7 @@
                 self.on_attempt_ended(now, attempt, outcome)
 
     def on_attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        """The server's side has ended: before UP, or with all that it had to say relayed."""
+        """The attempt failed, timed out or was recalled; or its established connection ended."""
         session = attempt.session
         flow = session.flow
         if session.attempt is not attempt or session.finished:
@@ -351,7 +351,7 @@
             self._refuse(now, session, "client_impatient", flow=session.request.ident)
 
     def on_resume_failed(self, now: int, session: Session) -> None:
-        """A resumed connection did not come up at its server in time, if it did not."""
+        """The time to resume is over: refuses the session unless it is established."""
         if not session.finished and not session.established:
             if session.attempt is not None:
                 self.drivers.drop(session.attempt)
@@ -402,7 +402,7 @@
             self.extensions.reservations.finish(session.flow, "never" if never_ran else "unknown")
 
     def retry_reply(self, flow: Flow) -> bytes:
-        """The reply to a flow that has not run: when to come back, where that is allowed."""
+        """The reply where a repeat does no harm: when to come back, if that may be said."""
         settings = self.balancer.settings
         if not settings.retry_after_allowed:
             return BUSY_REPLY
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -76,7 +76,7 @@
         """An attempt was established within so many nanoseconds."""
 
     def fell(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt failed, or an established connection was broken off."""
+        """An attempt or an established connection ended, whatever its outcome."""
 
     def listed(
         self, now: int, form: EndpointUpdate, entries: list[Endpoint]
@@ -117,7 +117,7 @@
         self.holds_lease: Callable[[], bool] | None = None
 
     def may_act(self) -> bool:
-        """Whether this balancer may place flows now: with no fleet, or by its lease."""
+        """Whether it may place flows now: no fleet, a lease, or `without_lease = "hold"`."""
         return self.holds_lease is None or self.holds_lease()
 
     def has_neighbour(self) -> bool:
