--- a/cypresswalk/net/parsers/admin_commands.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' calls: one line in, one call or one refusal out. Knows no socket."""
+"""Operators' commands: one line in, one command or one error out. Knows no socket."""
 
 from dataclasses import dataclass, field
 from queue import Empty, SimpleQueue
@@ -9,26 +9,29 @@
 from cypresswalk.net.parsers.lines import NAME, LineParser
 
 PLAIN = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
-WITH_ID = frozenset(
-    (b"set-down", b"set-up", b"set-down-here", b"set-up-here")
-)  # the latter: where balancers agree
+# Those that end in "-here" are for balancers that agree.
+WITH_ID = frozenset((b"set-down", b"set-up", b"set-down-here", b"set-up-here"))
 
 
 @dataclass(slots=True)
 class AdminCommand:
-    """Answered once: by the deciding thread, or by the caller's own thread that has waited enough; then it has no effect."""
+    """A command and its one reply.
+
+    The deciding thread replies; or the caller's own thread has waited enough, and then the command
+    has no effect.
+    """
 
     name: str
-    server: str = ""  # the id as the list has it, where the call names one
+    server: str = ""  # the id as the list has it, where the command names one
     begun: Lock = field(default_factory=Lock)  # taken for good by the side that decides about it
-    answers: SimpleQueue = field(default_factory=SimpleQueue)
+    answers: SimpleQueue[bytes] = field(default_factory=SimpleQueue)
 
     def begin(self) -> bool:
         """Whether it may take effect still. The deciding thread asks before it acts."""
         return self.begun.acquire(blocking=False)
 
     def wait(self, span: int) -> bytes | None:
-        """The answer, or None if the call was not begun within `span` nanoseconds and now never will be."""
+        """The reply; None if the command was not begun within `span` ns, and now never will be."""
         try:
             return self.answers.get(timeout=span / SECOND)
         except Empty:
@@ -41,14 +44,20 @@
 
 
 class AdminCommandParser:
-    """Is fed what one caller says. Raises ProtocolError with a reason for the caller where that is no call."""
+    """Is fed the bytes of one caller."""
 
     def __init__(self, longest: int):
+        """`longest`: bytes of a line."""
         self.lines = LineParser(longest)
 
     def feed(self, data: bytes) -> AdminCommand | None:
-        """The call once its line is whole. What came with it after its end is no part of it, so the whole is refused:
-        guards against half of what was meant being done."""
+        """The command once its line is complete.
+
+        Raises:
+            ProtocolError: it is no command, or more came behind it: then half of what was meant
+                would
+                be done. The message is for the caller.
+        """
         self.lines.feed(data)
         line = self.lines.next_line()
         if line is None:
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:  # imported at run time only where an operator turns them on
     from cypresswalk.fleet.core_binding import CoreBinding
-    from cypresswalk.net.admin import Admin
+    from cypresswalk.net.admin import AdminListener
     from cypresswalk.net.handover import Handover
     from cypresswalk.net.handover_socket import Channel, HandoverSocket
     from cypresswalk.operator import FleetTable
@@ -86,7 +86,7 @@
         )
         self.prober = HealthChecker(self.core, self.inbox, self.limits, config.load_fields)
         self.peers: GossipSocket | None = None
-        self.admin: Admin | None = None
+        self.admin: AdminListener | None = None
         self.handover: Handover | None = None
         self.handover_socket: HandoverSocket | None = None
         self.predecessor: Channel | None = None
@@ -104,11 +104,11 @@
 
         Imported here alone: without an admin address no such call and no Unix socket exists.
         """
-        from cypresswalk.net.admin import Admin
+        from cypresswalk.net.admin import AdminListener
         from cypresswalk.net.handover import Handover
         from cypresswalk.net.handover_socket import HandoverSocket
 
-        self.admin = Admin(address, self.core, self.inbox, self.limits)
+        self.admin = AdminListener(address, self.core, self.inbox, self.limits)
         self.handover_socket = HandoverSocket(
             os.environ.get("TMPDIR"), config.name, config.listen, self.inbox, self.limits
         )
