--- a/cypresswalk/benchlink/__main__.py
+++ b/cypresswalk/benchlink/__main__.py
@@ -7,6 +7,11 @@
 
 
 def read(count: int, what: str, at_end_ok: bool = False) -> bytes | None:
+    """Return so many bytes of the input, None at its end where it may end.
+
+    Raises:
+        WireError: the input ended before.
+    """
     data = sys.stdin.buffer.read(count)
     if not data and at_end_ok:
         return None
@@ -16,6 +21,7 @@
 
 
 def main() -> int:
+    """Answer batches until the input ends; return the exit code."""
     host = Host()
     batch = 0
     try:
@@ -24,6 +30,7 @@
             if length < 8:
                 raise WireError(f"header of batch {batch}: length {length} does not hold the clock")
             body = read(length - 8, f"batch {batch}")
+            assert body is not None  # the input may not end there
             sys.stdout.buffer.write(host.answer(count, clock, body))
             sys.stdout.buffer.flush()
             batch += 1
--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -16,10 +16,18 @@
 
 
 class Reader:
+    """Reads the records of a batch, one after the other."""
+
     def __init__(self, data: bytes):
+        """Begin at the first byte."""
         self.data, self.at = data, 0
 
     def take(self, layout: struct.Struct, what: str) -> tuple:
+        """Return the values of a layout.
+
+        Raises:
+            WireError: too few bytes are left.
+        """
         if self.at + layout.size > len(self.data):
             left = len(self.data) - self.at
             raise WireError(f"{what} at byte {self.at}: {layout.size} bytes needed, {left} left")
@@ -28,6 +36,11 @@
         return values
 
     def chunk(self, count: int, what: str) -> bytes:
+        """Return so many bytes.
+
+        Raises:
+            WireError: too few bytes are left.
+        """
         if self.at + count > len(self.data):
             left = len(self.data) - self.at
             raise WireError(f"{what} at byte {self.at}: {count} bytes needed, {left} left")
@@ -36,6 +49,7 @@
 
 
 def span(milliseconds: float, what: str) -> int:
+    """Return milliseconds as nanoseconds; raises WireError where they are no time."""
     try:
         return nanoseconds(milliseconds, what)
     except ValueError as error:
@@ -43,6 +57,7 @@
 
 
 def entry(reader: Reader) -> Server:
+    """Read an entry of the endpoint list."""
     cell, since, _, server, zone, weight, state = reader.take(ENTRY, "list entry")
     if state not in STATES:
         raise WireError(f"list entry before byte {reader.at}: unknown state {state}")
@@ -57,6 +72,7 @@
 
 
 def settings(text: bytes) -> Settings:
+    """Return the settings that a text holds; raises WireError where it holds none."""
     try:
         return decode_settings(json.loads(text))
     except SettingsError as error:
