--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,6 +6,16 @@
 
 import pytest
 
+# Files whose tests start several processes and judge them by real time. Six of them at once make the
+# machine late (machine_late_ms over 1,000 was seen), so each group runs on one worker, one by one.
+REAL_TIME_GROUPS = {
+    "test_together.py": "real_time_1",
+    "test_operated.py": "real_time_1",
+    "test_rollout.py": "real_time_2",
+    "test_handover.py": "real_time_2",
+    "test_lab.py": "real_time_2",
+    "test_state.py": "real_time_2",
+}
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
@@ -25,9 +35,12 @@
 
 
 def pytest_collection_modifyitems(items):
-    """They run all the same and show as xfailed or xpassed; exactly these, no pattern."""
+    """Known red tests run all the same and show as xfailed or xpassed; exactly these, no pattern."""
     red = known_red()
     for item in items:
+        group = REAL_TIME_GROUPS.get(item.path.name)
+        if group is not None:
+            item.add_marker(pytest.mark.xdist_group(group))
         if item.nodeid in red:
             item.add_marker(pytest.mark.xfail(reason="KNOWN-RED.txt", strict=False))
 
