--- a/cypresswalk/decisions/admission.py
+++ b/cypresswalk/decisions/admission.py
@@ -1,9 +1,11 @@
 """Admission: whether a server may be sent a flow at all, and whether a flow is let in at all."""
 
+import math
+
 from cypresswalk.decisions.hashing import Draws
 from cypresswalk.decisions.limits import ConcurrencyLimits, yield_rank
 from cypresswalk.decisions.load import is_overloaded
-from cypresswalk.decisions.outliers import MAX_FAILURES, OutlierDetection
+from cypresswalk.decisions.outliers import MAX_FAILURES, OutlierDetection, is_outlier
 from cypresswalk.decisions.traffic import Traffic
 from cypresswalk.decisions.warm_up import WarmUp
 from cypresswalk.model import SECOND, Flow, Server
@@ -37,7 +39,8 @@
         pending = len(server.pending_flows)
         if now < server.ejected_until or pending >= MAX_PENDING_ATTEMPTS:
             return False
-        if not self._limits.has_room(now, server, flow, at_home):
+        is_limited = server.concurrency_limit < math.inf
+        if is_limited and not self._limits.has_room(now, server, flow, at_home):
             return False
         if not self._warm_up.applies(now, server):
             return True
@@ -49,9 +52,10 @@
         An overloaded server keeps a part of its own keys, the same at all balancers: copies of
         groups elsewhere cost. It is sent nobody else's.
         """
-        if self._outliers.zone_is_passed_over(now, server):
+        outliers = self._outliers
+        if outliers.zone_failures and outliers.zone_is_passed_over(now, server):
             return False
-        if self._outliers.awaits_trial(now, server):
+        if is_outlier(server) and outliers.awaits_trial(now, server):
             return False
         if not is_overloaded(now, server):
             return True
--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -5,9 +5,9 @@
 at once. Events only update what is known; all deciding is done in `next_decision`. Times are whole
 nanoseconds of the host's clock.
 
-What a flow goes through stands in `_place`, from top to bottom: is there still time and does a
-further attempt do no harm; wait for health checks of its places; is it let in at all; pick a
-server; queue for a while where none has capacity; spend from the retry budget; start the attempt.
+What a flow goes through stands in `_place`, from top to bottom: is there time and does one more
+attempt do no harm; wait for health checks of its places; is it let in; pick a server; queue where
+none has capacity; spend from the retry budget; start the attempt.
 """
 
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS, Admission, ErrorThrottle
@@ -76,9 +76,7 @@
 
     Attributes:
         settings: those in force; change them by `on_settings`.
-        seed: as given.
-        servers: all that the list has named, by id. For the host's reading.
-        flows: all flows held, by id. For the host's reading.
+        servers, flows: all that the list has named and all that are held, by id, to read.
     """
 
     placement_type = Placement
@@ -279,10 +277,7 @@
     def _on_connection_ended(self, now: int, flow: Flow, server: Server, outcome: Outcome) -> None:
         if outcome is Outcome.OK:
             self.traffic.completed.add(now, 1)
-            return
-        if outcome is not Outcome.RESET or not is_up(server):
-            return
-        if self.overload.record_drop(now, server):
+        elif outcome is Outcome.RESET and is_up(server) and self.overload.record_drop(now, server):
             self.limits.cut(now, server)
             if now - flow.attempt_sent_at < SETTLED_AFTER:
                 self.outliers.on_new_flow_dropped(now, server)
@@ -364,16 +359,15 @@
             flow, _ = self._silent.popitem()
             self._unassign(flow)
             return Migrate(flow)
-        message = self.gossip.next_message()
-        if message is not None:
-            return message
-        decision = self._place_next(now)
-        if decision is not None:
-            return decision
-        requested = self.health_checks.next_requested()
-        if requested is not None:
-            return CheckHealth(requested)
-        if self.list_polling.take_due(now):
+        if self.gossip.outbox:
+            return self.gossip.outbox.pop()
+        if self._queue.unplaced:
+            decision = self._place_next(now)
+            if decision is not None:
+                return decision
+        if self.health_checks.requested:
+            return CheckHealth(self.health_checks.requested.pop())
+        if self.list_polling.next_at is not None and self.list_polling.take_due(now):
             return Subscribe()
         if now >= self.reviews.next_at:
             action = self._review(now)
@@ -382,7 +376,9 @@
         return self._wake_up(now)
 
     def _place_next(self, now: int) -> StartAttempt | Reject | Abort | None:
-        while (flow := self._queue.next_unplaced()) is not None:
+        unplaced = self._queue.unplaced
+        while unplaced:
+            flow = unplaced.popleft()
             if flow not in self._flow_table:
                 continue
             decision = self._place(now, flow)
@@ -409,7 +405,8 @@
         due = self.reviews.next_at
         if self.list_polling.next_at is not None:
             due = min(due, self.list_polling.next_at)
-        due = min(due, self._queue.next_due(now, due))
+        if self._queue.held:
+            due = min(due, self._queue.next_due(now))
         if self._next_wakeup_at and due >= self._next_wakeup_at:
             return None
         self._next_wakeup_at = due
@@ -424,7 +421,7 @@
         self.slow_start.observe(now)
         if not flow.await_checks_until:
             flow.await_checks_until = now + flow.service_type.setup_latency_objective // 10
-            self.slow_start.admit(now, flow, self.placement.homes(flow.key))
+            self.slow_start.admit(now, flow, self.placement.homes)
             self._request_checks(now, flow)
         if now < flow.await_checks_until and any(
             server.check_in_flight for server in flow.awaited_checks
--- a/cypresswalk/decisions/gossip.py
+++ b/cypresswalk/decisions/gossip.py
@@ -17,7 +17,12 @@
 
 
 class Gossip:
-    """Decides which news of servers this balancer tells, and holds them until they are sent."""
+    """Decides which news of servers this balancer tells.
+
+    Attributes:
+        sent: messages of the last half minute, as a decaying sum.
+        outbox: news that wait to be sent; the latest goes first.
+    """
 
     def __init__(self, settings: Settings, traffic: Traffic, draws: Draws, now: int):
         """Begin with nothing to tell."""
@@ -25,7 +30,7 @@
         self._traffic = traffic
         self._draws = draws
         self.sent = DecayingSum(SENT_TIME_CONSTANT, now)
-        self._outbox: list[SendGossip] = []
+        self.outbox: list[SendGossip] = []
 
     def offer(self, now: int, server: Server, load: float, tellers: float = 0.0) -> None:
         """Tell of a server's load, if that is due and within the price.
@@ -49,8 +54,4 @@
         if draw() * price < budget and draw() * tellers * price < MAX_POINTS_PER_NEWS:
             server.gossiped_at = now
             self.sent.add(now, 1)
-            self._outbox.append(SendGossip(server, max(load, server.load)))
-
-    def next_message(self) -> SendGossip | None:
-        """Return the latest news that waits to be sent, or None."""
-        return self._outbox.pop() if self._outbox else None
+            self.outbox.append(SendGossip(server, max(load, server.load)))
--- a/cypresswalk/decisions/health.py
+++ b/cypresswalk/decisions/health.py
@@ -66,6 +66,9 @@
         traffic: what this balancer's flows can pay.
         draws: for the jitter.
         now: nanoseconds.
+
+    Attributes:
+        requested: servers to check right away for flows that wait; the last goes first.
     """
 
     def __init__(
@@ -85,7 +88,7 @@
         self._clock_read_at = now
         self._heap: list[tuple[int, int, Server]] = []
         self._entries = 0
-        self._on_demand: list[Server] = []
+        self.requested: list[Server] = []
 
     def slowdown(self, now: int) -> float:
         """Return how many times slower than time the clock of checks runs, at least 1."""
@@ -145,11 +148,7 @@
         """Check a server right away for a flow that waits for it, unless a check is out."""
         if not server.check_in_flight:
             server.check_in_flight = True
-            self._on_demand.append(server)
-
-    def next_requested(self) -> Server | None:
-        """Return the server requested last that was not checked yet, or None."""
-        return self._on_demand.pop() if self._on_demand else None
+            self.requested.append(server)
 
     def next_due(self, now: int) -> Server | None:
         """Return a server whose check is due, counted as sent, or None."""
--- a/cypresswalk/decisions/outliers.py
+++ b/cypresswalk/decisions/outliers.py
@@ -33,7 +33,7 @@
 
 def is_outlier(server: Server) -> bool:
     """Return whether new flows pass the server over but for a trial."""
-    return max(server.consecutive_failures, server.consecutive_errors) >= MAX_FAILURES
+    return server.consecutive_failures >= MAX_FAILURES or server.consecutive_errors >= MAX_FAILURES
 
 
 def is_sound(now: int, server: Server) -> bool:
@@ -131,7 +131,5 @@
             self.zone_failures[server.zone].next_trial_at = self._next_trial(now)
 
     def awaits_trial(self, now: int, server: Server) -> bool:
-        """Return whether the server is an outlier and no flow may try it now."""
-        if not is_outlier(server):
-            return False
+        """Return whether no flow may try an outlier now."""
         return now < server.next_trial_at or bool(server.pending_flows)
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -6,7 +6,7 @@
 """
 
 import math
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS
 from cypresswalk.decisions.balance import mean_occupancy
@@ -87,11 +87,12 @@
 
     # Flows that come.
 
-    def admit(self, now: int, flow: Flow, homes: list[Server]) -> None:
-        """Draw which servers that warm up a flow may go to; `homes` are those at its slot."""
+    def admit(self, now: int, flow: Flow, homes: Callable[[int], list[Server]]) -> None:
+        """Draw which servers that warm up a flow may go to; `homes` gives those at a key's slot."""
         warming = self._warming_up(now)
         if not warming or now < self._suspended_until:
             return
+        own_servers = homes(flow.key)
         usual = self._usual_flows_per_window(now)
         fleet_weight = sum(server.weight for server in self._servers.values() if is_up(server))
         key_part = self._part_of_key(flow)
@@ -99,7 +100,7 @@
             part = self._spend(now, server, usual)
             share = server.weight / max(fleet_weight, server.weight)
             # Where their own servers are full all flows get here, not a share of them.
-            if server not in homes:
+            if server not in own_servers:
                 part *= max(share, OTHER_KEYS_PART / max(usual, MIN_FLOWS_PER_WINDOW))
             is_owed = (
                 server.owed_first_flow and not server.established_count and not server.pending_flows
