--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,6 +10,7 @@
 import time
 from pathlib import Path
 from random import Random
+from types import SimpleNamespace
 
 import psutil
 import pytest
@@ -27,6 +28,7 @@
 from cypresswalk.lab.play import play_scenario
 from cypresswalk.lab.servers import Reply, ServerState, SimulatedServer, build_servers
 from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.client_driver import ClientConnection, ClientDriver
 from cypresswalk.lab.testbed.gossip_relay import GossipRelay
 from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
@@ -382,6 +384,30 @@
     assert again.returncode == 0 and again.stdout.endswith(" 0 breaches\n")
 
 
+def test_a_move_that_crosses_a_clients_own_end_is_no_line_of_its_server():
+    """A balancer that drains has not seen the client's end yet; what follows is compared still."""
+
+    async def heard(*lines: bytes) -> tuple[str, list[str]]:
+        seen = []
+        bed = SimpleNamespace(
+            now=lambda: SECOND,
+            observe=lambda kind, *_, **fields: seen.append((kind, fields)),
+            experiment=SimpleNamespace(clients=SimpleNamespace(line_ms=200)),
+        )
+        reader = asyncio.StreamReader()
+        reader.feed_data(b"".join(line + b"\r\n" for line in lines))
+        reader.feed_eof()
+        writer = SimpleNamespace(write_eof=lambda: None)
+        client = SimpleNamespace(number=0, random=Random(1), rejections=0)
+        connection = ClientConnection(client, "p0.1", "b0", SECOND, reader, writer)
+        how = await ClientDriver(bed)._talk(connection)
+        return how, dict(seen)["lines"]["heard"]
+
+    assert asyncio.run(heard(b"M 0", b"MOVE")) == ("own", ["M 0"])
+    assert asyncio.run(heard(b"M 0", b"MOVE", b"M 2")) == ("own", ["M 0", "M 2"])
+    assert asyncio.run(heard(b"M 0", b"BYE")) == ("own", ["M 0", "BYE"])
+
+
 def test_faults_of_all_kinds_in_one_short_scenario_keep_the_rules(tmp_path):
     """A drain, a release, a killed, a stopped and a reloaded balancer, a zone's burst, bad clients, lost hints."""
     day = played(
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -182,6 +182,28 @@
     ]  # a crash loop must find the way back
 
 
+def test_an_agent_that_died_before_it_wrote_an_agreed_change_down_reports_it_as_failed():
+    """Nothing was done, and what the fleet holds for begun has to end; the release halts by it."""
+    work = BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run()
+    answers = {
+        actions.IsRunning: True,
+        actions.DrawToken: "d",
+        actions.ReadClock: 0.0,
+        actions.CallFleet: (
+            True,
+            {"status": "changing", "since": OLD, "to": NEW, "phase": "running"},
+        ),
+    }
+    wanted, answer = [], None
+    while not (wanted and isinstance(wanted[-1], actions.CallFleet) and wanted[-1].name != "turn"):
+        wanted.append(work.send(answer))
+        assert len(wanted) < 30, wanted
+        answer = answers.get(type(wanted[-1]))
+    assert wanted[-1].name == "release_came"
+    assert wanted[-1].args["why"] == "its agent began anew"
+    assert not any(isinstance(want, actions.StartProcess | actions.EndProcess) for want in wanted)
+
+
 def test_an_idle_agent_polls_every_two_seconds_and_at_each_step_during_a_release():
     """Each call costs who leads a round of the voters: of 200 idle agents more words than of all else."""
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -777,6 +777,13 @@
                 await asyncio.sleep(0.05)
             raise AssertionError(body)
 
+        async def saved(name: str) -> None:
+            """The agent has the change on its disk: one that dies before reports a failed change."""
+            end = time.monotonic() + 40
+            while not rig.doing(name).get("to"):
+                assert time.monotonic() < end, rig.doing(name)
+                await asyncio.sleep(0.01)
+
         try:
             await rig.begin()
             await rig.agree_on_bound(await rig.whole())
@@ -784,6 +791,7 @@
             assert await rig.release(Step(at_s=0, do="release")) == "yes"
             # Its agent dies in the middle: the balancers do not, and the next one goes on.
             await until(lambda release: release[5]["n0"] == "changing")
+            await saved("n0")
             rig.kill_agent("n0")
             rig.start("n0")
             refused = await rig.command(
