--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -21,8 +21,8 @@
 from cypresswalk.fleet import client
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.lab.balancers import free_port
-from cypresswalk.lab.together.plan import Plan
-from cypresswalk.lab.together.stage import Rig
+from cypresswalk.lab.cluster.plan import Plan
+from cypresswalk.lab.cluster.stage import Rig
 from cypresswalk.operator import FleetTable
 
 SECOND = 1_000_000_000
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -17,9 +17,9 @@
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Member
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
-from cypresswalk.lab.together.plan import Plan
-from cypresswalk.lab.together.stage import Rig
-from cypresswalk.lab.together.virtual import SECOND, World
+from cypresswalk.lab.cluster.plan import Plan
+from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.virtual import SECOND, World
 from cypresswalk.state.disk import DiskFolder
 
 
--- a/benchmarks/operated.py
+++ b/benchmarks/operated.py
@@ -12,8 +12,8 @@
 from collections import Counter
 from pathlib import Path
 
-from cypresswalk.lab.together.plan import Plan
-from cypresswalk.lab.together.stage import Rig
+from cypresswalk.lab.cluster.plan import Plan
+from cypresswalk.lab.cluster.stage import Rig
 
 UPGRADES, RATE = 20, 150
 CROWD, CROWDS, CALLERS = 300, 20, 4
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.lab.together.machines import Machines, build
-from cypresswalk.lab.together.plan import Plan, Step
-from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases
-from cypresswalk.lab.together.stage import Rig
+from cypresswalk.lab.cluster.machines import Machines, build
+from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases
+from cypresswalk.lab.cluster.stage import Rig
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -64,8 +64,8 @@
     out: str,
 ) -> int:
     """Starts a fleet of real balancers, injects faults by PLAN or a seed, and checks the rules."""
-    from cypresswalk.lab.together import plan as plans
-    from cypresswalk.lab.together import stage
+    from cypresswalk.lab.cluster import plan as plans
+    from cypresswalk.lab.cluster import stage
 
     if plan is not None and seed is not None:
         raise CommandError("PLAN or --seed: one of them")
@@ -103,7 +103,7 @@
 
     A seed that breaks an invariant is reduced to the faults that it needs, and these are shown.
     """
-    from cypresswalk.lab.together.explore import run_seed
+    from cypresswalk.lab.cluster.explore import run_seed
 
     situations: Counter[str] = Counter()
     states: set[Any] = set()
@@ -132,7 +132,7 @@
 
 def show_reduced(seed: int) -> None:
     """Shows the faults that a seed needs to break an invariant."""
-    from cypresswalk.lab.together.explore import plan_of, smaller
+    from cypresswalk.lab.cluster.explore import plan_of, smaller
 
     names = [f"n{i}" for i in range(DEFAULT_VOTERS + DEFAULT_FOLLOWERS)]
     for act in smaller(seed, plan_of(seed, names, ACTS_PER_SEED)):
@@ -153,8 +153,8 @@
 
     The history of the first seed that breaks a rule is shown.
     """
-    from cypresswalk.lab.together import releases as of_balancers
-    from cypresswalk.lab.together import servings as of_servers
+    from cypresswalk.lab.cluster import releases as of_balancers
+    from cypresswalk.lab.cluster import servings as of_servers
 
     run_seed = of_servers.run_seed if servers else of_balancers.run_seed
     situations: Counter[str] = Counter()
--- a/cypresswalk/lab/together/explore.py
+++ b/cypresswalk/lab/cluster/explore.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cypresswalk.fleet.events import LeadershipReleased
-from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, World
+from cypresswalk.lab.cluster.virtual import MILLISECOND, SECOND, Broken, Process, World
 
 QUIET = (
     40 * SECOND
--- a/cypresswalk/lab/together/machines.py
+++ b/cypresswalk/lab/cluster/machines.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from cypresswalk.lab.together import judges
-from cypresswalk.lab.together.plan import Plan, Step
-from cypresswalk.lab.together.stage import SECOND, SLACK, Process, Rig
+from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.stage import SECOND, SLACK, Process, Rig
 from cypresswalk.rollout.bounds import max_unavailable
 
 LOOK = 0.1  # seconds between two looks at what an agent is doing
--- a/cypresswalk/lab/together/releases.py
+++ b/cypresswalk/lab/cluster/releases.py
@@ -17,7 +17,7 @@
 from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
 from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.fleet.unavailability import LEAVE_WINDOW
-from cypresswalk.lab.together.virtual import (
+from cypresswalk.lab.cluster.virtual import (
     MILLISECOND,
     SECOND,
     Broken,
--- a/cypresswalk/lab/together/serving.py
+++ b/cypresswalk/lab/cluster/serving.py
@@ -13,11 +13,11 @@
 from typing import Any
 
 from cypresswalk.lab.balancers import die_with_parent
+from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.machines import FIRST, HOME, LOOK, Released
+from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.stage import SECOND, SLACK, Rig, Servers
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.together import judges
-from cypresswalk.lab.together.machines import FIRST, HOME, LOOK, Released
-from cypresswalk.lab.together.plan import Plan, Step
-from cypresswalk.lab.together.stage import SECOND, SLACK, Rig, Servers
 from cypresswalk.refusal import CommandError
 
 CHANGING = ("emptying", "starting", "undoing")
@@ -100,7 +100,7 @@
             sys.executable,
             "-B",
             "-m",
-            "cypresswalk.lab.together.standin",
+            "cypresswalk.lab.cluster.standin",
             name,
             host,
             ports,
--- a/cypresswalk/lab/together/servings.py
+++ b/cypresswalk/lab/cluster/servings.py
@@ -16,7 +16,7 @@
 from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.events import LeadershipReleased, ListReceived
 from cypresswalk.fleet.messages import ServerReport
-from cypresswalk.lab.together.releases import (
+from cypresswalk.lab.cluster.releases import (
     HALTED,
     KNOWN,
     NEW,
@@ -26,7 +26,7 @@
     Releases,
     Running,
 )
-from cypresswalk.lab.together.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet
+from cypresswalk.lab.cluster.virtual import MILLISECOND, SECOND, Broken, Process, VirtualFleet
 from cypresswalk.model import ServerState
 from cypresswalk.rollout.agent_state import AgentState
 from cypresswalk.rollout.bounds import max_unavailable
--- a/cypresswalk/lab/together/stage.py
+++ b/cypresswalk/lab/cluster/stage.py
@@ -23,10 +23,10 @@
 from cypresswalk.faults.proxy import Proxy
 from cypresswalk.fleet import client
 from cypresswalk.lab.balancers import die_with_parent, free_port, own_host
+from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.plan import DISKS, Plan, Step
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
-from cypresswalk.lab.together import judges
-from cypresswalk.lab.together.plan import DISKS, Plan, Step
 from cypresswalk.refusal import CommandError
 
 SECOND = 1_000_000_000
@@ -268,7 +268,7 @@
         self.tree = tree or Path(__file__).parents[3]
         # Faults inside a machine are handed in by the start: the program's own knows none.
         odd = plan.clocks or any(step.do in DISKS for step in plan.step)
-        module = "cypresswalk.lab.together.started" if odd else "cypresswalk"
+        module = "cypresswalk.lab.cluster.started" if odd else "cypresswalk"
         self.words = (started or (lambda words: words))([sys.executable, "-B", "-m", module])
         self.host = own_host()
         # The stand-ins listen at another address: guards a balancer's port, between its choice and its start, against theirs.
@@ -934,9 +934,9 @@
 
 async def played(plan: Plan, folder: Path, **more: Any) -> dict[str, Any]:
     if plan.agents:
-        from cypresswalk.lab.together.machines import Machines as kind
+        from cypresswalk.lab.cluster.machines import Machines as kind
     elif plan.server_agents:
-        from cypresswalk.lab.together.serving import ServerMachines as kind
+        from cypresswalk.lab.cluster.serving import ServerMachines as kind
     else:
         kind = Rig
     rig = kind(plan, folder, **more)
--- a/cypresswalk/lab/together/standin.py
+++ b/cypresswalk/lab/cluster/standin.py
@@ -1,4 +1,4 @@
-"""A stand-in server as a process of its own, which an agent starts from a version's folder: `python -m cypresswalk.lab.together.standin
+"""A stand-in server as a process of its own, which an agent starts from a version's folder: `python -m cypresswalk.lab.cluster.standin
 NAME HOST PORT[,PORT...] FILE`. A port for each balancer, so that it is known who sent; the first is the one that its agent asks. What comes
 is written to FILE, a line each. A file `build` in the folder it is started in says in which way this version is bad."""
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -28,10 +28,10 @@
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
 from cypresswalk.fleet.messages import PROTOCOL, Call, FrameDecoder, FrameError, Hello, encode_frame
 from cypresswalk.fleet.transport import Transport
-from cypresswalk.lab.together import judges
-from cypresswalk.lab.together.explore import plan_of, run_seed, smaller
-from cypresswalk.lab.together.judges import Down, Flow, Op
-from cypresswalk.lab.together.virtual import SECOND, Broken, MemoryDisk, World
+from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.explore import plan_of, run_seed, smaller
+from cypresswalk.lab.cluster.judges import Down, Flow, Op
+from cypresswalk.lab.cluster.virtual import SECOND, Broken, MemoryDisk, World
 
 ROOT = Path(__file__).parent.parent
 
@@ -73,7 +73,7 @@
 
 def test_a_seed_is_the_same_run_in_every_process():
     code = (
-        "from cypresswalk.lab.together.explore import run_seed; o = run_seed(2, acts=30);"
+        "from cypresswalk.lab.cluster.explore import run_seed; o = run_seed(2, acts=30);"
         "print(o.steps, o.longest, sorted(o.situations.items()), sorted(o.states))"
     )
     runs = [
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -24,7 +24,7 @@
 from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.copies.store import RecordLog
 from cypresswalk.fleet import client
-from cypresswalk.lab.together.virtual import MemoryDisk
+from cypresswalk.lab.cluster.virtual import MemoryDisk
 
 COPIES = 3
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -11,7 +11,7 @@
 
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
-from cypresswalk.lab.together.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
+from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import actions
 from cypresswalk.rollout.agent_host import StateFile
@@ -133,7 +133,7 @@
 
 def test_the_same_seed_gives_the_same_run_whatever_the_hash_seed():
     code = (
-        "from cypresswalk.lab.together.releases import run_seed; o = run_seed(6, acts=30);"
+        "from cypresswalk.lab.cluster.releases import run_seed; o = run_seed(6, acts=30);"
         "print(o.broken, o.steps, o.went, o.took, o.end, sorted(o.situations.items()))"
     )
     told = {
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,11 +24,11 @@
 from cypresswalk.fleet.shared_settings import objection
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
-from cypresswalk.lab.together.judges import Span, halted, out_at_once
-from cypresswalk.lab.together.machines import Machines
-from cypresswalk.lab.together.plan import Plan as Plan_
-from cypresswalk.lab.together.plan import Step
-from cypresswalk.lab.together.plan import read as read_plan
+from cypresswalk.lab.cluster.judges import Span, halted, out_at_once
+from cypresswalk.lab.cluster.machines import Machines
+from cypresswalk.lab.cluster.plan import Plan as Plan_
+from cypresswalk.lab.cluster.plan import Step
+from cypresswalk.lab.cluster.plan import read as read_plan
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import bounds, release
 from cypresswalk.rollout import plan as plans
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -10,10 +10,10 @@
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.server_observations import ServerObservations
 from cypresswalk.fleet.state_machine import StateMachine
-from cypresswalk.lab.together.plan import Plan, Step
-from cypresswalk.lab.together.releases import SECOND
-from cypresswalk.lab.together.serving import ServerMachines
-from cypresswalk.lab.together.servings import Servings, plan_for, run_seed
+from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.releases import SECOND
+from cypresswalk.lab.cluster.serving import ServerMachines
+from cypresswalk.lab.cluster.servings import Servings, plan_for, run_seed
 from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.server_agent import ServerAgent
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -16,11 +16,11 @@
 from cypresswalk.agreement.messages import RequestVote
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, encode_frame
 from cypresswalk.lab.balancers import free_port
+from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster import plan as plans
+from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.stage import Rig, played
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.together import judges
-from cypresswalk.lab.together import plan as plans
-from cypresswalk.lab.together.plan import Plan, Step
-from cypresswalk.lab.together.stage import Rig, played
 from cypresswalk.refusal import CommandError
 
 ROOT = Path(__file__).parent.parent
