--- a/tests/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -4,13 +4,12 @@
 import struct
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
+from paths import ROOT
 
 from cypresswalk.benchlink.wire import WireError, settings
 
-ROOT = Path(__file__).parent.parent
 PARAMS = {
     "me": 0,
     "instances": 1,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,9 +11,11 @@
 REAL_TIME_GROUPS = {
     "test_together.py": "real_time_1",
     "test_operated.py": "real_time_1",
-    "test_rollout.py": "real_time_2",
+    "test_rollout_processes.py": "real_time_2",
     "test_handover.py": "real_time_2",
-    "test_lab.py": "real_time_2",
+    "test_experiment.py": "real_time_2",
+    "test_scenarios.py": "real_time_2",
+    "test_testbed.py": "real_time_2",
     "test_state.py": "real_time_2",
 }
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
--- a/tests/wrong_balancer.py
+++ b/tests/lab/mutant_balancer.py
@@ -1,5 +1,5 @@
 """A small balancer that is wrong in one chosen way, or in none: what the checker must find, or pass. `python
-wrong_balancer.py WAY`; it reads PROXY_CONFIG as the real one does."""
+mutant_balancer.py WAY`; it reads PROXY_CONFIG as the real one does."""
 
 import asyncio
 import json
--- a/tests/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -393,7 +393,7 @@
 
 
 def play(way, folder):
-    command = [sys.executable, str(Path(__file__).parent / "wrong_balancer.py"), way]
+    command = [sys.executable, str(Path(__file__).parent / "mutant_balancer.py"), way]
     day = played(WORLD, WORLD.variants[0], 1, Path(folder) / way.replace(" ", "-"), command=command)
     return day.void, day.broken, day.breaches
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -2,11 +2,10 @@
 
 import re
 import tomllib
-from pathlib import Path
 
 import pytest
+from paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 PAGES = [
     "README.md",
     "CONTRIBUTING.md",
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -11,6 +11,8 @@
 from random import Random
 
 import pytest
+from cluster_helpers import asked, with_rig
+from paths import ROOT
 
 from cypresswalk import operator
 from cypresswalk.agreement.messages import RequestVote
@@ -23,33 +25,6 @@
 from cypresswalk.lab.observations import Observation
 from cypresswalk.refusal import CommandError
 
-ROOT = Path(__file__).parent.parent
-
-
-def say(address, text: str) -> str:
-    """One line in, the first line of the answer."""
-    with socket.create_connection(address, timeout=4) as sock:
-        sock.sendall(text.encode() + b"\r\n")
-        return sock.makefile("rb").readline().decode().strip()
-
-
-async def asked(address, text: str) -> str:
-    return await asyncio.get_running_loop().run_in_executor(None, say, address, text)
-
-
-def with_rig(tmp_path, test, **plan):
-    async def run():
-        rig = Rig(Plan(**plan), tmp_path / "rig")
-        try:
-            await rig.begin()
-            assert await rig.whole() is not None
-            await test(rig)
-            assert not rig.faults
-        finally:
-            await rig.end()
-
-    asyncio.run(run())
-
 
 def test_five_processes_under_each_kind_of_fault(tmp_path):
     report = asyncio.run(
