--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -1,78 +1,97 @@
-"""Mistakes for the explorer to find: each takes one guard out of the program."""
+"""Deliberately broken versions of the agreement, for the explorer to detect.
+
+Each function takes one guard out of the program.
+"""
+
+import pytest
 
 from cypresswalk.agreement.election import Election
 from cypresswalk.agreement.leader import Leader
 from cypresswalk.agreement.member_state import Role, majority
+from cypresswalk.agreement.messages import RequestVote
+from cypresswalk.agreement.ready import Ready
 from cypresswalk.agreement.store import Store
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.lease_client import LeaseClient
 from cypresswalk.fleet.leases import LeaseGrants
+from cypresswalk.fleet.member import Member, MemberEffects
+from cypresswalk.fleet.messages import Hello, HelloRejected, LeaseGrant
 from cypresswalk.fleet.transport import Transport
 
+# Term and index that no log goes beyond.
+LONGEST_LOG = 1 << 60
+
 
-def vote_not_flushed(patch):
+def vote_not_flushed(patch: pytest.MonkeyPatch) -> None:
+    """A vote is not written with the other work, unless a snapshot is."""
     write = Store.write
 
-    def careless(self, work):
+    def write_without_vote(self: Store, work: Ready) -> None:
         work.vote = work.vote if work.snapshot is not None else None
         write(self, work)
 
-    patch.setattr(Store, "write", careless)
+    patch.setattr(Store, "write", write_without_vote)
 
 
-def answer_before_the_flush(patch):
+def answer_before_the_flush(patch: pytest.MonkeyPatch) -> None:
+    """Messages are sent before what they acknowledge is written."""
     carry_out = FleetThread.carry_out
 
-    def early(self, member):
+    def carry_out_messages_first(self: FleetThread, member: Member) -> None:
         take = member.take
 
-        def taken():
+        def take_after_sending() -> MemberEffects | None:
             step = take()
             if step is not None and step.ready is not None:
-                for to, frame in step.messages:
-                    self.router.send(member, to, frame)
+                for receiver, frame in step.messages:
+                    self.router.send(member, receiver, frame)
                 step.messages = []
             return step
 
-        member.take = taken
+        member.take = take_after_sending
         try:
             carry_out(self, member)
         finally:
             del member.take
 
-    patch.setattr(FleetThread, "carry_out", early)
+    patch.setattr(FleetThread, "carry_out", carry_out_messages_first)
 
 
-def lease_from_the_answer(patch):
-    def granted(self, now, grant):
+def lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+    """A lease runs from when the grant arrives, not from when it was requested."""
+
+    def on_grant(self: LeaseClient, now: int, grant: LeaseGrant) -> None:
         if grant.number in self.lease.outstanding:
             self.lease.outstanding[grant.number] = now
         self.lease.on_grant(grant.number, grant.version)
 
-    patch.setattr(LeaseClient, "on_grant", granted)
+    patch.setattr(LeaseClient, "on_grant", on_grant)
+
 
+def lapsed_without_waiting(patch: pytest.MonkeyPatch) -> None:
+    """The leader counts a lease as lapsed after a quarter of its span."""
 
-def lapsed_without_waiting(patch):
-    patch.setattr(
-        LeaseGrants,
-        "lapsed",
-        lambda self, now, member: now >= self.granted_at.get(member, 0) + self.span // 4,
-    )
+    def lapsed_early(self: LeaseGrants, now: int, member: str) -> bool:
+        return now >= self.granted_at.get(member, 0) + self.span // 4
 
+    patch.setattr(LeaseGrants, "lapsed", lapsed_early)
 
-def wiped_voter_under_its_name(patch):
-    def blank(self):
-        self.boot, self.start_nonce = self.starts_of_it, self.random.getrandbits(63)
+
+def wiped_voter_under_its_name(patch: pytest.MonkeyPatch) -> None:
+    """A voter that lost its folder votes again under its old incarnation."""
+
+    def begin_under_old_name(self: FleetThread) -> None:
+        self.boot = self.process.starts  # as the virtual fleet counts them
+        self.start_nonce = self.random.getrandbits(63)
         self._make_member(f"{self.table.name}#0", "", None)
 
-    patch.setattr(FleetThread, "_begin_blank", blank)
-    patch.setattr(
-        FleetThread, "starts_of_it", property(lambda self: self.process.starts), raising=False
-    )
+    patch.setattr(FleetThread, "_begin_blank", begin_under_old_name)
 
 
-def followers_and_removed_are_counted(patch):
-    def count_vote(self, now, source, granted):
+def followers_and_removed_are_counted(patch: pytest.MonkeyPatch) -> None:
+    """Votes of non-voting and removed members count."""
+
+    def count_vote(self: Election, now: int, source: str, granted: bool) -> None:
         state = self.state
         self.votes[source] = granted
         if sum(self.votes.values()) >= majority(len(state.voters)):
@@ -81,7 +100,7 @@
             else:
                 self.leader.on_elected(now)
 
-    def request_votes(self, request):
+    def request_votes(self: Election, request: RequestVote) -> None:
         for member in self.state.log.members:
             if member.id != self.state.id:
                 self.state.send(member.id, request)
@@ -90,47 +109,54 @@
     patch.setattr(Election, "request_votes", request_votes)
 
 
-def failed_flush_is_forgotten(patch):
+def failed_flush_is_forgotten(patch: pytest.MonkeyPatch) -> None:
+    """A store goes on after a failed write."""
     write = Store.write
 
-    def careless(self, work):
+    def write_and_go_on(self: Store, work: Ready) -> None:
         try:
             write(self, work)
         except OSError:
             self.broken = False
 
-    patch.setattr(Store, "write", careless)
+    patch.setattr(Store, "write", write_and_go_on)
+
 
+def put_back_folder_is_believed(patch: pytest.MonkeyPatch) -> None:
+    """A member with a restored folder is not detected, neither by itself nor by the others.
 
-def put_back_folder_is_believed(patch):
-    """By itself, and by the others: either guard alone finds it."""
+    Either guard alone detects it.
+    """
     patch.setattr(Store, "check_witness", lambda self, file, identity: None)
     rejection_of = Transport.rejection_of
 
-    def careless(self, hello):
-        rejected = rejection_of(self, hello)
-        return rejected if rejected is not None and rejected.code != "put-back" else None
+    def rejection_unless_restored(self: Transport, hello: Hello) -> HelloRejected | None:
+        rejection = rejection_of(self, hello)
+        if rejection is not None and rejection.code == "put-back":
+            return None
+        return rejection
 
-    patch.setattr(Transport, "rejection_of", careless)
+    patch.setattr(Transport, "rejection_of", rejection_unless_restored)
 
 
-def logs_not_compared(patch):
-    """A vote goes to whoever asks first, however little it has."""
+def logs_not_compared(patch: pytest.MonkeyPatch) -> None:
+    """A vote goes to whoever asks first, however short its log."""
     on_request_vote = Election.on_request_vote
 
-    def careless(self, now, source, request):
+    def vote_for_any_log(self: Election, now: int, source: str, request: RequestVote) -> None:
         complete = type(request)(
-            request.term, 1 << 60, 1 << 60, request.pre_vote, request.leadership_transfer
+            request.term, LONGEST_LOG, LONGEST_LOG, request.pre_vote, request.leadership_transfer
         )
         on_request_vote(self, now, source, complete)
 
-    patch.setattr(Election, "on_request_vote", careless)
+    patch.setattr(Election, "on_request_vote", vote_for_any_log)
 
 
-def older_term_committed_by_count(patch):
+def older_term_committed_by_count(patch: pytest.MonkeyPatch) -> None:
+    """An older term's entry is committed once most voters hold it."""
     advance_commit_index = Leader.advance_commit_index
 
-    def careless(self, now):
+    def advance_by_count(self: Leader, now: int) -> None:
         state = self.state
         peers = state.leadership.peers
         match_indexes = sorted(
@@ -145,4 +171,4 @@
         state.commit_index = max(state.commit_index, index)
         advance_commit_index(self, now)
 
-    patch.setattr(Leader, "advance_commit_index", careless)
+    patch.setattr(Leader, "advance_commit_index", advance_by_count)
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -2,273 +2,272 @@
 
 import agreement_mutants
 import pytest
+from agreement_helpers import (
+    PendingCall,
+    all_act,
+    any_acts,
+    call,
+    cut_link,
+    isolate,
+    other_processes,
+    removed_servers,
+    started_world,
+)
 
 from cypresswalk.fleet.events import LeadershipReleased
-from cypresswalk.lab.cluster.virtual import SECOND, Broken, World
+from cypresswalk.lab.cluster.virtual import Broken, Process, World
+from cypresswalk.model import SECOND
 
-
-def begun(seed: int, voters: int = 3, followers: int = 0) -> World:
-    world = World(seed, voters, followers)
-    world.start()
-    world.run(8 * SECOND)
-    assert world.leader() is not None and all(p.acts for p in world.processes.values())
-    return world
+# More entries than a leader keeps before it writes a snapshot.
+SNAPSHOT_ENTRIES = 700
 
 
-def ask(world, process, name, **args) -> list:
-    told: list = []
-    world.entered += 1
-    ident = (
-        {"ident": f"{name}/{world.entered}", "by": "test", "at": 0}
-        if name in ("out", "back", "offer")
-        else {}
-    )
-    world.call(process, name, ident | args, 6 * SECOND, lambda ok, body: told.append((ok, body)))
-    return told
+def play_delayed_grant_then_cut(seed: int) -> None:
+    """Cut a follower off while a late grant is on its way, and change the settings meanwhile.
 
-
-def a_slow_way_then_a_cut(seed: int) -> None:
-    """Answers come three seconds late; then the holder is cut off while one is on its way, and a newer version comes into force."""
-    world = begun(seed)
+    Grants take three seconds; a newer version comes into force after the cut.
+    """
+    world = started_world(seed)
     leader = world.leader()
-    holder = next(p for p in world.processes.values() if p is not leader)
+    holder = other_processes(world, leader)[0]
     world.slow[leader.name, holder.name] = 3 * SECOND
     world.run(10 * SECOND)
     assert holder.acts
-    world.cuts |= {
-        pair
-        for q in world.processes
-        for pair in ((holder.name, q), (q, holder.name))
-        if q != holder.name
-    }
-    told = ask(world, leader, "out", server="s0")
+    isolate(world, holder)
+    removal = call(world, leader, "out", server="s0")
     world.run(12 * SECOND)
-    assert told[0][0] and not holder.acts
+    assert removal.accepted
+    assert not holder.acts
 
 
-def test_a_lease_runs_from_when_it_was_asked_for(monkeypatch):
+def test_lease_runs_from_when_it_was_requested(monkeypatch):
     for seed in range(3):
-        a_slow_way_then_a_cut(seed)
+        play_delayed_grant_then_cut(seed)
     agreement_mutants.lease_from_the_answer(monkeypatch)
     with pytest.raises(Broken, match="^L: "):
         for seed in range(3):
-            a_slow_way_then_a_cut(seed)
+            play_delayed_grant_then_cut(seed)
+
 
+def play_restored_folder(seed: int) -> None:
+    """Bring one of two that hold a committed change back with an older folder.
 
-def a_folder_put_back(seed: int) -> None:
-    """One of two that hold what was agreed comes back with yesterday's folder, and the other is down: a third knows nothing of it."""
-    world = begun(seed)
+    The other of the two is down then, and the third has never heard of the change.
+    """
+    world = started_world(seed)
     leader = world.leader()
-    old, third = (p for p in world.processes.values() if p is not leader)
-    old.kill()
-    copy = old.disk.copy()
-    old.start()
+    restored, unaware = other_processes(world, leader)
+    restored.kill()
+    backup = restored.disk.copy()
+    restored.start()
     world.run(4 * SECOND)
-    world.cuts |= {
-        pair for q in (leader, old) for pair in ((third.name, q.name), (q.name, third.name))
-    }
-    told = ask(world, leader, "out", server="s0")
+    cut_link(world, unaware, leader)
+    cut_link(world, unaware, restored)
+    removal = call(world, leader, "out", server="s0")
     world.run(SECOND)
-    assert told[0][0]
+    assert removal.accepted
     leader.kill()
-    old.kill()
-    old.disk.put_back(copy, whole_disk=False)
-    old.start()
+    restored.kill()
+    restored.disk.put_back(backup, whole_disk=False)
+    restored.start()
     world.cuts.clear()
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
-    assert "s0" in world.leader().fleet.member.state.removed_servers
-    assert (
-        all(p.acts for p in world.processes.values())
-        and len(world.leader().fleet.member.members) == 3
-    )
+    assert "s0" in removed_servers(world.leader())
+    assert all_act(world)
+    assert len(world.leader().fleet.member.members) == 3
 
 
-def test_a_folder_put_back_from_a_copy_is_another_member(monkeypatch):
-    a_folder_put_back(1)
+def test_member_with_a_restored_folder_is_a_new_incarnation(monkeypatch):
+    play_restored_folder(1)
     agreement_mutants.put_back_folder_is_believed(monkeypatch)
     with pytest.raises((Broken, AssertionError)):
-        a_folder_put_back(1)
+        play_restored_folder(1)
 
 
-def test_a_whole_disk_set_back_is_found_by_those_that_saw_its_later_starts():
-    world = begun(3)
+def test_restored_disk_is_detected_by_members_that_saw_later_starts():
+    world = started_world(3)
     leader = world.leader()
-    other = next(p for p in world.processes.values() if p is not leader)
-    before = other.fleet.member.id
-    other.kill()
-    copy = other.disk.copy()
+    restored = other_processes(world, leader)[0]
+    id_before = restored.fleet.member.id
+    restored.kill()
+    backup = restored.disk.copy()
     for _ in range(2):
-        other.start()
+        restored.start()
         world.run(3 * SECOND)
-        other.kill()
-    other.disk.put_back(copy, whole_disk=True)
-    other.start()
+        restored.kill()
+    restored.disk.put_back(backup, whole_disk=True)
+    restored.start()
     world.run(20 * SECOND)
-    assert other.fleet.member.id != before and other.acts
-    assert [m.name for m in world.leader().fleet.member.members].count(other.name) == 1
+    assert restored.fleet.member.id != id_before
+    assert restored.acts
+    names = [member.name for member in world.leader().fleet.member.members]
+    assert names.count(restored.name) == 1
 
 
-def test_a_frozen_leader_that_wakes_acts_on_nothing_and_promises_nothing():
-    world = begun(4)
-    leader = world.leader()
-    world.freeze(leader, 60 * SECOND)
+def new_leader(world: World, old: Process) -> Process:
+    """The leader of the newest term besides a frozen one."""
+    leaders = [
+        process for process in world.live() if process is not old and process.fleet.member.is_leader
+    ]
+    return max(leaders, key=lambda process: process.fleet.member.node.term)
+
+
+def test_frozen_leader_acts_on_nothing_when_it_wakes():
+    world = started_world(4)
+    frozen = world.leader()
+    world.freeze(frozen, 60 * SECOND)
     world.run(5 * SECOND)
-    heir = (
-        world.leader()
-        if world.leader() is not leader
-        else max(
-            (p for p in world.live() if p is not leader and p.fleet.member.is_leader),
-            key=lambda p: p.fleet.member.node.term,
-        )
-    )
-    told = ask(world, heir, "out", server="s1")
+    leader = new_leader(world, frozen)
+    removal = call(world, leader, "out", server="s1")
     world.run(20 * SECOND)
-    assert told[0][0]
-    world.now = leader.frozen_until
-    assert not leader.fleet.may_act()  # at once, before it has heard anything
-    late = ask(world, leader, "out", server="s2")
+    assert removal.accepted
+    world.now = frozen.frozen_until
+    assert not frozen.fleet.may_act()  # at once, before it has heard anything
+    later_removal = call(world, frozen, "out", server="s2")
     world.run(10 * SECOND)
-    assert (
-        late[0][0] and leader.acts and {"s1", "s2"} <= set(heir.fleet.member.state.removed_servers)
-    )
-
-
-def test_most_disks_lost_at_once_stop_the_fleet_and_do_nothing_worse():
-    """One wiped, one put back, one down."""
-    world = begun(5)
-    wiped, back, down = world.processes.values()
-    back.kill()
-    copy = back.disk.copy()
-    back.start()
+    assert later_removal.accepted
+    assert frozen.acts
+    assert {"s1", "s2"} <= removed_servers(leader)
+
+
+def test_loss_of_most_disks_stops_the_fleet():
+    """One disk is wiped, one is restored from a backup, and the third member is down."""
+    world = started_world(5)
+    wiped, restored, down = world.processes.values()
+    restored.kill()
+    backup = restored.disk.copy()
+    restored.start()
     world.run(3 * SECOND)
-    told = ask(world, world.leader(), "out", server="s0")
+    removal = call(world, world.leader(), "out", server="s0")
     world.run(SECOND)
-    assert told[0][0]
-    for p in (wiped, back, down):
-        p.kill()
+    assert removal.accepted
+    for process in (wiped, restored, down):
+        process.kill()
     wiped.disk.wipe()
-    back.disk.put_back(copy, whole_disk=False)
-    wiped.start(), back.start()
+    restored.disk.put_back(backup, whole_disk=False)
+    wiped.start()
+    restored.start()
     world.run(30 * SECOND)
-    assert world.leader() is None and not wiped.acts and not back.acts
+    assert world.leader() is None
+    assert not wiped.acts
+    assert not restored.acts
     down.start()
     world.run(30 * SECOND)
-    assert world.leader() is None and not any(p.acts for p in world.processes.values())
+    assert world.leader() is None
+    assert not any_acts(world)
 
 
-def test_first_starts_that_differ_found_nothing():
+def test_members_with_different_seed_members_bootstrap_nothing():
     world = World(6)
-    world.processes["n1"].table = world.processes["n1"].table.model_copy(
-        update={"first": {"n0": world.addresses["n0"], "n1": world.addresses["n1"]}}
-    )
+    seed_members = {name: world.addresses[name] for name in ("n0", "n1")}
+    process = world.processes["n1"]
+    process.table = process.table.model_copy(update={"first": seed_members})
     world.start()
     world.run(20 * SECOND)
-    assert world.leader() is None and not any(p.acts for p in world.processes.values())
+    assert world.leader() is None
+    assert not any_acts(world)
 
 
-def test_the_whole_fleet_stops_and_starts_at_once():
-    world = begun(7, followers=3)
-    told = ask(world, world.leader(), "out", server="s0")
+def test_fleet_recovers_when_all_members_restart_at_once():
+    world = started_world(7, followers=3)
+    removal = call(world, world.leader(), "out", server="s0")
     world.run(SECOND)
-    assert told[0][0]
-    for p in world.processes.values():
-        p.kill()
+    assert removal.accepted
+    for process in world.processes.values():
+        process.kill()
     world.run(SECOND)
     world.start()
     world.run(8 * SECOND)
-    assert all(
-        p.acts and "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
-    )
+    assert all_act(world)
+    assert all("s0" in removed_servers(process) for process in world.processes.values())
+
 
+def propose_settings(world: World, name: str, base: int, mark: int) -> PendingCall:
+    """Propose settings at one member, made from the version `base`."""
+    return call(world, world.processes[name], "offer", base=base, settings={"mark": mark})
 
-def test_a_version_that_one_cannot_read_is_not_made_active_and_says_who_and_why():
-    world = begun(8, followers=1)
+
+def test_settings_that_one_member_cannot_read_are_rejected_with_its_reason():
+    world = started_world(8, followers=1)
     world.processes["n3"].refuses.add(9)
     base = world.leader().fleet.member.state.settings_version
-    told = ask(world, world.processes["n1"], "offer", base=base, settings={"mark": 9})
-    two = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
+    unreadable = propose_settings(world, "n1", base, 9)
+    concurrent = propose_settings(world, "n2", base, 3)
     world.run(5 * SECOND)
-    assert told[0] == (False, {"why": "n3: it can't be read here", "version": base})
-    assert not two[0][0] and "held" in two[0][1]["why"]
-    told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 3})
+    assert unreadable.answer == (False, {"why": "n3: it can't be read here", "version": base})
+    assert not concurrent.accepted
+    assert "held" in concurrent.body["why"]
+    readable = propose_settings(world, "n2", base, 3)
     world.run(5 * SECOND)
-    assert told[0][0] and all(
-        p.fleet.member.state.settings == {"mark": 3} for p in world.processes.values()
-    )
-    told = ask(world, world.processes["n2"], "offer", base=base, settings={"mark": 4})
+    assert readable.accepted
+    in_force = [process.fleet.member.state.settings for process in world.processes.values()]
+    assert in_force == [{"mark": 3}] * 4
+    stale = propose_settings(world, "n2", base, 4)
     world.run(5 * SECOND)
-    assert not told[0][0] and "stale" in told[0][1]["why"]
+    assert not stale.accepted
+    assert "stale" in stale.body["why"]
 
 
-def test_a_call_that_reaches_nobody_says_that_nothing_was_done_and_one_that_may_have_says_so():
-    world = begun(9)
-    leader = world.leader()
-    cut = next(p for p in world.processes.values() if p is not leader)
-    world.cuts |= {
-        pair for q in world.processes for pair in ((cut.name, q), (q, cut.name)) if q != cut.name
-    }
-    early = ask(world, cut, "out", server="s0")
+def test_isolated_member_says_whether_a_call_may_have_taken_effect():
+    world = started_world(9)
+    isolated = other_processes(world, world.leader())[0]
+    isolate(world, isolated)
+    early = call(world, isolated, "out", server="s0")
     world.run(5 * SECOND)
-    late = ask(world, cut, "out", server="s1")
+    late = call(world, isolated, "out", server="s1")
     world.run(7 * SECOND)
-    assert early[0][1]["unsure"] and "may or may not" in early[0][1]["why"]
-    assert not late[0][1]["unsure"] and "nothing was done" in late[0][1]["why"]
-
-
-def test_members_leave_and_are_replaced_and_a_follower_far_behind_is_given_a_snapshot():
-    world = begun(10, voters=3, followers=2)
-    gone = next(
-        p
-        for p in world.processes.values()
-        if p is not world.leader() and p.name in ("n0", "n1", "n2")
-    )
-    gone.kill()
-    behind = world.processes["n4"]
-    behind.kill()
-    told: list = []
-    world.call(
-        world.leader(),
-        "replace",
-        {"ident": "r", "by": "t", "at": 0, "member": gone.name, "other": "n3"},
-        6 * SECOND,
-        lambda ok, body: told.append(ok),
-    )
-    for i in range(700):
-        ask(world, world.leader(), "out" if i % 2 == 0 else "back", server="s0")
-        world.run(SECOND // 50, check=i % 50 == 0)
+    assert early.body["unsure"]
+    assert "may or may not" in early.body["why"]
+    assert not late.body["unsure"]
+    assert "nothing was done" in late.body["why"]
+
+
+def test_replaced_voter_leaves_and_lagging_non_voter_gets_a_snapshot():
+    world = started_world(10, voters=3, followers=2)
+    voters = [world.processes[name] for name in ("n0", "n1", "n2")]
+    replaced = next(process for process in voters if process is not world.leader())
+    lagging = world.processes["n4"]
+    replaced.kill()
+    lagging.kill()
+    replacement = call(world, world.leader(), "replace", member=replaced.name, other="n3")
+    for number in range(SNAPSHOT_ENTRIES):
+        call(world, world.leader(), "out" if number % 2 == 0 else "back", server="s0")
+        world.run(SECOND // 50, check=number % 50 == 0)
     world.run(10 * SECOND)
-    members = {m.name: m.voter for m in world.leader().fleet.member.members}
-    assert (
-        told == [True] and gone.name not in members and members["n3"] and sum(members.values()) == 3
-    )
+    is_voter = {member.name: member.voter for member in world.leader().fleet.member.members}
+    assert replacement.accepted
+    assert replaced.name not in is_voter
+    assert is_voter["n3"]
+    assert sum(is_voter.values()) == 3
     assert world.leader().fleet.member.node.log.snapshot.index > 500
-    behind.start()
-    gone.start()
+    lagging.start()
+    replaced.start()
     world.run(10 * SECOND)
-    assert behind.acts and behind.acts_on == world.leader().acts_on
-    assert not gone.acts and gone.name not in {m.name for m in world.leader().fleet.member.members}
+    assert lagging.acts
+    assert lagging.acts_on == world.leader().acts_on
+    assert not replaced.acts
+    assert replaced.name not in {member.name for member in world.leader().fleet.member.members}
 
 
-def test_a_planned_stop_hands_leadership_over():
-    world = begun(11)
+def test_planned_stop_transfers_leadership():
+    world = started_world(11)
     leader, term = world.leader(), world.leader().fleet.member.node.term
     leader.turn([LeadershipReleased()])
     world.run(SECOND // 2)
-    assert world.leader() is not leader and world.leader().fleet.member.node.term == term + 1
+    assert world.leader() is not leader
+    assert world.leader().fleet.member.node.term == term + 1
 
 
-def test_two_hundred_balancers_in_virtual_time():
+def test_two_hundred_members_agree():
     world = World(12, voters=5, followers=195)
     world.start()
     world.run(15 * SECOND, check=False)
     world.check()
-    assert len(world.leader().fleet.member.members) == 200 and all(
-        p.acts for p in world.processes.values()
-    )
-    told = ask(world, world.processes["n150"], "out", server="s0")
+    assert len(world.leader().fleet.member.members) == 200
+    assert all_act(world)
+    removal = call(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
-    assert told[0][0] and all(
-        "s0" in p.fleet.member.state.removed_servers for p in world.processes.values()
-    )
+    assert removal.accepted
+    assert all("s0" in removed_servers(process) for process in world.processes.values())
--- a/tests/agreement/test_agreement_faults.py
+++ b/tests/agreement/test_agreement_faults.py
@@ -1,4 +1,7 @@
-"""The fleet's agreement in virtual time under random faults: a seed breaks no invariant, and deliberately broken programs do."""
+"""The fleet's agreement in virtual time under random faults.
+
+No seed breaks an invariant, and deliberately broken programs are detected.
+"""
 
 import os
 import subprocess
@@ -9,19 +12,32 @@
 from paths import ROOT
 
 from cypresswalk.lab.cluster.explore import plan_of, run_seed, smaller
-from cypresswalk.lab.cluster.virtual import SECOND
+from cypresswalk.model import SECOND
+
+SEEDS = 24
+SEEDS_OF_A_TEST = 6
+MAX_CONTRADICTION = 5 * SECOND
+# Steps of the history that a failure shows.
+SHOWN_STEPS = 60
+
+PRINT_RUN = """
+from cypresswalk.lab.cluster.explore import run_seed
+run = run_seed(2, acts=30)
+print(run.steps, run.longest, sorted(run.situations.items()), sorted(run.states))
+"""
 
 
-@pytest.mark.parametrize("first", range(0, 24, 6))
-def test_faults_by_seed_break_no_invariant_and_leave_the_fleet_whole(first):
-    for seed in range(first, first + 6):
+@pytest.mark.parametrize("first", range(0, SEEDS, SEEDS_OF_A_TEST))
+def test_random_faults_break_no_invariant_and_the_fleet_recovers(first):
+    for seed in range(first, first + SEEDS_OF_A_TEST):
         outcome = run_seed(seed, followers=seed % 3)
-        assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
-        assert outcome.longest <= 5 * SECOND and len(outcome.states) > 20
+        assert not outcome.broken, "\n".join([outcome.broken, *outcome.history[-SHOWN_STEPS:]])
+        assert outcome.longest <= MAX_CONTRADICTION
+        assert len(outcome.states) > 20
 
 
 @pytest.mark.parametrize(
-    "mistake, seeds",
+    "mutate, seeds",
     [
         (agreement_mutants.vote_not_flushed, [8, 11]),
         (agreement_mutants.answer_before_the_flush, [13]),
@@ -32,35 +48,33 @@
         (agreement_mutants.logs_not_compared, [5, 8]),
     ],
 )
-def test_a_planted_mistake_is_found(mistake, seeds, monkeypatch):
-    """Else the runs above would show nothing. Seeds that find it; the same ones find nothing in the program as it is."""
+def test_agreement_mutant_is_detected(mutate, seeds, monkeypatch):
+    """The same seeds find nothing in the program as it is."""
     assert not any(run_seed(seed).broken for seed in seeds)
-    mistake(monkeypatch)
+    mutate(monkeypatch)
     assert any(run_seed(seed).broken for seed in seeds)
 
 
-def test_a_failing_run_is_made_small(monkeypatch):
+def test_failing_run_is_shrunk(monkeypatch):
     agreement_mutants.logs_not_compared(monkeypatch)
-    plan = plan_of(5, [f"n{i}" for i in range(4)], 100)
+    plan = plan_of(5, ["n0", "n1", "n2", "n3"], 100)
     assert run_seed(5, plan=plan).broken
-    short = smaller(5, plan[:40] if run_seed(5, plan=plan[:40]).broken else plan)
-    assert run_seed(5, plan=short).broken and len(short) < 30
+    start = plan[:40]
+    shrunk = smaller(5, start if run_seed(5, plan=start).broken else plan)
+    assert run_seed(5, plan=shrunk).broken
+    assert len(shrunk) < 30
 
 
-def test_a_seed_is_the_same_run_in_every_process():
-    code = (
-        "from cypresswalk.lab.cluster.explore import run_seed; o = run_seed(2, acts=30);"
-        "print(o.steps, o.longest, sorted(o.situations.items()), sorted(o.states))"
-    )
+def test_seed_gives_the_same_run_in_every_process():
     runs = [
         subprocess.run(
-            [sys.executable, "-c", code],
+            [sys.executable, "-c", PRINT_RUN],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=60,
-            env=os.environ | {"PYTHONHASHSEED": seed},
+            env=os.environ | {"PYTHONHASHSEED": hash_seed},
         ).stdout
-        for seed in ("1", "2")
+        for hash_seed in ("1", "2")
     ]
     assert runs[0] == runs[1] != ""
--- a/tests/agreement/test_agreement_store.py
+++ b/tests/agreement/test_agreement_store.py
@@ -1,83 +1,130 @@
 """The stored log of the agreement: crashes, torn tails, damage and foreign files."""
 
 import struct
+from dataclasses import dataclass
 from random import Random
 
 import pytest
 
-from cypresswalk.agreement.errors import (
-    DamagedLogError,
-    ForeignFileError,
-)
+from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Member
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
-from cypresswalk.lab.cluster.virtual import MemoryDisk
+from cypresswalk.lab.cluster.virtual import Killed, MemoryDisk
 
+MEMBERS = (Member("a#1", True),)
+# The snapshot that a new log begins with.
+FIRST_SNAPSHOT = Snapshot(4, 2, MEMBERS, b"state")
+ENTRY_BYTES = 700
 
-def stored(chance=Random(1)) -> tuple[MemoryDisk, Store, PersistentState]:
-    disk = MemoryDisk(chance)
+
+def new_store(disk: MemoryDisk) -> Store:
+    """A store that has begun the log of a member in term 2."""
     store = Store(disk)
-    kept = PersistentState(Snapshot(4, 2, (Member("a#1", True),), b"state"), [], 2, "a#1")
-    store.begin(LogIdentity("f", "g", "a#1", 1), kept)
-    return disk, store, kept
+    store.begin(LogIdentity("f", "g", "a#1", 1), PersistentState(FIRST_SNAPSHOT, [], 2, "a#1"))
+    return store
+
+
+def reread(disk: MemoryDisk, fleet: str = "f", name: str = "a") -> PersistentState:
+    """What another process reads from the disk."""
+    return Store(disk).load(fleet, name, lambda text: None)
+
+
+def entry(index: int) -> Entry:
+    """An entry that tells its index in each byte."""
+    return Entry(2, ENTRY_COMMAND, bytes([index]) * ENTRY_BYTES)
+
 
+@dataclass
+class Acknowledged:
+    """What a store has said is durable."""
 
-def reread(disk: MemoryDisk) -> PersistentState:
-    return Store(disk).load("f", "a", lambda text: None)
+    index: int = FIRST_SNAPSHOT.index
+    term: int = 2
 
 
-def test_after_a_crash_at_every_operation_all_that_was_acknowledged_is_there():
-    for point in range(60):
+def write_until_killed(store: Store) -> Acknowledged:
+    """Write entries, a vote and a snapshot, until all is written or the process dies."""
+    acknowledged = Acknowledged()
+    try:
+        for index in range(5, 12):
+            store.write(Ready(entries=[(index, entry(index))]))
+            acknowledged.index = index
+            if index == 8:
+                snapshot = Snapshot(7, 2, MEMBERS, b"later")
+                store.write(Ready(vote=(3, "b#1"), snapshot=snapshot, entries=[(8, entry(8))]))
+                acknowledged.term = 3
+    except Killed:
+        pass
+    return acknowledged
+
+
+def test_all_that_was_acknowledged_survives_a_crash_at_any_operation():
+    for operations in range(60):
         for seed in range(12):
-            disk, store, _ = stored(Random(seed))
-            disk.kill_in = point
-            acknowledged, term = 4, 2
-            try:
-                for index in range(5, 12):
-                    store.write(
-                        Ready(entries=[(index, Entry(2, ENTRY_COMMAND, bytes([index]) * 700))])
-                    )
-                    acknowledged = index
-                    if index == 8:
-                        store.write(
-                            Ready(
-                                vote=(3, "b#1"),
-                                snapshot=Snapshot(7, 2, (Member("a#1", True),), b"later"),
-                                entries=[(8, Entry(2, ENTRY_COMMAND, bytes([8]) * 700))],
-                            )
-                        )
-                        term = 3
-            except BaseException as error:
-                assert type(error).__name__ == "Killed"
+            disk = MemoryDisk(Random(seed))
+            store = new_store(disk)
+            disk.kill_in = operations
+            acknowledged = write_until_killed(store)
             disk.crash()
-            kept = reread(disk)
-            last = kept.snapshot.index + len(kept.entries)
-            assert acknowledged <= last <= acknowledged + 1 and kept.term >= term
-            assert all(
-                e.data == bytes([i]) * 700
-                for i, e in enumerate(kept.entries, kept.snapshot.index + 1)
-            )
-
-
-def test_damage_is_told_from_a_torn_tail_and_a_foreign_file_is_left_alone():
-    disk, store, _ = stored()
-    for index in range(5, 9):
-        store.write(Ready(entries=[(index, Entry(2, ENTRY_COMMAND, b"\xff" * 40))]))
-    data, inode = disk.files["log.1"]
-    whole = len(reread(disk).entries)
-    for at in range(10, len(data)):
-        disk.files["log.1"] = data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :], inode
+            stored = reread(disk)
+            last_index = stored.snapshot.index + len(stored.entries)
+            assert acknowledged.index <= last_index <= acknowledged.index + 1
+            assert stored.term >= acknowledged.term
+            first_index = stored.snapshot.index + 1
+            expected = [entry(index).data for index in range(first_index, last_index + 1)]
+            assert [found.data for found in stored.entries] == expected
+
+
+class StoredLog:
+    """A written log whose bytes a test may change."""
+
+    FILE = "log.1"
+
+    def __init__(self) -> None:
+        """Write four entries after the first snapshot."""
+        self.disk = MemoryDisk(Random(1))
+        store = new_store(self.disk)
+        for index in range(5, 9):
+            store.write(Ready(entries=[(index, Entry(2, ENTRY_COMMAND, b"\xff" * 40))]))
+        self.data, self.inode = self.disk.files[self.FILE]
+
+    def replace(self, data: bytes) -> None:
+        """Give the file other bytes."""
+        self.disk.files[self.FILE] = data, self.inode
+
+
+@pytest.fixture
+def stored_log() -> StoredLog:
+    """A log of four entries."""
+    return StoredLog()
+
+
+def test_a_changed_byte_is_reported_as_damage(stored_log):
+    data = stored_log.data
+    for offset in range(10, len(data)):
+        stored_log.replace(data[:offset] + bytes([data[offset] ^ 0x55]) + data[offset + 1 :])
         with pytest.raises(DamagedLogError):
-            reread(disk)
+            reread(stored_log.disk)
+
+
+def test_a_torn_tail_loses_only_the_last_entries(stored_log):
+    data = stored_log.data
+    count = len(reread(stored_log.disk).entries)
     for end in range(len(data) - 90, len(data)):
-        disk.files["log.1"] = data[:end], inode
-        assert whole - 2 <= len(reread(disk).entries) < whole
-    disk.files["log.1"] = data[:8] + struct.pack("<H", 9) + data[10:], inode
+        stored_log.replace(data[:end])
+        assert count - 2 <= len(reread(stored_log.disk).entries) < count
+
+
+def test_a_log_of_another_format_version_is_foreign(stored_log):
+    data = stored_log.data
+    stored_log.replace(data[:8] + struct.pack("<H", 9) + data[10:])
     with pytest.raises(ForeignFileError, match="version 9"):
-        reread(disk)
-    disk.files["log.1"] = data, inode
-    for fleet, name in (("other", "a"), ("f", "b")):
-        with pytest.raises(ForeignFileError):
-            Store(disk).load(fleet, name, lambda text: None)
+        reread(stored_log.disk)
+
+
+@pytest.mark.parametrize("fleet, name", [("other", "a"), ("f", "b")])
+def test_a_log_of_another_fleet_or_member_is_foreign(stored_log, fleet, name):
+    with pytest.raises(ForeignFileError):
+        reread(stored_log.disk, fleet, name)
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -1,14 +1,16 @@
-"""The adapter: frames in, frames out, plain messages for what is malformed."""
+"""The adapter to the bench: frames in, frames out, plain messages for what is malformed."""
 
 import json
 import struct
 import subprocess
 import sys
+from typing import Any
 
 import pytest
 from paths import ROOT
 
 from cypresswalk.benchlink.wire import WireError, settings
+from cypresswalk.model import SECOND
 
 PARAMS = {
     "me": 0,
@@ -29,33 +31,53 @@
     "stats": {"via": "silent", "fields": []},
     "serviceTypes": [{"semantics": "idempotent", "setupTarget": 300.0}],
 }
+RETRY_BUDGET = {"budgetFree": 5, "extraRatio": 0.05, "lookBack": 2000.0}
 
+START_MS = 100_000.0
+SERVER = 77
+FLOW = 5
 
-def run(data: bytes):
-    return subprocess.run(
-        [sys.executable, "-m", "cypresswalk.benchlink"], input=data, capture_output=True, cwd=ROOT
-    )
 
+def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
+    """Start the adapter, give it all of its input, and wait for its end."""
+    command = [sys.executable, "-m", "cypresswalk.benchlink"]
+    return subprocess.run(command, input=data, capture_output=True, cwd=ROOT)
 
-def batch(*records: bytes, clock=100000.0) -> bytes:
+
+def batch(*records: bytes) -> bytes:
+    """A batch of records at one time."""
     body = b"".join(records)
-    return struct.pack("<IId", len(records), 8 + len(body), clock) + body
+    return struct.pack("<IId", len(records), 8 + len(body), START_MS) + body
+
 
+def init_record(params: bytes) -> bytes:
+    """The record that begins an instance; `params` is JSON if the bench is right."""
+    return b"\x00" + struct.pack("<QI", 9, len(params)) + params
 
-def init(text: bytes) -> bytes:
-    return b"\x00" + struct.pack("<QI", 9, len(text)) + text
+
+def settings_with(**changes: Any) -> Any:
+    """The settings that the adapter reads from changed parameters."""
+    return settings(json.dumps(PARAMS | changes).encode())
 
 
 ABOUT = b"\x0c\x03\x00"
-LIST = b"\x01" + struct.pack("<BQI", 2, 1, 1) + struct.pack("<HdHIHfB", 0, 0.0, 0, 77, 0, 1.0, 0)
-FLOW = b"\x02" + struct.pack("<QHHQddQB", 5, 0, 0, 0, 102000.0, 0.0, 0, 0)
+INIT = init_record(json.dumps(PARAMS).encode())
+ENDPOINT_LIST = (
+    b"\x01" + struct.pack("<BQI", 2, 1, 1) + struct.pack("<HdHIHfB", 0, 0.0, 0, SERVER, 0, 1.0, 0)
+)
+NEW_FLOW = b"\x02" + struct.pack("<QHHQddQB", FLOW, 0, 0, 0, 102000.0, 0.0, 0, 0)
+ATTEMPT_ENDED = b"\x04" + struct.pack("<QIBdBHB", FLOW, SERVER, 1, 3.0, 0, 100, 0)
+HANGUP = b"\x05" + struct.pack("<Q", FLOW)
+EMPTY_REPLY = bytes.fromhex("0400000000000000")
+START_ATTEMPT = b"\x0d\x03\x00" + struct.pack("<BQdI", 0, FLOW, 150.0, SERVER)
 
 
 def test_a_flow_is_sent_to_the_listed_server_and_the_end_is_clean():
-    done = run(batch() + batch(ABOUT, init(json.dumps(PARAMS).encode()), LIST) + batch(ABOUT, FLOW))
-    assert done.returncode == 0 and not done.stderr
-    assert done.stdout[:8] == bytes.fromhex("0400000000000000")
-    assert done.stdout.endswith(b"\x0d\x03\x00" + struct.pack("<BQdI", 0, 5, 150.0, 77))
+    run = run_adapter(batch() + batch(ABOUT, INIT, ENDPOINT_LIST) + batch(ABOUT, NEW_FLOW))
+    assert run.returncode == 0
+    assert not run.stderr
+    assert run.stdout[: len(EMPTY_REPLY)] == EMPTY_REPLY
+    assert run.stdout.endswith(START_ATTEMPT)
 
 
 @pytest.mark.parametrize(
@@ -65,43 +87,43 @@
         (batch(ABOUT)[:-1], "batch 0: input ended"),
         (batch(ABOUT + b"\x00"), "1 bytes follow"),
         (batch(ABOUT, b"\xee"), "unknown record code 238"),
-        (batch(ABOUT, init(b"{")), "not JSON"),
-        (batch(ABOUT, init(b"{}")), "'limits' is missing"),
-        (batch(FLOW), "before any About"),
+        (batch(ABOUT, init_record(b"{")), "not JSON"),
+        (batch(ABOUT, init_record(b"{}")), "'limits' is missing"),
+        (batch(NEW_FLOW), "before any About"),
     ],
 )
 def test_malformed_input_is_named_and_ends_with_an_error(data, message):
-    done = run(data)
-    assert done.returncode == 1 and message in done.stderr.decode()
+    run = run_adapter(data)
+    assert run.returncode == 1
+    assert message in run.stderr.decode()
+
+
+def test_a_tenant_without_a_quota_has_no_limit():
+    found = settings_with(extra={"tenantQuotaConnections": [3.0, None]})
+    assert found.quotas == [3.0, float("inf")]
+
+
+def test_records_of_flows_that_have_ended_are_ignored():
+    run = run_adapter(batch(ABOUT, INIT, ENDPOINT_LIST) + batch(ABOUT, ATTEMPT_ENDED, HANGUP))
+    assert run.returncode == 0
 
 
-def test_a_customer_without_a_share_is_never_beyond_it():
-    params = PARAMS | {"extra": {"tenantQuotaConnections": [3.0, None]}}
-    assert settings(json.dumps(params).encode()).quotas == [3.0, float("inf")]
+def test_there_is_no_retry_budget_unless_it_is_set():
+    assert settings_with().retry_window == 0
 
 
-def test_ids_no_longer_held_are_no_errors():
-    late = b"\x04" + struct.pack("<QIBdBHB", 5, 77, 1, 3.0, 0, 100, 0)
-    done = run(
-        batch(ABOUT, init(json.dumps(PARAMS).encode()), LIST)
-        + batch(ABOUT, late, b"\x05" + struct.pack("<Q", 5))
-    )
-    assert done.returncode == 0
+def test_the_retry_budget_is_read():
+    found = settings_with(rules=PARAMS["rules"] | RETRY_BUDGET)
+    assert found.retry_window == 2 * SECOND
+    assert found.retry_budget_base == 5
+    assert found.retry_budget_ratio == 0.05
 
 
 @pytest.mark.parametrize(
-    "name, odd",
+    "name, invalid",
     [("budgetFree", -1), ("extraRatio", "much"), ("lookBack", float("inf")), ("extraRatio", True)],
 )
-def test_an_odd_figure_of_the_budget_is_named_and_an_absent_one_means_no_such_rule(name, odd):
-    assert settings(json.dumps(PARAMS).encode()).retry_window == 0
-    rules = PARAMS["rules"] | {"budgetFree": 5, "extraRatio": 0.05, "lookBack": 2000.0}
-    found = settings(json.dumps(PARAMS | {"rules": rules}).encode())
-    assert (found.retry_window, found.retry_budget_base, found.retry_budget_ratio) == (
-        2_000_000_000,
-        5,
-        0.05,
-    )
+def test_an_invalid_retry_budget_is_rejected_by_name(name, invalid):
     with pytest.raises(WireError) as error:
-        settings(json.dumps(PARAMS | {"rules": rules | {name: odd}}).encode())
+        settings_with(rules=PARAMS["rules"] | RETRY_BUDGET | {name: invalid})
     assert name in str(error.value)
