--- a/tests/fleet/test_disruption_bounds.py
+++ b/tests/fleet/test_disruption_bounds.py
@@ -1,87 +1,145 @@
 """The replicated state machine never takes more out of service than the bounds allow."""
 
 from random import Random
+from typing import Any
+
+import pytest
 
 from cypresswalk.fleet import commands
-from cypresswalk.fleet.commands import encode
+from cypresswalk.fleet.commands import Command, encode
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.rollout.bounds import max_unavailable
 
+RUNS = 30
+COMMANDS_OF_A_RUN = 200
+# Drawn for each command; what stands twice is twice as likely.
+ACTIONS = ("leave", "leave", "return", "out", "out", "back", "seen", "list", "force")
+UNHEARD_PROBABILITY = 0.1
+DRAINING_PROBABILITY = 0.2
+MAX_OF_A_ZONE = 1
+OTHER_GRANT = ("other", 0, "")
+
+
+class ReferenceModel:
+    """A plain count of who is out, beside the state machine that random commands are applied to.
+
+    Attributes:
+        out_balancers: Balancers that were granted a leave and have not returned.
+        returning_servers: Servers that are back in rotation, and were not seen ready yet.
+    """
+
+    def __init__(self, seed: int) -> None:
+        """Draw the balancers, the servers and the bounds."""
+        self.random = Random(seed)
+        self.machine = StateMachine()
+        balancers, servers = self.random.choice((1, 2, 5, 9)), self.random.choice((1, 4, 10))
+        self.zones = {f"n{i}": f"z{i % 3}" for i in range(balancers)}
+        self.server_zones = {f"s{i}": i % 2 for i in range(servers)}
+        self.balancer_bound = self.random.choice((1, 2, {"share": 0.5}))
+        self.server_bound = {"share": 0.5, "least": 1}
+        bounds = {
+            "balancers": {"all": self.balancer_bound, "zone": MAX_OF_A_ZONE},
+            "servers": {"all": self.server_bound},
+        }
+        self.machine.state.settings = {"bounds": bounds}
+        self.out_balancers: set[str] = set()
+        self.returning_servers: set[str] = set()
+        self.number = -1
+
+    def apply(self, command: Command) -> Any:
+        """Apply a command and return its result."""
+        return self.machine.apply(encode(command))[1]
+
+    def step(self) -> None:
+        """Apply one random command and compare its result with the count."""
+        self.number += 1
+        head = (f"c{self.number}", "test", 0)
+        balancer = self.random.choice(sorted(self.zones))
+        server = self.random.choice(sorted(self.server_zones))
+        match self.random.choice(ACTIONS):
+            case "leave":
+                self.leave(head, balancer, forced=False)
+            case "force":
+                self.leave(head, balancer, forced=True)
+            case "return":
+                self.return_balancer(head, balancer)
+            case "out":
+                self.remove_server(head, server)
+            case "back":
+                self.returning_servers |= {server} & set(self.machine.state.removed_servers)
+                self.apply(commands.ReturnToRotation(*head, server))
+            case "seen":
+                self.see_server_ready(head, server)
+            case "list":
+                self.update_list(head)
+        assert set(self.machine.state.leave_grants) == self.out_balancers
 
-def test_random_commands_never_take_more_out_than_the_bound_allows_unless_forced():
-    """Against a plain count: balancers that were granted a place and not returned, servers out by hand or by the list."""
-    for seed in range(30):
-        chance, machine = Random(seed), StateMachine()
-        names = {f"n{i}": f"z{i % 3}" for i in range(chance.choice((1, 2, 5, 9)))}
-        servers = {f"s{i}": i % 2 for i in range(chance.choice((1, 4, 10)))}
-        most = {
-            "balancers": {"all": chance.choice((1, 2, {"share": 0.5})), "zone": 1},
-            "servers": {"all": {"share": 0.5, "least": 1}},
+    def leave(self, head: tuple[str, str, int], balancer: str, forced: bool) -> None:
+        """Grant a leave, as far as the bounds allow or by force."""
+        unheard = {
+            name: "not heard" for name in self.zones if self.random.random() < UNHEARD_PROBABILITY
         }
-        machine.state.settings = {"bounds": most}
-        away: set[str] = set()
-        coming: set[str] = set()  # servers that are back, and not seen ready yet
-        for number in range(200):
-            head = (f"c{number}", "test", 0)
-            who, server = chance.choice(sorted(names)), chance.choice(sorted(servers))
-            kind = chance.choice(
-                ("leave", "leave", "return", "out", "out", "back", "seen", "list", "force")
-            )
-            if kind in ("leave", "force"):
-                seen = {name: "not heard" for name in names if chance.random() < 0.1}
-                command = commands.GrantLeave(*head, who, "drained", kind == "force", names, seen)
-                _, (ok, why) = machine.apply(encode(command))
-                gone = (away | set(seen)) - {who}
-                fits = (
-                    len(gone) + 1 <= max_unavailable(most["balancers"]["all"], len(names))
-                    and sum(names[n] == names[who] for n in gone) + 1 <= 1
-                )
-                assert ok is (fits or kind == "force"), (seed, number, why)
-                assert machine.apply(encode(command))[1] == (
-                    ok,
-                    why,
-                )  # asked again: the same answer, no second place
-                away |= {who} if ok else set()
-            elif kind == "return":
-                held = machine.state.leave_grants.get(who, ("other", 0, ""))
-                assert not machine.apply(
-                    encode(commands.BalancerReturned(*head[:2], 1, who, ("other", 0, "")))
-                )[1][0]
-                machine.apply(encode(commands.BalancerReturned(f"r{number}", *head[1:], who, held)))
-                away.discard(who)
-            elif kind == "out":
-                before, listed = (
-                    set(machine.state.removed_servers),
-                    {n: s for n, _, _, s, _, _ in machine.state.servers},
-                )
-                bad = {name: "held for bad" for name in servers if chance.random() < 0.1}
-                seen = {n for n, s in listed.items() if s != "ready"} | set(bad)
-                gone = (before | seen | coming) - {server}
-                _, (ok, _) = machine.apply(
-                    encode(commands.RemoveFromRotation(*head, server, False, bad))
-                )
-                coming -= {server} if ok else set()
-                fits = server in before or len(gone & set(listed)) + 1 <= max_unavailable(
-                    most["servers"]["all"], len(listed)
-                )
-                assert ok is fits, (seed, number)
-            elif kind == "back":
-                coming |= {server} & set(machine.state.removed_servers)
-                machine.apply(encode(commands.ReturnToRotation(*head, server)))
-            elif kind == "seen":
-                version = machine.state.returning_servers.get(server, 7)
-                machine.apply(
-                    encode(
-                        commands.ServersSeenReady(f"s{number}", *head[1:], {server: version - 1})
-                    )
-                )  # of an earlier return: no matter
-                assert set(machine.state.returning_servers) == coming
-                machine.apply(encode(commands.ServersSeenReady(*head, {server: version})))
-                coming.discard(server)
-            else:
-                listing = [
-                    (name, zone, 1, "draining" if chance.random() < 0.2 else "ready", 1.0, 0)
-                    for name, zone in servers.items()
-                ]
-                machine.apply(encode(commands.UpdateEndpointList(*head, number, 0, listing)))
-            assert set(machine.state.leave_grants) == away
+        command = commands.GrantLeave(*head, balancer, "drained", forced, self.zones, unheard)
+        granted, reason = self.apply(command)
+        out = (self.out_balancers | set(unheard)) - {balancer}
+        out_of_zone = [name for name in out if self.zones[name] == self.zones[balancer]]
+        fits = (
+            len(out) < max_unavailable(self.balancer_bound, len(self.zones))
+            and len(out_of_zone) < MAX_OF_A_ZONE
+        )
+        assert granted is (fits or forced), (self.number, reason)
+        # Asked again it gives the same answer, and no second leave.
+        assert self.apply(command) == (granted, reason)
+        if granted:
+            self.out_balancers.add(balancer)
+
+    def return_balancer(self, head: tuple[str, str, int], balancer: str) -> None:
+        """Return a balancer, once under a grant that is not its own."""
+        ident, by, _ = head
+        grant = self.machine.state.leave_grants.get(balancer, OTHER_GRANT)
+        stale = commands.BalancerReturned(ident, by, 1, balancer, OTHER_GRANT)
+        assert not self.apply(stale)[0]
+        self.apply(commands.BalancerReturned(f"r{self.number}", by, 0, balancer, grant))
+        self.out_balancers.discard(balancer)
+
+    def remove_server(self, head: tuple[str, str, int], server: str) -> None:
+        """Take a server out of rotation, as far as the bound allows."""
+        removed = set(self.machine.state.removed_servers)
+        states = {name: state for name, _, _, state, _, _ in self.machine.state.servers}
+        unhealthy = {
+            name: "held for bad"
+            for name in self.server_zones
+            if self.random.random() < UNHEARD_PROBABILITY
+        }
+        not_ready = {name for name, state in states.items() if state != "ready"}
+        out = (removed | not_ready | set(unhealthy) | self.returning_servers) - {server}
+        command = commands.RemoveFromRotation(*head, server, False, unhealthy)
+        accepted, _ = self.apply(command)
+        fits = len(out & set(states)) < max_unavailable(self.server_bound, len(states))
+        assert accepted is (server in removed or fits), self.number
+        if accepted:
+            self.returning_servers.discard(server)
+
+    def see_server_ready(self, head: tuple[str, str, int], server: str) -> None:
+        """See a server ready since an earlier return, which changes nothing, and since its last."""
+        ident, by, at = head
+        version = self.machine.state.returning_servers.get(server, 7)
+        self.apply(commands.ServersSeenReady(f"s{self.number}", by, at, {server: version - 1}))
+        assert set(self.machine.state.returning_servers) == self.returning_servers
+        self.apply(commands.ServersSeenReady(*head, {server: version}))
+        self.returning_servers.discard(server)
+
+    def update_list(self, head: tuple[str, str, int]) -> None:
+        """Take over an endpoint list in which some servers drain."""
+        listing = []
+        for name, zone in self.server_zones.items():
+            draining = self.random.random() < DRAINING_PROBABILITY
+            listing.append((name, zone, 1, "draining" if draining else "ready", 1.0, 0))
+        self.apply(commands.UpdateEndpointList(*head, self.number, 0, listing))
+
+
+@pytest.mark.parametrize("seed", range(RUNS))
+def test_random_commands_keep_the_bounds_unless_forced(seed):
+    model = ReferenceModel(seed)
+    for _ in range(COMMANDS_OF_A_RUN):
+        model.step()
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -1,16 +1,40 @@
 """Leases: the holder gives one up before its grantor counts it as lapsed."""
 
+import pytest
+
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
-from cypresswalk.lab.cluster.virtual import SECOND
-
-
-def test_a_lease_is_given_up_by_its_holder_before_its_giver_counts_it_as_lapsed():
-    held, given = HeldLease(5 * SECOND, 0), LeaseGrants(5 * SECOND, 0)
-    number = held.request(100 * SECOND)
-    given.grant(100 * SECOND, "a")
-    held.on_grant(number, 3)
-    assert held.valid_until(2) == 0 and 104 * SECOND < held.valid_until(3) < 105 * SECOND
-    assert not given.lapsed(105 * SECOND, "a") and given.lapsed(106 * SECOND, "a")
-    assert not LeaseGrants(5 * SECOND, 100 * SECOND).lapsed(104 * SECOND, "a")
-    held.on_grant(99, 7)  # an answer to nothing that was asked
-    assert held.valid_until(3) > 0
+from cypresswalk.model import SECOND
+
+SPAN = 5 * SECOND
+REQUESTED_AT = 100 * SECOND
+VERSION = 3
+
+
+@pytest.fixture
+def held_lease() -> HeldLease:
+    """A lease on a version, requested and granted at one time."""
+    lease = HeldLease(SPAN, 0)
+    number = lease.request(REQUESTED_AT)
+    lease.on_grant(number, VERSION)
+    return lease
+
+
+def test_holder_gives_a_lease_up_before_its_grantor_counts_it_as_lapsed(held_lease):
+    grants = LeaseGrants(SPAN, 0)
+    grants.grant(REQUESTED_AT, "a")
+    assert 104 * SECOND < held_lease.valid_until(VERSION) < 105 * SECOND
+    assert not grants.lapsed(105 * SECOND, "a")
+    assert grants.lapsed(106 * SECOND, "a")
+
+
+def test_lease_is_no_lease_on_another_version(held_lease):
+    assert held_lease.valid_until(VERSION - 1) == 0
+
+
+def test_new_grantor_counts_no_lease_as_lapsed_that_its_predecessor_may_have_granted():
+    assert not LeaseGrants(SPAN, REQUESTED_AT).lapsed(104 * SECOND, "a")
+
+
+def test_grant_that_was_not_requested_is_ignored(held_lease):
+    held_lease.on_grant(99, 7)
+    assert held_lease.valid_until(VERSION) > 0
--- a/tests/fleet/test_replica_comparison.py
+++ b/tests/fleet/test_replica_comparison.py
@@ -1,43 +1,42 @@
 """The comparison of replicas by their digests."""
 
-from cypresswalk.fleet import client
-
-
-def test_holders_are_compared_by_what_none_of_them_is_about_to_forget():
-    """Each forgets by its own clock, once a second: on a busy fleet there is always one that has and one that has not."""
-
-    def local(soon, sums, view=3):
-        return {"soon": soon, "parts": [[7, view, True, False, len(sums), 0, sums]]}
-
-    parts = [[7, 3, ["a#1", "b#1"]]]
-    assert (
-        client.differing_replicas(
-            parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(11, {"12": "y"})}
-        )
-        == []
-    )
-    assert (
-        len(
-            client.differing_replicas(
-                parts, {"a#1": local(10, {"11": "x", "12": "y"}), "b#1": local(10, {"12": "y"})}
-            )
-        )
-        == 1
-    )
-    assert (
-        len(
-            client.differing_replicas(
-                parts, {"a#1": local(10, {"12": "y"}), "b#1": local(11, {"12": "z"})}
-            )
-        )
-        == 1
-    )
-    assert (
-        len(
-            client.differing_replicas(
-                parts, {"a#1": local(10, {"12": "y"}), "b#1": local(10, {"12": "y"}, 2)}
-            )
-        )
-        == 1
-    )
-    assert len(client.differing_replicas(parts, {"a#1": local(10, {"12": "y"})})) == 1
+from typing import Any
+
+import pytest
+
+from cypresswalk.fleet.client import differing_replicas
+
+PARTITION = 7
+VIEW = 3
+# Number, view and replicas of each partition.
+PARTITIONS = [[PARTITION, VIEW, ["a#1", "b#1"]]]
+BOTH_DIGESTS = {"11": "x", "12": "y"}
+ONE_DIGEST = {"12": "y"}
+OTHER_DIGEST = {"12": "z"}
+
+
+def answer(soon: int, digests: dict[str, str], view: int = VIEW) -> dict[str, Any]:
+    """What a member answers: which digests expire soon, and the state of its replica."""
+    complete, sealed, pending = True, False, 0
+    replica = [PARTITION, view, complete, sealed, len(digests), pending, digests]
+    return {"soon": soon, "parts": [replica]}
+
+
+def test_digests_that_one_replica_is_about_to_expire_are_not_compared():
+    """Each expires by its own clock: on a busy fleet one always has what another has not."""
+    answers = {"a#1": answer(10, BOTH_DIGESTS), "b#1": answer(11, ONE_DIGEST)}
+    assert differing_replicas(PARTITIONS, answers) == []
+
+
+@pytest.mark.parametrize(
+    "answers",
+    [
+        {"a#1": answer(10, BOTH_DIGESTS), "b#1": answer(10, ONE_DIGEST)},
+        {"a#1": answer(10, ONE_DIGEST), "b#1": answer(11, OTHER_DIGEST)},
+        {"a#1": answer(10, ONE_DIGEST), "b#1": answer(10, ONE_DIGEST, view=VIEW - 1)},
+        {"a#1": answer(10, ONE_DIGEST)},
+    ],
+    ids=["missing digest", "other digest", "older view", "missing replica"],
+)
+def test_replicas_that_differ_are_reported_once_a_partition(answers):
+    assert len(differing_replicas(PARTITIONS, answers)) == 1
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -1,264 +1,330 @@
-"""Placement of replicas: the leader's part with real replicas, and no time but what is handed in."""
+"""Placement of replicas: the leader's part with real replicas, in virtual time."""
 
+from collections.abc import Iterable
 from random import Random
 
+import pytest
+
 from cypresswalk.agreement.messages import Member
 from cypresswalk.copies.effects import AnswerRequest, SendMessage, TellLeader
-from cypresswalk.copies.messages import PartitionFetched, PartitionSealed, ReplicaSlow
+from cypresswalk.copies.messages import (
+    Message,
+    PartitionFetched,
+    PartitionSealed,
+    ReplicaSlow,
+)
 from cypresswalk.copies.placement import PARTITIONS
 from cypresswalk.copies.replica import Replica
 from cypresswalk.fleet.replica_placement import MAX_MAKING_UP, SECOND, ReplicaPlacement
 
+STEPS_A_SECOND = 5
+REPLICAS = 3
+MIN_REPLICAS = 2
+# After which a partition without any replica begins anew.
+MAX_UNAVAILABLE = 60 * SECOND
+# A reservation that outlasts each test.
+NEVER = 1 << 62
+
+# View and replicas of a partition, as agreed.
+View = tuple[int, tuple[str, ...]]
+
+
+class Fleet:
+    """Members with replicas, agreed views, and a leader that looks at them five times a second.
+
+    Messages take no time.
 
-class Tier:
-    """Members with holders, an agreed state, and a leader that tends it five times a second. Words take no time."""
+    Attributes:
+        members: Members of the group, the first three of which vote.
+        replicas: By the member's id.
+        dead: Ids of members that do not answer.
+        views: Of each partition.
+        leaving: Names of members that are to leave.
+        placement: The leader's part, under test.
+        granted: Keys that were granted, by partition.
+    """
 
-    def __init__(self, names: int = 5, copies: int = 3, least: int = 2):
-        self.members = tuple(Member(f"m{i}#1", i < 3, "", f"z{i % 3}") for i in range(names))
-        self.holders = {m.id: Replica(m.id) for m in self.members}
+    def __init__(self, size: int = 5) -> None:
+        """Start the members m0, m1, ... in three zones, and a leader."""
+        self.members = tuple(Member(f"m{i}#1", i < 3, "", f"z{i % 3}") for i in range(size))
+        self.replicas = {member.id: Replica(member.id) for member in self.members}
         self.dead: set[str] = set()
-        self.views: dict = {}
-        self.left: list[str] = []
-        self.placing, self.now, self.copies, self.least = (
-            ReplicaPlacement("m0#1", copies, least),
-            0,
-            copies,
-            least,
-        )
-        self.answers: list = []
-        self.tell()
-
-    def tell(self) -> None:
-        for m in self.members:
-            self.placing.on_capability(m.id, True)
-
-    def new_leader(self) -> None:
-        self.placing = ReplicaPlacement("m1#1", self.copies, self.least)
-        self.placing.reset(self.now)
-        self.tell()
-
-    def carry(self, name: str) -> None:
-        holder = self.holders[name]
-        while holder.effects:
-            match holder.effects.pop(0):
+        self.views: dict[int, View] = {}
+        self.leaving: list[str] = []
+        self.placement = ReplicaPlacement("m0#1", REPLICAS, MIN_REPLICAS)
+        self.now = 0
+        self.results: list[str] = []
+        self.granted: dict[int, set[str]] = {}
+        self.tell_capabilities()
+
+    def tell_capabilities(self) -> None:
+        """Tell the leader that all members can hold replicas."""
+        for member in self.members:
+            self.placement.on_capability(member.id, True)
+
+    def change_leader(self) -> None:
+        """Another member leads, which knows only what is agreed."""
+        self.placement = ReplicaPlacement("m1#1", REPLICAS, MIN_REPLICAS)
+        self.placement.reset(self.now)
+        self.tell_capabilities()
+
+    def is_alive(self, member: str) -> bool:
+        """Whether a member answers."""
+        return member not in self.dead
+
+    def live_replicas(self) -> Iterable[tuple[str, Replica]]:
+        """The replicas of members that answer, by id."""
+        return [(name, replica) for name, replica in self.replicas.items() if self.is_alive(name)]
+
+    def tell_leader(self, member: str, message: Message) -> None:
+        """Deliver a replica's message to the leader."""
+        self.placement.on_message(self.now, member, message, self.views)
+
+    def carry_out(self, member: str) -> None:
+        """Carry out a replica's effects, and those of its messages at others."""
+        replica = self.replicas[member]
+        while replica.effects:
+            match replica.effects.pop(0):
                 case TellLeader(message):
-                    self.placing.on_message(self.now, name, message, self.views)
+                    self.tell_leader(member, message)
                 case AnswerRequest(_, answer):
-                    self.answers.append(answer.result)
-                case SendMessage(to, message) if to not in self.dead:
-                    if isinstance(message, PartitionSealed | PartitionFetched):
-                        self.placing.on_message(self.now, name, message, self.views)
-                    else:
-                        self.holders[to].on_message(name, message)
-                        self.carry(to)
-
-    def look(self, seconds: float = 0.2, longest: int = 60 * SECOND) -> None:
-        for _ in range(round(seconds * 5)):
-            self.now += SECOND // 5
-            proposals, sends = self.placing.next_steps(
-                self.now, self.members, self.views, self.left, lambda i: i not in self.dead, longest
+                    self.results.append(answer.result)
+                case SendMessage(receiver, message) if self.is_alive(receiver):
+                    self.deliver(member, receiver, message)
+
+    def deliver(self, sender: str, receiver: str, message: Message) -> None:
+        """Deliver a message to another replica, or to the leader if it is for that one."""
+        if isinstance(message, PartitionSealed | PartitionFetched):
+            self.tell_leader(sender, message)
+        else:
+            self.replicas[receiver].on_message(sender, message)
+            self.carry_out(receiver)
+
+    def run(self, seconds: float) -> None:
+        """Let time pass, with a look of the leader at each step."""
+        for _ in range(round(seconds * STEPS_A_SECOND)):
+            self.now += SECOND // STEPS_A_SECOND
+            proposals, messages = self.placement.next_steps(
+                self.now, self.members, self.views, self.leaving, self.is_alive, MAX_UNAVAILABLE
             )
-            for to, word in sends:
-                if to not in self.dead:
-                    self.holders[to].on_message("m0#1", word) if not isinstance(
-                        word, PartitionSealed
-                    ) else None
-                    effects = self.holders[to].effects
-                    for effect in [o for o in effects if isinstance(o, SendMessage)]:
-                        if isinstance(effect.message, PartitionSealed | PartitionFetched):
-                            self.placing.on_message(self.now, to, effect.message, self.views)
-                            effects.remove(effect)
-                    self.carry(to)
-            for part, (view, there) in proposals.items():
-                assert view == self.views.get(part, (0,))[0] + 1 and len(there) >= self.least
-                self.views[part] = view, there
-                for name, holder in self.holders.items():
-                    if name not in self.dead:
-                        holder.begin_view(part, view, there)
-                        self.carry(name)
-            self.sound()
-            for name, holder in self.holders.items():
-                for part, (view, there) in self.views.items() if name not in self.dead else ():
-                    if (
-                        name in there
-                        and holder.partition(part).view == view
-                        and not holder.partition(part).complete
-                    ):
-                        self.placing.on_message(
-                            self.now, name, ReplicaSlow(part, view, name), self.views
-                        )
-
-    def sound(self) -> None:
-        """Whoever holds a newest view whole has all that was granted there."""
-        for part, (view, there) in self.views.items():
-            whole = [
-                set(h.partition(part).records)
-                for n, h in self.holders.items()
-                if n in there
-                and h.partition(part).complete
-                and h.partition(part).view == view
-                and n not in self.dead
-            ]
-            assert all(records >= self.granted.get(part, set()) for records in whole)
-
-    def back(self) -> None:
-        """All live again and have read what was agreed meanwhile."""
+            for receiver, message in messages:
+                if self.is_alive(receiver):
+                    self.deliver_from_leader(receiver, message)
+            for partition, view in proposals.items():
+                self.agree(partition, view)
+            self.check_complete_replicas()
+            self.report_slow_replicas()
+
+    def deliver_from_leader(self, receiver: str, message: Message) -> None:
+        """Deliver the leader's message; what the replica answers the leader comes first."""
+        replica = self.replicas[receiver]
+        if not isinstance(message, PartitionSealed):
+            replica.on_message("m0#1", message)
+        for effect in [found for found in replica.effects if isinstance(found, SendMessage)]:
+            if isinstance(effect.message, PartitionSealed | PartitionFetched):
+                self.tell_leader(receiver, effect.message)
+                replica.effects.remove(effect)
+        self.carry_out(receiver)
+
+    def agree(self, partition: int, view: View) -> None:
+        """Agree on a partition's next view; live replicas begin it."""
+        number, chosen = view
+        assert number == self.views.get(partition, (0,))[0] + 1
+        assert len(chosen) >= MIN_REPLICAS
+        self.views[partition] = view
+        for name, replica in self.live_replicas():
+            replica.begin_view(partition, number, chosen)
+            self.carry_out(name)
+
+    def check_complete_replicas(self) -> None:
+        """Whoever is complete in a partition's newest view has all that was granted there."""
+        for partition, (view, chosen) in self.views.items():
+            for name, replica in self.live_replicas():
+                state = replica.partition(partition)
+                if name in chosen and state.complete and state.view == view:
+                    assert set(state.records) >= self.granted.get(partition, set())
+
+    def report_slow_replicas(self) -> None:
+        """Tell the leader of replicas that are not complete in their view."""
+        for name, replica in self.live_replicas():
+            for partition, (view, chosen) in self.views.items():
+                state = replica.partition(partition)
+                if name in chosen and state.view == view and not state.complete:
+                    self.tell_leader(name, ReplicaSlow(partition, view, name))
+
+    def revive(self, member: str) -> None:
+        """A member answers again, and has read what was agreed meanwhile."""
+        self.dead.discard(member)
+        for partition, view in self.views.items():
+            self.replicas[member].begin_view(partition, *view)
+        self.carry_out(member)
+
+    def revive_all(self) -> None:
+        """All members answer again."""
         self.dead.clear()
-        for name, holder in self.holders.items():
-            for part, place in self.views.items():
-                holder.begin_view(part, *place)
-            self.carry(name)
-
-    granted: dict[int, set[str]] = {}
-
-    def claim_all(self, ident: str) -> None:
-        self.granted = {part: set(ids) for part, ids in self.granted.items()}
-        for part, (_, there) in self.views.items():
-            if there[0] not in self.dead:
-                before = len(self.answers)
-                self.holders[there[0]].reserve(0, part, ident, "c", 1 << 62, None)
-                self.carry(there[0])
-                if self.answers[before:] == ["granted"]:
-                    self.granted.setdefault(part, set()).add(ident)
-
-    def copies_whole(self) -> dict[int, int]:
+        for member in self.replicas:
+            self.revive(member)
+
+    def reserve_everywhere(self, key: str) -> None:
+        """Reserve a key in each partition whose primary answers."""
+        for partition, (_, chosen) in self.views.items():
+            primary = chosen[0]
+            if not self.is_alive(primary):
+                continue
+            before = len(self.results)
+            self.replicas[primary].reserve(0, partition, key, "c", NEVER, None)
+            self.carry_out(primary)
+            if self.results[before:] == ["granted"]:
+                self.granted.setdefault(partition, set()).add(key)
+
+    def partitions_that_granted(self, key: str) -> set[int]:
+        """Partitions that granted a key."""
+        return {partition for partition, keys in self.granted.items() if key in keys}
+
+    def partitions_at(self, member: str) -> list[int]:
+        """Partitions with a replica at a member."""
+        return [partition for partition, (_, chosen) in self.views.items() if member in chosen]
+
+    def replica_counts(self) -> set[int]:
+        """How many complete replicas that answer the partitions have."""
         return {
-            part: sum(
-                self.holders[n].partition(part).complete and n not in self.dead for n in there
+            sum(
+                self.is_alive(name) and self.replicas[name].partition(partition).complete
+                for name in chosen
             )
-            for part, (_, there) in self.views.items()
+            for partition, (_, chosen) in self.views.items()
         }
 
 
-def test_each_part_lies_at_three_in_as_many_zones_and_is_made_up_elsewhere_when_holders_die():
-    tier = Tier()
-    tier.look(2)
-    assert len(tier.views) == PARTITIONS and set(tier.copies_whole().values()) == {3}
-    tier.claim_all("x")
-    assert len(tier.granted) == PARTITIONS
-    tier.dead.add("m1#1")
-    tier.claim_all("y")  # parts that lay there grant nothing now
-    tier.look(0.8)
-    tier.claim_all(
-        "z"
-    )  # and do again at once, with two copies, but for the few that are being made up
-    assert sum("z" in ids for ids in tier.granted.values()) >= PARTITIONS - MAX_MAKING_UP
-    tier.look(15)
-    assert set(tier.copies_whole().values()) == {3} and not any(
-        "m1#1" in there for _, there in tier.views.values()
-    )
-    tier.dead.add("m2#1")
-    tier.look(15)
-    assert set(tier.copies_whole().values()) == {3} and all(
-        "x" in ids for ids in tier.granted.values()
-    )
-    assert not tier.placing.lacking and not tier.placing.lost
-    tier.dead.add("m3#1")  # two are left: fewer than asked for, and enough
-    tier.look(5)
-    tier.claim_all("w")
-    assert (
-        sum("w" in ids for ids in tier.granted.values()) == PARTITIONS
-        and len(tier.placing.lacking) == PARTITIONS
-    )
-    tier.dead.add("m4#1")  # one alone grants nothing
-    tier.look(20)
-    tier.claim_all("v")
-    assert not any("v" in ids for ids in tier.granted.values())
-    tier.back()  # all, with their disks
-    tier.look(20)
-    assert set(tier.copies_whole().values()) == {3} and not tier.placing.unreachable
-
-
-def test_a_holder_that_lost_its_files_is_filled_again_and_never_believed_meanwhile():
-    tier = Tier(3)
-    tier.look(2)
-    tier.claim_all("x")
-    tier.holders["m2#1"] = Replica("m2#1")  # the same name with an empty folder
-    for part, (view, there) in tier.views.items():
-        tier.holders["m2#1"].begin_view(part, view, there)
-    tier.look(15)
-    assert set(tier.copies_whole().values()) == {3}
-    assert all("x" in tier.holders["m2#1"].partition(part).records for part in range(PARTITIONS))
-
-
-def test_another_leader_goes_on_with_what_one_left_sealed():
-    tier = Tier(3)
-    tier.look(2)
-    for part, (view, there) in tier.views.items():
-        assert tier.holders[there[0]].seal(part, view)
-        tier.holders[there[0]].effects.clear()
-    tier.new_leader()
-    for part, (view, there) in tier.views.items():
-        tier.placing.on_message(
-            tier.now, there[0], PartitionSealed(part, view, True), tier.views
-        )  # told until the next view begins
-    tier.look(3)
-    tier.claim_all("x")
-    assert len(tier.granted) == PARTITIONS
-
-
-def test_a_part_without_any_copy_is_said_refused_and_begins_anew_only_after_the_longest_time():
-    tier = Tier(4)
-    tier.look(2)
-    tier.claim_all("x")
-    for name in (
-        "m1#1",
-        "m2#1",
-        "m3#1",
-    ):  # three machines go with their disks, and come back under new incarnations
-        tier.dead.add(name)
-    tier.members = (tier.members[0], *(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3)))
-    for m in tier.members[1:]:
-        tier.holders[m.id] = Replica(m.id)
-    tier.tell()
-    gone = {part for part, (_, there) in tier.views.items() if "m0#1" not in there}
-    assert gone and len(gone) < PARTITIONS
-    tier.look(40)
-    assert set(tier.placing.lost) == gone
-    tier.granted = {
-        part: ids for part, ids in tier.granted.items() if part not in gone
-    }  # what it knew may run again: nobody knows
-    tier.claim_all("y")
-    assert not any("y" in tier.granted.get(part, ()) for part in gone) and len(
-        tier.granted
-    ) == PARTITIONS - len(gone)
-    tier.look(30)
-    tier.claim_all("z")
-    assert all("z" in tier.granted[part] for part in range(PARTITIONS)) and not tier.placing.lost
-
-
-def test_who_leaves_is_relieved_first_and_who_joins_takes_over_a_part():
-    tier = Tier(4)
-    tier.look(2)
-    tier.claim_all("x")
-    tier.left = ["m3"]
-    tier.look(20)
-    assert not any("m3#1" in there for _, there in tier.views.values()) and set(
-        tier.copies_whole().values()
-    ) == {3}
-    tier.left = []
-    tier.look(20)
-    assert sum("m3#1" in there for _, there in tier.views.values()) > PARTITIONS // 3
-    assert set(tier.copies_whole().values()) == {3} and len(tier.granted) == PARTITIONS
-
-
-def test_random_deaths_and_returns_lose_nothing_that_a_holder_kept():
-    for seed in range(4):
-        chance, tier = Random(seed), Tier(6)
-        tier.look(2)
-        for step in range(60):
-            name = chance.choice(tier.members).id
-            if name in tier.dead:
-                tier.dead.discard(name)
-                for part, place in tier.views.items():
-                    tier.holders[name].begin_view(part, *place)
-                tier.carry(name)
-            elif len(tier.dead) < 2:
-                tier.dead.add(name)
-            tier.look(chance.choice((0.2, 0.6, 3)))
-            tier.claim_all(f"i{step}")
-            if chance.random() < 0.1:
-                tier.new_leader()
-        tier.back()
-        tier.look(30)
-        assert set(tier.copies_whole().values()) == {3}, seed
+def settled_fleet(size: int) -> Fleet:
+    """A fleet in which each partition has its replicas."""
+    fleet = Fleet(size)
+    fleet.run(2)
+    return fleet
+
+
+def test_partitions_are_replicated_again_elsewhere_when_members_die():
+    fleet = settled_fleet(5)
+    assert len(fleet.views) == PARTITIONS
+    assert fleet.replica_counts() == {REPLICAS}
+    fleet.reserve_everywhere("x")
+    assert len(fleet.granted) == PARTITIONS
+    fleet.dead.add("m1#1")
+    fleet.reserve_everywhere("y")  # its partitions grant nothing now
+    fleet.run(0.8)
+    # They do again at once, with two replicas, but for the few that are being replicated.
+    fleet.reserve_everywhere("z")
+    assert len(fleet.partitions_that_granted("z")) >= PARTITIONS - MAX_MAKING_UP
+    fleet.run(15)
+    assert fleet.replica_counts() == {REPLICAS}
+    assert not fleet.partitions_at("m1#1")
+    fleet.dead.add("m2#1")
+    fleet.run(15)
+    assert fleet.replica_counts() == {REPLICAS}
+    assert fleet.partitions_that_granted("x") == set(fleet.granted)
+    assert not fleet.placement.lacking
+    assert not fleet.placement.lost
+
+
+def test_partitions_grant_with_the_least_replicas_and_not_with_one():
+    fleet = settled_fleet(5)
+    for dead in ("m1#1", "m2#1"):
+        fleet.dead.add(dead)
+        fleet.run(15)
+    fleet.dead.add("m3#1")
+    fleet.run(5)
+    fleet.reserve_everywhere("w")
+    assert len(fleet.partitions_that_granted("w")) == PARTITIONS
+    assert len(fleet.placement.lacking) == PARTITIONS
+    fleet.dead.add("m4#1")
+    fleet.run(20)
+    fleet.reserve_everywhere("v")
+    assert not fleet.partitions_that_granted("v")
+    fleet.revive_all()
+    fleet.run(20)
+    assert fleet.replica_counts() == {REPLICAS}
+    assert not fleet.placement.unreachable
+
+
+def test_replica_that_lost_its_files_is_filled_again_before_it_is_complete():
+    fleet = settled_fleet(3)
+    fleet.reserve_everywhere("x")
+    emptied = fleet.replicas["m2#1"] = Replica("m2#1")
+    for partition, view in fleet.views.items():
+        emptied.begin_view(partition, *view)
+    fleet.run(15)
+    assert fleet.replica_counts() == {REPLICAS}
+    assert all("x" in emptied.partition(number).records for number in range(PARTITIONS))
+
+
+def test_new_leader_goes_on_with_partitions_that_its_predecessor_sealed():
+    fleet = settled_fleet(3)
+    for partition, (view, chosen) in fleet.views.items():
+        primary = fleet.replicas[chosen[0]]
+        assert primary.seal(partition, view)
+        primary.effects.clear()
+    fleet.change_leader()
+    # A sealed primary says so until the next view begins.
+    for partition, (view, chosen) in fleet.views.items():
+        fleet.tell_leader(chosen[0], PartitionSealed(partition, view, True))
+    fleet.run(3)
+    fleet.reserve_everywhere("x")
+    assert len(fleet.granted) == PARTITIONS
+
+
+def test_partition_without_any_replica_grants_nothing_until_the_longest_time_has_passed():
+    fleet = settled_fleet(4)
+    fleet.reserve_everywhere("x")
+    # Three machines lose their disks, and come back under new incarnations.
+    fleet.dead |= {"m1#1", "m2#1", "m3#1"}
+    reborn = tuple(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3))
+    fleet.members = (fleet.members[0], *reborn)
+    for member in reborn:
+        fleet.replicas[member.id] = Replica(member.id)
+    fleet.tell_capabilities()
+    lost = set(fleet.views) - set(fleet.partitions_at("m0#1"))
+    assert 0 < len(lost) < PARTITIONS
+    fleet.run(40)
+    assert set(fleet.placement.lost) == lost
+    # Nobody knows what was granted in a lost partition: it may run again.
+    for partition in lost:
+        del fleet.granted[partition]
+    fleet.reserve_everywhere("y")
+    assert not fleet.partitions_that_granted("y") & lost
+    assert len(fleet.granted) == PARTITIONS - len(lost)
+    fleet.run(30)
+    fleet.reserve_everywhere("z")
+    assert len(fleet.partitions_that_granted("z")) == PARTITIONS
+    assert not fleet.placement.lost
+
+
+def test_member_that_leaves_is_relieved_and_one_that_joins_takes_partitions():
+    fleet = settled_fleet(4)
+    fleet.reserve_everywhere("x")
+    fleet.leaving = ["m3"]
+    fleet.run(20)
+    assert not fleet.partitions_at("m3#1")
+    assert fleet.replica_counts() == {REPLICAS}
+    fleet.leaving = []
+    fleet.run(20)
+    assert len(fleet.partitions_at("m3#1")) > PARTITIONS // 3
+    assert fleet.replica_counts() == {REPLICAS}
+    assert len(fleet.granted) == PARTITIONS
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_random_deaths_and_returns_lose_no_granted_key(seed):
+    random, fleet = Random(seed), settled_fleet(6)
+    for step in range(60):
+        member = random.choice(fleet.members).id
+        if member in fleet.dead:
+            fleet.revive(member)
+        elif len(fleet.dead) < 2:
+            fleet.dead.add(member)
+        fleet.run(random.choice((0.2, 0.6, 3)))
+        fleet.reserve_everywhere(f"i{step}")
+        if random.random() < 0.1:
+            fleet.change_leader()
+    fleet.revive_all()
+    fleet.run(30)
+    assert fleet.replica_counts() == {REPLICAS}
--- a/tests/fleet/test_unavailability.py
+++ b/tests/fleet/test_unavailability.py
@@ -1,54 +1,87 @@
 """When the leader sees that a balancer that was out is back."""
 
-from cypresswalk.agreement.messages import Member as One
+from collections.abc import Collection
+
+import pytest
+
+from cypresswalk.agreement.messages import Member
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
+from cypresswalk.model import SECOND
 
+MEMBERS = [Member("n0#1", True, "", ""), Member("n1#1", True, "", "")]
+GRANT = ("n1 (call)", 7, "drained")
+LATER_GRANT = ("n1 (call)", 8, "drained")
 
-def test_a_slot_is_free_only_after_a_report_sent_once_its_grant_has_expired():
-    second, granted, names = 10**9, ("n1 (call)", 7, "drained"), {"n0", "n1"}
-    places = UnavailabilityTracker(5 * second)
 
-    def tend(now, away=granted, begun=(), waiting=()):
-        out = places.unavailable(
-            now, [One("n0#1", True, "", ""), One("n1#1", True, "", "")], [], [], []
-        )
-        return places.next_ended(
-            now, {"n1": away} if away else {}, begun, waiting, set(out) - {"n0"}, names
+class Leader:
+    """A leader's tracker, with n1 out by a grant."""
+
+    def __init__(self) -> None:
+        """Start as a new leader does, which has heard nobody."""
+        self.tracker = UnavailabilityTracker(5 * SECOND)
+        self.present = {"n0", "n1"}
+
+    def ended_grant(
+        self,
+        at_s: int,
+        grant: tuple[str, int, str] = GRANT,
+        changing: Collection[str] = (),
+        waiting: Collection[str] = (),
+    ) -> tuple[str, tuple[str, int, str]] | None:
+        """The balancer whose grant has ended, with that grant."""
+        now = at_s * SECOND
+        unavailable = set(self.tracker.unavailable(now, MEMBERS, [], [], [])) - {"n0"}
+        return self.tracker.next_ended(
+            now, {"n1": grant}, changing, waiting, unavailable, self.present
         )
 
-    assert set(places.unavailable(0, [One("n1#1", True, "", "")], [], [], [])) == {
-        "n1"
-    }  # a new leader knows nobody
-    assert tend(0) is None
-    places.on_lease_granted(second, "n1#1", 10)
-    places.on_readiness(
-        4 * second, "n1#1", True, 10
-    )  # said before it went out, four seconds on the way
-    assert tend(4 * second) is None
-    places.on_lease_granted(4 * second, "n1#1", 11)
-    places.on_readiness(5 * second, "n1#1", False, 11)  # it did go
-    assert tend(5 * second) is None
-    places.on_lease_granted(6 * second, "n1#1", 12)
-    places.on_readiness(7 * second, "n1#1", True, 12)
-    assert tend(7 * second) == ("n1", granted)
-    again = (
-        "n1 (call)",
-        8,
-        "drained",
-    )  # it asked anew meanwhile: another grant, nothing known of it
-    assert tend(8 * second, again) is None
-    # A release: the old process is ready all the while, and its words say nothing of the new one.
-    places = UnavailabilityTracker(5 * second)
-    assert tend(0, waiting={"n1"}) is None and tend(9 * second, begun={"n1"}) is None
-    places.on_lease_granted(9 * second, "n1#1", 20)
-    places.on_readiness(9 * second, "n1#1", True, 20)
-    assert tend(10 * second) is None
-    places.on_readiness(10 * second, "n1#1", True, 20)
-    assert tend(10 * second) is None
-    places.on_lease_granted(10 * second, "n1#1", 21)
-    places.on_readiness(10 * second, "n1#1", True, 21)
-    assert tend(10 * second) == ("n1", granted)
-    # Its machine is gone: another takes its name, or it leaves.
-    places = UnavailabilityTracker(5 * second)
-    names.discard("n1")
-    assert tend(0) == ("n1", granted)
+    def grant_lease(self, at_s: int, number: int) -> None:
+        """Note that n1 was granted a lease."""
+        self.tracker.on_lease_granted(at_s * SECOND, "n1#1", number)
+
+    def hear_readiness(self, at_s: int, ready: bool, last_lease: int) -> None:
+        """Note what n1 said, which it sent when it had that lease."""
+        self.tracker.on_readiness(at_s * SECOND, "n1#1", ready, last_lease)
+
+
+@pytest.fixture
+def leader() -> Leader:
+    """A leader that has just begun."""
+    return Leader()
+
+
+def test_member_that_a_new_leader_has_not_heard_is_unavailable(leader):
+    assert set(leader.tracker.unavailable(0, MEMBERS[1:], [], [], [])) == {"n1"}
+
+
+def test_grant_ends_with_readiness_that_was_sent_after_the_grant_expired(leader):
+    assert leader.ended_grant(0) is None
+    leader.grant_lease(1, 10)
+    leader.hear_readiness(4, ready=True, last_lease=10)  # sent before it went out
+    assert leader.ended_grant(4) is None
+    leader.grant_lease(4, 11)
+    leader.hear_readiness(5, ready=False, last_lease=11)  # now it is out
+    assert leader.ended_grant(5) is None
+    leader.grant_lease(6, 12)
+    leader.hear_readiness(7, ready=True, last_lease=12)
+    assert leader.ended_grant(7) == ("n1", GRANT)
+    assert leader.ended_grant(8, LATER_GRANT) is None
+
+
+def test_grant_of_a_release_ends_with_readiness_of_the_new_process(leader):
+    """The old process is ready all the while, and says nothing of the new one."""
+    assert leader.ended_grant(0, waiting={"n1"}) is None
+    assert leader.ended_grant(9, changing={"n1"}) is None
+    leader.grant_lease(9, 20)
+    leader.hear_readiness(9, ready=True, last_lease=20)
+    assert leader.ended_grant(10) is None
+    leader.hear_readiness(10, ready=True, last_lease=20)
+    assert leader.ended_grant(10) is None
+    leader.grant_lease(10, 21)
+    leader.hear_readiness(10, ready=True, last_lease=21)
+    assert leader.ended_grant(10) == ("n1", GRANT)
+
+
+def test_grant_of_a_member_that_is_gone_ends_at_once(leader):
+    leader.present.discard("n1")
+    assert leader.ended_grant(0) == ("n1", GRANT)
