--- a/tests/copies/test_partition_placement.py
+++ b/tests/copies/test_partition_placement.py
@@ -2,21 +2,33 @@
 
 from cypresswalk.copies.placement import PARTITIONS, choose_replicas, partition_of
 
+ZONES = 4
+REPLICAS = 3
+MEMBERS = {f"m{i}": f"z{i % ZONES}" for i in range(20)}
+KEYS = 6400
 
-def test_parts_lie_in_as_many_zones_as_there_are_and_who_leaves_takes_only_its_own_along():
-    members = {f"m{i}": f"z{i % 4}" for i in range(20)}
-    before = {part: choose_replicas(part, members, 3) for part in range(PARTITIONS)}
-    assert all(len({members[m] for m in found}) == 3 for found in before.values())
-    gone = "m7"
-    after = {
-        part: choose_replicas(part, {m: z for m, z in members.items() if m != gone}, 3)
-        for part in range(PARTITIONS)
-    }
-    assert all(
-        after[part] == before[part] for part in range(PARTITIONS) if gone not in before[part]
-    )
-    assert choose_replicas(1, {"a": "z", "b": "z"}, 3) in (("a", "b"), ("b", "a"))
-    counts = [
-        sum(partition_of(f"{i:016x}") == part for i in range(6400)) for part in range(PARTITIONS)
-    ]
-    assert min(counts) > 50 and max(counts) < 160
+
+def test_replicas_stand_in_different_zones():
+    for partition in range(PARTITIONS):
+        chosen = choose_replicas(partition, MEMBERS, REPLICAS)
+        assert len({MEMBERS[name] for name in chosen}) == REPLICAS
+
+
+def test_replicas_stand_in_one_zone_if_there_is_no_other():
+    chosen = choose_replicas(1, {"a": "z", "b": "z"}, REPLICAS)
+    assert chosen in (("a", "b"), ("b", "a"))
+
+
+def test_member_that_leaves_moves_only_its_own_partitions():
+    remaining = {name: zone for name, zone in MEMBERS.items() if name != "m7"}
+    for partition in range(PARTITIONS):
+        before = choose_replicas(partition, MEMBERS, REPLICAS)
+        if "m7" not in before:
+            assert choose_replicas(partition, remaining, REPLICAS) == before
+
+
+def test_keys_are_spread_over_all_partitions():
+    partitions = [partition_of(f"{number:016x}") for number in range(KEYS)]
+    counts = [partitions.count(partition) for partition in range(PARTITIONS)]
+    assert min(counts) > KEYS / PARTITIONS * 0.5
+    assert max(counts) < KEYS / PARTITIONS * 1.6
--- a/tests/copies/test_record_log.py
+++ b/tests/copies/test_record_log.py
@@ -1,84 +1,126 @@
-"""The stored log of a replica: what is read back, torn batches, damage and removal of expired files."""
+"""The stored log of a replica: what is read back, torn batches, damage and expired files."""
 
 from random import Random
 
 import pytest
 
 from cypresswalk.copies import store
-from cypresswalk.copies.effects import WriteChange
+from cypresswalk.copies.effects import StoredChange, WriteChange
 from cypresswalk.copies.errors import DataLostError
-from cypresswalk.copies.messages import (
-    RecordStored,
-    ReservationRecord,
-    ViewBegun,
-    ViewSealed,
-)
+from cypresswalk.copies.messages import RecordStored, ReservationRecord, ViewBegun, ViewSealed
 from cypresswalk.copies.replica import Replica
 from cypresswalk.copies.store import RecordLog
 from cypresswalk.lab.cluster.virtual import MemoryDisk
 
+MEMBER = "a#1"
+BOOT = 1
+PARTITION = 0
 
-def kept(ident: str, until: int = 100) -> RecordStored:
-    return RecordStored(0, ReservationRecord(ident, "n1", until, "out"))
 
+def record_stored(key: str) -> RecordStored:
+    """The change by which a pending reservation is stored."""
+    return RecordStored(PARTITION, ReservationRecord(key, "n1", 100, "out"))
 
-def test_what_a_holder_wrote_is_read_back_a_torn_batch_goes_and_damage_counts_as_loss():
-    disk = MemoryDisk(Random(1))
-    log = RecordLog(disk)
-    log.begin("a#1", 1, [])
-    log.write([ViewBegun(0, 1, ("a#1",), True), kept("x")], list)
-    first = len(disk.files["copies.1"][0])
-    log.write([kept("y"), ViewSealed(0, 1)], list)
-    whole, inode = disk.files["copies.1"]
-    written = RecordLog(disk).load("a#1", (1,), print)
-    assert written == [ViewBegun(0, 1, ("a#1",), True), kept("x"), kept("y"), ViewSealed(0, 1)]
-    holder = Replica("a#1")
-    holder.restore(written)
-    assert (
-        holder.partition(0).complete
-        and holder.partition(0).sealed
-        and set(holder.partition(0).records) == {"x", "y"}
-    )
-    for cut in range(first, len(whole), 7):
-        disk.files["copies.1"] = whole[:cut], inode
-        assert kept("x") in RecordLog(disk).load("a#1", (1,), lambda text: None)
-    for at in range(
-        len(whole)
-    ):  # one byte wrong anywhere: never believed, and never shortened to what passes for whole
-        disk.files["copies.1"] = whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :], inode
+
+def reread(disk: MemoryDisk, member: str = MEMBER, boot: int = BOOT) -> list[StoredChange]:
+    """What another process reads from the disk."""
+    return RecordLog(disk).load(member, (boot,), lambda text: None)
+
+
+class StoredBatches:
+    """A log of two batches whose bytes a test may change."""
+
+    FILE = "copies.1"
+    FIRST = (ViewBegun(PARTITION, 1, (MEMBER,), True), record_stored("x"))
+    SECOND = (record_stored("y"), ViewSealed(PARTITION, 1))
+
+    def __init__(self) -> None:
+        """Write both batches."""
+        self.disk = MemoryDisk(Random(1))
+        log = RecordLog(self.disk)
+        log.begin(MEMBER, BOOT, [])
+        log.write(list(self.FIRST), list)
+        self.end_of_first = len(self.disk.files[self.FILE][0])
+        log.write(list(self.SECOND), list)
+        self.data, self.inode = self.disk.files[self.FILE]
+
+    def replace(self, data: bytes) -> None:
+        """Give the file other bytes."""
+        self.disk.files[self.FILE] = data, self.inode
+
+
+@pytest.fixture
+def batches() -> StoredBatches:
+    """A log of two batches."""
+    return StoredBatches()
+
+
+def test_written_changes_are_read_back(batches):
+    written = reread(batches.disk)
+    assert written == [*batches.FIRST, *batches.SECOND]
+    replica = Replica(MEMBER)
+    replica.restore(written)
+    partition = replica.partition(PARTITION)
+    assert partition.complete
+    assert partition.sealed
+    assert set(partition.records) == {"x", "y"}
+
+
+def test_a_torn_batch_loses_nothing_of_those_before_it(batches):
+    for end in range(batches.end_of_first, len(batches.data), 7):
+        batches.replace(batches.data[:end])
+        assert record_stored("x") in reread(batches.disk)
+
+
+def test_a_changed_byte_anywhere_counts_as_data_loss(batches):
+    data = batches.data
+    for offset in range(len(data)):
+        batches.replace(data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :])
         with pytest.raises(DataLostError):
-            RecordLog(disk).load("a#1", (1,), print)
-    disk.files["copies.1"] = whole, inode
-    for member, boots in (("a#2", (1,)), ("a#1", (2,))):
-        with pytest.raises(DataLostError, match="not of a#"):
-            RecordLog(disk).load(member, boots, print)
+            reread(batches.disk)
+
+
+@pytest.mark.parametrize("member, boot", [("a#2", BOOT), (MEMBER, 2)])
+def test_the_log_of_another_incarnation_or_start_counts_as_data_loss(batches, member, boot):
+    with pytest.raises(DataLostError, match="not of a#"):
+        reread(batches.disk, member, boot)
 
 
-def test_files_go_once_all_in_them_has_been_held_for_its_time_and_a_failed_flush_ends_the_log(
-    monkeypatch,
-):
+def write_expiring_records(log: RecordLog, replica: Replica, count: int) -> None:
+    """Reserve and write keys i1, i2, ..., each of which expires at its number."""
+    log.begin(MEMBER, BOOT, [])
+    for expiry in range(1, count + 1):
+        replica.reserve(0, PARTITION, f"i{expiry}", "n1", expiry, None)
+        effects = replica.take_effects()
+        changes = [effect.change for effect in effects if isinstance(effect, WriteChange)]
+        log.write(changes, replica.statuses)
+
+
+def test_files_are_removed_once_all_in_them_has_expired(monkeypatch):
     monkeypatch.setattr(store, "SEGMENT_BYTES", 200)
     disk = MemoryDisk(Random(1))
-    log, holder = RecordLog(disk), Replica("a#1")
-    holder.fetch(0, 1, "")
-    holder.begin_view(0, 1, ("a#1",))
-    log.begin("a#1", 1, [])
-    for until in range(1, 41):
-        holder.reserve(0, 0, f"i{until}", "n1", until, None)
-        changes = [e.change for e in holder.effects if isinstance(e, WriteChange)]
-        log.write(changes, holder.statuses)
-        holder.effects.clear()
+    log, replica = RecordLog(disk), Replica(MEMBER)
+    replica.fetch(PARTITION, 1, "")
+    replica.begin_view(PARTITION, 1, (MEMBER,))
+    write_expiring_records(log, replica, 40)
     assert len(log.numbers()) > 5
     log.drop_expired(30)
-    again = Replica("a#1")
-    again.restore(RecordLog(disk).load("a#1", (1,), print))
-    assert {f"i{n}" for n in range(30, 41)} <= set(
-        again.partition(0).records
-    ) and "i1" not in again.partition(0).records
-    assert again.partition(0).complete and again.partition(0).replicas == ("a#1",)
+    restored = Replica(MEMBER)
+    restored.restore(reread(disk))
+    partition = restored.partition(PARTITION)
+    assert {f"i{expiry}" for expiry in range(30, 41)} <= set(partition.records)
+    assert "i1" not in partition.records
+    assert partition.complete
+    assert partition.replicas == (MEMBER,)
+
+
+def test_a_log_takes_nothing_more_after_a_failed_write():
+    disk = MemoryDisk(Random(1))
+    log, replica = RecordLog(disk), Replica(MEMBER)
+    log.begin(MEMBER, BOOT, [])
     disk.failing = True
     with pytest.raises(OSError):
-        log.write([kept("z")], holder.statuses)
+        log.write([record_stored("z")], replica.statuses)
     disk.failing = False
     with pytest.raises(OSError, match="an earlier write failed"):
-        log.write([kept("z")], holder.statuses)
+        log.write([record_stored("z")], replica.statuses)
--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -1,121 +1,193 @@
 """One replica, or a few, by hand: views, reservations and their outcomes."""
 
-from cypresswalk.copies.effects import AnswerRequest, SendMessage, WriteChange
-from cypresswalk.copies.messages import (
-    ViewBegun,
-)
+import pytest
+
+from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, WriteChange
+from cypresswalk.copies.messages import ViewBegun
 from cypresswalk.copies.partition import Partition
 from cypresswalk.copies.replica import Replica
 from cypresswalk.copies.reservations import ReservationAnswer
 
+PARTITION = 0
+# Wall time until which reservations are held, in nanoseconds, where they are not to expire.
+NEVER = 1 << 50
 
-def test_one_that_was_away_for_a_view_is_not_whole_though_it_held_the_part_before():
-    away = Replica("b")
-    away.fetch(0, 1, "")
-    away.begin_view(0, 1, ("a", "b"))
-    away.begin_view(0, 3, ("b", "a"))  # the second, in which others granted, it never heard of
-    away.effects.clear()
-    away.reserve(0, 0, "x", "n1", 10, "t")
-    assert away.effects == [
-        AnswerRequest("t", ReservationAnswer("again", reason="not the primary of that part now"))
-    ]
-    restored = Replica("b")
-    restored.restore([ViewBegun(0, 1, ("a", "b"), True), ViewBegun(0, 3, ("b", "a"), False)])
-    assert not restored.partition(0).complete and not restored.seal(0, 3)
-
-
-def test_one_that_lost_its_disk_does_not_begin_a_view_that_is_agreed_with_nothing():
-    again = Replica("b")  # the same name, an empty folder
-    again.begin_view(0, 1, ("b", "a"))
-    again.fetch(0, 1, "")
-    again.reserve(0, 0, "x", "n1", 10, "t")
-    assert (
-        not again.partition(0).complete
-        and again.effects[-1].answer.result == "again"
-        and not again.seal(0, 1)
+
+def replica_in_first_view(name: str, members: tuple[str, ...], **limits: int) -> Replica:
+    """A complete replica of a partition whose first view has begun."""
+    replica = Replica(name, **limits)
+    replica.fetch(PARTITION, 1, "")
+    replica.begin_view(PARTITION, 1, members)
+    replica.effects.clear()
+    return replica
+
+
+def answer(token: object, result: str, owner: str = "", outcome: str = "") -> AnswerRequest:
+    """The effect by which a request is answered."""
+    return AnswerRequest(token, ReservationAnswer(result, owner, outcome))
+
+
+def message_to(receiver: str, effects: list[Effect]) -> SendMessage:
+    """The first message to a replica among some effects."""
+    return next(
+        effect
+        for effect in effects
+        if isinstance(effect, SendMessage) and effect.receiver == receiver
     )
 
 
-def test_ids_beyond_the_bound_are_refused_and_none_is_dropped_before_its_time():
-    holder = Replica("a", max_records=5)
-    holder.fetch(0, 1, "")
-    holder.begin_view(0, 1, ("a",))
+def test_replica_that_missed_a_view_is_not_complete_in_the_next():
+    """In the view that it missed others may have granted keys."""
+    replica = replica_in_first_view("b", ("a", "b"))
+    replica.begin_view(PARTITION, 3, ("b", "a"))
+    replica.effects.clear()
+    replica.reserve(0, PARTITION, "x", "n1", 10, "t")
+    refusal = ReservationAnswer("again", reason="not the primary of that part now")
+    assert replica.effects == [AnswerRequest("t", refusal)]
+
+
+def test_replica_restored_with_a_missed_view_is_not_complete():
+    restored = Replica("b")
+    first_view = ViewBegun(PARTITION, 1, ("a", "b"), True)
+    third_view = ViewBegun(PARTITION, 3, ("b", "a"), False)
+    restored.restore([first_view, third_view])
+    assert not restored.partition(PARTITION).complete
+    assert not restored.seal(PARTITION, 3)
+
+
+def test_replica_that_lost_its_disk_grants_nothing_in_the_view_that_names_it():
+    emptied = Replica("b")
+    emptied.begin_view(PARTITION, 1, ("b", "a"))
+    emptied.fetch(PARTITION, 1, "")
+    emptied.reserve(0, PARTITION, "x", "n1", 10, "t")
+    assert not emptied.partition(PARTITION).complete
+    assert emptied.effects[-1].answer.result == "again"
+    assert not emptied.seal(PARTITION, 1)
+
+
+def test_keys_beyond_the_limit_are_refused_until_others_expire():
+    replica = replica_in_first_view("a", ("a",), max_records=5)
     for number in range(8):
-        holder.reserve(10, 0, f"i{number}", "n1", 20, number)
-    kinds = [e.answer.result for e in holder.effects if isinstance(e, AnswerRequest)]
-    assert kinds == ["granted"] * 5 + ["refused"] * 3 and holder.record_count == 5
-    holder.reserve(21, 0, "late", "n1", 30, 9)
-    assert holder.effects[-1].answer.result == "granted" and holder.record_count == 1
-
-
-def test_what_a_change_of_view_left_at_one_holder_alone_comes_to_all():
-    three = [Replica(name) for name in "abc"]
-    for holder in three:
-        holder.fetch(0, 1, "")
-        holder.begin_view(0, 1, ("a", "b", "c"))
-        holder.effects.clear()
-    primary, with_it, without = three
-    primary.reserve(0, 0, "x", "n1", 1 << 50, "t")
-    with_it.on_message("a", next(e.message for e in primary.effects[1:] if e.receiver == "b"))
-    for holder in three:
-        holder.begin_view(
-            0, 2, ("c", "b", "a")
-        )  # its primary never heard of that claim, nobody was granted it
-        holder.effects.clear()
-    for _ in range(4):
-        without.compare_digests(0)
-        for _ in range(20):
-            for source in three:
-                while source.effects:
-                    effect = source.effects.pop(0)
-                    if isinstance(effect, SendMessage):
-                        receiver = next(h for h in three if h.member_id == effect.receiver)
-                        receiver.on_message(source.member_id, effect.message)
-    assert [sorted(h.partition(0).records) for h in three] == [["x"]] * 3 and len(
-        {tuple(h.partition(0).digests.items()) for h in three}
-    ) == 1
-    without.reserve(0, 0, "x", "n2", 1 << 50, "t2")
-    assert without.effects[-1] == AnswerRequest("t2", ReservationAnswer("held", "n1", "out"))
-    before = dict(primary.partition(0).digests)
-    primary.state.replace(primary.partition(0), list(primary.partition(0).records.values()))
-    assert primary.partition(0).digests == before != {}
-    for holder in three:
-        holder.expire(1 << 51, holder.partition(0))
-        assert not holder.partition(0).records and not holder.partition(0).digests
-
-
-def test_the_first_has_it_the_same_one_is_told_again_and_how_it_ended_is_kept():
-    one, two = Replica("a"), Replica("b")
-    for holder in (one, two):
-        holder.fetch(0, 1, "")
-        holder.begin_view(0, 1, ("a", "b"))
-        holder.effects.clear()
-    one.reserve(0, 0, "x", "n1", 10, "t1")
-    one.reserve(0, 0, "x", "n2", 10, "t2")
-    assert one.effects.pop() == AnswerRequest("t2", ReservationAnswer("held", "n1", "out"))
-    write, send = one.effects
-    assert isinstance(write, WriteChange) and isinstance(send, SendMessage)
+        replica.reserve(10, PARTITION, f"i{number}", "n1", 20, number)
+    answers = [effect for effect in replica.effects if isinstance(effect, AnswerRequest)]
+    assert [found.answer.result for found in answers] == ["granted"] * 5 + ["refused"] * 3
+    assert replica.record_count == 5
+    replica.reserve(21, PARTITION, "late", "n1", 30, 9)
+    assert replica.effects[-1].answer.result == "granted"
+    assert replica.record_count == 1
+
+
+def deliver_all(replicas: list[Replica]) -> None:
+    """Carry out what the replicas have to do, until they have nothing more."""
+    by_name = {replica.member_id: replica for replica in replicas}
+    while any(replica.effects for replica in replicas):
+        for replica in replicas:
+            for effect in replica.take_effects():
+                if isinstance(effect, SendMessage):
+                    by_name[effect.receiver].on_message(replica.member_id, effect.message)
+
+
+@pytest.fixture
+def diverged_replicas() -> list[Replica]:
+    """Replicas a, b and c in their second view; a and b have a record that c has not.
+
+    Its primary was a, which never heard that b had it, so that nobody was granted the key.
+    """
+    replicas = [replica_in_first_view(name, ("a", "b", "c")) for name in "abc"]
+    primary, backup, _ = replicas
+    primary.reserve(0, PARTITION, "x", "n1", NEVER, "t")
+    backup.on_message("a", message_to("b", primary.effects).message)
+    for replica in replicas:
+        replica.begin_view(PARTITION, 2, ("c", "b", "a"))
+        replica.effects.clear()
+    return replicas
+
+
+def test_record_that_some_replicas_had_before_a_view_change_comes_to_all(diverged_replicas):
+    primary = diverged_replicas[2]
+    primary.compare_digests(PARTITION)
+    deliver_all(diverged_replicas)
+    partitions = [replica.partition(PARTITION) for replica in diverged_replicas]
+    assert [sorted(partition.records) for partition in partitions] == [["x"]] * 3
+    assert len({tuple(partition.digests.items()) for partition in partitions}) == 1
+    primary.reserve(0, PARTITION, "x", "n2", NEVER, "t2")
+    assert primary.effects[-1] == answer("t2", "held", "n1", "out")
+
+
+def test_digests_are_the_same_when_records_are_replaced_and_go_with_them(diverged_replicas):
+    replica = diverged_replicas[0]
+    partition = replica.partition(PARTITION)
+    before = dict(partition.digests)
+    replica.state.replace(partition, list(partition.records.values()))
+    assert partition.digests == before != {}
+    for other in diverged_replicas:
+        other.expire(NEVER * 2, other.partition(PARTITION))
+        assert not other.partition(PARTITION).records
+        assert not other.partition(PARTITION).digests
+
+
+class ReplicaPair:
+    """A primary a and its backup b; messages are carried by hand."""
+
+    def __init__(self) -> None:
+        """Start both in the first view."""
+        self.primary = replica_in_first_view("a", ("a", "b"))
+        self.backup = replica_in_first_view("b", ("a", "b"))
+
+    def replicate(self) -> None:
+        """Carry the primary's last message to the backup, and its answer back."""
+        sent = message_to("b", self.primary.take_effects())
+        self.backup.on_message("a", sent.message)
+        write, reply = self.backup.take_effects()
+        assert isinstance(write, WriteChange)
+        assert isinstance(reply, SendMessage)
+        assert reply.receiver == "a"
+        self.primary.on_message("b", reply.message)
+
+
+@pytest.fixture
+def pair() -> ReplicaPair:
+    """A primary and its backup."""
+    return ReplicaPair()
+
+
+def test_key_is_granted_to_the_first_once_the_backup_has_it(pair):
+    primary = pair.primary
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
+    primary.reserve(0, PARTITION, "x", "n2", 10, "t2")
+    assert primary.effects.pop() == answer("t2", "held", "n1", "out")
+    write, send = primary.effects
+    assert isinstance(write, WriteChange)
+    assert isinstance(send, SendMessage)
     assert send.receiver == "b"
-    one.effects.clear()
-    one.reserve(0, 0, "x", "n1", 10, "t3")
-    assert not one.effects  # not before the copy has it
-    two.on_message("a", send.message)
-    assert isinstance(two.effects[0], WriteChange) and isinstance(two.effects[1], SendMessage)
-    assert two.effects[1].receiver == "a"
-    one.on_message("b", two.effects[1].message)
-    assert one.effects == [
-        AnswerRequest("t1", ReservationAnswer("granted", "n1", "out")),
-        AnswerRequest("t3", ReservationAnswer("granted", "n1", "out")),
+    pair.replicate()
+    assert primary.effects == [answer("t1", "granted", "n1", "out")]
+
+
+def test_client_that_asks_again_is_answered_once_the_backup_has_the_key(pair):
+    primary = pair.primary
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
+    effects_of_first = list(primary.effects)
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t3")
+    assert primary.effects == effects_of_first
+    pair.replicate()
+    assert primary.effects == [
+        answer("t1", "granted", "n1", "out"),
+        answer("t3", "granted", "n1", "out"),
     ]
-    one.effects.clear()
-    one.end_reservation(0, "x", "n2", "ran", "t4")
-    assert one.effects.pop().answer.result == "refused"
-    one.end_reservation(0, "x", "n1", "ran", "t5")
-    two.on_message("a", one.effects[1].message)
-    one.on_message("b", two.effects[-1].message)
-    assert one.effects[-1] == AnswerRequest("t5", ReservationAnswer("held", "n1", "ran"))
-    one.reserve(0, 0, "x", "n1", 10, "t6")
-    assert one.effects[-1] == AnswerRequest("t6", ReservationAnswer("held", "n1", "ran"))
-    assert (
-        isinstance(one.partition(0), Partition) and two.partition(0).records["x"].outcome == "ran"
-    )
+
+
+def test_outcome_is_taken_from_the_owner_alone_and_told_to_who_asks_later(pair):
+    primary = pair.primary
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
+    pair.replicate()
+    primary.effects.clear()
+    primary.end_reservation(PARTITION, "x", "n2", "ran", "t4")
+    assert primary.effects.pop().answer.result == "refused"
+    primary.end_reservation(PARTITION, "x", "n1", "ran", "t5")
+    pair.replicate()
+    assert primary.effects[-1] == answer("t5", "held", "n1", "ran")
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t6")
+    assert primary.effects[-1] == answer("t6", "held", "n1", "ran")
+    assert isinstance(primary.partition(PARTITION), Partition)
+    assert pair.backup.partition(PARTITION).records["x"].outcome == "ran"
--- a/tests/copies/test_replication_thread.py
+++ b/tests/copies/test_replication_thread.py
@@ -1,130 +1,190 @@
 """Replication threads on disks in memory: failing disks, faults of the program, restarts."""
 
 from random import Random
+from typing import Any
+
+import pytest
 
 from cypresswalk.copies.driver import ReplicationThread
-from cypresswalk.copies.messages import (
-    FetchPartition,
-    ReserveKey,
-)
+from cypresswalk.copies.messages import FetchPartition, MessageBatch, ReserveKey
+from cypresswalk.copies.partition import Partition
 from cypresswalk.copies.placement import PARTITIONS, partition_of
 from cypresswalk.lab.cluster.virtual import MemoryDisk
-
-
-class Trio:
-    """Three drivers on disks in memory, words between them carried at once, one clock."""
-
-    def __init__(self):
-        self.now, self.names, self.told = 0, ["a#1", "b#1", "c#1"], []
-        self.disks = {name: MemoryDisk(Random(name)) for name in self.names}
-        self.copies: dict[str, ReplicationThread] = {}
-        for name in self.names:
+from cypresswalk.model import SECOND
+
+# Wall time is that much ahead of the threads' clock.
+EPOCH = 10**18
+RESERVATION_EXPIRY = 1_000 * SECOND
+CLAIM_TIMEOUT = SECOND // 2
+CLOCK_STEP = SECOND // 10
+# Rounds in which all messages of one instant have been carried.
+ROUNDS_OF_AN_INSTANT = 12
+
+
+class ReplicaGroup:
+    """Three replication threads that are run by hand, with one clock and links that lose nothing.
+
+    Attributes:
+        disks: By member.
+        threads: By member.
+        health: Who said that its replica is healthy, or is not, in order.
+    """
+
+    NAMES = ("a#1", "b#1", "c#1")
+
+    def __init__(self) -> None:
+        """Start all three, and agree on a first view of each partition."""
+        self.now = 0
+        self.health: list[tuple[str, bool]] = []
+        self.disks = {name: MemoryDisk(Random(name)) for name in self.NAMES}
+        self.threads: dict[str, ReplicationThread] = {}
+        for name in self.NAMES:
             self.start(name, 1)
-        for name in self.names:
-            self.copies[name].put(
-                "words", "a#1", [FetchPartition(part, 1, "") for part in range(PARTITIONS)]
-            )
-        self.turn()
-        for name in self.names:
-            self.place(name)
-        self.turn()
+        fetches = [FetchPartition(partition, 1, "") for partition in range(PARTITIONS)]
+        for name in self.NAMES:
+            self.threads[name].put("words", "a#1", fetches)
+        self.run()
+        for name in self.NAMES:
+            self.agree_on_views(name)
+        self.run()
 
     def start(self, name: str, boot: int) -> None:
-        self.copies[name] = ReplicationThread(
+        """Start a member's process, for the `boot`th time."""
+
+        def send(receiver: str, batch: MessageBatch) -> None:
+            self.threads[receiver].put("words", name, batch.messages)
+
+        thread = ReplicationThread(
             self.disks[name],
-            lambda: self.now,
-            lambda: self.now + 10**18,
-            lambda to, batch: self.copies[to].put("words", name, batch.messages),
-            lambda words: None,
-            lambda holds: self.told.append((name, holds)),
+            now=lambda: self.now,
+            wall=lambda: self.now + EPOCH,
+            send=send,
+            to_leader=lambda messages: None,
+            on_healthy=lambda healthy: self.health.append((name, healthy)),
         )
-        self.copies[name].put("identity", name, boot)
+        thread.put("identity", name, boot)
+        self.threads[name] = thread
 
-    def place(self, name: str) -> None:
-        self.copies[name].put(
-            "placed", {part: (1, tuple(self.names)) for part in range(PARTITIONS)}
-        )
+    def agree_on_views(self, name: str) -> None:
+        """Tell a member the first view of all partitions: all three are replicas of each."""
+        views = {partition: (1, self.NAMES) for partition in range(PARTITIONS)}
+        self.threads[name].put("placed", views)
 
-    def turn(self, seconds: float = 0.0) -> None:
-        until = self.now + int(seconds * 10**9)
+    def run(self, seconds: float = 0.0) -> None:
+        """Let time pass, at whose every instant all messages are carried."""
+        end = self.now + int(seconds * SECOND)
         while True:
-            for _ in range(12):
-                for one in self.copies.values():
-                    events = []
-                    while not one.queue.empty():
-                        events.append(one.queue.get())
-                    one.turn(events)
-            if self.now >= until:
+            for _ in range(ROUNDS_OF_AN_INSTANT):
+                for thread in self.threads.values():
+                    self.turn(thread)
+            if self.now >= end:
                 return
-            self.now += 10**8
-
-    def claim(self, name: str, ident: str) -> list:
-        told: list = []
-        self.copies[name].put(
+            self.now += CLOCK_STEP
+
+    @staticmethod
+    def turn(thread: ReplicationThread) -> None:
+        """Give a thread what waits for it."""
+        events = []
+        while not thread.queue.empty():
+            events.append(thread.queue.get())
+        thread.turn(events)
+
+    def claim(self, name: str, key: str) -> list[tuple[str, str]]:
+        """Claim a key at a member; the result and the owner follow in the list."""
+        answers: list[tuple[str, str]] = []
+        self.threads[name].put(
             "claim",
-            ident,
-            10**12,
-            self.now + 10**9 // 2,
-            lambda answer, by: told.append((answer.result, answer.owner)),
+            key,
+            RESERVATION_EXPIRY,
+            self.now + CLAIM_TIMEOUT,
+            lambda answer, by: answers.append((answer.result, answer.owner)),
         )
-        self.turn()
-        return told
-
-
-def test_a_copy_whose_disk_fails_is_no_holder_until_it_has_read_all_anew():
-    trio = Trio()
-    assert trio.claim("b#1", "x")[0][0] == "granted" and trio.claim("c#1", "x")[0][0] == "held"
-    trio.disks["c#1"].failing = True
-    told = trio.claim("b#1", "y")
-    assert told == [] and trio.told[-1] == ("c#1", False)  # not before every copy has it
-    trio.turn(1.0)
-    assert told == [("refused", "")]  # in time, whatever the holders do
-    trio.disks["c#1"].failing = False
-    trio.turn(2.0)
-    assert trio.told[-1] == ("c#1", True)
-    assert (
-        "x" in trio.copies["c#1"].replica.partition(partition_of("x")).records
-        and trio.copies["c#1"].replica.partition(partition_of("x")).complete
-    )
-    assert trio.claim("a#1", "z")[0][0] == "granted"
-    trio.turn(6.0)
-    told = [[p[1:4] + p[6:] for p in one.status()["parts"]] for one in trio.copies.values()]
-    assert told[0] == told[1] == told[2]
-    trio.start("c#1", 2)  # what was cut off once is no damage at the next start
-    trio.place("c#1")
-    trio.turn()
-    assert (
-        trio.copies["c#1"].replica.partition(partition_of("x")).complete
-        and not trio.copies["c#1"].counts["lost"]
-    )
-
-
-def test_a_fault_in_the_program_leaves_nothing_in_memory_that_is_not_on_disk(monkeypatch):
-    trio = Trio()
-    one = trio.copies["a#1"]
-    one.put("words", "b#1", [ReserveKey(1, partition_of("x"), "x", "b#1/1.1", 10**12)])
-
-    def faulty(*words):
-        one.over.set()  # the run below ends after this turn
+        self.run()
+        return answers
+
+    def partition(self, name: str, key: str) -> Partition:
+        """A member's replica of the partition that has a key."""
+        return self.threads[name].replica.partition(partition_of(key))
+
+    def damage_newest_file(self, name: str) -> None:
+        """Change one byte of the file that a member wrote last."""
+        files = self.disks[name].files
+        newest = max(file for file in files if file.startswith("copies."))
+        data, inode = files[newest]
+        files[newest] = data[:40] + bytes([data[40] ^ 1]) + data[41:], inode
+
+
+@pytest.fixture
+def group() -> ReplicaGroup:
+    """Three healthy replicas of each partition."""
+    return ReplicaGroup()
+
+
+def test_key_is_granted_once(group):
+    assert group.claim("b#1", "x")[0][0] == "granted"
+    assert group.claim("c#1", "x")[0][0] == "held"
+
+
+def test_replica_whose_disk_fails_holds_nothing_until_it_has_read_all_again(group):
+    assert group.claim("b#1", "x")[0][0] == "granted"
+    group.disks["c#1"].failing = True
+    answers = group.claim("b#1", "y")
+    assert answers == []  # not before every replica has it
+    assert group.health[-1] == ("c#1", False)
+    group.run(1.0)
+    assert answers == [("refused", "")]  # in time, whatever the replicas do
+    group.disks["c#1"].failing = False
+    group.run(2.0)
+    assert group.health[-1] == ("c#1", True)
+    assert "x" in group.partition("c#1", "x").records
+    assert group.partition("c#1", "x").complete
+    assert group.claim("a#1", "z")[0][0] == "granted"
+    group.run(6.0)
+    states = [comparable_parts(thread) for thread in group.threads.values()]
+    assert states[0] == states[1] == states[2]
+    group.start("c#1", 2)  # what its failing disk cut off is no damage at the next start
+    group.agree_on_views("c#1")
+    group.run()
+    assert group.partition("c#1", "x").complete
+    assert not group.threads["c#1"].counts["lost"]
+
+
+def comparable_parts(thread: ReplicationThread) -> list[list[Any]]:
+    """What a thread says of its partitions, but for how many records they have."""
+    return [part[1:4] + part[6:] for part in thread.status()["parts"]]
+
+
+def test_fault_of_the_program_leaves_nothing_in_memory_that_is_not_on_disk(group, monkeypatch):
+    thread = group.threads["a#1"]
+    claim = ReserveKey(1, partition_of("x"), "x", "b#1/1.1", RESERVATION_EXPIRY)
+    thread.put("words", "b#1", [claim])
+
+    def fail(*arguments: Any) -> None:
+        thread.over.set()  # the run below ends after this turn
         raise ValueError("a fault")
 
-    monkeypatch.setattr(one.log, "write", faulty)
-    one.run()
-    assert not one.healthy and not one.replica.partitions
-    assert trio.copies["b#1"].queue.empty()  # no word of what was never flushed
-
-
-def test_a_restart_finds_what_was_flushed_and_files_of_another_start_or_damaged_count_as_lost():
-    trio = Trio()
-    trio.claim("a#1", "x")
-    for boot, damage, whole in ((2, False, True), (9, False, False), (10, True, False)):
-        if damage:
-            file = max(name for name in trio.disks["b#1"].files if name.startswith("copies."))
-            data, inode = trio.disks["b#1"].files[file]
-            trio.disks["b#1"].files[file] = data[:40] + bytes([data[40] ^ 1]) + data[41:], inode
-        trio.start("b#1", boot)
-        trio.place("b#1")
-        trio.turn()
-        part = trio.copies["b#1"].replica.partition(partition_of("x"))
-        assert part.complete is whole and ("x" in part.records) is whole, boot
-        assert trio.copies["b#1"].counts["lost"] == (not whole)
+    monkeypatch.setattr(thread.log, "write", fail)
+    thread.run()
+    assert not thread.healthy
+    assert not thread.replica.partitions
+    assert group.threads["b#1"].queue.empty()  # nothing is sent that was never written
+
+
+@pytest.mark.parametrize(
+    "boot, damaged, complete",
+    [(2, False, True), (9, False, False), (2, True, False)],
+    ids=["next start", "another start", "damaged file"],
+)
+def test_restart_is_complete_only_with_undamaged_files_of_the_last_start(
+    group, boot, damaged, complete
+):
+    group.claim("a#1", "x")
+    if damaged:
+        group.damage_newest_file("b#1")
+    group.start("b#1", boot)
+    group.agree_on_views("b#1")
+    group.run()
+    partition = group.partition("b#1", "x")
+    assert partition.complete is complete
+    assert ("x" in partition.records) is complete
+    assert group.threads["b#1"].counts["lost"] == (not complete)
