--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -1,10 +1,16 @@
-"""A plain model of a fleet under a release, and deliberately broken rules for its tests."""
+"""A plain model of a fleet under a release.
 
-from dataclasses import replace
+The state machine and the leader's part are the program's; agents, balancers and what these serve
+are drawn by seed.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
 from random import Random
+from typing import Any
 
-from cypresswalk.fleet import commands, disruption_bounds
-from cypresswalk.fleet.commands import encode
+from cypresswalk.fleet import commands
+from cypresswalk.fleet.commands import Command, encode
 from cypresswalk.fleet.release_control import (
     ReleaseAction,
     ReleaseControl,
@@ -12,217 +18,268 @@
     ReleaseStep,
 )
 from cypresswalk.fleet.state_machine import StateMachine
-from cypresswalk.rollout import release
-from cypresswalk.rollout.bounds import violation_reason
+from cypresswalk.model import SECOND
 from cypresswalk.rollout.evidence import ServedCounts
-from cypresswalk.rollout.release import Plan
+from cypresswalk.rollout.release import Plan, Release
+
+MILLISECOND = SECOND // 1000
 
+OLD_VERSION = "v1"
+NEW_VERSION = "v2"
 PLAN = Plan(
-    "r1", "v1", "v2", [["n0"], ["n1", "n2"], ["n3", "n4", "n5"]], 10.0, 50, 3.0, 0.01, 1.5, 30.0
+    name="r1",
+    from_version=OLD_VERSION,
+    to_version=NEW_VERSION,
+    waves=[["n0"], ["n1", "n2"], ["n3", "n4", "n5"]],
+    hold_s=10.0,
+    min_flows=50,
+    max_hold_periods=3.0,
+    max_excess_failure_share=0.01,
+    max_setup_ratio=1.5,
+    change_timeout_s=30.0,
 )
+ZONES = {f"n{i}": f"z{i % 3}" for i in range(6)}
+MAX_OUT = 2
 
+STEP_S = 0.2
+FLOWS_OF_A_STEP = 20
+SETUP_TIME = 3 * MILLISECOND
+SLOW_SETUP_TIME = 9 * MILLISECOND
+FAILURE_PROBABILITY = 0.005
+BAD_FAILURE_PROBABILITY = 0.1
+STILL_UNHEARD_PROBABILITY = 0.7
+CHANGE_STARTS_PROBABILITY = 0.5
+CHANGE_ENDS_PROBABILITY = 0.3
+
+# Steps in which faults are drawn, and their probabilities in each of them.
+FAULTY_STEPS = 2000
+DEATH_BELOW = 0.05
+REVIVAL_BELOW = 0.09
+LEADER_CHANGE_BELOW = 0.1
+HALT_BELOW = 0.103
+RESUME_BELOW = 0.13
+MAX_DEAD = 2
+
+
+@dataclass
+class Served:
+    """What a balancer's process has answered since it began; set-up times in nanoseconds."""
+
+    established: int = 0
+    failed: int = 0
+    setup_time: int = 0
+
+    def counts(self) -> ServedCounts:
+        """In the form in which the leader hears it."""
+        return ServedCounts(self.established, 0, self.failed, self.setup_time)
 
-ZONES = {f"n{i}": f"z{i % 3}" for i in range(6)}
 
+class ModelFleet:
+    """Agents, a leader that may change, and what balancers serve, round the state machine.
 
-class Fleet:
-    """Agents, a leader that may change, and what balancers serve, round the agreed state machine."""
+    Attributes:
+        versions: What each balancer runs.
+        bad_version: Fails a tenth of its flows.
+        slow_version: Takes three times as long for a set-up.
+        dead: Balancers that do not run, and whose agents do nothing.
+        unheard: Those that a new leader has not heard yet.
+        peak_out: The most that were out at once by the release.
+        flows_of_a_step: What each balancer is sent.
+    """
 
-    def __init__(self, seed: int, most: int = 2):
-        self.chance, self.machine, self.now, self.number = Random(seed), StateMachine(), 0, 0
-        self.machine.state.settings = {"bounds": {"balancers": {"all": most}}}
-        self.leader, self.most = ReleaseControl(), most
-        self.runs = dict.fromkeys(ZONES, "v1")
-        self.served = {name: [0, 0, 0, 0] for name in ZONES}
-        self.doing: dict[str, str] = {}
-        self.bad = ""  # a version that fails a tenth of its flows
-        self.slow = ""
+    def __init__(self, seed: int) -> None:
+        """Begin the release `PLAN`."""
+        self.random = Random(seed)
+        self.machine = StateMachine()
+        self.machine.state.settings = {"bounds": {"balancers": {"all": MAX_OUT}}}
+        self.now = 0
+        self.last_command = 0
+        self.leader = ReleaseControl()
+        self.versions = dict.fromkeys(ZONES, OLD_VERSION)
+        self.targets: dict[str, str] = {}  # of changes under way
+        self.served = {name: Served() for name in ZONES}
+        self.bad_version = ""
+        self.slow_version = ""
         self.dead: set[str] = set()
-        self.unheard: set[str] = set()  # by a new leader
-        self.most_out = 0
-        self.rate = 20
-        assert self.say(commands.BeginRelease, PLAN, sorted(ZONES))[0]
+        self.unheard: set[str] = set()
+        self.peak_out = 0
+        self.flows_of_a_step = FLOWS_OF_A_STEP
+        assert self.apply(commands.BeginRelease, PLAN, sorted(ZONES))[0]
 
-    def say(self, kind, *words):
-        self.number += 1
-        return self.machine.apply(encode(kind(f"c{self.number}", "test", 0, *words)))[1]
+    def apply(self, command: type[Command], *arguments: Any) -> Any:
+        """Apply a command and return its result."""
+        self.last_command += 1
+        entry = command(f"c{self.last_command}", "test", 0, *arguments)
+        return self.machine.apply(encode(entry))[1]
 
     @property
-    def release(self):
+    def release(self) -> Release:
+        """The release, as agreed."""
         return self.machine.state.release
 
-    def other_leads(self) -> None:
-        self.leader, self.unheard = ReleaseControl(), set(ZONES)
+    @property
+    def halt_reason(self) -> str:
+        """Why nothing may go out; empty if nothing is halted."""
+        halted = self.machine.state.halted
+        return halted[2] if halted is not None else ""
+
+    @property
+    def is_halted(self) -> bool:
+        """Whether a halt is in force."""
+        return self.machine.state.halted is not None
+
+    def out(self) -> set[str]:
+        """Balancers that are out by the release."""
+        members = self.release.members
+        return {name for name, status in members.items() if status in ("out", "changing")}
+
+    def count_of(self, version: str) -> int:
+        """How many balancers run a version."""
+        return list(self.versions.values()).count(version)
+
+    def change_leader(self) -> None:
+        """Another member leads, which has heard nobody yet."""
+        self.leader = ReleaseControl()
+        self.unheard = set(ZONES)
+
+    def return_balancer(self, name: str) -> None:
+        """Return a balancer under the grant that it has."""
+        self.apply(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
+
+    def step(self) -> None:
+        """Let a fifth of a second pass."""
+        self.now += int(STEP_S * SECOND)
+        for name, version in self.versions.items():
+            if name not in self.dead:
+                self._serve(name, version)
+        unavailable = self._unavailable()
+        self._lead(unavailable)
+        for name, status in list(self.release.members.items()):
+            if name not in self.dead:
+                self._run_agent(name, status, unavailable)
+        out = self.out()
+        self.peak_out = max(self.peak_out, len(out))
+        assert len(out) <= MAX_OUT or self.dead
 
-    def step(self, seconds: float = 0.2) -> None:
-        self.now += int(seconds * 10**9)
-        for name, runs in self.runs.items():
-            if name in self.dead:
+    def _serve(self, name: str, version: str) -> None:
+        served = self.served[name]
+        for _ in range(self.flows_of_a_step):
+            is_bad = version == self.bad_version
+            failed = is_bad and self.random.random() < BAD_FAILURE_PROBABILITY
+            if failed or self.random.random() < FAILURE_PROBABILITY:
+                served.failed += 1
                 continue
-            for _ in range(self.rate):
-                failed = (
-                    runs == self.bad and self.chance.random() < 0.1 or self.chance.random() < 0.005
-                )
-                self.served[name][2 if failed else 0] += 1
-                self.served[name][3] += (
-                    0 if failed else 9_000_000 if runs == self.slow else 3_000_000
-                )
-        self.unheard = {name for name in sorted(self.unheard) if self.chance.random() < 0.7}
-        seen = dict.fromkeys(self.unheard, "has not said that it is ready") | dict.fromkeys(
-            self.dead, "not heard"
-        )
+            served.established += 1
+            served.setup_time += SLOW_SETUP_TIME if version == self.slow_version else SETUP_TIME
+
+    def _unavailable(self) -> dict[str, str]:
+        """Those that the leader takes for out, with the reason."""
+        self.unheard = {
+            name
+            for name in sorted(self.unheard)
+            if self.random.random() < STILL_UNHEARD_PROBABILITY
+        }
+        unheard = dict.fromkeys(self.unheard, "has not said that it is ready")
+        return unheard | dict.fromkeys(self.dead, "not heard")
+
+    def _lead(self, unavailable: dict[str, str]) -> None:
+        counts = {name: s.counts() for name, s in self.served.items() if name not in self.dead}
         situation = ReleaseSituation(
-            self.release,
-            self.machine.state.halted is not None,
-            {name: ServedCounts(*s) for name, s in self.served.items() if name not in self.dead},
-            set(seen),
-            set(self.machine.state.leave_grants),
-            {},
+            release=self.release,
+            halted=self.is_halted,
+            served=counts,
+            out=set(unavailable),
+            away=set(self.machine.state.leave_grants),
+            boots={},
         )
         action = self.leader.next_action(self.now, situation)
         if action is not None:
-            kind, words = {
-                ReleaseStep.GRANT_TURN: (commands.GrantTurn, (action.name, ZONES, seen, 0)),
-                ReleaseStep.PASS_WAVE: (commands.WaveObserved, (action.wave,)),
-                ReleaseStep.HALT: (commands.Halt, (action.reason,)),
-            }[action.step]
-            self.say(kind, *words)
-        for name, status in list(self.release.members.items()):
-            if name in self.dead:
-                continue
-            to = "v1" if self.release.phase == "back" else "v2"
-            if (
-                status == "out"
-                and self.chance.random() < 0.5
-                and self.say(commands.ChangeStarted, name, to, ZONES, seen)[0]
-            ):
-                self.doing[name] = to
-            elif status == "changing" and self.chance.random() < 0.3:
-                self.runs[name] = self.doing.get(name, self.runs[name])
-                self.served[name] = [0, 0, 0, 0]
-                self.say(commands.ChangeFinished, name, self.runs[name], "")
-            elif (
-                status != "changing" and name in self.machine.state.leave_grants and status != "out"
-            ):
-                self.say(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
-        changing = {
-            name for name, status in self.release.members.items() if status in ("out", "changing")
-        }
-        self.most_out = max(self.most_out, len(changing))
-        assert len(changing) <= self.most or self.dead
+            self._propose(action, unavailable)
+
+    def _propose(self, action: ReleaseAction, unavailable: dict[str, str]) -> None:
+        match action.step:
+            case ReleaseStep.GRANT_TURN:
+                self.apply(commands.GrantTurn, action.name, ZONES, unavailable, 0)
+            case ReleaseStep.PASS_WAVE:
+                self.apply(commands.WaveObserved, action.wave)
+            case ReleaseStep.HALT:
+                self.apply(commands.Halt, action.reason)
+            case _:
+                raise AssertionError(action)
+
+    def _run_agent(self, name: str, status: str, unavailable: dict[str, str]) -> None:
+        if status == "out":
+            if self.random.random() < CHANGE_STARTS_PROBABILITY:
+                self._start_change(name, unavailable)
+        elif status == "changing":
+            if self.random.random() < CHANGE_ENDS_PROBABILITY:
+                self.versions[name] = self.targets.get(name, self.versions[name])
+                self.served[name] = Served()
+                self.apply(commands.ChangeFinished, name, self.versions[name], "")
+        elif name in self.machine.state.leave_grants:
+            self.return_balancer(name)
 
-    def until(self, phases: tuple, seconds: float = 600) -> None:
-        end = self.now + int(seconds * 10**9)
-        while self.release.phase not in phases and self.now < end:
+    def _start_change(self, name: str, unavailable: dict[str, str]) -> None:
+        target = OLD_VERSION if self.release.phase == "back" else NEW_VERSION
+        if self.apply(commands.ChangeStarted, name, target, ZONES, unavailable)[0]:
+            self.targets[name] = target
+
+    def run_until(self, met: Callable[[], bool], seconds: int) -> None:
+        """Let time pass until something is met, or that many seconds from the start are over."""
+        while not met() and self.now < seconds * SECOND:
             self.step()
-        assert self.release.phase in phases, (
-            self.release,
-            self.machine.state.halted,
-            self.leader.waits_for,
-        )
+
+    def run_until_rolled_back(self, seconds: int = 600) -> None:
+        """Let time pass until the release is rolled back, within that many seconds."""
+        end = self.now // SECOND + seconds
+        self.run_until(lambda: self.release.phase == "backed", end)
+        state = (self.release, self.machine.state.halted, self.leader.waits_for)
+        assert self.release.phase == "backed", state
+
+
+def inject_random_fault(fleet: ModelFleet) -> None:
+    """Perhaps let a balancer die or return, the leader change, or a person halt or resume."""
+    draw = fleet.random.random()
+    if draw < DEATH_BELOW and len(fleet.dead) < MAX_DEAD:
+        fleet.dead.add(fleet.random.choice(sorted(ZONES)))
+        if fleet.random.random() < 0.5:
+            fleet.change_leader()  # it led
+    elif draw < REVIVAL_BELOW and fleet.dead:
+        fleet.dead.discard(fleet.random.choice(sorted(fleet.dead)))
+    elif draw < LEADER_CHANGE_BELOW:
+        fleet.change_leader()
+    elif draw < HALT_BELOW:
+        fleet.apply(commands.Halt, "by hand")
+    elif draw < RESUME_BELOW:
+        fleet.apply(commands.Resume, fleet.machine.state.halt_count)
+
+
+def assert_halt_and_bound_hold(fleet: ModelFleet, out_before: set[str], halted: bool) -> None:
+    """Nothing went out under a halt, and no more are out than the bound and the dead allow.
+
+    Args:
+        fleet: After a step.
+        out_before: Who was out before that step.
+        halted: Whether a halt was in force then.
+    """
+    out = fleet.out()
+    gone_out = out - out_before
+    if halted and fleet.is_halted and fleet.release.phase == "running":
+        assert not gone_out
+    if gone_out:
+        assert len(out | fleet.dead) <= MAX_OUT + len(fleet.dead & out)
 
 
-def a_release_among_faults(seed: int) -> None:
-    fleet = Fleet(seed)
-    halted_at = None
-    for _ in range(2000):
-        draw = fleet.chance.random()
-        if draw < 0.05 and len(fleet.dead) < 2:
-            fleet.dead.add(fleet.chance.choice(sorted(ZONES)))
-            if fleet.chance.random() < 0.5:
-                fleet.other_leads()  # it led
-        elif draw < 0.09 and fleet.dead:
-            fleet.dead.discard(fleet.chance.choice(sorted(fleet.dead)))
-        elif draw < 0.1:
-            fleet.other_leads()
-        elif draw < 0.103:
-            fleet.say(commands.Halt, "by hand")
-        elif draw < 0.13:
-            fleet.say(commands.Resume, fleet.machine.state.halt_count)
-        before = {n for n, s in fleet.release.members.items() if s in ("out", "changing")}
-        halted_at = fleet.machine.state.halted
+def play_release_among_faults(seed: int) -> ModelFleet:
+    """Play a release among faults; once they are over it must be possible to roll it back."""
+    fleet = ModelFleet(seed)
+    for _ in range(FAULTY_STEPS):
+        inject_random_fault(fleet)
+        out_before, halted = fleet.out(), fleet.is_halted
         fleet.step()
-        after = {n for n, s in fleet.release.members.items() if s in ("out", "changing")}
-        if (
-            halted_at is not None
-            and fleet.machine.state.halted is not None
-            and fleet.release.phase == "running"
-        ):
-            assert not after - before  # nothing goes out under a halt
-        if after - before:
-            assert len(after | fleet.dead) <= fleet.most + len(fleet.dead & after)
+        assert_halt_and_bound_hold(fleet, out_before, halted)
     fleet.dead.clear()
-    fleet.say(commands.RollBack, "r1")
-    fleet.until(("backed",), 900)
-    assert set(fleet.runs.values()) == {"v1"}
-
-
-def slots_are_freed_while_an_agent_works(patch):
-    """As if a grant that nobody was seen to use were free while its agent works."""
-    returned = release.returned
-
-    def careless(now, name):
-        returned(now, name)
-        now.members[name] = "old" if now.members.get(name) == "changing" else now.members.get(name)
-
-    patch.setattr(release, "returned", careless)
-    step = Fleet.step
-
-    def freeing(self, seconds=0.2):
-        for name in sorted(self.machine.state.leave_grants):
-            if self.chance.random() < 0.05:
-                self.say(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
-        step(self, seconds)
-
-    patch.setattr(Fleet, "step", freeing)
-
-
-def lost_balancers_are_not_counted(patch):
-    patch.setattr(
-        disruption_bounds,
-        "violation_reason",
-        lambda scopes, zones, granted, seen, who, heals: violation_reason(
-            scopes, zones, granted, {}, who
-        ),
-    )
-
-
-def a_halt_is_forgotten(patch):
-    may_go, next_action = release.may_go, ReleaseControl.next_action
-    patch.setattr(release, "may_go", lambda now, name, halted: may_go(now, name, False))
-    patch.setattr(
-        "cypresswalk.fleet.release_control.may_go",
-        lambda now, name, halted: may_go(now, name, False),
-    )
-    patch.setattr(
-        ReleaseControl,
-        "next_action",
-        lambda self, now, situation: next_action(self, now, replace(situation, halted=False)),
-    )
-
-
-def waves_do_not_wait(patch):
-    patch.setattr(
-        release,
-        "held",
-        lambda now, wave: setattr(now, "wave", min(now.wave + 1, len(now.plan.waves) - 1)) or "",
-    )
-    observe = ReleaseControl._observe_wave
-    patch.setattr(
-        ReleaseControl,
-        "_observe_wave",
-        lambda self, now, what, wave: (
-            observe(self, now, what, wave) or ReleaseAction(ReleaseStep.PASS_WAVE, wave=what.wave)
-        ),
-    )
-
-
-def unknown_members_are_taken_for_out(patch):
-    """As a new leader once did: who has not said anything yet is out already, and may go."""
-    patch.setattr(
-        disruption_bounds,
-        "violation_reason",
-        lambda scopes, zones, granted, seen, who, heals: violation_reason(
-            scopes, zones, granted, seen, who, who in seen
-        ),
-    )
+    fleet.apply(commands.RollBack, "r1")
+    fleet.run_until_rolled_back(900)
+    assert set(fleet.versions.values()) == {OLD_VERSION}
+    return fleet
--- /dev/null
+++ b/tests/rollout/release_mutants.py
@@ -0,0 +1,106 @@
+"""Deliberately broken rules of a release, for the model to detect."""
+
+from collections.abc import Mapping
+from dataclasses import replace
+
+import pytest
+from release_model import ModelFleet
+
+from cypresswalk.fleet import disruption_bounds
+from cypresswalk.fleet.release_control import (
+    ReleaseAction,
+    ReleaseControl,
+    ReleaseSituation,
+    ReleaseStep,
+)
+from cypresswalk.rollout import release
+from cypresswalk.rollout.bounds import Bound, violation_reason
+from cypresswalk.rollout.release import Release
+
+FREED_PROBABILITY = 0.05
+
+
+def slots_are_freed_while_an_agent_works(patch: pytest.MonkeyPatch) -> None:
+    """A grant that nobody was seen to use is free while its agent works."""
+    returned, step = release.returned, ModelFleet.step
+
+    def returned_as_old(now: Release, name: str) -> None:
+        returned(now, name)
+        if now.members.get(name) == "changing":
+            now.members[name] = "old"
+
+    def step_after_freeing(self: ModelFleet) -> None:
+        for name in sorted(self.machine.state.leave_grants):
+            if self.random.random() < FREED_PROBABILITY:
+                self.return_balancer(name)
+        step(self)
+
+    patch.setattr(release, "returned", returned_as_old)
+    patch.setattr(ModelFleet, "step", step_after_freeing)
+
+
+def lost_balancers_are_not_counted(patch: pytest.MonkeyPatch) -> None:
+    """Balancers that are out by themselves take no place of a bound."""
+
+    def without_observed(
+        scopes: Mapping[str, Bound],
+        zones: Mapping[str, str],
+        granted: Mapping[str, str],
+        observed: Mapping[str, str],
+        candidate: str,
+        heals: bool,
+    ) -> str:
+        return violation_reason(scopes, zones, granted, {}, candidate)
+
+    patch.setattr(disruption_bounds, "violation_reason", without_observed)
+
+
+def unknown_members_are_taken_for_out(patch: pytest.MonkeyPatch) -> None:
+    """Whoever has not said anything to a new leader is out already, and may go."""
+
+    def healing_observed(
+        scopes: Mapping[str, Bound],
+        zones: Mapping[str, str],
+        granted: Mapping[str, str],
+        observed: Mapping[str, str],
+        candidate: str,
+        heals: bool,
+    ) -> str:
+        return violation_reason(scopes, zones, granted, observed, candidate, candidate in observed)
+
+    patch.setattr(disruption_bounds, "violation_reason", healing_observed)
+
+
+def halts_are_ignored(patch: pytest.MonkeyPatch) -> None:
+    """Neither the leader nor the state machine heeds a halt."""
+    may_go, next_action = release.may_go, ReleaseControl.next_action
+
+    def may_go_despite_halt(now: Release, name: str, halted: bool) -> str:
+        return may_go(now, name, False)
+
+    def next_action_despite_halt(
+        self: ReleaseControl, now: int, situation: ReleaseSituation
+    ) -> ReleaseAction | None:
+        return next_action(self, now, replace(situation, halted=False))
+
+    patch.setattr(release, "may_go", may_go_despite_halt)
+    patch.setattr("cypresswalk.fleet.release_control.may_go", may_go_despite_halt)
+    patch.setattr(ReleaseControl, "next_action", next_action_despite_halt)
+
+
+def waves_are_not_observed(patch: pytest.MonkeyPatch) -> None:
+    """The next wave begins as soon as one is changed."""
+    observe_wave = ReleaseControl._observe_wave
+
+    def pass_any_wave(now: Release, wave: int) -> str:
+        now.wave = min(now.wave + 1, len(now.plan.waves) - 1)
+        return ""
+
+    def observe_or_pass(
+        self: ReleaseControl, now: int, current: Release, wave: list[str]
+    ) -> ReleaseAction:
+        action = observe_wave(self, now, current, wave)
+        return action or ReleaseAction(ReleaseStep.PASS_WAVE, wave=current.wave)
+
+    patch.setattr(release, "held", pass_any_wave)
+    patch.setattr(ReleaseControl, "_observe_wave", observe_or_pass)
--- a/tests/rollout/test_bounds.py
+++ b/tests/rollout/test_bounds.py
@@ -7,9 +7,23 @@
 from cypresswalk.rollout import bounds
 from cypresswalk.rollout.bounds import max_unavailable, violation_reason
 
+ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
+ALL_AND_ZONE = {"all": 3, "zone": 1}
+ONE_OF_ALL = {"all": 1}
+TWO_LOST = {"b1": "not ready", "b2": "not heard"}
+SHARED_SETTINGS = {
+    "serviceTypes": PARAMS["serviceTypes"],
+    "limits": PARAMS["limits"],
+    "rules": PARAMS["rules"],
+    "deductions": {},
+    "extra": PARAMS["extra"],
+    "tenants": PARAMS["tenants"],
+    "instances": 1,
+}
+
 
 @pytest.mark.parametrize(
-    "bound, of, may",
+    "bound, total, expected",
     [
         (2, 10, 2),
         ({"share": 0.34}, 10, 3),
@@ -20,63 +34,68 @@
         ({"share": 0.3}, 10, 3),
     ],
 )
-def test_a_bound_is_a_number_or_a_share_rounded_down(bound, of, may):
-    assert max_unavailable(bound, of) == may
+def test_bound_is_a_number_or_a_share_rounded_down(bound, total, expected):
+    assert max_unavailable(bound, total) == expected
 
 
-def test_every_wrong_bound_is_named_and_none_comes_into_force():
-    wrong = {
+@pytest.fixture
+def objection_to_invalid_bounds() -> str:
+    """What is said against settings in which five bounds are invalid."""
+    invalid = {
         "balancers": {"all": 0, "zone": {"share": 2}, "odd": 1},
         "servers": {"all": {"share": 0.5, "least": -1}},
         "clients": {},
     }
-    said = objection(
-        PARAMS,
-        {
-            "serviceTypes": PARAMS["serviceTypes"],
-            "limits": PARAMS["limits"],
-            "rules": PARAMS["rules"],
-            "deductions": {},
-            "extra": PARAMS["extra"],
-            "tenants": PARAMS["tenants"],
-            "instances": 1,
-            "bounds": wrong,
-        },
-    )
-    for place in (
-        "balancers.all",
-        "balancers.zone",
-        "balancers.odd",
-        "servers.all",
-        "bounds.clients",
-    ):
-        assert place in said
-    assert not bounds.objection(
-        {"balancers": {"all": 1}, "servers": {"zone": {"share": 0.5, "least": 1}}}
-    )
-
-
-def test_each_zone_and_all_members_have_a_bound_and_lost_members_count():
-    zones = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
-    scopes = {"all": 3, "zone": 1}
-    assert not violation_reason(scopes, zones, {"a1": "drained"}, {}, "b1")
-    assert "of zone a" in violation_reason(scopes, zones, {}, {"a1": "not heard"}, "a2")
-    assert not violation_reason(
-        scopes, zones, {}, {"a1": "not heard"}, "a1"
-    )  # out already: no further place
-    assert violation_reason(
-        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "a1"
-    ).startswith("2 of 5 are out and 1 may be: b1 (not ready)")
-    assert violation_reason(
-        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1"
-    )  # it may come back just before it goes
-    assert not violation_reason(
-        {"all": 1}, zones, {}, {"b1": "not ready", "b2": "not heard"}, "b1", heals=True
-    )
-    assert violation_reason(
-        {"all": 1}, zones, {"a1": "drained"}, {"b1": "not ready"}, "b1", heals=True
-    )
-    assert violation_reason(
-        {"zone": {"share": 0.5}}, {"only": "z"}, {}, {}, "only"
-    )  # a zone of one: half of it is none
-    assert not violation_reason({"zone": {"share": 0.5, "least": 1}}, {"only": "z"}, {}, {}, "only")
+    return objection(PARAMS, SHARED_SETTINGS | {"bounds": invalid})
+
+
+@pytest.mark.parametrize(
+    "field",
+    ["balancers.all", "balancers.zone", "balancers.odd", "servers.all", "bounds.clients"],
+)
+def test_every_invalid_bound_is_named(objection_to_invalid_bounds, field):
+    assert field in objection_to_invalid_bounds
+
+
+def test_valid_bounds_are_accepted():
+    valid = {"balancers": {"all": 1}, "servers": {"zone": {"share": 0.5, "least": 1}}}
+    assert not bounds.objection(valid)
+
+
+def test_each_zone_has_a_bound_of_its_own():
+    assert not violation_reason(ALL_AND_ZONE, ZONES, {"a1": "drained"}, {}, "b1")
+
+
+def test_lost_members_count_against_the_bound():
+    violation = violation_reason(ALL_AND_ZONE, ZONES, {}, {"a1": "not heard"}, "a2")
+    assert "of zone a" in violation
+
+
+def test_violation_names_how_many_are_out_and_who():
+    violation = violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "a1")
+    assert violation.startswith("2 of 5 are out and 1 may be: b1 (not ready)")
+
+
+def test_member_that_is_out_already_takes_no_further_place():
+    assert not violation_reason(ALL_AND_ZONE, ZONES, {}, {"a1": "not heard"}, "a1")
+
+
+def test_lost_member_violates_a_bound_that_others_exceed():
+    """It may come back just before it goes out."""
+    assert violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1")
+
+
+def test_lost_member_may_be_healed_though_others_are_lost():
+    assert not violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1", heals=True)
+
+
+def test_lost_member_may_not_be_healed_while_another_is_out_by_a_grant():
+    granted, lost = {"a1": "drained"}, {"b1": "not ready"}
+    assert violation_reason(ONE_OF_ALL, ZONES, granted, lost, "b1", heals=True)
+
+
+def test_a_share_of_a_zone_of_one_allows_none_unless_it_has_a_least_number():
+    only = {"only": "z"}
+    at_least_one = {"zone": {"share": 0.5, "least": 1}}
+    assert violation_reason({"zone": {"share": 0.5}}, only, {}, {}, "only")
+    assert not violation_reason(at_least_one, only, {}, {}, "only")
--- a/tests/rollout/test_release_commands.py
+++ b/tests/rollout/test_release_commands.py
@@ -1,66 +1,64 @@
-"""Release commands at the state machine, and release plans read from files."""
+"""Release commands at the replicated state machine."""
 
 import pytest
-from release_model import PLAN, ZONES, Fleet
+from release_model import NEW_VERSION, PLAN, ZONES, ModelFleet
 
 from cypresswalk.fleet import commands
-from cypresswalk.refusal import CommandError
-from cypresswalk.rollout import plan as plans
-
-
-def test_a_second_release_is_refused_and_all_errors_of_a_plan_are_named(tmp_path):
-    fleet = Fleet(1)
-    ok, why = fleet.say(commands.BeginRelease, PLAN, sorted(ZONES))
-    assert not ok and "r1 by test is running" in why
-    assert fleet.say(commands.RollBack, "r0") == (False, "release r1 by test has come since")
-    assert fleet.say(commands.RollBack, "r1")[0] and fleet.release.phase == "backed"
-    assert fleet.say(commands.BeginRelease, PLAN, sorted(ZONES)) == (
-        False,
-        "name: r1 was the last one's",
-    )
-    file = tmp_path / "r.toml"
-    file.write_text(
-        'name = "x"\nsince = "v1"\nto = "v1"\nwaves = [["n0", "n9"], [], ["n0"]]\nhold_s = -1\nworse = 2\n'
-    )
-    with pytest.raises(CommandError) as refusal:
-        plans.read_plan(str(file), ZONES, {})
-    assert len(str(refusal.value).splitlines()) == 6, refusal.value
-    file.write_text('name = "x"\nsince = "v1"\nto = "v2"\nzones = ["z2"]\ncanary = 1\n')
-    assert plans.read_plan(str(file), ZONES, {})[3] == [["n2"], ["n5"], ["n0", "n3"], ["n1", "n4"]]
-    file.write_text(
-        'name = "x"\nsince = "v1"\nto = "v2"\nkind = "servers"\nempty_s = 9\nwaves = [["s1"], ["n0"]]\n'
-    )
-    with pytest.raises(CommandError) as refusal:
-        plans.read_plan(str(file), ZONES, {"s1": "0"})
-    assert "n0 is not listed; there are s1" in str(refusal.value)
-    assert plans.read_plan(str(file), ZONES, {"s1": "0", "n0": "1"})[-2:] == ["servers", 9.0]
-
-
-def test_a_failed_member_that_did_not_use_its_second_turn_stays_failed():
-    """Else the release would be back with the new version running there."""
-    fleet = Fleet(1)
-    assert (
-        fleet.say(commands.GrantTurn, "n0", ZONES, {}, 1)[0]
-        and fleet.say(commands.ChangeStarted, "n0", "v2", ZONES, {})[0]
-    )
-    fleet.say(commands.ChangeFinished, "n0", "", "its process ended")
-    assert fleet.release.members["n0"] == "failed" and fleet.machine.state.halted
-    assert fleet.say(commands.Resume, 1)[0]
-    fleet.say(commands.BalancerReturned, "n0", fleet.machine.state.leave_grants["n0"])
-    assert fleet.say(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
-    assert (
-        fleet.say(commands.BalancerReturned, "n0", fleet.machine.state.leave_grants["n0"])[0]
-        and fleet.release.members["n0"] == "failed"
-    )
-    assert (
-        fleet.say(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
-        and fleet.say(commands.RollBack, "r1")[0]
-    )
-    assert fleet.release.members["n0"] == "failed" and fleet.release.phase == "back"
-    # Again and again, or late: one that names another count of halts, or another release, changes nothing.
-    assert (
-        not fleet.say(commands.ChangeStarted, "n1", "v2", ZONES, {})[0]
-        and fleet.machine.state.halted is None
-    )
-    fleet.say(commands.Halt, "by hand")
-    assert not fleet.say(commands.Resume, 1)[0] and fleet.machine.state.halted
+
+
+@pytest.fixture
+def fleet() -> ModelFleet:
+    """A fleet in which release r1 has begun."""
+    return ModelFleet(1)
+
+
+def start_change(fleet: ModelFleet, name: str, boot: int = 1) -> None:
+    """Grant a balancer a turn, and let its agent start the change."""
+    assert fleet.apply(commands.GrantTurn, name, ZONES, {}, boot)[0]
+    assert fleet.apply(commands.ChangeStarted, name, NEW_VERSION, ZONES, {})[0]
+
+
+def test_second_release_is_rejected_while_one_is_running(fleet):
+    accepted, reason = fleet.apply(commands.BeginRelease, PLAN, sorted(ZONES))
+    assert not accepted
+    assert "r1 by test is running" in reason
+
+
+def test_rollback_of_an_earlier_release_is_rejected(fleet):
+    answer = fleet.apply(commands.RollBack, "r0")
+    assert answer == (False, "release r1 by test has come since")
+
+
+def test_release_under_the_name_of_the_last_one_is_rejected(fleet):
+    assert fleet.apply(commands.RollBack, "r1")[0]
+    assert fleet.release.phase == "backed"
+    answer = fleet.apply(commands.BeginRelease, PLAN, sorted(ZONES))
+    assert answer == (False, "name: r1 was the last one's")
+
+
+def test_failed_member_that_did_not_use_its_second_turn_stays_failed(fleet):
+    """Else the release would be rolled back with the new version running there."""
+    start_change(fleet, "n0")
+    fleet.apply(commands.ChangeFinished, "n0", "", "its process ended")
+    assert fleet.release.members["n0"] == "failed"
+    assert fleet.is_halted
+    assert fleet.apply(commands.Resume, 1)[0]
+    fleet.return_balancer("n0")
+    assert fleet.apply(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
+    grant = fleet.machine.state.leave_grants["n0"]
+    assert fleet.apply(commands.BalancerReturned, "n0", grant)[0]
+    assert fleet.release.members["n0"] == "failed"
+    assert fleet.apply(commands.GrantTurn, "n0", ZONES, {}, 2)[0]
+    assert fleet.apply(commands.RollBack, "r1")[0]
+    assert fleet.release.members["n0"] == "failed"
+    assert fleet.release.phase == "back"
+    assert not fleet.apply(commands.ChangeStarted, "n1", NEW_VERSION, ZONES, {})[0]
+    assert not fleet.is_halted
+
+
+def test_resume_that_was_sent_before_the_last_halt_is_rejected(fleet):
+    fleet.apply(commands.Halt, "first")
+    assert fleet.apply(commands.Resume, 1)[0]
+    fleet.apply(commands.Halt, "second")
+    assert not fleet.apply(commands.Resume, 1)[0]
+    assert fleet.is_halted
--- a/tests/rollout/test_release_model.py
+++ b/tests/rollout/test_release_model.py
@@ -2,89 +2,102 @@
 
 import pytest
 from release_model import (
+    MAX_OUT,
+    NEW_VERSION,
+    OLD_VERSION,
     PLAN,
-    Fleet,
-    a_halt_is_forgotten,
-    a_release_among_faults,
+    ModelFleet,
+    play_release_among_faults,
+)
+from release_mutants import (
+    halts_are_ignored,
     lost_balancers_are_not_counted,
     slots_are_freed_while_an_agent_works,
     unknown_members_are_taken_for_out,
-    waves_do_not_wait,
+    waves_are_not_observed,
 )
 
 from cypresswalk.fleet import commands
+from cypresswalk.model import SECOND
+
+# Seeds within which each mutant is detected.
+MUTANT_SEEDS = 60
+LEADER_CHANGE_PROBABILITY = 0.03
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_good_release_goes_wave_by_wave_within_the_bound_under_leader_changes(seed):
+    fleet = ModelFleet(seed)
+    while fleet.release.phase == "running" and fleet.now < 900 * SECOND:
+        before = dict(fleet.release.members)
+        fleet.step()
+        if fleet.random.random() < LEADER_CHANGE_PROBABILITY:
+            fleet.change_leader()
+        begun = [
+            name
+            for name, status in fleet.release.members.items()
+            if status != "old" and before[name] == "old"
+        ]
+        assert all(name in PLAN.waves[fleet.release.wave] for name in begun)
+    assert fleet.release.phase == "done"
+    assert set(fleet.versions.values()) == {NEW_VERSION}
+    assert fleet.peak_out <= MAX_OUT
+    assert not fleet.is_halted, fleet.halt_reason
 
 
-def test_a_good_release_goes_wave_by_wave_within_the_bound_under_leader_changes():
-    for seed in range(6):
-        fleet = Fleet(seed)
-        while fleet.release.phase == "running" and fleet.now < 900 * 10**9:
-            before = dict(fleet.release.members)
-            fleet.step()
-            if fleet.chance.random() < 0.03:
-                fleet.other_leads()
-            begun = {
-                n for n, s in fleet.release.members.items() if s != "old" and before[n] == "old"
-            }
-            assert all(name in PLAN.waves[fleet.release.wave] for name in begun)
-        assert (
-            fleet.release.phase == "done"
-            and set(fleet.runs.values()) == {"v2"}
-            and fleet.most_out <= 2
-        )
-        assert fleet.machine.state.halted is None, fleet.machine.state.halted  # no false halt
-
-
-@pytest.mark.parametrize("how", ["bad", "slow"])
-def test_a_bad_release_is_halted_in_its_first_wave_and_rolled_back(how):
-    for seed in range(4):
-        fleet = Fleet(seed)
-        setattr(fleet, how, "v2")
-        while fleet.machine.state.halted is None and fleet.now < 300 * 10**9:
-            fleet.step()
-        assert (
-            fleet.release.wave == 0
-            and list(fleet.runs.values()).count("v2") == 1
-            and "n0" in fleet.machine.state.halted[2]
-        )
-        for _ in range(50):
-            fleet.step()
-        assert list(fleet.runs.values()).count("v2") == 1  # it holds
-        assert fleet.say(commands.RollBack, "r1")[0]
-        fleet.until(("backed",))
-        assert set(fleet.runs.values()) == {"v1"}
-
-
-def test_too_few_flows_give_no_verdict_and_halt_the_release_in_the_end():
-    fleet = Fleet(1)
-    fleet.rate = 0
-    while fleet.machine.state.halted is None and fleet.now < 300 * 10**9:
+def play_bad_release(seed: int, defect: str) -> None:
+    """Play a release to a version with a defect: it must halt, hold, and roll back."""
+    fleet = ModelFleet(seed)
+    setattr(fleet, defect, NEW_VERSION)
+    fleet.run_until(lambda: fleet.is_halted, 300)
+    assert fleet.release.wave == 0
+    assert fleet.count_of(NEW_VERSION) == 1
+    assert "n0" in fleet.halt_reason
+    for _ in range(50):
         fleet.step()
-    assert fleet.release.wave == 0 and "nothing is known of wave 0" in fleet.machine.state.halted[2]
+    assert fleet.count_of(NEW_VERSION) == 1
+    assert fleet.apply(commands.RollBack, "r1")[0]
+    fleet.run_until_rolled_back()
+    assert set(fleet.versions.values()) == {OLD_VERSION}
+
+
+@pytest.mark.parametrize("defect", ["bad_version", "slow_version"])
+@pytest.mark.parametrize("seed", range(4))
+def test_bad_release_halts_in_its_first_wave_and_is_rolled_back(seed, defect):
+    play_bad_release(seed, defect)
+
+
+def test_release_without_enough_flows_halts_in_its_first_wave():
+    fleet = ModelFleet(1)
+    fleet.flows_of_a_step = 0
+    fleet.run_until(lambda: fleet.is_halted, 300)
+    assert fleet.release.wave == 0
+    assert "nothing is known of wave 0" in fleet.halt_reason
 
 
-def test_lost_members_count_a_dead_agent_halts_and_rolling_back_is_always_possible():
-    for seed in range(12):
-        a_release_among_faults(seed)
+@pytest.mark.parametrize("seed", range(12))
+def test_release_among_faults_keeps_bounds_and_halts_and_can_be_rolled_back(seed):
+    play_release_among_faults(seed)
 
 
 @pytest.mark.parametrize(
-    "mistake",
+    "mutate",
     [
         slots_are_freed_while_an_agent_works,
         lost_balancers_are_not_counted,
-        a_halt_is_forgotten,
+        halts_are_ignored,
         unknown_members_are_taken_for_out,
     ],
 )
-def test_a_deliberately_broken_rule_is_detected(mistake, monkeypatch):
-    mistake(monkeypatch)
+def test_release_mutant_is_detected(mutate, monkeypatch):
+    mutate(monkeypatch)
     with pytest.raises(AssertionError):
-        for seed in range(60):
-            a_release_among_faults(seed)
+        for seed in range(MUTANT_SEEDS):
+            play_release_among_faults(seed)
 
 
-def test_a_wave_that_is_not_observed_is_detected(monkeypatch):
-    waves_do_not_wait(monkeypatch)
+def test_wave_that_is_not_observed_is_detected(monkeypatch):
+    waves_are_not_observed(monkeypatch)
     with pytest.raises(AssertionError):
-        test_a_bad_release_is_halted_in_its_first_wave_and_rolled_back("bad")
+        for seed in range(4):
+            play_bad_release(seed, "bad_version")
