--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -5,218 +5,282 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
 
-from cluster_helpers import asked, with_rig
+from cluster_helpers import Operator, poll, with_rig
 from paths import ROOT
 
 from cypresswalk.lab.cluster.machines import Machines
-from cypresswalk.lab.cluster.plan import Plan as Plan_
+from cypresswalk.lab.cluster.plan import Plan as ClusterPlan
 from cypresswalk.lab.cluster.plan import Step
+from cypresswalk.lab.cluster.stage import Rig
 
+BALANCERS = 5
+ONE_OUT = {"balancers": {"all": 1}, "servers": {"all": 1}}
+# After which a killed balancer's lease is over and the leader counts it as lost.
+LOST_AFTER_S = 2.5
+CALL_TIMEOUT_S = 10
+SERVER_READY_TIMEOUT_S = 15
+LATE = "did not answer in time"
+NOT_SEEN_READY = "s-0 (not seen ready again)"
 
-def test_of_two_concurrent_drains_one_is_granted_and_a_lost_balancer_counts(tmp_path):
-    async def test(rig):
-        _, body = await rig.ask("n0", "show")
-        settings = body["settings"] | {"bounds": {"balancers": {"all": 1}, "servers": {"all": 1}}}
-        assert (await rig.command("n0", "offer", base=body["settings_version"], settings=settings))[
-            0
-        ] == "yes"
-        assert await rig.whole() is not None
-        admin = {name: p.admin for name, p in rig.processes.items()}
-        await ready(rig)
+Check = Callable[[Operator, Rig], Any]
+
+
+def with_bounded_cluster(tmp_path: Path, check: Check) -> None:
+    """Run a check with five balancers, of which one may be out, and as many servers."""
+
+    async def test(rig: Rig) -> None:
+        operator = Operator(rig)
+        await operator.set_bounds(ONE_OUT)
+        await operator.wait_until_nobody_is_out()
+        await check(operator, rig)
+
+    with_rig(tmp_path, test, balancers=BALANCERS, flows_per_s=0)
+
+
+async def set_down_once_leader_knows_servers(operator: Operator, name: str, server: str) -> str:
+    """Take a server out; a new leader grants nothing until most balancers have told of servers."""
+    return await poll(
+        lambda: operator.call(name, f"set-down {server}"),
+        lambda answer: LATE not in answer,
+        CALL_TIMEOUT_S,
+    )
+
+
+def test_one_of_two_concurrent_drains_is_granted_and_outlasts_a_restart(tmp_path):
+    async def check(operator: Operator, rig: Rig) -> None:
         answers = await asyncio.gather(
-            asked(admin["n3"], "drain-on"), asked(admin["n4"], "drain-on")
+            operator.call("n3", "drain-on"), operator.call("n4", "drain-on")
         )
-        assert sorted(a[:3] for a in answers) == ["ERR", "OK"], answers
-        refused = next(a for a in answers if a != "OK")
-        assert "1 of 5 are out and 1 may be" in refused and "drained" in refused
-        out = "n3" if answers[0] == "OK" else "n4"
-        assert await asked(rig.processes[out].listen, "PING") == "ERR"
-        assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
-        assert await asked(admin[out], "drain-on") == "OK"  # twice is once
-        rig.kill(out)
-        rig.start(out)  # a yes to a drain holds over a restart
+        assert sorted(answer[:3] for answer in answers) == ["ERR", "OK"], answers
+        rejection = next(answer for answer in answers if answer != "OK")
+        assert "1 of 5 are out and 1 may be" in rejection
+        assert "drained" in rejection
+        drained = "n3" if answers[0] == "OK" else "n4"
+        assert await operator.ping(drained) == "ERR"
+        assert (await operator.call("n1", "drain-on")).startswith("ERR not granted")
+        assert await operator.call(drained, "drain-on") == "OK"  # it is out already
+        rig.kill(drained)
+        rig.start(drained)
         assert await rig.whole() is not None
-        assert await asked(rig.processes[out].listen, "PING") == "ERR"
-        assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
-        assert await asked(admin[out], "drain-off") == "OK"
-        await ready(rig)
-        rig.kill("n4")  # by itself: a place that is not there any more
-        await asyncio.sleep(2.5)
-        refused = await asked(admin["n3"], "drain-on")
-        assert refused.startswith("ERR not granted") and "n4 (not heard)" in refused
-        # By force, at this one alone, recorded.
-        assert await asked(admin["n3"], "drain-on-here") == "OK"
-        assert await asked(rig.processes["n3"].listen, "PING") == "ERR"
+        assert await operator.ping(drained) == "ERR"
+        assert (await operator.call("n1", "drain-on")).startswith("ERR not granted")
+        assert await operator.call(drained, "drain-off") == "OK"
+        await operator.wait_until_nobody_is_out()
+
+    with_bounded_cluster(tmp_path, check)
+
+
+def test_lost_balancer_counts_against_the_bound_and_force_goes_beyond_it(tmp_path):
+    async def check(operator: Operator, rig: Rig) -> None:
+        rig.kill("n4")
+        await asyncio.sleep(LOST_AFTER_S)
+        rejection = await operator.call("n3", "drain-on")
+        assert rejection.startswith("ERR not granted")
+        assert "n4 (not heard)" in rejection
+        assert await operator.call("n3", "drain-on-here") == "OK"
+        assert await operator.ping("n3") == "ERR"
         _, body = await rig.ask("n0", "history")
-        assert any("by force" in record[3] and "n3" in record[3] for record in body["history"])
-        assert await asked(admin["n3"], "drain-off") == "OK"
-        # Servers: one may be out.
-        # A leader that has just begun grants nothing until most balancers have told it of servers.
-        until = time.monotonic() + 10
-        while (
-            "did not answer in time" in (said := await asked(admin["n1"], "set-down s-0"))
-            and time.monotonic() < until
-        ):
-            pass
-        assert said == "OK"
-        assert "1 of 4 are out and 1 may be: s-0" in await asked(admin["n2"], "set-down s-1")
-        assert await asked(admin["n2"], "set-up s-0") == "OK"
-        # Back, and not seen ready yet: it has its place until most balancers have.
-        assert "s-0 (not seen ready again)" in await asked(admin["n2"], "set-down s-1")
-        until = time.monotonic() + 15
-        while (said := await asked(admin["n2"], "set-down s-1")) != "OK":
-            assert (
-                "s-0 (not seen ready again)" in said or "did not answer in time" in said
-            ) and time.monotonic() < until, said
-        # A halt outranks what the bounds would allow, and leaves the way back open.
-        assert await asked(admin["n2"], "set-up s-1") == "OK"
-        await rig.do(Step(at_s=0, do="heal"))
-        assert await rig.whole() is not None
-        await ready(rig)
-        told = await asyncio.gather(
+        notes = [record[3] for record in body["history"]]
+        assert any("by force" in note and "n3" in note for note in notes)
+        assert await operator.call("n3", "drain-off") == "OK"
+
+    with_bounded_cluster(tmp_path, check)
+
+
+def test_server_that_returns_counts_as_out_until_it_is_seen_ready(tmp_path):
+    async def check(operator: Operator, rig: Rig) -> None:
+        assert await set_down_once_leader_knows_servers(operator, "n1", "s-0") == "OK"
+        assert "1 of 4 are out and 1 may be: s-0" in await operator.call("n2", "set-down s-1")
+        assert await operator.call("n2", "set-up s-0") == "OK"
+        assert NOT_SEEN_READY in await operator.call("n2", "set-down s-1")
+        end = time.monotonic() + SERVER_READY_TIMEOUT_S
+        while (answer := await operator.call("n2", "set-down s-1")) != "OK":
+            assert NOT_SEEN_READY in answer or LATE in answer, answer
+            assert time.monotonic() < end, answer
+        assert await operator.call("n2", "set-up s-1") == "OK"
+
+    with_bounded_cluster(tmp_path, check)
+
+
+def test_halt_outranks_the_bounds_under_a_new_leader_until_the_last_one_is_resumed(tmp_path):
+    async def check(operator: Operator, rig: Rig) -> None:
+        halts = await asyncio.gather(
             rig.command("n1", "halt", why="look at n4"), rig.command("n3", "halt", why="me too")
         )
-        assert [result for result, _ in told] == ["yes", "yes"] and told[0][1]["why"] == told[1][1][
-            "why"
-        ]
-        rig.kill(await rig.leader())  # whoever leads next knows of it
+        assert [result for result, _ in halts] == ["yes", "yes"]
+        assert halts[0][1]["why"] == halts[1][1]["why"]
+        rig.kill(await rig.leader())
         other = next(name for name in ("n3", "n4") if rig.processes[name].popen is not None)
-        until = time.monotonic() + 10
-        while (
-            "halted by" not in (said := await asked(admin[other], "drain-on"))
-            and time.monotonic() < until
-        ):
-            assert said.startswith("ERR")
-        assert "halted by rig: " in said and "halted by" in await asked(
-            admin[other], "set-down s-2"
-        )
-        halts = (await rig.ask(other, "status"))[1]["halts"]
-        assert (await rig.command(other, "resume", halts=halts - 1))[
-            0
-        ] == "no"  # said before the second halt, and late
-        assert (await rig.command(other, "resume", halts=halts))[0] == "yes"
-        await rig.do(Step(at_s=0, do="heal"))
-        assert await rig.whole() is not None
-        await ready(rig)
-        # Where nothing can be agreed nothing is done.
+
+        async def rejected_drain() -> str:
+            answer = await operator.call(other, "drain-on")
+            assert answer.startswith("ERR"), answer
+            return answer
+
+        rejection = await poll(rejected_drain, lambda text: "halted by" in text, CALL_TIMEOUT_S)
+        assert "halted by rig: " in rejection
+        assert "halted by" in await operator.call(other, "set-down s-2")
+        count = (await rig.ask(other, "status"))[1]["halts"]
+        # A resume that was sent before the second halt comes too late.
+        assert (await rig.command(other, "resume", halts=count - 1))[0] == "no"
+        assert (await rig.command(other, "resume", halts=count))[0] == "yes"
+        await operator.heal()
+
+    with_bounded_cluster(tmp_path, check)
+
+
+def test_isolated_balancer_drains_nothing_and_serves_on(tmp_path):
+    async def check(operator: Operator, rig: Rig) -> None:
         await rig.do(Step(at_s=0, do="isolate", who="n2"))
-        assert (await asked(admin["n2"], "drain-on")).startswith(
-            "ERR not granted: the fleet did not answer"
-        )
-        assert await asked(rig.processes["n2"].listen, "PING") == "PONG"
+        rejection = await operator.call("n2", "drain-on")
+        assert rejection.startswith("ERR not granted: the fleet did not answer")
+        assert await operator.ping("n2") == "PONG"
+
+    with_bounded_cluster(tmp_path, check)
 
-    with_rig(tmp_path, test, balancers=5, flows_per_s=0)
 
+class ReleasedCluster:
+    """Four balancers with agents, of which two may be out, under a release.
 
-async def ready(rig):
-    """Until the leader counts nobody as out."""
-    until = time.monotonic() + 15
-    while time.monotonic() < until:
-        result, body = await rig.ask(await rig.leader(), "status", span=1.0)
-        if result == "yes" and not body["seen_out"] and not body["away"]:
-            return
-        await asyncio.sleep(0.1)
-    raise AssertionError(body)
+    A release is, as the cluster tells it, a list of fields by the constants below.
+    """
 
+    PHASE = 3
+    WAVE = 4
+    MEMBERS = 5
+    MAX_OUT = 2
+    PHASE_TIMEOUT_S = 70
+    CHANGE_TIMEOUT_S = 40
 
-def test_a_release_changes_real_processes_in_waves_and_a_bad_one_is_rolled_back(tmp_path):
-    async def run():
-        rig = Machines(
-            Plan_(balancers=4, zones=2, flows_per_s=120, agents=True, bound=2), tmp_path / "rig"
+    def __init__(self, folder: Path) -> None:
+        """Prepare the cluster; nothing is started."""
+        plan = ClusterPlan(
+            balancers=4, zones=2, flows_per_s=120, agents=True, bound=ReleasedCluster.MAX_OUT
         )
+        self.rig = Machines(plan, folder)
+
+    async def start(self) -> None:
+        """Start all processes, agree on the bound, and send flows."""
+        await self.rig.begin()
+        await self.rig.agree_on_bound(await self.rig.whole())
+        self.rig.spawn(self.rig.load(self.rig.plan.flows_per_s))
+
+    async def status(self) -> dict[str, Any]:
+        """What the leader says of the release; empty if it says nothing."""
+        result, body = await self.rig.ask(await self.rig.leader(), "release", span=2.0)
+        return body if result == "yes" and body["release"] else {}
+
+    async def checked_status(self) -> dict[str, Any]:
+        """`status`, of which no more may be out than the bound allows."""
+        body = await self.status()
+        if body:
+            statuses = body["release"][self.MEMBERS].values()
+            out = [status for status in statuses if status in ("out", "changing")]
+            assert len(out) <= self.MAX_OUT, body
+        return body
+
+    async def wait_for_phase(self, phase: str, halted: bool = False) -> dict[str, Any]:
+        """Wait for a phase, halted or not; what the leader says then."""
+
+        def is_met(body: dict[str, Any]) -> bool:
+            if not body:
+                return False
+            return body["release"][self.PHASE] == phase and bool(body["halted"]) is halted
+
+        body = await poll(self.checked_status, is_met, self.PHASE_TIMEOUT_S)
+        agents = [self.rig.doing(name) for name in self.rig.names]
+        assert is_met(body), (phase, body, agents)
+        return body
+
+    async def wait_until(self, is_met: Callable[[list[Any]], bool]) -> None:
+        """Wait until the release is as wanted."""
 
-        async def phase(*wanted: str, halted: bool = False, span: float = 70) -> dict:
-            until, body = time.monotonic() + span, {}
-            while time.monotonic() < until:
-                result, body = await rig.ask(await rig.leader(), "release", span=2.0)
-                if result == "yes" and body["release"]:
-                    changing = [
-                        n for n, s in body["release"][5].items() if s in ("out", "changing")
-                    ]
-                    assert len(changing) <= 2, body
-                    if body["release"][3] in wanted and bool(body["halted"]) is halted:
-                        return body
-                await asyncio.sleep(0.1)
-            raise AssertionError((wanted, body, [rig.doing(n) for n in rig.names]))
-
-        async def until(met) -> None:
-            end, body = time.monotonic() + 40, {}
-            while time.monotonic() < end:
-                result, body = await rig.ask(await rig.leader(), "release", span=2.0)
-                if result == "yes" and body["release"] and met(body["release"]):
-                    return
-                await asyncio.sleep(0.05)
-            raise AssertionError(body)
-
-        async def saved(name: str) -> None:
-            """The agent has the change on its disk: one that dies before reports a failed change."""
-            end = time.monotonic() + 40
-            while not rig.doing(name).get("to"):
-                assert time.monotonic() < end, rig.doing(name)
-                await asyncio.sleep(0.01)
+        def is_told(body: dict[str, Any]) -> bool:
+            return bool(body) and is_met(body["release"])
 
+        body = await poll(self.status, is_told, self.CHANGE_TIMEOUT_S)
+        assert is_told(body), body
+
+    async def wait_until_saved(self, name: str) -> None:
+        """Wait until an agent has its change on disk; one that dies before reports a failure."""
+        end = time.monotonic() + self.CHANGE_TIMEOUT_S
+        while not self.rig.doing(name).get("to"):
+            assert time.monotonic() < end, self.rig.doing(name)
+            await asyncio.sleep(0.01)
+
+    def versions(self) -> list[str]:
+        """What each balancer runs, as its agent has it."""
+        return [self.rig.doing(name)["version"] for name in self.rig.names]
+
+    async def boots(self) -> dict[str, int]:
+        """How often each balancer has started."""
+        return {name: (await self.rig.ask(name, "local"))[1]["boot"] for name in self.rig.names}
+
+
+async def release_good_build(cluster: ReleasedCluster) -> None:
+    """Release a good build; an agent and a leader die meanwhile."""
+    rig = cluster.rig
+    assert await rig.release(Step(at_s=0, do="release")) == "yes"
+    # Its agent dies in the middle of a change: the next one goes on.
+    await cluster.wait_until(lambda release: release[cluster.MEMBERS]["n0"] == "changing")
+    await cluster.wait_until_saved("n0")
+    rig.kill_agent("n0")
+    rig.start("n0")
+    plan = ["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0]
+    result, body = await rig.command("n1", "release_begin", plan=plan)
+    assert result == "no"
+    assert "r1 by rig is running" in body["why"]
+    # The leader dies in the second wave, and is started again by its agent.
+    await cluster.wait_until(lambda release: release[cluster.WAVE] == 1)
+    leader = await rig.leader()
+    rig.kill_balancer(leader)
+    await cluster.wait_for_phase("done")
+    assert cluster.versions() == ["v1"] * 4
+    assert await rig.whole() is not None
+    expected = {name: 3 if name == leader else 2 for name in rig.names}
+    assert await cluster.boots() == expected, leader
+
+
+async def release_rejecting_build(cluster: ReleasedCluster) -> None:
+    """Release a build that says that it is ready and rejects every flow."""
+    rig = cluster.rig
+    rig.runs = "v1"
+    assert await rig.release(Step(at_s=0, do="release", build="rejects")) == "yes"
+    body = await cluster.wait_for_phase("running", halted=True)
+    assert "n0 failed or rejected" in body["halted"][2], body
+    assert body["release"][cluster.WAVE] == 0, body
+    assert cluster.versions() == ["v2", "v1", "v1", "v1"]
+    assert (await rig.command("n2", "release_back", release="r0"))[0] == "no"
+
+
+def test_good_release_of_processes_is_done_and_a_bad_one_is_rolled_back(tmp_path):
+    async def run() -> None:
+        cluster = ReleasedCluster(tmp_path / "rig")
         try:
-            await rig.begin()
-            await rig.agree_on_bound(await rig.whole())
-            rig.spawn(rig.load(rig.plan.flows_per_s))
-            assert await rig.release(Step(at_s=0, do="release")) == "yes"
-            # Its agent dies in the middle: the balancers do not, and the next one goes on.
-            await until(lambda release: release[5]["n0"] == "changing")
-            await saved("n0")
-            rig.kill_agent("n0")
-            rig.start("n0")
-            refused = await rig.command(
-                "n1",
-                "release_begin",
-                plan=["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0],
-            )
-            assert refused[0] == "no" and "r1 by rig is running" in refused[1]["why"]
-            # Whoever leads dies in the second wave, and is started again by its agent.
-            await until(lambda release: release[4] == 1)
-            leader = await rig.leader()
-            rig.kill_balancer(leader)
-            await phase("done")
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
-            assert await rig.whole() is not None
-            boots = [(await rig.ask(n, "local"))[1]["boot"] for n in rig.names]
-            assert all(boot == 2 + (name == leader) for name, boot in zip(rig.names, boots)), (
-                boots,
-                leader,
-            )
-            # One that says that it is ready and rejects every flow: found in the first wave, by what it served.
-            rig.runs = "v1"
-            assert await rig.release(Step(at_s=0, do="release", build="rejects")) == "yes"
-            body = await phase("running", halted=True)
-            assert "n0 failed or rejected" in body["halted"][2] and body["release"][4] == 0, body
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v2", "v1", "v1", "v1"]
-            assert (await rig.command("n2", "release_back", release="r0"))[0] == "no"
-            report = await rig.verdict()  # a person takes it back
-            assert not report["broken"] and report["ended"] == "backed", report
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
-            assert report["answers"].get("UP", 0) > 1000 and report["told_to_leave"] == 6
+            await cluster.start()
+            await release_good_build(cluster)
+            await release_rejecting_build(cluster)
+            report = await cluster.rig.verdict()  # rolls it back, as a person does
+            assert not report["broken"], report
+            assert report["ended"] == "backed", report
+            assert cluster.versions() == ["v1"] * 4
+            assert report["answers"].get("UP", 0) > 1000
+            assert report["told_to_leave"] == 6
         finally:
-            await rig.end()
+            await cluster.rig.end()
 
     asyncio.run(run())
 
 
-def test_releases_of_real_processes_under_plans_drawn_from_seeds(tmp_path):
-    """Each in processes of its own, as by hand."""
-    words = [
-        sys.executable,
-        "-m",
-        "cypresswalk",
-        "lab",
-        "together",
-        "--release",
-        "--seconds",
-        "16",
-        "--seed",
-    ]
+def test_releases_of_processes_under_drawn_plans_keep_the_bound(tmp_path):
+    command = [sys.executable, "-m", "cypresswalk", "lab", "together", "--release"]
     runs = [
         subprocess.Popen(
-            [*words, str(seed), "--out", str(tmp_path / str(seed))],
+            [*command, "--seconds", "16", "--seed", str(seed), "--out", str(tmp_path / str(seed))],
             cwd=ROOT,
             stdout=subprocess.PIPE,
             text=True,
@@ -224,9 +288,8 @@
         for seed in (2, 5, 9)
     ]
     for run in runs:
-        said, _ = run.communicate(timeout=240)
-        assert run.returncode == 0, said[-3000:]
-        report = json.loads(said[said.rindex("\n{") : said.rindex("}") + 1])
-        assert report["ended"] in ("done", "backed") and report["most_out"] <= report["bound"], (
-            report
-        )
+        printed, _ = run.communicate(timeout=240)
+        assert run.returncode == 0, printed[-3000:]
+        report = json.loads(printed[printed.rindex("\n{") : printed.rindex("}") + 1])
+        assert report["ended"] in ("done", "backed"), report
+        assert report["most_out"] <= report["bound"], report
