--- a/tests/faults/test_fault_plan.py
+++ b/tests/faults/test_fault_plan.py
@@ -7,52 +7,57 @@
 from cypresswalk.refusal import CommandError
 
 
+def fault(*lines: str) -> str:
+    """The text of a plan with one fault."""
+    return "\n".join(["[[fault]]", *lines])
+
+
+def random_cut(*lines: str) -> str:
+    """The text of a plan with cuts by chance."""
+    return "\n".join(["[[random]]", 'kinds = ["cut"]', *lines])
+
+
 @pytest.mark.parametrize(
-    "text, line",
+    "text, message",
     [
         ("fault = 3", "fault: input should be a valid list"),
-        ('[[fault]]\nkind = "explode"', "fault[0].kind: input should be 'cut', 'truncate'"),
+        (fault('kind = "explode"'), "fault[0].kind: input should be 'cut', 'truncate'"),
         (
-            '[[fault]]\nkind = "cut"\nat = -1',
+            fault('kind = "cut"', "at = -1"),
             "fault[0].at: input should be greater than or equal to 0, not -1",
         ),
         (
-            '[[fault]]\nkind = "cut"\nconnection = 0',
+            fault('kind = "cut"', "connection = 0"),
             "fault[0].connection: connections count from 1",
         ),
-        ('[[fault]]\nkind = "cut"\nms = 3', "fault[0]: cut takes no ms"),
-        ('[[fault]]\nkind = "garble"', "fault[0]: garble needs size above 0"),
-        ('[[fault]]\nkind = "cut"\nwher = 3', "fault[0].wher: no such field"),
+        (fault('kind = "cut"', "ms = 3"), "fault[0]: cut takes no ms"),
+        (fault('kind = "garble"'), "fault[0]: garble needs size above 0"),
+        (fault('kind = "cut"', "wher = 3"), "fault[0].wher: no such field"),
         (
-            '[[random]]\nkinds = ["cut"]\nchance = 1.5',
+            random_cut("chance = 1.5"),
             "random[0].chance: input should be less than or equal to 1, not 1.5",
         ),
-        (
-            '[[random]]\nkinds = ["cut"]\nchance = 1\nms = [5, 2]',
-            "random[0].ms: a range is [least, most]",
-        ),
-        ('[[fault]]\nkind = "swap"', "fault[0]: swap is not one of"),
+        (random_cut("chance = 1", "ms = [5, 2]"), "random[0].ms: a range is [least, most]"),
+        (fault('kind = "swap"'), "fault[0]: swap is not one of"),
         ('[[datagram]]\nkind = "cut"', "datagram[0]: cut is not one of"),
         ("fault = [", "not TOML: "),
         ("\xff", "not TOML: "),
     ],
 )
-def test_an_invalid_plan_is_refused_by_one_line(tmp_path, text, line):
+def test_an_invalid_plan_is_rejected_with_one_line(tmp_path, text, message):
     file = tmp_path / "plan.toml"
     file.write_bytes(text.encode("latin-1"))
     with pytest.raises(CommandError) as refusal:
         read(file)
-    said = str(refusal.value)
-    assert said.startswith(f"{file}: {line}") and "\n" not in said
+    assert str(refusal.value).startswith(f"{file}: {message}")
+    assert "\n" not in str(refusal.value)
 
 
-def test_an_invalid_record_is_refused_by_one_line(tmp_path):
+def test_an_invalid_record_is_rejected_with_one_line(tmp_path):
     file = tmp_path / "record"
-    file.write_text(
-        Fault(1, "up", 0, Kind.CUT).line()
-        + '\n{"connection":0,"direction":"up","at":1,"kind":"cut"}\n'
-    )
-    with pytest.raises(
-        CommandError, match="line 2: connection: input should be greater than or equal to 1, not 0"
-    ):
+    valid = Fault(1, "up", 0, Kind.CUT).line()
+    invalid = '{"connection":0,"direction":"up","at":1,"kind":"cut"}'
+    file.write_text(f"{valid}\n{invalid}\n")
+    message = "line 2: connection: input should be greater than or equal to 1, not 0"
+    with pytest.raises(CommandError, match=message):
         read_record(file)
--- a/tests/faults/test_fault_streams.py
+++ b/tests/faults/test_fault_streams.py
@@ -1,4 +1,8 @@
-"""What each fault does to a stream of bytes or datagrams."""
+"""What each fault does to a stream of bytes or of datagrams."""
+
+from dataclasses import dataclass
+from itertools import pairwise
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -6,112 +10,151 @@
 
 from cypresswalk.faults.datagram_stream import DatagramStream
 from cypresswalk.faults.kinds import NEEDS, STREAMS, Fault, Kind
-from cypresswalk.faults.stream import Close, Finish, Reset, Stream, Write
+from cypresswalk.faults.stream import MILLISECOND, Close, Finish, Reset, Step, Stream, Write
+
+REQUEST = b"OPEN a b\r\n"
+
+
+def fault(kind: Kind, at: int = 0, **parameters: int) -> Fault:
+    """A fault of the first connection, on the way up."""
+    return Fault(1, "up", at, kind, **parameters)
+
+
+@dataclass
+class Played:
+    """What came out of a stream.
+
+    Attributes:
+        data: All bytes.
+        endings: The steps that are no bytes, by their classes.
+        injected: The faults that were injected.
+        steps: All steps.
+    """
 
-MILLISECOND = 1_000_000
+    data: bytes
+    endings: list[type[Step]]
+    injected: list[Fault]
+    steps: list[Step]
 
+    def outcome(self) -> tuple[Any, ...]:
+        """What must not depend on how the bytes came."""
+        return self.data, self.endings, self.injected
 
-def fault(kind, at=0, **more):
-    return Fault(1, "up", at, kind, **more)
+    def writes(self) -> list[Write]:
+        """The steps that are bytes."""
+        return [step for step in self.steps if isinstance(step, Write)]
 
+    def times(self) -> list[int]:
+        """When each step is due."""
+        return [step.at for step in self.steps]
 
-def play(faults, pieces, ended=True):
-    """What comes out: bytes, how it ends, the faults done, and the steps."""
-    done, steps = [], []
-    stream = Stream(faults, done.append)
-    steps += stream.start(0)
-    for i, piece in enumerate(pieces):
-        steps += stream.feed(i, piece)
-    if ended:
-        steps += stream.end(len(pieces))
-    elif stream.due() is not None:
-        steps += stream.wake(stream.due())
-    assert all(a.at <= b.at for a, b in zip(steps, steps[1:]))
+
+def play(faults: list[Fault], pieces: list[bytes]) -> Played:
+    """Feed a stream with pieces, one a nanosecond, and end it."""
+    injected: list[Fault] = []
+    stream = Stream(faults, injected.append)
+    steps = list(stream.start(0))
+    for now, piece in enumerate(pieces):
+        steps += stream.feed(now, piece)
+    steps += stream.end(len(pieces))
+    assert all(earlier.at <= later.at for earlier, later in pairwise(steps))
     data = b"".join(step.data for step in steps if isinstance(step, Write))
-    return data, [type(s) for s in steps if not isinstance(s, Write)], done, steps
+    endings = [type(step) for step in steps if not isinstance(step, Write)]
+    return Played(data, endings, injected, steps)
 
 
-def one_of_each(draw):
+@st.composite
+def stream_faults(draw: st.DrawFn) -> Fault:
+    """Faults of any kind with parameters that it needs."""
     kind = draw(st.sampled_from(sorted(STREAMS)))
-    values = {name: draw(st.integers(1, 12)) for name in NEEDS.get(kind, ())}
-    return Fault(
-        1,
-        "up",
-        draw(st.integers(0, 40)),
-        kind,
-        **values,
-        mask=draw(st.integers(1, 99)) * (kind is Kind.GARBLE),
-    )
+    parameters = {name: draw(st.integers(1, 12)) for name in NEEDS.get(kind, ())}
+    if kind is Kind.GARBLE:
+        parameters["mask"] = draw(st.integers(1, 99))
+    return fault(kind, draw(st.integers(0, 40)), **parameters)
+
+
+@st.composite
+def pieces_of_data(draw: st.DrawFn) -> list[bytes]:
+    """Some bytes, cut anywhere."""
+    data = draw(st.binary(max_size=60))
+    cuts = sorted(draw(st.lists(st.integers(0, len(data)), max_size=5)))
+    return [data[start:end] for start, end in pairwise([0, *cuts, len(data)])]
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.data())
-def test_fed_a_byte_at_a_time_and_all_at_once_the_same_comes_out(data):
-    faults = [one_of_each(data.draw) for _ in range(data.draw(st.integers(0, 5)))]
-    said = data.draw(st.binary(max_size=60))
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(said)), max_size=5)))
-    pieces = [said[a:b] for a, b in zip([0, *cuts], [*cuts, len(said)])]
-    whole = play(faults, [said])[:3]
-    assert play(faults, [bytes([byte]) for byte in said])[:3] == whole
-    assert play(faults, pieces)[:3] == whole
+@given(st.lists(stream_faults(), max_size=5), pieces_of_data())
+def test_faults_do_the_same_however_the_bytes_are_cut(faults, pieces):
+    data = b"".join(pieces)
+    whole = play(faults, [data]).outcome()
+    assert play(faults, [bytes([byte]) for byte in data]).outcome() == whole
+    assert play(faults, pieces).outcome() == whole
 
 
 @pytest.mark.parametrize(
-    "faults, out, ends",
+    "faults, data, endings",
     [
-        ([], b"OPEN a b\r\n", [Finish]),
-        ([fault(Kind.CUT, 4)], b"OPEN", [Reset]),
-        ([fault(Kind.CUT, 10)], b"OPEN a b\r\n", [Reset]),  # between the last byte and the answer
-        ([fault(Kind.CUT, 0)], b"", [Reset]),
-        ([fault(Kind.CUT, 11)], b"OPEN a b\r\n", [Finish]),  # a place that is never reached
-        ([fault(Kind.TRUNCATE, 6)], b"OPEN a", [Close]),
-        ([fault(Kind.HALF_CLOSE, 6)], b"OPEN a", [Finish]),
-        ([fault(Kind.BLACK_HOLE, 6)], b"OPEN a", []),
-        ([fault(Kind.DROP, 4, size=2)], b"OPEN b\r\n", [Finish]),
-        ([fault(Kind.JOIN, 0, size=8, ms=5), fault(Kind.CUT, 9)], b"OPEN a b\r", [Reset]),
+        pytest.param([], REQUEST, [Finish], id="no fault"),
+        pytest.param([fault(Kind.CUT, 4)], b"OPEN", [Reset], id="cut"),
+        pytest.param([fault(Kind.CUT, 10)], REQUEST, [Reset], id="cut after the last byte"),
+        pytest.param([fault(Kind.CUT, 0)], b"", [Reset], id="cut before the first byte"),
+        pytest.param([fault(Kind.CUT, 11)], REQUEST, [Finish], id="cut that is never reached"),
+        pytest.param([fault(Kind.TRUNCATE, 6)], b"OPEN a", [Close], id="truncate"),
+        pytest.param([fault(Kind.HALF_CLOSE, 6)], b"OPEN a", [Finish], id="half close"),
+        pytest.param([fault(Kind.BLACK_HOLE, 6)], b"OPEN a", [], id="black hole"),
+        pytest.param([fault(Kind.DROP, 4, size=2)], b"OPEN b\r\n", [Finish], id="drop"),
+        pytest.param(
+            [fault(Kind.JOIN, 0, size=8, ms=5), fault(Kind.CUT, 9)],
+            b"OPEN a b\r",
+            [Reset],
+            id="join and cut",
+        ),
     ],
 )
-def test_each_fault_is_injected_at_its_byte(faults, out, ends):
-    data, how, done, _ = play(faults, [b"OPEN a b\r\n"])
-    assert (data, how) == (out, ends)
-    assert set(done) == {f for f in faults if f.at <= 10}
+def test_each_fault_is_injected_at_its_byte(faults, data, endings):
+    played = play(faults, [REQUEST])
+    assert (played.data, played.endings) == (data, endings)
+    assert set(played.injected) == {found for found in faults if found.at <= len(REQUEST)}
 
 
 def test_garbled_bytes_all_differ_and_a_split_line_comes_in_parts():
-    said = bytes(range(40))
-    data, _, _, steps = play(
-        [fault(Kind.GARBLE, 10, size=8, mask=5), fault(Kind.SPLIT, 8, size=4, ms=2)], [said]
-    )
-    assert [a == b for a, b in zip(data, said)] == [True] * 10 + [False] * 8 + [True] * 22
-    writes = [step for step in steps if isinstance(step, Write)]
-    assert [len(w.data) for w in writes[:3]] == [8, 2, 2] or [len(w.data) for w in writes[1:3]] == [
-        2,
-        2,
-    ]
+    data = bytes(range(40))
+    garble = fault(Kind.GARBLE, 10, size=8, mask=5)
+    split = fault(Kind.SPLIT, 8, size=4, ms=2)
+    played = play([garble, split], [data])
+    unchanged = [out == came for out, came in zip(played.data, data, strict=True)]
+    assert unchanged == [True] * 10 + [False] * 8 + [True] * 22
+    writes = played.writes()
+    sizes = [len(write.data) for write in writes[:3]]
+    assert sizes == [8, 2, 2] or sizes[1:] == [2, 2]
     assert writes[-1].at - writes[1].at >= 6 * 2 * MILLISECOND
 
 
-def test_delay_latency_and_throttle_say_when():
-    times = [step.at for step in play([fault(Kind.DELAY, 2, ms=5)], [b"abcd"])[3]]
-    assert times == [0, 5 * MILLISECOND, 5 * MILLISECOND]
-    assert [s.at for s in play([fault(Kind.LATENCY, 0, ms=5)], [b"a", b"b"])[3]][:2] == [
-        5000000,
-        5000001,
-    ]
-    times = [s.at for s in play([fault(Kind.THROTTLE, 0, rate=1000)], [b"a" * 100, b"b"])[3]]
+def test_a_delay_holds_up_what_follows():
+    played = play([fault(Kind.DELAY, 2, ms=5)], [b"abcd"])
+    assert played.times() == [0, 5 * MILLISECOND, 5 * MILLISECOND]
+
+
+def test_latency_holds_up_each_piece():
+    played = play([fault(Kind.LATENCY, 0, ms=5)], [b"a", b"b"])
+    assert played.times()[:2] == [5 * MILLISECOND, 5 * MILLISECOND + 1]
+
+
+def test_a_throttle_passes_so_many_bytes_a_second():
+    times = play([fault(Kind.THROTTLE, 0, rate=1000)], [b"a" * 100, b"b"]).times()
     assert times[1] - times[0] == 100 * MILLISECOND
 
 
 def test_datagrams_are_dropped_duplicated_and_swapped_by_their_number():
-    plan = {
+    faults = {
         1: [fault(Kind.DROP, 1)],
         2: [fault(Kind.DUPLICATE, 2)],
         3: [fault(Kind.SWAP, 3)],
         5: [fault(Kind.DELAY, 5, ms=7)],
         6: [fault(Kind.TRUNCATE, 6)],
     }
-    stream, out = DatagramStream(lambda n: plan.get(n, []), lambda f: None), []
-    for i in range(7):
-        out += stream.feed(0, b"%d%d" % (i, i))
-    assert [w.data for w in out] == [b"00", b"22", b"22", b"44", b"33", b"55", b"6"]
-    assert [w.at for w in out] == [0] * 5 + [7 * MILLISECOND, 0]
+    stream = DatagramStream(lambda number: faults.get(number, []), lambda injected: None)
+    writes = []
+    for number in range(7):
+        writes += stream.feed(0, b"%d%d" % (number, number))
+    assert [write.data for write in writes] == [b"00", b"22", b"22", b"44", b"33", b"55", b"6"]
+    assert [write.at for write in writes] == [0] * 5 + [7 * MILLISECOND, 0]
