--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -13,7 +13,7 @@
 from helpers import played
 from lab_helpers import run_lab, small_experiment
 from paths import ROOT
-from rule_assertions import assert_all_rules_held
+from scenario_assertions import assert_all_rules_held
 
 from cypresswalk.lab.experiment import Experiment
 from cypresswalk.lab.metrics import ScenarioMetrics
