--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -14,8 +14,10 @@
 import threading
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.events import Event, ReservationRequested
 from cypresswalk.copies.messages import RecordStored, ReservationRecord
 from cypresswalk.copies.placement import partition_of
 from cypresswalk.fleet import client
@@ -65,16 +67,22 @@
             print(f"{turn} copies {copies} {'memory' if memory else 'disk'}  {said}", flush=True)
 
 
+class FillRequested(NamedTuple):
+    """So many ids are to be taken in bulk."""
+
+    count: int
+
+
 class Filled(ReplicationThread):
     """Takes ids in bulk, each holder by itself, as if they had been claimed."""
 
-    def on_event(self, now: int, event: tuple) -> None:
-        if event[0] != "fill":
+    def on_event(self, now: int, event: Event | FillRequested) -> None:
+        if not isinstance(event, FillRequested):
             return super().on_event(now, event)
         until = time.time_ns() // HELD * HELD + 2 * HELD  # the same at all
-        for first in range(0, event[1], 20_000):
+        for first in range(0, event.count, 20_000):
             values = []
-            for number in range(first, min(first + 20_000, event[1])):
+            for number in range(first, min(first + 20_000, event.count)):
                 ident = f"{number:016x}"
                 partition = self.replica.partitions.get(partition_of(ident))
                 if (
@@ -104,7 +112,7 @@
     for line in sys.stdin:
         what, *words = line.split()
         if what == "fill":
-            fleet.copies.put("fill", int(words[0]))
+            fleet.copies.put(FillRequested(int(words[0])))
         elif what == "claim":
             claim(fleet, int(words[0]), float(words[1]), *words[2:])
 
@@ -133,7 +141,9 @@
             while partition_of(asked := f"{draw[:4]}{at:012x}") != 7:
                 at += 1
         fleet.copies.put(
-            "claim", asked or f"{draw[:8]}{number:08x}", SECOND, fleet.now() + SECOND, reply
+            ReservationRequested(
+                asked or f"{draw[:8]}{number:08x}", SECOND, fleet.now() + SECOND, reply
+            )
         )
 
     for number in range(out):
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -5,15 +5,25 @@
 """
 
 import logging
+import threading
 from collections import Counter, defaultdict
 from collections.abc import Callable
 from queue import Empty, SimpleQueue
-from threading import Event
 from typing import Any, NamedTuple
 
 from cypresswalk.copies.client import ReservationClient
 from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, TellLeader, WriteChange
 from cypresswalk.copies.errors import DataLostError
+from cypresswalk.copies.events import (
+    Event,
+    IdentityAssigned,
+    MessagesReceived,
+    ReservationEnded,
+    ReservationRequested,
+    StatusRequested,
+    StopRequested,
+    ViewsAgreed,
+)
 from cypresswalk.copies.messages import (
     MAX_CLOCK_SKEW,
     AnyMessage,
@@ -122,7 +132,7 @@
         self.to_leader = to_leader
         self.on_healthy = on_healthy
         self.max_records = max_records
-        self.queue: SimpleQueue[tuple[Any, ...]] = SimpleQueue()
+        self.queue: SimpleQueue[Event] = SimpleQueue()
         self.log = RecordLog(folder)
         self.replica = Replica("")
         self.client = ReservationClient()
@@ -138,27 +148,19 @@
         self.disk_retry_at = 0
         self.disk_error = ""
         self.counts: Counter[str] = Counter()
-        self.over = Event()
-        self.ended = Event()
+        self.over = threading.Event()
+        self.ended = threading.Event()
 
     # For any thread.
 
-    def put(self, *event: object) -> None:
-        """Puts an event, by name and values.
-
-        ("words", source, messages): messages of a member.
-        ("claim", key, hold_ns, deadline, reply): reserve a key.
-        ("finish", key, owner, outcome): report the outcome of a reservation.
-        ("placed", views): views that were agreed, by partition.
-        ("identity", member, boot): which member this is from now on.
-        ("tell", reply): report the status.
-        """
+    def put(self, event: Event) -> None:
+        """Puts an event into the queue; never waits."""
         self.queue.put(event)
 
     def stop(self) -> None:
         """Ends the thread soon; `ended` says when."""
         self.over.set()
-        self.queue.put(("over",))
+        self.queue.put(StopRequested())
 
     # The thread.
 
@@ -175,7 +177,7 @@
         self.client.refuse_all("this process hands over")
         self.ended.set()
 
-    def _wait_for_events(self) -> list[tuple[Any, ...]]:
+    def _wait_for_events(self) -> list[Event]:
         """Events that have come, at the latest when something is due."""
         wait = min(self.tick_at, self.client.due()) - self.now()
         events = []
@@ -190,7 +192,7 @@
             pass
         return events
 
-    def turn(self, events: list[tuple[Any, ...]]) -> None:
+    def turn(self, events: list[Event]) -> None:
         """Handles events and time, then carries out what follows."""
         now = self.now()
         for event in events:
@@ -204,26 +206,26 @@
         except OSError as error:
             self._on_disk_failure(now, error)
 
-    def on_event(self, now: int, event: tuple[Any, ...]) -> None:
-        """Handles one event; see `put`."""
+    def on_event(self, now: int, event: Event) -> None:
+        """Handles one event."""
         match event:
-            case ("words", source, messages):
-                for message in messages:
-                    self.on_message(now, source, message)
-            case ("claim", key, hold_ns, deadline, reply):
-                self.client.reserve(now, key, hold_ns, deadline, reply)
-            case ("finish", key, owner, outcome):
-                self.client.end(now, key, owner, outcome)
-            case ("placed", views):
-                for number, (view, replicas) in views.items():
+            case MessagesReceived():
+                for message in event.messages:
+                    self.on_message(now, event.source, message)
+            case ReservationRequested():
+                self.client.reserve(now, event.key, event.hold_ns, event.deadline, event.reply)
+            case ReservationEnded():
+                self.client.end(now, event.key, event.owner, event.outcome)
+            case ViewsAgreed():
+                for number, (view, replicas) in event.views.items():
                     self._on_view_agreed(now, number, AgreedView(view, tuple(replicas)))
-            case ("identity", member, boot):
-                self.identity = Identity(member, boot)
-                self.client.set_identity(member, boot)
+            case IdentityAssigned():
+                self.identity = Identity(event.member, event.boot)
+                self.client.set_identity(event.member, event.boot)
                 self.views.clear()
                 self._open_store(now, self.identity)
-            case ("tell", reply):
-                reply(True, self.status())
+            case StatusRequested():
+                event.reply(True, self.status())
 
     def _on_view_agreed(self, now: int, number: int, agreed: AgreedView) -> None:
         if agreed.view <= self._agreed_view(number).view:
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -22,6 +22,7 @@
     LogDivergedError,
 )
 from cypresswalk.agreement.ready import PersistentState
+from cypresswalk.copies.events import IdentityAssigned, StatusRequested, ViewsAgreed
 from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
 from cypresswalk.copies.messages import MessageBatch
 from cypresswalk.fleet.addresses import host_and_port
@@ -370,7 +371,7 @@
         self.inherited_until = self.lease_until
         if self.copies is not None:
             # Another incarnation holds nothing of what this one held.
-            self.copies.put("identity", member_id, self.boot)
+            self.copies.put(IdentityAssigned(member_id, self.boot))
 
     def _running_member(self) -> Member:
         assert self.member is not None, "set by begin, which comes before any turn"
@@ -410,7 +411,7 @@
         while member.placements:
             placed = member.placements.pop(0)
             if self.copies is not None:
-                self.copies.put("placed", placed)
+                self.copies.put(ViewsAgreed(placed))
 
     def _renew_lease(self, member: Member) -> None:
         until = max(member.lease_until(), self.inherited_until)
@@ -485,7 +486,7 @@
         if call.name == "local":
             reply(True, self._local_status(now, member))
         elif call.name == "copies_local" and self.copies is not None:
-            self.copies.put("tell", reply)
+            self.copies.put(StatusRequested(reply))
         else:
             args = dict(call.args)
             span = int(take_span(args) * SECOND)
--- a/cypresswalk/fleet/message_router.py
+++ b/cypresswalk/fleet/message_router.py
@@ -2,6 +2,7 @@
 
 from typing import Any
 
+from cypresswalk.copies.events import MessagesReceived
 from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
 from cypresswalk.copies.messages import Message as ReplicationMessageBase
 from cypresswalk.copies.messages import MessageBatch, PartitionFetched, PartitionSealed, ReplicaSlow
@@ -29,7 +30,7 @@
         """Send to a member's id, or to an address with a colon; unknown ones are passed over."""
         if isinstance(message, ReplicationMessageBase):
             if to == member.id:
-                self.replication.put("words", to, [message])
+                self.replication.put(MessagesReceived(to, [message]))
                 return
             message = MessageBatch([message])
         address, member_id = self.addresses.resolve(member, to)
@@ -51,7 +52,7 @@
             member.on_replica_messages(now, source, for_leader)
         if len(for_leader) < len(batch.messages):
             others = [message for message in batch.messages if not isinstance(message, TO_LEADER)]
-            self.replication.put("words", source, others)
+            self.replication.put(MessagesReceived(source, others))
 
     def send_to_leader(self, now: int, member: Member, messages: list[ReplicationMessage]) -> None:
         """Send the replication thread's messages to the leader; without one they are lost."""
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from cypresswalk.copies.events import ReservationEnded, ReservationRequested
 from cypresswalk.copies.reservations import GRANTED, HELD, NEVER_RAN, REFUSED, ReservationAnswer
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.model import Flow
@@ -60,7 +61,8 @@
             self.post(self.on_answer, session, answer, by)
 
         deadline = self.fleet.now() + timeout
-        self.fleet.copies.put("claim", flow_key(flow), lifetime, deadline, reply)
+        event = ReservationRequested(flow_key(flow), lifetime, deadline, reply)
+        self.fleet.copies.put(event)
 
     def on_answer(self, now: int, session: Session, answer: ReservationAnswer, by: str) -> None:
         """Places the flow if its key was reserved for it; else rejects it.
@@ -106,7 +108,7 @@
         """Releases the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
         by = self.granted.pop(flow, None)
         if by is not None:
-            self.fleet.copies.put("finish", flow_key(flow), by, how)
+            self.fleet.copies.put(ReservationEnded(flow_key(flow), by, how))
 
 
 def flow_of(session: Session) -> Flow:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -8,6 +8,12 @@
 from cypresswalk.copies.driver import ReplicationThread
 from cypresswalk.copies.effects import AnswerRequest, SendMessage, WriteChange
 from cypresswalk.copies.errors import DataLostError
+from cypresswalk.copies.events import (
+    IdentityAssigned,
+    MessagesReceived,
+    ReservationRequested,
+    ViewsAgreed,
+)
 from cypresswalk.copies.messages import (
     FetchPartition,
     RecordStored,
@@ -468,7 +474,7 @@
             self.start(name, 1)
         for name in self.names:
             self.copies[name].put(
-                "words", "a#1", [FetchPartition(part, 1, "") for part in range(PARTITIONS)]
+                MessagesReceived("a#1", [FetchPartition(part, 1, "") for part in range(PARTITIONS)])
             )
         self.turn()
         for name in self.names:
@@ -480,15 +486,15 @@
             self.disks[name],
             lambda: self.now,
             lambda: self.now + 10**18,
-            lambda to, batch: self.copies[to].put("words", name, batch.messages),
+            lambda to, batch: self.copies[to].put(MessagesReceived(name, batch.messages)),
             lambda words: None,
             lambda holds: self.told.append((name, holds)),
         )
-        self.copies[name].put("identity", name, boot)
+        self.copies[name].put(IdentityAssigned(name, boot))
 
     def place(self, name: str) -> None:
         self.copies[name].put(
-            "placed", {part: (1, tuple(self.names)) for part in range(PARTITIONS)}
+            ViewsAgreed({part: (1, tuple(self.names)) for part in range(PARTITIONS)})
         )
 
     def turn(self, seconds: float = 0.0) -> None:
@@ -507,11 +513,12 @@
     def claim(self, name: str, ident: str) -> list:
         told: list = []
         self.copies[name].put(
-            "claim",
-            ident,
-            10**12,
-            self.now + 10**9 // 2,
-            lambda answer, by: told.append((answer.result, answer.owner)),
+            ReservationRequested(
+                ident,
+                10**12,
+                self.now + 10**9 // 2,
+                lambda answer, by: told.append((answer.result, answer.owner)),
+            )
         )
         self.turn()
         return told
@@ -548,7 +555,7 @@
 def test_a_fault_in_the_program_leaves_nothing_in_memory_that_is_not_on_disk(monkeypatch):
     trio = Trio()
     one = trio.copies["a#1"]
-    one.put("words", "b#1", [ReserveKey(1, partition_of("x"), "x", "b#1/1.1", 10**12)])
+    one.put(MessagesReceived("b#1", [ReserveKey(1, partition_of("x"), "x", "b#1/1.1", 10**12)]))
 
     def faulty(*words):
         one.over.set()  # the run below ends after this turn
--- a/tests/test_core_binding.py
+++ b/tests/test_core_binding.py
@@ -8,6 +8,7 @@
 import pytest
 from helpers import PARAMS, START, config_data, listed
 
+from cypresswalk.copies.events import ReservationEnded, ReservationRequested
 from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.core_binding import CoreBinding
@@ -259,13 +260,18 @@
 def bound_with_reservations(tmp_path) -> Bound:
     bound = Bound(tmp_path, listed("s-1"), copies={})
     bound.claims = []
-    bound.binding.fleet.copies.put = lambda *what: bound.claims.append(what)
+    bound.binding.fleet.copies.put = bound.claims.append
     return bound
 
 
+def ended(event) -> str:
+    """With which outcome a reservation ended."""
+    assert isinstance(event, ReservationEnded)
+    return event.outcome
+
+
 def answer(bound, kind, how="", which=0):
-    _, _, _, _, reply = bound.claims[which]
-    reply(ReservationAnswer(kind, "n9#1/1.1", how), "n0#1/1.1")
+    bound.claims[which].reply(ReservationAnswer(kind, "n9#1/1.1", how), "n0#1/1.1")
     call, *words = bound.posted.pop()
     call(bound.now, *words)
     bound.core.carry_out_decisions(bound.now)
@@ -277,15 +283,16 @@
     assert len(bound.drivers.connects) == 1 and not bound.claims  # a repeatable one pays nothing
     session = bound.open("o1", "book")
     assert len(bound.drivers.connects) == 1 and len(bound.core.extensions.reservations.waiting) == 1
-    what, ident, held, until, _ = bound.claims[0]
+    asked = bound.claims[0]
     kind = session.flow.service_type
-    assert what == "claim" and len(ident) == 16 and held >= kind.idempotency_window
-    assert until - bound.binding.fleet.now() <= kind.setup_latency_objective // 2
+    assert isinstance(asked, ReservationRequested) and len(asked.key) == 16
+    assert asked.hold_ns >= kind.idempotency_window
+    assert asked.deadline - bound.binding.fleet.now() <= kind.setup_latency_objective // 2
     answer(bound, "granted")
     assert len(bound.drivers.connects) == 2
     leg = bound.drivers.connects[-1][0]
     bound.core.on_established(bound.now, leg)
-    assert bound.claims[1] == ("finish", ident, "n0#1/1.1", "ran")
+    assert bound.claims[1] == ReservationEnded(asked.key, "n0#1/1.1", "ran")
 
 
 @pytest.mark.parametrize(
@@ -322,11 +329,11 @@
     session = bound.open("o1", "book")
     bound.core.on_client_left(bound.now, session)
     answer(bound, "granted")
-    assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
+    assert not bound.drivers.connects and ended(bound.claims[1]) == "never"
     session = bound.open("o2", "book")
     answer(bound, "granted", which=2)
     bound.core.on_client_left(bound.now, session)  # its connect is out: nobody knows
-    assert bound.claims[3][0::3] == ("finish", "unknown")
+    assert ended(bound.claims[3]) == "unknown"
 
 
 def test_a_flow_whose_reservation_is_never_answered_is_rejected_in_time_and_a_leaving_process_waits(
@@ -342,7 +349,7 @@
     bound.core.timers.run_due(bound.now)
     assert bound.drivers.answers == [b"BUSY\r\n"]
     answer(bound, "granted")  # after all: nothing is sent, and its end is told
-    assert not bound.drivers.connects and bound.claims[1][0::3] == ("finish", "never")
+    assert not bound.drivers.connects and ended(bound.claims[1]) == "never"
     bound.now += 10 * 10**9
     bound.core.timers.run_due(bound.now)
     assert bound.core.lifecycle.stopped
