--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -1,12 +1,15 @@
 """The balancer, with a line on standard error for each event and each decision.
 
-For counting across a fleet: `deploy/traced.toml` starts it, docs/measurements/fleet.md counts. Not for
-service: the lines take time of their own and are not held back by the log's limit.
+A line reads `trace SECONDS EVENT FIELD ...`: the time in seconds of the balancer's clock, the
+event's name, then its fields. A server is `s` and its number in hexadecimal.
+
+For counting across a fleet: `deploy/traced.toml` starts it, docs/measurements/fleet.md counts. Not
+for service: the lines take time of their own and are not held back by the log's limit.
 """
 
 import os
 import sys
-from typing import Any
+from typing import Any, cast
 
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.hosting import unpack_gossip
@@ -19,26 +22,57 @@
 from cypresswalk.net.session import Attempt, Session
 from cypresswalk.service.program import main
 
+STANDARD_ERROR = 2  # file descriptor; written at once, without a buffer
+SECOND = 1_000_000_000  # in nanoseconds
+MILLISECOND = 1_000_000
+MICROSECOND = 1_000
+
 
-def say(now: int, what: str, *words: object) -> None:
+def write_line(now: int, event: str, *fields: object) -> None:
     """Writes one line; `now` in nanoseconds, written in seconds."""
-    os.write(2, " ".join(["trace", f"{now / 1e9:.4f}", what, *map(str, words)]).encode() + b"\n")
+    words = ["trace", f"{now / SECOND:.4f}", event, *map(str, fields)]
+    os.write(STANDARD_ERROR, " ".join(words).encode() + b"\n")
 
 
-def name(server: Server) -> str:
+def server_label(server: Server) -> str:
     """The server's number as the lines have it."""
     return f"s{server.id:08x}"
 
 
+def limit_field(server: Server) -> str:
+    """The server's concurrency limit as the lines have it."""
+    return f"limit={server.concurrency_limit:.1f}"
+
+
+def endpoint_field(endpoint: Endpoint) -> str:
+    """An entry of the endpoint list: number, state, zone, weight, start, host and port."""
+    server, address = endpoint
+    fields: list[object] = [
+        server_label(server),
+        server.state.value,
+        server.zone,
+        f"{server.weight:g}",
+        server.started_at,
+        address[0],
+        address[1],
+    ]
+    return ":".join(map(str, fields))
+
+
+def phase_of(session: Session) -> str:
+    """`standing` once the session is established, `setup` before."""
+    return "standing" if session.established else "setup"
+
+
 class TracedCore(Core):
     """The core, with a line for each event and for each decision that is a method of its own."""
 
-    now = 0
+    now = 0  # nanoseconds; when decisions were last carried out
 
     def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
-        """Writes `open`."""
+        """Writes `open`: id, service type, timeout, group, whether it returns, server before."""
         values = request.values
-        say(
+        write_line(
             now,
             "open",
             request.ident,
@@ -53,85 +87,89 @@
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
     ) -> None:
-        """Writes `connect`."""
-        timeout_ms = (deadline - now) // 1_000_000
-        say(now, "connect", session.request.ident, name(server), number, timeout_ms)
+        """Writes `connect`: id, server, attempt's number, timeout in milliseconds."""
+        timeout_ms = (deadline - now) // MILLISECOND
+        ident = session.request.ident
+        write_line(now, "connect", ident, server_label(server), number, timeout_ms)
         super().start_attempt(now, session, server, number, deadline)
 
     def on_established(self, now: int, attempt: Attempt) -> None:
-        """Writes `up`."""
-        say(
+        """Writes `up`: id, server, attempt's number, microseconds that it took."""
+        write_line(
             now,
             "up",
             attempt.session.request.ident,
-            name(attempt.server),
+            server_label(attempt.server),
             attempt.number,
-            (now - attempt.started_at) // 1000,
+            (now - attempt.started_at) // MICROSECOND,
         )
         super().on_established(now, attempt)
 
     def on_attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        """Writes `ended` for a session's latest attempt."""
+        """Writes `ended` for a session's latest attempt: as `up`, with outcome and phase."""
         session = attempt.session
         if session.attempt is attempt and not session.finished:
-            say(
+            write_line(
                 now,
                 "ended",
                 session.request.ident,
-                name(attempt.server),
+                server_label(attempt.server),
                 attempt.number,
                 outcome.name,
-                "standing" if session.established else "setup",
-                (now - attempt.started_at) // 1000,
+                phase_of(session),
+                (now - attempt.started_at) // MICROSECOND,
             )
         super().on_attempt_ended(now, attempt, outcome)
 
     def on_client_left(self, now: int, session: Session) -> None:
-        """Writes `left`."""
+        """Writes `left`: id, phase."""
         if session.has_flow and not session.finished:
-            phase = "standing" if session.established else "setup"
-            say(now, "left", session.request.ident, phase)
+            write_line(now, "left", session.request.ident, phase_of(session))
         super().on_client_left(now, session)
 
     def end_session(self, now: int, session: Session, reply: bytes) -> None:
-        """Writes `answer`."""
+        """Writes `answer`: id, the reply."""
         ident = session.request.ident if session.has_flow else "-"
-        say(now, "answer", ident, reply.strip().decode())
+        write_line(now, "answer", ident, reply.strip().decode())
         super().end_session(now, session, reply)
 
     def migrate(self, now: int, flow: Flow) -> None:
-        """Writes `move`."""
+        """Writes `move`: id, server, its consecutive failures, health and limit."""
         session = self.sessions[flow]
         attempt = session.attempt
         assert attempt is not None  # the session is established
-        say(
+        server = attempt.server
+        write_line(
             now,
             "move",
             session.request.ident,
-            name(attempt.server),
-            f"misses={attempt.server.consecutive_failures}",
-            f"health={attempt.server.health}",
-            f"limit={attempt.server.concurrency_limit:.1f}",
+            server_label(server),
+            f"misses={server.consecutive_failures}",
+            f"health={server.health}",
+            limit_field(server),
         )
         super().migrate(now, flow)
 
     def on_health_check_result(
         self, now: int, server: Server, passed: bool, load: list[float]
     ) -> None:
-        """Writes `probed`."""
+        """Writes `probed`: server, result, health after it."""
         super().on_health_check_result(now, server, passed, load)
-        say(now, "probed", name(server), "passed" if passed else "failed", server.health)
+        result = "passed" if passed else "failed"
+        write_line(now, "probed", server_label(server), result, server.health)
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
-        """Writes `delay`."""
+        """Writes `delay`: server, microseconds, limit after it."""
         super().on_message_delay(now, server, delay)
-        say(now, "delay", name(server), delay // 1000, f"limit={server.concurrency_limit:.1f}")
+        delay_us = delay // MICROSECOND
+        write_line(now, "delay", server_label(server), delay_us, limit_field(server))
 
     def on_gossip(self, now: int, message: bytes) -> None:
-        """Writes `heard`."""
-        hint = unpack_gossip(self.balancer, message)
-        if hint:
-            say(now, "heard", name(hint[0]), f"{hint[1]:.2f}")
+        """Writes `heard`: server, load (1.0 at the message latency objective)."""
+        gossip = unpack_gossip(self.balancer, message)
+        if gossip:
+            server, load = gossip
+            write_line(now, "heard", server_label(server), f"{load:.2f}")
         super().on_gossip(now, message)
 
     def on_endpoints(
@@ -141,21 +179,13 @@
         entries: list[Endpoint],
         older: bool = False,
     ) -> None:
-        """Writes `listed`."""
-        say(
-            now,
-            "listed",
-            update.name,
-            *[
-                f"{name(s)}:{s.state.value}:{s.zone}:{s.weight:g}:{s.started_at}:{a[0]}:{a[1]}"
-                for s, a in entries
-            ],
-        )
+        """Writes `listed`: kind of update, the entries."""
+        write_line(now, "listed", update.name, *map(endpoint_field, entries))
         super().on_endpoints(now, update, entries, older)
 
     def on_endpoints_failed(self, now: int) -> None:
         """Writes `list_failed`."""
-        say(now, "list_failed")
+        write_line(now, "list_failed")
         super().on_endpoints_failed(now)
 
     def carry_out_decisions(self, now: int) -> None:
@@ -170,28 +200,29 @@
     core: TracedCore  # set once it is built
 
     def __init__(self, drivers: Drivers):
-        """Passes every call on."""
+        """Calls without a line go to `drivers` as they are."""
         self.drivers = drivers
 
-    def __getattr__(self, what: str) -> Any:
+    def __getattr__(self, name: str) -> Any:
         """A call without a line."""
-        return getattr(self.drivers, what)
+        return getattr(self.drivers, name)
 
     def probe(self, server: Server, address: Address) -> None:
-        """Writes `probe`."""
-        say(self.core.now, "probe", name(server), *address)
+        """Writes `probe`: server, host, port."""
+        write_line(self.core.now, "probe", server_label(server), *address)
         self.drivers.probe(server, address)
 
     def tell(self, message: bytes) -> None:
-        """Writes `tell`."""
-        hint = unpack_gossip(self.core.balancer, message)
-        if hint is not None:
-            say(self.core.now, "tell", name(hint[0]), f"{hint[1]:.2f}")
+        """Writes `tell`: server, load (1.0 at the message latency objective)."""
+        gossip = unpack_gossip(self.core.balancer, message)
+        if gossip is not None:
+            server, load = gossip
+            write_line(self.core.now, "tell", server_label(server), f"{load:.2f}")
         self.drivers.tell(message)
 
     def subscribe(self) -> None:
         """Writes `subscribe`."""
-        say(self.core.now, "subscribe")
+        write_line(self.core.now, "subscribe")
         self.drivers.subscribe()
 
 
@@ -199,10 +230,10 @@
     config: Config, drivers: Drivers, counters: Counters, now: int, policy: type[Balancer]
 ) -> TracedCore:
     """The core for `main`; writes `settings`."""
-    traced_drivers: Any = TracedDrivers(drivers)
-    core = TracedCore(config, traced_drivers, counters, now, policy)
+    traced_drivers = TracedDrivers(drivers)
+    core = TracedCore(config, cast(Drivers, traced_drivers), counters, now, policy)
     traced_drivers.core = core
-    say(
+    write_line(
         0,
         "settings",
         config.settings,
