--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -31,8 +31,8 @@
 class CoreBinding:
     """One balancer's part in the fleet, bound to its core.
 
-    `came_up`, `fell`, `listed`, `takes`, `handed` and `inherit` are what the core and the hand-over
-    between processes call.
+    The methods of `net.ports.FleetBinding` are what the core and the hand-over between processes
+    call.
 
     Attributes:
         fleet: the driver of the balancer's member.
@@ -76,10 +76,10 @@
         self.endpoints = EndpointMerge(core, self.fleet, registry)
         self.observations = LocalObservations(core, registry)
         self.commands = FleetCommands(core, self.fleet, self.rotation, table.name, post)
-        self.came_up = self.observations.came_up
-        self.fell = self.observations.fell
-        self.listed = self.endpoints.listed
-        self.takes = self.commands.takes
+        self.on_attempt_established = self.observations.on_attempt_established
+        self.on_attempt_ended = self.observations.on_attempt_ended
+        self.merge_endpoints = self.endpoints.merge_endpoints
+        self.handle_command = self.commands.handle_command
         self.attach(table, post)
 
     def attach(self, table: FleetTable, post: Callable[..., None]) -> None:
@@ -159,7 +159,7 @@
 
     # Two processes of this balancer side by side (net/handover.py) share one member and one lease.
 
-    def handed(self) -> dict[str, Any]:
+    def state_for_successor(self) -> dict[str, Any]:
         """What a successor needs to know of what is agreed."""
         return {
             "until": self.fleet.lease_until,
@@ -169,7 +169,7 @@
             "out": sorted(self.rotation.agreed),
             "here": sorted(self.rotation.forced),
             "list_version": self.list_version,
-            "list": self.endpoints.handed(),
+            "list": self.endpoints.list_for_successor(),
         }
 
     def inherit(self, now: int, told: dict[str, Any]) -> None:
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -54,7 +54,7 @@
         """Has the core act on both lists as they are."""
         self.core.on_endpoints(now, EndpointUpdate.DELTA, [])
 
-    def listed(
+    def merge_endpoints(
         self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]]
     ) -> tuple[EndpointUpdate, list[tuple[Server, Address]]]:
         """The update to act on, from what this balancer's own list agent says.
@@ -108,7 +108,7 @@
             self.reported = registry.version, digest
             self.fleet.on_list_received(registry.version, digest, servers)
 
-    def handed(self) -> list[list[Any]] | None:
+    def list_for_successor(self) -> list[list[Any]] | None:
         """The agreed list in the form in which a successor reads it."""
         if self.agreed is None:
             return None
@@ -116,7 +116,11 @@
 
 
 def agreed_list(told: Any) -> dict[int, tuple[ServerState, int]] | None:
-    """Reads what `handed` wrote. Raises TypeError or ValueError where it has another form."""
+    """Reads what `list_for_successor` wrote.
+
+    Raises:
+        TypeError, ValueError: it has another form.
+    """
     if told is None:
         return None
     return {int(number): (ServerState(state), int(since)) for number, state, since in told}
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -57,7 +57,7 @@
         self.name = name
         self.post = post
 
-    def takes(self, now: int, call: AdminCommand) -> bool:
+    def handle_command(self, now: int, call: AdminCommand) -> bool:
         """Whether the reply comes from here; if not, the core carries the command out by itself."""
         if call.name == "drain-on" and not self.core.lifecycle.drained:
             self.ask_to_drain(call)
--- a/cypresswalk/fleet/local_observations.py
+++ b/cypresswalk/fleet/local_observations.py
@@ -26,7 +26,8 @@
 class LocalObservations:
     """Counts what came of attempts, and reports it.
 
-    `came_up` and `fell` are called by the deciding thread, the rest by the fleet's thread.
+    The deciding thread calls `on_attempt_established` and `on_attempt_ended`, the fleet's thread
+    the rest.
 
     Attributes:
         watch: servers are being changed by a release, so that counts by server are reported too.
@@ -41,14 +42,14 @@
         self.latest: Counts = (0, 0, 0, 0)
         self.by_server: dict[int, list[int]] = {}  # fields as above
 
-    def came_up(self, attempt: Attempt, took: int) -> None:
+    def on_attempt_established(self, attempt: Attempt, took: int) -> None:
         """An attempt was established after `took` nanoseconds."""
         self.setup_ns += took
         counts = self.by_server.setdefault(attempt.server.id, [0] * COUNT_FIELDS)
         counts[ESTABLISHED] += 1
         counts[SETUP_NS] += took
 
-    def fell(self, attempt: Attempt, outcome: Outcome) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt failed, or an established connection was broken off."""
         if outcome in FIELD_OF_OUTCOME:
             counts = self.by_server.setdefault(attempt.server.id, [0] * COUNT_FIELDS)
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -207,23 +207,23 @@
         """A call without a line."""
         return getattr(self.drivers, name)
 
-    def probe(self, server: Server, address: Address) -> None:
+    def check_health(self, server: Server, address: Address) -> None:
         """Writes `probe`: server, host, port."""
         write_line(self.core.now, "probe", server_label(server), *address)
-        self.drivers.probe(server, address)
+        self.drivers.check_health(server, address)
 
-    def tell(self, message: bytes) -> None:
+    def send_gossip(self, message: bytes) -> None:
         """Writes `tell`: server, load (1.0 at the message latency objective)."""
         gossip = unpack_gossip(self.core.balancer, message)
         if gossip is not None:
             server, load = gossip
             write_line(self.core.now, "tell", server_label(server), f"{load:.2f}")
-        self.drivers.tell(message)
+        self.drivers.send_gossip(message)
 
-    def subscribe(self) -> None:
+    def request_endpoints(self) -> None:
         """Writes `subscribe`."""
         write_line(self.core.now, "subscribe")
-        self.drivers.subscribe()
+        self.drivers.request_endpoints()
 
 
 def build_traced_core(
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -98,7 +98,7 @@
             self.extensions,
             self.metrics,
             counters,
-            self.recall_attempts,
+            self.cancel_unsent_attempts,
         )
         self.silence = SilenceDetector(
             self.sessions, self.balancer, counters, self.limits, self.timers
@@ -215,12 +215,12 @@
                 pass  # the other process checks for both
             case CheckHealth(server):
                 self.counters.add("probes_sent")
-                self.drivers.probe(server, self.endpoints.addresses[server.id])
+                self.drivers.check_health(server, self.endpoints.addresses[server.id])
             case SendGossip(server, load):
                 self.counters.add("hints_told")
-                self.drivers.tell(pack_gossip(server, load))
+                self.drivers.send_gossip(pack_gossip(server, load))
             case Subscribe():
-                self.drivers.subscribe()
+                self.drivers.request_endpoints()
             case ScheduleWakeup(delay):
                 self.timers.schedule(now + delay, self.balancer.on_wakeup)
 
@@ -256,7 +256,7 @@
         session = attempt.session
         flow = session.flow
         if session.attempt is not attempt or session.finished:
-            self.drivers.drop(attempt)
+            self.drivers.close_attempt(attempt)
             return
         duration = now - attempt.started_at
         if flow not in self.sessions:
@@ -266,7 +266,7 @@
             flow_of_attempt(self.balancer, flow.id, attempt.number) is not flow
             or now >= flow.deadline
         ):
-            self.drivers.drop(attempt)  # the timer that is due ends it
+            self.drivers.close_attempt(attempt)  # the timer that is due ends it
             return
         else:
             self.balancer.on_established(now, flow, duration)
@@ -274,19 +274,19 @@
         if self.extensions.reservations is not None:
             self.extensions.reservations.finish(flow, "ran")
         if self.extensions.fleet is not None:
-            self.extensions.fleet.came_up(attempt, duration)
+            self.extensions.fleet.on_attempt_established(attempt, duration)
         self.counters.add("flows_established")
         self.metrics.count(ESTABLISHED, session.request.values["c"])
-        self.drivers.join(attempt)
+        self.drivers.start_relay(attempt)
 
     def on_attempt_timeout(self, now: int, attempt: Attempt) -> None:
         """The attempt's time is up."""
         session = attempt.session
         if session.attempt is attempt and not session.finished and not session.established:
             # Without a connection yet it is certain that nothing ran.
-            recalled = self.drivers.recall(attempt)
+            recalled = self.drivers.cancel_unsent(attempt)
             outcome = Outcome.CONNECT_FAILED if recalled else Outcome.TIMEOUT
-            self.drivers.drop(attempt)
+            self.drivers.close_attempt(attempt)
             if session.flow in self.sessions:
                 self.on_attempt_ended(now, attempt, outcome)
 
@@ -298,7 +298,7 @@
             return
         self.counters.add("connects_" + outcome.name.lower())
         if self.extensions.fleet is not None:
-            self.extensions.fleet.fell(attempt, outcome)
+            self.extensions.fleet.on_attempt_ended(attempt, outcome)
         if session.established:
             session.finished = True
         else:
@@ -311,7 +311,7 @@
                 del self.sessions[flow]
             self.balancer.on_ended(now, flow, outcome, final, now - attempt.started_at)
 
-    def recall_attempts(self, now: int, leaves: Callable[[Server], bool]) -> None:
+    def cancel_unsent_attempts(self, now: int, leaves: Callable[[Server], bool]) -> None:
         """Attempts that have sent nothing yet to a server that leaves go elsewhere.
 
         A connection takes its time to be set up: without this a first line would go out after the
@@ -323,7 +323,7 @@
                 attempt is not None
                 and not session.established
                 and leaves(attempt.server)
-                and self.drivers.recall(attempt)
+                and self.drivers.cancel_unsent(attempt)
             ):
                 self.on_attempt_ended(now, attempt, Outcome.MOOT)
 
@@ -335,7 +335,7 @@
             return
         session.finished = True
         if session.attempt is not None and not session.established:
-            self.drivers.drop(session.attempt)
+            self.drivers.close_attempt(session.attempt)
         if session.has_flow:
             if not session.established:
                 self._finish_reservation(session)
@@ -354,7 +354,7 @@
         """The time to resume is over: refuses the session unless it is established."""
         if not session.finished and not session.established:
             if session.attempt is not None:
-                self.drivers.drop(session.attempt)
+                self.drivers.close_attempt(session.attempt)
             request = session.request
             server = request.values["at"]
             self._refuse(now, session, "resume_failed", flow=request.ident, server=server)
@@ -366,7 +366,7 @@
         assert attempt is not None  # the session is established
         session.finished = True
         self.counters.add("flows_moved")
-        self.drivers.move(session)
+        self.drivers.migrate(session)
         self.balancer.on_ended(now, flow, Outcome.CANCELLED, True, now - attempt.started_at)
 
     def end_session(self, now: int, session: Session, reply: bytes) -> None:
@@ -376,11 +376,11 @@
             self._finish_reservation(session)
             result = FAILED if reply == ERROR_REPLY else REJECTED
             self.metrics.count(result, session.request.values["c"])
-        self.drivers.answer(session, reply)
+        self.drivers.send_reply(session, reply)
         self.timers.schedule(now + self.limits.linger_timeout, self._close, session)
 
     def _close(self, now: int, session: Session) -> None:
-        self.drivers.close(session)
+        self.drivers.close_client(session)
 
     def _refuse(self, now: int, session: Session, log_event: str, **fields: object) -> None:
         log.warning(event(log_event, **fields))
@@ -421,7 +421,7 @@
         """The endpoint list has changed; `older`: it knows less than a list that was acted on."""
         self.counters.add("lists")
         if self.extensions.fleet is not None:
-            update, entries = self.extensions.fleet.listed(now, update, entries)
+            update, entries = self.extensions.fleet.merge_endpoints(now, update, entries)
         if older:
             entries = self.endpoints.withhold_returning(now, entries)
         servers = self.endpoints.accept(entries)
@@ -430,7 +430,7 @@
         if update is not EndpointUpdate.DELTA or any(
             server.state is not ServerState.READY for server in servers
         ):
-            self.recall_attempts(now, lambda server: server.state is not ServerState.READY)
+            self.cancel_unsent_attempts(now, lambda server: server.state is not ServerState.READY)
 
     def on_endpoints_failed(self, now: int) -> None:
         """A call for the endpoint list failed, or its watch broke."""
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -121,7 +121,7 @@
     balancer = core.balancer
     list_address, version = source.list_position()
     fleet = core.extensions.fleet
-    agreed = {} if fleet is None else {"agreed": fleet.handed()}
+    agreed = {} if fleet is None else {"agreed": fleet.state_for_successor()}
     yield {
         "state": agreed
         | {
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -116,7 +116,7 @@
         else:
             delay = max(span // 2, self.limits.min_leave_delay)
         answer_deadline = self._migrate_all(now, Phase.LEAVING, delay, span)
-        self.drivers.close_door(answer_deadline)
+        self.drivers.stop_accepting_at(answer_deadline)
         if self.extensions.handover is not None:
             self.extensions.handover.hand_over(now)
 
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -30,16 +30,16 @@
         extensions: Extensions,
         metrics: Metrics,
         counters: Counters,
-        recall_attempts: Callable[[int, Callable[[Server], bool]], None],
+        cancel_unsent_attempts: Callable[[int, Callable[[Server], bool]], None],
     ):
-        """`recall_attempts` has attempts that sent nothing yet go to other servers."""
+        """`cancel_unsent_attempts` has attempts that sent nothing yet go to other servers."""
         self.balancer = balancer
         self.endpoints = endpoints
         self.lifecycle = lifecycle
         self.extensions = extensions
         self.metrics = metrics
         self.counters = counters
-        self.recall_attempts = recall_attempts
+        self.cancel_unsent_attempts = cancel_unsent_attempts
 
     def on_command(self, now: int, command: AdminCommand) -> None:
         """A command has come. One that its caller has given up has no effect."""
@@ -50,7 +50,7 @@
             command.answers.put(self.metrics.render(now))
             return
         fleet = self.extensions.fleet
-        if fleet is not None and fleet.takes(now, command):
+        if fleet is not None and fleet.handle_command(now, command):
             return
         self.run(now, command)
 
@@ -141,5 +141,5 @@
         else:
             self.balancer.remove_from_rotation(now, server)
             self.lifecycle.update_readiness()
-            self.recall_attempts(now, lambda other: other is server)
+            self.cancel_unsent_attempts(now, lambda other: other is server)
         return None
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -17,34 +17,34 @@
     def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
         """Connects to a server and sends the line; reports back by the core's on_... methods."""
 
-    def join(self, attempt: Attempt) -> None:
+    def start_relay(self, attempt: Attempt) -> None:
         """Starts relaying lines between the client and the server."""
 
-    def drop(self, attempt: Attempt) -> None:
+    def close_attempt(self, attempt: Attempt) -> None:
         """Closes the connection to the server."""
 
-    def recall(self, attempt: Attempt) -> bool:
+    def cancel_unsent(self, attempt: Attempt) -> bool:
         """Drops an attempt that has sent nothing. False if it has, or if it was dropped before."""
 
-    def close_door(self, at: int) -> None:
+    def stop_accepting_at(self, at: int) -> None:
         """Ends the listening for clients at that time, nanoseconds."""
 
-    def answer(self, session: Session, line: bytes) -> None:
+    def send_reply(self, session: Session, line: bytes) -> None:
         """Sends the client its last line and ends the connection's sending half."""
 
-    def close(self, session: Session) -> None:
+    def close_client(self, session: Session) -> None:
         """Closes the client's connection."""
 
-    def move(self, session: Session) -> None:
+    def migrate(self, session: Session) -> None:
         """Tells an established client to look for another server."""
 
-    def probe(self, server: Server, address: Address) -> None:
+    def check_health(self, server: Server, address: Address) -> None:
         """Checks a server's health."""
 
-    def subscribe(self) -> None:
+    def request_endpoints(self) -> None:
         """Asks for the endpoint list's changes."""
 
-    def tell(self, message: bytes) -> None:
+    def send_gossip(self, message: bytes) -> None:
         """Sends gossip to the other balancers."""
 
 
@@ -72,21 +72,21 @@
 class FleetBinding(Protocol):
     """What balancers of one fleet have agreed (fleet/core_binding.py)."""
 
-    def came_up(self, attempt: Attempt, took: int) -> None:
+    def on_attempt_established(self, attempt: Attempt, took: int) -> None:
         """An attempt was established within so many nanoseconds."""
 
-    def fell(self, attempt: Attempt, outcome: Outcome) -> None:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt or an established connection ended, whatever its outcome."""
 
-    def listed(
+    def merge_endpoints(
         self, now: int, form: EndpointUpdate, entries: list[Endpoint]
     ) -> tuple[EndpointUpdate, list[Endpoint]]:
         """The update to act on, from what this balancer's own endpoint list says."""
 
-    def takes(self, now: int, call: AdminCommand) -> bool:
+    def handle_command(self, now: int, call: AdminCommand) -> bool:
         """Whether the fleet replies to the command."""
 
-    def handed(self) -> dict[str, Any]:
+    def state_for_successor(self) -> dict[str, Any]:
         """What a successor needs to know of what is agreed."""
 
     def inherit(self, now: int, told: dict[str, Any]) -> None:
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -29,8 +29,8 @@
 class ServerConnection:
     """One attempt at a server: dial, first line, and the relaying once the flow is accepted.
 
-    A thread of its own runs `run`. The deciding thread calls `start_relay`, `drop`, `recall` and
-    `migrate`, none of which waits for a socket.
+    A thread of its own runs `run`. The deciding thread calls `start_relay`, `close`,
+    `cancel_unsent` and `migrate`, none of which waits for a socket.
 
     Attributes:
         open_line: The OPEN line for the server.
@@ -99,7 +99,7 @@
         self._client.relay = self._relay
         self._verdict.release()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Ends the attempt, whatever it has come to."""
         with self._send_lock:
             if self._dropped:
@@ -109,7 +109,7 @@
             self._link.shutdown(socket.SHUT_RDWR)
         self._verdict.release()
 
-    def recall(self) -> bool:
+    def cancel_unsent(self) -> bool:
         """Drops the attempt if nothing was sent; returns whether nothing was and now will be."""
         with self._send_lock:
             if self.sent or self._dropped:
--- a/cypresswalk/net/session.py
+++ b/cypresswalk/net/session.py
@@ -43,10 +43,10 @@
     def start_relay(self) -> None:
         """Starts relaying lines."""
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Closes the connection."""
 
-    def recall(self) -> bool:
+    def cancel_unsent(self) -> bool:
         """Whether nothing was sent, and now never will be."""
 
     def migrate(self) -> None:
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -350,45 +350,45 @@
             log.error(event("connect_not_started", why=error))
             self.inbox.post(self.core.on_attempt_ended, attempt, Outcome.CONNECT_FAILED)
 
-    def join(self, attempt: Attempt) -> None:
+    def start_relay(self, attempt: Attempt) -> None:
         """Starts relaying lines."""
         attempt.connection.start_relay()
 
-    def drop(self, attempt: Attempt) -> None:
+    def close_attempt(self, attempt: Attempt) -> None:
         """Closes the connection to the server."""
-        attempt.connection.drop()
+        attempt.connection.close()
 
-    def recall(self, attempt: Attempt) -> bool:
+    def cancel_unsent(self, attempt: Attempt) -> bool:
         """Drops an attempt that has sent nothing yet."""
-        return attempt.connection.recall()
+        return attempt.connection.cancel_unsent()
 
-    def close_door(self, at: int) -> None:
+    def stop_accepting_at(self, at: int) -> None:
         """Ends the listening for clients at that time."""
         self.listener.closes_at = at
 
-    def answer(self, session: Session, line: bytes) -> None:
+    def send_reply(self, session: Session, line: bytes) -> None:
         """Sends the client its last line."""
         session.client.link.send_nowait(line)
         session.client.link.shutdown(socket.SHUT_WR)
 
-    def close(self, session: Session) -> None:
+    def close_client(self, session: Session) -> None:
         """Closes the client's connection."""
         session.client.link.shutdown(socket.SHUT_RDWR)
 
-    def move(self, session: Session) -> None:
+    def migrate(self, session: Session) -> None:
         """Sends an established client MOVE."""
         assert session.attempt is not None  # it is established
         session.attempt.connection.migrate()
 
-    def probe(self, server: Server, address: Address) -> None:
+    def check_health(self, server: Server, address: Address) -> None:
         """Checks a server's health."""
         self.prober.check(server, address)
 
-    def subscribe(self) -> None:
+    def request_endpoints(self) -> None:
         """Asks for the endpoint list's changes."""
         self.watch.request_update()
 
-    def tell(self, message: bytes) -> None:
+    def send_gossip(self, message: bytes) -> None:
         """Sends gossip to the other balancers."""
         if self.peers is not None:
             self.peers.send(message)
--- a/tests/test_core_binding.py
+++ b/tests/test_core_binding.py
@@ -33,7 +33,7 @@
     def connect(self, leg, address, line):
         self.connects.append((leg, address))
 
-    def answer(self, session, line):
+    def send_reply(self, session, line):
         self.answers.append(line)
 
     def __getattr__(self, name):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -550,7 +550,7 @@
     until_true(lambda: crossing.inbox.clock() > crossing.attempt.send_deadline)
     crossing.go.set()
     assert crossing.heard() == b"" and crossing.posted() == [("on_attempt_ended", Outcome.MOOT)]
-    assert not crossing.link.recall()
+    assert not crossing.link.cancel_unsent()
 
 
 @pytest.mark.parametrize("first", ["drop", "dial"])
@@ -559,14 +559,14 @@
     crossing.run()
     assert crossing.began.wait(5)
     if first == "drop":
-        crossing.link.drop()
+        crossing.link.close()
         crossing.go.set()
         assert crossing.heard() == b""
     else:
         crossing.go.set()
         until_true(lambda: crossing.link.sent)
-        assert not crossing.link.recall()
-        crossing.link.drop()
+        assert not crossing.link.cancel_unsent()
+        crossing.link.close()
         assert crossing.heard() in (b"", crossing.link.open_line)
     crossing.thread.join(5)
     assert not crossing.thread.is_alive()
@@ -609,8 +609,8 @@
     sock, _ = crossing.server.accept()
     until_true(lambda: crossing.link.sent)
     began = time.monotonic()
-    assert not crossing.link.recall()
-    crossing.link.drop()
+    assert not crossing.link.cancel_unsent()
+    crossing.link.close()
     assert time.monotonic() - began < 1
     assert crossing.posted()[:1] == [
         ("on_attempt_ended", Outcome.CONNECT_FAILED)
@@ -907,7 +907,7 @@
         events = []
 
         def end(attempt):
-            bench.sockets.drop(attempt)
+            bench.sockets.close_attempt(attempt)
             bench.core.on_attempt_ended(
                 bench.now,
                 attempt,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -368,7 +368,7 @@
                 if outcome is None:
                     process.tell(process.core.on_established, leg)
                 else:
-                    process.sockets.drop(leg)
+                    process.sockets.close_attempt(leg)
                     process.tell(process.core.on_attempt_ended, leg, outcome)
 
     @rule(out=st.booleans(), server=st.integers(0, 2), which=st.integers(0, 1))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -56,40 +56,40 @@
         self.out[session], self.line = leg, line
         self.legs.append(leg)
 
-    def join(self, leg):
+    def start_relay(self, leg):
         assert self.out.pop(leg.session) is leg, "an answer of a connect that was given up"
         assert leg.session not in self.answers, "answered twice"
         self.answers[leg.session], self.passing[leg.session] = b"UP", leg
 
-    def drop(self, leg):
+    def close_attempt(self, leg):
         if self.out.get(leg.session) is leg:
             del self.out[leg.session]
 
-    def recall(self, leg):
+    def cancel_unsent(self, leg):
         return leg in self.in_dial and self.out.pop(leg.session, None) is leg
 
-    def answer(self, session, line):
+    def send_reply(self, session, line):
         assert session not in self.answers, "answered twice"
         assert session not in self.out, "answered with a connect out"
         self.answers[session] = line
 
-    def close(self, session):
+    def close_client(self, session):
         assert session in self.answers
 
-    def close_door(self, at):
+    def stop_accepting_at(self, at):
         self.shut_at = at
 
-    def move(self, session):
+    def migrate(self, session):
         assert session in self.passing and session not in self.moved
         self.moved.add(session)
 
-    def probe(self, server, address):
+    def check_health(self, server, address):
         self.probes.append(server)
 
-    def subscribe(self):
+    def request_endpoints(self):
         self.asked += 1
 
-    def tell(self, message):
+    def send_gossip(self, message):
         self.hints.append(message)
 
 
@@ -345,7 +345,7 @@
         if legs:
             leg = legs[which % len(legs)]
             self.told_end.add(leg)
-            self.bench.sockets.drop(leg)
+            self.bench.sockets.close_attempt(leg)
             self.bench.tell(self.bench.core.on_attempt_ended, leg, outcome)
 
     @precondition(lambda self: self.bench.due)
