--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -189,7 +189,7 @@
         if response.id != self.context.id:
             return
         if response.rejected:
-            self.context.warn_once("discovery_rejected", why=response.rejected)
+            self.context.warn_once("discovery_rejected", reason=response.rejected)
         if not response.group:
             for member in response.members[:1]:
                 self.responses[member.name] = now, response
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -119,7 +119,7 @@
             error = shared_settings.objection(self.params, view.settings)
             if error:
                 log.error(
-                    event("agreed_settings_unreadable", version=view.settings_version, why=error)
+                    event("agreed_settings_unreadable", version=view.settings_version, error=error)
                 )
                 return
             self.apply_settings(now, view.settings)
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -302,7 +302,7 @@
     def _log_problem(self, event: str, why: str) -> None:
         """Log a problem, unless it is the same as before."""
         if why != self.problem:
-            log.error("event=%s folder=%s why=%s", event, self.table.folder, why)
+            log.error("event=%s folder=%s reason=%s", event, self.table.folder, why)
         self.problem = why
 
     def begin(self) -> None:
@@ -348,7 +348,7 @@
                 time.sleep(LOCK_RETRY_PAUSE)
 
     def _give_up_identity(self, why: str) -> None:
-        log.error("event=fleet_identity_given_up why=%s", why)
+        log.error("event=fleet_identity_given_up reason=%s", why)
         self.data_losses += 1
         self.folder.set_aside()
 
@@ -477,7 +477,7 @@
         try:
             heir = member.node.transfer_leadership(now)
         except BusyError as error:
-            log.info("event=leadership_kept why=%s", error)
+            log.info("event=leadership_kept error=%s", error)
         else:
             log.info("event=leadership_handed_over to=%s", heir)
 
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -39,7 +39,7 @@
             except OSError as error:
                 why = str(error)
             if why != logged:
-                log.info("event=fleet_waits folder=%s why=%s", self.path, why)
+                log.info("event=fleet_waits folder=%s reason=%s", self.path, why)
                 logged = why
             time.sleep(LOCK_RETRY_PAUSE)
         return False
@@ -63,7 +63,7 @@
         persisted = self.store.load(
             self.fleet,
             self.name,
-            lambda text: log.warning("event=fleet_log_cut why=%s", text),
+            lambda text: log.warning("event=fleet_log_cut reason=%s", text),
         )
         if persisted is None:
             return None
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -107,7 +107,7 @@
         try:
             data = encode_frame(frame)
         except FrameError as error:
-            log.error("event=frame_dropped why=%s", error)
+            log.error("event=frame_dropped error=%s", error)
             return
         self.counts["words_sent"] += 1
         self.counts["bytes_sent"] += len(data)
@@ -149,7 +149,7 @@
         self._logged_errors[key] = why
         if len(self._logged_errors) > MAX_REMEMBERED_ERRORS:
             self._logged_errors.clear()
-        log.info("event=link_lost to=%s address=%s:%d why=%s", link.to or "?", *link.address, why)
+        log.info("event=link_lost to=%s address=%s:%d reason=%s", link.to or "?", *link.address, why)
 
     # Incoming connections.
 
@@ -160,7 +160,7 @@
             except OSError as error:
                 if self._stopping.is_set():
                     return
-                log.warning("event=fleet_accept_failed why=%s", error)
+                log.warning("event=fleet_accept_failed error=%s", error)
                 time.sleep(ACCEPT_RETRY_PAUSE)
                 continue
             if len(self.connections) >= MAX_CONNECTIONS:
@@ -171,7 +171,7 @@
             try:
                 start_thread(partial(self._serve, sock), 0, STACK_SIZE)
             except RuntimeError as error:
-                log.error("event=fleet_thread_failed why=%s", error)
+                log.error("event=fleet_thread_failed error=%s", error)
                 self.connections.pop(sock, None)
                 sock.close()
 
@@ -182,7 +182,7 @@
             self._read(sock)
         except FrameError as error:
             self.counts["frames_odd"] += 1
-            log.info("event=frame_malformed why=%s", str(error)[:200])
+            log.info("event=frame_malformed error=%s", str(error)[:200])
         except (OSError, struct.error):
             pass  # the other side is gone, or silent
         finally:
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -46,7 +46,7 @@
             try:
                 sock, _ = self.sock.accept()
             except OSError as error:
-                log.warning(event("calls_accept_failed", why=error))
+                log.warning(event("calls_accept_failed", error=error))
                 time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             self._admit(sock)
@@ -60,7 +60,7 @@
                 self._without_line[caller] = None
             start_thread(lambda: self._serve(caller))
         except (OSError, RuntimeError) as error:
-            log.error(event("caller_not_served", why=error))
+            log.error(event("caller_not_served", error=error))
             sock.close()
 
     def _make_room(self) -> None:
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -111,7 +111,7 @@
         """A client's first line has come."""
         timeout = nanoseconds(float(request.values.get("d", 0)), "d")
         if not self._is_acceptable(request, timeout):
-            self._refuse(now, session, "opening_odd", line=request.encode(0)[:200])
+            self._refuse(now, session, "request_invalid", line=request.encode(0)[:200])
             return
         flow_id = stable_hash(request.ident)
         # An id is new with every connection: sent again it may not disturb the flow that has it.
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -82,7 +82,7 @@
                     data = data[sent:]
                 self.sock.sendall(data)
         except OSError as error:
-            log.warning(event("handover_connection_lost", why=error))
+            log.warning(event("handover_connection_lost", error=error))
         with suppress(OSError):  # the other side was first
             self.sock.shutdown(socket.SHUT_RDWR)
 
@@ -115,7 +115,7 @@
             while (message := self.read_message()) is not None:
                 self.inbox.post_urgent(handover.on_message, self, message)
         except (OSError, ProtocolError) as error:
-            log.warning(event("handover_connection_lost", why=error))
+            log.warning(event("handover_connection_lost", error=error))
         finally:
             self.inbox.post_urgent(handover.on_disconnected, self)
             self.close()
@@ -169,7 +169,7 @@
                 return None if sock is None else self._greet_predecessor(sock)
             except HandoverError as error:
                 if not error.retry or self.inbox.clock() > deadline:
-                    log.warning(event("handover_unavailable", why=error))
+                    log.warning(event("handover_unavailable", error=error))
                     return None
             time.sleep(self.limits.min_list_retry_pause / SECOND)
 
@@ -226,7 +226,7 @@
                 0o600,
             )
         except OSError as error:
-            log.warning(event("handover_lock_failed", why=error))
+            log.warning(event("handover_lock_failed", error=error))
             return
         while True:
             try:
@@ -235,7 +235,7 @@
                 return
             except OSError as error:
                 if not isinstance(error, BlockingIOError) or self.inbox.clock() > deadline:
-                    log.warning(event("handover_lock_failed", why=error))
+                    log.warning(event("handover_lock_failed", error=error))
                     os.close(lock)
                     return
             time.sleep(self.limits.min_list_retry_pause / SECOND)
@@ -268,7 +268,7 @@
             # In one step over what an earlier process left: there is never a moment without a name.
             os.rename(os.path.join(self.folder, file), os.path.join(self.folder, self.file))
         except OSError as error:
-            log.warning(event("handover_disabled", why=error))
+            log.warning(event("handover_disabled", error=error))
             sock.close()
             return
         start_thread(lambda: self._accept_successors(sock, handover))
@@ -279,13 +279,13 @@
             try:
                 sock, _ = listener.accept()
             except OSError as error:
-                log.warning(event("handover_accept_failed", why=error))
+                log.warning(event("handover_accept_failed", error=error))
                 time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
             try:
                 self._greet_successor(Channel(sock, self.inbox, self.limits), handover)
             except (OSError, ProtocolError, RuntimeError) as error:
-                log.warning(event("handover_hello_refused", why=error))
+                log.warning(event("handover_hello_refused", error=error))
                 sock.close()
 
     def _greet_successor(self, channel: Channel, handover: Handover) -> None:
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -272,7 +272,7 @@
                     now + self.limits.min_list_retry_pause, self._reload_until, number, until
                 )
             else:
-                log.error(event("reload_failed", why=error))
+                log.error(event("reload_failed", error=error))
             return
         self._follow_list_at(discovery)
 
@@ -347,7 +347,7 @@
         try:
             start_thread(link.run)
         except RuntimeError as error:
-            log.error(event("connect_not_started", why=error))
+            log.error(event("connect_not_started", error=error))
             self.inbox.post(self.core.on_attempt_ended, attempt, Outcome.CONNECT_FAILED)
 
     def start_relay(self, attempt: Attempt) -> None:
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -114,19 +114,19 @@
 
     def on_invalid_file(self, name: str, reason: str) -> None:
         """Logs a file that was passed over."""
-        log.warning(event("state_file_odd", file=name, why=reason))
+        log.warning(event("state_file_invalid", file=name, reason=reason))
 
     def turn_off(self, log_event: str, reason: object) -> None:
         """Leaves the folder alone for good."""
         self.off = True
         self.disk.unlock()
-        log.error(event(log_event, folder=self.disk.path, why=reason, state="off"))
+        log.error(event(log_event, folder=self.disk.path, reason=reason, state="off"))
 
     def on_error(self, operation: str, error: Exception) -> None:
         """Logs an error once, until it is another or has gone."""
         reason = f"{operation}: {getattr(error, 'strerror', None) or error}"
         if reason != self.logged_error:
-            log.error(event("state_not_kept", folder=self.disk.path, why=reason))
+            log.error(event("state_not_kept", folder=self.disk.path, reason=reason))
         self.logged_error = reason
 
     # While it runs.
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -351,7 +351,7 @@
     assert second.keeper.floor == 2 and second.keeper.number == 4
     second.keeper.keep()
     assert (tmp_path / "state.5").exists()
-    assert second.log(caplog)[-2:] == ["event=state_file_odd", "event=state_recovered"]
+    assert second.log(caplog)[-2:] == ["event=state_file_invalid", "event=state_recovered"]
 
 
 def test_the_same_folder_serves_one_at_a_time(tmp_path, caplog):
@@ -408,7 +408,7 @@
         *["event=state_not_kept"] * 2,
     ]
     whys = [
-        r.getMessage().partition("why=")[2]
+        r.getMessage().partition("reason=")[2]
         for r in caplog.records
         if "state_not_kept" in r.getMessage()
     ]
@@ -435,7 +435,7 @@
     (tmp_path / "state.1").symlink_to(tmp_path / "real")
     harness = Harness(tmp_path)
     harness.keeper.recover(START)
-    assert harness.log(caplog) == ["event=state_file_odd", "event=state_none"]
+    assert harness.log(caplog) == ["event=state_file_invalid", "event=state_none"]
     assert all(s.consecutive_failures == 0 for s in harness.balancer.servers.values())
 
 
