--- a/cypresswalk/cli/fleet/releases.py
+++ b/cypresswalk/cli/fleet/releases.py
@@ -47,6 +47,10 @@
 @click.pass_obj
 def show_status(caller: FleetCaller, as_json: bool) -> None:
     """Shows how far the release is, what it waits for, and what each member runs."""
+    import msgspec
+
+    from cypresswalk.rollout.release import Release
+
     body = caller.call("release")
     if as_json:
         print_json(body)
@@ -54,20 +58,21 @@
     if not body["release"]:
         click.echo("there is no release")
         return
-    plan, by, _, phase, wave, members, reports = body["release"]
-    name, from_version, to_version, waves = plan[:4]
+    current = msgspec.convert(body["release"], Release)
+    plan = current.plan
     halted = ""
     if body["halted"]:
         halted = f"; HALTED by {body['halted'][0]}: {body['halted'][2]}"
     click.echo(
-        f"release {name} by {by}: {from_version} -> {to_version}, {phase}, "
-        f"wave {wave} of {len(waves)}{halted}"
+        f"release {plan.name} by {current.by}: {plan.from_version} -> {plan.to_version}, "
+        f"{current.phase}, wave {current.wave} of {len(plan.waves)}{halted}"
     )
     if body["waits"]:
         click.echo(f"  {body['waits']}")
-    for number, names in enumerate(waves):
+    for number, names in enumerate(plan.waves):
         statuses = (
-            f"{name} {members[name]}" + (f" ({reports[name]})" if reports.get(name) else "")
+            f"{name} {current.members[name]}"
+            + (f" ({current.reports[name]})" if current.reports.get(name) else "")
             for name in names
         )
         click.echo(f"  wave {number}: {', '.join(statuses)}")
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -149,7 +149,9 @@
         self._logged_errors[key] = why
         if len(self._logged_errors) > MAX_REMEMBERED_ERRORS:
             self._logged_errors.clear()
-        log.info("event=link_lost to=%s address=%s:%d reason=%s", link.to or "?", *link.address, why)
+        log.info(
+            "event=link_lost to=%s address=%s:%d reason=%s", link.to or "?", *link.address, why
+        )
 
     # Incoming connections.
 
