--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -160,8 +160,19 @@
         if fleet is not None and "agreed" in received.state:
             fleet.inherit(now, received.state["agreed"])
         self.core.lifecycle.drained = received.state.get("drained") is True
+        self._repeat_unconfirmed_commands(now)
         self.state_received = True
 
+    def _repeat_unconfirmed_commands(self, now: int) -> None:
+        """Applies again what operators asked for here since the predecessor wrote its state.
+
+        It confirms a command after that state, on the same connection: what is not confirmed yet
+        is newer, and the state has just undone it.
+        """
+        for entry in self.unconfirmed.values():
+            if entry.reason is None:
+                self.core.commands.apply(now, entry.command, forwarded=True, known=True)
+
     def _on_replaced(self) -> None:
         """The successor accepts clients."""
         self.replaced = True
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -320,6 +320,19 @@
         told(whole)
 
 
+def test_a_command_at_the_successor_holds_though_the_predecessors_state_is_read_after_it():
+    predecessor = Process()
+    successor = Process(predecessor)
+    call = successor.call("set-down", "s-0")
+    successor.settle()
+    assert answer(call) == "OK"
+    for process in (predecessor, successor):
+        assert [s.out_of_rotation for s in process.core.balancer.servers.values()].count(True) == 1
+    call = successor.call("drain-on")
+    successor.settle()
+    assert answer(call) == "OK"
+
+
 class Pair(RuleBasedStateMachine):
     """Any order of events at both, messages late by any number: the rules hold over the sum."""
 
