--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -5,7 +5,6 @@
 
 import math
 import struct
-from typing import Any
 
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import Effect, Flow, Scope, Server, ServiceType, Settings
@@ -34,7 +33,7 @@
     return round(milliseconds * 1e6)
 
 
-def optional_number(rules: dict[str, Any], name: str) -> float:
+def optional_number(rules: dict, name: str) -> float:
     """Return a number from 0 on, 0 where it is absent.
 
     Raises:
@@ -52,7 +51,7 @@
     return weight if 0 < weight < math.inf else 1.0
 
 
-def decode_settings(params: dict[str, Any]) -> Settings:
+def decode_settings(params: dict) -> Settings:
     """Return the settings that the platform's object holds.
 
     Raises:
@@ -66,7 +65,7 @@
         raise SettingsError(f"settings: {error}") from None
 
 
-def _decode(params: dict[str, Any]) -> Settings:
+def _decode(params: dict) -> Settings:
     limits = params["limits"]
     rules = params["rules"]
     extra = params.get("extra", {})
@@ -105,9 +104,7 @@
     )
 
 
-def _service_types(
-    types: list[dict[str, Any]], message_objectives: list[float]
-) -> list[ServiceType]:
+def _service_types(types: list[dict], message_objectives: list[float]) -> list[ServiceType]:
     return [
         ServiceType(
             effect=EFFECTS_BY_NAME[entry["semantics"]],
