--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -384,7 +384,7 @@
             decision = self._place(now, flow)
             if decision is not None:
                 return decision
-            self._queue.hold(flow)
+            self._queue.wait(flow)
         return None
 
     def _review(self, now: int) -> CheckHealth | Migrate | None:
@@ -405,7 +405,7 @@
         due = self.reviews.next_at
         if self.list_polling.next_at is not None:
             due = min(due, self.list_polling.next_at)
-        if self._queue.held:
+        if self._queue.waiting:
             due = min(due, self._queue.next_due(now))
         if self._next_wakeup_at and due >= self._next_wakeup_at:
             return None
--- a/cypresswalk/decisions/load.py
+++ b/cypresswalk/decisions/load.py
@@ -6,7 +6,7 @@
 from cypresswalk.model import SECOND, Server
 
 OVERLOADED = 0.3  # of the shortest message latency objective: the share served starts to fall
-WORN = 0.5  # halfway to the objective a few flows leave each second: waiting shrinks no queue
+HIGH_LOAD = 0.5  # from here on what leaves by itself is too little: occupancy must shrink
 OBJECTIVE_MISSED = 1.0  # messages miss their objective from here on
 EASY_UTILIZATION = 0.7  # reported utilization that needs no care yet; 1.0 is an objective missed
 LOAD_VALID_FOR = 3 * SECOND  # reports come each second: three missed ones say nothing any more
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -4,10 +4,10 @@
 from cypresswalk.decisions.gossip import Gossip
 from cypresswalk.decisions.limits import ConcurrencyLimits
 from cypresswalk.decisions.load import (
+    HIGH_LOAD,
     LOAD_VALID_FOR,
     OBJECTIVE_MISSED,
     OVERLOADED,
-    WORN,
     is_overloaded,
     load_from_utilization,
 )
@@ -15,7 +15,7 @@
 from cypresswalk.decisions.reviews import Reviews
 from cypresswalk.model import Server, Settings
 
-EASE_FACTOR = 0.97  # of what stands, each time that load above WORN is told
+EASE_FACTOR = 0.97  # of what stands, each time that load above HIGH_LOAD is told
 MAX_SINGLE_DROPS = 1.5  # two within three seconds: a full server drops each one that is new
 
 
@@ -65,7 +65,7 @@
         if load >= OBJECTIVE_MISSED:
             self._limits.cut(now, server)
         elif load >= OVERLOADED:
-            factor = EASE_FACTOR if load >= WORN else 1.0
+            factor = EASE_FACTOR if load >= HIGH_LOAD else 1.0
             self._limits.keep_at(now, server, factor * occupancy(server))
         self._reviews.request(now, server)
 
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -172,29 +172,29 @@
             "list": self.endpoints.list_for_successor(),
         }
 
-    def inherit(self, now: int, told: dict[str, Any]) -> None:
+    def inherit(self, now: int, state: dict[str, Any]) -> None:
         """Reads what the process before this one knows of what is agreed.
 
         That process has the part in the fleet still: its lease serves both until it ends.
 
         Raises:
-            KeyError, TypeError, ValueError: `told` has another form; nothing has changed.
+            KeyError, TypeError, ValueError: `state` has another form; nothing has changed.
         """
-        until = int(told["until"])
-        version = int(told["version"])
-        agreed = agreed_list(told["list"])
-        out = {str(server) for server in told["out"]}
-        forced = {str(server) for server in told["here"]}
-        settings = told["settings"]
+        until = int(state["until"])
+        version = int(state["version"])
+        agreed = agreed_list(state["list"])
+        out = {str(server) for server in state["out"]}
+        forced = {str(server) for server in state["here"]}
+        settings = state["settings"]
         if version < self.version:
             return
         if settings is not None and shared_settings.objection(self.params, settings):
             return  # without that lease it waits until it has its own part
-        if settings is not None and int(told["settings_version"]) > self.settings_version:
+        if settings is not None and int(state["settings_version"]) > self.settings_version:
             self.apply_settings(now, settings)
-            self.settings_version = int(told["settings_version"])
+            self.settings_version = int(state["settings_version"])
         self.endpoints.agreed = agreed
-        self.list_version = int(told["list_version"])
+        self.list_version = int(state["list_version"])
         self.version = version
         self.rotation.inherit(now, out, forced)
         self.endpoints.refresh(now)
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -115,15 +115,15 @@
         return [[number, state.value, since] for number, (state, since) in self.agreed.items()]
 
 
-def agreed_list(told: Any) -> dict[int, tuple[ServerState, int]] | None:
+def agreed_list(encoded: Any) -> dict[int, tuple[ServerState, int]] | None:
     """Reads what `list_for_successor` wrote.
 
     Raises:
         TypeError, ValueError: it has another form.
     """
-    if told is None:
+    if encoded is None:
         return None
-    return {int(number): (ServerState(state), int(since)) for number, state, since in told}
+    return {int(number): (ServerState(state), int(since)) for number, state, since in encoded}
 
 
 def as_listed(server: Server) -> Server:
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -454,7 +454,7 @@
 
     def on_gossip(self, now: int, message: bytes) -> None:
         """Another balancer has sent a datagram."""
-        hint = unpack_gossip(self.balancer, message)
-        self.counters.add("hints_heard" if hint else "hints_odd")
-        if hint:
-            self.balancer.on_gossip(now, *hint)
+        gossip = unpack_gossip(self.balancer, message)
+        self.counters.add("hints_heard" if gossip else "hints_odd")
+        if gossip:
+            self.balancer.on_gossip(now, *gossip)
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -89,7 +89,7 @@
     def state_for_successor(self) -> dict[str, Any]:
         """What a successor needs to know of what is agreed."""
 
-    def inherit(self, now: int, told: dict[str, Any]) -> None:
+    def inherit(self, now: int, state: dict[str, Any]) -> None:
         """Reads what a predecessor knows of what is agreed."""
 
 
