--- a/.ci/check_types.py
+++ b/.ci/check_types.py
@@ -1,4 +1,4 @@
-"""Runs mypy over the whole package: finished parts are clean, and the others gain no error.
+"""Runs mypy over the package and `benchmarks`: finished parts are clean, others gain no error.
 
 The finished parts are the `files` of `[tool.mypy]` in pyproject.toml. `MAX_ERRORS` is what the
 unfinished parts have; it is lowered with each change that finishes a part, and never raised.
@@ -10,12 +10,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
+CHECKED = ("cypresswalk", "benchmarks")
 MAX_ERRORS = 149
 
 
 def errors() -> list[str]:
     """The lines in which mypy names an error."""
-    command = [sys.executable, "-m", "mypy", "--follow-imports", "normal", "cypresswalk"]
+    command = [sys.executable, "-m", "mypy", "--follow-imports", "normal", *CHECKED]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     if run.returncode not in (0, 1):
         sys.exit(f"mypy: {run.stdout}{run.stderr}")
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -1,308 +1,383 @@
-"""What claims and their copies cost. `python benchmarks/copies_cost.py [delay|claims|million]`; docs/measurements/copies.md.
+"""What reservations of idempotency keys and their replicas cost.
 
-`delay` starts whole balancers; the others processes with nothing but a member's part in the fleet (`fleet.driver.Fleet`)."""
+    python benchmarks/copies_cost.py [delay|claims|million]     all three where none is named
+
+`delay` starts whole balancers; the others processes with nothing but a member's part in the fleet
+(`fleet.driver.FleetThread`). Results: docs/measurements/copies.md.
+"""
 
 import asyncio
 import json
 import os
 import shutil
-import signal
 import statistics
 import subprocess
 import sys
 import tempfile
 import threading
 import time
+from collections import Counter
+from dataclasses import dataclass, field
 from pathlib import Path
+from typing import Any
+
+from harness import (
+    SECOND,
+    RealCluster,
+    Summary,
+    kill_child,
+    read_line,
+    report,
+    resident_kib,
+    run_parts,
+    running,
+    start_child,
+    write_line,
+)
 
 from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.effects import StoredChange
 from cypresswalk.copies.messages import RecordStored, ReservationRecord
-from cypresswalk.copies.placement import partition_of
+from cypresswalk.copies.placement import PARTITIONS, partition_of
+from cypresswalk.copies.reservations import ReservationAnswer
 from cypresswalk.fleet import client
 from cypresswalk.fleet.driver import FleetThread
+from cypresswalk.fleet.errors import UncertainOutcomeError
 from cypresswalk.lab.balancers import free_port
-from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.stage import Rig
 from cypresswalk.operator import FleetTable
+from cypresswalk.refusal import CommandError
 
-SECOND = 1_000_000_000
-HELD = 3_600 * SECOND
+FLEET = "cost"  # the fleet's name
+HOST = "127.0.0.1"
+MEMBER_ROLE = "member"  # argument of a child process
 
+DELAY_TURNS = 5
+CLAIM_SECONDS = 5
+FILLED_KEYS = 1_000_000
+KEYS_PER_WRITE = 20_000  # that a filled replica flushes together
+RECORD_LIFETIME = 3_600 * SECOND
+HOT_PARTITION = 7  # into which the keys of `claim ... part` fall
+JOIN_SECONDS = 8  # in which members that joined take over their partitions
+ANSWER_MARGIN = 5  # seconds that a claimer waits beyond its end
+NOTICE_SECONDS = 3  # until the leader has seen that a member is gone
 
-def delay() -> None:
-    """The same load with copies and without, in turn, on a disk that flushes and on one in memory: OPEN to UP."""
 
-    async def one(copies: int, memory: bool) -> dict[str, list[float]]:
-        with tempfile.TemporaryDirectory(dir="/dev/shm" if memory else None) as folder:
-            rig = Rig(
-                Plan(balancers=3, lasts_s=10, flows_per_s=150, copies=copies), Path(folder) / "rig"
-            )
-            try:
-                await rig.begin()
-                assert await rig.whole() is not None
-                if copies:
-                    await rig.copies_whole()
-                    rig.quiet = False
-                await rig.play()
-                return {
-                    kind: sorted(
-                        (f.answered - f.awaited_checks) / 1e6
-                        for f in rig.flows
-                        if f.answer == "UP" and f.effect == kind
-                    )
-                    for kind in ("once-only", "repeatable")
-                }
-            finally:
-                await rig.end()
-
-    for turn in range(5):
-        for copies, memory in ((3, False), (3, True), (0, False)):
-            took = asyncio.run(one(copies, memory))
-            said = "; ".join(
-                f"{kind} {len(t)}: p50 {statistics.median(t):.2f} p99 {t[int(len(t) * 0.99)]:.2f} ms"
-                for kind, t in took.items()
-            )
-            print(f"{turn} copies {copies} {'memory' if memory else 'disk'}  {said}", flush=True)
+# A member's process.
 
 
-class Filled(ReplicationThread):
-    """Takes ids in bulk, each holder by itself, as if they had been claimed."""
+class FillableReplicationThread(ReplicationThread):
+    """Stores keys in bulk, each replica by itself, as if they had been reserved."""
 
-    def on_event(self, now: int, event: tuple) -> None:
+    def on_event(self, now: int, event: tuple[Any, ...]) -> None:
+        """Handles one event; besides those of the base class ("fill", count)."""
         if event[0] != "fill":
-            return super().on_event(now, event)
-        until = time.time_ns() // HELD * HELD + 2 * HELD  # the same at all
-        for first in range(0, event[1], 20_000):
-            values = []
-            for number in range(first, min(first + 20_000, event[1])):
-                ident = f"{number:016x}"
-                partition = self.replica.partitions.get(partition_of(ident))
-                if (
-                    partition is not None
-                    and partition.complete
-                    and self.replica.member_id in partition.replicas
-                ):
-                    record = ReservationRecord(ident, "n0#0123456789abcdef/1.1000", until, "ran")
-                    self.replica.put(partition, record)
-                    values.append(RecordStored(partition_of(ident), record))
-            if values:
-                self.log.write(values, self.replica.statuses)
-        print("filled", flush=True)
-
-
-def member(table: str) -> None:
-    """Reads what to do from its input: `claim N SECONDS [ID]` with so many out at a time, `fill N`."""
+            super().on_event(now, event)
+            return
+        expires_at = time.time_ns() // RECORD_LIFETIME * RECORD_LIFETIME + 2 * RECORD_LIFETIME
+        for first in range(0, event[1], KEYS_PER_WRITE):
+            self._store(range(first, min(first + KEYS_PER_WRITE, event[1])), expires_at)
+        report("filled")
+
+    def _store(self, numbers: range, expires_at: int) -> None:
+        """Stores the keys of those numbers that belong here; `expires_at` is alike at all."""
+        changes: list[StoredChange] = []
+        for number in numbers:
+            key = f"{number:016x}"
+            partition = self.replica.partitions.get(partition_of(key))
+            if (
+                partition is None
+                or not partition.complete
+                or self.replica.member_id not in partition.replicas
+            ):
+                continue
+            record = ReservationRecord(key, "n0#0123456789abcdef/1.1000", expires_at, "ran")
+            self.replica.put(partition, record)
+            changes.append(RecordStored(partition_of(key), record))
+        if changes:
+            self.log.write(changes, self.replica.statuses)
+
+
+class Claimer:
+    """Keeps so many reservations pending at a member for some seconds."""
+
+    def __init__(self, fleet: FleetThread, pending: int, seconds: float, key: str):
+        """`key`: one that all ask for; "part" for keys of one partition; "" for any keys."""
+        self.fleet = fleet
+        self.pending = pending
+        self.seconds = seconds
+        self.key = key
+        self.ends_at = 0.0
+        self.prefix = os.urandom(8).hex()
+        self.durations_ms: list[float] = []
+        self.results: Counter[str] = Counter()
+        self.finished = threading.Semaphore(0)
+
+    def run(self) -> None:
+        """Claims, then prints the figures as JSON."""
+        self.ends_at = time.monotonic() + self.seconds
+        for number in range(self.pending):
+            self._claim(number)
+        for _ in range(self.pending):
+            self.finished.acquire(timeout=self.seconds + ANSWER_MARGIN)
+        summary = Summary.of(self.durations_ms)
+        figures = {
+            "count": summary.count,
+            "kinds": self.results,
+            "p50": summary.median,
+            "p99": summary.p99,
+        }
+        report(json.dumps(figures))
+
+    def _claim(self, number: int) -> None:
+        began = time.monotonic()
+
+        def on_answer(answer: ReservationAnswer, by: str) -> None:
+            self.results[answer.result] += 1
+            self.durations_ms.append((time.monotonic() - began) * 1000)
+            if time.monotonic() < self.ends_at:
+                self._claim(number + self.pending)
+            else:
+                self.finished.release()
+
+        deadline = self.fleet.now() + SECOND
+        self.fleet.copies.put("claim", self._key(number), SECOND, deadline, on_answer)
+
+    def _key(self, number: int) -> str:
+        if self.key != "part":
+            return self.key or f"{self.prefix[:8]}{number:08x}"
+        candidate = number << 16
+        while True:
+            key = f"{self.prefix[:4]}{candidate:012x}"
+            if partition_of(key) == HOT_PARTITION:
+                return key
+            candidate += 1
+
+
+def run_member(table: str) -> None:
+    """A member that does what its input says: `claim PENDING SECONDS [KEY]` or `fill COUNT`.
+
+    Args:
+        table: of the operator file, as JSON.
+    """
     fleet = FleetThread(
-        FleetTable(**json.loads(table)),
+        FleetTable.model_validate_json(table),
         lambda settings: "",
         {"serviceTypes": []},
         lambda view: fleet.on_version_applied(view.version),
         lambda: None,
     )
-    fleet.copies.__class__ = Filled
+    # The fleet's thread makes its own replication thread; this one takes one more event.
+    fleet.copies.__class__ = FillableReplicationThread
     fleet.start()
     for line in sys.stdin:
-        what, *words = line.split()
-        if what == "fill":
+        command, *words = line.split()
+        if command == "fill":
             fleet.copies.put("fill", int(words[0]))
-        elif what == "claim":
-            claim(fleet, int(words[0]), float(words[1]), *words[2:])
+        elif command == "claim":
+            key = words[2] if len(words) > 2 else ""
+            Claimer(fleet, int(words[0]), float(words[1]), key).run()
 
 
-def claim(fleet: FleetThread, out: int, seconds: float, ident: str = "") -> None:
-    """`ident`: one that all ask for; or "part", ids that fall into one part."""
-    took: list[float] = []
-    kinds: dict[str, int] = {}
-    ends, gate = time.monotonic() + seconds, threading.Semaphore(0)
-    draw = os.urandom(8).hex()
+# The benchmark's process.
 
-    def next_one(number: int) -> None:
-        began = time.monotonic()
 
-        def reply(answer, by) -> None:
-            kinds[answer.result] = kinds.get(answer.result, 0) + 1
-            took.append((time.monotonic() - began) * 1000)
-            if time.monotonic() < ends:
-                next_one(number + out)
-            else:
-                gate.release()
-
-        asked = ident
-        if ident == "part":
-            at = number << 16
-            while partition_of(asked := f"{draw[:4]}{at:012x}") != 7:
-                at += 1
-        fleet.copies.put(
-            "claim", asked or f"{draw[:8]}{number:08x}", SECOND, fleet.now() + SECOND, reply
-        )
+@dataclass
+class Members:
+    """Processes of members m0, m1 and so on; the first three vote."""
 
-    for number in range(out):
-        next_one(number)
-    for _ in range(out):
-        gate.acquire(timeout=seconds + 5)
-    took.sort()
-    print(
-        json.dumps(
-            {
-                "count": len(took),
-                "kinds": kinds,
-                "p50": statistics.median(took),
-                "p99": took[int(len(took) * 0.99)],
-            }
-        ),
-        flush=True,
-    )
+    folder: Path
+    count: int
+    voters: int = 3
+    processes: dict[str, "subprocess.Popen[str]"] = field(default_factory=dict)
 
+    def __post_init__(self) -> None:
+        """Chooses addresses."""
+        self.names = [f"m{number}" for number in range(self.count)]
+        self.addresses = {name: f"{HOST}:{free_port(HOST)}" for name in self.names}
 
-class Members:
-    def __init__(self, folder: Path, names: list[str], voters: int = 3):
-        self.folder, self.names = folder, names
-        places = {name: f"127.0.0.1:{free_port('127.0.0.1')}" for name in names}
-        self.places = places
-        self.tables = {
-            name: json.dumps(
-                {
-                    "fleet": "cost",
-                    "name": name,
-                    "address": places[name],
-                    "folder": str(folder / name),
-                    "zone": f"z{i % 3}",
-                    "first": {v: places[v] for v in names[:voters]},
-                    "copies": {},
-                }
-            )
-            for i, name in enumerate(names)
-        }
-        self.running: dict[str, subprocess.Popen] = {}
+    def __enter__(self) -> "Members":
+        """Starts all, and waits until they share all partitions."""
+        try:
+            for name in self.names:
+                self.start(name)
+            self.wait_until_complete()
+            time.sleep(JOIN_SECONDS)
+            self.wait_until_complete()
+        except BaseException:
+            self.kill_all()
+            raise
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        """Kills all."""
+        self.kill_all()
 
     def start(self, name: str) -> None:
-        self.running[name] = subprocess.Popen(
-            [sys.executable, __file__, "member", self.tables[name]],
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            text=True,
-        )
-
-    def say(self, name: str, line: str) -> None:
-        self.running[name].stdin.write(line + "\n")
-        self.running[name].stdin.flush()
-
-    def whole(self, within: float = 60, least: int = 1) -> dict:
-        until = time.monotonic() + within
+        """Starts a member."""
+        number = self.names.index(name)
+        table = {
+            "fleet": FLEET,
+            "name": name,
+            "address": self.addresses[name],
+            "folder": str(self.folder / name),
+            "zone": f"z{number % 3}",
+            "first": {voter: self.addresses[voter] for voter in self.names[: self.voters]},
+            "copies": {},
+        }
+        self.processes[name] = start_child(__file__, MEMBER_ROLE, json.dumps(table))
+
+    def lose(self, name: str) -> None:
+        """Kills a member and removes all that it wrote."""
+        kill_child(self.processes[name])
+        shutil.rmtree(self.folder / name)
+
+    def kill_all(self) -> None:
+        """Kills all."""
+        for process in self.processes.values():
+            kill_child(process)
+
+    def tell(self, name: str, line: str) -> None:
+        """Writes a line to a member's input."""
+        write_line(self.processes[name], line)
+
+    def hear(self, name: str) -> str:
+        """A line of a member's output."""
+        return read_line(self.processes[name])
+
+    def local_status(self, name: str, timeout: float = 20.0) -> dict[str, Any]:
+        """What a member says of its own replicas."""
+        address = self.addresses[name]
+        return client.call([address], FLEET, "copies_local", None, timeout)[1]
+
+    def resident_kib(self, name: str) -> int:
+        """Resident memory of a member, in KiB."""
+        return resident_kib(self.processes[name].pid)
+
+    def wait_until_complete(self, timeout: float = 60) -> None:
+        """Waits until all can hold replicas and every partition is complete at its replicas."""
+        until = time.monotonic() + timeout
         while time.monotonic() < until:
-            try:
-                ok, body = client.call(list(self.places.values()), "cost", "copies", None, 2.0)
-                if (
-                    ok
-                    and len(body["parts"]) == 64
-                    and not body["lacking"]
-                    and not body["changing"]
-                    and len(body["able"]) >= least
-                ):
-                    return body
-            except Exception:
-                pass
+            if self._is_complete():
+                return
             time.sleep(0.05)
         raise SystemExit("never whole")
 
-    def end(self) -> None:
-        for process in self.running.values():
-            process.kill()
-            process.wait()
+    def _is_complete(self) -> bool:
+        addresses = list(self.addresses.values())
+        try:
+            ok, status = client.call(addresses, FLEET, "copies", None, 2.0)
+        except (CommandError, UncertainOutcomeError):
+            return False
+        return (
+            ok
+            and len(status["parts"]) == PARTITIONS
+            and not status["lacking"]
+            and not status["changing"]
+            and len(status["able"]) >= self.count
+        )
 
 
-def claims() -> None:
-    """From all members at once, 64 out at each."""
-    for count in (3, 5, 9):
-        with tempfile.TemporaryDirectory() as folder:
-            members = Members(Path(folder), [f"m{i}" for i in range(count)])
-            try:
-                for name in members.names:
-                    members.start(name)
-                members.whole(least=count)
-                time.sleep(8)  # joined ones take over their parts
-                members.whole(least=count)
-                for out, ident in ((1, ""), (64, ""), (64, "hot"), (64, "part")):
-                    for name in members.names:
-                        members.say(name, f"claim {out} 5 {ident}")
-                    found = [
-                        json.loads(members.running[name].stdout.readline())
-                        for name in members.names
-                    ]
-                    print(
-                        f"{count} members, {out} out at each {ident}: {sum(f['count'] for f in found) / 5:.0f} claims a second, "
-                        f"p50 {statistics.median(f['p50'] for f in found):.2f} ms, p99 {max(f['p99'] for f in found):.1f} ms, "
-                        f"{[f['kinds'] for f in found]}",
-                        flush=True,
-                    )
-                local = client.call([members.places["m0"]], "cost", "copies_local", None, 5.0)[1]
-                size = sum(f.stat().st_size for f in (Path(folder) / "m0").glob("copies.*"))
-                print(
-                    f"   m0 holds {local['ids']} ids, {size / max(local['ids'], 1):.0f} bytes on disk for each, "
-                    f"{local['counts']['written'] / local['counts']['flushes']:.1f} records a flush",
-                    flush=True,
-                )
-            finally:
-                members.end()
-
-
-def million() -> None:
-    """A million ids at three of four members; one is killed and wiped while claims run: memory, and the time until all is made up."""
-    with tempfile.TemporaryDirectory() as folder:
-        members = Members(Path(folder), [f"m{i}" for i in range(4)])
-        try:
-            for name in members.names:
-                members.start(name)
-            members.whole(least=4)
-            time.sleep(8)
-            members.whole(least=4)
-
-            def memory(name: str) -> int:
-                return int(
-                    next(
-                        line
-                        for line in open(f"/proc/{members.running[name].pid}/status")
-                        if line.startswith("VmRSS")
-                    ).split()[1]
-                )
-
-            before = memory("m0")
-            for name in members.names:
-                members.say(name, "fill 1000000")
-            for name in members.names:
-                assert members.running[name].stdout.readline() == "filled\n"
-            local = client.call([members.places["m0"]], "cost", "copies_local", None, 20.0)[1]
-            print(
-                f"m0 holds {local['ids']} ids: {(memory('m0') - before) * 1024 / local['ids']:.0f} bytes of memory for each",
-                flush=True,
+# The parts.
+
+
+def measure_delay() -> None:
+    """OPEN to UP in milliseconds: with and without replicas, in turn, on a disk and in memory."""
+    for turn in range(DELAY_TURNS):
+        for copies, in_memory in ((3, False), (3, True), (0, False)):
+            samples = asyncio.run(setup_delays(copies, in_memory))
+            figures = "; ".join(
+                f"{effect} {sample.count}: p50 {sample.median:.2f} p99 {sample.p99:.2f} ms"
+                for effect, sample in samples.items()
             )
-            members.say("m0", "claim 8 40")
-            time.sleep(5)
-            members.running["m3"].send_signal(signal.SIGKILL)
-            members.running["m3"].wait()
-            shutil.rmtree(Path(folder) / "m3")
-            began = time.monotonic()
-            members.start("m3")
-            time.sleep(3)  # until who leads has seen it gone
-            members.whole(within=120, least=4)
-            took = time.monotonic() - began
-            print(f"three copies of all parts again {took:.1f} s after the kill", flush=True)
-            held = [
-                client.call([where], "cost", "copies_local", None, 20.0)[1]
-                for where in members.places.values()
-            ]
-            print(
-                "ids held in whole parts, by member:",
-                [sum(p[4] for p in one["parts"] if p[2]) for one in held],
-                flush=True,
+            report(f"{turn} copies {copies} {'memory' if in_memory else 'disk'}  {figures}")
+
+
+async def setup_delays(copies: int, in_memory: bool) -> dict[str, Summary]:
+    """Milliseconds until flows were established, by effect."""
+    plan = {"balancers": 3, "lasts_s": 10, "flows_per_s": 150, "copies": copies}
+    async with running(RealCluster, plan, in_memory) as cluster:
+        await cluster.wait_until_agreed()
+        if copies:
+            await cluster.wait_until_replicated()
+        await cluster.play()
+        established = [request for request in cluster.requests if request.is_established]
+        return {
+            effect: Summary.of([r.setup_ms for r in established if r.effect == effect])
+            for effect in ("once-only", "repeatable")
+        }
+
+
+def measure_claims() -> None:
+    """Reservations a second and their milliseconds, from all members at once."""
+    for count in (3, 5, 9):
+        with tempfile.TemporaryDirectory() as folder, Members(Path(folder), count) as members:
+            for pending, key in ((1, ""), (64, ""), (64, "hot"), (64, "part")):
+                claim_everywhere(members, pending, key)
+            local = members.local_status("m0", timeout=5.0)
+            size = sum(file.stat().st_size for file in (Path(folder) / "m0").glob("copies.*"))
+            counts = local["counts"]
+            report(
+                f"   m0 holds {local['ids']} ids, {size / max(local['ids'], 1):.0f} bytes on disk "
+                f"for each, {counts['written'] / counts['flushes']:.1f} records a flush"
             )
-            print("claims meanwhile:", members.running["m0"].stdout.readline().strip(), flush=True)
-        finally:
-            members.end()
 
 
+def claim_everywhere(members: Members, pending: int, key: str) -> None:
+    """All members claim at once; prints what came of it."""
+    for name in members.names:
+        members.tell(name, f"claim {pending} {CLAIM_SECONDS} {key}")
+    found = [json.loads(members.hear(name)) for name in members.names]
+    rate = sum(figures["count"] for figures in found) / CLAIM_SECONDS
+    median = statistics.median(figures["p50"] for figures in found)
+    p99 = max(figures["p99"] for figures in found)
+    report(
+        f"{len(found)} members, {pending} out at each {key}: {rate:.0f} claims a second, "
+        f"p50 {median:.2f} ms, p99 {p99:.1f} ms, {[figures['kinds'] for figures in found]}"
+    )
+
+
+def measure_million() -> None:
+    """Memory of a million keys, and the seconds until a lost member's replicas are made up.
+
+    The keys lie at three of four members; one is killed and its disk wiped while reservations run.
+    """
+    with tempfile.TemporaryDirectory() as folder, Members(Path(folder), 4) as members:
+        fill(members)
+        members.tell("m0", "claim 8 40")
+        time.sleep(5)
+        members.lose("m3")
+        began = time.monotonic()
+        members.start("m3")
+        time.sleep(NOTICE_SECONDS)
+        members.wait_until_complete(timeout=120)
+        duration = time.monotonic() - began
+        report(f"three copies of all parts again {duration:.1f} s after the kill")
+        held = [complete_keys(members.local_status(name)) for name in members.names]
+        report(f"ids held in whole parts, by member: {held}")
+        report(f"claims meanwhile: {members.hear('m0').strip()}")
+
+
+def fill(members: Members) -> None:
+    """All members store the keys that belong to them; prints the memory of each key."""
+    before = members.resident_kib("m0")
+    for name in members.names:
+        members.tell(name, f"fill {FILLED_KEYS}")
+    for name in members.names:
+        assert members.hear(name) == "filled\n"
+    keys = members.local_status("m0")["ids"]
+    size = (members.resident_kib("m0") - before) * 1024 / keys
+    report(f"m0 holds {keys} ids: {size:.0f} bytes of memory for each")
+
+
+def complete_keys(local: dict[str, Any]) -> int:
+    """Keys in partitions that are complete at a member, of its status."""
+    return sum(keys for _, _, complete, _, keys, *_ in local["parts"] if complete)
+
+
+PARTS = {"delay": measure_delay, "claims": measure_claims, "million": measure_million}
+
 if __name__ == "__main__":
-    if sys.argv[1:2] == ["member"]:
-        member(sys.argv[2])
-    for name in sys.argv[1:] or ["delay", "claims", "million"]:
-        {"delay": delay, "claims": claims, "million": million}[name]()
+    if sys.argv[1:2] == [MEMBER_ROLE]:
+        run_member(sys.argv[2])
+    else:
+        run_parts(__doc__, PARTS, default=True)
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -1,239 +1,307 @@
-"""What releases cost and harm: their length and words by fleet size and bound, in virtual time; bad builds and false halts; real processes
-beside a plain loop. `python benchmarks/release_cost.py [lengths|lengths200|bad|good|loop|halts]`; docs/measurements/rollout.md."""
+"""What releases cost and harm.
+
+    python benchmarks/release_cost.py [lengths|lengths200|bad|good|loop|halts]   nothing by default
+
+In virtual time: `lengths`: seconds of a release and messages a second by fleet size and bound;
+`lengths200` that of two hundred balancers alone; `bad`: flows that bad builds fail until the halt;
+`good`: false halts. With real processes: `loop`: a release beside a plain loop over the balancers;
+`halts`: seconds from a halt to the last balancer that leaves.
+Results: docs/measurements/rollout.md.
+"""
 
 import asyncio
 import logging
 import signal
 import statistics
-import sys
-import tempfile
 import time
-from pathlib import Path
+from collections import Counter
 from random import Random
-from typing import Any
-
-from cypresswalk.lab.cluster.machines import Machines, build
-from cypresswalk.lab.cluster.plan import Plan, Step
-from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases
-from cypresswalk.lab.cluster.stage import Rig
-from cypresswalk.rollout.plan import PlanFile, waves_by_zone
-
-
-def planned(w: Releases, hold_s: float, flows: int) -> list:
-    """As `release plan` draws it up: zone by zone, a first one, each wave twice the one before."""
-    zones = {name: p.table.zone for name, p in w.processes.items()}
-    waves = waves_by_zone(PlanFile(name="r1", since=OLD, to=NEW), zones)
-    return ["r1", OLD, NEW, waves, hold_s, flows, 8.0, 0.01, 1.5, 120.0]
-
-
-def released(
-    w: Releases, hold_s: float, flows: int, most_s: int = 3600, burst: bool = False
-) -> tuple[Any, float, int]:
-    """The state at its end, how many virtual seconds it took, and its waves."""
-    w.start()
-    w.run(30 * SECOND, check=False)
-    plan = planned(w, hold_s, flows)
-    began, rate, chance = w.now, w.rate, Random(f"{w.seed}/burst")
-    w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
-    while w.now - began < most_s * SECOND:
-        w.run(SECOND, check=False)
-        if burst:  # half as many again, for a fifth of the time, a lost server's failures at all alike for a tenth
-            w.rate = rate * 3 // 2 if chance.random() < 0.2 else rate
-            w.lost_share = 0.2 if chance.random() < 0.1 else 0.0
-        state = w.release()
-        if (
-            state is not None
-            and state.release is not None
-            and (state.halted or state.release.phase != "running")
-        ):
-            return state, (w.now - began) / SECOND, len(plan[3])
-    return w.release(), float("inf"), len(plan[3])
-
-
-def lengths(*only: int) -> None:
-    """Of the sizes named; two hundred take some minutes of processor time."""
-    print(
-        "| balancers | bound | waves | s of the release | most out at once | words a second | while idle |\n| --- | --- | --- | --- | --- | --- | --- |"
-    )
-    for members, bound in ((6, 1), (6, 2), (50, 1), (50, 5), (200, 5), (200, 20)):
-        if only and members not in only:
-            continue
-        w = Releases(
-            1,
-            5 if members > 6 else 3,
-            members - (5 if members > 6 else 3),
-            bound,
-            zones=4 if members > 6 else 2,
-            rate=5,
-        )
-        w.start()
-        w.run(30 * SECOND, check=False)
-        before = w.words
-        w.run(10 * SECOND, check=False)
-        idle = (w.words - before) / 10
-        plan = planned(w, 10.0, 20)
-        began, before = w.now, w.words
-        w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
-        while w.now - began < 7200 * SECOND and (
-            (s := w.release()) is None
-            or s.release is None
-            or s.release.phase == "running"
-            and not s.halted
-        ):
-            w.run(2 * SECOND, check=False)
-        took = (w.now - began) / SECOND
-        end = w.release()
-        print(
-            f"| {members} | {bound} | {len(plan[3])} | {took:.0f} ({end.release.phase}{', halted' if end.halted else ''}) | {w.most_out} | "
-            f"{(w.words - before) / took:.0f} | {idle:.0f} |",
-            flush=True,
+from typing import Any, NamedTuple
+
+from harness import (
+    RealCluster,
+    ReleaseCluster,
+    VirtualRelease,
+    report,
+    run_parts,
+    running,
+    table_head,
+    table_row,
+)
+
+SETTLING_SECONDS = 30  # virtual
+IDLE_SECONDS = 10  # virtual, in which an idle fleet's messages are counted
+SEEDS = 10
+
+MAX_LENGTH = 7200  # virtual seconds of a release whose length is measured
+LENGTH_STEP = 2  # virtual seconds
+LENGTH_HOLD_S = 10.0
+LENGTH_MIN_FLOWS = 20
+LARGEST = 200  # balancers
+
+JUDGED_HOLD_S = 30.0
+JUDGED_MIN_FLOWS = 200
+BAD_BUILDS = ("aborts", "slow", "falls", "never_ready")
+MAX_BAD_LENGTH = 600  # virtual seconds
+MAX_GOOD_LENGTH = 1800  # virtual seconds
+
+LOOP_PLAN = {"balancers": 5, "zones": 2, "flows_per_s": 150}
+AGENTS = {"agents": True, "bound": 1}
+LOOP_BUILDS = ("good", "rejects", "aborts")
+READY_SECONDS = 5  # that the loop waits for a new process
+POLL_INTERVAL = 0.05  # seconds
+AFTER_LOOP_SECONDS = 20  # of load on the new version
+
+HALT_PLAN = {
+    "balancers": 7,
+    "voters": 3,
+    "zones": 2,
+    "flows_per_s": 50,
+    "agents": True,
+    "bound": 2,
+}
+HALT_RUNS = 6
+HALT_FIGURES = ("broken", "halt_to_last_out_s", "most_out", "ended", "told_to_leave")
+
+
+# In virtual time.
+
+
+class FleetSize(NamedTuple):
+    """A fleet whose release is measured."""
+
+    balancers: int
+    bound: int  # on balancers out at once
+
+    def make(self) -> VirtualRelease:
+        """The fleet; it does not run yet."""
+        large = self.balancers > 6
+        voters = 5 if large else 3
+        return VirtualRelease(
+            1, voters, self.balancers - voters, self.bound, zones=4 if large else 2, rate=5
         )
 
 
-def bad() -> None:
-    for kind in ("aborts", "slow", "falls", "never_ready"):
-        harmed, noticed, changed = [], [], []
-        for seed in range(10):
-            w = Releases(seed, 3, 6, 2, kind)
-            state, took, _ = released(w, 30.0, 200, 600)
-            assert state.halted is not None, (kind, seed)
-            statuses = [s for s in state.release.members.values() if s in ("new", "failed")]
-            changed.append(len(statuses))
-            new = [
-                m for m in w.machines.values() if any(r.version == NEW for r in m.running.values())
-            ]
-            harmed.append(
-                sum(r.served[2] for m in new for r in m.running.values() if r.version == NEW)
-            )
-            noticed.append(took)
-        print(
-            f"{kind}: halted in {len(noticed)} of 10, after {statistics.median(noticed):.0f} s ({min(noticed):.0f} to {max(noticed):.0f}) from its "
-            f"begin, at most {max(changed)} changed, {statistics.median(harmed):.0f} flows failed there ({min(harmed)} to {max(harmed)})",
-            flush=True,
+FLEET_SIZES = (
+    FleetSize(6, 1),
+    FleetSize(6, 2),
+    FleetSize(50, 1),
+    FleetSize(50, 5),
+    FleetSize(LARGEST, 5),
+    FleetSize(LARGEST, 20),
+)
+
+
+def measure_lengths(only: int | None = None) -> None:
+    """Of the size named, or of all; two hundred take some minutes of processor time."""
+    titles = (
+        "balancers",
+        "bound",
+        "waves",
+        "s of the release",
+        "most out at once",
+        "words a second",
+        "while idle",
+    )
+    report(table_head(*titles))
+    for size in FLEET_SIZES:
+        if only in (None, size.balancers):
+            report(length_row(size))
+
+
+def length_row(size: FleetSize) -> str:
+    """Runs one release to its end; its row."""
+    fleet = size.make()
+    fleet.start()
+    fleet.run(SETTLING_SECONDS)
+    before = fleet.messages
+    fleet.run(IDLE_SECONDS)
+    idle = (fleet.messages - before) / IDLE_SECONDS
+    began, before = fleet.now, fleet.messages
+    fleet.begin(LENGTH_HOLD_S, LENGTH_MIN_FLOWS)
+    while fleet.now - began < MAX_LENGTH and not fleet.has_ended:
+        fleet.run(LENGTH_STEP)
+    seconds = fleet.now - began
+    state = fleet.state
+    return table_row(
+        *size,
+        len(fleet.waves),
+        f"{seconds:.0f} ({state.release.phase}{', halted' if state.halted else ''})",
+        fleet.most_out,
+        f"{(fleet.messages - before) / seconds:.0f}",
+        f"{idle:.0f}",
+    )
+
+
+def run_judged_release(fleet: VirtualRelease, max_seconds: int, varies: bool = False) -> float:
+    """Runs a release until it ends or halts.
+
+    Args:
+        fleet: does not run yet.
+        max_seconds: after which it is left as it is.
+        varies: the load varies, and all flows are alike to fail.
+
+    Returns:
+        Virtual seconds that it took; infinite where it did not end.
+    """
+    fleet.start()
+    fleet.run(SETTLING_SECONDS)
+    began = fleet.now
+    chance = Random(f"{fleet.seed}/burst")
+    fleet.begin(JUDGED_HOLD_S, JUDGED_MIN_FLOWS)
+    while fleet.now - began < max_seconds:
+        fleet.run(1)
+        if varies:
+            fleet.vary_load(chance)
+        if fleet.has_ended:
+            return fleet.now - began
+    return float("inf")
+
+
+class BadRelease(NamedTuple):
+    """What a release of a bad build did until it was halted."""
+
+    seconds: float
+    changed: int  # balancers
+    failed: int  # flows
+
+
+def run_bad_release(build: str, seed: int) -> BadRelease:
+    """Releases a bad build, which must halt."""
+    fleet = VirtualRelease(seed, 3, 6, 2, build)
+    seconds = run_judged_release(fleet, MAX_BAD_LENGTH)
+    state = fleet.state
+    assert state.halted is not None, (build, seed)
+    changed = [status for status in state.release.members.values() if status in ("new", "failed")]
+    return BadRelease(seconds, len(changed), fleet.failed_on_new_build())
+
+
+def measure_bad_builds() -> None:
+    """Virtual seconds until bad builds are halted, and the flows that they fail until then."""
+    for build in BAD_BUILDS:
+        releases = [run_bad_release(build, seed) for seed in range(SEEDS)]
+        seconds = [release.seconds for release in releases]
+        failed = [release.failed for release in releases]
+        report(
+            f"{build}: halted in {len(releases)} of {SEEDS}, after "
+            f"{statistics.median(seconds):.0f} s ({min(seconds):.0f} to {max(seconds):.0f}) from "
+            f"its begin, at most {max(release.changed for release in releases)} changed, "
+            f"{statistics.median(failed):.0f} flows failed there ({min(failed)} to {max(failed)})"
         )
 
 
-def good() -> None:
-    halts = []
-    for seed in range(10):
-        state, took, _ = released(Releases(100 + seed, 3, 6, 2), 30.0, 200, 1800, burst=True)
-        print(seed, state.release.phase, f"{took:.0f} s", state.halted or "", flush=True)
-        halts += [state.halted] if state.halted else []
-    print(f"false halts: {len(halts)} of 10")
+def measure_good_builds() -> None:
+    """False halts of a good build under a load that varies."""
+    false_halts = 0
+    for seed in range(SEEDS):
+        fleet = VirtualRelease(100 + seed, 3, 6, 2)
+        seconds = run_judged_release(fleet, MAX_GOOD_LENGTH, varies=True)
+        state = fleet.state
+        report(f"{seed} {state.release.phase} {seconds:.0f} s {state.halted or ''}")
+        false_halts += bool(state.halted)
+    report(f"false halts: {false_halts} of {SEEDS}")
 
 
-def lost(rig: Rig) -> dict[str, int]:
-    return {
-        kind: sum(f.answer == kind for f in rig.flows)
-        for kind in sorted({f.answer for f in rig.flows})
-    }
+# With real processes.
 
 
-async def by_loop(kind: str, folder: Path) -> dict[str, int]:
-    """What people write: for each balancer stop it, start the new version, wait until it answers, next."""
-    rig = Rig(Plan(balancers=5, zones=2, flows_per_s=150), folder / "rig")
-    try:
-        await rig.begin()
-        assert await rig.whole() is not None
-        (folder / "versions").mkdir()
-        build(folder / "versions", rig.tree, "new", kind)
-        rig.tree = folder / "versions/new"
-        rig.spawn(rig.load(rig.plan.flows_per_s))
-        await asyncio.sleep(2)
-        for name in rig.names:
-            p = rig.processes[name]
-            p.popen.send_signal(signal.SIGTERM)
-            while p.popen.poll() is None:
-                await asyncio.sleep(0.05)
-            rig.start(name)
-            until = time.monotonic() + 5
-            while time.monotonic() < until and not await answers(p.admin):
-                await asyncio.sleep(0.05)
-        await asyncio.sleep(20)
-        rig.quiet = True
-        await asyncio.sleep(2)
-        return lost(rig)
-    finally:
-        await rig.end()
+def count_answers(cluster: RealCluster) -> dict[str, int]:
+    """How many clients had each answer."""
+    return dict(sorted(Counter(request.answer for request in cluster.requests).items()))
 
 
-async def answers(where: tuple[str, int]) -> bool:
+async def is_ready(address: tuple[str, int]) -> bool:
+    """Whether a balancer replies within a second that all is well."""
     try:
         async with asyncio.timeout(1):
-            reader, writer = await asyncio.open_connection(*where)
+            reader, writer = await asyncio.open_connection(*address)
             writer.write(b"check\r\n")
-            line = await reader.readline()
+            reply = await reader.readline()
             writer.close()
-            return line == b"OK\r\n"
+            return reply == b"OK\r\n"
     except (OSError, TimeoutError):
         return False
 
 
-async def by_release(kind: str, folder: Path) -> dict[str, int]:
-    rig = Machines(
-        Plan(balancers=5, zones=2, flows_per_s=150, agents=True, bound=1), folder / "rig"
-    )
-    try:
-        await rig.begin()
-        await rig.agree_on_bound(await rig.whole())
-        rig.spawn(rig.load(rig.plan.flows_per_s))
+async def by_loop(build: str) -> dict[str, Any]:
+    """What people write: stop a balancer, start the new version, wait until it answers, next."""
+    async with running(RealCluster, LOOP_PLAN) as cluster:
+        await cluster.wait_until_agreed()
+        cluster.use_build(build)
+        cluster.start_load(LOOP_PLAN["flows_per_s"])
         await asyncio.sleep(2)
-        await rig.release(Step(at_s=0, do="release", build=kind))
-        report = await rig.home()
-        assert "home_in_s" in report, report
-        rig.quiet = True
+        for name in cluster.names:
+            await replace(cluster, name)
+        await asyncio.sleep(AFTER_LOOP_SECONDS)
+        cluster.stop_load()
         await asyncio.sleep(2)
-        return lost(rig) | report
-    finally:
-        await rig.end()
+        return count_answers(cluster)
+
 
+async def replace(cluster: RealCluster, name: str) -> None:
+    """Stops a balancer and starts the new version; waits for it, but not for ever."""
+    process = cluster.process(name)
+    process.send_signal(signal.SIGTERM)
+    while process.poll() is None:
+        await asyncio.sleep(POLL_INTERVAL)
+    cluster.start(name)
+    until = time.monotonic() + READY_SECONDS
+    while time.monotonic() < until and not await is_ready(cluster.admin_address(name)):
+        await asyncio.sleep(POLL_INTERVAL)
 
-def loop() -> None:
-    for kind in ("good", "rejects", "aborts"):
-        for how in (by_loop, by_release):
-            with tempfile.TemporaryDirectory() as folder:
-                print(kind, how.__name__, asyncio.run(how(kind, Path(folder))), flush=True)
 
+async def by_release(build: str) -> dict[str, Any]:
+    """The same by a release, one balancer out at a time."""
+    async with running(ReleaseCluster, LOOP_PLAN | AGENTS) as cluster:
+        await cluster.agree_on_bound()
+        cluster.start_load(LOOP_PLAN["flows_per_s"])
+        await asyncio.sleep(2)
+        await cluster.begin_release(build=build)
+        end = await cluster.finish_release()
+        assert "home_in_s" in end, end
+        cluster.stop_load()
+        await asyncio.sleep(2)
+        return count_answers(cluster) | end
 
-def halts() -> None:
-    """At seven balancers, two of which may be out: from the yes to a halt, at any moment of a release, to the last one told to leave."""
 
-    async def one(seed: int, folder: Path) -> dict[str, Any]:
-        rig = Machines(
-            Plan(balancers=7, voters=3, zones=2, flows_per_s=50, agents=True, bound=2, seed=seed),
-            folder / "rig",
-        )
-        try:
-            await rig.begin()
-            await rig.agree_on_bound(await rig.whole())
-            rig.spawn(rig.load(rig.plan.flows_per_s))
-            await rig.release(Step(at_s=0, do="release", hold_s=1.0))
-            await asyncio.sleep(2 + 2.3 * seed)
-            await rig.halt(rig.chance.choice(rig.names))
-            await asyncio.sleep(4)
-            began = time.monotonic()
-            await rig.turn_back("n0")
-            report = await rig.verdict()
-            return {
-                key: report[key]
-                for key in ("broken", "halt_to_last_out_s", "most_out", "ended", "told_to_leave")
-            } | {"back_in_s": round(time.monotonic() - began, 1)}
-        finally:
-            await rig.end()
-
-    for seed in range(6):
-        with tempfile.TemporaryDirectory() as folder:
-            print(seed, asyncio.run(one(seed, Path(folder))), flush=True)
+def compare_with_loop() -> None:
+    """Clients' answers to a good and two bad builds, given out by a loop and by a release."""
+    for build in LOOP_BUILDS:
+        for change in (by_loop, by_release):
+            report(f"{build} {change.__name__} {asyncio.run(change(build))}")
+
+
+def measure_halts() -> None:
+    """Seconds from the yes to a halt, at any moment of a release, to the last one told to leave."""
+    for seed in range(HALT_RUNS):
+        report(f"{seed} {asyncio.run(run_halted_release(seed))}")
+
+
+async def run_halted_release(seed: int) -> dict[str, Any]:
+    """Halts a release of a good build, brings it back, and holds the run against the rules."""
+    async with running(ReleaseCluster, HALT_PLAN | {"seed": seed}) as cluster:
+        await cluster.agree_on_bound()
+        cluster.start_load(HALT_PLAN["flows_per_s"])
+        await cluster.begin_release(hold_s=1.0)
+        await asyncio.sleep(2 + 2.3 * seed)
+        await cluster.halt_anywhere()
+        await asyncio.sleep(4)
+        began = time.monotonic()
+        await cluster.roll_back()
+        verdict = await cluster.verdict()
+        figures = {key: verdict[key] for key in HALT_FIGURES}
+        return figures | {"back_in_s": round(time.monotonic() - began, 1)}
+
 
+PARTS = {
+    "lengths": measure_lengths,
+    "lengths200": lambda: measure_lengths(LARGEST),
+    "bad": measure_bad_builds,
+    "good": measure_good_builds,
+    "loop": compare_with_loop,
+    "halts": measure_halts,
+}
 
 if __name__ == "__main__":
     logging.getLogger("cypresswalk").setLevel(logging.CRITICAL)
-    for name in sys.argv[1:]:
-        {
-            "lengths": lengths,
-            "lengths200": lambda: lengths(200),
-            "bad": bad,
-            "good": good,
-            "loop": loop,
-            "halts": halts,
-        }[name]()
+    run_parts(__doc__, PARTS, default=False)
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -1,110 +1,227 @@
-"""What keeping state costs the deciding thread: `python benchmarks/state_cost.py [REPEATS]`.
+"""What persisting state costs the deciding thread: `python benchmarks/state_cost.py [REPEATS]`.
 
-A deciding thread takes events from the real inbox, one each millisecond, while the real keeper copies, encodes and writes
-generations of so many servers and a hundred thousand ids; beside it the same without a keeper. Prints, as Markdown, the
-longest slice, the delay of events (median, 99th percentile, most), bytes of a generation."""
+A deciding thread takes events from the real inbox, one each millisecond, while the real snapshot
+writer copies, encodes and writes generations of so many servers and a hundred thousand ids; beside
+it the same without a writer. Prints, as Markdown, the median (least to most) over the repeats of:
+the longest slice of copying, the delay of events (median, 99th percentile, most), all in
+milliseconds, and the seconds of one generation; then the bytes of a generation.
+Results: docs/measurements/state.md.
+"""
 
+import argparse
 import statistics
 import sys
 import tempfile
 import threading
 import time
 from collections import OrderedDict
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
 from pathlib import Path
 from types import SimpleNamespace
+from typing import NamedTuple, cast
 
-sys.path[:0] = [str(Path(__file__).parents[1]), str(Path(__file__).parents[1] / "tests")]
-
-from helpers import entries, settings
+from harness import MILLISECOND, SECOND, percentile, report, table_head, table_row
 
 from cypresswalk.decisions.balancer import Balancer
-from cypresswalk.model import EndpointUpdate
+from cypresswalk.model import Effect, EndpointUpdate, Scope, Server, ServiceType, Settings
 from cypresswalk.net.clock import Clock
+from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder
 from cypresswalk.service.program import SWITCH_INTERVAL
 from cypresswalk.state.snapshot_writer import SnapshotWriter
 
-GENERATIONS = 5
-
-
-def play(servers: int, ids: int, keeps: bool) -> dict:
-    clock = Clock()
-    inbox, delays = Inbox(clock), []
-    now = clock()
-    balancer = Balancer(settings(), 1, now)
-    balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers))
+GENERATIONS = 5  # written in each run
+DEFAULT_REPEATS = 5
+EVENT_INTERVAL = 0.001  # seconds between two events
+MIN_EVENTS = 500  # whose delays a run measures
+START_PAUSE = 0.2  # seconds for both threads to run
+GENERATIONS_PER_MINUTE = 12  # at the default of one each five seconds
+MIB = 2**20
+
+SETTINGS = Settings(
+    instances=1,
+    zone=0,
+    service_types=[
+        ServiceType(
+            Effect.IDEMPOTENT,
+            Scope.ALL,
+            idempotency_window=SECOND,
+            setup_latency_objective=SECOND // 2,
+            message_latency_objective=SECOND // 10,
+        )
+    ],
+    max_attempts=3,
+    retry_after_allowed=False,
+    max_retry_after=0,
+    health_checks=True,
+    can_migrate=True,
+    list_polled=False,
+    poll_within=10 * SECOND,
+    warm_up_time=20 * SECOND,
+    warm_up_initial_fraction=0.2,
+    slow_start_window=2 * SECOND,
+    overload_factor=3.0,
+    zone_crossing_price=0.0,
+    migration_price=0.0,
+    health_check_price=0.0,
+    gossip=False,
+    gossip_price=0.0,
+    quotas=[],
+    overage_weight=1.0,
+    load_index=-1,
+)
+
+
+class Case(NamedTuple):
+    """What a run keeps."""
+
+    servers: int
+    ids: int
+    writes: bool  # whether a snapshot writer runs
+
+
+CASES = (
+    Case(100, 0, False),
+    Case(100, 1000, True),
+    Case(1000, 10_000, True),
+    Case(10_000, 100_000, True),
+)
+
+
+@dataclass(frozen=True)
+class Result:
+    """What one run measured."""
+
+    longest_slice_ms: float
+    median_delay_ms: float
+    p99_delay_ms: float
+    longest_delay_ms: float
+    generation_bytes: int
+    generation_s: float
+
+
+def make_core(now: int, servers: int) -> Core:
+    """What a snapshot writer reads of a core: a balancer with so many servers, counters, ids."""
+    balancer = Balancer(SETTINGS, 1, now)
+    entries = [Server(id=7 + 13 * i, zone=i % 2, cell=i % 3) for i in range(servers)]
+    balancer.on_endpoints(now, EndpointUpdate.CACHED, entries)
     core = SimpleNamespace(
         balancer=balancer,
         counters=Counters(),
         seen_ids=OrderedDict(),
         limits=SimpleNamespace(max_remembered_flows=8192),
     )
-    with tempfile.TemporaryDirectory() as folder:
-        keeper = SnapshotWriter(folder, 1, core, inbox, SimpleNamespace(version=1), "n0", "a:1")
-        keeper.recover(now)
-        keeper.ids.extend((ident, now) for ident in range(ids))
-        ended = threading.Event()
-
-        def decide():
-            while not ended.is_set():
-                at, call, words = inbox.queue.get()
-                call(max(at, 0), *words)
-
-        def tick():
-            while not ended.is_set():
-                inbox.post(lambda at: delays.append(clock() - at))
-                time.sleep(0.001)
-
-        for run in (decide, tick):
-            threading.Thread(target=run, daemon=True).start()
-        time.sleep(0.2)
-        if keeps:
-            keeper.keep()  # the first also makes the table of what was learned when
-            keeper.longest = 0
-        delays.clear()
-        began = time.monotonic()
-        for _ in range(GENERATIONS if keeps else 0):
-            keeper.keep()
-        span = time.monotonic() - began
-        while len(delays) < 500:
-            time.sleep(0.01)
+    return cast(Core, core)
+
+
+@contextmanager
+def event_delays(clock: Clock, inbox: Inbox) -> Iterator[list[int]]:
+    """Posts an event each millisecond to a thread that takes them; their delays in nanoseconds."""
+    delays: list[int] = []
+    ended = threading.Event()
+
+    def decide() -> None:
+        while not ended.is_set():
+            at, call, args = inbox.queue.get()
+            call(max(at, 0), *args)
+
+    def post_events() -> None:
+        while not ended.is_set():
+            inbox.post(lambda at: delays.append(clock() - at))
+            time.sleep(EVENT_INTERVAL)
+
+    loops: tuple[Callable[[], None], ...] = (decide, post_events)
+    for loop in loops:
+        threading.Thread(target=loop, daemon=True).start()
+    time.sleep(START_PAUSE)
+    try:
+        yield delays
+    finally:
         ended.set()
-        size = max((p.stat().st_size for p in Path(folder).glob("state.*")), default=0)
-    delays.sort()
-    return {
-        "slice": keeper.longest / 1e6,
-        "p50": delays[len(delays) // 2] / 1e6,
-        "p99": delays[len(delays) * 99 // 100] / 1e6,
-        "most": delays[-1] / 1e6,
-        "bytes": size,
-        "seconds": span / GENERATIONS,
-    }
+
+
+def run_case(case: Case) -> Result:
+    """One run: writes the generations, and measures at least so many events."""
+    clock = Clock()
+    inbox = Inbox(clock)
+    core = make_core(clock(), case.servers)
+    endpoint_list = cast(EndpointListDecoder, SimpleNamespace(version=1))
+    with tempfile.TemporaryDirectory() as folder:
+        writer = SnapshotWriter(folder, 1, core, inbox, endpoint_list, "n0", "a:1")
+        now = clock()
+        writer.recover(now)
+        writer.ids.extend((ident, now) for ident in range(case.ids))
+        with event_delays(clock, inbox) as delays:
+            if case.writes:
+                writer.keep()  # the first also makes the table of what was learned when
+                writer.longest = 0
+            delays.clear()
+            began = time.monotonic()
+            for _ in range(GENERATIONS if case.writes else 0):
+                writer.keep()
+            duration = time.monotonic() - began
+            while len(delays) < MIN_EVENTS:
+                time.sleep(0.01)
+        size = max((file.stat().st_size for file in Path(folder).glob("state.*")), default=0)
+    delays_ms = sorted(delay / MILLISECOND for delay in delays)
+    return Result(
+        writer.longest / MILLISECOND,
+        percentile(delays_ms, 0.5),
+        percentile(delays_ms, 0.99),
+        delays_ms[-1],
+        size,
+        duration / GENERATIONS,
+    )
+
+
+def spread(values: list[float], digits: int) -> str:
+    """Median, least and most of the repeats, as a cell."""
+    least, most = min(values), max(values)
+    return f"{statistics.median(values):.{digits}f} ({least:.{digits}f} to {most:.{digits}f})"
+
+
+def case_row(case: Case, results: list[Result]) -> str:
+    """The row of a case."""
+    size = results[0].generation_bytes
+    return table_row(
+        f"{case.servers}{'' if case.writes else ', not kept'}",
+        case.ids,
+        spread([result.longest_slice_ms for result in results], 3),
+        spread([result.median_delay_ms for result in results], 3),
+        spread([result.p99_delay_ms for result in results], 3),
+        spread([result.longest_delay_ms for result in results], 2),
+        spread([result.generation_s for result in results], 2),
+        size,
+        f"{size * GENERATIONS_PER_MINUTE / MIB:.2f}",
+    )
 
 
 def main() -> None:
-    repeats = int(sys.argv[1]) if len(sys.argv) > 1 else 5
+    """Prints the table."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("repeats", nargs="?", type=int, default=DEFAULT_REPEATS)
+    repeats = parser.parse_args().repeats
     sys.setswitchinterval(SWITCH_INTERVAL)
-    print(
-        "| servers | ids | longest slice, ms | event delay p50 | p99 | most, ms | generation, s | bytes | MB a minute at 5 s |"
+    head = table_head(
+        "servers",
+        "ids",
+        "longest slice, ms",
+        "event delay p50",
+        "p99",
+        "most, ms",
+        "generation, s",
+        "bytes",
+        "MB a minute at 5 s",
     )
-    print("|" + " --- |" * 9)
-    for servers, ids, keeps in (
-        (100, 0, False),
-        (100, 1000, True),
-        (1000, 10_000, True),
-        (10_000, 100_000, True),
-    ):
-        runs = [play(servers, ids, keeps) for _ in range(repeats)]
-
-        def cell(name: str, digits: int) -> str:
-            values = [run[name] for run in runs]
-            return f"{statistics.median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
-
-        print(
-            f"| {servers}{'' if keeps else ', not kept'} | {ids} | {cell('slice', 3)} | {cell('p50', 3)} | {cell('p99', 3)} | "
-            f"{cell('most', 2)} | {cell('seconds', 2)} | {runs[0]['bytes']} | {runs[0]['bytes'] * 12 / 2**20:.2f} |"
-        )
+    report(head)
+    for case in CASES:
+        report(case_row(case, [run_case(case) for _ in range(repeats)]))
 
 
 if __name__ == "__main__":
