--- a/cypresswalk/cli/fleet/agent.py
+++ b/cypresswalk/cli/fleet/agent.py
@@ -71,6 +71,7 @@
     )
 
     def stop(*_: object) -> None:
+        """Has the agent end after the action that it carries out now."""
         host.stopped = True
 
     signal.signal(signal.SIGTERM, stop)
--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -94,6 +94,7 @@
     ):
 
         def submit(run: tuple[str, int]) -> Future[dict[str, Any]]:
+            """Starts one run, of a variant's name and a seed; its summary comes later."""
             name, seed = run
             return pool.submit(run_variant, file, name, seed, str(out / f"{name}-{seed}"))
 
@@ -156,6 +157,7 @@
         done = 0
 
         def show_progress(second: float) -> None:
+            """Moves the bar to that second of the scenario."""
             nonlocal done
             bar.update(int(second * PROGRESS_STEPS) - done)
             done = int(second * PROGRESS_STEPS)
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -7,7 +7,7 @@
 import logging
 from collections import Counter, defaultdict
 from collections.abc import Callable
-from queue import Empty, SimpleQueue
+from queue import SimpleQueue
 from threading import Event
 from typing import Any, NamedTuple
 
@@ -34,7 +34,9 @@
 from cypresswalk.copies.placement import PARTITIONS
 from cypresswalk.copies.replica import MAX_RECORDS, Replica
 from cypresswalk.copies.reservations import ReservationAnswer
+from cypresswalk.copies.status import NO_VIEW, AgreedView, partition_statuses
 from cypresswalk.copies.store import RecordLog
+from cypresswalk.event_queue import take_events
 from cypresswalk.storage.folder import Folder
 
 log = logging.getLogger(__name__)
@@ -72,16 +74,6 @@
     request_id: int
 
 
-class AgreedView(NamedTuple):
-    """A partition's view, as the group agreed on it."""
-
-    view: int
-    replicas: tuple[str, ...]
-
-
-NO_VIEW = AgreedView(0, ())
-
-
 class ReplicationThread:
     """Keeps this balancer's replicas and asks for keys.
 
@@ -115,6 +107,7 @@
             on_healthy: called when the replica begins to hold, and when its disk has failed.
             max_records: beyond which keys are refused.
         """
+        # Over 40 lines since it sets one attribute a line.
         self.folder = folder
         self.now = now
         self.wall = wall
@@ -165,7 +158,8 @@
     def run(self) -> None:
         """Serves until it is stopped."""
         while not self.over.is_set():
-            events = self._wait_for_events()
+            wait = min(self.tick_at, self.client.due()) - self.now()
+            events = take_events(self.queue, wait, MAX_EVENTS_PER_TURN)
             try:
                 self.turn(events)
             except Exception:
@@ -175,21 +169,6 @@
         self.client.refuse_all("this process hands over")
         self.ended.set()
 
-    def _wait_for_events(self) -> list[tuple[Any, ...]]:
-        """Events that have come, at the latest when something is due."""
-        wait = min(self.tick_at, self.client.due()) - self.now()
-        events = []
-        try:
-            if wait > 0:
-                events.append(self.queue.get(timeout=wait / SECOND))
-            else:
-                events.append(self.queue.get_nowait())
-            while len(events) < MAX_EVENTS_PER_TURN:
-                events.append(self.queue.get_nowait())
-        except Empty:
-            pass
-        return events
-
     def turn(self, events: list[tuple[Any, ...]]) -> None:
         """Handles events and time, then carries out what follows."""
         now = self.now()
@@ -465,44 +444,19 @@
     # Status.
 
     def status(self) -> dict[str, Any]:
-        """The replica's status, for an operator.
-
-        `sums` are the digests of a partition's records by bucket. Records that end about now are
-        dropped at each replica by its own clock: only buckets after `soon` have to be alike.
-        """
+        """The replica's status, for an operator."""
         soon = digest_bucket(self.wall())
         return {
             "sound": self.healthy,
             "trouble": self.disk_error,
             "soon": soon,
-            "parts": [
-                self._partition_status(number, soon)
-                for number in sorted(self.views)
-                if self.replica.member_id in self.views[number].replicas
-            ],
+            "parts": partition_statuses(self.replica, self.views, soon),
             "waiting": self.client.pending_reservations,
             "ids": self.replica.record_count,
             "most": self.max_records,
             "counts": dict(self.counts) | self.client.counts,
         }
 
-    def _partition_status(self, number: int, soon: int) -> list[Any]:
-        partition = self.replica.partition(number)
-        sums = {
-            str(bucket): f"{digest:014x}"
-            for bucket, digest in sorted(partition.digests.items())
-            if bucket > soon
-        }
-        return [
-            number,
-            partition.view,
-            partition.complete,
-            partition.sealed,
-            len(partition.records),
-            len(partition.pending),
-            sums,
-        ]
-
 
 def _result(token: RequestToken, answer: ReservationAnswer) -> ReservationResult:
     return ReservationResult(
--- a/cypresswalk/fleet/call_forwarding.py
+++ b/cypresswalk/fleet/call_forwarding.py
@@ -96,6 +96,7 @@
             pending.sent = True
 
             def reply(ok: bool, body: Any) -> None:
+                """Answers the call, once, unless it has to be asked again."""
                 if _asks_again(body):
                     pending.retry_at = min(pending.retry_at, now + RETRY_INTERVAL)
                 elif self._pending.pop(number, None) is not None:
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -4,6 +4,7 @@
 import socket
 import time
 import uuid
+from dataclasses import dataclass, field
 from typing import Any
 
 from cypresswalk.fleet.errors import FrameError, UncertainOutcomeError
@@ -50,42 +51,58 @@
         CommandError: no balancer could be asked.
         UncertainOutcomeError: one was asked and its answer does not say what came of it.
     """
-    errors: list[str] = []
-    sent = False
+    exchange = _Exchange(fleet, name, args or {})
     until = time.monotonic() + span
     for address in addresses:
         left = until - time.monotonic()
         if left <= 0:
             break
+        result = exchange.ask(address, left)
+        if result is not None:
+            return _outcome(result)
+    raise exchange.error()
+
+
+@dataclass
+class _Exchange:
+    """One call, at one balancer after another."""
+
+    fleet: str
+    name: str
+    args: dict[str, Any]
+    sent: bool = False  # to any balancer
+    errors: list[str] = field(default_factory=list)  # one for each that was asked in vain
+
+    def ask(self, address: str, left: float) -> Result | None:
+        """Return a balancer's result within `left` seconds; None where there is none."""
         host, _, port = address.rpartition(":")
+        timeout = min(DIAL_TIMEOUT, left)
         try:
-            timeout = min(DIAL_TIMEOUT, left)
             with socket.create_connection((host, int(port)), timeout=timeout) as sock:
-                _send_call(sock, fleet, name, args or {}, left)
-                sent = True
+                self._send(sock, left)
                 sock.settimeout(left + LATE_ANSWER)
                 frame = _first_answer(sock)
         except (OSError, FrameError) as error:
-            errors.append(f"{address}: {error}")
-            continue
+            self.errors.append(f"{address}: {error}")
+            return None
         if isinstance(frame, HelloRejected):
-            errors.append(f"{address}: {frame.reason}")
-            continue
-        if isinstance(frame.body, dict) and frame.body.get("unsure"):
-            raise UncertainOutcomeError(str(frame.body.get("why")))
-        return frame.ok, frame.body
-    if sent and name not in READ_ONLY_CALLS:
-        raise UncertainOutcomeError("no answer: " + "; ".join(errors))
-    raise CommandError("no balancer of the fleet answers: " + "; ".join(errors))
+            self.errors.append(f"{address}: {frame.reason}")
+            return None
+        return frame
 
+    def _send(self, sock: socket.socket, left: float) -> None:
+        tool_id = f"tool#{uuid.uuid4().hex[:8]}"
+        hello = Hello(PROTOCOL, self.fleet, "tool", "", tool_id, 0, 0, "", "")
+        args = self.args | {"span": max(left - ANSWER_MARGIN, MIN_CALL_SPAN)}
+        sock.sendall(encode_frame(hello) + encode_frame(Call(1, self.name, args)))
+        self.sent = True
 
-def _send_call(
-    sock: socket.socket, fleet: str, name: str, args: dict[str, Any], left: float
-) -> None:
-    tool_id = f"tool#{uuid.uuid4().hex[:8]}"
-    hello = Hello(PROTOCOL, fleet, "tool", "", tool_id, 0, 0, "", "")
-    span = max(left - ANSWER_MARGIN, MIN_CALL_SPAN)
-    sock.sendall(encode_frame(hello) + encode_frame(Call(1, name, args | {"span": span})))
+    def error(self) -> CommandError | UncertainOutcomeError:
+        """Return what to raise where no balancer has answered."""
+        reasons = "; ".join(self.errors)
+        if self.sent and self.name not in READ_ONLY_CALLS:
+            return UncertainOutcomeError(f"no answer: {reasons}")
+        return CommandError(f"no balancer of the fleet answers: {reasons}")
 
 
 def _first_answer(sock: socket.socket) -> Result | HelloRejected:
@@ -100,6 +117,17 @@
             return frame
 
 
+def _outcome(result: Result) -> tuple[bool, Any]:
+    """Return whether the call was carried out, and the answer.
+
+    Raises:
+        UncertainOutcomeError: the balancer can't say what came of it.
+    """
+    if isinstance(result.body, dict) and result.body.get("unsure"):
+        raise UncertainOutcomeError(str(result.body.get("why")))
+    return result.ok, result.body
+
+
 def differing_replicas(parts: list[Any], answers: dict[str, dict[str, Any]]) -> list[str]:
     """Return a line for each partition that is not complete and alike at all its replicas.
 
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -57,6 +57,7 @@
             post: has the deciding thread call a function with the time and more arguments.
             registry: what is known of servers' names.
         """
+        # Over 40 lines since it makes one part a line.
         self.core = core
         self.params = read_file(config.path)["settings"]
         self.fleet = FleetThread(
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -24,6 +24,7 @@
 from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
 from cypresswalk.copies.messages import MessageBatch
+from cypresswalk.event_queue import take_events
 from cypresswalk.fleet.addresses import host_and_port
 from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.errors import UnreadableEntryError
@@ -377,17 +378,9 @@
         return self.member
 
     def _serve(self) -> None:
-        queue = self.queue
         while not self._stopping.is_set():
             wait = self._running_member().due() - self.now()
-            events = []
-            try:
-                events.append(queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait())
-                while len(events) < MAX_EVENTS_PER_TURN:
-                    events.append(queue.get_nowait())
-            except Empty:
-                pass
-            self.turn(events)
+            self.turn(take_events(self.queue, wait, MAX_EVENTS_PER_TURN))
 
     def turn(self, events: Iterable[Event]) -> None:
         """Take over events and what time brings, then carry out what follows.
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -93,6 +93,7 @@
         """Asks the fleet to agree on a server's being out, or in."""
 
         def reply(ok: bool, body: Any) -> None:
+            """Passes the fleet's word on to the deciding thread."""
             self.post(self.on_server_agreed, call, ok, body)
 
         name = "out" if call.name == "set-down" else "back"
@@ -129,6 +130,7 @@
         asked_at = self.fleet.now()
 
         def reply(ok: bool, body: Any) -> None:
+            """Passes the fleet's word on to the deciding thread."""
             self.post(self.on_drain_granted, call, asked_at, ok, body)
 
         self.fleet.call("go_out", self.leave_args(DRAINED, False), reply, CALL_TIMEOUT)
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -109,6 +109,7 @@
         Raises:
             msgspec.DecodeError: what was persisted is no state.
         """
+        # Over 40 lines since it sets one attribute a line.
         self.context = MemberContext(config, identity, host, random)
         self.own_settings = own_settings
         self.placement = placement
@@ -270,6 +271,7 @@
 
     def _on_call(self, now: int, source: str, call: Call) -> None:
         def reply(ok: bool, body: Any) -> None:
+            """Sends the answer to the member that forwarded the call."""
             self.context.send(source, Result(call.number, ok, body))
 
         if self.is_leader:
--- a/cypresswalk/fleet/recovery.py
+++ b/cypresswalk/fleet/recovery.py
@@ -2,7 +2,7 @@
 
 import time
 import uuid
-from typing import Any
+from typing import Any, NamedTuple
 
 from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError
 from cypresswalk.agreement.log import Log, Snapshot
@@ -39,21 +39,14 @@
         CommandError: the folder can't be used.
     """
     disk = DiskFolder(folder)
+    log = _load(disk, folder, fleet, name)
+    old = log.identity
     try:
-        disk.lock()
-        store = Store(disk)
-        persisted = store.load(fleet, name, lambda text: None)
-    except (OSError, DamagedLogError, ForeignFileError) as error:
-        raise CommandError(f"{folder}: {error}") from error
-    old = store.identity
-    if persisted is None or old is None or persisted.snapshot.index < 0:
-        raise CommandError(f"{folder}: it holds nothing that was agreed")
-    try:
-        machine = _machine_of(persisted)
+        machine = _machine_of(log.persisted)
         _give_up_group(machine.state, old.group, name, by)
         group = f"{fleet}-{uuid.uuid4().hex[:16]}"
         identity = LogIdentity(fleet, group, old.member, old.boot + 1)
-        store.begin(identity, _new_log(persisted, old.member, machine))
+        log.store.begin(identity, _new_log(log.persisted, old.member, machine))
     except OSError as error:
         raise CommandError(f"{folder}: {error}") from error
     finally:
@@ -67,6 +60,28 @@
     }
 
 
+class _OldLog(NamedTuple):
+    """What a member of the old group has on disk."""
+
+    store: Store
+    identity: LogIdentity
+    persisted: PersistentState
+
+
+def _load(disk: DiskFolder, folder: str, fleet: str, name: str) -> _OldLog:
+    """Lock the folder and read its log; raises CommandError where it can't be used."""
+    try:
+        disk.lock()
+        store = Store(disk)
+        persisted = store.load(fleet, name, lambda text: None)
+    except (OSError, DamagedLogError, ForeignFileError) as error:
+        raise CommandError(f"{folder}: {error}") from error
+    identity = store.identity
+    if persisted is None or identity is None or persisted.snapshot.index < 0:
+        raise CommandError(f"{folder}: it holds nothing that was agreed")
+    return _OldLog(store, identity, persisted)
+
+
 def _machine_of(persisted: PersistentState) -> StateMachine:
     machine = StateMachine(persisted.snapshot.data)
     for entry in persisted.entries:
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -69,9 +69,9 @@
     starts_empty: bool = False
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class _Run:
-    """What is known of all members in one run of the duty."""
+    """What is known of all members in one run of the duty, and what it has started."""
 
     now: int
     views: Views
@@ -80,6 +80,7 @@
     usable: dict[str, str]  # alive and not leaving: zones by id
     waits: bool  # for more members before the first placement
     retention: int  # nanoseconds for which a key is kept at the longest
+    started: int = 0  # changes that bring in new replicas
 
 
 @dataclass(frozen=True, slots=True)
@@ -192,25 +193,19 @@
             hears: whether a member was heard lately, by its id.
             retention: nanoseconds for which a key is kept at the longest.
         """
-        messages: Messages = []
         run = self._begin_run(now, members, views, departed, hears, retention)
         if not views and not run.usable:
             return {}, []
         proposals: Views = {}
-        started = 0
+        messages: Messages = []
         for number in range(PARTITIONS):
             partition = self._look_at(run, number)
             change = self._change_under_way(partition)
             self._note_lacking(now, partition)
             if change is None:
-                change = self._next_change(run, partition)
-                if change is None:
-                    continue
-                if _makes_up(change, partition):
-                    if started >= MAX_STARTED_PER_RUN or self._making_up(views) >= MAX_MAKING_UP:
-                        continue
-                    started += 1
-                self.changes[number] = change
+                change = self._start_change(run, partition)
+            if change is None:
+                continue
             replicas = self._drive(run, partition, change, messages)
             if replicas and now - change.proposed_at > REPROPOSE_INTERVAL:
                 change.proposed_at = now
@@ -268,6 +263,18 @@
             return None
         return change
 
+    def _start_change(self, run: _Run, partition: _Partition) -> PlacementChange | None:
+        """Start the change that the partition needs, if any may start now."""
+        change = self._next_change(run, partition)
+        if change is None:
+            return None
+        if _makes_up(change, partition):
+            if run.started >= MAX_STARTED_PER_RUN or self._making_up(run.views) >= MAX_MAKING_UP:
+                return None
+            run.started += 1
+        self.changes[partition.number] = change
+        return change
+
     def _making_up(self, views: Views) -> int:
         """Return how many changes bring in new replicas."""
         return sum(
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -57,6 +57,7 @@
         self.core.counters.add("claims")
 
         def reply(answer: ReservationAnswer, by: str) -> None:
+            """Passes the answer on to the deciding thread."""
             self.post(self.on_answer, session, answer, by)
 
         deadline = self.fleet.now() + timeout
--- a/cypresswalk/fleet/tool_calls.py
+++ b/cypresswalk/fleet/tool_calls.py
@@ -16,6 +16,7 @@
     """Return a function that answers the tool."""
 
     def reply(ok: bool, body: Any) -> None:
+        """Sends the tool its call's result."""
         event.respond(Result(call.number, ok, body))
 
     return reply
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -151,6 +151,7 @@
             relay: Where it sends gossip.
             command: Runs instead of the program, if not None.
         """
+        # Over 40 lines since it sets one attribute a line.
         self.name = name
         self.number = number
         self.group = group
--- a/cypresswalk/lab/servers.py
+++ b/cypresswalk/lab/servers.py
@@ -67,6 +67,7 @@
             overload_window: Of the same rule, in nanoseconds.
             turnover: Loads that one place of load serves a second, see `turnover`.
         """
+        # Over 40 lines since it sets one attribute a line.
         self.name = name
         self.group = group
         self.random = random
--- a/cypresswalk/lab/testbed/bed.py
+++ b/cypresswalk/lab/testbed/bed.py
@@ -111,6 +111,7 @@
             return address
 
         def on_fault(fault: Fault, ports: list[int]) -> None:
+            """Notes a fault and the ports of the connection that it strikes."""
             self.observe("fault", "", side, ports=list(ports), kind=fault.kind.value)
 
         seed = self.seed + len(self.proxies)
--- a/cypresswalk/net/health_checks.py
+++ b/cypresswalk/net/health_checks.py
@@ -134,6 +134,7 @@
 
     def _ask(self, sock: socket.socket, deadline: int) -> HealthCheckAnswer:
         def limit_read() -> None:
+            """Has the next read end at the deadline."""
             sock.settimeout(self._remaining(deadline) / SECOND)
 
         lines = LineParser(self.limits.max_line_bytes)
--- a/cypresswalk/net/threads.py
+++ b/cypresswalk/net/threads.py
@@ -34,6 +34,7 @@
     """
 
     def run_logged() -> None:
+        """Runs it; logs an exception, and begins anew where that is asked for."""
         while True:
             try:
                 run()
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -65,6 +65,7 @@
             ConfigError: the configuration's list of servers cannot be read.
             OSError: an address cannot be listened at.
         """
+        # Over 40 lines since it makes one part a line.
         self.limits = config.limits
         self.path = config.path
         self.clock = Clock()
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -151,6 +151,7 @@
         done = Event()
 
         def run(now: int) -> None:
+            """Runs the slice in the deciding thread and measures it."""
             began = time.perf_counter_ns()
             copy(now, *args)
             self.longest = max(self.longest, time.perf_counter_ns() - began)
@@ -165,6 +166,7 @@
         servers: list[Server] = []
 
         def copy_head(now: int) -> None:
+            """Copies the header and takes the list of servers."""
             heads.append(self.head(now))
             servers.extend(self.core.balancer.servers.values())
 
