--- a/cypresswalk/faults/datagram_proxy.py
+++ b/cypresswalk/faults/datagram_proxy.py
@@ -9,10 +9,9 @@
 
 from cypresswalk.faults.connection import Address
 from cypresswalk.faults.datagram_stream import DatagramStream
+from cypresswalk.faults.injection import InjectingProxy, ignore_fault
 from cypresswalk.faults.kinds import Fault
 from cypresswalk.faults.plan import FaultPlan
-from cypresswalk.faults.proxy import ignore_fault
-from cypresswalk.faults.record import Record
 from cypresswalk.faults.stream import SECOND, Write
 
 MAX_DELAYED = 4096  # datagrams: a delay of a second at a few thousand per second
@@ -31,10 +30,10 @@
         plan = proxy.plan
         seed = proxy.seed
         self.up = DatagramStream(
-            lambda n: plan.for_datagram(number, "up", n, seed), proxy.on_injected
+            lambda n: plan.for_datagram(number, "up", n, seed), proxy.on_datagram_fault
         )
         self.down = DatagramStream(
-            lambda n: plan.for_datagram(number, "down", n, seed), proxy.on_injected
+            lambda n: plan.for_datagram(number, "down", n, seed), proxy.on_datagram_fault
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -58,12 +57,10 @@
             self.transport.sendto(data)
 
 
-class DatagramProxy(asyncio.DatagramProtocol):
+class DatagramProxy(InjectingProxy, asyncio.DatagramProtocol):
     """Listens after `start`, at `address`.
 
     Attributes:
-        address: where it listens.
-        record: of what was injected.
         left_out: datagrams that were dropped, beyond the limits.
     """
 
@@ -76,24 +73,16 @@
         clock: Callable[[], int],
         told: Callable[[Fault, list[int]], None] = ignore_fault,
     ):
-        """Does not listen yet; the arguments are those of `Proxy`."""
-        self.listen = listen
-        self.to = to
-        self.plan = plan
-        self.seed = seed
-        self.clock = clock
-        self.told = told
-        self.record = Record()
+        """Does not listen yet; the arguments are those of `InjectingProxy`."""
+        super().__init__(listen, to, plan, seed, clock, told)
         self.peers: dict[Address, PeerSocket] = {}
         self.delayed = 0
         self.left_out = 0
         self.tasks: set[asyncio.Task[object]] = set()
-        self.address = listen
 
-    def on_injected(self, fault: Fault) -> None:
-        """A fault was injected."""
-        self.record.add(fault)
-        self.told(fault, [])
+    def on_datagram_fault(self, fault: Fault) -> None:
+        """A fault was injected into a datagram."""
+        self.on_injected(fault, [])
 
     @property
     def connections(self) -> int:
--- /dev/null
+++ b/cypresswalk/faults/injection.py
@@ -0,0 +1,54 @@
+"""What the proxies for TCP and for UDP share: their settings, and the record of injected faults."""
+
+from collections.abc import Callable
+
+from cypresswalk.faults.connection import Address
+from cypresswalk.faults.kinds import Fault
+from cypresswalk.faults.plan import FaultPlan
+from cypresswalk.faults.record import Record
+
+
+def ignore_fault(fault: Fault, ports: list[int]) -> None:
+    """For who does not want to know of each fault."""
+
+
+class InjectingProxy:
+    """Passes on what comes to one address to another, and injects faults.
+
+    Attributes:
+        address: where it listens.
+        record: of what was injected.
+    """
+
+    def __init__(
+        self,
+        listen: Address,
+        to: Address,
+        plan: FaultPlan,
+        seed: int,
+        clock: Callable[[], int],
+        told: Callable[[Fault, list[int]], None] = ignore_fault,
+    ):
+        """Does not listen yet.
+
+        Args:
+            listen: port 0 for any.
+            to: where all goes on to.
+            plan: which faults are injected.
+            seed: for what the plan leaves to chance.
+            clock: nanoseconds.
+            told: is called with each injected fault and the connection's ports; none for UDP.
+        """
+        self.listen = listen
+        self.to = to
+        self.plan = plan
+        self.seed = seed
+        self.clock = clock
+        self.told = told
+        self.record = Record()
+        self.address = listen
+
+    def on_injected(self, fault: Fault, ports: list[int]) -> None:
+        """A fault was injected into what has these ports."""
+        self.record.add(fault)
+        self.told(fault, ports)
--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -5,17 +5,13 @@
 from dataclasses import dataclass
 
 from cypresswalk.faults.connection import Address, Connection, Endpoint
+from cypresswalk.faults.injection import InjectingProxy, ignore_fault
 from cypresswalk.faults.kinds import Fault, Kind
 from cypresswalk.faults.plan import FaultPlan, PlacedFault, ways
-from cypresswalk.faults.record import Record
 
 ACCEPT_BACKLOG = 1024
 
 
-def ignore_fault(fault: Fault, ports: list[int]) -> None:
-    """For who does not want to know of each fault."""
-
-
 @dataclass(frozen=True)
 class Injected:
     """A plan, and a fault that was added to all connections while it ran.
@@ -55,13 +51,12 @@
         return self.plan.named()
 
 
-class Proxy:
+class Proxy(InjectingProxy):
     """Listens after `start`, at `address`; `stop` resets the connections that are left.
 
     Attributes:
-        address: where it listens.
         connections: how many were accepted.
-        record: of what was injected.
+        open: the connections that are not over.
     """
 
     def __init__(
@@ -73,26 +68,10 @@
         clock: Callable[[], int],
         told: Callable[[Fault, list[int]], None] = ignore_fault,
     ):
-        """Does not listen yet.
-
-        Args:
-            listen: port 0 for any.
-            to: where connections go on to.
-            plan: which faults are injected.
-            seed: for what the plan leaves to chance.
-            clock: nanoseconds.
-            told: is called with each injected fault and the connection's ports.
-        """
-        self.listen = listen
-        self.to = to
-        self.plan = plan
-        self.seed = seed
-        self.clock = clock
-        self.told = told
-        self.record = Record()
+        """Does not listen yet; the arguments are those of `InjectingProxy`."""
+        super().__init__(listen, to, plan, seed, clock, told)
         self.open: dict[Connection, None] = {}
         self.connections = 0
-        self.address = listen
 
     async def start(self) -> None:
         """Listens. Raises OSError where the address is taken."""
@@ -109,11 +88,6 @@
         self.open[connection] = None
         return Endpoint(connection, connection.up, connection.down)
 
-    def on_injected(self, fault: Fault, ports: list[int]) -> None:
-        """A fault was injected."""
-        self.record.add(fault)
-        self.told(fault, ports)
-
     def on_closed(self, connection: Connection) -> None:
         """A connection is over."""
         self.open.pop(connection, None)
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -39,6 +39,7 @@
     SEND_TIMEOUT,
     OutgoingLink,
 )
+from cypresswalk.net.accepting import accept_connections
 from cypresswalk.net.connection import timeval
 from cypresswalk.net.threads import start_thread
 
@@ -154,15 +155,10 @@
     # Incoming connections.
 
     def _accept_connections(self, listener: socket.socket) -> None:
-        while not self._stopping.is_set():
-            try:
-                sock, _ = listener.accept()
-            except OSError as error:
-                if self._stopping.is_set():
-                    return
-                log.warning("event=fleet_accept_failed why=%s", error)
-                time.sleep(ACCEPT_RETRY_PAUSE)
-                continue
+        stopping = self._stopping.is_set
+        for sock in accept_connections(
+            listener, ACCEPT_RETRY_PAUSE, self._on_accept_failed, stopping
+        ):
             if len(self.connections) >= MAX_CONNECTIONS:
                 self.counts["connections_beyond"] += 1
                 sock.close()
@@ -175,6 +171,9 @@
                 self.connections.pop(sock, None)
                 sock.close()
 
+    def _on_accept_failed(self, error: OSError) -> None:
+        log.warning("event=fleet_accept_failed why=%s", error)
+
     def _serve(self, sock: socket.socket) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -6,10 +6,10 @@
 
 import logging
 import socket
-import time
 from threading import Lock
 
 from cypresswalk.model import SECOND
+from cypresswalk.net.accepting import accept_connections
 from cypresswalk.net.config import Address
 from cypresswalk.net.connection import Connection
 from cypresswalk.net.core import Core
@@ -42,16 +42,14 @@
 
     def run(self) -> None:
         """Accepts callers; the thread's own, never returns."""
-        while True:
-            try:
-                sock, _ = self.sock.accept()
-            except OSError as error:
-                log.warning(event("calls_accept_failed", why=error))
-                time.sleep(self.limits.accept_retry_pause / SECOND)
-                continue
+        retry_pause = self.limits.accept_retry_pause / SECOND
+        for sock in accept_connections(self.sock, retry_pause, self._on_accept_failed):
             self._admit(sock)
             self._make_room()
 
+    def _on_accept_failed(self, error: OSError) -> None:
+        log.warning(event("calls_accept_failed", why=error))
+
     def _admit(self, sock: socket.socket) -> None:
         try:
             caller = Connection(sock, self.limits)
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from cypresswalk.model import SECOND
+from cypresswalk.net.accepting import accept_connections
 from cypresswalk.net.config import Address
 from cypresswalk.net.connection import timeval
 from cypresswalk.net.errors import ProtocolError
@@ -275,19 +276,17 @@
 
     def _accept_successors(self, listener: socket.socket, handover: Handover) -> None:
         """The accepting thread; ends with the process."""
-        while True:
-            try:
-                sock, _ = listener.accept()
-            except OSError as error:
-                log.warning(event("handover_accept_failed", why=error))
-                time.sleep(self.limits.accept_retry_pause / SECOND)
-                continue
+        retry_pause = self.limits.accept_retry_pause / SECOND
+        for sock in accept_connections(listener, retry_pause, self._on_accept_failed):
             try:
                 self._greet_successor(Channel(sock, self.inbox, self.limits), handover)
             except (OSError, ProtocolError, RuntimeError) as error:
                 log.warning(event("handover_hello_refused", why=error))
                 sock.close()
 
+    def _on_accept_failed(self, error: OSError) -> None:
+        log.warning(event("handover_accept_failed", why=error))
+
     def _greet_successor(self, channel: Channel, handover: Handover) -> None:
         """Reads its hello. Raises OSError, ProtocolError, or RuntimeError without threads."""
         channel.sock.settimeout(self.limits.min_list_retry_pause / SECOND)
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -15,21 +15,12 @@
 from cypresswalk.rollout.actions import (
     CheckReady,
     EndProcess,
-    FindStartedProcess,
     IsRunning,
     ReadClock,
-    SaveState,
-    Sleep,
-    StartProcess,
     Work,
 )
 from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
-from cypresswalk.rollout.change_agent import (
-    CHECK_INTERVAL,
-    READY_TIMEOUT,
-    STOP_TIMEOUT,
-    ChangeAgent,
-)
+from cypresswalk.rollout.change_agent import READY_TIMEOUT, ChangeAgent
 
 log = logging.getLogger(__name__)
 LEAVING_ANSWER = f"ERR {Phase.LEAVING.value}"  # of a balancer that was asked to leave
@@ -69,10 +60,7 @@
         state = self.state
         error = ""
         if not (yield IsRunning(state.new_pid)):
-            state.new_pid = yield FindStartedProcess(state.pid)
-            if not state.new_pid:
-                state.new_pid, error = yield StartProcess(state.target_version, self.other_admin())
-            yield SaveState()
+            error = yield from self.start_new_process(state.target_version, self.other_admin())
         if not error:
             error = yield from self.wait_until_ready(self.other_admin(), state.new_pid)
         if error:
@@ -98,10 +86,7 @@
                     return
                 log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
                 yield EndProcess(state.pid, False)
-        deadline: float = (yield ReadClock()) + STOP_TIMEOUT
-        while (yield IsRunning(state.pid)) and (yield ReadClock()) < deadline:
-            yield Sleep(CHECK_INTERVAL)
-        yield EndProcess(state.pid, True)
+        yield from self.wait_until_ended(state.pid)
         admin = self.other_admin()
         error = yield from self.wait_until_ready(admin, state.new_pid)
         state.version = state.target_version
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -15,6 +15,7 @@
     CallResult,
     CheckReady,
     DrawToken,
+    EndProcess,
     FindStartedProcess,
     IsRunning,
     ReadClock,
@@ -179,6 +180,26 @@
         else:
             yield from self.enter(self.first_step)
 
+    def start_new_process(self, version: str, admin: str) -> Work[str]:
+        """Starts the new process, unless an agent before did; why it can't be, or an empty string.
+
+        That agent may have died before it saved the process's number.
+        """
+        state = self.state
+        error = ""
+        state.new_pid = yield FindStartedProcess(state.pid)
+        if not state.new_pid:
+            state.new_pid, error = yield StartProcess(version, admin)
+        yield SaveState()
+        return error
+
+    def wait_until_ended(self, pid: int) -> Work[None]:
+        """Waits until a process that was told to leave has ended; kills it after STOP_TIMEOUT."""
+        deadline: float = (yield ReadClock()) + STOP_TIMEOUT
+        while (yield IsRunning(pid)) and (yield ReadClock()) < deadline:
+            yield Sleep(CHECK_INTERVAL)
+        yield EndProcess(pid, True)
+
     def wait_until_ready(self, admin: str, pid: int) -> Work[str]:
         """Waits for a process to be ready for STEADY_TIME; why it was not, or an empty string."""
         deadline: float = (yield ReadClock()) + READY_TIMEOUT
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -14,12 +14,9 @@
 
 from cypresswalk.rollout.actions import (
     EndProcess,
-    FindStartedProcess,
     IsRunning,
     ReadClock,
-    SaveState,
     Sleep,
-    StartProcess,
     Work,
 )
 from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
@@ -120,22 +117,15 @@
         """Starts a version once the process before has ended; why it never answers, or empty."""
         state = self.state
         if not state.new_pid or not (yield IsRunning(state.new_pid)):
-            yield from self.wait_until_ended(state.pid)
-            error = ""
-            state.new_pid = yield FindStartedProcess(state.pid)
-            if not state.new_pid:
-                state.new_pid, error = yield StartProcess(version, state.admin)
-            yield SaveState()
+            yield from self.wait_until_address_free(state.pid)
+            error = yield from self.start_new_process(version, state.admin)
             if error:
                 return error
         return (yield from self.wait_until_ready(state.admin, state.new_pid))
 
-    def wait_until_ended(self, pid: int) -> Work[None]:
-        """Waits until a process has freed its address; kills it after STOP_TIMEOUT."""
-        deadline: float = (yield ReadClock()) + STOP_TIMEOUT
-        while (yield IsRunning(pid)) and (yield ReadClock()) < deadline:
-            yield Sleep(CHECK_INTERVAL)
-        yield EndProcess(pid, True)
+    def wait_until_address_free(self, pid: int) -> Work[None]:
+        """Waits until a process has ended and freed its address, however long that takes."""
+        yield from self.wait_until_ended(pid)
         while (yield IsRunning(pid)):
             yield Sleep(CHECK_INTERVAL)
 
