--- a/cypresswalk/faults/connection.py
+++ b/cypresswalk/faults/connection.py
@@ -10,7 +10,6 @@
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable
 from typing import Protocol
 
 from cypresswalk.faults.kinds import Fault
@@ -39,9 +38,11 @@
     plan: FaultPlan
     seed: int
     to: Address
-    clock: Callable[[], int]
     loop: asyncio.AbstractEventLoop
 
+    def clock(self) -> int:
+        """Nanoseconds."""
+
     def on_injected(self, fault: Fault, ports: list[int]) -> None:
         """A fault was injected into the connection with these ports."""
 
--- a/cypresswalk/faults/datagram_proxy.py
+++ b/cypresswalk/faults/datagram_proxy.py
@@ -5,13 +5,13 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import cast
 
 from cypresswalk.faults.connection import Address
 from cypresswalk.faults.datagram_stream import DatagramStream
-from cypresswalk.faults.injection import InjectingProxy, ignore_fault
+from cypresswalk.faults.injection import InjectingProxy
 from cypresswalk.faults.kinds import Fault
-from cypresswalk.faults.plan import FaultPlan
 from cypresswalk.faults.stream import SECOND, Write
 
 MAX_DELAYED = 4096  # datagrams: a delay of a second at a few thousand per second
@@ -57,28 +57,21 @@
             self.transport.sendto(data)
 
 
+@dataclass(eq=False, repr=False)
 class DatagramProxy(InjectingProxy, asyncio.DatagramProtocol):
     """Listens after `start`, at `address`.
 
     Attributes:
+        peers: by the address that they send from, in the order of their first datagrams.
+        delayed: datagrams that wait for their time.
         left_out: datagrams that were dropped, beyond the limits.
+        tasks: sockets of peers that are being opened.
     """
 
-    def __init__(
-        self,
-        listen: Address,
-        to: Address,
-        plan: FaultPlan,
-        seed: int,
-        clock: Callable[[], int],
-        told: Callable[[Fault, list[int]], None] = ignore_fault,
-    ):
-        """Does not listen yet; the arguments are those of `InjectingProxy`."""
-        super().__init__(listen, to, plan, seed, clock, told)
-        self.peers: dict[Address, PeerSocket] = {}
-        self.delayed = 0
-        self.left_out = 0
-        self.tasks: set[asyncio.Task[object]] = set()
+    peers: dict[Address, PeerSocket] = field(init=False, default_factory=dict)
+    delayed: int = field(init=False, default=0)
+    left_out: int = field(init=False, default=0)
+    tasks: set[asyncio.Task[object]] = field(init=False, default_factory=set)
 
     def on_datagram_fault(self, fault: Fault) -> None:
         """A fault was injected into a datagram."""
--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -1,11 +1,11 @@
 """The proxy for TCP: accepts connections and injects a plan's faults. One event loop, no thread."""
 
 import asyncio
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 
-from cypresswalk.faults.connection import Address, Connection, Endpoint
-from cypresswalk.faults.injection import InjectingProxy, ignore_fault
+from cypresswalk.faults.connection import Connection, Endpoint
+from cypresswalk.faults.injection import InjectingProxy
 from cypresswalk.faults.kinds import Fault, Kind
 from cypresswalk.faults.plan import FaultPlan, PlacedFault, ways
 
@@ -51,27 +51,17 @@
         return self.plan.named()
 
 
+@dataclass(eq=False, repr=False)
 class Proxy(InjectingProxy):
     """Listens after `start`, at `address`; `stop` resets the connections that are left.
 
     Attributes:
+        open: the connections that are not over, in the order in which they came.
         connections: how many were accepted.
-        open: the connections that are not over.
     """
 
-    def __init__(
-        self,
-        listen: Address,
-        to: Address,
-        plan: FaultPlan,
-        seed: int,
-        clock: Callable[[], int],
-        told: Callable[[Fault, list[int]], None] = ignore_fault,
-    ):
-        """Does not listen yet; the arguments are those of `InjectingProxy`."""
-        super().__init__(listen, to, plan, seed, clock, told)
-        self.open: dict[Connection, None] = {}
-        self.connections = 0
+    open: dict[Connection, None] = field(init=False, default_factory=dict)
+    connections: int = field(init=False, default=0)
 
     async def start(self) -> None:
         """Listens. Raises OSError where the address is taken."""
