--- a/cypresswalk/faults/datagram_proxy.py
+++ b/cypresswalk/faults/datagram_proxy.py
@@ -5,14 +5,13 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass, field
 from typing import cast
 
 from cypresswalk.faults.connection import Address
 from cypresswalk.faults.datagram_stream import DatagramStream
+from cypresswalk.faults.injection import InjectingProxy
 from cypresswalk.faults.kinds import Fault
-from cypresswalk.faults.plan import FaultPlan
-from cypresswalk.faults.proxy import ignore_fault
-from cypresswalk.faults.record import Record
 from cypresswalk.faults.stream import SECOND, Write
 
 MAX_DELAYED = 4096  # datagrams: a delay of a second at a few thousand per second
@@ -31,10 +30,10 @@
         plan = proxy.plan
         seed = proxy.seed
         self.up = DatagramStream(
-            lambda n: plan.for_datagram(number, "up", n, seed), proxy.on_injected
+            lambda n: plan.for_datagram(number, "up", n, seed), proxy.on_datagram_fault
         )
         self.down = DatagramStream(
-            lambda n: plan.for_datagram(number, "down", n, seed), proxy.on_injected
+            lambda n: plan.for_datagram(number, "down", n, seed), proxy.on_datagram_fault
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -58,42 +57,25 @@
             self.transport.sendto(data)
 
 
-class DatagramProxy(asyncio.DatagramProtocol):
+@dataclass(eq=False, repr=False)
+class DatagramProxy(InjectingProxy, asyncio.DatagramProtocol):
     """Listens after `start`, at `address`.
 
     Attributes:
-        address: where it listens.
-        record: of what was injected.
+        peers: by the address that they send from, in the order of their first datagrams.
+        delayed: datagrams that wait for their time.
         left_out: datagrams that were dropped, beyond the limits.
+        tasks: sockets of peers that are being opened.
     """
 
-    def __init__(
-        self,
-        listen: Address,
-        to: Address,
-        plan: FaultPlan,
-        seed: int,
-        clock: Callable[[], int],
-        told: Callable[[Fault, list[int]], None] = ignore_fault,
-    ):
-        """Does not listen yet; the arguments are those of `Proxy`."""
-        self.listen = listen
-        self.to = to
-        self.plan = plan
-        self.seed = seed
-        self.clock = clock
-        self.told = told
-        self.record = Record()
-        self.peers: dict[Address, PeerSocket] = {}
-        self.delayed = 0
-        self.left_out = 0
-        self.tasks: set[asyncio.Task[object]] = set()
-        self.address = listen
-
-    def on_injected(self, fault: Fault) -> None:
-        """A fault was injected."""
-        self.record.add(fault)
-        self.told(fault, [])
+    peers: dict[Address, PeerSocket] = field(init=False, default_factory=dict)
+    delayed: int = field(init=False, default=0)
+    left_out: int = field(init=False, default=0)
+    tasks: set[asyncio.Task[object]] = field(init=False, default_factory=set)
+
+    def on_datagram_fault(self, fault: Fault) -> None:
+        """A fault was injected into a datagram."""
+        self.on_injected(fault, [])
 
     @property
     def connections(self) -> int:
