--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -14,40 +14,42 @@
 
 from cypresswalk.lab.cluster.machines import Machines, build
 from cypresswalk.lab.cluster.plan import Plan, Step
-from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases
+from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
+from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.units import SECOND
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 
-def planned(w: Releases, hold_s: float, flows: int) -> list:
+def planned(w: BalancerReleases, hold_s: float, flows: int) -> list:
     """As `release plan` draws it up: zone by zone, a first one, each wave twice the one before."""
     zones = {name: p.table.zone for name, p in w.processes.items()}
-    waves = waves_by_zone(PlanFile(name="r1", since=OLD, to=NEW), zones)
-    return ["r1", OLD, NEW, waves, hold_s, flows, 8.0, 0.01, 1.5, 120.0]
+    waves = waves_by_zone(PlanFile(name="r1", since=OLD_VERSION, to=NEW_VERSION), zones)
+    return ["r1", OLD_VERSION, NEW_VERSION, waves, hold_s, flows, 8.0, 0.01, 1.5, 120.0]
 
 
 def released(
-    w: Releases, hold_s: float, flows: int, most_s: int = 3600, burst: bool = False
+    w: BalancerReleases, hold_s: float, flows: int, most_s: int = 3600, burst: bool = False
 ) -> tuple[Any, float, int]:
     """The state at its end, how many virtual seconds it took, and its waves."""
     w.start()
     w.run(30 * SECOND, check=False)
     plan = planned(w, hold_s, flows)
-    began, rate, chance = w.now, w.rate, Random(f"{w.seed}/burst")
-    w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
+    began, rate, chance = w.now, w.traffic.flows_per_s, Random(f"{w.seed}/burst")
+    w.operator_call("release_begin", {"plan": plan}, span=20 * SECOND)
     while w.now - began < most_s * SECOND:
         w.run(SECOND, check=False)
         if burst:  # half as many again, for a fifth of the time, a lost server's failures at all alike for a tenth
-            w.rate = rate * 3 // 2 if chance.random() < 0.2 else rate
-            w.lost_share = 0.2 if chance.random() < 0.1 else 0.0
-        state = w.release()
+            w.traffic.flows_per_s = rate * 3 // 2 if chance.random() < 0.2 else rate
+            w.traffic.failure_share = 0.2 if chance.random() < 0.1 else 0.0
+        state = w.agreed_state()
         if (
             state is not None
             and state.release is not None
             and (state.halted or state.release.phase != "running")
         ):
             return state, (w.now - began) / SECOND, len(plan[3])
-    return w.release(), float("inf"), len(plan[3])
+    return w.agreed_state(), float("inf"), len(plan[3])
 
 
 def lengths(*only: int) -> None:
@@ -58,34 +60,34 @@
     for members, bound in ((6, 1), (6, 2), (50, 1), (50, 5), (200, 5), (200, 20)):
         if only and members not in only:
             continue
-        w = Releases(
+        w = BalancerReleases(
             1,
             5 if members > 6 else 3,
             members - (5 if members > 6 else 3),
             bound,
             zones=4 if members > 6 else 2,
-            rate=5,
+            flows_per_s=5,
         )
         w.start()
         w.run(30 * SECOND, check=False)
-        before = w.words
+        before = w.network.message_count
         w.run(10 * SECOND, check=False)
-        idle = (w.words - before) / 10
+        idle = (w.network.message_count - before) / 10
         plan = planned(w, 10.0, 20)
-        began, before = w.now, w.words
-        w.tell("release_begin", {"plan": plan}, span=20 * SECOND)
+        began, before = w.now, w.network.message_count
+        w.operator_call("release_begin", {"plan": plan}, span=20 * SECOND)
         while w.now - began < 7200 * SECOND and (
-            (s := w.release()) is None
+            (s := w.agreed_state()) is None
             or s.release is None
             or s.release.phase == "running"
             and not s.halted
         ):
             w.run(2 * SECOND, check=False)
         took = (w.now - began) / SECOND
-        end = w.release()
+        end = w.agreed_state()
         print(
             f"| {members} | {bound} | {len(plan[3])} | {took:.0f} ({end.release.phase}{', halted' if end.halted else ''}) | {w.most_out} | "
-            f"{(w.words - before) / took:.0f} | {idle:.0f} |",
+            f"{(w.network.message_count - before) / took:.0f} | {idle:.0f} |",
             flush=True,
         )
 
@@ -94,16 +96,23 @@
     for kind in ("aborts", "slow", "falls", "never_ready"):
         harmed, noticed, changed = [], [], []
         for seed in range(10):
-            w = Releases(seed, 3, 6, 2, kind)
+            w = BalancerReleases(seed, 3, 6, 2, kind)
             state, took, _ = released(w, 30.0, 200, 600)
             assert state.halted is not None, (kind, seed)
             statuses = [s for s in state.release.members.values() if s in ("new", "failed")]
             changed.append(len(statuses))
             new = [
-                m for m in w.machines.values() if any(r.version == NEW for r in m.running.values())
+                m
+                for m in w.hosts.values()
+                if any(r.version == NEW_VERSION for r in m.running.values())
             ]
             harmed.append(
-                sum(r.served[2] for m in new for r in m.running.values() if r.version == NEW)
+                sum(
+                    r.flows.failed
+                    for m in new
+                    for r in m.running.values()
+                    if r.version == NEW_VERSION
+                )
             )
             noticed.append(took)
         print(
@@ -116,7 +125,9 @@
 def good() -> None:
     halts = []
     for seed in range(10):
-        state, took, _ = released(Releases(100 + seed, 3, 6, 2), 30.0, 200, 1800, burst=True)
+        state, took, _ = released(
+            BalancerReleases(100 + seed, 3, 6, 2), 30.0, 200, 1800, burst=True
+        )
         print(seed, state.release.phase, f"{took:.0f} s", state.halted or "", flush=True)
         halts += [state.halted] if state.halted else []
     print(f"false halts: {len(halts)} of 10")
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -154,21 +154,21 @@
 
     The history of the first seed that breaks a rule is shown.
     """
-    from cypresswalk.lab.cluster import releases as of_balancers
-    from cypresswalk.lab.cluster import servings as of_servers
+    from cypresswalk.lab.cluster.simulation import balancer_releases, server_releases
 
-    run_seed = of_servers.run_seed if servers else of_balancers.run_seed
+    run_seed = server_releases.run_seed if servers else balancer_releases.run_seed
     situations: Counter[str] = Counter()
     ends: Counter[str] = Counter()
     went_out = 0
     failed = []
     with ProcessPoolExecutor(jobs) as pool:
-        for outcome in pool.map(partial(run_seed, acts=acts), range(first, first + seeds)):
+        run = partial(run_seed, action_count=acts)
+        for outcome in pool.map(run, range(first, first + seeds)):
             situations.update(outcome.situations)
-            went_out += outcome.went
-            if outcome.broken:
+            went_out += outcome.went_out
+            if outcome.violation:
                 failed.append(outcome)
-                click.echo(outcome.broken)
+                click.echo(outcome.violation)
             else:
                 ends[outcome.end] += 1
     click.echo(
--- /dev/null
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -0,0 +1,203 @@
+"""Releases of balancers in virtual time.
+
+The fleet's own code and the agents' own, with simulated processes under them, among random faults
+and operators' calls. `release_world` has the rules that are checked after every step.
+"""
+
+from random import Random
+
+from cypresswalk.fleet.records import FleetState
+from cypresswalk.lab.cluster.simulation.balancer_hosts import BalancerHost, Traffic
+from cypresswalk.lab.cluster.simulation.faults import Handler, Target
+from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY
+from cypresswalk.lab.cluster.simulation.release_faults import ReleaseFaults
+from cypresswalk.lab.cluster.simulation.release_runs import (
+    MAX_MESSAGE_DELAYS_MS,
+    MIN_MESSAGE_DELAY,
+    Outcome,
+    ReleaseRun,
+)
+from cypresswalk.lab.cluster.simulation.release_world import (
+    MAX_DETECTION_TIME,
+    Reason,
+    ReleaseWorld,
+)
+from cypresswalk.lab.units import MILLISECOND, SECOND
+from cypresswalk.rollout.bounds import Bound
+from cypresswalk.rollout.release import MemberKind
+
+MAX_RELEASE_TIME = 600 * SECOND  # to its end, once all faults are lifted
+MAX_ACTIONS_UNTIL_CRASH = 12  # of an agent
+# How often each kind of fault or call is drawn.
+WEIGHTS = {
+    "cut": 5,
+    "cut_one_way": 5,
+    "isolate": 3,
+    "slow_way": 3,
+    "heal": 8,
+    "kill": 4,
+    "kill_process": 5,
+    "start": 10,
+    "freeze": 5,
+    "kill_agent": 6,
+    "agent_at_step": 8,
+    "start_agent": 10,
+    "halt": 2,
+    "resume": 5,
+    "pause": 1,
+    "unpause": 3,
+    "back": 0.6,
+    "drain": 5,
+    "undrain": 6,
+    "hand_over": 4,
+    "kill_leader": 3,
+}
+# Drawn for each run.
+BUILDS = ("good", "good", "good", "aborts", "slow", "falls", "never_ready")
+FOLLOWERS = (0, 2, 3, 4)
+BOUNDS: tuple[Bound, ...] = (1, 1, 2, {"share": 0.4, "least": 1})
+LOSSES = (0.0, 0.02)
+
+
+class BalancerReleases(ReleaseWorld[BalancerHost]):
+    """A fleet whose balancers a release changes.
+
+    Attributes:
+        traffic: what all balancers get.
+    """
+
+    kind = MemberKind.BALANCERS
+    observation_interval = SECOND // 10
+    min_flows = 150
+    change_timeout_s = 60.0
+
+    def __init__(
+        self,
+        seed: int,
+        voters: int = 3,
+        followers: int = 3,
+        bound: Bound = 2,
+        build: str = "good",
+        *,
+        zones: int = 2,
+        flows_per_s: int = 20,
+        loss: float = 0.0,
+        delay: tuple[int, int] = DEFAULT_DELAY,
+    ):
+        """A fleet that does not run yet; see ReleaseWorld."""
+        count = voters + followers
+        super().__init__(seed, voters, followers, zones, count, bound, build, loss, delay)
+        self.traffic = Traffic(flows_per_s)
+        for name, process in self.processes.items():
+            self.hosts[name] = BalancerHost(self, process, self.traffic)
+
+    def start(self) -> None:
+        """Starts all agents, which start the balancers."""
+        for host in self.hosts.values():
+            host.agent.start()
+        self.observe_hosts()
+
+    def is_bound_waived(self, host: BalancerHost, reason: Reason) -> bool:
+        """On the way back one that was seen out a moment ago is healed by going out."""
+        if self.turned_back_at is None or reason is not Reason.RELEASE:
+            return False
+        since = host.serving_since
+        return since is None or self.now - since < MAX_DETECTION_TIME
+
+    def is_halt_binding(self, host: BalancerHost, reason: Reason) -> bool:
+        """A halt forbids drains, and releases but for their way back."""
+        is_forbidden = reason is Reason.DRAIN or self.turned_back_at is None
+        return is_forbidden and host.is_serving()
+
+    def is_settled(self, state: FleetState) -> bool:
+        """Whether all balancers serve, and none may go out."""
+        if state.leave_grants or (state.release is None and state.halted):
+            return False
+        return all(host.is_serving() and not host.is_being_changed for host in self.hosts.values())
+
+    def running_versions(self) -> dict[str, str]:
+        """The version that serves at each host; all of them serve."""
+        return {host.name: host.serving_version() for host in self.hosts.values()}
+
+    def describe_leader(self) -> str:
+        """What the leader's release waits for, and whom it counts as out."""
+        leader = self.leader()
+        if leader is None:
+            return "no leader"
+        duties = leader.live_member.duties
+        unavailable = duties.balancers.unavailable(duties.run_at)
+        return f"waits for {duties.releases.control.waits_for}, unavailable {unavailable}"
+
+
+class BalancerReleaseFaults:
+    """Faults and calls of a release of balancers."""
+
+    def __init__(self, world: BalancerReleases, random: Random):
+        """Injects into that world; `random` draws targets."""
+        self._world = world
+        self._random = random
+        self._names = sorted(world.hosts)
+        shared = ReleaseFaults(world, self._host, MAX_ACTIONS_UNTIL_CRASH)
+        self._handlers: dict[str, Handler] = shared.handlers() | {
+            "kill": self._lose_host,
+            "kill_process": self._kill_process,
+            "kill_leader": self._kill_leader,
+            "start": shared.start_agents,
+            "drain": self._drain,
+            "undrain": shared.bring_back,
+        }
+
+    def inject(self, kind: str) -> None:
+        """Injects a fault or makes a call of that kind."""
+        world = self._world
+        name, other_name = self._random.sample(self._names, 2)
+        other = other_name if kind.startswith("cut") else ""
+        world.note(f"{kind} {name} {other}")
+        world.count(kind)
+        process = world.processes[name]
+        target = Target(process, world.processes[other_name], self._random.choice)
+        self._handlers[kind](target)
+
+    def _host(self, target: Target) -> BalancerHost:
+        return self._world.hosts[target.process.name]
+
+    def _lose_host(self, target: Target) -> None:
+        self._host(target).lose()
+
+    def _kill_process(self, target: Target) -> None:
+        host = self._host(target)
+        if host.running:
+            host.end_process(target.pick(sorted(host.running)))
+
+    def _kill_leader(self, target: Target) -> None:
+        leader = self._world.leader()
+        if leader is not None:
+            host = self._world.hosts[leader.name]
+            host.end_process(host.member_pid)
+
+    def _drain(self, target: Target) -> None:
+        self._host(target).take_out()
+
+
+def run_seed(seed: int, action_count: int = 60, build: str = "") -> Outcome:
+    """Runs a release by a seed; the same seed and arguments give the same outcome.
+
+    Args:
+        seed: of all random draws.
+        action_count: how many faults and calls are drawn.
+        build: what the new version does; drawn if it is empty.
+    """
+    random = Random(f"{seed}/release")
+    build = build or random.choice(BUILDS)
+    world = BalancerReleases(
+        seed,
+        3,
+        random.choice(FOLLOWERS),
+        random.choice(BOUNDS),
+        build,
+        loss=random.choice(LOSSES),
+        delay=(MIN_MESSAGE_DELAY, random.choice(MAX_MESSAGE_DELAYS_MS) * MILLISECOND),
+    )
+    faults = BalancerReleaseFaults(world, random)
+    run = ReleaseRun(world, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
+    return run.play(action_count)
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -301,7 +301,7 @@
         for process in world.processes.values():
             process.disk.repair()
             process.disk.operations_until_kill = None
-            process.frozen_until = min(process.frozen_until, world.now)
+            process.thaw()
             process.unreadable_marks.clear()
             if process.fleet is None:
                 process.start()
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -209,6 +209,10 @@
         if self.member is not None:
             self.last_member_id = self.member.id
 
+    def thaw(self) -> None:
+        """Lets it go on, if it is frozen; it is to be scheduled anew."""
+        self.frozen_until = min(self.frozen_until, self._environment.now)
+
     # Turns.
 
     def receive(self, event: Event) -> None:
--- /dev/null
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -0,0 +1,242 @@
+"""Releases of servers in virtual time.
+
+The fleet's own code and the agents' own, with simulated servers, and balancers that send flows,
+check health and move flows. Beside the rules of `release_world`:
+
+- S: no server is told to leave while a balancer may send it flows or has flows there, and none that
+  is being changed is sent one.
+"""
+
+from random import Random
+
+from cypresswalk.fleet.records import FleetState
+from cypresswalk.lab.cluster.simulation.errors import ViolationError
+from cypresswalk.lab.cluster.simulation.faults import Handler, Target
+from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY
+from cypresswalk.lab.cluster.simulation.release_faults import ReleaseFaults
+from cypresswalk.lab.cluster.simulation.release_runs import (
+    MAX_MESSAGE_DELAYS_MS,
+    MIN_MESSAGE_DELAY,
+    Outcome,
+    ReleaseRun,
+)
+from cypresswalk.lab.cluster.simulation.release_world import MAX_HALT_DELAY, Reason, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.server_hosts import ServerHost
+from cypresswalk.lab.cluster.simulation.serving_balancers import Drains, ServingBalancer
+from cypresswalk.lab.units import MILLISECOND, SECOND
+from cypresswalk.rollout.bounds import Bound
+from cypresswalk.rollout.release import MemberKind
+
+ZONES = 2
+MAX_RELEASE_TIME = 900 * SECOND  # to its end, once all faults are lifted
+MAX_ACTIONS_UNTIL_CRASH = 16  # of an agent
+# How often each kind of fault or call is drawn.
+WEIGHTS = {
+    "cut": 5,
+    "cut_one_way": 4,
+    "isolate": 3,
+    "slow_way": 3,
+    "heal": 8,
+    "kill": 4,
+    "start": 10,
+    "freeze": 5,
+    "lose_server": 3,
+    "server_falls": 4,
+    "kill_agent": 6,
+    "agent_at_step": 8,
+    "start_agent": 12,
+    "halt": 2,
+    "resume": 6,
+    "pause": 1,
+    "unpause": 3,
+    "back": 0.6,
+    "out": 5,
+    "in": 6,
+    "hand_over": 4,
+}
+AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # as the history notes
+# Drawn for each run.
+BUILDS = ("good", "good", "good", "aborts", "falls", "never_ready")
+SERVER_COUNTS = (2, 4, 6)
+FOLLOWERS = (0, 1, 2)
+BOUNDS: tuple[Bound, ...] = (1, 1, 2, {"share": 0.4, "least": 1})
+LOSSES = (0.0, 0.02)
+
+
+class ServerReleases(ReleaseWorld[ServerHost]):
+    """A fleet whose servers a release changes.
+
+    Attributes:
+        balancers: what each does with the servers, by name.
+        drains: how flows leave servers that are out.
+    """
+
+    kind = MemberKind.SERVERS
+    observation_interval = SECOND // 5
+    min_flows = 60
+    change_timeout_s = 90.0
+
+    def __init__(
+        self,
+        seed: int,
+        servers: int = 6,
+        bound: Bound = 2,
+        build: str = "good",
+        *,
+        voters: int = 3,
+        followers: int = 3,
+        loss: float = 0.0,
+        delay: tuple[int, int] = DEFAULT_DELAY,
+    ):
+        """A fleet that does not run yet, with so many servers; see ReleaseWorld."""
+        super().__init__(seed, voters, followers, ZONES, servers, bound, build, loss, delay)
+        self.drains = Drains()
+        for name in (f"s{i}" for i in range(servers)):
+            self.hosts[name] = ServerHost(self, name)
+        self.balancers = {
+            name: ServingBalancer(self, process, self.hosts, self.drains)
+            for name, process in self.processes.items()
+        }
+
+    def start(self) -> None:
+        """Starts all agents, which start the servers, and all balancers."""
+        for host in self.hosts.values():
+            host.agent.start()
+        super().start()
+        self.call_later(self.observation_interval, self.observe_hosts)
+
+    def after_observation(self) -> None:
+        """Lets each balancer look at the servers."""
+        for balancer in self.balancers.values():
+            balancer.turn()
+
+    def on_process_ended(self, host: ServerHost) -> None:
+        """All flows at that server have ended."""
+        for balancer in self.balancers.values():
+            balancer.open_flows[host.name] = 0
+
+    def on_stopping(self, host: ServerHost) -> None:
+        """Checks all rules as a server is told to leave; raises ViolationError."""
+        super().on_stopping(host)
+        for balancer in self.balancers.values():
+            if balancer.process.acts:
+                self._check_balancer(balancer, host)
+
+    def _check_balancer(self, balancer: ServingBalancer, host: ServerHost) -> None:
+        name = balancer.process.name
+        if host.name not in balancer.out:
+            raise ViolationError(f"S: {host.name} is told to leave, and {name} may send to it")
+        # One that acts again for a moment only had no lease when its word was asked for.
+        acts_for_long = self.now - balancer.idle_at > MAX_HALT_DELAY
+        open_flows = balancer.open_flows.get(host.name)
+        if acts_for_long and open_flows:
+            raise ViolationError(
+                f"S: {host.name} is told to leave, and {name} has {open_flows} flows there"
+            )
+
+    def is_bound_waived(self, host: ServerHost, reason: Reason) -> bool:
+        """On the way back servers that are lost may be among those to be changed."""
+        return self.turned_back_at is not None
+
+    def is_halt_binding(self, host: ServerHost, reason: Reason) -> bool:
+        """A halt forbids a release but for its way back, and no call by hand."""
+        return reason is Reason.RELEASE and self.turned_back_at is None
+
+    def recover_processes(self) -> None:
+        """Starts balancers that do not run."""
+        for process in self.processes.values():
+            process.thaw()
+            if process.fleet is None:
+                process.start()
+            self.schedule(process)
+
+    def return_removed(self, state: FleetState) -> None:
+        """Brings servers back whose removal was confirmed late, or to nobody."""
+        for name in state.removed_servers:
+            self.hosts[name].bring_back()
+
+    def is_settled(self, state: FleetState) -> bool:
+        """Whether all servers answer, and all balancers send to them."""
+        if state.halted or state.removed_servers or state.returning_servers:
+            return False
+        if any(balancer.out for balancer in self.balancers.values()):
+            return False
+        return all(host.is_serving() and not host.is_being_changed for host in self.hosts.values())
+
+    def running_versions(self) -> dict[str, str]:
+        """The version that runs at each host."""
+        return {host.name: host.running_version() for host in self.hosts.values()}
+
+    def describe_leader(self) -> str:
+        """What the leader's release waits for, and which servers it counts as unhealthy."""
+        leader = self.leader()
+        if leader is None:
+            return "no leader"
+        duties = leader.live_member.duties
+        unhealthy = duties.servers.unhealthy(duties.run_at)
+        return f"waits for {duties.releases.control.waits_for}, unhealthy {unhealthy}"
+
+
+class ServerReleaseFaults:
+    """Faults and calls of a release of servers."""
+
+    def __init__(self, world: ServerReleases, random: Random):
+        """Injects into that world; `random` draws targets."""
+        self._world = world
+        self._random = random
+        self._names = sorted(world.hosts)
+        self._host = world.hosts[self._names[0]]  # that the present fault is aimed at
+        shared = ReleaseFaults(world, lambda target: self._host, MAX_ACTIONS_UNTIL_CRASH)
+        self._handlers: dict[str, Handler] = shared.handlers() | {
+            "kill": self._kill_balancer,
+            "start": self._start_balancers,
+            "lose_server": lambda target: self._host.lose(),
+            "server_falls": lambda target: self._host.end_process(self._host.latest_pid),
+            "out": lambda target: self._host.take_out(),
+            "in": shared.bring_back,
+        }
+
+    def inject(self, kind: str) -> None:
+        """Injects a fault or makes a call of that kind."""
+        world = self._world
+        process, other = self._random.sample(list(world.processes.values()), 2)
+        self._host = world.hosts[self._random.choice(self._names)]
+        world.note(f"{kind} {process.name if kind in AIMED_AT_BALANCERS else self._host.name}")
+        world.count(kind)
+        self._handlers[kind](Target(process, other, self._random.choice))
+
+    def _kill_balancer(self, target: Target) -> None:
+        """Kills a balancer, unless half of them are down already."""
+        processes = self._world.processes.values()
+        down = sum(process.fleet is None for process in processes)
+        if down < len(processes) // 2:
+            target.process.kill()
+
+    def _start_balancers(self, target: Target) -> None:
+        for process in self._world.processes.values():
+            if process.fleet is None:
+                process.start()
+
+
+def run_seed(seed: int, action_count: int = 60, build: str = "") -> Outcome:
+    """Runs a release by a seed; the same seed and arguments give the same outcome.
+
+    Args:
+        seed: of all random draws.
+        action_count: how many faults and calls are drawn.
+        build: what the new version does; drawn if it is empty.
+    """
+    random = Random(f"{seed}/servings")
+    build = build or random.choice(BUILDS)
+    world = ServerReleases(
+        seed,
+        random.choice(SERVER_COUNTS),
+        random.choice(BOUNDS),
+        build,
+        followers=random.choice(FOLLOWERS),
+        loss=random.choice(LOSSES),
+        delay=(MIN_MESSAGE_DELAY, random.choice(MAX_MESSAGE_DELAYS_MS) * MILLISECOND),
+    )
+    faults = ServerReleaseFaults(world, random)
+    run = ReleaseRun(world, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
+    return run.play(action_count)
--- a/cypresswalk/lab/cluster/simulation/world.py
+++ b/cypresswalk/lab/cluster/simulation/world.py
@@ -34,7 +34,7 @@
 MAX_STEPS_AT_ONCE = 50_000
 
 
-def _no_reply(ok: bool, body: Any) -> None:
+def ignore_reply(ok: bool, body: Any) -> None:
     """Ignores the answer to a call."""
 
 
@@ -150,13 +150,13 @@
         process.frozen_until = self.now + span
         self.schedule(process)
 
-    def thaw(self, process: Process) -> None:
-        """Lets a frozen process go on."""
-        process.frozen_until = min(process.frozen_until, self.now)
-        self.schedule(process)
-
     def call(
-        self, process: Process, name: str, args: dict[str, Any], span: int, reply: Reply = _no_reply
+        self,
+        process: Process,
+        name: str,
+        args: dict[str, Any],
+        span: int,
+        reply: Reply = ignore_reply,
     ) -> None:
         """Calls the fleet at a balancer, as a tool of the operators does.
 
--- a/cypresswalk/rollout/actions.py
+++ b/cypresswalk/rollout/actions.py
@@ -1,7 +1,7 @@
 """What an agent asks its host to do, and what it gets as a result.
 
 An agent is a generator: it yields one of these actions and is sent the result. `agent_host` carries
-actions out on a real machine, `lab/cluster/releases.py` in virtual time.
+actions out on a real machine, `lab/cluster/simulation/agent_runner.py` in virtual time.
 """
 
 from collections.abc import Generator
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,48 +1,60 @@
-"""Releases and drains of a whole fleet in virtual time: the fleet's own code and the agents' own, with faults and calls by a seed."""
+"""Releases and drains of a whole fleet of balancers in virtual time, and what an agent does."""
 
 import json
 import os
 import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
 from random import Random
+from typing import Any
 
 import pytest
 
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
-from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases, plan_for, run_seed
+from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases, run_seed
+from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
+from cypresswalk.lab.units import SECOND
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import actions
 from cypresswalk.rollout.agent_host import StateFile
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.balancer_agent import BalancerAgent
+from cypresswalk.rollout.release import Phase
 
 ROOT = Path(__file__).parent.parent
+HISTORY_LINES = 60  # shown of a run that broke a rule
+
+
+def run_until_over(world: BalancerReleases, max_seconds: int = 200) -> FleetState:
+    """Begins a release and lets it run until it is done, rolled back or halted."""
+    world.start()
+    world.run(8 * SECOND)
+    world.begin_release(Random(1))
+    for _ in range(max_seconds):
+        world.run(SECOND)
+        agreed = world.agreed_state()
+        if agreed is not None and is_over(agreed):
+            return agreed
+    raise AssertionError(world.history[-30:])
 
 
-def until_over(w: Releases, span: int = 200) -> FleetState:
-    """Until the release is done, back or halted."""
-    w.start()
-    w.run(8 * SECOND)
-    w.tell("release_begin", {"plan": plan_for(sorted(w.machines), Random(1))}, span=20 * SECOND)
-    for _ in range(span):
-        w.run(SECOND)
-        agreed = w.release()
-        if agreed is not None and (
-            agreed.halted
-            or agreed.release is not None
-            and agreed.release.phase not in ("running", "back")
-        ):
-            return agreed
-    raise AssertionError(w.history[-30:])
+def is_over(agreed: FleetState) -> bool:
+    """Whether the release has ended, or is halted."""
+    if agreed.halted:
+        return True
+    release = agreed.release
+    return release is not None and release.phase not in (Phase.RUNNING, Phase.ROLLING_BACK)
 
 
 @pytest.mark.parametrize("first", range(0, 12, 6))
 def test_under_random_faults_bounds_and_halts_hold_and_the_release_can_always_end(first):
+    """Rules B1, B2, H and E, by seed."""
     for seed in range(first, first + 6):
         outcome = run_seed(seed)
-        assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
+        history = "\n".join(outcome.history[-HISTORY_LINES:])
+        assert not outcome.violation, f"{outcome.violation}\n{history}"
 
 
 @pytest.mark.parametrize(
@@ -55,43 +67,51 @@
     ],
 )
 def test_a_bad_build_is_halted_in_the_first_wave(build, why):
+    """The halt names what was bad, and one member at most was changed."""
     for seed in range(3):
-        agreed = until_over(Releases(seed, 3, 3, 2, build))
-        assert agreed.halted and why in agreed.halted[2], (seed, agreed.halted)
-        assert (
-            sum(status in ("new", "failed") for status in agreed.release.members.values()) <= 1
-            and agreed.release.wave == 0
-        )
+        agreed = run_until_over(BalancerReleases(seed, 3, 3, 2, build))
+        assert agreed.halted, seed
+        assert why in agreed.halted[2], (seed, agreed.halted)
+        changed = [s for s in agreed.release.members.values() if s in ("new", "failed")]
+        assert len(changed) <= 1
+        assert agreed.release.wave == 0
 
 
 def test_good_builds_are_never_halted():
+    """The release comes to its end, whatever the bound."""
     for seed in range(6):
-        agreed = until_over(Releases(seed, 3, 3, 1 + seed % 3))
-        assert agreed.release.phase == "done" and agreed.halted is None, (seed, agreed.halted)
+        agreed = run_until_over(BalancerReleases(seed, 3, 3, 1 + seed % 3))
+        assert agreed.release.phase == Phase.DONE, (seed, agreed.release)
+        assert agreed.halted is None, (seed, agreed.halted)
 
 
 def test_a_fleet_of_one_is_changed_if_the_bound_allows_one_to_be_out():
-    w = Releases(1, 1, 0, {"share": 0.5, "least": 1})
-    assert until_over(w).release.phase == "done" and w.machines["n0"].saved.version == NEW
-    w = Releases(1, 1, 0, {"share": 0.5})  # half of one is none
+    """A bound that allows nobody stops the release."""
+    world = BalancerReleases(1, 1, 0, {"share": 0.5, "least": 1})
+    assert run_until_over(world).release.phase == Phase.DONE
+    assert world.hosts["n0"].agent.saved.version == NEW_VERSION
+    world = BalancerReleases(1, 1, 0, {"share": 0.5})  # half of one is none
     with pytest.raises(AssertionError):
-        until_over(w, 30)
-    assert w.machines["n0"].saved.version == OLD and "1 are out" not in w.release().history[-1].what
+        run_until_over(world, 30)
+    assert world.hosts["n0"].agent.saved.version == OLD_VERSION
+    assert "1 are out" not in world.agreed_state().history[-1].what
 
 
 def unheard_members_count_as_ready(patch):
     """A new leader counts those it has not heard as ready."""
-    patch.setattr(
-        UnavailabilityTracker,
-        "unavailable",
-        lambda self, now, members, departed, unheard, lapsed: {
-            m.name: "not ready" for m in members if self.readiness.get(m.id, (True, 0))[0] is False
-        },
-    )
+
+    def unavailable(self, now, members, departed, unheard, lapsed):
+        return {
+            member.name: "not ready"
+            for member in members
+            if self.readiness.get(member.id, (True, 0))[0] is False
+        }
+
+    patch.setattr(UnavailabilityTracker, "unavailable", unavailable)
 
 
 def slots_are_freed_by_any_report(patch):
-    """A word that was on its way for long frees the place of who has gone out since."""
+    """A report that was on its way for long frees the slot of who has gone out since."""
 
     def on_readiness(self, now, member, ready, last_lease):
         self.readiness[member] = ready, now
@@ -103,18 +123,18 @@
 
 
 def the_fleet_is_not_asked_before_the_old_process_is_stopped(patch):
+    """An agent that has slept for long goes on with what was agreed before."""
     patch.setattr(BalancerAgent, "confirm_stop", lambda self: iter(()))
 
 
 def a_slot_is_freed_while_an_agent_works(patch):
+    """A balancer that is ready is taken for in, though its agent is changing it."""
     next_ended = UnavailabilityTracker.next_ended
-    patch.setattr(
-        UnavailabilityTracker,
-        "next_ended",
-        lambda self, now, grants, changing, waiting, unavailable, present: next_ended(
-            self, now, grants, (), waiting, unavailable, present
-        ),
-    )
+
+    def with_none_changing(self, now, grants, changing, waiting, unavailable, present):
+        return next_ended(self, now, grants, (), waiting, unavailable, present)
+
+    patch.setattr(UnavailabilityTracker, "next_ended", with_none_changing)
 
 
 @pytest.mark.parametrize(
@@ -127,108 +147,123 @@
     ],
 )
 def test_a_deliberately_broken_rule_is_detected(mistake, seed, monkeypatch):
+    """Else runs without a violation would show nothing; each seed finds its mistake."""
     mistake(monkeypatch)
-    assert run_seed(seed).broken
+    assert run_seed(seed).violation
 
 
 def test_the_same_seed_gives_the_same_run_whatever_the_hash_seed():
+    """The order of sets has no influence."""
     code = (
-        "from cypresswalk.lab.cluster.releases import run_seed; o = run_seed(6, acts=30);"
-        "print(o.broken, o.steps, o.went, o.took, o.end, sorted(o.situations.items()))"
+        "from cypresswalk.lab.cluster.simulation.balancer_releases import run_seed;"
+        "o = run_seed(6, action_count=30);"
+        "print(o.violation, o.steps, o.went_out, o.duration, o.end, sorted(o.situations.items()))"
     )
-    told = {
-        subprocess.run(
-            [sys.executable, "-c", code],
-            cwd=ROOT,
-            capture_output=True,
-            text=True,
-            timeout=60,
-            env=os.environ | {"PYTHONHASHSEED": seed},
-        ).stdout
-        for seed in ("1", "2")
-    }
-    assert len(told) == 1 and "goes out: release" in told.pop()
 
+    def run_with(hash_seed: str) -> str:
+        command = [sys.executable, "-c", code]
+        environment = os.environ | {"PYTHONHASHSEED": hash_seed}
+        run = subprocess.run(
+            command, cwd=ROOT, capture_output=True, text=True, timeout=60, env=environment
+        )
+        return run.stdout
 
-def test_an_agent_changes_nothing_while_its_balancer_is_starting():
-    """Else two processes listen at one port, and the one without a part in the fleet rejects what comes to it."""
+    outputs = {run_with("1"), run_with("2")}
+    assert len(outputs) == 1
+    assert "goes out: release" in outputs.pop()
 
-    def asked(check: str, since: float) -> list[str]:
-        work, said, answer = (
-            BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run(),
-            [],
-            None,
-        )
-        for _ in range(20):
-            want = work.send(answer)
-            said += [want.name] if isinstance(want, actions.CallFleet) else []
-            answer = {
-                actions.IsRunning: True,
-                actions.CheckReady: check,
-                actions.DrawToken: "d",
-                actions.ReadClock: since if "turn" in said else 0.0,
-            }.get(type(want))
-            if isinstance(want, actions.CallFleet):
-                answer = True, {"status": "out", "since": OLD, "to": NEW, "phase": "running"}
-            if isinstance(want, actions.Sleep) or "release_began" in said:
-                return said
-        raise AssertionError(said)
-
-    assert asked("ERR starting", 1.0) == ["turn"]
-    assert asked("", 1.0) == ["turn", "release_began"]
-    assert asked("ERR starting", 30.0) == [
-        "turn",
-        "release_began",
-    ]  # a crash loop must find the way back
+
+def running_agent() -> BalancerAgent:
+    """An agent that was started anew beside the process that it started before."""
+    return BalancerAgent("n0", OLD_VERSION, ("a", "b"), AgentState(OLD_VERSION, 7, "a"))
+
+
+def drive(agent: BalancerAgent, results: dict[type, Any]) -> Iterator[actions.Action]:
+    """Yields the agent's actions; each gets the result of its type, as it is then, or None."""
+    work = agent.run()
+    action = work.send(None)
+    while True:
+        yield action
+        action = work.send(results.get(type(action)))
+
+
+def test_an_agent_changes_nothing_while_its_balancer_is_starting():
+    """Else two processes listen, and the one without a part in the fleet rejects flows."""
+
+    def fleet_calls(readiness_error: str, asked_at: float) -> list[str]:
+        """The calls until the agent waits, or starts a change, `asked_at` s after its start."""
+        calls = []
+        turn = {"status": "out", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
+        results = {
+            actions.IsRunning: True,
+            actions.CheckReady: readiness_error,
+            actions.DrawToken: "d",
+            actions.ReadClock: 0.0,
+            actions.CallFleet: actions.CallResult(True, turn),
+        }
+        for _, action in zip(range(20), drive(running_agent(), results), strict=False):
+            if isinstance(action, actions.CallFleet):
+                calls.append(action.name)
+                results[actions.ReadClock] = asked_at
+            if isinstance(action, actions.Sleep) or "release_began" in calls:
+                return calls
+        raise AssertionError(calls)
+
+    assert fleet_calls("ERR starting", 1.0) == ["turn"]
+    assert fleet_calls("", 1.0) == ["turn", "release_began"]
+    # One that crashes at each start must find the way back.
+    assert fleet_calls("ERR starting", 30.0) == ["turn", "release_began"]
 
 
 def test_an_agent_that_died_before_it_wrote_an_agreed_change_down_reports_it_as_failed():
     """Nothing was done, and what the fleet holds for begun has to end; the release halts by it."""
-    work = BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run()
-    answers = {
+    turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
+    results = {
         actions.IsRunning: True,
         actions.DrawToken: "d",
         actions.ReadClock: 0.0,
-        actions.CallFleet: (
-            True,
-            {"status": "changing", "since": OLD, "to": NEW, "phase": "running"},
-        ),
+        actions.CallFleet: actions.CallResult(True, turn),
     }
-    wanted, answer = [], None
-    while not (wanted and isinstance(wanted[-1], actions.CallFleet) and wanted[-1].name != "turn"):
-        wanted.append(work.send(answer))
-        assert len(wanted) < 30, wanted
-        answer = answers.get(type(wanted[-1]))
-    assert wanted[-1].name == "release_came"
-    assert wanted[-1].args["why"] == "its agent began anew"
-    assert not any(isinstance(want, actions.StartProcess | actions.EndProcess) for want in wanted)
+    done = []
+    for action in drive(running_agent(), results):
+        done.append(action)
+        assert len(done) < 30, done
+        if isinstance(action, actions.CallFleet) and action.name != "turn":
+            break
+    assert done[-1].name == "release_came"
+    assert done[-1].args["why"] == "its agent began anew"
+    changes = actions.StartProcess | actions.EndProcess
+    assert not any(isinstance(action, changes) for action in done)
 
 
 def test_an_idle_agent_polls_every_two_seconds_and_at_each_step_during_a_release():
-    """Each call costs who leads a round of the voters: of 200 idle agents more words than of all else."""
-
-    def asks(status: str) -> int:
-        work, now, count, answer = (
-            BalancerAgent("n0", OLD, ("a", "b"), AgentState(OLD, 7, "a")).run(),
-            0.0,
-            0,
-            None,
-        )
-        while now < 10:
-            want = work.send(answer)
-            count += isinstance(want, actions.CallFleet)
-            now += want.seconds if isinstance(want, actions.Sleep) else 0.0
-            answer = {
-                actions.IsRunning: True,
-                actions.ReadClock: now,
-                actions.CallFleet: (True, {"status": status}),
-            }.get(type(want))
-        return count
-
-    assert asks("") == 5 and asks("old") == 20
+    """Each call costs who leads a round of the voters."""
+
+    def count_calls(status: str) -> int:
+        """How often the agent calls the fleet in ten seconds."""
+        now = 0.0
+        count = 0
+        results = {
+            actions.IsRunning: True,
+            actions.ReadClock: now,
+            actions.CallFleet: actions.CallResult(True, {"status": status}),
+        }
+        for action in drive(running_agent(), results):
+            if isinstance(action, actions.CallFleet):
+                count += 1
+            if isinstance(action, actions.Sleep):
+                now += action.seconds
+                results[actions.ReadClock] = now
+            if now >= 10:
+                return count
+        raise AssertionError("an agent never ends")
+
+    assert count_calls("") == 5
+    assert count_calls("old") == 20
 
 
 def test_the_agents_state_file_is_read_and_written_byte_for_byte(tmp_path):
+    """Keys are those of earlier versions of the agent; a damaged file is refused."""
     before = (
         '{"version": "v1", "pid": 7, "admin": "127.0.0.1:9", "to": "v2", "young": 8, '
         '"step": "beside", "why": "slow", "change": "d1", "failed": true}'
--- a/tests/test_servings.py
+++ b/tests/test_servings.py
@@ -11,9 +11,9 @@
 from cypresswalk.fleet.server_observations import ServerObservations
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.lab.cluster.plan import Plan, Step
-from cypresswalk.lab.cluster.releases import SECOND
 from cypresswalk.lab.cluster.serving import ServerMachines
-from cypresswalk.lab.cluster.servings import Servings, plan_for, run_seed
+from cypresswalk.lab.cluster.simulation.server_releases import ServerReleases, run_seed
+from cypresswalk.lab.units import SECOND
 from cypresswalk.rollout import release as releases
 from cypresswalk.rollout.server_agent import ServerAgent
 
@@ -22,7 +22,7 @@
 def test_under_random_faults_bounds_and_halts_hold_and_the_release_can_always_end(first):
     for seed in range(first, first + 8):
         outcome = run_seed(seed)
-        assert not outcome.broken, outcome.broken + "\n" + "\n".join(outcome.history[-60:])
+        assert not outcome.violation, outcome.violation + "\n" + "\n".join(outcome.history[-60:])
 
 
 def views_are_taken_for_settled(patch):
@@ -70,7 +70,7 @@
 )
 def test_a_deliberately_broken_rule_is_detected(mistake, seed, monkeypatch):
     mistake(monkeypatch)
-    assert run_seed(seed).broken
+    assert run_seed(seed).violation
 
 
 @pytest.mark.parametrize(
@@ -82,18 +82,20 @@
     ],
 )
 def test_a_bad_build_of_a_server_is_halted_in_the_first_wave(build, why):
-    w = Servings(1, 6, 2, build, voters=3, followers=1)
-    w.stuck = 0.0
+    w = ServerReleases(1, 6, 2, build, voters=3, followers=1)
+    w.drains.slow_share = 0.0
     w.start()
     w.run(8 * SECOND)
-    w.tell("release_begin", {"plan": plan_for(sorted(w.servers), Random(1))}, span=20 * SECOND)
+    w.begin_release(Random(1))
     for _ in range(90):
         w.run(SECOND)
-        if w.release() is not None and w.release().halted:
+        if w.agreed_state() is not None and w.agreed_state().halted:
             break
-    agreed = w.release()
+    agreed = w.agreed_state()
     assert agreed.halted and why in agreed.halted[2], agreed.halted
-    assert agreed.release.wave == 0 and sum(s.version() == "v1" for s in w.servers.values()) >= 5
+    assert (
+        agreed.release.wave == 0 and sum(h.running_version() == "v1" for h in w.hosts.values()) >= 5
+    )
 
 
 def test_the_majority_of_reports_on_a_server_counts_and_silence_grants_nothing():
@@ -232,7 +234,7 @@
 
 
 def test_while_most_balancers_have_not_reported_a_server_goes_out_by_force_only():
-    w = Servings(1, 4, 2, voters=3, followers=2)
+    w = ServerReleases(1, 4, 2, voters=3, followers=2)
     w.start()
     w.run(8 * SECOND)
     leader, said = w.leader(), []
@@ -253,6 +255,6 @@
         lambda ok, body: said.append(("forced", ok)),
     )
     w.run(SECOND // 2)
-    assert said == [("forced", True)] and "server s0 out" in w.release().history[-1].what
+    assert said == [("forced", True)] and "server s0 out" in w.agreed_state().history[-1].what
     w.run(4 * SECOND)  # they have told it meanwhile
-    assert said[1:] == [("asked", True)] and set(w.release().removed_servers) == {"s0", "s1"}
+    assert said[1:] == [("asked", True)] and set(w.agreed_state().removed_servers) == {"s0", "s1"}
