--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -8,40 +8,35 @@
 from collections import Counter
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from functools import partial
 from random import Random
-from typing import Any, NamedTuple
 
+from cypresswalk.lab.cluster.simulation.data_losses import DataLosses
 from cypresswalk.lab.cluster.simulation.disk import StoredFile
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
-from cypresswalk.lab.cluster.simulation.faults import Handler, Picker, Target, ValueT, WorldFaults
-from cypresswalk.lab.cluster.simulation.process import Process
+from cypresswalk.lab.cluster.simulation.faults import Picker, Target, ValueT, WorldFaults
+from cypresswalk.lab.cluster.simulation.network import MIN_DELAY
+from cypresswalk.lab.cluster.simulation.operators import Operators
+from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, Process
 from cypresswalk.lab.cluster.simulation.schedule import (
     Schedule,
     ScheduledAction,
     draw_schedule,
     reduce_schedule,
 )
-from cypresswalk.lab.cluster.simulation.world import Reply, World
+from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 STARTUP_TIME = 6 * SECOND  # after which the first fault is injected
 # Within which a fleet without faults must be whole: leases, a dead voter's replacement, a disk
 # that is tried again.
 RECOVERY_TIME = 40 * SECOND
-CALL_SPAN = 6 * SECOND
-SETTLED_SPAN_S = 12
 LINK_DELAYS_S = (0.3, 1, 2, 4)
 MAX_OPERATIONS_UNTIL_KILL = 6
-SERVERS = ("s0", "s1", "s2", "s3")
-MARK_COUNT = 50
 UNREADABLE_MARK_COUNT = 5
 # Drawn for each run.
 LOSSES = (0.0, 0.02, 0.2)
 DUPLICATIONS = (0.0, 0.1)
-MIN_MESSAGE_DELAY = MILLISECOND // 5
-MAX_MESSAGE_DELAYS_MS = (2, 20, 300)
-CLOCK_RATES = (0.99, 1.01)
+MAX_DELAYS_MS = (2, 20, 300)
 
 
 @dataclass(slots=True)
@@ -69,137 +64,6 @@
     promise_count: int = 0
 
 
-class Promise(NamedTuple):
-    """A command that was confirmed, and the version that its answer named."""
-
-    call: str
-    version: int
-
-
-class Operators:
-    """Calls the fleet as operators do, and checks its answers."""
-
-    def __init__(self, world: World):
-        """Has called nothing yet."""
-        self.promises: dict[str, Promise] = {}  # by ident
-        self._world = world
-        self._ident_count = 0
-
-    def handlers(self) -> dict[str, Handler]:
-        """The handlers by the kind of call."""
-        return {
-            "out": self._remove_server,
-            "back": self._return_server,
-            "offer": self._offer_settings,
-            "show": self._show,
-            "settled": self._query_settled,
-        }
-
-    def _remove_server(self, target: Target) -> None:
-        self._command(target.process, "out", {"server": target.pick(SERVERS)})
-
-    def _return_server(self, target: Target) -> None:
-        self._command(target.process, "back", {"server": target.pick(SERVERS)})
-
-    def _offer_settings(self, target: Target) -> None:
-        member = target.process.member
-        base = member.state.settings_version if member is not None else 0
-        settings = {"mark": target.pick(range(MARK_COUNT))}
-        self._command(target.process, "offer", {"base": base, "settings": settings})
-
-    def _command(self, process: Process, name: str, args: dict[str, Any]) -> None:
-        """Gives a command, and remembers it once it was confirmed."""
-        self._ident_count += 1
-        ident = f"{name}:{self._ident_count}"
-
-        def reply(ok: bool, body: Any) -> None:
-            self._world.count(f"{name}: {'yes' if ok else 'no'}")
-            if ok:
-                self.promises[ident] = Promise(name, body.get("version", 0))
-
-        common = {"ident": ident, "by": "explorer", "at": self._world.now // MILLISECOND}
-        self._world.call(process, name, common | args, CALL_SPAN, reply)
-
-    def _show(self, target: Target) -> None:
-        """Asks for the agreed state; it must have all that was confirmed before."""
-        floor = max((promise.version for promise in self.promises.values()), default=0)
-
-        def reply(ok: bool, body: Any) -> None:
-            if ok and body["version"] < floor:
-                raise ViolationError(
-                    f"A7: version {body['version']} was shown, "
-                    f"{floor} had been promised before it was asked for"
-                )
-
-        self._world.call(target.process, "show", {}, CALL_SPAN, reply)
-
-    def _query_settled(self, target: Target) -> None:
-        """Asks whether all act on the newest version; a yes must be true."""
-        version = self._world.invariants.newest_version
-        args = {"version": version, "span": SETTLED_SPAN_S}
-        reply: Reply = partial(self._check_settled, version)
-        self._world.call(target.process, "settled", args, SETTLED_SPAN_S * SECOND, reply)
-
-    def _check_settled(self, version: int, ok: bool, body: Any) -> None:
-        self._world.count(f"settled: {'yes' if ok else 'no'}")
-        processes = self._world.processes.values()
-        behind = [p.name for p in processes if p.acts and p.acts_on < version]
-        if ok and behind:
-            raise ViolationError(
-                f"L3: told that all act on {version} or not at all, {', '.join(behind)} act on less"
-            )
-
-
-class DataLosses:
-    """Decides whose disk may be lost: one at a time, and while all others are whole.
-
-    What is promised is promised for that. More lost at once stop the fleet; a test of its own shows
-    that they do nothing worse.
-    """
-
-    def __init__(self, world: World):
-        """No disk was lost yet."""
-        self._world = world
-        self._lost: dict[str, str] = {}  # the id that each had, by name
-
-    def begin(self, process: Process) -> bool:
-        """Whether that balancer may lose its disk now; it counts as lost then."""
-        leader = self._world.leader()
-        if leader is None or not _has_committed_in_its_term(leader):
-            return False
-        self._forget_replaced(leader)
-        is_sound = not (process.disk.failing or process.disk.full)
-        others_whole = not self._lost and self._all_disks_written() and self._all_voters_known()
-        if leader is process or process.member is None or not is_sound or not others_whole:
-            return False
-        self._lost[process.name] = process.member.id
-        return True
-
-    def _forget_replaced(self, leader: Process) -> None:
-        """A loss is over once the old incarnation is no member any more."""
-        members = {member.id for member in leader.live_member.members}
-        self._lost = {name: old for name, old in self._lost.items() if old in members}
-
-    def _all_disks_written(self) -> bool:
-        return all(process.disk.files for process in self._world.processes.values())
-
-    def _all_voters_known(self) -> bool:
-        """Whether each voter runs, or has its disk."""
-        leader = self._world.leader()
-        assert leader is not None
-        voters = {member.id for member in leader.live_member.members if member.voter}
-        known = {
-            process.member.id if process.member is not None else process.last_member_id
-            for process in self._world.processes.values()
-        }
-        return voters <= known
-
-
-def _has_committed_in_its_term(leader: Process) -> bool:
-    node = leader.live_member.node
-    return node is not None and node.log.term_at(node.commit_index) == node.term
-
-
 class Explorer:
     """Carries out a schedule in a world."""
 
@@ -403,7 +267,7 @@
         followers,
         loss=random.choice(LOSSES),
         duplication=random.choice(DUPLICATIONS),
-        delay=(MIN_MESSAGE_DELAY, random.choice(MAX_MESSAGE_DELAYS_MS) * MILLISECOND),
+        delay=(MIN_DELAY, random.choice(MAX_DELAYS_MS) * MILLISECOND),
     )
     for process in world.processes.values():
         process.clock_rate = random.uniform(*CLOCK_RATES)
--- a/cypresswalk/lab/cluster/simulation/invariants.py
+++ b/cypresswalk/lab/cluster/simulation/invariants.py
@@ -17,6 +17,7 @@
     """Remembers what may never change once it was seen.
 
     Attributes:
+        newest_version: of the agreed state, that came into force last.
         active_at: by version, when it came into force, virtual time.
         longest_contradiction: for how long a process acted on a version that was not the newest
             any more, nanoseconds.
@@ -24,6 +25,7 @@
 
     def __init__(self, max_contradiction: int):
         """Nothing was seen yet; two may contradict each other for so many nanoseconds."""
+        self.newest_version = 0
         self.active_at: dict[int, int] = {0: 0}
         self.longest_contradiction = 0
         self._max_contradiction = max_contradiction
@@ -32,23 +34,20 @@
         self._delivered: dict[str, int] = {}  # the last index by member's id
         self._entries: dict[tuple[str, int], Entry] = {}  # by group and index
 
-    @property
-    def newest_version(self) -> int:
-        """The version of the agreed state that came into force last."""
-        return max(self.active_at)
-
     def check(self, processes: Collection[Process], now: int) -> None:
         """Looks at all processes; raises ViolationError."""
         for process in processes:
             member = process.member
             if member is not None and member.node is not None:
+                member_id = member.id
                 state = member.node.state
-                self._check_leader(member.id, state)
-                self._check_vote(member.id, state)
-                self._check_delivered(member, state, now)
-        newest = self.newest_version
+                self._check_leader(member_id, state)
+                self._check_vote(member_id, state)
+                if state.delivered_index > self._delivered.get(member_id, -1):
+                    self._check_delivered(member, state)
+                    self._note_version(member.state.version, now)
         for process in processes:
-            if process.acts and process.acts_on < newest:
+            if process.acts_on < self.newest_version and process.acts:
                 self._check_contradiction(process, now)
 
     def _check_leader(self, member_id: str, state: MemberState) -> None:
@@ -67,10 +66,8 @@
                 f"A5: {member_id} votes for {before} and {state.voted_for} in term {state.term}"
             )
 
-    def _check_delivered(self, member: Member, state: MemberState, now: int) -> None:
+    def _check_delivered(self, member: Member, state: MemberState) -> None:
         seen = self._delivered.get(member.id, -1)
-        if state.delivered_index <= seen:
-            return
         self._delivered[member.id] = state.delivered_index
         for index in range(max(seen + 1, state.log.first_index), state.delivered_index + 1):
             entry = state.log.between(index, index)[0]
@@ -80,10 +77,11 @@
                     f"A3: entry {index} was agreed in term {before.term}, "
                     f"{member.id} has one of term {entry.term}"
                 )
-        version = member.state.version
-        if version not in self.active_at:
-            for number in range(self.newest_version + 1, version + 1):
-                self.active_at[number] = now
+
+    def _note_version(self, version: int, now: int) -> None:
+        for number in range(self.newest_version + 1, version + 1):
+            self.active_at[number] = now
+        self.newest_version = max(self.newest_version, version)
 
     def _check_contradiction(self, process: Process, now: int) -> None:
         next_version = process.acts_on + 1
--- a/cypresswalk/lab/cluster/simulation/network.py
+++ b/cypresswalk/lab/cluster/simulation/network.py
@@ -8,7 +8,8 @@
 from cypresswalk.fleet.messages import AnyFrame, Hello, encode
 from cypresswalk.lab.units import MILLISECOND
 
-DEFAULT_DELAY = (MILLISECOND // 5, 5 * MILLISECOND)
+MIN_DELAY = MILLISECOND // 5
+DEFAULT_DELAY = (MIN_DELAY, 5 * MILLISECOND)  # bounds
 
 
 class InFlight(NamedTuple):
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -19,6 +19,7 @@
 
 EPOCH = 1_800_000_000 * SECOND  # the wall clock of all processes when virtual time begins
 MAX_CLOCK_BASE = 10**15  # nanoseconds
+CLOCK_RATES = (0.99, 1.01)  # bounds, as the fleet allows for
 DISK_RETRY_DELAY = SECOND  # after a disk has failed
 NEVER = 1 << 62  # later than any moment of virtual time
 
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -10,12 +10,13 @@
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import draw_pause
+from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES
 from cypresswalk.lab.cluster.simulation.release_world import (
     NEW_VERSION,
     OLD_VERSION,
     ReleaseWorld,
 )
-from cypresswalk.lab.units import MILLISECOND, SECOND
+from cypresswalk.lab.units import SECOND
 from cypresswalk.rollout.release import Phase, Release
 
 STARTUP_TIME = 8 * SECOND  # after which the release begins
@@ -23,10 +24,8 @@
 PATIENCE = 0.25  # of its time, after which the release of a bad build is turned back
 LOGGERS = ("cypresswalk.fleet", "cypresswalk.rollout")
 NEVER_BEGUN = "never begun"
-# Drawn for each run.
-MIN_MESSAGE_DELAY = MILLISECOND // 5
-MAX_MESSAGE_DELAYS_MS = (2, 20, 100)
-CLOCK_RATES = (0.99, 1.01)
+# Drawn for each run, as the longest time that a message takes.
+MAX_DELAYS_MS = (2, 20, 100)
 
 
 @dataclass(slots=True)
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -5,13 +5,12 @@
 
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.hosts import Build, Host, HostProcess
-from cypresswalk.lab.cluster.simulation.process import MAX_CLOCK_BASE, Process
+from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, MAX_CLOCK_BASE, Process
 from cypresswalk.lab.cluster.simulation.release_world import OLD_VERSION, Reason, ReleaseWorld
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.server_agent import ServerAgent
 
 ADMINS = ("a", "a")  # a server has one address
-CLOCK_RATES = (0.99, 1.01)
 BUILDS = {
     "good": Build(),
     "aborts": Build(failure_share=0.2),
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -12,11 +12,10 @@
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import Handler, Target
-from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY
+from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY, MIN_DELAY
 from cypresswalk.lab.cluster.simulation.release_faults import ReleaseFaults
 from cypresswalk.lab.cluster.simulation.release_runs import (
-    MAX_MESSAGE_DELAYS_MS,
-    MIN_MESSAGE_DELAY,
+    MAX_DELAYS_MS,
     Outcome,
     ReleaseRun,
 )
@@ -235,7 +234,7 @@
         build,
         followers=random.choice(FOLLOWERS),
         loss=random.choice(LOSSES),
-        delay=(MIN_MESSAGE_DELAY, random.choice(MAX_MESSAGE_DELAYS_MS) * MILLISECOND),
+        delay=(MIN_DELAY, random.choice(MAX_DELAYS_MS) * MILLISECOND),
     )
     faults = ServerReleaseFaults(world, random)
     run = ReleaseRun(world, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
--- a/cypresswalk/lab/cluster/simulation/wake_ups.py
+++ b/cypresswalk/lab/cluster/simulation/wake_ups.py
@@ -1,6 +1,5 @@
 """When each process is to be run next."""
 
-from collections.abc import Iterable
 from heapq import heappop, heappush
 from typing import NamedTuple
 
@@ -38,11 +37,6 @@
         self._sequence += 1
         heappush(self._entries, WakeUp(at, self._sequence, process))
 
-    def schedule_all(self, processes: Iterable[Process]) -> None:
-        """Looks at each process when it is due."""
-        for process in processes:
-            self.schedule(process)
-
     def next_due(self, now: int) -> int:
         """When the next process is due, nanoseconds; `take_next` returns it."""
         while self._entries:
--- a/cypresswalk/lab/cluster/simulation/world.py
+++ b/cypresswalk/lab/cluster/simulation/world.py
@@ -90,21 +90,27 @@
         self._names_by_address = {address: name for name, address in self.addresses.items()}
         self.processes: dict[str, Process] = {}
         for i, name in enumerate(names):
-            table = FleetTable(
-                fleet="f",
-                name=name,
-                address=self.addresses[name],
-                folder="/none",
-                first={first: self.addresses[first] for first in names[:voters]},
-                stated_s=max_contradiction_s,
-                zone=f"z{i % zones}" if zones else "",
-            )
+            zone = f"z{i % zones}" if zones else ""
+            table = self._fleet_table(name, names[:voters], zone, max_contradiction_s)
             self.processes[name] = Process(self, table)
         self.network = Network(self.random, self._names_by_address, loss, duplication, delay)
         self.invariants = Invariants(int(max_contradiction_s * SECOND))
         self._timers = Timers()
         self._wake_ups = WakeUps()
 
+    def _fleet_table(
+        self, name: str, first: list[str], zone: str, max_contradiction_s: float
+    ) -> FleetTable:
+        return FleetTable(
+            fleet="f",
+            name=name,
+            address=self.addresses[name],
+            folder="/none",
+            first={first_name: self.addresses[first_name] for first_name in first},
+            stated_s=max_contradiction_s,
+            zone=zone,
+        )
+
     # What was seen.
 
     def count(self, situation: str) -> None:
