--- a/cypresswalk/lab/cluster/simulation/data_losses.py
+++ b/cypresswalk/lab/cluster/simulation/data_losses.py
@@ -16,14 +16,16 @@
         self._world = world
         self._lost: dict[str, str] = {}  # the id that each had, by name
 
-    def begin(self, process: Process) -> bool:
-        """Whether that balancer may lose its disk now; it counts as lost then."""
+    def permit(self, process: Process) -> bool:
+        """Whether that balancer may lose its disk now; it counts as lost if so."""
         leader = self._world.leader()
         if leader is None or not _has_committed_in_its_term(leader):
             return False
         self._forget_replaced(leader)
         is_sound = not (process.disk.failing or process.disk.full)
-        others_whole = not self._lost and self._all_disks_written() and self._all_voters_known()
+        others_whole = (
+            not self._lost and self._all_disks_written() and self._all_voters_known(leader)
+        )
         if leader is process or process.member is None or not is_sound or not others_whole:
             return False
         self._lost[process.name] = process.member.id
@@ -37,10 +39,8 @@
     def _all_disks_written(self) -> bool:
         return all(process.disk.files for process in self._world.processes.values())
 
-    def _all_voters_known(self) -> bool:
+    def _all_voters_known(self, leader: Process) -> bool:
         """Whether each voter runs, or has its disk."""
-        leader = self._world.leader()
-        assert leader is not None
         voters = {member.id for member in leader.live_member.members if member.voter}
         known = {
             process.member.id if process.member is not None else process.last_member_id
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -118,14 +118,14 @@
 
     def _wipe(self, target: Target) -> None:
         process = target.process
-        if self._data_losses.begin(process):
+        if self._data_losses.permit(process):
             process.kill()
             process.disk.wipe()
             process.start()
 
     def _restore(self, target: Target) -> None:
         process = target.process
-        if process.name in self._backups and self._data_losses.begin(process):
+        if process.name in self._backups and self._data_losses.permit(process):
             process.kill()
             process.disk.restore(self._backups[process.name], with_inodes=False)
             process.start()
