--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -25,9 +25,10 @@
 
 from cypresswalk.lab.cluster.machines import Machines, build
 from cypresswalk.lab.cluster.plan import Plan, Step
-from cypresswalk.lab.cluster.releases import NEW, OLD, Releases
+from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
+from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
+from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.cluster.stage import Rig
-from cypresswalk.lab.cluster.virtual import World
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 SECOND = 1_000_000_000  # in nanoseconds
@@ -396,12 +397,12 @@
     @property
     def messages(self) -> int:
         """Messages that were sent so far."""
-        return self._world.words
+        return self._world.network.message_count
 
     @property
     def sent_bytes(self) -> int:
         """Bytes of all messages that were sent so far."""
-        return self._world.bytes
+        return self._world.network.byte_count
 
 
 class VirtualRelease(VirtualCluster):
@@ -428,8 +429,8 @@
             zones: among which the balancers are spread.
             rate: flows a second at each balancer.
         """
-        self._world: Releases = Releases(
-            seed, voters, followers, bound, build, zones=zones, rate=rate
+        self._world: BalancerReleases = BalancerReleases(
+            seed, voters, followers, bound, build, zones=zones, flows_per_s=rate
         )
         self.seed = seed
         self.waves: list[list[str]] = []
@@ -448,7 +449,7 @@
     @property
     def state(self) -> Any:
         """What is agreed, as the leader has it (`fleet.records.FleetState`); None without one."""
-        return self._world.release()
+        return self._world.agreed_state()
 
     @property
     def has_ended(self) -> bool:
@@ -468,17 +469,17 @@
             min_flows: that a wave must have taken to be judged.
         """
         zones = {name: p.table.zone for name, p in self._world.processes.items()}
-        file = PlanFile.model_validate({"name": "r1", "since": OLD, "to": NEW})
+        file = PlanFile.model_validate({"name": "r1", "since": OLD_VERSION, "to": NEW_VERSION})
         self.waves = waves_by_zone(file, zones)
         # The rest: patience, most excess failures, slower at most, seconds of a change at most.
         limits = [8.0, 0.01, 1.5, 120.0]
-        plan = ["r1", OLD, NEW, self.waves, hold_s, min_flows, *limits]
-        self._world.tell("release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND)
+        plan = ["r1", OLD_VERSION, NEW_VERSION, self.waves, hold_s, min_flows, *limits]
+        self._world.operator_call("release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND)
 
     def set_load(self, rate: int, failing_share: float) -> None:
         """Flows a second at each balancer, and what share of them fails at whichever balancer."""
-        self._world.rate = rate
-        self._world.lost_share = failing_share
+        self._world.traffic.flows_per_s = rate
+        self._world.traffic.failure_share = failing_share
 
     def vary_load(self, chance: Random) -> None:
         """Half as many flows again for a fifth of the time; for a tenth of it 20 % fail."""
@@ -489,8 +490,8 @@
     def failed_on_new_build(self) -> int:
         """Flows that failed at processes of the new build that still run."""
         return sum(
-            process.served[2]
-            for machine in self._world.machines.values()
-            for process in machine.running.values()
-            if process.version == NEW
+            process.flows.failed
+            for host in self._world.hosts.values()
+            for process in host.running.values()
+            if process.version == NEW_VERSION
         )
