--- /dev/null
+++ b/tests/decisions/test_flow_queue.py
@@ -0,0 +1,22 @@
+"""Queued flows and their deadlines."""
+
+from helpers import SimulatedHost
+
+from cypresswalk.net.limits import MILLISECOND
+
+
+def test_queued_flow_whose_deadline_is_moved_up_is_answered_by_then():
+    # Not only when the flow is due anyway, which may be after the end of a stop.
+    host = SimulatedHost(1)
+    flows = [host.arrive() for _ in range(5)]
+    queued = [flow for flow in flows if flow.server is None]
+    assert len(queued) == 1  # four attempts are out; it waits for them
+    (flow,) = queued
+    assert flow.id in host.open
+    flow.deadline = host.now + 50 * MILLISECOND
+    host.carry_out_decisions()
+    assert host.wakeup_at <= flow.deadline
+    host.now = host.wakeup_at
+    host.balancer.on_wakeup(host.now)
+    host.carry_out_decisions()
+    assert host.answers[flow.id] == "reject"
--- /dev/null
+++ b/tests/net/parsers/test_endpoint_list.py
@@ -0,0 +1,41 @@
+"""The endpoint list of discovery."""
+
+import pytest
+from helpers import listed
+
+from cypresswalk.model import SECOND, ServerState
+from cypresswalk.net.errors import ProtocolError
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
+
+
+def test_malformed_entries_are_left_out_and_server_numbers_are_hashes_of_their_ids():
+    malformed = [
+        7,
+        {},
+        listed("x", "nowhere"),
+        listed("x", "a.name:9"),
+        listed("x", lifecycle="asleep"),
+        listed("x", weight="much"),
+        listed("x", startedAtMs=float("nan")),
+        listed("x", zone=["a"]),
+    ]
+    decoder = EndpointListDecoder({"a": 0, "b": 1})
+    well_formed = [
+        listed("s-1", zone="b", startedAtMs=5000, lifecycle="terminating"),
+        listed("s-2", zone="elsewhere", cell="c7"),
+    ]
+    _, entries = decoder.decode(
+        {"generation": 9, "reset": False, "instances": malformed + well_formed}
+    )
+    (first, address), (second, _) = entries
+    assert first.id == server_number("s-1")
+    assert first.zone == 1
+    assert first.started_at == 5 * SECOND
+    assert first.state is ServerState.DRAINING
+    assert second.zone not in (0, 1)
+    assert first.id < 1 << 32
+    assert address == ("127.0.0.1", 9)
+    assert decoder.version == 9
+    for broken in (7, [], {"instances": 7}):
+        with pytest.raises(ProtocolError):
+            decoder.decode(broken)
--- /dev/null
+++ b/tests/net/parsers/test_json_stream.py
@@ -0,0 +1,62 @@
+"""A stream of JSON objects."""
+
+import json
+
+import pytest
+from core_helpers import SEEDED
+from hypothesis import given
+from hypothesis import strategies as st
+from parser_helpers import CUTS, pieces
+
+from cypresswalk.net.errors import ProtocolError
+from cypresswalk.net.parsers.json_stream import HEARTBEAT, JsonStreamParser
+
+TEXT = st.text(alphabet='{}[]",:\\ \n\táx', max_size=6)
+
+
+OBJECTS = st.recursive(
+    st.one_of(st.integers(0, 99), st.booleans(), st.none(), TEXT),
+    lambda inner: st.one_of(st.lists(inner, max_size=3), st.dictionaries(TEXT, inner, max_size=3)),
+    max_leaves=8,
+)
+
+
+@SEEDED
+@given(
+    st.lists(
+        st.tuples(
+            st.dictionaries(TEXT, OBJECTS, max_size=4),
+            st.sampled_from([None, 0, 2]),
+            st.sampled_from([b"\n", b"\r\n", b"", b" \n", b"\n\n", b"\r\n\r\n"]),
+        ),
+        max_size=6,
+    ),
+    CUTS,
+)
+def test_json_objects_come_out_complete_however_they_are_indented_joined_or_cut(told, cuts):
+    # A list on several lines must not be taken for a broken one, which would be asked for again
+    # without end.
+    data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in told)
+    parser = JsonStreamParser(100_000)
+    got = []
+    for piece in pieces(data, cuts):
+        parser.feed(piece)
+        while (value := parser.next_value()) is not None:
+            got.append(value)
+    assert [value for value in got if value is not HEARTBEAT] == [value for value, *_ in told]
+    if all(b"\n" in end for *_, end in told):
+        assert got.count(HEARTBEAT) == sum(end.count(b"\n") - 1 for *_, end in told)
+
+
+@pytest.mark.parametrize(
+    "data",
+    [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"],
+)
+def test_what_is_no_json_object_is_refused_and_not_kept(data):
+    parser = JsonStreamParser(900)
+    with pytest.raises(ProtocolError):
+        for at in range(0, len(data), 90):
+            parser.feed(data[at : at + 90])
+            while parser.next_value() is not None:
+                pass
+    assert len(parser.buffer) <= 1000
--- /dev/null
+++ b/tests/net/test_config.py
@@ -0,0 +1,57 @@
+"""The configuration, and the limits that follow from it."""
+
+import json
+
+import pytest
+from helpers import config_data
+
+from cypresswalk.model import SECOND
+from cypresswalk.net.config import load
+from cypresswalk.net.errors import ConfigError
+from cypresswalk.net.limits import Limits
+
+
+def test_unusable_configuration_is_refused_with_what_is_wrong(tmp_path):
+    file = tmp_path / "config.json"
+    for text, message in [
+        ("{", "PROXY_CONFIG"),
+        ("[]", "not an object"),
+        ("{}", "'settings' is missing"),
+        (json.dumps(config_data(listen="here")), "listen"),
+        (json.dumps(config_data(azs=None)), "PROXY_CONFIG"),
+        (json.dumps(config_data(rules={})), "is missing"),
+    ]:
+        file.write_text(text)
+        with pytest.raises(ConfigError, match=message):
+            load({"PROXY_CONFIG": str(file)})
+    with pytest.raises(ConfigError, match="not set"):
+        load({})
+
+
+def limits_of(sockets: int, memory_mb: int) -> Limits:
+    """Limits of a balancer that may use so many descriptors and so much memory."""
+    return Limits(
+        max_sockets=sockets,
+        max_memory=memory_mb << 20,
+        dial_timeout=SECOND,
+        longest_attempt_timeout=SECOND,
+        min_reported_delay=1,
+    )
+
+
+@pytest.mark.parametrize("sockets", [256, 588, 1024])
+def test_limits_leave_descriptors_for_all_that_may_be_open_at_once(sockets):
+    limits = limits_of(sockets, memory_mb=192)
+    # A third is for clients of flows and as much for their servers, what is left for the rest.
+    assert limits.max_flows >= sockets // 3
+    usual = 2 * limits.max_flows + limits.max_unopened_clients + limits.max_idle_health_checks
+    assert usual + 10 <= sockets
+    rare = limits.max_lingering_connections + limits.max_running_health_checks
+    assert usual + rare + limits.fixed_sockets <= sockets
+
+
+def test_flows_are_rejected_before_the_memory_is_used_up():
+    # The process would be killed.
+    limits = limits_of(1024, memory_mb=32)
+    assert limits.max_flows * limits.flow_memory + limits.program_memory <= limits.max_memory
+    assert limits.max_flows > 150
--- /dev/null
+++ b/tests/net/test_server_connection.py
@@ -0,0 +1,266 @@
+"""One attempt at a server, held at its dial: what is sent and what is reported to the core."""
+
+import errno
+import socket
+import time
+from collections.abc import Callable
+from contextlib import suppress
+from dataclasses import replace
+from threading import Event, Semaphore, Thread
+
+import pytest
+from helpers import START, config_data, listed
+from program_helpers import LOOPBACK, reset_on_close, wait_until
+
+from cypresswalk.model import SECOND, Outcome, Server
+from cypresswalk.net import servers as servers_module
+from cypresswalk.net.clients import ClientConnection
+from cypresswalk.net.clock import Clock
+from cypresswalk.net.config import Address, build
+from cypresswalk.net.connection import dial
+from cypresswalk.net.core import Core
+from cypresswalk.net.counters import Counters
+from cypresswalk.net.delay_gauge import DelayGauge
+from cypresswalk.net.inbox import Inbox
+from cypresswalk.net.limits import MILLISECOND, Limits
+from cypresswalk.net.parsers.lines import parse_open_request
+from cypresswalk.net.servers import ServerConnection
+from cypresswalk.net.session import Attempt
+
+LIMITS = Limits(
+    max_sockets=256,
+    max_memory=192 << 20,
+    dial_timeout=SECOND,
+    longest_attempt_timeout=SECOND,
+    min_reported_delay=1,
+)
+OPEN_LINE = b"OPEN a1 7 c=view,t=north,d=900"
+JOIN_TIMEOUT = 5  # seconds for the attempt's thread to end
+
+
+def connected_pair() -> tuple[socket.socket, socket.socket]:
+    """Both ends of a TCP connection: the balancer's and the client's."""
+    with socket.create_server((LOOPBACK, 0)) as listener:
+        client = socket.create_connection(listener.getsockname())
+        accepted, _ = listener.accept()
+    return accepted, client
+
+
+class AttemptHarness:
+    """One attempt at a server, whose dial the test holds.
+
+    No thread decides: what the attempt reports stays in the inbox.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch):
+        """An attempt on behalf of a client, not yet begun."""
+        self.inbox = Inbox(Clock())
+        config = build({}, config_data([listed("s-0")]))
+        self.core = Core(config, None, Counters(), self.inbox.clock())
+        accepted, self.client_socket = connected_pair()
+        self.client = ClientConnection(accepted, self.core, self.inbox, LIMITS, {})
+        self.server = socket.create_server((LOOPBACK, 0))
+        self.dialed = Event()  # the connection is up, and held
+        self.may_go_on = Event()
+        monkeypatch.setattr(servers_module, "dial", self.dial_and_hold)
+        session = self.client.session
+        session.request = parse_open_request(OPEN_LINE)
+        server = Server(id=1)
+        send_deadline = self.inbox.clock() + 60 * SECOND
+        gauge = DelayGauge(server, threshold=SECOND, interval=SECOND)
+        self.attempt = Attempt(session, server, 0, START, send_deadline, gauge)
+        self.connection = ServerConnection(
+            self.attempt,
+            self.server.getsockname(),
+            OPEN_LINE + b"\r\n",
+            self.core,
+            self.inbox,
+            LIMITS,
+            Semaphore(1),
+        )
+        self.thread = Thread(target=self.connection.run, daemon=True)
+
+    def dial_and_hold(self, address: Address, timeout: int) -> socket.socket:
+        """Dials, and returns once the test lets it."""
+        sock = dial(address, timeout)
+        self.dialed.set()
+        assert self.may_go_on.wait(10)
+        return sock
+
+    def start(self) -> None:
+        """Begins the attempt."""
+        self.thread.start()
+
+    def start_and_hold(self) -> None:
+        """Begins the attempt and returns once its connection is up."""
+        self.start()
+        assert self.dialed.wait(5)
+
+    def start_and_accept(self) -> socket.socket:
+        """Begins the attempt, lets it go on, and returns the server's end."""
+        self.start()
+        self.may_go_on.set()
+        sock, _ = self.server.accept()
+        sock.settimeout(5)
+        return sock
+
+    def received_by_server(self) -> bytes:
+        """What the server reads up to the end of the connection."""
+        sock, _ = self.server.accept()
+        sock.settimeout(5)
+        data = b""
+        with suppress(OSError):
+            while more := sock.recv(4096):
+                data += more
+        return data
+
+    def reported(self) -> list[tuple]:
+        """Names of the core's methods that were posted, and their arguments, once it has ended."""
+        self.thread.join(JOIN_TIMEOUT)
+        calls = []
+        while self.inbox.queue.qsize():
+            _, call, args = self.inbox.queue.get()
+            calls.append((call.__name__, *args[1:]))
+        return calls
+
+
+@pytest.fixture
+def harness(monkeypatch: pytest.MonkeyPatch) -> AttemptHarness:
+    """An attempt that has not begun."""
+    return AttemptHarness(monkeypatch)
+
+
+def test_attempt_without_a_slot_is_known_not_to_have_run(harness):
+    harness.connection.limits = replace(LIMITS, dial_timeout=50 * MILLISECOND)
+    assert harness.connection.slots.acquire(blocking=False)
+    harness.start()
+    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
+    assert not harness.dialed.is_set()
+
+
+def close(sock: socket.socket) -> None:
+    """The client closes."""
+    sock.close()
+
+
+def half_close(sock: socket.socket) -> None:
+    """The client ends its sending half."""
+    sock.shutdown(socket.SHUT_WR)
+
+
+def reset(sock: socket.socket) -> None:
+    """The client resets."""
+    reset_on_close(sock)
+    sock.close()
+
+
+def close_behind_bytes(sock: socket.socket) -> None:
+    """The client sends something and closes."""
+    sock.sendall(b"more than was asked for")
+    sock.close()
+
+
+@pytest.mark.parametrize("leave", [close, half_close, reset, close_behind_bytes])
+def test_nothing_is_sent_for_a_client_that_left_before_the_core_knows(
+    harness, leave: Callable[[socket.socket], None]
+):
+    # The client's end waits in the inbox while its attempt comes up: nobody's flow is not
+    # forwarded.
+    harness.start_and_hold()
+    leave(harness.client_socket)
+    wait_until(harness.client.has_ended)
+    harness.may_go_on.set()
+    assert harness.received_by_server() == b""
+    assert harness.reported() == [("on_client_left",)]
+
+
+def test_client_that_left_before_the_dial_costs_its_server_no_connection(harness):
+    harness.client_socket.close()
+    wait_until(harness.client.has_ended)
+    harness.start()
+    assert harness.reported() == [("on_client_left",)]
+    assert not harness.dialed.is_set()
+
+
+def test_line_of_a_client_that_leaves_after_the_dial_was_sent_complete(harness):
+    server = harness.start_and_accept()
+    assert server.recv(4096) == harness.connection.open_line
+    harness.client_socket.close()
+    server.sendall(b"ERR\r\n")
+    assert harness.reported() == [("on_attempt_ended", Outcome.ERROR)]
+
+
+def test_line_is_not_sent_when_the_idempotency_window_ends_during_the_dial(harness):
+    # The servers' memory of the first attempt has ended by then: a second could take effect again.
+    harness.attempt.send_deadline = harness.inbox.clock() + 20 * MILLISECOND
+    harness.start_and_hold()
+    wait_until(lambda: harness.inbox.clock() > harness.attempt.send_deadline)
+    harness.may_go_on.set()
+    assert harness.received_by_server() == b""
+    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
+    assert not harness.connection.recall()
+
+
+@pytest.mark.parametrize("first", ["drop", "dial"])
+def test_attempt_that_is_dropped_as_it_comes_up_sends_all_or_nothing(harness, first):
+    harness.start_and_hold()
+    if first == "drop":
+        harness.connection.drop()
+        harness.may_go_on.set()
+        assert harness.received_by_server() == b""
+    else:
+        harness.may_go_on.set()
+        wait_until(lambda: harness.connection.sent)
+        assert not harness.connection.recall()
+        harness.connection.drop()
+        assert harness.received_by_server() in (b"", harness.connection.open_line)
+    harness.thread.join(JOIN_TIMEOUT)
+    assert not harness.thread.is_alive()
+
+
+@pytest.mark.parametrize(
+    "answer, outcome",
+    [
+        (b"UP\r\n", Outcome.ERROR),
+        (b"UP \r\n", Outcome.ERROR),
+        (b"UPPER 7\r\n", Outcome.ERROR),
+        (b"UP \x01\x02\r\n", Outcome.ERROR),
+        (b"NO\r\n", Outcome.ERROR),
+        (b"SYNTAX\r\n", Outcome.ERROR),
+        (b"BUSY\r\n", Outcome.FULL),
+        (b"BUS", Outcome.RESET),
+        (b"UP 7", Outcome.RESET),
+        (b"x" * 5000, Outcome.RESET),
+        (b"", Outcome.RESET),
+        (b"BYE\r\n", Outcome.OK),
+    ],
+)
+def test_answer_that_is_no_acceptance_is_never_relayed(harness, answer, outcome):
+    server = harness.start_and_accept()
+    server.recv(4096)
+    server.sendall(answer)
+    server.close()
+    assert harness.reported() == [("on_attempt_ended", outcome)]
+
+
+def test_decisions_go_on_while_a_server_reads_nothing(harness):
+    # The deciding thread calls `drop` and `recall`; they must not wait until the line is written.
+    harness.connection.open_line = b"x" * (64 << 20)  # more than any buffer takes
+    server = harness.start_and_accept()
+    wait_until(lambda: harness.connection.sent)
+    began = time.monotonic()
+    assert not harness.connection.recall()
+    harness.connection.drop()
+    assert time.monotonic() - began < 1
+    # Its last byte never went out.
+    assert harness.reported()[:1] == [("on_attempt_ended", Outcome.CONNECT_FAILED)]
+    server.close()
+
+
+def test_no_server_is_blamed_when_descriptors_run_out(harness, monkeypatch):
+    def dial_without_descriptors(address: Address, timeout: int) -> socket.socket:
+        raise OSError(errno.EMFILE, "Too many open files")
+
+    monkeypatch.setattr(servers_module, "dial", dial_without_descriptors)
+    harness.start()
+    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
--- /dev/null
+++ b/tests/service/test_operator_calls.py
@@ -0,0 +1,156 @@
+"""Operators' calls to a running program, over sockets."""
+
+import json
+import os
+import subprocess
+import sys
+import time
+from collections.abc import Callable
+from pathlib import Path
+from threading import Thread
+
+import pytest
+from helpers import config_data
+from program_helpers import (
+    END,
+    PROGRAM,
+    ROOT,
+    LineConnection,
+    OperatorClient,
+    ProgramProcess,
+    ServerDouble,
+    admin_environment,
+    free_port,
+)
+
+# Prints the admin part of a program that is made and not run, and which modules of it are loaded.
+LOADED_MODULES = """
+import os, sys
+from cypresswalk.net.config import load
+from cypresswalk.service import program
+
+made = program.Program(load(dict(os.environ)))
+print(made.admin, [m for m in sys.modules if m.endswith(("net.admin", "net.handover"))])
+"""
+
+
+@pytest.fixture
+def start_operated(
+    start_program: Callable[..., ProgramProcess],
+) -> Callable[..., tuple[ProgramProcess, OperatorClient]]:
+    """Starts a program that takes operators' calls."""
+
+    def start(*servers, **options) -> tuple[ProgramProcess, OperatorClient]:
+        port = free_port()
+        program = start_program(*servers, environment=admin_environment(port), **options)
+        return program, OperatorClient(port)
+
+    return start
+
+
+def test_calls_are_answered_while_other_callers_hang_and_malformed_ones_are_refused(start_operated):
+    program, operator = start_operated(ServerDouble(), sockets=64)
+    hanging = [operator.connect() for _ in range(40)]
+    for connection in hanging[::2]:
+        connection.sock.sendall(b"chec")
+    began = time.monotonic()
+    assert operator.call("check") == ["OK"]
+    for malformed in ("", "chek", "check now", "set-down nobody", "x" * 6000, "check\r\nvars"):
+        (answer,) = operator.call(malformed)
+        assert answer.startswith("ERR ")
+        assert len(answer) > 8  # there is a reason
+    assert time.monotonic() - began < 2
+    assert program.open("a1").read_line() == "UP ra1"
+    assert operator.call("check") == ["OK"]
+    for connection in hanging:
+        connection.close()
+
+
+class Crowd:
+    """Clients that open flows one after another, in a thread."""
+
+    def __init__(self, program: ProgramProcess, count: int):
+        """Begins at once."""
+        self.program = program
+        self.count = count
+        self.clients: list[LineConnection] = []
+        self.thread = Thread(target=self.arrive)
+        self.thread.start()
+
+    def arrive(self) -> None:
+        """Opens all flows."""
+        for number in range(self.count):
+            self.clients.append(self.program.open(f"c{number}", "c=view,t=north,d=900"))
+
+
+def test_call_is_answered_within_a_second_under_a_crowd(start_operated):
+    program, operator = start_operated(ServerDouble(), ServerDouble(), sockets=1024)
+    crowd = Crowd(program, 300)
+    waits = []
+    while crowd.thread.is_alive() or len(waits) < 5:
+        began = time.monotonic()
+        metrics, end = operator.call("vars")
+        waits.append(time.monotonic() - began)
+        assert end == "END"
+        assert json.loads(metrics)["registry_entries"] == 2
+    crowd.thread.join()
+    assert max(waits) < 1
+    answers = [client.read_line().split(" ")[0] for client in crowd.clients]
+    time.sleep(0.3)
+    metrics = json.loads(operator.call("vars")[0])
+    assert metrics["fulfilled"]["view"] == answers.count("UP")
+    assert metrics["throttled"]["view"] == answers.count("BUSY")
+    assert metrics["open_requests"] == answers.count("UP") <= metrics["relayed"]
+    for client in crowd.clients:
+        client.close()
+
+
+def answer_to_ping(program: ProgramProcess) -> str:
+    """What the edge load balancer hears as it checks the program."""
+    edge = program.connect()
+    edge.send_line("PING")
+    return edge.read_line()
+
+
+def test_drained_program_is_not_ready_and_moves_its_clients_until_the_drain_is_taken_back(
+    start_operated,
+):
+    program, operator = start_operated(ServerDouble(), ServerDouble())
+    clients = [program.open(f"d{i}") for i in range(5)]
+    assert {client.read_line().split(" ")[0] for client in clients} == {"UP"}
+    began = time.monotonic()
+    assert operator.call("drain-on") == ["OK"]
+    assert answer_to_ping(program) == "ERR"
+    assert [(client.read_line(), client.read_line()) for client in clients] == [("MOVE", END)] * 5
+    assert time.monotonic() - began < 3.5
+    assert operator.call("drain-off") == ["OK"]
+    assert answer_to_ping(program) == "PONG"
+    assert program.open("e1").read_line() == "UP re1"
+
+
+def run_with(config: Path, command: tuple[str, ...], **environment: str):
+    """Runs a command to its end, with a configuration file."""
+    return subprocess.run(
+        command,
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env=os.environ | {"PROXY_CONFIG": str(config)} | environment,
+    )
+
+
+def test_unusable_admin_address_ends_the_start_and_without_one_no_admin_module_is_loaded(tmp_path):
+    config = tmp_path / "config.json"
+    config.write_text(json.dumps(config_data()))
+    for address, message in (
+        ("nowhere", "admin_addr: 'nowhere' is no IPv4 address and port"),
+        ("127.0.0.1:1x", "admin_addr"),
+        ("192.0.2.1:9", "cypresswalk: "),
+    ):
+        run = run_with(config, PROGRAM, PROXY_ADMIN_ADDR=address)
+        assert run.returncode == 1
+        assert message in run.stderr
+        assert run.stderr.count("\n") == 1
+    run = run_with(config, (sys.executable, "-c", LOADED_MODULES))
+    assert run.stdout == "None []\n"
--- /dev/null
+++ b/tests/service/test_upgrade.py
@@ -0,0 +1,271 @@
+"""The program upgraded by a second process beside the first, over sockets."""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from threading import Event, Thread
+from types import SimpleNamespace
+
+import pytest
+from core_helpers import LIMITS
+from program_helpers import (
+    PROGRAM,
+    ROOT,
+    LineConnection,
+    OperatorClient,
+    ProgramProcess,
+    ServerDouble,
+    admin_environment,
+    free_port,
+    wait_until,
+)
+
+from cypresswalk.net.clock import Clock
+from cypresswalk.net.handover import VERSION
+from cypresswalk.net.handover_socket import HandoverSocket
+from cypresswalk.net.inbox import Inbox
+
+STOP_TIMEOUT = 4  # seconds for a stopped process to end
+
+
+class UpgradedProgram:
+    """A program that is started again beside itself, as operators upgrade it."""
+
+    def __init__(self, program: ProgramProcess, folder: Path):
+        """The program's first process; the folder is that of the hand-over's socket."""
+        self.program = program
+        self.folder = folder
+        self.processes = [program.process]
+        self.started = 0
+
+    def start_successor(self, **environment: str) -> tuple[subprocess.Popen, OperatorClient]:
+        """Starts a process beside those that run."""
+        port = free_port()
+        self.started += 1
+        with (self.folder / f"log{self.started}").open("wb") as log:
+            process = subprocess.Popen(
+                PROGRAM,
+                cwd=ROOT,
+                stderr=log,
+                env=os.environ
+                | {"PROXY_CONFIG": str(self.program.file), "TMPDIR": str(self.folder)}
+                | admin_environment(port)
+                | environment,
+            )
+        self.processes.append(process)
+        return process, OperatorClient(port)
+
+    def start_ready_successor(self, **environment: str) -> tuple[subprocess.Popen, OperatorClient]:
+        """Starts a process beside those that run, and waits until it is ready."""
+        process, operator = self.start_successor(**environment)
+        wait_until(lambda: is_ready(operator))
+        return process, operator
+
+    def end(self) -> None:
+        """Kills all processes."""
+        for process in self.processes:
+            process.kill()
+            process.wait()
+
+
+def is_ready(operator: OperatorClient) -> bool:
+    """Whether the process answers that it is ready."""
+    try:
+        return operator.call("check") == ["OK"]
+    except ConnectionRefusedError:
+        return False
+
+
+@pytest.fixture
+def start_upgradable(
+    start_program: Callable[..., ProgramProcess], tmp_path: Path
+) -> Iterator[Callable[..., tuple[UpgradedProgram, OperatorClient]]]:
+    """Starts programs whose hand-over socket is in a folder."""
+    upgraded = []
+
+    def start(*servers, folder=tmp_path, **options) -> tuple[UpgradedProgram, OperatorClient]:
+        port = free_port()
+        environment = admin_environment(port) | {"TMPDIR": str(folder)}
+        program = start_program(*servers, environment=environment, **options)
+        upgraded.append(UpgradedProgram(program, folder))
+        return upgraded[-1], OperatorClient(port)
+
+    yield start
+    for one in upgraded:
+        one.end()
+
+
+class ClientStream:
+    """Clients that come one after another without a pause, and what became of each.
+
+    Of twenty, nineteen end their flow at once; the flow of the twentieth stays.
+    """
+
+    def __init__(self, program: ProgramProcess, name: str, threads: int = 2):
+        """Begins at once, in that many threads."""
+        self.program = program
+        self.name = name
+        self.results: list[str] = []  # the last word that a client heard, or its error
+        self.established: list[LineConnection] = []
+        self.ended = Event()
+        self.threads = [Thread(target=self.run, args=(i,), daemon=True) for i in range(threads)]
+        for thread in self.threads:
+            thread.start()
+
+    def run(self, thread_number: int) -> None:
+        """Clients of one thread."""
+        number = 0
+        while not self.ended.is_set():
+            number += 1
+            try:
+                result = self.play_client(f"{self.name}{thread_number}-{number}", number % 20 == 0)
+            except OSError as error:
+                result = type(error).__name__
+            self.results.append(result)
+            time.sleep(0.002)
+
+    def play_client(self, flow_id: str, stays: bool) -> str:
+        """One client; returns the last word that it heard."""
+        client = self.program.open(flow_id)
+        word = client.read_line().split(" ")[0]
+        if word != "UP" or stays:
+            self.established.append(client)
+            return word
+        client.send_line("END")
+        word = client.read_line()
+        client.close()
+        return word
+
+    def stop(self) -> None:
+        """No further clients come."""
+        self.ended.set()
+        for thread in self.threads:
+            thread.join()
+
+
+def test_upgrades_under_load_reject_no_client_and_migrate_the_established_ones(start_upgradable):
+    servers = [ServerDouble() for _ in range(3)]
+    upgraded, operator = start_upgradable(*servers, sockets=512)
+    program = upgraded.program
+    assert operator.call("set-down s-0") == ["OK"]
+    sent_before = len(servers[0].open_lines)
+    clients = ClientStream(program, "u")
+    predecessor = program.process
+    for _ in range(2):
+        established_before = len(clients.established)
+        successor, operator = upgraded.start_ready_successor()
+        assert operator.call("set-down s-1") == operator.call("set-up s-1") == ["OK"]
+        predecessor.send_signal(signal.SIGTERM)
+        edge = program.connect()
+        edge.send_line("PING")
+        assert edge.read_line() == "PONG"
+        edge.close()
+        assert predecessor.wait(STOP_TIMEOUT) == 0
+        predecessor = successor
+    clients.stop()
+    assert len(clients.results) > 200
+    assert set(clients.results) <= {"BYE", "UP"}
+    assert established_before > 1
+    assert {client.read_line() for client in clients.established[:established_before]} == {"MOVE"}
+    assert len(servers[0].open_lines) == sent_before  # out of rotation over both upgrades
+    ids = [line.split(" ")[1] for server in servers for line in server.open_lines]
+    assert len(ids) == len(set(ids))
+    for client in clients.established:
+        client.close()
+
+
+def test_process_that_is_killed_leaves_the_other_serving(start_upgradable):
+    upgraded, operator = start_upgradable(ServerDouble(), ServerDouble())
+    program = upgraded.program
+    first_successor, _ = upgraded.start_ready_successor()
+    first_successor.kill()
+    first_successor.wait()
+    assert program.open("a1").read_line() == "UP ra1"
+    assert operator.call("set-down s-0") == ["OK"]
+    second_successor, operator = upgraded.start_ready_successor()
+    program.kill()
+    assert program.open("a2").read_line() == "UP ra2"
+    assert json.loads(operator.call("vars")[0])["out_of_rotation"] == 1
+    upgraded.start_ready_successor()  # over what the killed one left
+    second_successor.send_signal(signal.SIGTERM)
+    assert second_successor.wait(STOP_TIMEOUT) == 0
+    assert program.open("a3").read_line() == "UP ra3"
+
+
+def test_second_of_two_that_start_at_once_waits_until_it_can_find_the_first(tmp_path):
+    """Otherwise both listen, and with one of them goes the place where a third finds the other."""
+    clock = Clock()
+    inboxes = [Inbox(clock), Inbox(clock)]
+    first, second = (
+        HandoverSocket(str(tmp_path), "b", ("127.0.0.1", 1), inbox, LIMITS) for inbox in inboxes
+    )
+    assert first.find_predecessor() is None
+    found = []
+    looking = Thread(target=lambda: found.append(second.find_predecessor()), daemon=True)
+    looking.start()
+    looking.join(0.3)
+    assert looking.is_alive()
+    handover = SimpleNamespace(
+        on_hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
+        heard=None,
+        parted=lambda now, other: None,
+    )
+    first.wait_for_successor(handover)
+    call, args = inboxes[0].urgent.get(timeout=3)
+    call(clock(), *args)
+    looking.join(3)
+    assert found[0] is not None
+    assert first.start_lock is None
+    assert second.start_lock is None
+    found[0].sock.close()
+
+
+LONG_NAME = "x" * 120
+
+
+@pytest.mark.parametrize("folder", ["missing", LONG_NAME, "file in the way"])
+def test_successor_starts_although_the_folder_is_unusable_or_its_name_is_long(
+    start_upgradable, tmp_path, folder
+):
+    place = tmp_path / folder
+    if folder == LONG_NAME:
+        place.mkdir()
+    elif folder != "missing":
+        place.write_text("")
+    upgraded, _ = start_upgradable(ServerDouble(), folder=place)
+    upgraded.folder = tmp_path
+    upgraded.start_ready_successor(TMPDIR=str(place))
+    program = upgraded.program
+    program.process.send_signal(signal.SIGTERM)
+    program.process.wait(STOP_TIMEOUT)
+    assert program.open("b1").read_line() == "UP rb1"
+    log = (tmp_path / "log1").read_text()
+    assert ("event=taken_over" in log) is (folder == LONG_NAME)
+
+
+def test_handover_socket_refuses_what_is_no_process_of_this_balancer(start_upgradable, tmp_path):
+    upgraded, operator = start_upgradable(ServerDouble())
+    (path,) = [file for file in tmp_path.iterdir() if file.is_socket()]
+    assert path.stat().st_mode & 0o077 == 0
+    for data in (
+        b"\xff\n",
+        b"[1]\n",
+        b"{}\n",
+        b'{"hello":{"version":99,"name":"n0"}}\n',
+        b"{" * 9000,
+        b"",
+    ):
+        with socket.socket(socket.AF_UNIX) as sock:
+            sock.settimeout(3)
+            sock.connect(str(path))
+            sock.sendall(data)
+            sock.shutdown(socket.SHUT_WR)
+            answer = sock.recv(4096)
+            assert answer == b"" or b"refused" in answer
+    assert operator.call("check") == ["OK"]
+    assert upgraded.program.open("c1").read_line() == "UP rc1"
--- /dev/null
+++ b/tests/state_helpers.py
@@ -0,0 +1,110 @@
+"""Snapshots, and a snapshot writer with a balancer of its own."""
+
+import math
+import os
+from collections.abc import Callable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+from helpers import START, entries, settings
+from program_helpers import ROOT
+
+from cypresswalk.decisions.balancer import Balancer
+from cypresswalk.model import SECOND, EndpointUpdate
+from cypresswalk.net.counters import Counters
+from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot, SumsRecord
+from cypresswalk.state.snapshot_writer import SnapshotWriter
+
+# For scripts that tests start: the program and the helpers are found.
+SCRIPT_ENVIRONMENT = os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}
+
+
+def snapshot(number: int = 3, servers: int = 3, **header: Any) -> Snapshot:
+    """A snapshot that says its number in every place: a mix of two would show."""
+    sums = SumsRecord(*[(float(number), number)] * 5)
+    values: dict[str, Any] = dict(
+        balancer="n0",
+        taken=START,
+        started=START - 60 * SECOND,
+        list_version=number,
+        list_address="a:1",
+        again=0.25,
+        sums=sums,
+    )
+    return Snapshot(
+        Header(**values | header),
+        [server_record(7 + 13 * i, number) for i in range(servers)],
+        [(100 + i, START) for i in range(number)],
+    )
+
+
+def server_record(server_id: int, number: int) -> ServerRecord:
+    """A server's record in the snapshot of that number."""
+    return ServerRecord(
+        id=server_id,
+        since=0,
+        state="ready",
+        learned=START,
+        health=2,
+        known=True,
+        fresh=False,
+        misses=number,
+        errors=0,
+        failed=0,
+        answers=number,
+        trial_at=START,
+        full_until=0,
+        strain=0.5,
+        strain_at=START,
+        limit=math.inf,
+        cut_at=0,
+        delay=5,
+        dealt=(1.5, START),
+        drops=(0.0, START),
+    )
+
+
+class WriterHarness:
+    """A snapshot writer, with a core and an inbox of which it uses no more than this."""
+
+    def __init__(
+        self,
+        folder: Path | str,
+        servers: int = 3,
+        name: str = "n0",
+        now: int = START,
+        version: int = 5,
+        address: str = "a:1",
+    ):
+        """The writer of a balancer in a folder; `version` and `address` are its list's."""
+        self.now = now
+        self.balancer = Balancer(settings(), 1, self.now)
+        self.balancer.on_endpoints(self.now, EndpointUpdate.CACHED, entries(servers))
+        self.counters = Counters()
+        self.seen_ids: dict[int, None] = {}
+        self.limits = SimpleNamespace(max_remembered_flows=8192)
+        self.decoder = SimpleNamespace(version=version)
+        self.writer = SnapshotWriter(str(folder), 1, self, self, self.decoder, name, address)
+
+    def post(self, call: Callable[..., object], *args: Any) -> None:
+        """Stands in for the inbox: the deciding thread does it at once."""
+        call(self.now, *args)
+
+    def end(self) -> None:
+        """The process ends by a planned stop: it writes the last generation."""
+        self.writer.finish(self.now)
+        self.writer.disk.unlock()
+
+
+def recovered_harness(folder: Path | str, **options: Any) -> WriterHarness:
+    """A harness that has recovered what the folder holds."""
+    harness = WriterHarness(folder, **options)
+    harness.writer.recover(harness.now)
+    return harness
+
+
+def events(caplog: pytest.LogCaptureFixture) -> list[str]:
+    """The events that were logged, in their order."""
+    return [record.getMessage().split(" ")[0] for record in caplog.records]
