--- /dev/null
+++ b/tests/binding_helpers.py
@@ -0,0 +1,153 @@
+"""A core that is bound to what a fleet agrees, and no fleet behind it."""
+
+import json
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from helpers import START, config_data
+
+from cypresswalk.fleet.applied_view import AppliedView
+from cypresswalk.fleet.core_binding import CoreBinding
+from cypresswalk.fleet.messages import ServerReport
+from cypresswalk.model import EndpointUpdate, Server, ServerState
+from cypresswalk.net.config import Address, build
+from cypresswalk.net.core import Core
+from cypresswalk.net.counters import Counters
+from cypresswalk.net.parsers.admin_commands import AdminCommand
+from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
+from cypresswalk.net.parsers.lines import parse_open_request
+from cypresswalk.net.session import Attempt, Session
+from cypresswalk.operator import FleetTable
+
+
+class PassiveDrivers:
+    """Drivers that record attempts and answers and take everything else."""
+
+    def __init__(self) -> None:
+        """Nothing was asked for yet."""
+        self.attempts: list[Attempt] = []
+        self.answers: list[bytes] = []
+
+    def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
+        """Records an attempt."""
+        self.attempts.append(attempt)
+
+    def send_reply(self, session: Session, line: bytes) -> None:
+        """Records a client's last line."""
+        self.answers.append(line)
+
+    def __getattr__(self, name: str) -> Callable[..., bool]:
+        """All other methods of the drivers do nothing."""
+        return lambda *args: True
+
+
+class FleetCall(NamedTuple):
+    """A call that the binding has made to the fleet."""
+
+    name: str
+    arguments: dict[str, Any]
+    reply: Callable[[bool, dict[str, Any]], None]
+
+
+class BindingHarness:
+    """A core that knows servers from its own list, and the binding; the test is the fleet."""
+
+    def __init__(self, folder: Path, *entries: dict[str, Any], copies: dict | None = None):
+        """A core whose own list has the entries; `copies` is the operator file's table."""
+        file = folder / "config.json"
+        file.write_text(json.dumps(config_data(entries)))
+        config = build({"PROXY_CONFIG": str(file)}, config_data(entries))
+        self.now = START
+        self.drivers = PassiveDrivers()
+        self.posted: list[tuple] = []  # to the deciding thread: a function and its arguments
+        self.reported_lists: list[tuple] = []  # own lists, as told to the fleet
+        self.fleet_calls: list[FleetCall] = []
+        self.core = Core(config, self.drivers, Counters(), self.now)
+        self.decoder = EndpointListDecoder(config.zones)
+        _, known = self.decoder.decode(config.known)
+        self.core.on_endpoints(self.now, EndpointUpdate.CACHED, known)
+        table = FleetTable(
+            fleet="f",
+            name="n0",
+            address="127.0.0.1:9",
+            folder=str(folder / "kept"),
+            first={"n0": "127.0.0.1:9"},
+            copies=copies,
+        )
+        self.binding = CoreBinding(
+            table, config, self.core, lambda *what: self.posted.append(what), lambda: self.decoder
+        )
+        fleet = self.binding.fleet
+        fleet.on_list_received = lambda *what: self.reported_lists.append(what)
+        fleet.call = self.record_fleet_call
+        fleet.started.set()
+        self.holds_lease = True
+        self.core.extensions.holds_lease = lambda: self.holds_lease
+
+    def record_fleet_call(
+        self, name: str, arguments: dict[str, Any], reply: Callable[..., None], timeout: float
+    ) -> None:
+        """Takes the place of the fleet's call."""
+        self.fleet_calls.append(FleetCall(name, arguments, reply))
+
+    def answer_fleet_call(self, agreed: bool, body: dict[str, Any]) -> None:
+        """The fleet answers the latest call."""
+        self.fleet_calls[-1].reply(agreed, body)
+        self.process_posted()
+
+    def process_posted(self) -> None:
+        """The deciding thread does what was posted last."""
+        function, *args = self.posted.pop()
+        function(self.now, *args)
+
+    def update_own_list(
+        self, generation: int, *entries: dict[str, Any], reset: bool = False
+    ) -> None:
+        """The balancer's own list says something else."""
+        message = {"generation": generation, "reset": reset, "instances": list(entries)}
+        self.core.on_endpoints(self.now, *self.decoder.decode(message))
+
+    def apply_view(self, version: int, **changes: Any) -> None:
+        """The fleet has agreed on something else."""
+        view: dict[str, Any] = dict(
+            settings_version=0, settings={}, out=(), list_version=0, servers=()
+        )
+        self.binding.apply_view(self.now, AppliedView(version, **view | changes))
+
+    def server(self, name: str) -> Server:
+        """The server of that name."""
+        return self.core.balancer.servers[server_number(name)]
+
+    def state(self, name: str) -> ServerState:
+        """The state of the server of that name."""
+        return self.server(name).state
+
+    def server_report(self) -> ServerReport:
+        """What the fleet is told of the servers."""
+        return self.binding.observations.server_report()
+
+    def call(self, name: str, server: str = "") -> AdminCommand:
+        """An operator's call."""
+        command = AdminCommand(name, server)
+        self.core.commands.on_command(self.now, command)
+        return command
+
+    def open(self, flow_id: str, kind: str = "view") -> Session:
+        """A client opens a flow."""
+        session = Session(None)
+        line = f"OPEN {flow_id} {flow_id.encode().hex()} c={kind},t=north,d=900"
+        self.core.on_open(self.now, session, parse_open_request(line.encode()))
+        self.core.carry_out_decisions(self.now)
+        return session
+
+    def pass_time(self, span: int) -> None:
+        """Time passes; what is due happens once, at its end."""
+        self.now += span
+        self.core.timers.run_due(self.now)
+        self.core.carry_out_decisions(self.now)
+
+
+def agreed_entry(name: str, state: str = "ready", since: int = 0) -> tuple:
+    """A server's entry in the agreed list."""
+    return (name, 0, 1, state, 1.0, since)
