--- a/cypresswalk/fleet/messages.py
+++ b/cypresswalk/fleet/messages.py
@@ -15,18 +15,8 @@
 
 import msgspec
 
-from cypresswalk.agreement.messages import (
-    AppendEntries,
-    AppendEntriesResponse,
-    DataLossDetected,
-    InstallSnapshotChunk,
-    InstallSnapshotChunkResponse,
-    Members,
-    Message,
-    RequestVote,
-    RequestVoteResponse,
-    TimeoutNow,
-)
+from cypresswalk.agreement.messages import AnyMessage as RaftMessage
+from cypresswalk.agreement.messages import Members, Message
 from cypresswalk.copies.messages import MessageBatch
 from cypresswalk.fleet.errors import FrameError
 
@@ -198,14 +188,7 @@
     | LeaseGrant
     | Call
     | Result
-    | RequestVote
-    | RequestVoteResponse
-    | AppendEntries
-    | AppendEntriesResponse
-    | InstallSnapshotChunk
-    | InstallSnapshotChunkResponse
-    | TimeoutNow
-    | DataLossDetected
+    | RaftMessage
     | MessageBatch
 )
 FRAME_DECODER = msgspec.msgpack.Decoder(AnyFrame)
