--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -1,21 +1,17 @@
 """The proxy for TCP: accepts connections and injects a plan's faults. One event loop, no thread."""
 
 import asyncio
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 
-from cypresswalk.faults.connection import Address, Connection, Endpoint
+from cypresswalk.faults.connection import Connection, Endpoint
+from cypresswalk.faults.injection import InjectingProxy
 from cypresswalk.faults.kinds import Fault, Kind
 from cypresswalk.faults.plan import FaultPlan, PlacedFault, ways
-from cypresswalk.faults.record import Record
 
 ACCEPT_BACKLOG = 1024
 
 
-def ignore_fault(fault: Fault, ports: list[int]) -> None:
-    """For who does not want to know of each fault."""
-
-
 @dataclass(frozen=True)
 class Injected:
     """A plan, and a fault that was added to all connections while it ran.
@@ -55,44 +51,17 @@
         return self.plan.named()
 
 
-class Proxy:
+@dataclass(eq=False, repr=False)
+class Proxy(InjectingProxy):
     """Listens after `start`, at `address`; `stop` resets the connections that are left.
 
     Attributes:
-        address: where it listens.
+        open: the connections that are not over, in the order in which they came.
         connections: how many were accepted.
-        record: of what was injected.
     """
 
-    def __init__(
-        self,
-        listen: Address,
-        to: Address,
-        plan: FaultPlan,
-        seed: int,
-        clock: Callable[[], int],
-        told: Callable[[Fault, list[int]], None] = ignore_fault,
-    ):
-        """Does not listen yet.
-
-        Args:
-            listen: port 0 for any.
-            to: where connections go on to.
-            plan: which faults are injected.
-            seed: for what the plan leaves to chance.
-            clock: nanoseconds.
-            told: is called with each injected fault and the connection's ports.
-        """
-        self.listen = listen
-        self.to = to
-        self.plan = plan
-        self.seed = seed
-        self.clock = clock
-        self.told = told
-        self.record = Record()
-        self.open: dict[Connection, None] = {}
-        self.connections = 0
-        self.address = listen
+    open: dict[Connection, None] = field(init=False, default_factory=dict)
+    connections: int = field(init=False, default=0)
 
     async def start(self) -> None:
         """Listens. Raises OSError where the address is taken."""
@@ -109,11 +78,6 @@
         self.open[connection] = None
         return Endpoint(connection, connection.up, connection.down)
 
-    def on_injected(self, fault: Fault, ports: list[int]) -> None:
-        """A fault was injected."""
-        self.record.add(fault)
-        self.told(fault, ports)
-
     def on_closed(self, connection: Connection) -> None:
         """A connection is over."""
         self.open.pop(connection, None)
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -39,6 +39,7 @@
     SEND_TIMEOUT,
     OutgoingLink,
 )
+from cypresswalk.net.accepting import accept_connections
 from cypresswalk.net.connection import timeval
 from cypresswalk.net.threads import start_thread
 
@@ -107,7 +108,7 @@
         try:
             data = encode_frame(frame)
         except FrameError as error:
-            log.error("event=frame_dropped why=%s", error)
+            log.error("event=frame_dropped error=%s", error)
             return
         self.counts["words_sent"] += 1
         self.counts["bytes_sent"] += len(data)
@@ -149,20 +150,17 @@
         self._logged_errors[key] = why
         if len(self._logged_errors) > MAX_REMEMBERED_ERRORS:
             self._logged_errors.clear()
-        log.info("event=link_lost to=%s address=%s:%d why=%s", link.to or "?", *link.address, why)
+        log.info(
+            "event=link_lost to=%s address=%s:%d reason=%s", link.to or "?", *link.address, why
+        )
 
     # Incoming connections.
 
     def _accept_connections(self, listener: socket.socket) -> None:
-        while not self._stopping.is_set():
-            try:
-                sock, _ = listener.accept()
-            except OSError as error:
-                if self._stopping.is_set():
-                    return
-                log.warning("event=fleet_accept_failed why=%s", error)
-                time.sleep(ACCEPT_RETRY_PAUSE)
-                continue
+        stopping = self._stopping.is_set
+        for sock in accept_connections(
+            listener, ACCEPT_RETRY_PAUSE, self._on_accept_failed, stopping
+        ):
             if len(self.connections) >= MAX_CONNECTIONS:
                 self.counts["connections_beyond"] += 1
                 sock.close()
@@ -171,10 +169,13 @@
             try:
                 start_thread(partial(self._serve, sock), 0, STACK_SIZE)
             except RuntimeError as error:
-                log.error("event=fleet_thread_failed why=%s", error)
+                log.error("event=fleet_thread_failed error=%s", error)
                 self.connections.pop(sock, None)
                 sock.close()
 
+    def _on_accept_failed(self, error: OSError) -> None:
+        log.warning("event=fleet_accept_failed error=%s", error)
+
     def _serve(self, sock: socket.socket) -> None:
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -182,7 +183,7 @@
             self._read(sock)
         except FrameError as error:
             self.counts["frames_odd"] += 1
-            log.info("event=frame_malformed why=%s", str(error)[:200])
+            log.info("event=frame_malformed error=%s", str(error)[:200])
         except (OSError, struct.error):
             pass  # the other side is gone, or silent
         finally:
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -114,19 +114,19 @@
 
     def on_invalid_file(self, name: str, reason: str) -> None:
         """Logs a file that was passed over."""
-        log.warning(event("state_file_odd", file=name, why=reason))
+        log.warning(event("state_file_invalid", file=name, reason=reason))
 
     def turn_off(self, log_event: str, reason: object) -> None:
         """Leaves the folder alone for good."""
         self.off = True
         self.disk.unlock()
-        log.error(event(log_event, folder=self.disk.path, why=reason, state="off"))
+        log.error(event(log_event, folder=self.disk.path, reason=reason, state="off"))
 
     def on_error(self, operation: str, error: Exception) -> None:
         """Logs an error once, until it is another or has gone."""
         reason = f"{operation}: {getattr(error, 'strerror', None) or error}"
         if reason != self.logged_error:
-            log.error(event("state_not_kept", folder=self.disk.path, why=reason))
+            log.error(event("state_not_kept", folder=self.disk.path, reason=reason))
         self.logged_error = reason
 
     # While it runs.
@@ -151,6 +151,7 @@
         done = Event()
 
         def run(now: int) -> None:
+            """Runs the slice in the deciding thread and measures it."""
             began = time.perf_counter_ns()
             copy(now, *args)
             self.longest = max(self.longest, time.perf_counter_ns() - began)
@@ -165,6 +166,7 @@
         servers: list[Server] = []
 
         def copy_head(now: int) -> None:
+            """Copies the header and takes the list of servers."""
             heads.append(self.head(now))
             servers.extend(self.core.balancer.servers.values())
 
--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -1,6 +1,7 @@
 """A fleet in virtual time, its links and its operators, and Raft nodes without a host."""
 
 from collections.abc import Callable
+from itertools import count
 from random import Random
 from typing import Any
 
@@ -10,7 +11,8 @@
 from cypresswalk.agreement.node import Node
 from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.agreement.timing import Timing
-from cypresswalk.lab.cluster.virtual import Process, World
+from cypresswalk.lab.cluster.simulation.process import Process
+from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
 # Within which a fleet that starts has a leader, and leases at all members.
@@ -18,6 +20,7 @@
 CALL_TIMEOUT = 6 * SECOND
 
 # Operators' calls that change the replicated state: they carry an id, the caller and a time.
+CALL_NUMBERS = count()
 CHANGING_CALLS = ("out", "back", "offer", "replace")
 
 # Whether a message from one node may reach another.
@@ -82,23 +85,16 @@
     return set(process.fleet.member.state.removed_servers)
 
 
-def cut_link(world: World, process: Process, other: Process) -> None:
-    """Nothing arrives between two members, in either direction."""
-    world.cuts |= {(process.name, other.name), (other.name, process.name)}
-
-
 def isolate(world: World, process: Process) -> None:
     """Nothing arrives at one member, nor from it."""
-    for other in other_processes(world, process):
-        cut_link(world, process, other)
+    world.network.isolate(process.name, world.processes)
 
 
 def call(world: World, process: Process, name: str, **arguments: Any) -> PendingCall:
     """Make an operator's call at one member; the answer comes as time passes."""
     pending = PendingCall()
-    world.entered += 1
     if name in CHANGING_CALLS:
-        caller = {"ident": f"{name}/{world.entered}", "by": "test", "at": 0}
+        caller = {"ident": f"{name}/{next(CALL_NUMBERS)}", "by": "test", "at": 0}
         arguments = caller | arguments
     world.call(process, name, arguments, CALL_TIMEOUT, pending.on_answer)
     return pending
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -7,7 +7,6 @@
     all_act,
     any_acts,
     call,
-    cut_link,
     isolate,
     other_processes,
     removed_servers,
@@ -15,7 +14,9 @@
 )
 
 from cypresswalk.fleet.events import LeadershipReleased
-from cypresswalk.lab.cluster.virtual import Broken, Process, World
+from cypresswalk.lab.cluster.simulation.errors import ViolationError
+from cypresswalk.lab.cluster.simulation.process import Process
+from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
 # More entries than a leader keeps before it writes a snapshot.
@@ -30,7 +31,7 @@
     world = started_world(seed)
     leader = world.leader()
     holder = other_processes(world, leader)[0]
-    world.slow[leader.name, holder.name] = 3 * SECOND
+    world.network.slow_down(leader.name, holder.name, 3 * SECOND)
     world.run(10 * SECOND)
     assert holder.acts
     isolate(world, holder)
@@ -44,7 +45,7 @@
     for seed in range(3):
         play_delayed_grant_then_cut(seed)
     agreement_mutants.lease_from_the_answer(monkeypatch)
-    with pytest.raises(Broken, match="^L: "):
+    with pytest.raises(ViolationError, match="^L: "):
         for seed in range(3):
             play_delayed_grant_then_cut(seed)
 
@@ -61,16 +62,16 @@
     backup = restored.disk.copy()
     restored.start()
     world.run(4 * SECOND)
-    cut_link(world, unaware, leader)
-    cut_link(world, unaware, restored)
+    world.network.cut(unaware.name, leader.name)
+    world.network.cut(unaware.name, restored.name)
     removal = call(world, leader, "out", server="s0")
     world.run(SECOND)
     assert removal.accepted
     leader.kill()
     restored.kill()
-    restored.disk.put_back(backup, whole_disk=False)
+    restored.disk.restore(backup, with_inodes=False)
     restored.start()
-    world.cuts.clear()
+    world.network.heal()
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
@@ -82,7 +83,7 @@
 def test_member_with_a_restored_folder_is_a_new_incarnation(monkeypatch):
     play_restored_folder(1)
     agreement_mutants.put_back_folder_is_believed(monkeypatch)
-    with pytest.raises((Broken, AssertionError)):
+    with pytest.raises((ViolationError, AssertionError)):
         play_restored_folder(1)
 
 
@@ -97,7 +98,7 @@
         restored.start()
         world.run(3 * SECOND)
         restored.kill()
-    restored.disk.put_back(backup, whole_disk=True)
+    restored.disk.restore(backup, with_inodes=True)
     restored.start()
     world.run(20 * SECOND)
     assert restored.fleet.member.id != id_before
@@ -146,7 +147,7 @@
     for process in (wiped, restored, down):
         process.kill()
     wiped.disk.wipe()
-    restored.disk.put_back(backup, whole_disk=False)
+    restored.disk.restore(backup, with_inodes=False)
     wiped.start()
     restored.start()
     world.run(30 * SECOND)
@@ -191,7 +192,7 @@
 
 def test_settings_that_one_member_cannot_read_are_rejected_with_its_reason():
     world = started_world(8, followers=1)
-    world.processes["n3"].refuses.add(9)
+    world.processes["n3"].unreadable_marks.add(9)
     base = world.leader().fleet.member.state.settings_version
     unreadable = propose_settings(world, "n1", base, 9)
     concurrent = propose_settings(world, "n2", base, 3)
--- a/tests/agreement/test_agreement_faults.py
+++ b/tests/agreement/test_agreement_faults.py
@@ -11,7 +11,8 @@
 import pytest
 from paths import ROOT
 
-from cypresswalk.lab.cluster.explore import plan_of, run_seed, smaller
+from cypresswalk.lab.cluster.simulation.explorer import reduce_seed, run_seed
+from cypresswalk.lab.cluster.simulation.schedule import draw_schedule
 from cypresswalk.model import SECOND
 
 SEEDS = 24
@@ -21,9 +22,9 @@
 SHOWN_STEPS = 60
 
 PRINT_RUN = """
-from cypresswalk.lab.cluster.explore import run_seed
-run = run_seed(2, acts=30)
-print(run.steps, run.longest, sorted(run.situations.items()), sorted(run.states))
+from cypresswalk.lab.cluster.simulation.explorer import run_seed
+run = run_seed(2, action_count=30)
+print(run.steps, run.longest_contradiction, sorted(run.situations.items()), sorted(run.states))
 """
 
 
@@ -31,8 +32,10 @@
 def test_random_faults_break_no_invariant_and_the_fleet_recovers(first):
     for seed in range(first, first + SEEDS_OF_A_TEST):
         outcome = run_seed(seed, followers=seed % 3)
-        assert not outcome.broken, "\n".join([outcome.broken, *outcome.history[-SHOWN_STEPS:]])
-        assert outcome.longest <= MAX_CONTRADICTION
+        assert not outcome.violation, "\n".join(
+            [outcome.violation, *outcome.history[-SHOWN_STEPS:]]
+        )
+        assert outcome.longest_contradiction <= MAX_CONTRADICTION
         assert len(outcome.states) > 20
 
 
@@ -50,18 +53,18 @@
 )
 def test_agreement_mutant_is_detected(mutate, seeds, monkeypatch):
     """The same seeds find nothing in the program as it is."""
-    assert not any(run_seed(seed).broken for seed in seeds)
+    assert not any(run_seed(seed).violation for seed in seeds)
     mutate(monkeypatch)
-    assert any(run_seed(seed).broken for seed in seeds)
+    assert any(run_seed(seed).violation for seed in seeds)
 
 
 def test_failing_run_is_shrunk(monkeypatch):
     agreement_mutants.logs_not_compared(monkeypatch)
-    plan = plan_of(5, ["n0", "n1", "n2", "n3"], 100)
-    assert run_seed(5, plan=plan).broken
-    start = plan[:40]
-    shrunk = smaller(5, start if run_seed(5, plan=start).broken else plan)
-    assert run_seed(5, plan=shrunk).broken
+    schedule = draw_schedule(5, ["n0", "n1", "n2", "n3"], 100)
+    assert run_seed(5, schedule=schedule).violation
+    start = schedule[:40]
+    shrunk = reduce_seed(5, start if run_seed(5, schedule=start).violation else schedule)
+    assert run_seed(5, schedule=shrunk).violation
     assert len(shrunk) < 30
 
 
--- a/tests/agreement/test_agreement_store.py
+++ b/tests/agreement/test_agreement_store.py
@@ -11,7 +11,8 @@
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Member
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
-from cypresswalk.lab.cluster.virtual import Killed, MemoryDisk
+from cypresswalk.lab.cluster.simulation.disk import SimulatedDisk
+from cypresswalk.lab.cluster.simulation.errors import ProcessKilledError
 
 MEMBERS = (Member("a#1", True),)
 # The snapshot that a new log begins with.
@@ -19,14 +20,14 @@
 ENTRY_BYTES = 700
 
 
-def new_store(disk: MemoryDisk) -> Store:
+def new_store(disk: SimulatedDisk) -> Store:
     """A store that has begun the log of a member in term 2."""
     store = Store(disk)
     store.begin(LogIdentity("f", "g", "a#1", 1), PersistentState(FIRST_SNAPSHOT, [], 2, "a#1"))
     return store
 
 
-def reread(disk: MemoryDisk, fleet: str = "f", name: str = "a") -> PersistentState:
+def reread(disk: SimulatedDisk, fleet: str = "f", name: str = "a") -> PersistentState:
     """What another process reads from the disk."""
     return Store(disk).load(fleet, name, lambda text: None)
 
@@ -55,7 +56,7 @@
                 snapshot = Snapshot(7, 2, MEMBERS, b"later")
                 store.write(Ready(vote=(3, "b#1"), snapshot=snapshot, entries=[(8, entry(8))]))
                 acknowledged.term = 3
-    except Killed:
+    except ProcessKilledError:
         pass
     return acknowledged
 
@@ -63,9 +64,9 @@
 def test_all_that_was_acknowledged_survives_a_crash_at_any_operation():
     for operations in range(60):
         for seed in range(12):
-            disk = MemoryDisk(Random(seed))
+            disk = SimulatedDisk(Random(seed))
             store = new_store(disk)
-            disk.kill_in = operations
+            disk.operations_until_kill = operations
             acknowledged = write_until_killed(store)
             disk.crash()
             stored = reread(disk)
@@ -84,15 +85,15 @@
 
     def __init__(self) -> None:
         """Write four entries after the first snapshot."""
-        self.disk = MemoryDisk(Random(1))
+        self.disk = SimulatedDisk(Random(1))
         store = new_store(self.disk)
         for index in range(5, 9):
             store.write(Ready(entries=[(index, Entry(2, ENTRY_COMMAND, b"\xff" * 40))]))
-        self.data, self.inode = self.disk.files[self.FILE]
+        self.data = self.disk.files[self.FILE].data
 
     def replace(self, data: bytes) -> None:
         """Give the file other bytes."""
-        self.disk.files[self.FILE] = data, self.inode
+        self.disk.damage(self.FILE, data)
 
 
 @pytest.fixture
--- a/tests/copies/test_record_log.py
+++ b/tests/copies/test_record_log.py
@@ -10,7 +10,7 @@
 from cypresswalk.copies.messages import RecordStored, ReservationRecord, ViewBegun, ViewSealed
 from cypresswalk.copies.replica import Replica
 from cypresswalk.copies.store import RecordLog
-from cypresswalk.lab.cluster.virtual import MemoryDisk
+from cypresswalk.lab.cluster.simulation.disk import SimulatedDisk
 
 MEMBER = "a#1"
 BOOT = 1
@@ -22,7 +22,7 @@
     return RecordStored(PARTITION, ReservationRecord(key, "n1", 100, "out"))
 
 
-def reread(disk: MemoryDisk, member: str = MEMBER, boot: int = BOOT) -> list[StoredChange]:
+def reread(disk: SimulatedDisk, member: str = MEMBER, boot: int = BOOT) -> list[StoredChange]:
     """What another process reads from the disk."""
     return RecordLog(disk).load(member, (boot,), lambda text: None)
 
@@ -36,17 +36,17 @@
 
     def __init__(self) -> None:
         """Write both batches."""
-        self.disk = MemoryDisk(Random(1))
+        self.disk = SimulatedDisk(Random(1))
         log = RecordLog(self.disk)
         log.begin(MEMBER, BOOT, [])
         log.write(list(self.FIRST), list)
-        self.end_of_first = len(self.disk.files[self.FILE][0])
+        self.end_of_first = len(self.disk.files[self.FILE].data)
         log.write(list(self.SECOND), list)
-        self.data, self.inode = self.disk.files[self.FILE]
+        self.data = self.disk.files[self.FILE].data
 
     def replace(self, data: bytes) -> None:
         """Give the file other bytes."""
-        self.disk.files[self.FILE] = data, self.inode
+        self.disk.damage(self.FILE, data)
 
 
 @pytest.fixture
@@ -98,7 +98,7 @@
 
 def test_files_are_removed_once_all_in_them_has_expired(monkeypatch):
     monkeypatch.setattr(store, "SEGMENT_BYTES", 200)
-    disk = MemoryDisk(Random(1))
+    disk = SimulatedDisk(Random(1))
     log, replica = RecordLog(disk), Replica(MEMBER)
     replica.fetch(PARTITION, 1, "")
     replica.begin_view(PARTITION, 1, (MEMBER,))
@@ -115,7 +115,7 @@
 
 
 def test_a_log_takes_nothing_more_after_a_failed_write():
-    disk = MemoryDisk(Random(1))
+    disk = SimulatedDisk(Random(1))
     log, replica = RecordLog(disk), Replica(MEMBER)
     log.begin(MEMBER, BOOT, [])
     disk.failing = True
--- a/tests/copies/test_replication_thread.py
+++ b/tests/copies/test_replication_thread.py
@@ -6,10 +6,16 @@
 import pytest
 
 from cypresswalk.copies.driver import ReplicationThread
+from cypresswalk.copies.events import (
+    IdentityAssigned,
+    MessagesReceived,
+    ReservationRequested,
+    ViewsAgreed,
+)
 from cypresswalk.copies.messages import FetchPartition, MessageBatch, ReserveKey
 from cypresswalk.copies.partition import Partition
 from cypresswalk.copies.placement import PARTITIONS, partition_of
-from cypresswalk.lab.cluster.virtual import MemoryDisk
+from cypresswalk.lab.cluster.simulation.disk import SimulatedDisk
 from cypresswalk.model import SECOND
 
 # Wall time is that much ahead of the threads' clock.
@@ -36,13 +42,13 @@
         """Start all three, and agree on a first view of each partition."""
         self.now = 0
         self.health: list[tuple[str, bool]] = []
-        self.disks = {name: MemoryDisk(Random(name)) for name in self.NAMES}
+        self.disks = {name: SimulatedDisk(Random(name)) for name in self.NAMES}
         self.threads: dict[str, ReplicationThread] = {}
         for name in self.NAMES:
             self.start(name, 1)
         fetches = [FetchPartition(partition, 1, "") for partition in range(PARTITIONS)]
         for name in self.NAMES:
-            self.threads[name].put("words", "a#1", fetches)
+            self.threads[name].put(MessagesReceived("a#1", fetches))
         self.run()
         for name in self.NAMES:
             self.agree_on_views(name)
@@ -52,7 +58,7 @@
         """Start a member's process, for the `boot`th time."""
 
         def send(receiver: str, batch: MessageBatch) -> None:
-            self.threads[receiver].put("words", name, batch.messages)
+            self.threads[receiver].put(MessagesReceived(name, batch.messages))
 
         thread = ReplicationThread(
             self.disks[name],
@@ -62,13 +68,13 @@
             to_leader=lambda messages: None,
             on_healthy=lambda healthy: self.health.append((name, healthy)),
         )
-        thread.put("identity", name, boot)
+        thread.put(IdentityAssigned(name, boot))
         self.threads[name] = thread
 
     def agree_on_views(self, name: str) -> None:
         """Tell a member the first view of all partitions: all three are replicas of each."""
         views = {partition: (1, self.NAMES) for partition in range(PARTITIONS)}
-        self.threads[name].put("placed", views)
+        self.threads[name].put(ViewsAgreed(views))
 
     def run(self, seconds: float = 0.0) -> None:
         """Let time pass, at whose every instant all messages are carried."""
@@ -92,13 +98,13 @@
     def claim(self, name: str, key: str) -> list[tuple[str, str]]:
         """Claim a key at a member; the result and the owner follow in the list."""
         answers: list[tuple[str, str]] = []
-        self.threads[name].put(
-            "claim",
+        request = ReservationRequested(
             key,
             RESERVATION_EXPIRY,
             self.now + CLAIM_TIMEOUT,
             lambda answer, by: answers.append((answer.result, answer.owner)),
         )
+        self.threads[name].put(request)
         self.run()
         return answers
 
@@ -110,8 +116,8 @@
         """Change one byte of the file that a member wrote last."""
         files = self.disks[name].files
         newest = max(file for file in files if file.startswith("copies."))
-        data, inode = files[newest]
-        files[newest] = data[:40] + bytes([data[40] ^ 1]) + data[41:], inode
+        data = files[newest].data
+        self.disks[name].damage(newest, data[:40] + bytes([data[40] ^ 1]) + data[41:])
 
 
 @pytest.fixture
@@ -157,7 +163,7 @@
 def test_fault_of_the_program_leaves_nothing_in_memory_that_is_not_on_disk(group, monkeypatch):
     thread = group.threads["a#1"]
     claim = ReserveKey(1, partition_of("x"), "x", "b#1/1.1", RESERVATION_EXPIRY)
-    thread.put("words", "b#1", [claim])
+    thread.put(MessagesReceived("b#1", [claim]))
 
     def fail(*arguments: Any) -> None:
         thread.over.set()  # the run below ends after this turn
--- /dev/null
+++ b/tests/fleet/test_core_binding.py
@@ -0,0 +1,244 @@
+"""Agreed state applied to a core: two lists at once, settings that change, servers out of rotation.
+
+Idempotency keys that are reserved before a flow is placed are in test_reservation_gate.py.
+"""
+
+import copy
+import time
+from threading import Event
+
+import pytest
+from binding_helpers import BindingHarness, agreed_entry
+from helpers import PARAMS, listed
+
+from cypresswalk.fleet import driver
+from cypresswalk.fleet.messages import ServerReport
+from cypresswalk.fleet.shared_settings import objection, shared_part
+from cypresswalk.lab.balancers import free_port
+from cypresswalk.model import Outcome, ServerState
+from cypresswalk.operator import FleetTable
+
+MILLISECOND = 1_000_000  # nanoseconds
+BUSY = b"BUSY\r\n"
+ERROR = b"ERR\r\n"
+
+
+def test_stricter_of_two_lists_counts_and_the_own_list_alone_loosens_nothing(tmp_path):
+    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
+    harness.update_own_list(5, listed("s-1"), listed("s-2"), listed("s-3"), reset=True)
+    assert [generation for generation, *_ in harness.reported_lists] == [5]
+    assert len(harness.reported_lists[0][2]) == 3
+    agreed = (agreed_entry("s-1"), agreed_entry("s-2", "draining"), agreed_entry("s-4"))
+    harness.apply_view(1, list_version=1, servers=agreed)
+    # Its own list is behind: it still has s-2 in service, and s-3 is not agreed.
+    assert harness.state("s-1") is ServerState.READY
+    assert harness.state("s-2") is ServerState.DRAINING
+    assert harness.state("s-3") is ServerState.GONE
+    harness.update_own_list(6, listed("s-1", lifecycle="terminating"))
+    assert harness.state("s-1") is ServerState.DRAINING  # what it was told itself binds at once
+    harness.update_own_list(7, listed("s-2"), listed("s-3"))
+    assert harness.state("s-2") is ServerState.DRAINING
+    assert harness.state("s-3") is ServerState.GONE
+    agreed = (agreed_entry("s-1"), agreed_entry("s-2", since=9), agreed_entry("s-3"))
+    harness.apply_view(2, list_version=2, servers=agreed)
+    assert harness.state("s-2") is ServerState.READY
+    assert harness.state("s-3") is ServerState.READY
+    assert harness.state("s-1") is ServerState.DRAINING
+
+
+def test_settings_change_under_flows_and_unusable_ones_are_not_applied(tmp_path):
+    harness = BindingHarness(tmp_path, listed("s-1"))
+    first = harness.open("a1", "book")
+    params = shared_part(copy.deepcopy(PARAMS))
+    params["serviceTypes"] = [
+        {"name": "chat", "semantics": "idempotent", "setupTarget": 200.0, "giveUp": 800.0}
+    ]
+    params["tenants"] = [{"name": "south"}, {"name": "north"}, {"name": "west"}]
+    applied = []
+    harness.binding.fleet.on_version_applied = applied.append
+    harness.apply_view(4, settings_version=4, settings=params)
+    assert applied == [4]
+    assert list(harness.core.service_types) == ["chat"]
+    # A tenant keeps its number: its established flows are counted by it.
+    assert harness.core.tenants == {"north": 0, "south": 1, "west": 2}
+    assert first.flow.service_type.setup_latency_objective == 300 * MILLISECOND
+    second = harness.open("a2", "chat")
+    assert second.flow.service_type.setup_latency_objective == 200 * MILLISECOND
+    assert not harness.open("a3", "book").has_flow
+    assert harness.drivers.answers[-1] == ERROR
+    unusable = params | {"limits": params["limits"] | {"dialTimeout": 1.0}}
+    harness.apply_view(5, settings_version=5, settings=unusable)
+    assert applied == [4]
+    assert harness.binding.version == 4
+
+
+@pytest.mark.parametrize(
+    "change, message",
+    [
+        ({"me": 3}, "me: not among"),
+        ({"serviceTypes": []}, "none, or a name twice"),
+        ({"limits": {}}, "missing"),
+        ({"rules": None}, "subscriptable"),
+        ({"extra": {"groups": False}}, "extra.groups: takes effect at a start alone"),
+        ({"tenants": [{"name": "a"}, {"name": "a"}]}, "twice"),
+        ({"instances": 0}, "above 0"),
+        ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"giveUp": 0}]}, "giveUp must be above 0"),
+        ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"semantics": "perhaps"}]}, "perhaps"),
+    ],
+)
+def test_settings_that_a_balancer_cannot_act_on_are_objected_to(change, message):
+    assert message in objection(PARAMS, shared_part(PARAMS) | change)
+    assert not objection(PARAMS, shared_part(PARAMS))
+    assert objection(PARAMS, [1])
+
+
+def test_without_a_lease_new_flows_are_rejected_and_accepted_ones_answered_at_once(tmp_path):
+    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
+    attempted = harness.open("b1")
+    assert len(harness.drivers.attempts) == 1
+    harness.holds_lease = False
+    assert harness.open("b2").finished
+    assert harness.drivers.answers == [BUSY]
+    assert len(harness.drivers.attempts) == 1
+    # A flow that needs another server after the lease has ended gets none.
+    harness.core.on_attempt_ended(harness.now, harness.drivers.attempts[0], Outcome.FULL)
+    for _ in range(50):
+        harness.pass_time(20 * MILLISECOND)
+    assert attempted.finished
+    assert len(harness.drivers.attempts) == 1
+    assert harness.drivers.answers[-1] == BUSY
+    assert harness.core.counters.counts["flows_without_lease"] >= 1
+    assert not harness.core.sessions
+
+
+def test_server_out_of_rotation_at_one_balancer_stays_out_whatever_the_fleet_agrees(tmp_path):
+    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
+    call = harness.call("set-down-here", "s-1")
+    assert call.answers.get_nowait() == b"OK\r\n"
+    assert harness.fleet_calls[0].name == "note"
+    harness.apply_view(1, out=("s-1", "s-2"))
+    harness.apply_view(2, out=())
+    assert harness.server("s-1").out_of_rotation
+    assert not harness.server("s-2").out_of_rotation
+    call = harness.call("set-down", "s-2")
+    assert call.answers.empty()  # the OK comes after the fleet's
+    harness.answer_fleet_call(True, {"version": 3})
+    assert call.answers.get_nowait() == b"OK\r\n"
+    assert harness.server("s-2").out_of_rotation
+    call = harness.call("set-down", "s-1")
+    harness.answer_fleet_call(False, {"why": "nobody answered", "unsure": True})
+    assert call.answers.get_nowait() == b"ERR not agreed: nobody answered\r\n"
+
+
+def test_fleet_thread_that_failed_unexpectedly_starts_again(tmp_path):
+    """Its own lock, held still, must not pass for another process's."""
+    address = f"127.0.0.1:{free_port('127.0.0.1')}"
+    table = FleetTable(
+        fleet="f", name="n0", address=address, folder=str(tmp_path / "kept"), first={"n0": address}
+    )
+    fleet = driver.FleetThread(table, lambda settings: "", {}, lambda view: None, lambda: None)
+    turn = fleet.turn
+    failed = Event()
+
+    def fail_once(events):
+        if not failed.is_set() and fleet.may_act():
+            failed.set()
+            raise ZeroDivisionError
+        turn(events)
+
+    def leads_again() -> bool:
+        return failed.is_set() and fleet.boot >= 2 and fleet.member.is_leader
+
+    fleet.turn = fail_once
+    fleet.start()
+    deadline = time.monotonic() + 15
+    while time.monotonic() < deadline and not leads_again():
+        time.sleep(0.02)
+    assert leads_again()
+    agreed = Event()
+    arguments = {"ident": "1", "by": "test", "at": 0, "server": "s"}
+    fleet.call("out", arguments, lambda ok, body: ok and agreed.set(), 5)
+    assert agreed.wait(6)
+    fleet.stop()
+    assert fleet.ended.wait(5)
+
+
+def test_drained_balancer_stays_drained_over_a_restart_until_it_is_called_back(tmp_path):
+    harness = BindingHarness(tmp_path, listed("s-1"))
+    harness.apply_view(7, away=("n0", "n2"))
+    assert harness.core.lifecycle.drained
+    assert not harness.core.lifecycle.ready
+    harness.call("drain-off")
+    assert harness.fleet_calls[-1].name == "go_out"
+    assert harness.fleet_calls[-1].arguments["why"] == "called back"
+    harness.apply_view(8, away=("n0",))  # older than the call
+    assert not harness.core.lifecycle.drained
+    assert harness.core.lifecycle.ready
+    other = BindingHarness(tmp_path, listed("s-1"))
+    other.apply_view(7, away=("n2",))
+    assert not other.core.lifecycle.drained
+
+
+def test_after_a_lost_balancer_slow_start_budgets_count_as_spent_for_their_window(tmp_path):
+    def admitted(copies: dict | None) -> list[int]:
+        """Flows that the warming server was to take, in the first window and in the second."""
+        harness = BindingHarness(tmp_path, listed("s-1"), copies=copies)
+        server = harness.server("s-1")
+        server.started_at = harness.now
+        first = [harness.open(f"r{i}").flow for i in range(10)]
+        harness.now += harness.core.balancer.settings.slow_start_window
+        later = [harness.open(f"q{i}").flow for i in range(10)]
+        return [
+            sum(server in flow.slow_start_admitted for flow in flows) for flows in (first, later)
+        ]
+
+    with_copies, without_copies = admitted({}), admitted(None)
+    assert with_copies[0] == 0 < without_copies[0]
+    assert with_copies[1] > 0
+
+
+def test_server_report_names_servers_that_fail_health_checks(tmp_path):
+    harness = BindingHarness(
+        tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
+    )
+    server = harness.server("s-1")
+    assert harness.server_report() == ServerReport([], {}, {})
+    for _ in range(3):
+        harness.core.on_health_check_result(harness.now, server, False, [])
+    assert harness.server_report().unhealthy == ["s-1"]
+    harness.apply_view(1, out=("s-1",), watch=True)
+    assert harness.server_report().unhealthy == ["s-1"]  # out of rotation or not
+    harness.apply_view(2, watch=True)
+    harness.core.on_health_check_result(harness.now, server, True, [])
+    assert harness.server_report().unhealthy == []
+
+
+def test_server_report_counts_what_attempts_show(tmp_path):
+    harness = BindingHarness(
+        tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
+    )
+    server = harness.server("s-1")
+    harness.apply_view(1, watch=True)
+    sessions = [harness.open(f"a{i}") for i in range(12)]
+    servers = {attempt.session: attempt.server for attempt in harness.drivers.attempts}
+    time_outs = 0
+    for number, session in enumerate(sessions):
+        if session not in servers:
+            continue
+        if number % 4:
+            at = harness.now + 2 * MILLISECOND
+            harness.core.on_established(at, session.attempt)
+        else:
+            time_outs += 1
+            harness.core.on_attempt_ended(harness.now, session.attempt, Outcome.TIMEOUT)
+    counts = harness.server_report().flow_counts
+    established = sum(session.established for session in sessions)
+    assert set(counts) <= {"s-1", "s-2"}
+    assert sum(up for up, *_ in counts.values()) == established > 4
+    assert sum(failed for _, _, failed, _ in counts.values()) == time_outs > 1
+    assert all(took == up * 2 * MILLISECOND for up, _, _, took in counts.values())
+    at_server = sum(session.established and servers[session] is server for session in sessions)
+    harness.apply_view(2, out=("s-1",))
+    report = harness.server_report()
+    held = {"s-1": at_server} if at_server else {}
+    assert report == ServerReport(report.unhealthy, held, {})
--- /dev/null
+++ b/tests/fleet/test_reservation_gate.py
@@ -0,0 +1,122 @@
+"""Idempotency keys that are reserved at replicas before a flow is placed."""
+
+from pathlib import Path
+
+import pytest
+from binding_helpers import BindingHarness
+from helpers import listed
+
+from cypresswalk.copies.events import ReservationEnded, ReservationRequested
+from cypresswalk.copies.reservations import ReservationAnswer
+from cypresswalk.model import SECOND
+
+MILLISECOND = SECOND // 1000
+OWNER = "n0#1/1.1"  # under whose name a key is reserved
+BUSY = b"BUSY\r\n"
+
+
+class ReservationHarness(BindingHarness):
+    """A binding whose requests for reservations wait for the test's answer."""
+
+    def __init__(self, folder: Path):
+        """Knows one server."""
+        super().__init__(folder, listed("s-1"), copies={})
+        self.events: list[ReservationRequested | ReservationEnded] = []
+        self.binding.fleet.copies.put = self.events.append
+
+    def answer(self, kind: str, outcome: str = "", request: int = 0) -> None:
+        """The replicas answer one of the requests, by its place among the events."""
+        answer = ReservationAnswer(kind, "n9#1/1.1", outcome)
+        self.events[request].reply(answer, OWNER)
+        self.process_posted()
+        self.core.carry_out_decisions(self.now)
+
+    def ended_with(self, place: int) -> str:
+        """The outcome with which the reservation ended, by its place among the events."""
+        event = self.events[place]
+        assert isinstance(event, ReservationEnded)
+        return event.outcome
+
+    def waiting(self) -> int:
+        """How many flows wait for their reservation."""
+        return len(self.core.extensions.reservations.waiting)
+
+
+@pytest.fixture
+def harness(tmp_path: Path) -> ReservationHarness:
+    """A core with reservations."""
+    return ReservationHarness(tmp_path)
+
+
+def test_non_idempotent_flow_waits_for_its_reservation_and_others_do_not(harness):
+    harness.open("r1")
+    assert len(harness.drivers.attempts) == 1
+    assert not harness.events
+    session = harness.open("o1", "book")
+    assert len(harness.drivers.attempts) == 1
+    assert harness.waiting() == 1
+    request = harness.events[0]
+    service_type = session.flow.service_type
+    assert isinstance(request, ReservationRequested)
+    assert len(request.key) == 16
+    assert request.hold_ns >= service_type.idempotency_window
+    time_left = request.deadline - harness.binding.fleet.now()
+    assert time_left <= service_type.setup_latency_objective // 2
+    harness.answer("granted")
+    assert len(harness.drivers.attempts) == 2
+    harness.core.on_established(harness.now, harness.drivers.attempts[-1])
+    assert harness.events[1] == ReservationEnded(request.key, OWNER, "ran")
+
+
+@pytest.mark.parametrize(
+    "kind, outcome, line",
+    [
+        ("held", "out", b"ERR\r\n"),
+        ("held", "ran", b"ERR\r\n"),
+        ("held", "unknown", b"ERR\r\n"),
+        ("held", "never", b"BUSY 200\r\n"),
+        ("refused", "", b"BUSY 200\r\n"),
+    ],
+)
+def test_flow_reserved_elsewhere_is_answered_as_the_rules_allow(harness, kind, outcome, line):
+    settings = harness.core.balancer.settings
+    settings.retry_after_allowed = True
+    settings.max_retry_after = SECOND
+    session = harness.open("o1", "book")
+    session.flow.service_type.setup_latency_objective = 200 * MILLISECOND
+    harness.answer(kind, outcome)
+    assert harness.drivers.answers == [line]
+    assert not harness.drivers.attempts
+    assert not harness.waiting()
+
+
+def test_reservation_of_a_client_that_left_before_its_attempt_ends_as_never_run(harness):
+    session = harness.open("o1", "book")
+    harness.core.on_client_left(harness.now, session)
+    harness.answer("granted")
+    assert not harness.drivers.attempts
+    assert harness.ended_with(1) == "never"
+    # With its attempt out nobody knows.
+    session = harness.open("o2", "book")
+    harness.answer("granted", request=2)
+    harness.core.on_client_left(harness.now, session)
+    assert harness.ended_with(3) == "unknown"
+
+
+def test_flow_without_an_answer_is_rejected_in_time_and_a_stopping_process_waits_for_it(harness):
+    harness.core.lifecycle.stop(harness.now)
+    session = harness.open("o1", "book")
+    objective = session.flow.service_type.setup_latency_objective
+    harness.now += objective // 4
+    harness.core.timers.run_due(harness.now)
+    assert not harness.drivers.answers
+    assert not harness.core.lifecycle.stopped
+    harness.now += objective // 2
+    harness.core.timers.run_due(harness.now)
+    assert harness.drivers.answers == [BUSY]
+    harness.answer("granted")  # after all: nothing is sent, and its end is told
+    assert not harness.drivers.attempts
+    assert harness.ended_with(1) == "never"
+    harness.now += 10 * SECOND
+    harness.core.timers.run_due(harness.now)
+    assert harness.core.lifecycle.stopped
