--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,18 +1,20 @@
-"""What stands on the wire and on disk, byte for byte, as version 14113c9 wrote it (tests/data/golden/).
+"""What stands on the wire and on disk, byte for byte, as version 14113c9 wrote it.
 
-Nothing here names a class or a field of the stored forms: the bytes are the reference, so that a renamed class or field that
-changes them fails. A message or record class that none of the files holds fails too.
+The samples are in tests/data/golden/ and are never written anew. Nothing here names a class or a
+field of the stored forms: the bytes are the reference, so that a renamed class or field that
+changes them fails. A message or record class that no sample holds fails too.
 """
 
 import importlib
 import json
 import pkgutil
-from pathlib import Path
+from collections.abc import Iterator
 
 import msgspec
 import pytest
 from core_helpers import CoreHarness
 from handover_helpers import HandoverProcess
+from paths import TESTS
 
 import cypresswalk
 from cypresswalk.agreement import log as agreement_log
@@ -28,7 +30,7 @@
 from cypresswalk.state import store as state_store
 from cypresswalk.storage import record_chain
 
-GOLDEN = Path(__file__).parent / "data" / "golden"
+GOLDEN = TESTS / "data" / "golden"
 
 encode = msgspec.msgpack.encode
 DECODE = {
@@ -44,6 +46,7 @@
 
 
 def rows(name: str) -> list[tuple[str, bytes]]:
+    """Label and bytes of each sample in a file."""
     lines = (GOLDEN / f"{name}.hex").read_text().splitlines()
     return [(label, bytes.fromhex(data)) for label, data in (line.split(" ") for line in lines)]
 
@@ -76,6 +79,7 @@
 
 
 def classes_in(value: object) -> set[type]:
+    """All struct classes in a decoded value."""
     if isinstance(value, msgspec.Struct):
         inner = [getattr(value, field) for field in value.__struct_fields__]
         return {type(value)}.union(*map(classes_in, inner))
@@ -86,156 +90,214 @@
     return set()
 
 
-def test_no_message_or_record_class_is_without_its_bytes():
+def import_all_modules() -> None:
+    """Import the package's modules, so that all their classes are known."""
     for module in pkgutil.walk_packages(cypresswalk.__path__, "cypresswalk."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
 
-    def below(cls: type) -> set[type]:
-        return {cls}.union(*map(below, cls.__subclasses__()))
 
-    ours = {cls for cls in below(msgspec.Struct) if cls.__module__.startswith("cypresswalk.")}
-    read = set().union(*(classes_in(value) for name in FILES for _, _, value in decoded(name)))
+def with_subclasses(cls: type) -> set[type]:
+    """A class and all below it."""
+    return {cls}.union(*map(with_subclasses, cls.__subclasses__()))
+
+
+def test_every_message_and_record_class_has_a_sample():
+    import_all_modules()
+    structs = with_subclasses(msgspec.Struct)
+    ours = {cls for cls in structs if cls.__module__.startswith("cypresswalk.")}
+    values = [value for name in FILES for _, _, value in decoded(name)]
+    sampled = set().union(*map(classes_in, values))
     bases = {cls for cls in ours if cls.__subclasses__()}  # stand nowhere by themselves
-    whole = {file_format.Snapshot}  # of a file, which is written in parts
-    assert ours - read - bases - whole == set()
+    written_in_parts = {file_format.Snapshot}
+    assert ours - sampled - bases - written_in_parts == set()
+
+
+SEALED_BODIES = (b"body-0", b"body-1", b"body-2")
+SEALED_FILE_NUMBER = 3
+
+
+def sealed_records() -> Iterator[bytes]:
+    """The bytes of three sealed records in a chain."""
+    key = record_chain.first_key(SEALED_FILE_NUMBER)
+    for kind, body in enumerate(SEALED_BODIES, start=1):
+        data, key = record_chain.seal_record(key, kind, body)
+        yield data
 
 
 def test_sealed_records_are_written_byte_for_byte():
-    key, at, written = record_chain.first_key(3), 0, []
-    for i in range(3):
-        data, key = record_chain.seal_record(key, i + 1, b"body-%d" % i)
-        written.append(data)
-    assert written == [data for _, data in rows("sealed_records")]
-    key = record_chain.first_key(3)
-    for i in range(3):
-        kind, body, key = record_chain.record_at(b"".join(written), at, key)
-        assert (kind, body) == (i + 1, b"body-%d" % i)
-        at += len(written[i])
-
-
-class Folder:
-    """A folder of golden files in memory; inodes are those that `inodes.json` names, as its witness has them."""
-
-    def __init__(self, name: str):
+    assert list(sealed_records()) == [data for _, data in rows("sealed_records")]
+
+
+def test_sealed_records_are_read():
+    records = [data for _, data in rows("sealed_records")]
+    key, offset = record_chain.first_key(SEALED_FILE_NUMBER), 0
+    for expected, data in zip(enumerate(SEALED_BODIES, start=1), records, strict=True):
+        kind, body, key = record_chain.record_at(b"".join(records), offset, key)
+        assert (kind, body) == expected
+        offset += len(data)
+
+
+class GoldenFolder:
+    """A folder of samples in memory, as `cypresswalk.storage.folder.Folder` has it.
+
+    Inodes are those that `inodes.json` names, as the folder's witness has them.
+    """
+
+    def __init__(self, name: str) -> None:
+        """Read a folder of samples."""
         folder = GOLDEN / name
         self.files = {
             path.name: path.read_bytes() for path in folder.iterdir() if path.name != "inodes.json"
         }
         inodes = folder / "inodes.json"
-        self.inodes = json.loads(inodes.read_text()) if inodes.exists() else {}
+        self.inodes: dict[str, int] = json.loads(inodes.read_text()) if inodes.exists() else {}
 
-    def names(self):
+    def names(self) -> list[str]:
+        """The names of all files."""
         return list(self.files)
 
-    def read(self, name, most):
-        return self.files[name][:most]
+    def read(self, name: str, max_bytes: int, /) -> bytes:
+        """At most so many bytes from the file's begin."""
+        return self.files[name][:max_bytes]
 
-    def write(self, name, data):
+    def write(self, name: str, data: bytes) -> None:
+        """Create or replace the file, with a new inode."""
         self.files[name] = data
         self.inodes[name] = max(self.inodes.values(), default=0) + 1
 
-    def add(self, name, data):
+    def add(self, name: str, data: bytes) -> None:
+        """Append to the file."""
         self.files[name] += data
 
-    def inode(self, name):
+    def inode(self, name: str) -> int:
+        """The file's inode."""
         return self.inodes[name]
 
-    def rename(self, name, to):
+    def rename(self, name: str, to: str) -> None:
+        """Rename the file, with its inode."""
         self.files[to], self.inodes[to] = self.files.pop(name), self.inodes.pop(name)
 
-    def flush(self):
-        pass
+    def flush(self) -> None:
+        """Nothing to do in memory."""
 
-    def remove(self, name):
+    def remove(self, name: str) -> None:
+        """Remove the file."""
         del self.files[name]
 
 
 def test_a_stored_folder_of_agreement_is_opened_and_written_anew_byte_for_byte():
-    folder, said = Folder("agreement"), []
+    folder = GoldenFolder("agreement")
+    reports: list[str] = []
     store = agreement_store.Store(folder)
-    kept = store.load("fleet-1", "n0", said.append)
-    assert not said and (kept.term, len(kept.entries)) == (5, 3)
-    assert kept.entries[-1] == Entry(5, 1, b"third")
-    store.begin(store.identity, kept)
-    assert folder.files == Folder("agreement_after").files
+    state = store.load("fleet-1", "n0", reports.append)
+    assert not reports
+    assert (state.term, len(state.entries)) == (5, 3)
+    assert state.entries[-1] == Entry(5, 1, b"third")
+    store.begin(store.identity, state)
+    assert folder.files == GoldenFolder("agreement_after").files
 
 
 def test_a_stored_folder_of_copies_is_opened_and_written_on_byte_for_byte():
-    folder, said = Folder("copies"), []
+    folder = GoldenFolder("copies")
+    reports: list[str] = []
     log = copies_store.RecordLog(folder)
-    written = log.load("n0#1", (4, 3), said.append)
-    assert not said and len(written) == 14
-    stands = [value for value in written if type(value) is type(written[0])]
-    log.begin("n0#1", 5, stands)
-    log.write([value for value in written if value not in stands], lambda: stands)
-    assert folder.files == Folder("copies_after").files
+    changes = log.load("n0#1", (4, 3), reports.append)
+    assert not reports
+    assert len(changes) == 14
+    statuses = [change for change in changes if type(change) is type(changes[0])]
+    others = [change for change in changes if change not in statuses]
+    log.begin("n0#1", 5, statuses)
+    log.write(others, lambda: statuses)
+    assert folder.files == GoldenFolder("copies_after").files
 
 
 def test_a_stored_folder_of_kept_state_is_opened_and_written_byte_for_byte():
-    folder, said = Folder("kept"), []
-    kept, number = state_store.load(folder, "n0", lambda *words: said.append(words))
-    assert not said and number == 2 and len(kept.servers) == 3 and len(kept.ids) == 2
-    assert file_format.encode(kept) == folder.files["state.2"]
-    state_store.save(folder, file_format.encode(kept), 3)
+    folder = GoldenFolder("kept")
+    invalid: list[tuple[str, str]] = []
+    snapshot, number = state_store.load(
+        folder, "n0", lambda name, reason: invalid.append((name, reason))
+    )
+    assert not invalid
+    assert number == 2
+    assert len(snapshot.servers) == 3
+    assert len(snapshot.ids) == 2
+    assert file_format.encode(snapshot) == folder.files["state.2"]
+    state_store.save(folder, file_format.encode(snapshot), 3)
     assert sorted(folder.files) == ["state.2", "state.3"]
 
 
-def lines() -> dict[str, list[str]]:
-    """What goes to servers, clients, operators, the list's source, other balancers and the process beside, in one scripted run."""
-    harness = CoreHarness(servers=3)
-    texts = [
-        "OPEN 1f 5 c=view,t=north,d=900",
-        "OPEN 2f 5 c=book,t=south,d=400,r=1,g=desk-1",
-        "OPEN 3f key c=view,t=north,h=2.5",
-    ]
-    to_server = [parse_open_request(text.encode()).encode(250).decode() for text in texts]
-    sent, answers = [], []
-    for number, values in (
-        (0x10, "c=view,t=north,d=900"),
-        (0x11, "c=book,t=south,d=300"),
-        (0x12, "c=odd,t=north,d=300"),
-    ):
+# Lines, in one scripted run.
+
+OPEN_REQUESTS = (
+    b"OPEN 1f 5 c=view,t=north,d=900",
+    b"OPEN 2f 5 c=book,t=south,d=400,r=1,g=desk-1",
+    b"OPEN 3f key c=view,t=north,h=2.5",
+)
+ATTEMPT_TIMEOUT_MS = 250
+RESET_FLOW = 0x11
+# Number and values of the flows that are opened.
+FLOWS = {
+    0x10: "c=view,t=north,d=900",
+    RESET_FLOW: "c=book,t=south,d=300",
+    0x12: "c=odd,t=north,d=300",
+}
+LOADS = (0.0, 0.3, 1.0, 7.5, 1e9)
+
+
+def open_flows(harness: CoreHarness) -> tuple[list[str], list[str]]:
+    """Lines to servers and to clients, as flows are opened, of which one attempt is reset."""
+    to_servers, to_clients = [], []
+    for number, values in FLOWS.items():
         session = harness.open(number, values)
-        if session in harness.drivers.pending:
-            sent.append(harness.drivers.last_line.decode())
-            if number == 0x11:
-                harness.deliver(
-                    harness.core.on_attempt_ended,
-                    harness.drivers.pending.pop(session),
-                    Outcome.RESET,
-                )
+        drivers = harness.drivers
+        if session in drivers.pending:
+            to_servers.append(drivers.last_line.decode())
+            if number == RESET_FLOW:
+                attempt = drivers.pending.pop(session)
+                harness.deliver(harness.core.on_attempt_ended, attempt, Outcome.RESET)
             else:
-                harness.deliver(harness.core.on_established, harness.drivers.pending[session])
-        answers.append(harness.drivers.answers[session].decode())
-    server = harness.server("s-1")
-    hints = [pack_gossip(server, strain).hex() for strain in (0.0, 0.3, 1.0, 7.5, 1e9)]
-    figures = harness.core.metrics.render(harness.now).decode()
+                harness.deliver(harness.core.on_established, drivers.pending[session])
+        to_clients.append(drivers.answers[session].decode())
+    return to_servers, to_clients
+
+
+def handover_lines() -> list[str]:
+    """What a process tells its successor, from the hand-over's begin to the predecessor's end."""
     predecessor = HandoverProcess()
     predecessor.establish(4)
     predecessor.core.balancer.on_gossip(predecessor.now, predecessor.server("s-0"), 2.0)
     predecessor.call("set-down", "s-1")
     predecessor.call("drain-on")
     successor = HandoverProcess(predecessor)
-    beside = list(successor.channel.reverse.sent)
+    sent = list(successor.channel.reverse.sent)
     successor.exchange_all()
     predecessor.call("set-up", "s-1")
-    beside += successor.channel.reverse.sent
+    sent += successor.channel.reverse.sent
     successor.exchange_all()
     predecessor.stop()
-    beside += successor.channel.reverse.sent
+    sent += successor.channel.reverse.sent
     successor.exchange_all()
     predecessor.pass_time(SECOND)
+    return sent
+
+
+def lines_of_all_kinds() -> dict[str, list[str]]:
+    """Lines to servers, clients, operators, the list's source, peers and the successor."""
+    harness = CoreHarness(servers=3)
+    requests = [parse_open_request(text).encode(ATTEMPT_TIMEOUT_MS) for text in OPEN_REQUESTS]
+    to_servers, to_clients = open_flows(harness)
+    server = harness.server("s-1")
     return {
-        "opening": to_server,
-        "connects": sent,
-        "answers": answers,
-        "hints": hints,
-        "vars": [figures],
+        "opening": [request.decode() for request in requests],
+        "connects": to_servers,
+        "answers": to_clients,
+        "hints": [pack_gossip(server, load).hex() for load in LOADS],
+        "vars": [harness.core.metrics.render(harness.now).decode()],
         "list_request": [encode_get_request("127.0.0.1:9", "/v1/instances?since=7").decode()],
-        "beside": beside,
+        "beside": handover_lines(),
     }
 
 
-def test_lines_to_servers_clients_operators_peers_and_the_process_beside_are_byte_for_byte():
-    assert lines() == json.loads((GOLDEN / "lines.json").read_text())
+def test_lines_to_servers_clients_operators_peers_and_the_successor_are_byte_for_byte():
+    assert lines_of_all_kinds() == json.loads((GOLDEN / "lines.json").read_text())
