--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -7,10 +7,12 @@
 
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.member_state import Role
-from cypresswalk.agreement.messages import Member, Message
+from cypresswalk.agreement.messages import Member as GroupMember
+from cypresswalk.agreement.messages import Message
 from cypresswalk.agreement.node import Node
 from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.agreement.timing import Timing
+from cypresswalk.fleet.member import Member
 from cypresswalk.lab.cluster.simulation.process import Process
 from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
@@ -80,9 +82,44 @@
     return [other for other in world.processes.values() if other is not process]
 
 
+def leader_of(world: World) -> Process:
+    """The member that leads.
+
+    Raises:
+        LookupError: nobody does; no AssertionError, by which a mutant would count as detected.
+    """
+    leader = world.leader()
+    if leader is None:
+        raise LookupError("nobody leads")
+    return leader
+
+
+def member_of(process: Process) -> Member:
+    """What a process is in its group.
+
+    Raises:
+        LookupError: it does not run.
+    """
+    if process.fleet is None or process.fleet.member is None:
+        raise LookupError(f"{process.name} does not run")
+    return process.fleet.member
+
+
+def node_of(process: Process) -> Node:
+    """The Raft node of a process.
+
+    Raises:
+        LookupError: it does not run, or has no part in the group yet.
+    """
+    node = member_of(process).node
+    if node is None:
+        raise LookupError(f"{process.name} is no member yet")
+    return node
+
+
 def removed_servers(process: Process) -> set[str]:
     """Servers that are out of rotation, as one member knows it."""
-    return set(process.fleet.member.state.removed_servers)
+    return set(member_of(process).state.removed_servers)
 
 
 def isolate(world: World, process: Process) -> None:
@@ -100,14 +137,14 @@
     return pending
 
 
-def initial_state(members: tuple[Member, ...]) -> PersistentState:
+def initial_state(members: tuple[GroupMember, ...]) -> PersistentState:
     """What a member of a new group has stored."""
     return PersistentState(Snapshot(0, 0, members, b""))
 
 
 def elected_single_node() -> Node:
     """The one member of its group, which has elected itself and written what that takes."""
-    members = (Member("a#1", True),)
+    members = (GroupMember("a#1", True),)
     timing = Timing(max_uncommitted_entries=8)
     node = Node("a#1", initial_state(members), timing, Random(1), 0)
     node.tick(node.due())
@@ -131,7 +168,7 @@
 
     def __init__(self) -> None:
         """Start five followers, which write at once and are sent one entry at a time."""
-        members = tuple(Member(name, True) for name in self.NAMES)
+        members = tuple(GroupMember(name, True) for name in self.NAMES)
         timing = Timing(max_append_entries=1)
         self.nodes = {
             name: Node(name, initial_state(members), timing, Random(name), 0) for name in self.NAMES
--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -17,6 +17,7 @@
 from cypresswalk.fleet.member import Member, MemberEffects
 from cypresswalk.fleet.messages import Hello, HelloRejected, LeaseGrant
 from cypresswalk.fleet.transport import Transport
+from cypresswalk.lab.cluster.simulation.process import SimulatedFleetThread
 
 # Term and index that no log goes beyond.
 LONGEST_LOG = 1 << 60
@@ -80,8 +81,8 @@
 def wiped_voter_under_its_name(patch: pytest.MonkeyPatch) -> None:
     """A voter that lost its folder votes again under its old incarnation."""
 
-    def begin_under_old_name(self: FleetThread) -> None:
-        self.boot = self.process.starts  # as the virtual fleet counts them
+    def begin_under_old_name(self: SimulatedFleetThread) -> None:
+        self.boot = self.process.starts
         self.start_nonce = self.random.getrandbits(63)
         self._make_member(f"{self.table.name}#0", "", None)
 
@@ -158,6 +159,7 @@
 
     def advance_by_count(self: Leader, now: int) -> None:
         state = self.state
+        assert state.leadership is not None
         peers = state.leadership.peers
         match_indexes = sorted(
             state.durable_index
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -8,6 +8,9 @@
     any_acts,
     call,
     isolate,
+    leader_of,
+    member_of,
+    node_of,
     other_processes,
     removed_servers,
     started_world,
@@ -29,7 +32,7 @@
     Grants take three seconds; a newer version comes into force after the cut.
     """
     world = started_world(seed)
-    leader = world.leader()
+    leader = leader_of(world)
     holder = other_processes(world, leader)[0]
     world.network.slow_down(leader.name, holder.name, 3 * SECOND)
     world.run(10 * SECOND)
@@ -56,7 +59,7 @@
     The other of the two is down then, and the third has never heard of the change.
     """
     world = started_world(seed)
-    leader = world.leader()
+    leader = leader_of(world)
     restored, unaware = other_processes(world, leader)
     restored.kill()
     backup = restored.disk.copy()
@@ -75,9 +78,9 @@
     world.run(15 * SECOND)
     leader.start()
     world.run(40 * SECOND)
-    assert "s0" in removed_servers(world.leader())
+    assert "s0" in removed_servers(leader_of(world))
     assert all_act(world)
-    assert len(world.leader().fleet.member.members) == 3
+    assert len(member_of(leader_of(world)).members) == 3
 
 
 def test_member_with_a_restored_folder_is_a_new_incarnation(monkeypatch):
@@ -89,9 +92,9 @@
 
 def test_restored_disk_is_detected_by_members_that_saw_later_starts():
     world = started_world(3)
-    leader = world.leader()
+    leader = leader_of(world)
     restored = other_processes(world, leader)[0]
-    id_before = restored.fleet.member.id
+    id_before = member_of(restored).id
     restored.kill()
     backup = restored.disk.copy()
     for _ in range(2):
@@ -101,23 +104,23 @@
     restored.disk.restore(backup, with_inodes=True)
     restored.start()
     world.run(20 * SECOND)
-    assert restored.fleet.member.id != id_before
+    assert member_of(restored).id != id_before
     assert restored.acts
-    names = [member.name for member in world.leader().fleet.member.members]
+    names = [member.name for member in member_of(leader_of(world)).members]
     assert names.count(restored.name) == 1
 
 
 def new_leader(world: World, old: Process) -> Process:
     """The leader of the newest term besides a frozen one."""
     leaders = [
-        process for process in world.live() if process is not old and process.fleet.member.is_leader
+        process for process in world.live() if process is not old and member_of(process).is_leader
     ]
-    return max(leaders, key=lambda process: process.fleet.member.node.term)
+    return max(leaders, key=lambda process: node_of(process).term)
 
 
 def test_frozen_leader_acts_on_nothing_when_it_wakes():
     world = started_world(4)
-    frozen = world.leader()
+    frozen = leader_of(world)
     world.freeze(frozen, 60 * SECOND)
     world.run(5 * SECOND)
     leader = new_leader(world, frozen)
@@ -125,6 +128,7 @@
     world.run(20 * SECOND)
     assert removal.accepted
     world.now = frozen.frozen_until
+    assert frozen.fleet is not None
     assert not frozen.fleet.may_act()  # at once, before it has heard anything
     later_removal = call(world, frozen, "out", server="s2")
     world.run(10 * SECOND)
@@ -141,7 +145,7 @@
     backup = restored.disk.copy()
     restored.start()
     world.run(3 * SECOND)
-    removal = call(world, world.leader(), "out", server="s0")
+    removal = call(world, leader_of(world), "out", server="s0")
     world.run(SECOND)
     assert removal.accepted
     for process in (wiped, restored, down):
@@ -173,7 +177,7 @@
 
 def test_fleet_recovers_when_all_members_restart_at_once():
     world = started_world(7, followers=3)
-    removal = call(world, world.leader(), "out", server="s0")
+    removal = call(world, leader_of(world), "out", server="s0")
     world.run(SECOND)
     assert removal.accepted
     for process in world.processes.values():
@@ -193,7 +197,7 @@
 def test_settings_that_one_member_cannot_read_are_rejected_with_its_reason():
     world = started_world(8, followers=1)
     world.processes["n3"].unreadable_marks.add(9)
-    base = world.leader().fleet.member.state.settings_version
+    base = member_of(leader_of(world)).state.settings_version
     unreadable = propose_settings(world, "n1", base, 9)
     concurrent = propose_settings(world, "n2", base, 3)
     world.run(5 * SECOND)
@@ -203,7 +207,7 @@
     readable = propose_settings(world, "n2", base, 3)
     world.run(5 * SECOND)
     assert readable.accepted
-    in_force = [process.fleet.member.state.settings for process in world.processes.values()]
+    in_force = [member_of(process).state.settings for process in world.processes.values()]
     assert in_force == [{"mark": 3}] * 4
     stale = propose_settings(world, "n2", base, 4)
     world.run(5 * SECOND)
@@ -213,7 +217,7 @@
 
 def test_isolated_member_says_whether_a_call_may_have_taken_effect():
     world = started_world(9)
-    isolated = other_processes(world, world.leader())[0]
+    isolated = other_processes(world, leader_of(world))[0]
     isolate(world, isolated)
     early = call(world, isolated, "out", server="s0")
     world.run(5 * SECOND)
@@ -228,37 +232,37 @@
 def test_replaced_voter_leaves_and_lagging_non_voter_gets_a_snapshot():
     world = started_world(10, voters=3, followers=2)
     voters = [world.processes[name] for name in ("n0", "n1", "n2")]
-    replaced = next(process for process in voters if process is not world.leader())
+    replaced = next(process for process in voters if process is not leader_of(world))
     lagging = world.processes["n4"]
     replaced.kill()
     lagging.kill()
-    replacement = call(world, world.leader(), "replace", member=replaced.name, other="n3")
+    replacement = call(world, leader_of(world), "replace", member=replaced.name, other="n3")
     for number in range(SNAPSHOT_ENTRIES):
-        call(world, world.leader(), "out" if number % 2 == 0 else "back", server="s0")
+        call(world, leader_of(world), "out" if number % 2 == 0 else "back", server="s0")
         world.run(SECOND // 50, check=number % 50 == 0)
     world.run(10 * SECOND)
-    is_voter = {member.name: member.voter for member in world.leader().fleet.member.members}
+    is_voter = {member.name: member.voter for member in member_of(leader_of(world)).members}
     assert replacement.accepted
     assert replaced.name not in is_voter
     assert is_voter["n3"]
     assert sum(is_voter.values()) == 3
-    assert world.leader().fleet.member.node.log.snapshot.index > 500
+    assert node_of(leader_of(world)).log.snapshot.index > 500
     lagging.start()
     replaced.start()
     world.run(10 * SECOND)
     assert lagging.acts
-    assert lagging.acts_on == world.leader().acts_on
+    assert lagging.acts_on == leader_of(world).acts_on
     assert not replaced.acts
-    assert replaced.name not in {member.name for member in world.leader().fleet.member.members}
+    assert replaced.name not in {member.name for member in member_of(leader_of(world)).members}
 
 
 def test_planned_stop_transfers_leadership():
     world = started_world(11)
-    leader, term = world.leader(), world.leader().fleet.member.node.term
+    leader, term = leader_of(world), node_of(leader_of(world)).term
     leader.turn([LeadershipReleased()])
     world.run(SECOND // 2)
-    assert world.leader() is not leader
-    assert world.leader().fleet.member.node.term == term + 1
+    assert leader_of(world) is not leader
+    assert node_of(leader_of(world)).term == term + 1
 
 
 def test_two_hundred_members_agree():
@@ -266,7 +270,7 @@
     world.start()
     world.run(15 * SECOND, check=False)
     world.check()
-    assert len(world.leader().fleet.member.members) == 200
+    assert len(member_of(leader_of(world)).members) == 200
     assert all_act(world)
     removal = call(world, world.processes["n150"], "out", server="s0")
     world.run(2 * SECOND, check=False)
--- a/tests/agreement/test_agreement_store.py
+++ b/tests/agreement/test_agreement_store.py
@@ -9,7 +9,7 @@
 from cypresswalk.agreement.errors import DamagedLogError, ForeignFileError
 from cypresswalk.agreement.log import Snapshot
 from cypresswalk.agreement.messages import ENTRY_COMMAND, Entry, Member
-from cypresswalk.agreement.ready import PersistentState, Ready
+from cypresswalk.agreement.ready import PersistentState, Ready, Vote
 from cypresswalk.agreement.store import LogIdentity, Store
 from cypresswalk.lab.cluster.simulation.disk import SimulatedDisk
 from cypresswalk.lab.cluster.simulation.errors import ProcessKilledError
@@ -29,7 +29,9 @@
 
 def reread(disk: SimulatedDisk, fleet: str = "f", name: str = "a") -> PersistentState:
     """What another process reads from the disk."""
-    return Store(disk).load(fleet, name, lambda text: None)
+    state = Store(disk).load(fleet, name, lambda text: None)
+    assert state is not None
+    return state
 
 
 def entry(index: int) -> Entry:
@@ -54,7 +56,7 @@
             acknowledged.index = index
             if index == 8:
                 snapshot = Snapshot(7, 2, MEMBERS, b"later")
-                store.write(Ready(vote=(3, "b#1"), snapshot=snapshot, entries=[(8, entry(8))]))
+                store.write(Ready(vote=Vote(3, "b#1"), snapshot=snapshot, entries=[(8, entry(8))]))
                 acknowledged.term = 3
     except ProcessKilledError:
         pass
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -12,7 +12,7 @@
 from cypresswalk.benchlink.wire import WireError, settings
 from cypresswalk.model import SECOND
 
-PARAMS = {
+PARAMS: dict[str, Any] = {
     "me": 0,
     "instances": 1,
     "zone": 0,
--- a/tests/copies/replica_mutants.py
+++ b/tests/copies/replica_mutants.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from cypresswalk.copies.effects import Effect, WriteChange
-from cypresswalk.copies.messages import AnyMessage, ReplicateRecord, ReservationRecord
+from cypresswalk.copies.messages import PartitionMessage, ReplicateRecord, ReservationRecord
 from cypresswalk.copies.partition import Partition
 from cypresswalk.copies.primary import Primary
 from cypresswalk.copies.replica import Replica
@@ -65,10 +65,12 @@
 class AcceptsOldViews(Replica):
     """It takes records of an older view for those of its own, and abandons none of its own."""
 
-    def on_message(self, source: str, message: AnyMessage, *args: Any) -> None:
+    def on_message(
+        self, source: str, message: PartitionMessage, wall_now: int = 0, now: int = 0
+    ) -> None:
         """Take a record as if its primary had sent it in this view."""
         if not isinstance(message, ReplicateRecord):
-            super().on_message(source, message, *args)
+            super().on_message(source, message, wall_now, now)
             return
         partition = self.partition(message.partition)
         renewed = ReplicateRecord(
@@ -76,7 +78,7 @@
         )
         partition.sealed, sealed = False, partition.sealed
         primary = partition.replicas[0] if partition.replicas else source
-        super().on_message(primary, renewed, *args)
+        super().on_message(primary, renewed, wall_now, now)
         partition.sealed = sealed
 
     def begin_view(self, number: int, view: int, replicas: tuple[str, ...]) -> None:
--- a/tests/copies/replication_world.py
+++ b/tests/copies/replication_world.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from cypresswalk.copies.effects import AnswerRequest, SendMessage, StoredChange, WriteChange
-from cypresswalk.copies.messages import AnyMessage
+from cypresswalk.copies.messages import AnyMessage, PartitionMessage
 from cypresswalk.copies.replica import Replica
 
 MEMBERS = 5
@@ -62,7 +62,7 @@
         self.lost_disks = 0
         first = tuple(self.members[:REPLICAS])
         for name in first:
-            self.replicas[name].fetch(PARTITION, 1, "")
+            self._running(name).fetch(PARTITION, 1, "")
             self.carry_out(name)
         self.agree(first)
 
@@ -71,6 +71,12 @@
         """The number of the newest view."""
         return self.views[-1][0] if self.views else 0
 
+    def _running(self, name: str) -> Replica:
+        """The replica of a member whose process runs."""
+        replica = self.replicas[name]
+        assert replica is not None, name
+        return replica
+
     def agree(self, members: tuple[str, ...]) -> None:
         """Agree on the next view."""
         self.views.append((self.view + 1, members))
@@ -82,7 +88,7 @@
             name: The member.
             crash_after: Number of effects after which its process dies; None if it does not.
         """
-        replica = self.replicas[name]
+        replica = self._running(name)
         while replica.effects:
             if crash_after == 0:
                 self.replicas[name] = None
@@ -94,7 +100,7 @@
                     self.disks[name].append(change)
                 case SendMessage(receiver, message):
                     self.messages.append((name, receiver, message))
-                case AnswerRequest((key, client), answer) if answer.result == "granted":
+                case AnswerRequest((str(key), str(client)), answer) if answer.result == "granted":
                     owner = self.granted.setdefault(key, client)
                     assert owner == client, f"{key} granted to {owner} and {client}"
 
@@ -130,7 +136,7 @@
         self.disks[reborn] = []
 
     def _act(self, name: str, draw: float) -> None:
-        replica = self.replicas[name]
+        replica = self._running(name)
         active: str | None = name
         if draw < BEGIN_VIEW_BELOW:
             self._begin_view(replica)
@@ -174,6 +180,7 @@
         replica = self.replicas[receiver]
         if replica is None:
             return name
+        assert isinstance(message, PartitionMessage)
         replica.on_message(sender, message)
         return receiver
 
--- a/tests/copies/test_record_log.py
+++ b/tests/copies/test_record_log.py
@@ -7,7 +7,13 @@
 from cypresswalk.copies import store
 from cypresswalk.copies.effects import StoredChange, WriteChange
 from cypresswalk.copies.errors import DataLostError
-from cypresswalk.copies.messages import RecordStored, ReservationRecord, ViewBegun, ViewSealed
+from cypresswalk.copies.messages import (
+    PartitionStatus,
+    RecordStored,
+    ReservationRecord,
+    ViewBegun,
+    ViewSealed,
+)
 from cypresswalk.copies.replica import Replica
 from cypresswalk.copies.store import RecordLog
 from cypresswalk.lab.cluster.simulation.disk import SimulatedDisk
@@ -22,7 +28,9 @@
     return RecordStored(PARTITION, ReservationRecord(key, "n1", 100, "out"))
 
 
-def reread(disk: SimulatedDisk, member: str = MEMBER, boot: int = BOOT) -> list[StoredChange]:
+def reread(
+    disk: SimulatedDisk, member: str = MEMBER, boot: int = BOOT
+) -> list[StoredChange | PartitionStatus]:
     """What another process reads from the disk."""
     return RecordLog(disk).load(member, (boot,), lambda text: None)
 
--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -3,7 +3,7 @@
 import pytest
 
 from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, WriteChange
-from cypresswalk.copies.messages import ViewBegun
+from cypresswalk.copies.messages import PartitionMessage, ViewBegun
 from cypresswalk.copies.partition import Partition
 from cypresswalk.copies.replica import Replica
 from cypresswalk.copies.reservations import ReservationAnswer
@@ -27,13 +27,17 @@
     return AnswerRequest(token, ReservationAnswer(result, owner, outcome))
 
 
-def message_to(receiver: str, effects: list[Effect]) -> SendMessage:
+def message_to(receiver: str, effects: list[Effect]) -> PartitionMessage:
     """The first message to a replica among some effects."""
-    return next(
-        effect
-        for effect in effects
-        if isinstance(effect, SendMessage) and effect.receiver == receiver
-    )
+    sent = [effect for effect in effects if isinstance(effect, SendMessage)]
+    message = next(effect.message for effect in sent if effect.receiver == receiver)
+    assert isinstance(message, PartitionMessage)
+    return message
+
+
+def results(effects: list[Effect]) -> list[str]:
+    """The results by which requests are answered."""
+    return [effect.answer.result for effect in effects if isinstance(effect, AnswerRequest)]
 
 
 def test_replica_that_missed_a_view_is_not_complete_in_the_next():
@@ -61,7 +65,7 @@
     emptied.fetch(PARTITION, 1, "")
     emptied.reserve(0, PARTITION, "x", "n1", 10, "t")
     assert not emptied.partition(PARTITION).complete
-    assert emptied.effects[-1].answer.result == "again"
+    assert results(emptied.effects) == ["again"]
     assert not emptied.seal(PARTITION, 1)
 
 
@@ -69,11 +73,10 @@
     replica = replica_in_first_view("a", ("a",), max_records=5)
     for number in range(8):
         replica.reserve(10, PARTITION, f"i{number}", "n1", 20, number)
-    answers = [effect for effect in replica.effects if isinstance(effect, AnswerRequest)]
-    assert [found.answer.result for found in answers] == ["granted"] * 5 + ["refused"] * 3
+    assert results(replica.effects) == ["granted"] * 5 + ["refused"] * 3
     assert replica.record_count == 5
     replica.reserve(21, PARTITION, "late", "n1", 30, 9)
-    assert replica.effects[-1].answer.result == "granted"
+    assert results(replica.effects)[-1] == "granted"
     assert replica.record_count == 1
 
 
@@ -84,6 +87,7 @@
         for replica in replicas:
             for effect in replica.take_effects():
                 if isinstance(effect, SendMessage):
+                    assert isinstance(effect.message, PartitionMessage)
                     by_name[effect.receiver].on_message(replica.member_id, effect.message)
 
 
@@ -96,7 +100,7 @@
     replicas = [replica_in_first_view(name, ("a", "b", "c")) for name in "abc"]
     primary, backup, _ = replicas
     primary.reserve(0, PARTITION, "x", "n1", NEVER, "t")
-    backup.on_message("a", message_to("b", primary.effects).message)
+    backup.on_message("a", message_to("b", primary.effects))
     for replica in replicas:
         replica.begin_view(PARTITION, 2, ("c", "b", "a"))
         replica.effects.clear()
@@ -137,12 +141,11 @@
     def replicate(self) -> None:
         """Carry the primary's last message to the backup, and its answer back."""
         sent = message_to("b", self.primary.take_effects())
-        self.backup.on_message("a", sent.message)
+        self.backup.on_message("a", sent)
         write, reply = self.backup.take_effects()
         assert isinstance(write, WriteChange)
         assert isinstance(reply, SendMessage)
-        assert reply.receiver == "a"
-        self.primary.on_message("b", reply.message)
+        self.primary.on_message("b", message_to("a", [reply]))
 
 
 @pytest.fixture
@@ -183,7 +186,7 @@
     pair.replicate()
     primary.effects.clear()
     primary.end_reservation(PARTITION, "x", "n2", "ran", "t4")
-    assert primary.effects.pop().answer.result == "refused"
+    assert results([primary.effects.pop()]) == ["refused"]
     primary.end_reservation(PARTITION, "x", "n1", "ran", "t5")
     pair.replicate()
     assert primary.effects[-1] == answer("t5", "held", "n1", "ran")
--- a/tests/faults/test_fault_streams.py
+++ b/tests/faults/test_fault_streams.py
@@ -59,7 +59,7 @@
     steps += stream.end(len(pieces))
     assert all(earlier.at <= later.at for earlier, later in pairwise(steps))
     data = b"".join(step.data for step in steps if isinstance(step, Write))
-    endings = [type(step) for step in steps if not isinstance(step, Write)]
+    endings: list[type[Step]] = [type(step) for step in steps if not isinstance(step, Write)]
     return Played(data, endings, injected, steps)
 
 
--- a/tests/faults/test_faults_command.py
+++ b/tests/faults/test_faults_command.py
@@ -40,6 +40,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
+        assert self.process.stderr is not None
         self.port = int(self.process.stderr.readline().rpartition(":")[2])
 
     def arguments(self, listen: str) -> list[str]:
--- a/tests/fleet/test_disruption_bounds.py
+++ b/tests/fleet/test_disruption_bounds.py
@@ -8,7 +8,7 @@
 from cypresswalk.fleet import commands
 from cypresswalk.fleet.commands import Command, encode
 from cypresswalk.fleet.state_machine import StateMachine
-from cypresswalk.rollout.bounds import max_unavailable
+from cypresswalk.rollout.bounds import Bound, ShareBound, max_unavailable
 
 RUNS = 30
 COMMANDS_OF_A_RUN = 200
@@ -35,8 +35,8 @@
         balancers, servers = self.random.choice((1, 2, 5, 9)), self.random.choice((1, 4, 10))
         self.zones = {f"n{i}": f"z{i % 3}" for i in range(balancers)}
         self.server_zones = {f"s{i}": i % 2 for i in range(servers)}
-        self.balancer_bound = self.random.choice((1, 2, {"share": 0.5}))
-        self.server_bound = {"share": 0.5, "least": 1}
+        self.balancer_bound: Bound = self.random.choice((1, 2, ShareBound(share=0.5)))
+        self.server_bound = ShareBound(share=0.5, least=1)
         bounds = {
             "balancers": {"all": self.balancer_bound, "zone": MAX_OF_A_ZONE},
             "servers": {"all": self.server_bound},
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -8,8 +8,9 @@
 from cypresswalk.agreement.messages import Member
 from cypresswalk.copies.effects import AnswerRequest, SendMessage, TellLeader
 from cypresswalk.copies.messages import (
-    Message,
+    AnyMessage,
     PartitionFetched,
+    PartitionMessage,
     PartitionSealed,
     ReplicaSlow,
 )
@@ -76,7 +77,7 @@
         """The replicas of members that answer, by id."""
         return [(name, replica) for name, replica in self.replicas.items() if self.is_alive(name)]
 
-    def tell_leader(self, member: str, message: Message) -> None:
+    def tell_leader(self, member: str, message: AnyMessage) -> None:
         """Deliver a replica's message to the leader."""
         self.placement.on_message(self.now, member, message, self.views)
 
@@ -92,11 +93,12 @@
                 case SendMessage(receiver, message) if self.is_alive(receiver):
                     self.deliver(member, receiver, message)
 
-    def deliver(self, sender: str, receiver: str, message: Message) -> None:
+    def deliver(self, sender: str, receiver: str, message: AnyMessage) -> None:
         """Deliver a message to another replica, or to the leader if it is for that one."""
         if isinstance(message, PartitionSealed | PartitionFetched):
             self.tell_leader(sender, message)
         else:
+            assert isinstance(message, PartitionMessage)
             self.replicas[receiver].on_message(sender, message)
             self.carry_out(receiver)
 
@@ -115,10 +117,11 @@
             self.check_complete_replicas()
             self.report_slow_replicas()
 
-    def deliver_from_leader(self, receiver: str, message: Message) -> None:
+    def deliver_from_leader(self, receiver: str, message: AnyMessage) -> None:
         """Deliver the leader's message; what the replica answers the leader comes first."""
         replica = self.replicas[receiver]
         if not isinstance(message, PartitionSealed):
+            assert isinstance(message, PartitionMessage)
             replica.on_message("m0#1", message)
         for effect in [found for found in replica.effects if isinstance(found, SendMessage)]:
             if isinstance(effect.message, PartitionSealed | PartitionFetched):
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -39,7 +39,7 @@
 # Builders of observations. All times are milliseconds from the scenario's start.
 
 
-def observation(at: float, kind: str, flow: str, subject: str, /, **fields: object) -> Observation:
+def observation(at: int, kind: str, flow: str, subject: str, /, **fields: object) -> Observation:
     """An observation of any kind."""
     return Observation(at * MILLISECOND, kind, flow, subject, fields)
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -188,7 +188,7 @@
 
 def test_a_lab_that_was_late_voids_its_scenario(tmp_path):
     """Else the balancer would be blamed for a machine that stood still."""
-    stalled_at = []
+    stalled_at: list[float] = []
 
     def stall_once(second: float) -> None:
         if second > 1 and not stalled_at:
--- a/tests/lab/test_simulated_servers.py
+++ b/tests/lab/test_simulated_servers.py
@@ -16,15 +16,22 @@
     return server.open(0, number, load, "")[0]
 
 
+def echo_delay(server: SimulatedServer, now: int) -> int:
+    """How long a line takes there and back, of a server that answers."""
+    delay = server.echo_delay(now)
+    assert delay is not None
+    return delay
+
+
 def test_lines_wait_behind_a_backlog_that_grows_beyond_capacity_and_shrinks_again():
     server = simulated_server()
     for number in range(2 * WARM_CAPACITY):
         server.open(0, number, 1.0, "")
-    idle, backlogged = server.echo_delay(0), server.echo_delay(2 * SECOND)
+    idle, backlogged = echo_delay(server, 0), echo_delay(server, 2 * SECOND)
     assert backlogged > idle + 1.9 * SECOND
     for number in range(2 * WARM_CAPACITY):
         server.close(2 * SECOND, number)
-    assert server.echo_delay(6 * SECOND) < 2 * MILLISECOND
+    assert echo_delay(server, 6 * SECOND) < 2 * MILLISECOND
 
 
 def test_a_group_adds_its_own_load_once_for_all_its_connections():
@@ -135,5 +142,5 @@
         elif action == 4:
             server.health_check_delay(now)
         else:
-            assert server.echo_delay(now) >= 0
+            assert echo_delay(server, now) >= 0
         assert_totals_match_connections(server)
--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -4,13 +4,13 @@
 import socket
 import subprocess
 import sys
-from random import Random
-from types import SimpleNamespace
+from typing import Any, cast
 
 import pytest
 from lab_helpers import small_experiment
 from paths import ROOT
 
+from cypresswalk.lab.clients import ClientPopulation
 from cypresswalk.lab.testbed.bed import Bed
 from cypresswalk.lab.testbed.client_driver import ClientConnection, ClientDriver
 from cypresswalk.lab.testbed.gossip_relay import GossipRelay
@@ -21,25 +21,41 @@
 PRINT_HOST = "from cypresswalk.lab.balancers import own_host; print(own_host())"
 
 
-async def talk(*lines: bytes) -> tuple[str, list[str]]:
-    """Let a client hear some lines after its own end; how it ended, and what it noted as heard."""
-    observed = {}
+class ObservingBed:
+    """A test bed that only keeps what is observed, by kind."""
+
+    def __init__(self) -> None:
+        """Start without observations."""
+        self.experiment = small_experiment()
+        self.observed: dict[str, dict[str, Any]] = {}
+
+    def now(self) -> int:
+        """One second, all the while."""
+        return SECOND
+
+    def observe(self, kind: str, *_: object, **fields: Any) -> None:
+        """Keep the last observation of a kind."""
+        self.observed[kind] = fields
 
-    def observe(kind: str, *_: object, **fields: object) -> None:
-        observed[kind] = fields
 
-    clients = SimpleNamespace(line_ms=200)
-    bed = SimpleNamespace(
-        now=lambda: SECOND, observe=observe, experiment=SimpleNamespace(clients=clients)
-    )
+class ClosableWriter:
+    """A writer whose end nobody sees."""
+
+    def write_eof(self) -> None:
+        """Say nothing more."""
+
+
+async def talk(*lines: bytes) -> tuple[str, list[str]]:
+    """Let a client hear some lines after its own end; how it ended, and what it noted as heard."""
+    bed = ObservingBed()
     reader = asyncio.StreamReader()
     reader.feed_data(b"".join(line + b"\r\n" for line in lines))
     reader.feed_eof()
-    writer = SimpleNamespace(write_eof=lambda: None)
-    client = SimpleNamespace(number=0, random=Random(1), rejections=0)
+    writer = cast(asyncio.StreamWriter, ClosableWriter())
+    client = ClientPopulation(bed.experiment, 1).client(0, 0)
     connection = ClientConnection(client, "p0.1", "b0", SECOND, reader, writer)
-    ending = await ClientDriver(bed)._talk(connection)
-    return ending, observed["lines"]["heard"]
+    ending = await ClientDriver(cast(Bed, bed))._talk(connection)
+    return ending, bed.observed["lines"]["heard"]
 
 
 @pytest.mark.parametrize(
--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -114,8 +114,11 @@
 
     @property
     def release(self) -> Release:
-        """The release, as agreed."""
-        return self.machine.state.release
+        """The release, as agreed; one has begun with the model."""
+        release = self.machine.state.release
+        if release is None:
+            raise LookupError("there is no release")
+        return release
 
     @property
     def halt_reason(self) -> str:
--- a/tests/rollout/test_bounds.py
+++ b/tests/rollout/test_bounds.py
@@ -5,7 +5,7 @@
 
 from cypresswalk.fleet.shared_settings import objection
 from cypresswalk.rollout import bounds
-from cypresswalk.rollout.bounds import max_unavailable, violation_reason
+from cypresswalk.rollout.bounds import ShareBound, max_unavailable, violation_reason
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "b3": "b"}
 ALL_AND_ZONE = {"all": 3, "zone": 1}
@@ -96,6 +96,7 @@
 
 def test_a_share_of_a_zone_of_one_allows_none_unless_it_has_a_least_number():
     only = {"only": "z"}
-    at_least_one = {"zone": {"share": 0.5, "least": 1}}
-    assert violation_reason({"zone": {"share": 0.5}}, only, {}, {}, "only")
-    assert not violation_reason(at_least_one, only, {}, {}, "only")
+    half = ShareBound(share=0.5)
+    half_and_at_least_one = ShareBound(share=0.5, least=1)
+    assert violation_reason({"zone": half}, only, {}, {}, "only")
+    assert not violation_reason({"zone": half_and_at_least_one}, only, {}, {}, "only")
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -166,7 +166,9 @@
     async def start(self) -> None:
         """Start all processes, agree on the bound, and send flows."""
         await self.rig.begin()
-        await self.rig.agree_on_bound(await self.rig.whole())
+        status = await self.rig.whole()
+        assert status is not None
+        await self.rig.agree_on_bound(status)
         self.rig.spawn(self.rig.load(self.rig.plan.flows_per_s))
 
     async def status(self) -> dict[str, Any]:
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -21,6 +21,7 @@
 from cypresswalk.agreement import store as agreement_store
 from cypresswalk.agreement.messages import Entry
 from cypresswalk.copies import store as copies_store
+from cypresswalk.copies.messages import PartitionStatus
 from cypresswalk.fleet import commands, messages, records
 from cypresswalk.hosting import pack_gossip
 from cypresswalk.model import SECOND, Outcome
@@ -54,7 +55,7 @@
 def decoded(name: str) -> list[tuple[str, bytes, object]]:
     """Label, bytes and what the program reads in them."""
     if name == "fleet_frames":
-        found = []
+        found: list[tuple[str, bytes, object]] = []
         for label, data in rows(name):
             frames = messages.FrameDecoder()
             frames.feed(data)
@@ -133,7 +134,9 @@
     records = [data for _, data in rows("sealed_records")]
     key, offset = record_chain.first_key(SEALED_FILE_NUMBER), 0
     for expected, data in zip(enumerate(SEALED_BODIES, start=1), records, strict=True):
-        kind, body, key = record_chain.record_at(b"".join(records), offset, key)
+        record = record_chain.record_at(b"".join(records), offset, key)
+        assert record is not None
+        kind, body, key = record
         assert (kind, body) == expected
         offset += len(data)
 
@@ -192,6 +195,8 @@
     store = agreement_store.Store(folder)
     state = store.load("fleet-1", "n0", reports.append)
     assert not reports
+    assert state is not None
+    assert store.identity is not None
     assert (state.term, len(state.entries)) == (5, 3)
     assert state.entries[-1] == Entry(5, 1, b"third")
     store.begin(store.identity, state)
@@ -205,8 +210,8 @@
     changes = log.load("n0#1", (4, 3), reports.append)
     assert not reports
     assert len(changes) == 14
-    statuses = [change for change in changes if type(change) is type(changes[0])]
-    others = [change for change in changes if change not in statuses]
+    statuses = [change for change in changes if isinstance(change, PartitionStatus)]
+    others = [change for change in changes if not isinstance(change, PartitionStatus)]
     log.begin("n0#1", 5, statuses)
     log.write(others, lambda: statuses)
     assert folder.files == GoldenFolder("copies_after").files
@@ -219,6 +224,7 @@
         folder, "n0", lambda name, reason: invalid.append((name, reason))
     )
     assert not invalid
+    assert snapshot is not None
     assert number == 2
     assert len(snapshot.servers) == 3
     assert len(snapshot.ids) == 2
@@ -270,6 +276,7 @@
     predecessor.call("set-down", "s-1")
     predecessor.call("drain-on")
     successor = HandoverProcess(predecessor)
+    assert successor.channel is not None
     sent = list(successor.channel.reverse.sent)
     successor.exchange_all()
     predecessor.call("set-up", "s-1")
