--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -42,8 +42,13 @@
 
     @property
     def answer(self) -> tuple[bool, Any]:
-        """Whether it was accepted, and the body of the one answer."""
-        assert len(self.answers) == 1, self.answers
+        """Whether it was accepted, and the body of the one answer.
+
+        Raises:
+            LookupError: there is none, or more than one.
+        """
+        if len(self.answers) != 1:
+            raise LookupError(f"{len(self.answers)} answers: {self.answers}")
         return self.answers[0]
 
     @property
--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -23,7 +23,7 @@
 LONGEST_LOG = 1 << 60
 
 
-def vote_not_flushed(patch: pytest.MonkeyPatch) -> None:
+def votes_are_not_flushed(patch: pytest.MonkeyPatch) -> None:
     """A vote is not written with the other work, unless a snapshot is."""
     write = Store.write
 
@@ -34,7 +34,7 @@
     patch.setattr(Store, "write", write_without_vote)
 
 
-def answer_before_the_flush(patch: pytest.MonkeyPatch) -> None:
+def messages_are_sent_before_the_flush(patch: pytest.MonkeyPatch) -> None:
     """Messages are sent before what they acknowledge is written."""
     carry_out = FleetThread.carry_out
 
@@ -58,7 +58,7 @@
     patch.setattr(FleetThread, "carry_out", carry_out_messages_first)
 
 
-def lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+def lease_runs_from_its_grant(patch: pytest.MonkeyPatch) -> None:
     """A lease runs from when the grant arrives, not from when it was requested."""
 
     def on_grant(self: LeaseClient, now: int, grant: LeaseGrant) -> None:
@@ -69,7 +69,7 @@
     patch.setattr(LeaseClient, "on_grant", on_grant)
 
 
-def lapsed_without_waiting(patch: pytest.MonkeyPatch) -> None:
+def leases_lapse_early(patch: pytest.MonkeyPatch) -> None:
     """The leader counts a lease as lapsed after a quarter of its span."""
 
     def lapsed_early(self: LeaseGrants, now: int, member: str) -> bool:
@@ -78,7 +78,7 @@
     patch.setattr(LeaseGrants, "lapsed", lapsed_early)
 
 
-def wiped_voter_under_its_name(patch: pytest.MonkeyPatch) -> None:
+def lost_voter_keeps_its_incarnation(patch: pytest.MonkeyPatch) -> None:
     """A voter that lost its folder votes again under its old incarnation."""
 
     def begin_under_old_name(self: SimulatedFleetThread) -> None:
@@ -89,7 +89,7 @@
     patch.setattr(FleetThread, "_begin_blank", begin_under_old_name)
 
 
-def followers_and_removed_are_counted(patch: pytest.MonkeyPatch) -> None:
+def votes_of_non_voters_are_counted(patch: pytest.MonkeyPatch) -> None:
     """Votes of non-voting and removed members count."""
 
     def count_vote(self: Election, now: int, source: str, granted: bool) -> None:
@@ -110,7 +110,7 @@
     patch.setattr(Election, "request_votes", request_votes)
 
 
-def failed_flush_is_forgotten(patch: pytest.MonkeyPatch) -> None:
+def failed_flushes_are_ignored(patch: pytest.MonkeyPatch) -> None:
     """A store goes on after a failed write."""
     write = Store.write
 
@@ -123,7 +123,7 @@
     patch.setattr(Store, "write", write_and_go_on)
 
 
-def put_back_folder_is_believed(patch: pytest.MonkeyPatch) -> None:
+def restored_folders_are_trusted(patch: pytest.MonkeyPatch) -> None:
     """A member with a restored folder is not detected, neither by itself nor by the others.
 
     Either guard alone detects it.
@@ -140,7 +140,7 @@
     patch.setattr(Transport, "rejection_of", rejection_unless_restored)
 
 
-def logs_not_compared(patch: pytest.MonkeyPatch) -> None:
+def logs_are_not_compared(patch: pytest.MonkeyPatch) -> None:
     """A vote goes to whoever asks first, however short its log."""
     on_request_vote = Election.on_request_vote
 
@@ -153,7 +153,7 @@
     patch.setattr(Election, "on_request_vote", vote_for_any_log)
 
 
-def older_term_committed_by_count(patch: pytest.MonkeyPatch) -> None:
+def older_terms_are_committed_by_count(patch: pytest.MonkeyPatch) -> None:
     """An older term's entry is committed once most voters hold it."""
     advance_commit_index = Leader.advance_commit_index
 
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -47,7 +47,7 @@
 def test_lease_runs_from_when_it_was_requested(monkeypatch):
     for seed in range(3):
         play_delayed_grant_then_cut(seed)
-    agreement_mutants.lease_from_the_answer(monkeypatch)
+    agreement_mutants.lease_runs_from_its_grant(monkeypatch)
     with pytest.raises(ViolationError, match="^L: "):
         for seed in range(3):
             play_delayed_grant_then_cut(seed)
@@ -85,7 +85,7 @@
 
 def test_member_with_a_restored_folder_is_a_new_incarnation(monkeypatch):
     play_restored_folder(1)
-    agreement_mutants.put_back_folder_is_believed(monkeypatch)
+    agreement_mutants.restored_folders_are_trusted(monkeypatch)
     with pytest.raises((ViolationError, AssertionError)):
         play_restored_folder(1)
 
--- a/tests/agreement/test_agreement_faults.py
+++ b/tests/agreement/test_agreement_faults.py
@@ -42,13 +42,13 @@
 @pytest.mark.parametrize(
     "mutate, seeds",
     [
-        (agreement_mutants.vote_not_flushed, [8, 11]),
-        (agreement_mutants.answer_before_the_flush, [13]),
-        (agreement_mutants.lapsed_without_waiting, [18, 25]),
-        (agreement_mutants.wiped_voter_under_its_name, [14, 48]),
-        (agreement_mutants.followers_and_removed_are_counted, [0, 8]),
-        (agreement_mutants.failed_flush_is_forgotten, [1, 8]),
-        (agreement_mutants.logs_not_compared, [5, 8]),
+        (agreement_mutants.votes_are_not_flushed, [8, 11]),
+        (agreement_mutants.messages_are_sent_before_the_flush, [13]),
+        (agreement_mutants.leases_lapse_early, [18, 25]),
+        (agreement_mutants.lost_voter_keeps_its_incarnation, [14, 48]),
+        (agreement_mutants.votes_of_non_voters_are_counted, [0, 8]),
+        (agreement_mutants.failed_flushes_are_ignored, [1, 8]),
+        (agreement_mutants.logs_are_not_compared, [5, 8]),
     ],
 )
 def test_agreement_mutant_is_detected(mutate, seeds, monkeypatch):
@@ -59,7 +59,7 @@
 
 
 def test_failing_run_is_shrunk(monkeypatch):
-    agreement_mutants.logs_not_compared(monkeypatch)
+    agreement_mutants.logs_are_not_compared(monkeypatch)
     schedule = draw_schedule(5, ["n0", "n1", "n2", "n3"], 100)
     assert run_seed(5, schedule=schedule).violation
     start = schedule[:40]
--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -208,7 +208,7 @@
             case ReleaseStep.HALT:
                 self.apply(commands.Halt, action.reason)
             case _:
-                raise AssertionError(action)
+                raise ValueError(action)
 
     def _run_agent(self, name: str, status: str, unavailable: dict[str, str]) -> None:
         if status == "out":
