--- a/tests/binding_helpers.py
+++ b/tests/binding_helpers.py
@@ -5,13 +5,14 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from core_helpers import NO_CLIENT, RecordingDrivers
 from helpers import START, config_data
 
 from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.core_binding import CoreBinding
 from cypresswalk.fleet.messages import ServerReport
-from cypresswalk.model import EndpointUpdate, Server, ServerState
-from cypresswalk.net.config import Address, build
+from cypresswalk.model import EndpointUpdate, Outcome, Server, ServerState
+from cypresswalk.net.config import build
 from cypresswalk.net.core import Core
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.parsers.admin_commands import AdminCommand
@@ -21,27 +22,6 @@
 from cypresswalk.operator import FleetTable
 
 
-class PassiveDrivers:
-    """Drivers that record attempts and answers and take everything else."""
-
-    def __init__(self) -> None:
-        """Nothing was asked for yet."""
-        self.attempts: list[Attempt] = []
-        self.answers: list[bytes] = []
-
-    def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
-        """Records an attempt."""
-        self.attempts.append(attempt)
-
-    def send_reply(self, session: Session, line: bytes) -> None:
-        """Records a client's last line."""
-        self.answers.append(line)
-
-    def __getattr__(self, name: str) -> Callable[..., bool]:
-        """All other methods of the drivers do nothing."""
-        return lambda *args: True
-
-
 class FleetCall(NamedTuple):
     """A call that the binding has made to the fleet."""
 
@@ -59,7 +39,7 @@
         file.write_text(json.dumps(config_data(entries)))
         config = build({"PROXY_CONFIG": str(file)}, config_data(entries))
         self.now = START
-        self.drivers = PassiveDrivers()
+        self.drivers = RecordingDrivers()
         self.posted: list[tuple] = []  # to the deciding thread: a function and its arguments
         self.reported_lists: list[tuple] = []  # own lists, as told to the fleet
         self.fleet_calls: list[FleetCall] = []
@@ -67,18 +47,20 @@
         self.decoder = EndpointListDecoder(config.zones)
         _, known = self.decoder.decode(config.known)
         self.core.on_endpoints(self.now, EndpointUpdate.CACHED, known)
-        table = FleetTable(
-            fleet="f",
-            name="n0",
-            address="127.0.0.1:9",
-            folder=str(folder / "kept"),
-            first={"n0": "127.0.0.1:9"},
-            copies=copies,
+        table = FleetTable.model_validate(
+            {
+                "fleet": "f",
+                "name": "n0",
+                "address": "127.0.0.1:9",
+                "folder": str(folder / "kept"),
+                "first": {"n0": "127.0.0.1:9"},
+                "copies": copies,
+            }
         )
         self.binding = CoreBinding(
             table, config, self.core, lambda *what: self.posted.append(what), lambda: self.decoder
         )
-        fleet = self.binding.fleet
+        fleet: Any = self.binding.fleet  # some of whose methods the test takes the place of
         fleet.on_list_received = lambda *what: self.reported_lists.append(what)
         fleet.call = self.record_fleet_call
         fleet.started.set()
@@ -135,12 +117,17 @@
 
     def open(self, flow_id: str, kind: str = "view") -> Session:
         """A client opens a flow."""
-        session = Session(None)
+        session = Session(NO_CLIENT)
         line = f"OPEN {flow_id} {flow_id.encode().hex()} c={kind},t=north,d=900"
         self.core.on_open(self.now, session, parse_open_request(line.encode()))
         self.core.carry_out_decisions(self.now)
         return session
 
+    def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """An attempt ends; what follows from it is not decided yet."""
+        self.drivers.close_attempt(attempt)
+        self.core.on_attempt_ended(self.now, attempt, outcome)
+
     def pass_time(self, span: int) -> None:
         """Time passes; what is due happens once, at its end."""
         self.now += span
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -1,6 +1,6 @@
 """A core between drivers that only record: the network code without a socket."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Collection
 from typing import Any
 
 from helpers import START, config_data, listed
@@ -26,6 +26,7 @@
     min_reported_delay=SECOND // 60,
 )
 CLIENT_TIMEOUT = 900 * SECOND // 1000  # of the flows that `CoreHarness.open` opens
+NO_CLIENT: Any = None  # the core uses nothing of a session's client
 UP = b"UP"  # stands in `RecordingDrivers.answers` for a server's acceptance
 
 
@@ -81,6 +82,10 @@
         assert session not in self.pending, "answered with an attempt out"
         self.answers[session] = line
 
+    def replies(self) -> list[bytes]:
+        """All answers in their order."""
+        return list(self.answers.values())
+
     def close_client(self, session: Session) -> None:
         """No client's connection is closed without an answer."""
         assert session in self.answers
@@ -143,7 +148,7 @@
 
     def open(self, number: int, values: str = "c=view,t=north,d=900") -> Session:
         """A client opens the flow with that id."""
-        session = Session(None)
+        session = Session(NO_CLIENT)
         self.deadlines[session] = self.now + CLIENT_TIMEOUT
         request = parse_open_request(f"OPEN {number:x} 5 {values}".encode())
         self.deliver(self.core.on_open, session, request)
@@ -181,7 +186,7 @@
         """The first word of the answer to an operator's call."""
         return reply_of(self.call(name, server))
 
-    def assert_all_answered_in_time(self, excused: set[Session] = frozenset()) -> None:
+    def assert_all_answered_in_time(self, excused: Collection[Session] = ()) -> None:
         """Rule one, for all flows that were opened but for those of clients that left."""
         for session, deadline in self.deadlines.items():
             answered = session in self.drivers.answers or session in excused
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -130,7 +130,7 @@
 
 
 def establish_far_away(host: SimulatedHost, count: int) -> None:
-    """Establishes flows that all stand at a server of the other zone."""
+    """Establishes flows that are all at one server of the other zone."""
     servers = host.balancer.servers.values()
     far = next(server for server in servers if server.zone == 1)
     for _ in range(count):
@@ -148,7 +148,7 @@
 
 
 def test_fleet_that_starts_at_once_returns_flows_to_their_zone_no_faster_than_new_ones_come():
-    # Seen too: a second after the start 32 balancers migrated all flows that stood in other zones
+    # Seen too: a second after the start 32 balancers migrated all flows that were in other zones
     # in the same 10 ms.
     hosts = started_fleet(zone_crossing_price=0.2, migration_price=0.02)
     for host in hosts:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -42,7 +42,8 @@
 
 def test_many_balancers_with_few_flows_use_what_a_server_that_warms_up_can_take():
     # Seen with forty balancers: each dealt from a part of the budget that came to nothing with
-    # three flows there, so six servers that had joined stood empty while four old ones were jammed.
+    # three flows there, so six servers that had joined were idle while four old ones were
+    # overloaded.
     taken = 0
     for number in range(40):
         host = SimulatedHost(9, instances=40)
@@ -51,7 +52,7 @@
         fill(host, 3)
         host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99, started_at=host.now)])
         host.answer_health_check(host.balancer.servers[99], True)
-        for _ in range(4):  # all that stood comes back, over six seconds
+        for _ in range(4):  # all established clients return, over six seconds
             fill(host, 1, returning=True, grouped=True)
             host.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in host.attempts)
--- a/tests/fault_proxies.py
+++ b/tests/fault_proxies.py
@@ -35,6 +35,7 @@
         command += ["--plan", self.plan, "--seed", str(self.seed), "--quiet"]
         process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
         self.running.append(process)
+        assert process.stderr is not None
         line = process.stderr.readline()
         assert line.startswith("listening on "), line
         return LOOPBACK, int(line.rpartition(":")[2])
@@ -74,4 +75,5 @@
         for process in self.running:
             process.kill()
             process.wait()
-            process.stderr.close()
+            if process.stderr is not None:
+                process.stderr.close()
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -65,7 +65,7 @@
     second = harness.open("a2", "chat")
     assert second.flow.service_type.setup_latency_objective == 200 * MILLISECOND
     assert not harness.open("a3", "book").has_flow
-    assert harness.drivers.answers[-1] == ERROR
+    assert harness.drivers.replies()[-1] == ERROR
     unusable = params | {"limits": params["limits"] | {"dialTimeout": 1.0}}
     harness.apply_view(5, settings_version=5, settings=unusable)
     assert applied == [4]
@@ -98,15 +98,15 @@
     assert len(harness.drivers.attempts) == 1
     harness.holds_lease = False
     assert harness.open("b2").finished
-    assert harness.drivers.answers == [BUSY]
+    assert harness.drivers.replies() == [BUSY]
     assert len(harness.drivers.attempts) == 1
     # A flow that needs another server after the lease has ended gets none.
-    harness.core.on_attempt_ended(harness.now, harness.drivers.attempts[0], Outcome.FULL)
+    harness.end_attempt(harness.drivers.attempts[0], Outcome.FULL)
     for _ in range(50):
         harness.pass_time(20 * MILLISECOND)
     assert attempted.finished
     assert len(harness.drivers.attempts) == 1
-    assert harness.drivers.answers[-1] == BUSY
+    assert harness.drivers.replies()[-1] == BUSY
     assert harness.core.counters.counts["flows_without_lease"] >= 1
     assert not harness.core.sessions
 
@@ -230,7 +230,7 @@
             harness.core.on_established(at, session.attempt)
         else:
             time_outs += 1
-            harness.core.on_attempt_ended(harness.now, session.attempt, Outcome.TIMEOUT)
+            harness.end_attempt(session.attempt, Outcome.TIMEOUT)
     counts = harness.server_report().flow_counts
     established = sum(session.established for session in sessions)
     assert set(counts) <= {"s-1", "s-2"}
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -85,7 +85,7 @@
     session = harness.open("o1", "book")
     session.flow.service_type.setup_latency_objective = 200 * MILLISECOND
     harness.answer(kind, outcome)
-    assert harness.drivers.answers == [line]
+    assert harness.drivers.replies() == [line]
     assert not harness.drivers.attempts
     assert not harness.waiting()
 
@@ -109,11 +109,11 @@
     objective = session.flow.service_type.setup_latency_objective
     harness.now += objective // 4
     harness.core.timers.run_due(harness.now)
-    assert not harness.drivers.answers
+    assert not harness.drivers.replies()
     assert not harness.core.lifecycle.stopped
     harness.now += objective // 2
     harness.core.timers.run_due(harness.now)
-    assert harness.drivers.answers == [BUSY]
+    assert harness.drivers.replies() == [BUSY]
     harness.answer("granted")  # after all: nothing is sent, and its end is told
     assert not harness.drivers.attempts
     assert harness.ended_with(1) == "never"
--- a/tests/handover_helpers.py
+++ b/tests/handover_helpers.py
@@ -32,6 +32,7 @@
     def deliver(self, most: int = MAX_MESSAGES) -> int:
         """Delivers the oldest messages; returns how many."""
         count = 0
+        assert self.receiver is not None, "the other process has not started"
         while self.sent and count < most:
             message = json.loads(self.sent.pop(0))
             count += 1
@@ -77,14 +78,20 @@
         """A process that starts alone or beside its predecessor; `changes` as of `CoreHarness`."""
         super().__init__(**changes)
         self.process_drivers = ProcessDrivers(self, accepting=predecessor is None)
-        self.channel = MessageChannel(predecessor) if predecessor else None
-        self.handover = Handover(self.core, self.process_drivers, self.channel)
+        self._channel = MessageChannel(predecessor) if predecessor else None
+        self.handover = Handover(self.core, self.process_drivers, self._channel)
         self.core.extensions.handover = self.handover
         if predecessor is not None:
             self.now = predecessor.now
             self.channel.reverse.receiver = self
             predecessor.deliver(predecessor.handover.on_hello, self.channel.reverse)
 
+    @property
+    def channel(self) -> MessageChannel:
+        """The channel to the predecessor."""
+        assert self._channel is not None, "it has no predecessor"
+        return self._channel
+
     @property
     def accepting(self) -> bool:
         """Whether new clients come to this process."""
--- a/tests/program_helpers.py
+++ b/tests/program_helpers.py
@@ -108,6 +108,10 @@
             lines.append(self.read_line())
         return lines
 
+    def assert_only_answer(self, answer: str) -> None:
+        """Rule one: the client gets this one line and then the end."""
+        assert self.read_to_end() == [answer, END]
+
     def close(self) -> None:
         """Closes the connection."""
         self.file.close()
@@ -233,7 +237,10 @@
 
     def serve(self, client: LineConnection) -> None:
         """Answers a watch: all updates from the first on, also those that are added later."""
-        self.paths.append(client.read_line().split(" ")[1])
+        request = client.read_line()
+        if request in (END, RESET):  # the program has ended meanwhile
+            return
+        self.paths.append(request.split(" ")[1])
         client.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         sent = 0
         while True:
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -63,7 +63,7 @@
     program = start_program(*servers)
     began = time.monotonic()
     client = program.open("b1", "c=view,t=north,d=500")
-    assert [client.read_line(), client.read_line()] == ["BUSY", END]
+    client.assert_only_answer("BUSY")
     assert time.monotonic() - began < 0.9
     seen = [line.split(" ")[1] for server in servers for line in server.open_lines]
     assert seen
@@ -88,7 +88,7 @@
     ):
         client = program.connect()
         client.send_line(line)
-        assert [client.read_line(), client.read_line()] == ["ERR", END]
+        client.assert_only_answer("ERR")
     half = program.connect()
     half.sock.sendall(b"OPEN half")
     half.close()
--- a/tests/service/test_stop.py
+++ b/tests/service/test_stop.py
@@ -125,10 +125,8 @@
     running.wait_until_stopped()
     held.may_go_on.set()
     assert running.has_ended()
-    for client in [first, *waiting]:
-        assert [client.read_line(), client.read_line()] == ["BUSY", END]
-    for client in idle:
-        assert [client.read_line(), client.read_line()] == ["BUSY", END]
+    for client in [first, *waiting, *idle]:
+        client.assert_only_answer("BUSY")
     assert server.open_lines == []
     with pytest.raises(ConnectionRefusedError):
         running.connect()
--- a/tests/state/kill_writer.py
+++ b/tests/state/kill_writer.py
@@ -58,7 +58,7 @@
     if numbers != {generation} or len(found.servers) != server_count(generation):
         raise WrongFileError(f"generation {generation} holds {numbers}")
     if generation < generation_before:
-        raise WrongFileError(f"generation {generation}, and {generation_before} stood before")
+        raise WrongFileError(f"generation {generation}, and it was {generation_before} before")
 
 
 def recover(folder: str, generation_before: int) -> int:
--- a/tests/state/test_snapshot_writer.py
+++ b/tests/state/test_snapshot_writer.py
@@ -139,37 +139,39 @@
     assert (folder / "state.8").read_bytes() == data
 
 
+def keep_times(harness: WriterHarness, times: int) -> None:
+    """Writes that many generations."""
+    for _ in range(times):
+        harness.writer.keep()
+
+
 def test_error_of_the_folder_is_logged_once_until_it_changes(tmp_path, caplog):
     folder = tmp_path / "kept"
     folder.mkdir()
     harness = recovered_harness(folder)
 
-    def keep(times: int = 1) -> None:
-        for _ in range(times):
-            harness.writer.keep()
-
     # It vanishes.
     (folder / "lock").unlink()
     folder.rmdir()
-    keep(3)
+    keep_times(harness, 3)
     # A file is in its place.
     folder.write_text("a file in its place")
-    keep(3)
+    keep_times(harness, 3)
     # A link to another folder is in its place.
     folder.unlink()
     folder.symlink_to(tmp_path)
-    keep()
+    harness.writer.keep()
     # It is there again.
     folder.unlink()
     folder.mkdir()
-    keep()
+    harness.writer.keep()
     # The file that is written next is a link, then a pipe.
     (folder / "next").symlink_to(tmp_path / "elsewhere")
-    keep()
-    assert not (tmp_path / "elsewhere").exists()
+    harness.writer.keep()
     (folder / "next").unlink()
     os.mkfifo(folder / "next")
-    keep()
+    harness.writer.keep()
+    assert not (tmp_path / "elsewhere").exists()
     assert events(caplog) == [
         "event=state_none",
         *["event=state_not_kept"] * 2,
--- a/tests/state_helpers.py
+++ b/tests/state_helpers.py
@@ -86,7 +86,9 @@
         self.seen_ids: dict[int, None] = {}
         self.limits = SimpleNamespace(max_remembered_flows=8192)
         self.decoder = SimpleNamespace(version=version)
-        self.writer = SnapshotWriter(str(folder), 1, self, self, self.decoder, name, address)
+        stand_in: Any = self
+        decoder: Any = self.decoder
+        self.writer = SnapshotWriter(str(folder), 1, stand_in, stand_in, decoder, name, address)
 
     def post(self, call: Callable[..., object], *args: Any) -> None:
         """Stands in for the inbox: the deciding thread does it at once."""
