--- a/tests/service/test_saturation.py
+++ b/tests/service/test_saturation.py
@@ -4,6 +4,7 @@
 import signal
 import sys
 import time
+from contextlib import suppress
 from threading import Event
 
 import pytest
@@ -76,13 +77,14 @@
 
     def serve(self, client: LineConnection) -> None:
         """Reads first lines and health checks alone."""
-        while (line := client.read_line()) not in (END, RESET):
-            if line == "PING":
-                client.send_line("PONG")
-            else:
-                self.open_lines.append(line)
-                client.send_line("UP r" + line.split(" ")[1])
-                Event().wait(20)
+        with suppress(OSError):  # the balancer ends with the test, while this may still wait
+            while (line := client.read_line()) not in (END, RESET):
+                if line == "PING":
+                    client.send_line("PONG")
+                else:
+                    self.open_lines.append(line)
+                    client.send_line("UP r" + line.split(" ")[1])
+                    Event().wait(20)
 
 
 def send_until_blocked(client: LineConnection) -> None:
