--- a/cypresswalk/lab/cluster/machines.py
+++ b/cypresswalk/lab/cluster/machines.py
@@ -12,7 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.checkers.halts import check_halts
+from cypresswalk.lab.cluster.checkers.unavailability import Outage, check_unavailability
 from cypresswalk.lab.cluster.plan import Plan, Step
 from cypresswalk.lab.cluster.stage import SECOND, SLACK, Process, Rig
 from cypresswalk.rollout.bounds import max_unavailable
@@ -70,9 +71,9 @@
         self.root = folder / "versions"
         self.runs, self.kinds = FIRST, {FIRST: "good"}
         self.releases = 0
-        self.own: list[judges.Span] = []  # out, or being changed, by the program's doing
+        self.own: list[Outage] = []  # out, or being changed, by the program's doing
         self.open_own: dict[tuple[str, str], int] = {}
-        self.lost: list[judges.Span] = []  # fronts that answered nobody
+        self.lost: list[Outage] = []  # fronts that answered nobody
         self.open_lost: dict[str, int] = {}
         self.halts: list[tuple[int, int]] = []  # asked, and the yes
         self.resumes: list[int] = []  # asked
@@ -83,24 +84,22 @@
         if out:
             self.open_own.setdefault((name, how), now)
         elif (name, how) in self.open_own:
-            self.own.append(judges.Span(name, self.open_own.pop((name, how)), now, how))
+            self.own.append(Outage(name, self.open_own.pop((name, how)), now, how))
 
     def turn_lost(self, name: str, answers: bool, began: int) -> None:
         if not answers:
             self.open_lost[name] = began
         elif name in self.open_lost:
-            self.lost.append(
-                judges.Span(name, self.open_lost.pop(name), time.monotonic_ns(), "lost")
-            )
+            self.lost.append(Outage(name, self.open_lost.pop(name), time.monotonic_ns(), "lost"))
 
-    def spans(self) -> tuple[list[judges.Span], list[judges.Span]]:
+    def spans(self) -> tuple[list[Outage], list[Outage]]:
         """Own and lost, those also that have not ended."""
         now = time.monotonic_ns()
         return (
             self.own
-            + [judges.Span(name, begin, now, how) for (name, how), begin in self.open_own.items()],
+            + [Outage(name, begin, now, how) for (name, how), begin in self.open_own.items()],
             self.lost
-            + [judges.Span(name, begin, now, "lost") for name, begin in self.open_lost.items()],
+            + [Outage(name, begin, now, "lost") for name, begin in self.open_lost.items()],
         )
 
     def said_at(self, log: Path, *words: str) -> list[tuple[int, str]]:
@@ -280,7 +279,7 @@
         self.read_logs()
         with open(self.folder / "out.jsonl", "w") as file:
             file.writelines(
-                json.dumps([s.balancer, s.begin, s.end, s.how]) + "\n"
+                json.dumps([s.name, s.begin, s.end, s.cause]) + "\n"
                 for s in [*self.own, *self.lost]
             )
         await super().end()
@@ -476,10 +475,10 @@
             [(at, name, "release") for at, name in told]
             + [(at, name, "drain") for at, name in self.drains]
         )
-        most_own, most_all, broken = judges.out_at_once(
+        most_own, most_all, broken = check_unavailability(
             own, lost, went, most, self.turned, SLACK + self.late + int(LOOK * SECOND)
         )
-        last, found = judges.halted(
+        last, found = check_halts(
             went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + SLACK + self.late
         )
         report["broken"] += broken + found + ([f"not home: {end}"] if "not_home" in end else [])
--- a/cypresswalk/lab/cluster/serving.py
+++ b/cypresswalk/lab/cluster/serving.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from cypresswalk.lab.balancers import die_with_parent
-from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.checkers.halts import check_halts
+from cypresswalk.lab.cluster.checkers.unavailability import check_unavailability
 from cypresswalk.lab.cluster.machines import FIRST, HOME, LOOK, Released
 from cypresswalk.lab.cluster.plan import Plan, Step
 from cypresswalk.lab.cluster.stage import SECOND, SLACK, Rig, Servers
@@ -400,18 +401,18 @@
             s
             for s in lost
             if not any(
-                o.balancer == s.balancer and o.begin - slack <= s.begin and s.end <= o.end + slack
+                o.name == s.name and o.begin - slack <= s.begin and s.end <= o.end + slack
                 for o in own
             )
         ]
-        most_own, most_all, broken = judges.out_at_once(
+        most_own, most_all, broken = check_unavailability(
             own, lost_alone, went, self.plan.server_bound, self.turned, slack
         )
-        last, found = judges.halted(
+        last, found = check_halts(
             went, self.halts, self.resumes, self.turned, int(2.1 * SECOND) + slack
         )
         opens = [(e["at"], e["server"], e["balancer"]) for e in self.events if e["what"] == "open"]
-        for name, begin, stop in ((s.balancer, s.begin, s.end) for s in own):
+        for name, begin, stop in ((s.name, s.begin, s.end) for s in own):
             late = [e for e in opens if e[1] == name and begin + slack < e[0] < stop - slack]
             broken += [f"{late[0][2]} sent to {name} while it was being changed"] if late else []
         report["broken"] += broken + found + ([f"not home: {end}"] if "not_home" in end else [])
--- a/cypresswalk/lab/cluster/stage.py
+++ b/cypresswalk/lab/cluster/stage.py
@@ -23,7 +23,14 @@
 from cypresswalk.faults.proxy import Proxy
 from cypresswalk.fleet import client
 from cypresswalk.lab.balancers import die_with_parent, free_port, own_host
-from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.checkers.answers import ClientFlow, missing_or_late_answers
+from cypresswalk.lab.cluster.checkers.contradiction import Removal, contradictions, lost_removals
+from cypresswalk.lab.cluster.checkers.four_rules import repeated_executions, rule_violations
+from cypresswalk.lab.cluster.checkers.linearizability import (
+    NEVER,
+    SettingsCall,
+    linearizability_violation,
+)
 from cypresswalk.lab.cluster.plan import DISKS, Plan, Step
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
@@ -286,14 +293,14 @@
         self.servers, self.agents = Servers(self, plan.servers), Agents(self)
         self.processes: dict[str, Process] = {}
         self.proxies: dict[tuple[str, str], Proxy] = {}
-        self.flows: list[judges.Flow] = []
+        self.flows: list[ClientFlow] = []
         self.outs: list[
             tuple[str, int, int, int, int]
         ] = []  # server, asked, agreed, version, settled
         self.backs: list[
             tuple[str, int, int | None, str]
         ] = []  # server, asked, version, what was told
-        self.ops: list[judges.Op] = []
+        self.ops: list[SettingsCall] = []
         self.listed_out: list[tuple[str, int]] = []  # servers that the list took out, and when
         self.copies: dict[str, Path] = {}
         self.late = 0  # nanoseconds that this loop was behind at worst
@@ -620,7 +627,7 @@
             if writer is not None:
                 writer.close()
         self.flows.append(
-            judges.Flow(
+            ClientFlow(
                 ident, EFFECTS[kind], asked, asked + wait * 1_000_000, answer, answered, name
             )
         )
@@ -773,7 +780,7 @@
             self.backs.append((server, asked, version, result))
         elif version is not None:
             place = len(self.outs)
-            self.outs.append((server, asked, agreed, version, judges.FOREVER))
+            self.outs.append((server, asked, agreed, version, NEVER))
             if what == "server_down":
                 result, body = await self.ask(name, "settled", {"version": version}, span=15.0)
                 self.note(
@@ -797,7 +804,7 @@
             kinds, servers, CONNECTS, 0, OVERLOAD, int(FALL * SECOND), 1.0, SLACK + self.late
         )
 
-    def downs(self) -> list[judges.Down]:
+    def downs(self) -> list[Removal]:
         """Each out that was agreed lasts until the next return of that server in the order of versions was asked for. A return that
         may or may not have come into force ends it too: from then on nobody knows. A yes can be told long after it was agreed."""
         found = []
@@ -814,9 +821,7 @@
                     and at > asked
                 )
             ]
-            found.append(
-                judges.Down(server, asked, agreed, settled, min(ends, default=judges.FOREVER))
-            )
+            found.append(Removal(server, asked, agreed, settled, min(ends, default=NEVER)))
         return found
 
     async def offer(self, name: str) -> None:
@@ -831,7 +836,7 @@
         result, body = await self.command(name, "offer", base=base, settings=settings)
         ended = time.monotonic_ns()
         version = int(str(body.get("why", "")).removeprefix("version ")) if result == "yes" else 0
-        self.ops.append(judges.Op("offer", began, ended, result, base, mark, version))
+        self.ops.append(SettingsCall("offer", began, ended, result, base, mark, version))
         self.note(
             "told", call="offer", at_balancer=name, base=base, result=result, body=str(body)[:200]
         )
@@ -842,7 +847,7 @@
         if result == "yes":
             price = body["settings"].get("deductions", {}).get("probe", 0)
             self.ops.append(
-                judges.Op(
+                SettingsCall(
                     "show",
                     began,
                     time.monotonic_ns(),
@@ -870,24 +875,24 @@
         if whole is not None:
             result, body = await self.ask(self.names[0], "show")
             out = set(body["out"]) if result == "yes" else out
-            broken += judges.forgotten(self.downs(), out)
+            broken += lost_removals(self.downs(), out)
         self.see("day_ended")  # what is under way now is not waited for
         opens = [(e["at"], e["server"], e["balancer"]) for e in self.events if e["what"] == "open"]
         stated = int(self.plan.stated_s * SECOND)
-        longest, found = judges.contradiction(self.downs(), opens, stated, SLACK + self.late)
+        longest, found = contradictions(self.downs(), opens, stated, SLACK + self.late)
         broken += found
         # The list: most voters' agents learn of it within a moment, the fleet then binds those whose agents lag.
-        listed = [judges.Down(server, at, at) for server, at in self.listed_out]
-        _, found = judges.contradiction(listed, opens, stated, SLACK + self.late + LISTED)
+        listed = [Removal(server, at, at) for server, at in self.listed_out]
+        _, found = contradictions(listed, opens, stated, SLACK + self.late + LISTED)
         broken += [f"the list took it out: {line}" for line in found]
-        why = judges.linearizable(self.ops, self.first)
+        why = linearizability_violation(self.ops, self.first)
         broken += [why] if why else []
         harmed = {name: p.harmed for name, p in self.processes.items()}
-        broken += judges.answers(self.flows, harmed, SLACK + self.late)
-        broken += judges.ran_twice(
+        broken += missing_or_late_answers(self.flows, harmed, SLACK + self.late)
+        broken += repeated_executions(
             [(e["flow"], e["effect"], e["server"]) for e in self.events if e["what"] == "open"]
         )
-        broken += judges.four_rules(
+        broken += rule_violations(
             [e for e in self.seen if e.flow not in self.repeated],
             self.rules(),
             self.flows,
@@ -925,7 +930,7 @@
             "answers": answers,
             "calls": {
                 "offers": sum(op.kind == "offer" for op in self.ops),
-                "offers_yes": sum(op.kind == "offer" and op.result == "yes" for op in self.ops),
+                "offers_yes": sum(op.kind == "offer" and op.outcome == "yes" for op in self.ops),
                 "taken_out": len(self.outs),
             },
             "machine_late_ms": round(self.late / 1e6, 1),
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -28,9 +28,11 @@
 from cypresswalk.fleet.leases import HeldLease, LeaseGrants
 from cypresswalk.fleet.messages import PROTOCOL, Call, FrameDecoder, FrameError, Hello, encode_frame
 from cypresswalk.fleet.transport import Transport
-from cypresswalk.lab.cluster import judges
+from cypresswalk.lab.cluster.checkers.answers import ClientFlow, missing_or_late_answers
+from cypresswalk.lab.cluster.checkers.contradiction import Removal, contradictions, lost_removals
+from cypresswalk.lab.cluster.checkers.four_rules import repeated_executions
+from cypresswalk.lab.cluster.checkers.linearizability import SettingsCall, linearizability_violation
 from cypresswalk.lab.cluster.explore import plan_of, run_seed, smaller
-from cypresswalk.lab.cluster.judges import Down, Flow, Op
 from cypresswalk.lab.cluster.virtual import SECOND, Broken, MemoryDisk, World
 
 ROOT = Path(__file__).parent.parent
@@ -611,39 +613,46 @@
     assert codes == ["fleet", "protocol", "replaced", "put-back", "put-back"]
 
 
-# Judges, held against histories that are wrong.
+# Checkers, held against histories that are wrong.
 
 
-def test_judges_find_what_is_wrong_in_a_history():
-    offer = Op("offer", 0, 10, "yes", 1, 77, 2)
-    assert not judges.linearizable(
-        [offer, Op("show", 5, 20, "yes", 0, 77, 2), Op("show", 1, 4, "yes", 0, 0, 1)], (1, 0)
+def test_checkers_find_what_is_wrong_in_a_history():
+    offer = SettingsCall("offer", 0, 10, "yes", 1, 77, 2)
+    assert not linearizability_violation(
+        [
+            offer,
+            SettingsCall("show", 5, 20, "yes", 0, 77, 2),
+            SettingsCall("show", 1, 4, "yes", 0, 0, 1),
+        ],
+        (1, 0),
     )
-    assert judges.linearizable(
-        [offer, Op("show", 11, 20, "yes", 0, 0, 1)], (1, 0)
+    assert linearizability_violation(
+        [offer, SettingsCall("show", 11, 20, "yes", 0, 0, 1)], (1, 0)
     )  # an old value after a yes
-    assert judges.linearizable(
-        [offer, Op("offer", 11, 20, "yes", 1, 78, 3)], (1, 0)
+    assert linearizability_violation(
+        [offer, SettingsCall("offer", 11, 20, "yes", 1, 78, 3)], (1, 0)
     )  # two on one base
-    unsure = Op("offer", 0, 10, "unsure", 1, 77, 0)
-    assert not judges.linearizable(
-        [unsure, Op("show", 30, 40, "yes", 0, 77, 5)], (1, 0)
+    unsure = SettingsCall("offer", 0, 10, "unsure", 1, 77, 0)
+    assert not linearizability_violation(
+        [unsure, SettingsCall("show", 30, 40, "yes", 0, 77, 5)], (1, 0)
     )  # it came into force after all
-    assert not judges.linearizable(
-        [unsure, Op("show", 30, 40, "yes", 0, 0, 1)], (1, 0)
+    assert not linearizability_violation(
+        [unsure, SettingsCall("show", 30, 40, "yes", 0, 0, 1)], (1, 0)
     )  # or did not
-    down = [Down("s0", 0, 10 * SECOND, 20 * SECOND)]
-    assert judges.contradiction(
+    down = [Removal("s0", 0, 10 * SECOND, 20 * SECOND)]
+    assert contradictions(
         down, [(14 * SECOND, "s0", "n1"), (30 * SECOND, "s1", "n1")], 5 * SECOND, 0
     ) == (4 * SECOND, [])
-    assert judges.contradiction(down, [(16 * SECOND, "s0", "n1")], 5 * SECOND, 0)[1]
-    assert len(judges.contradiction(down, [(21 * SECOND, "s0", "n1")], 60 * SECOND, 0)[1]) == 1
-    assert judges.forgotten(down, set()) and not judges.forgotten(down, {"s0"})
-    flow = Flow("f", "repeatable", 0, SECOND, "end", SECOND // 2, "n0")
-    assert judges.answers([flow], {}, 0) and not judges.answers(
+    assert contradictions(down, [(16 * SECOND, "s0", "n1")], 5 * SECOND, 0)[1]
+    assert len(contradictions(down, [(21 * SECOND, "s0", "n1")], 60 * SECOND, 0)[1]) == 1
+    assert lost_removals(down, set()) and not lost_removals(down, {"s0"})
+    flow = ClientFlow("f", "repeatable", 0, SECOND, "end", SECOND // 2, "n0")
+    assert missing_or_late_answers([flow], {}, 0) and not missing_or_late_answers(
         [flow], {"n0": [(SECOND // 3, SECOND // 2)]}, 0
     )
-    assert judges.answers([Flow("f", "repeatable", 0, SECOND, "UP", 3 * SECOND, "n0")], {}, 0)
-    assert judges.ran_twice(
+    assert missing_or_late_answers(
+        [ClientFlow("f", "repeatable", 0, SECOND, "UP", 3 * SECOND, "n0")], {}, 0
+    )
+    assert repeated_executions(
         [("f", "once-only", "a"), ("f", "once-only", "b")]
-    ) and not judges.ran_twice([("f", "once-only", "a")])
+    ) and not repeated_executions([("f", "once-only", "a")])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,7 +24,8 @@
 from cypresswalk.fleet.shared_settings import objection
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
-from cypresswalk.lab.cluster.judges import Span, halted, out_at_once
+from cypresswalk.lab.cluster.checkers.halts import check_halts
+from cypresswalk.lab.cluster.checkers.unavailability import Outage, check_unavailability
 from cypresswalk.lab.cluster.machines import Machines
 from cypresswalk.lab.cluster.plan import Plan as Plan_
 from cypresswalk.lab.cluster.plan import Step
@@ -862,31 +863,34 @@
 
 def test_a_history_with_too_many_out_or_an_ignored_halt_is_detected():
     s = 10**9
-    own = [Span("n0", 10 * s, 20 * s, "changed"), Span("n1", 15 * s, 25 * s, "changed")]
-    assert out_at_once(own, [], [], 2, [], 0) == (2, 2, [])
-    assert out_at_once(own, [], [], 1, [], 0)[2] == [
+    own = [Outage("n0", 10 * s, 20 * s, "changed"), Outage("n1", 15 * s, 25 * s, "changed")]
+    assert check_unavailability(own, [], [], 2, [], 0) == (2, 2, [])
+    assert check_unavailability(own, [], [], 1, [], 0)[2] == [
         "n0, n1 are out at once by the program's doing, 1 may be"
     ]
-    lost, went = [Span("n2", 2 * s, 40 * s, "lost")], [(18 * s, "n1", "release")]
-    assert out_at_once(own[1:], lost, went, 2, [], 0) == (1, 2, [])
+    lost, went = [Outage("n2", 2 * s, 40 * s, "lost")], [(18 * s, "n1", "release")]
+    assert check_unavailability(own[1:], lost, went, 2, [], 0) == (1, 2, [])
     assert (
         "n1 went out (release) while n2 were out or lost"
-        in out_at_once(own[1:], lost, went, 1, [], 0)[2][0]
+        in check_unavailability(own[1:], lost, went, 1, [], 0)[2][0]
     )
     assert (
-        out_at_once(own[1:], [Span("n2", 14 * s, 40 * s, "lost")], went, 1, [], 0)[2] == []
+        check_unavailability(own[1:], [Outage("n2", 14 * s, 40 * s, "lost")], went, 1, [], 0)[2]
+        == []
     )  # nobody could know yet
     # On the way back one that fell over is healed by it.
     assert (
-        out_at_once(own[1:], [*lost, Span("n1", 3 * s, 40 * s, "lost")], went, 1, [5 * s], 0)[2]
+        check_unavailability(
+            own[1:], [*lost, Outage("n1", 3 * s, 40 * s, "lost")], went, 1, [5 * s], 0
+        )[2]
         == []
     )
-    assert halted(went, [(15 * s, 16 * s)], [], [], 2 * s) == (2 * s, [])
-    assert halted(went, [(15 * s, 15 * s)], [], [], 2 * s)[1] == [
+    assert check_halts(went, [(15 * s, 16 * s)], [], [], 2 * s) == (2 * s, [])
+    assert check_halts(went, [(15 * s, 15 * s)], [], [], 2 * s)[1] == [
         "n1 went out (release) 3.00 s after a yes to a halt"
     ]
-    assert halted(went, [(15 * s, 15 * s)], [16 * s], [], 2 * s)[1] == []  # resumed meanwhile
-    assert halted(went, [(15 * s, 15 * s)], [], [16 * s], 2 * s)[1] == []  # the way back
+    assert check_halts(went, [(15 * s, 15 * s)], [16 * s], [], 2 * s)[1] == []  # resumed meanwhile
+    assert check_halts(went, [(15 * s, 15 * s)], [], [16 * s], 2 * s)[1] == []  # the way back
 
 
 def test_a_plan_with_releases_and_no_agents_is_refused(tmp_path):
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -16,8 +16,9 @@
 from cypresswalk.agreement.messages import RequestVote
 from cypresswalk.fleet.messages import PROTOCOL, Call, Hello, encode_frame
 from cypresswalk.lab.balancers import free_port
-from cypresswalk.lab.cluster import judges
 from cypresswalk.lab.cluster import plan as plans
+from cypresswalk.lab.cluster.checkers.answers import ClientFlow
+from cypresswalk.lab.cluster.checkers.four_rules import rule_violations
 from cypresswalk.lab.cluster.plan import Plan, Step
 from cypresswalk.lab.cluster.stage import Rig, played
 from cypresswalk.lab.observations import Observation
@@ -340,13 +341,11 @@
             ),
             Observation(at, "answer", f"f{i}", name, {"kind": "up", "line": "UP r"}),
         ]
-        flows.append(judges.Flow(f"f{i}", "repeatable", at, at + 2 * second, "UP", at, name))
+        flows.append(ClientFlow(f"f{i}", "repeatable", at, at + 2 * second, "UP", at, name))
     rules = Rig(Plan(), Path("unused")).rules()
-    assert [line.split(":")[0] for line in judges.four_rules(seen, rules, flows, {}, 0)] == ["cold"]
+    assert [line.split(":")[0] for line in rule_violations(seen, rules, flows, {}, 0)] == ["cold"]
     assert (
-        judges.four_rules(
-            [e for e in seen if e.flow in ("", "f1", "f2", "f3")], rules, flows, {}, 0
-        )
+        rule_violations([e for e in seen if e.flow in ("", "f1", "f2", "f3")], rules, flows, {}, 0)
         == []
     )
     drained = [
@@ -355,13 +354,13 @@
         ),
         *seen[1:],
     ]
-    assert {line.split(":")[0] for line in judges.four_rules(drained, rules, flows, {}, 0)} == {
+    assert {line.split(":")[0] for line in rule_violations(drained, rules, flows, {}, 0)} == {
         "drains"
     }
     unanswered = [e for e in seen[1:] if (e.kind, e.flow) != ("answer", "f5")]
-    assert [line.split(":")[0] for line in judges.four_rules(unanswered, rules, flows, {}, 0)] == [
+    assert [line.split(":")[0] for line in rule_violations(unanswered, rules, flows, {}, 0)] == [
         "one answer"
     ]
     assert (
-        judges.four_rules(unanswered, rules, flows, {"n1": [(second, 2 * second)]}, 0) == []
+        rule_violations(unanswered, rules, flows, {"n1": [(second, 2 * second)]}, 0) == []
     )  # n1 was killed then
