--- a/.ci/check_types.py
+++ b/.ci/check_types.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MAX_ERRORS = 149
+MAX_ERRORS = 56
 
 
 def errors() -> list[str]:
--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -22,7 +22,7 @@
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.lab.balancers import free_port
 from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.operator import FleetTable
 
 SECOND = 1_000_000_000
@@ -34,26 +34,27 @@
 
     async def one(copies: int, memory: bool) -> dict[str, list[float]]:
         with tempfile.TemporaryDirectory(dir="/dev/shm" if memory else None) as folder:
-            rig = Rig(
-                Plan(balancers=3, lasts_s=10, flows_per_s=150, copies=copies), Path(folder) / "rig"
+            rig = ClusterTestBed(
+                Plan(balancers=3, duration_s=10, flows_per_s=150, replicas=copies),
+                Path(folder) / "rig",
             )
             try:
-                await rig.begin()
-                assert await rig.whole() is not None
+                await rig.start()
+                assert await rig.convergence.wait() is not None
                 if copies:
-                    await rig.copies_whole()
-                    rig.quiet = False
-                await rig.play()
+                    await rig.convergence.wait_for_replicas()
+                rig.clients.start()
+                await rig.player.play()
                 return {
                     kind: sorted(
-                        (f.answered - f.awaited_checks) / 1e6
-                        for f in rig.flows
+                        (f.answered_at - f.sent_at) / 1e6
+                        for f in rig.clients.flows
                         if f.answer == "UP" and f.effect == kind
                     )
                     for kind in ("once-only", "repeatable")
                 }
             finally:
-                await rig.end()
+                await rig.stop()
 
     for turn in range(5):
         for copies, memory in ((3, False), (3, True), (0, False)):
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -18,7 +18,7 @@
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.agreement.store import LogIdentity, Store
 from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.lab.cluster.virtual import SECOND, World
 from cypresswalk.state.disk import DiskFolder
 
@@ -28,33 +28,35 @@
 
     async def one(fleet: bool) -> list[float]:
         with tempfile.TemporaryDirectory() as folder:
-            rig = Rig(Plan(balancers=3, lasts_s=8, flows_per_s=120), Path(folder) / "rig")
+            rig = ClusterTestBed(
+                Plan(balancers=3, duration_s=8, flows_per_s=120), Path(folder) / "rig"
+            )
             if not fleet:
-                begin = rig.start
-                rig.start = lambda name, **more: begin(name, PROXY_OPERATOR="", **more)
+                rig.launch.environment["PROXY_OPERATOR"] = ""
             try:
-                await rig.begin()
+                await rig.start()
                 if fleet:
-                    assert await rig.whole() is not None
+                    assert await rig.convergence.wait() is not None
                 else:
                     await asyncio.sleep(3)
-                await rig.play()
+                rig.clients.start()
+                await rig.player.play()
                 sizes = [
                     int(
                         next(
                             line
-                            for line in open(f"/proc/{p.popen.pid}/status")
+                            for line in open(f"/proc/{p.process.pid}/status")
                             if line.startswith("VmRSS")
                         ).split()[1]
                     )
-                    for p in rig.processes.values()
+                    for p in rig.balancers.values()
                 ]
                 print("fleet" if fleet else "alone", "resident KB", sizes)
                 return sorted(
-                    (f.answered - f.awaited_checks) / 1e6 for f in rig.flows if f.answer == "UP"
+                    (f.answered_at - f.sent_at) / 1e6 for f in rig.clients.flows if f.answer == "UP"
                 )
             finally:
-                await rig.end()
+                await rig.stop()
 
     for turn in range(5):
         for fleet in (True, False):
@@ -71,10 +73,10 @@
 
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            rig = Rig(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
+            rig = ClusterTestBed(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
             try:
-                await rig.begin()
-                assert await rig.whole() is not None
+                await rig.start()
+                assert await rig.convergence.wait() is not None
                 for callers in (1, 8):
                     count, took = 0, []
                     until = time.monotonic() + 5
@@ -83,7 +85,7 @@
                         nonlocal count
                         while time.monotonic() < until:
                             began = time.monotonic()
-                            result, _ = await rig.command(
+                            result, _ = await rig.calls.command(
                                 "n1", "out" if count % 2 else "back", server=f"x-{number}"
                             )
                             assert result == "yes"
@@ -98,7 +100,7 @@
                         flush=True,
                     )
             finally:
-                await rig.end()
+                await rig.stop()
 
     asyncio.run(run())
 
@@ -108,32 +110,34 @@
 
     async def run() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            rig = Rig(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
+            rig = ClusterTestBed(Plan(balancers=3, flows_per_s=0), Path(folder) / "rig")
             try:
-                await rig.begin()
-                assert await rig.whole() is not None
+                await rig.start()
+                assert await rig.convergence.wait() is not None
                 gaps, refused, asked = [], 0, 0
                 for turn in range(10):
-                    leader = await rig.leader()
+                    leader = await rig.calls.leader()
                     others = [name for name in rig.names if name != leader]
-                    rig.kill(leader)
+                    rig.balancers[leader].kill()
                     began = time.monotonic()
-                    while (await rig.command(others[0], "out", server=f"y-{turn}"))[0] != "yes":
+                    while (await rig.calls.command(others[0], "out", server=f"y-{turn}"))[
+                        0
+                    ] != "yes":
                         pass
                     gaps.append(time.monotonic() - began)
                     for number in range(20):
-                        await rig.flow(f"k{turn}.{number}", others[number % 2], "view")
-                    rig.start(leader)
-                    assert await rig.whole() is not None
-                refused = sum(f.answer != "UP" for f in rig.flows)
-                asked = len(rig.flows)
+                        await rig.clients.flow(f"k{turn}.{number}", others[number % 2], "view")
+                    rig.balancers[leader].start()
+                    assert await rig.convergence.wait() is not None
+                refused = sum(f.answer != "UP" for f in rig.clients.flows)
+                asked = len(rig.clients.flows)
                 gaps.sort()
                 print(
                     f"ten leaders killed: agreed again after {gaps[0]:.2f} to {gaps[-1]:.2f} s, median {statistics.median(gaps):.2f}; "
                     f"{refused} of {asked} flows at the others not established"
                 )
             finally:
-                await rig.end()
+                await rig.stop()
 
     asyncio.run(run())
 
--- a/benchmarks/operated.py
+++ b/benchmarks/operated.py
@@ -13,37 +13,34 @@
 from pathlib import Path
 
 from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 
 UPGRADES, RATE = 20, 150
 CROWD, CROWDS, CALLERS = 300, 20, 4
 
 
-class One(Rig):
+def one_balancer(flows_per_s: float, folder: Path) -> ClusterTestBed:
     """One balancer on its own, with stand-ins for servers, list and clients round it."""
-
-    def write(self, number: int, name: str) -> None:
-        super().write(number, name)
-        (self.processes[name].folder / "operator.toml").write_text(
-            ""
-        )  # balancers agree on nothing here
-
-    def second(self) -> tuple[subprocess.Popen, tuple[str, int]]:
-        p, admin = self.processes["n0"], self.free()
-        with open(p.folder / "log", "ab") as log:
-            return subprocess.Popen(
-                self.words,
-                cwd=self.tree,
-                stdin=subprocess.DEVNULL,
-                stdout=log,
-                stderr=log,
-                env=os.environ
-                | {
-                    "TMPDIR": str(p.folder),
-                    "PROXY_CONFIG": str(p.folder / "config.json"),
-                    "PROXY_ADMIN_ADDR": "%s:%d" % admin,
-                },
-            ), admin
+    plan = Plan(balancers=1, voters=1, servers=4, flows_per_s=flows_per_s)
+    return ClusterTestBed(plan, folder / "rig", in_fleet=False)
+
+
+def second(rig: ClusterTestBed) -> tuple[subprocess.Popen, tuple[str, int]]:
+    host, admin = rig.balancers["n0"], rig.addresses.free()
+    with open(host.log, "ab") as log:
+        return subprocess.Popen(
+            rig.launch.program,
+            cwd=rig.launch.tree,
+            stdin=subprocess.DEVNULL,
+            stdout=log,
+            stderr=log,
+            env=os.environ
+            | {
+                "TMPDIR": str(host.folder),
+                "PROXY_CONFIG": str(host.config_file),
+                "PROXY_ADMIN_ADDR": "%s:%d" % admin,
+            },
+        ), admin
 
 
 async def call(where: tuple[str, int], line: bytes) -> tuple[str, float]:
@@ -69,16 +66,16 @@
 
 
 async def upgrades(folder: Path) -> None:
-    rig = One(Plan(balancers=1, voters=1, servers=4, flows_per_s=RATE), folder / "rig")
+    rig = one_balancer(RATE, folder)
     younger: subprocess.Popen | None = None
     try:
-        await rig.begin()
-        await ready(rig.processes["n0"].admin)
-        rig.spawn(rig.load(RATE))
-        elder, took, left = rig.processes["n0"].popen, [], []
+        await rig.start()
+        await ready(rig.balancers["n0"].admin)
+        rig.clients.start()
+        elder, took, left = rig.balancers["n0"].process, [], []
         for _ in range(UPGRADES):
             await asyncio.sleep(0.5)
-            younger, admin = rig.second()
+            younger, admin = second(rig)
             took.append(await ready(admin))
             told = time.monotonic()
             elder.send_signal(signal.SIGTERM)
@@ -86,10 +83,10 @@
                 await asyncio.sleep(0.01)
             left.append(time.monotonic() - told)
             elder = younger
-        rig.quiet = True
+        rig.clients.stop()
         await asyncio.sleep(2)
-        answers = Counter(flow.answer for flow in rig.flows)
-        late = sum(flow.answered > flow.next_due for flow in rig.flows)
+        answers = Counter(flow.answer for flow in rig.clients.flows)
+        late = sum(flow.answered_at > flow.deadline for flow in rig.clients.flows)
         print(
             f"{UPGRADES} upgrades under {RATE} flows a second: answers {dict(answers)}, {late} late; turned back unheard "
             f"{sum(answers[how] for how in ('refused', 'reset', 'end', 'none'))}; ready after {statistics.median(took):.2f} s "
@@ -98,17 +95,17 @@
     finally:
         if younger is not None:
             younger.kill()
-        await rig.end()
+        await rig.stop()
 
 
 async def calls(folder: Path) -> None:
     """Callers one after another while crowds connect at once, and others hang."""
-    rig = One(Plan(balancers=1, voters=1, servers=4, flows_per_s=50), folder / "rig")
+    rig = one_balancer(50, folder)
     try:
-        await rig.begin()
-        admin = rig.processes["n0"].admin
+        await rig.start()
+        admin = rig.balancers["n0"].admin
         await ready(admin)
-        rig.spawn(rig.load(50))
+        rig.clients.start()
         waits: dict[str, list[float]] = {
             "check": [],
             "vars": [],
@@ -129,15 +126,17 @@
                     await asyncio.sleep(0.02)
 
         # Set-down and set-up by several callers in turn: each is a yes, twice is once.
-        callers = [rig.spawn(caller()) for _ in range(CALLERS)]
+        callers = [rig.tasks.spawn(caller()) for _ in range(CALLERS)]
         hung = [await asyncio.open_connection(*admin) for _ in range(8)]
         for crowd in range(CROWDS):
-            await asyncio.gather(*(rig.flow(f"c{crowd}-{i}", "n0", "view") for i in range(CROWD)))
+            await asyncio.gather(
+                *(rig.clients.flow(f"c{crowd}-{i}", "n0", "view") for i in range(CROWD))
+            )
         over.set()
         await asyncio.gather(*callers)
         for _, writer in hung:
             writer.close()
-        rig.quiet = True
+        rig.clients.stop()
         print(
             f"{CROWDS} crowds of {CROWD} at once, {CALLERS} callers, 8 that hang; not as they should be: {dict(+odd)}"
         )
@@ -147,9 +146,9 @@
                 f"| `{line}` | {len(waited)} | {statistics.median(waited) * 1e3:.1f} | {waited[int(len(waited) * 0.99)] * 1e3:.0f} | "
                 f"{waited[-1] * 1e3:.0f} |"
             )
-        print(dict(Counter(flow.answer for flow in rig.flows)))
+        print(dict(Counter(flow.answer for flow in rig.clients.flows)))
     finally:
-        await rig.end()
+        await rig.stop()
 
 
 if __name__ == "__main__":
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -12,10 +12,11 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.lab.cluster.machines import Machines, build
-from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.plan import Build, Plan, Step
 from cypresswalk.lab.cluster.releases import NEW, OLD, SECOND, Releases
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.builds import make_balancer_build
+from cypresswalk.lab.cluster.testbed.result import conclude
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 
@@ -122,39 +123,39 @@
     print(f"false halts: {len(halts)} of 10")
 
 
-def lost(rig: Rig) -> dict[str, int]:
+def lost(rig: ClusterTestBed) -> dict[str, int]:
     return {
-        kind: sum(f.answer == kind for f in rig.flows)
-        for kind in sorted({f.answer for f in rig.flows})
+        kind: sum(f.answer == kind for f in rig.clients.flows)
+        for kind in sorted({f.answer for f in rig.clients.flows})
     }
 
 
 async def by_loop(kind: str, folder: Path) -> dict[str, int]:
     """What people write: for each balancer stop it, start the new version, wait until it answers, next."""
-    rig = Rig(Plan(balancers=5, zones=2, flows_per_s=150), folder / "rig")
+    rig = ClusterTestBed(Plan(balancers=5, zones=2, flows_per_s=150), folder / "rig")
     try:
-        await rig.begin()
-        assert await rig.whole() is not None
+        await rig.start()
+        assert await rig.convergence.wait() is not None
         (folder / "versions").mkdir()
-        build(folder / "versions", rig.tree, "new", kind)
-        rig.tree = folder / "versions/new"
-        rig.spawn(rig.load(rig.plan.flows_per_s))
+        make_balancer_build(folder / "versions", rig.launch.tree, "new", Build(kind))
+        rig.launch.tree = folder / "versions/new"
+        rig.clients.start()
         await asyncio.sleep(2)
         for name in rig.names:
-            p = rig.processes[name]
-            p.popen.send_signal(signal.SIGTERM)
-            while p.popen.poll() is None:
+            p = rig.balancers[name]
+            p.process.send_signal(signal.SIGTERM)
+            while p.process.poll() is None:
                 await asyncio.sleep(0.05)
-            rig.start(name)
+            rig.balancers[name].start()
             until = time.monotonic() + 5
             while time.monotonic() < until and not await answers(p.admin):
                 await asyncio.sleep(0.05)
         await asyncio.sleep(20)
-        rig.quiet = True
+        rig.clients.stop()
         await asyncio.sleep(2)
         return lost(rig)
     finally:
-        await rig.end()
+        await rig.stop()
 
 
 async def answers(where: tuple[str, int]) -> bool:
@@ -170,22 +171,25 @@
 
 
 async def by_release(kind: str, folder: Path) -> dict[str, int]:
-    rig = Machines(
-        Plan(balancers=5, zones=2, flows_per_s=150, agents=True, bound=1), folder / "rig"
+    rig = ClusterTestBed(
+        Plan(
+            balancers=5, zones=2, flows_per_s=150, balancer_agents=True, max_unavailable_balancers=1
+        ),
+        folder / "rig",
     )
     try:
-        await rig.begin()
-        await rig.agree_on_bound(await rig.whole())
-        rig.spawn(rig.load(rig.plan.flows_per_s))
+        await rig.start()
+        await rig.agree_on_bounds(await rig.convergence.wait())
+        rig.clients.start()
         await asyncio.sleep(2)
-        await rig.release(Step(at_s=0, do="release", build=kind))
-        report = await rig.home()
+        await rig.releases.begin(Step(at_s=0, action="release", build=kind))
+        report = (await rig.releases.finish()).to_json()
         assert "home_in_s" in report, report
-        rig.quiet = True
+        rig.clients.stop()
         await asyncio.sleep(2)
         return lost(rig) | report
     finally:
-        await rig.end()
+        await rig.stop()
 
 
 def loop() -> None:
@@ -199,27 +203,35 @@
     """At seven balancers, two of which may be out: from the yes to a halt, at any moment of a release, to the last one told to leave."""
 
     async def one(seed: int, folder: Path) -> dict[str, Any]:
-        rig = Machines(
-            Plan(balancers=7, voters=3, zones=2, flows_per_s=50, agents=True, bound=2, seed=seed),
+        rig = ClusterTestBed(
+            Plan(
+                balancers=7,
+                voters=3,
+                zones=2,
+                flows_per_s=50,
+                balancer_agents=True,
+                max_unavailable_balancers=2,
+                seed=seed,
+            ),
             folder / "rig",
         )
         try:
-            await rig.begin()
-            await rig.agree_on_bound(await rig.whole())
-            rig.spawn(rig.load(rig.plan.flows_per_s))
-            await rig.release(Step(at_s=0, do="release", hold_s=1.0))
+            await rig.start()
+            await rig.agree_on_bounds(await rig.convergence.wait())
+            rig.clients.start()
+            await rig.releases.begin(Step(at_s=0, action="release", hold_s=1.0))
             await asyncio.sleep(2 + 2.3 * seed)
-            await rig.halt(rig.chance.choice(rig.names))
+            await rig.releases.halt(rig.chance.choice(rig.names))
             await asyncio.sleep(4)
             began = time.monotonic()
-            await rig.turn_back("n0")
-            report = await rig.verdict()
+            await rig.releases.roll_back("n0")
+            report = (await conclude(rig)).to_json()
             return {
                 key: report[key]
                 for key in ("broken", "halt_to_last_out_s", "most_out", "ended", "told_to_leave")
             } | {"back_in_s": round(time.monotonic() - began, 1)}
         finally:
-            await rig.end()
+            await rig.stop()
 
     for seed in range(6):
         with tempfile.TemporaryDirectory() as folder:
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -64,23 +64,24 @@
     out: str,
 ) -> int:
     """Starts a fleet of real balancers, injects faults by PLAN or a seed, and checks the rules."""
-    from cypresswalk.lab.cluster import plan as plans
-    from cypresswalk.lab.cluster import stage
+    from cypresswalk.lab.cluster.plan import read_plan
+    from cypresswalk.lab.cluster.random_plans import random_plan, random_release_plan
+    from cypresswalk.lab.cluster.testbed.run import run_plan, run_timeline
 
     if plan is not None and seed is not None:
         raise CommandError("PLAN or --seed: one of them")
     faults = max(int(seconds // SECONDS_PER_FAULT), 1)
     if plan is not None:
-        wanted = plans.read(plan)
+        wanted = read_plan(plan)
     elif seed is None:
         raise CommandError("PLAN or --seed: one of them")
     elif release:
-        wanted = plans.drawn_release(seed, balancers, voters, seconds, faults)
+        wanted = random_release_plan(seed, balancers, voters, seconds, faults)
     else:
-        wanted = plans.drawn(seed, balancers, voters, seconds, faults, copies)
+        wanted = random_plan(seed, balancers, voters, seconds, faults, copies)
     folder = Path(out).absolute()
-    report = asyncio.run(stage.played(wanted, folder))
-    for line in stage.timeline(folder):
+    report = asyncio.run(run_plan(wanted, folder))
+    for line in run_timeline(folder):
         click.echo(line)
     click.echo(json.dumps(report, indent=1))
     click.echo(f"history, logs and report: {folder}")
--- a/cypresswalk/lab/cluster/__init__.py
+++ b/cypresswalk/lab/cluster/__init__.py
@@ -1,2 +1,5 @@
-"""Several balancers that agree, and faults between them: real processes (`stage`), or the fleet's real code in virtual time
-(`virtual`); both write a history that `judges` reads. For people `cypresswalk lab together`; docs/operators/fleet.md."""
+"""Several balancers that agree, under faults: real processes, or the same code in virtual time.
+
+`plan` and `random_plans` say what real processes go through, `testbed` runs them, and `checkers`
+read what it recorded. `cypresswalk lab together` is the command; docs/operators/fleet.md.
+"""
--- a/cypresswalk/lab/cluster/plan.py
+++ b/cypresswalk/lab/cluster/plan.py
@@ -1,309 +1,260 @@
-"""What a run of several balancers is to go through: read from a file, or drawn from a seed."""
+"""The plan of a cluster's run: its members, its load, and a timed list of faults and calls.
 
-from random import Random
-from typing import Literal
+Decoded from TOML by pydantic (see cypresswalk.toml). A field with an alias has the alias as its key
+in the file and in messages of errors; code uses the field's own name. Random plans:
+`random_plans.py`.
+"""
 
-from pydantic import Field, model_validator
+from enum import StrEnum
+from pathlib import Path
+
+from pydantic import ConfigDict, Field, model_validator
 
 from cypresswalk import toml
 
-Do = Literal[
-    "cut",
-    "cut_one_way",
-    "slow",
-    "garble",
-    "isolate",
-    "heal",
-    "kill",
-    "start",
-    "stop",
-    "freeze",
-    "thaw",
-    "wipe",
-    "put_back",
-    "copy",
-    "out",
-    "back",
-    "offer",
-    "show",
-    "server_down",
-    "lag",
-    "lie",
-    "list_drain",
-    "half_close",
-    "disk_full",
-    "disk_fails",
-    "disk_slow",
-    "server_restart",
-    "release",
-    "release_back",
-    "halt",
-    "resume",
-    "pause",
-    "unpause",
-    "kill_agent",
-    "start_agent",
-    "kill_balancer",
-    "drain",
-    "undrain",
-    "kill_server_agent",
-    "start_server_agent",
-    "kill_server",
-]
-Build = Literal["good", "rejects", "aborts", "slow", "falls", "never_ready", "unreadable"]
-OF_SERVERS = {"good", "aborts", "slow", "falls", "never_ready"}
-PAIRS = {"cut", "cut_one_way", "slow", "garble", "half_close"}
-DISKS = {"disk_full", "disk_fails", "disk_slow"}  # until all is healed
-BY_SERVER_AGENTS = {"kill_server_agent", "start_server_agent", "kill_server"}
-NOBODY = {"heal", "list_drain", "server_restart", "release"} | BY_SERVER_AGENTS
-BY_EITHER = {"release", "release_back", "halt", "resume", "pause", "unpause"}
-BY_AGENTS = {"kill_agent", "start_agent", "kill_balancer", "drain", "undrain"}
+LEADER = "leader"  # in place of a balancer's name: whichever leads when the step begins
+MAX_CLOCK_DRIFT = 0.02
+
+
+class Action(StrEnum):
+    """What a step does; the values stand in the file."""
+
+    CUT = "cut"
+    CUT_ONE_WAY = "cut_one_way"
+    DELAY = "slow"  # a link
+    GARBLE = "garble"
+    ISOLATE = "isolate"
+    HEAL = "heal"  # ends all faults, disks and endpoint lists included, and starts what is down
+    KILL = "kill"  # a balancer's host: with an agent, that too
+    START = "start"
+    STOP = "stop"
+    FREEZE = "freeze"
+    RESUME_PROCESS = "thaw"
+    WIPE = "wipe"  # the disk of a host that is killed and started again
+    RESTORE_BACKUP = "put_back"
+    BACK_UP = "copy"
+    REMOVE_SERVER = "out"
+    RETURN_SERVER = "back"
+    OFFER_SETTINGS = "offer"
+    SHOW_SETTINGS = "show"
+    REMOVE_SERVER_SETTLED = "server_down"  # and waits until no balancer sends there
+    LIST_LAGS = "lag"
+    LIST_LIES = "lie"
+    LIST_DRAINS_SERVER = "list_drain"
+    HALF_CLOSE = "half_close"
+    DISK_FULL = "disk_full"
+    DISK_FAILS = "disk_fails"
+    DISK_SLOW = "disk_slow"
+    RESTART_SERVER = "server_restart"
+    RELEASE = "release"
+    ROLL_BACK = "release_back"
+    HALT = "halt"
+    RESUME = "resume"
+    PAUSE = "pause"
+    UNPAUSE = "unpause"
+    KILL_AGENT = "kill_agent"
+    START_AGENT = "start_agent"
+    KILL_BALANCER = "kill_balancer"  # alone: its agent starts it again
+    DRAIN = "drain"
+    UNDRAIN = "undrain"
+    KILL_SERVER_AGENT = "kill_server_agent"
+    START_SERVER_AGENT = "start_server_agent"
+    KILL_SERVER = "kill_server"
+
+
+class Build(StrEnum):
+    """A version of a program: sound, or bad in one way; the values stand in the file."""
+
+    GOOD = "good"
+    REJECTS = "rejects"
+    ABORTS = "aborts"
+    SLOW = "slow"
+    CRASHES = "falls"
+    NEVER_READY = "never_ready"
+    CANNOT_READ_SETTINGS = "unreadable"
+
+
+SERVER_BUILDS = {Build.GOOD, Build.ABORTS, Build.SLOW, Build.CRASHES, Build.NEVER_READY}
+LINK_ACTIONS = {Action.CUT, Action.CUT_ONE_WAY, Action.DELAY, Action.GARBLE, Action.HALF_CLOSE}
+DISK_ACTIONS = {Action.DISK_FULL, Action.DISK_FAILS, Action.DISK_SLOW}  # until HEAL
+SERVER_AGENT_ACTIONS = {
+    Action.KILL_SERVER_AGENT,
+    Action.START_SERVER_AGENT,
+    Action.KILL_SERVER,
+}
+ACTIONS_WITHOUT_BALANCER = SERVER_AGENT_ACTIONS | {
+    Action.HEAL,
+    Action.LIST_DRAINS_SERVER,
+    Action.RESTART_SERVER,
+    Action.RELEASE,
+}
+SERVER_ACTIONS = SERVER_AGENT_ACTIONS | {
+    Action.REMOVE_SERVER,
+    Action.REMOVE_SERVER_SETTLED,
+    Action.RETURN_SERVER,
+    Action.LIST_DRAINS_SERVER,
+    Action.RESTART_SERVER,
+}
+RELEASE_ACTIONS = {
+    Action.RELEASE,
+    Action.ROLL_BACK,
+    Action.HALT,
+    Action.RESUME,
+    Action.PAUSE,
+    Action.UNPAUSE,
+}
+BALANCER_AGENT_ACTIONS = {
+    Action.KILL_AGENT,
+    Action.START_AGENT,
+    Action.KILL_BALANCER,
+    Action.DRAIN,
+    Action.UNDRAIN,
+}
 
 
 class Step(toml.Table):
+    """One fault or call.
+
+    Attributes:
+        at_s: seconds after the begin.
+        action: what is done.
+        balancer: which it is done to, or whom it is asked of; or LEADER.
+        peer: the other end of a link.
+        server: the number of a server.
+        duration_ms: of a freeze; the delay of a slow link.
+        build: of a release: what is made and rolled out.
+        hold_s: of a release: how long each wave is observed.
+        min_flows: of a release: how many flows a verdict on a wave needs.
+        shuffled: of a release: whether its members go in a random order.
+    """
+
+    model_config = ConfigDict(populate_by_name=True)
+
     at_s: float = Field(ge=0, le=3600)
-    do: Do
-    who: str = ""  # a balancer; "leader" for the one that leads then
-    other: str = ""
-    server: int = Field(0, ge=0)
-    ms: int = Field(200, ge=1, le=60_000)
-    build: Build = "good"  # of a release: what is made and given out
-    hold_s: float = Field(2, ge=0.1, le=600)
-    flows: int = Field(20, ge=0)
-    mixed: bool = False  # in an order by chance
+    action: Action = Field(validation_alias="do")
+    balancer: str = Field(default="", validation_alias="who")
+    peer: str = Field(default="", validation_alias="other")
+    server: int = Field(default=0, ge=0)
+    duration_ms: int = Field(default=200, ge=1, le=60_000, validation_alias="ms")
+    build: Build = Build.GOOD
+    hold_s: float = Field(default=2, ge=0.1, le=600)
+    min_flows: int = Field(default=20, ge=0, validation_alias="flows")
+    shuffled: bool = Field(default=False, validation_alias="mixed")
 
     @model_validator(mode="after")
-    def fits(self) -> "Step":
-        if self.do not in NOBODY and not self.who:
-            raise ValueError(f"{self.do} needs who")
-        if self.do in PAIRS and not self.other:
-            raise ValueError(f"{self.do} needs other")
+    def _has_what_its_action_needs(self) -> "Step":
+        if self.action not in ACTIONS_WITHOUT_BALANCER and not self.balancer:
+            raise ValueError(f"{self.action} needs who")
+        if self.action in LINK_ACTIONS and not self.peer:
+            raise ValueError(f"{self.action} needs other")
         return self
 
 
 class Plan(toml.Table):
-    balancers: int = Field(5, ge=1, le=100)
-    voters: int = Field(3, ge=1, le=7)
-    servers: int = Field(4, ge=1, le=50)
-    zones: int = Field(1, ge=1, le=8)
-    lasts_s: float = Field(20, ge=1, le=3600)
-    stated_s: float = Field(5, ge=1, le=60)
-    flows_per_s: float = Field(30, ge=0, le=5000)
-    copies: int = Field(0, ge=0, le=7)  # of each claimed id; 0: none are kept
-    repeats: float = Field(
-        0, ge=0, le=1
-    )  # of once-only flows: said again under the same id, at once or later, elsewhere
+    """A cluster and what it goes through.
+
+    Attributes:
+        balancers: how many, named n0, n1 and so on.
+        voters: how many of them, the first ones, vote.
+        servers: how many, named s-0, s-1 and so on.
+        zones: over which balancers are spread.
+        duration_s: of load and steps.
+        max_contradiction_s: for which two balancers may act on contradicting versions.
+        flows_per_s: the load; 0 for none.
+        replicas: of each reserved key; 0 where keys are not replicated.
+        repeat_probability: of once-only flows: sent again under the same id, at once or later, at
+            any balancer.
+        seed: of all that is random.
+        balancer_agents: whether each balancer's host has an agent; releases are of balancers then.
+        max_unavailable_balancers: the bound on balancers out at once; 0 for none.
+        server_agents: whether each server's host has an agent; releases are of servers then.
+        max_unavailable_servers: the bound on servers out at once, with server agents.
+        clock_drift: by balancer: the part by which the fleet's clock there runs fast, 0.01 for 1%.
+        steps: in the order in which they are done.
+    """
+
+    model_config = ConfigDict(populate_by_name=True)
+
+    balancers: int = Field(default=5, ge=1, le=100)
+    voters: int = Field(default=3, ge=1, le=7)
+    servers: int = Field(default=4, ge=1, le=50)
+    zones: int = Field(default=1, ge=1, le=8)
+    duration_s: float = Field(default=20, ge=1, le=3600, validation_alias="lasts_s")
+    max_contradiction_s: float = Field(default=5, ge=1, le=60, validation_alias="stated_s")
+    flows_per_s: float = Field(default=30, ge=0, le=5000)
+    replicas: int = Field(default=0, ge=0, le=7, validation_alias="copies")
+    repeat_probability: float = Field(default=0, ge=0, le=1, validation_alias="repeats")
     seed: int = 0
-    agents: bool = False  # on each balancer's machine; without them there is no release
-    bound: int = Field(0, ge=0)  # on balancers out at once; 0: none
-    server_agents: bool = False  # on each server's machine: releases are of servers
-    server_bound: int = Field(1, ge=1)  # with them: on servers out at once
-    clocks: dict[
-        str, float
-    ] = {}  # balancers whose fleet's clock runs fast by that part, 0.01 for 1%
-    step: list[Step] = []
+    balancer_agents: bool = Field(default=False, validation_alias="agents")
+    max_unavailable_balancers: int = Field(default=0, ge=0, validation_alias="bound")
+    server_agents: bool = False
+    max_unavailable_servers: int = Field(default=1, ge=1, validation_alias="server_bound")
+    clock_drift: dict[str, float] = Field(default={}, validation_alias="clocks")
+    steps: list[Step] = Field(default=[], validation_alias="step")
 
     @model_validator(mode="after")
-    def names(self) -> "Plan":
-        if self.agents and self.server_agents:
+    def _is_consistent(self) -> "Plan":
+        if self.balancer_agents and self.server_agents:
             raise ValueError("agents, server_agents: one of them")
         if self.voters > self.balancers:
             raise ValueError("voters: more than balancers")
-        for name, off in self.clocks.items():
-            if name not in {f"n{i}" for i in range(self.balancers)} or not -0.02 <= off <= 0.02:
+        self._check_clocks()
+        for index, step in enumerate(self.steps):
+            self._check_names(index, step)
+            self._check_agents(index, step)
+        return self
+
+    def balancer_names(self) -> list[str]:
+        """Return the names of all balancers."""
+        return [f"n{number}" for number in range(self.balancers)]
+
+    def voter_names(self) -> list[str]:
+        """Return the names of the balancers that vote."""
+        return self.balancer_names()[: self.voters]
+
+    def server_names(self) -> list[str]:
+        """Return the names of all servers."""
+        return [server_name(number) for number in range(self.servers)]
+
+    def _check_clocks(self) -> None:
+        for name, drift in self.clock_drift.items():
+            if name not in self.balancer_names() or abs(drift) > MAX_CLOCK_DRIFT:
                 raise ValueError(
-                    f"clocks.{name}: none of n0 to n{self.balancers - 1}, or not within 0.02"
+                    f"clocks.{name}: none of n0 to n{self.balancers - 1}, "
+                    f"or not within {MAX_CLOCK_DRIFT}"
                 )
-        known = {f"n{i}" for i in range(self.balancers)} | {"leader", ""}
-        for i, step in enumerate(self.step):
-            for field in ("who", "other"):
-                if getattr(step, field) not in known:
-                    raise ValueError(
-                        f"step[{i}].{field}: {getattr(step, field)!r} is none of n0 to n{self.balancers - 1}, leader"
-                    )
-            if (
-                step.do in BY_AGENTS
-                and not self.agents
-                or step.do in BY_EITHER
-                and not (self.agents or self.server_agents)
-            ):
-                raise ValueError(f"step[{i}].do: {step.do} needs agents = true")
-            if step.do in BY_SERVER_AGENTS and not self.server_agents:
-                raise ValueError(f"step[{i}].do: {step.do} needs server_agents = true")
-            if self.server_agents and step.build not in OF_SERVERS:
+
+    def _check_names(self, index: int, step: Step) -> None:
+        known = {*self.balancer_names(), LEADER, ""}
+        for key, name in (("who", step.balancer), ("other", step.peer)):
+            if name not in known:
                 raise ValueError(
-                    f"step[{i}].build: {step.build}: of servers there are {', '.join(sorted(OF_SERVERS))}"
+                    f"step[{index}].{key}: {name!r} is none of n0 to n{self.balancers - 1}, leader"
                 )
-            if step.server >= self.servers:
-                raise ValueError(f"step[{i}].server: there are {self.servers}")
-        return self
+        if step.server >= self.servers:
+            raise ValueError(f"step[{index}].server: there are {self.servers}")
 
+    def _check_agents(self, index: int, step: Step) -> None:
+        field = f"step[{index}].do: {step.action}"
+        has_agents = self.balancer_agents or self.server_agents
+        if step.action in BALANCER_AGENT_ACTIONS and not self.balancer_agents:
+            raise ValueError(f"{field} needs agents = true")
+        if step.action in RELEASE_ACTIONS and not has_agents:
+            raise ValueError(f"{field} needs agents = true")
+        if step.action in SERVER_AGENT_ACTIONS and not self.server_agents:
+            raise ValueError(f"{field} needs server_agents = true")
+        if self.server_agents and step.build not in SERVER_BUILDS:
+            raise ValueError(
+                f"step[{index}].build: {step.build}: of servers there are "
+                f"{', '.join(sorted(SERVER_BUILDS))}"
+            )
 
-def read(path: str) -> Plan:
-    """Raises Refusal with a line for each wrong field."""
-    return toml.read(path, Plan)
 
+def server_name(number: int) -> str:
+    """Return a server's name."""
+    return f"s-{number}"
 
-MADE_UP = 6.0  # seconds after a disk was lost until another may be: so long its copies and its place are made up
-
-
-def drawn(
-    seed: int,
-    balancers: int = 5,
-    voters: int = 3,
-    lasts_s: float = 20,
-    faults: int = 8,
-    copies: int = 0,
-) -> Plan:
-    """Faults and calls by chance, and everything lifted five seconds before the end. One disk is lost at most; where copies of claims
-    are kept, one after another."""
-    chance = Random(f"{seed}/together")
-    names = [f"n{i}" for i in range(balancers)]
-    steps = []
-    down: set[str] = set()
-    lost = 0.0
-    for at in sorted(chance.uniform(1, lasts_s - 6) for _ in range(faults)):
-        do = chance.choice(
-            [
-                "cut",
-                "cut_one_way",
-                "slow",
-                "garble",
-                "isolate",
-                "heal",
-                "kill",
-                "freeze",
-                "wipe",
-                "stop",
-                "half_close",
-                "disk_full",
-                "disk_fails",
-                "lag",
-                "server_restart",
-            ]
-            + ["wipe", "wipe", "kill", "freeze"] * (copies > 0)
-        )
-        who, other = chance.sample(names, 2)
-        if chance.random() < 0.4:
-            who = "leader"
-        again = copies > 0 and at > lost + MADE_UP  # what was lost or away is made up
-        if (
-            do in ("kill", "stop", "wipe")
-            and not again
-            and (len(down) >= (voters - 1) // 2 or do == "wipe" and lost > 0)
-        ):
-            do = "freeze"
-        if do in ("kill", "stop"):
-            down.add(who)
-            steps.append(Step(at_s=round(at + chance.uniform(0.5, 3), 2), do="start", who=who))
-        lost = at if do == "wipe" or copies and do in ("kill", "stop") else lost
-        steps.append(
-            Step(
-                at_s=round(at, 2),
-                do=do,
-                who="" if do in NOBODY else who,
-                other=other if do in PAIRS else "",
-                ms=chance.choice((200, 900, 3000)),
-                server=2 + chance.randrange(2) if do == "server_restart" else 0,
-            )
-        )
-    for _ in range(faults):
-        do = chance.choice(["out", "out", "back", "offer", "offer", "show"])
-        steps.append(
-            Step(
-                at_s=round(chance.uniform(1, lasts_s - 6), 2),
-                do=do,
-                who=chance.choice(names),
-                server=chance.randrange(2),
-            )
-        )
-    steps.append(Step(at_s=lasts_s - 5, do="heal"))
-    clocks = {chance.choice(names): chance.choice((0.01, -0.01))}
-    return Plan(
-        balancers=balancers,
-        voters=voters,
-        lasts_s=lasts_s,
-        seed=seed,
-        clocks=clocks,
-        copies=copies,
-        repeats=0.6 if copies else 0,
-        flows_per_s=60 if copies else 30,
-        step=sorted(steps, key=lambda s: s.at_s),
-    )
-
-
-def drawn_release(
-    seed: int, balancers: int = 5, voters: int = 3, lasts_s: float = 30, faults: int = 10
-) -> Plan:
-    """A release of a good or a bad build among faults and calls by chance, some of which strike within moments of each other. One disk
-    is lost at most, and no more machines are down at once than leave most voters."""
-    chance = Random(f"{seed}/release")
-    names = [f"n{i}" for i in range(balancers)]
-    build = chance.choice(
-        ["good", "good", "good", "rejects", "aborts", "falls", "never_ready", "unreadable"]
-    )
-    steps = [Step(at_s=0.5, do="release", build=build, mixed=True)]
-    down, lost, at = 0, False, 1.0
-    for _ in range(faults):
-        at += chance.choice((chance.uniform(0.05, 0.6), chance.uniform(0.5, 2 * lasts_s / faults)))
-        if at > lasts_s:
-            break
-        do = chance.choice(
-            [
-                "cut",
-                "cut_one_way",
-                "slow",
-                "isolate",
-                "heal",
-                "kill",
-                "freeze",
-                "wipe",
-                "kill_balancer",
-                "kill_balancer",
-                "kill_agent",
-                "kill_agent",
-                "halt",
-                "resume",
-                "pause",
-                "unpause",
-                "drain",
-                "drain",
-                "undrain",
-                "release_back",
-            ]
-        )
-        who, other = chance.sample(names, 2)
-        if chance.random() < 0.3 and do not in ("wipe", "kill"):
-            who = "leader"
-        if do == "kill" and down or do == "wipe" and lost:
-            do = "kill_balancer"
-        if do == "kill":
-            down += 1
-            steps.append(Step(at_s=round(at + chance.uniform(1, 12), 2), do="start", who=who))
-        if do == "kill_agent":
-            steps.append(
-                Step(at_s=round(at + chance.uniform(0.3, 6), 2), do="start_agent", who=who)
-            )
-        if do == "release_back" and build == "good" and chance.random() < 0.6:
-            do = "resume"
-        lost = lost or do == "wipe"
-        steps.append(
-            Step(
-                at_s=round(at, 2),
-                do=do,
-                who="" if do in NOBODY else who,
-                other=other if do in PAIRS else "",
-                ms=chance.choice((200, 900, 3000, 7000)),
-            )
-        )
-    return Plan(
-        balancers=balancers,
-        voters=voters,
-        lasts_s=lasts_s,
-        seed=seed,
-        zones=2,
-        agents=True,
-        bound=chance.choice((1, 2)),
-        flows_per_s=100,
-        step=sorted(steps, key=lambda s: s.at_s),
-    )
+
+def read_plan(path: str | Path) -> Plan:
+    """Read a plan from a file. Raises CommandError with a line for each wrong field."""
+    return toml.read(path, Plan)
--- /dev/null
+++ b/cypresswalk/lab/cluster/testbed/endpoint_lists.py
@@ -0,0 +1,152 @@
+"""Stand-ins for discovery: an endpoint list for each balancer, which can lag behind or lie."""
+
+import asyncio
+import json
+import time
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+from cypresswalk.lab.cluster.testbed.addresses import HANDLER_ENDS, Address, ServerAddresses
+from cypresswalk.lab.cluster.testbed.recording import Recording
+from cypresswalk.lab.cluster.testbed.settings import ZONE
+
+IN_SERVICE = "in_service"
+TERMINATING = "terminating"
+POLL_INTERVAL_S = 0.05
+HEARTBEAT_AFTER_POLLS = 40  # without a change
+HEARTBEAT = b"\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+@dataclass(frozen=True, slots=True)
+class ListChange:
+    """A server's new state in the list; `started_ms` is wall time."""
+
+    server: str
+    state: str
+    started_ms: int
+
+
+class EndpointLists:
+    """A list service with an address for each balancer. Versions count its changes.
+
+    Attributes:
+        drained_at: servers that the list took out of service, and when, in nanoseconds.
+    """
+
+    def __init__(
+        self, host: str, balancers: list[str], servers: ServerAddresses, recording: Recording
+    ):
+        """All servers are in service; it does not listen yet."""
+        self.drained_at: list[tuple[str, int]] = []
+        self._host = host
+        self._balancers = balancers
+        self._servers = servers
+        self._recording = recording
+        self._listeners: dict[str, asyncio.Server] = {}
+        self._changes: list[ListChange] = []
+        self._lagging: dict[str, int] = {}  # by balancer: the version at which its list stands
+        self._lying: set[str] = set()
+
+    async def start(self) -> None:
+        """Listen."""
+        for balancer in self._balancers:
+            self._listeners[balancer] = await asyncio.start_server(
+                partial(self._serve, balancer), self._host, 0
+            )
+
+    def stop(self) -> None:
+        """Accept no more connections."""
+        for listener in self._listeners.values():
+            listener.close()
+
+    def address(self, balancer: str) -> Address:
+        """Return where a balancer finds its list."""
+        return self._host, self._listeners[balancer].sockets[0].getsockname()[1]
+
+    def restarted(self, server: str, started_ms: int) -> None:
+        """Publish that a server has started again."""
+        self._changes.append(ListChange(server, IN_SERVICE, started_ms))
+
+    def drain(self, server: str) -> None:
+        """Take a server out of service, if it is in."""
+        latest = self._latest(len(self._changes)).get(server)
+        if latest is None or latest.state == IN_SERVICE:
+            self._changes.append(ListChange(server, TERMINATING, 0))
+            self.drained_at.append((server, time.monotonic_ns()))
+
+    def lag(self, balancer: str) -> None:
+        """Let a balancer's list learn of no more changes."""
+        self._lagging[balancer] = self._version(balancer)
+
+    def lie(self, balancer: str) -> None:
+        """Let a balancer's list say of each changed server that it is in service."""
+        self._lying.add(balancer)
+
+    def heal(self) -> None:
+        """End lagging and lying."""
+        self._lagging.clear()
+        self._lying.clear()
+
+    def _version(self, balancer: str) -> int:
+        """Return how many changes a balancer's list has learned of."""
+        return self._lagging.get(balancer, len(self._changes))
+
+    def _latest(self, version: int) -> dict[str, ListChange]:
+        return {change.server: change for change in self._changes[:version]}
+
+    async def _serve(
+        self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        try:
+            await reader.readuntil(b"\r\n\r\n")
+            writer.write(RESPONSE_HEAD)
+            await self._send_changes(balancer, writer)
+        except HANDLER_ENDS:
+            pass  # the balancer is gone, or the run is over
+        finally:
+            writer.close()
+
+    async def _send_changes(self, balancer: str, writer: asyncio.StreamWriter) -> None:
+        """Send the complete list, then changes as they come, for ever."""
+        version = self._version(balancer)
+        data = self._message(balancer, version, self._servers.names, complete=True)
+        quiet_polls = 0
+        while True:
+            if data:
+                writer.write(b"%x\r\n%s\r\n" % (len(data), data))
+                await writer.drain()
+                quiet_polls = 0
+            await asyncio.sleep(POLL_INTERVAL_S)
+            quiet_polls += 1
+            data = HEARTBEAT if quiet_polls >= HEARTBEAT_AFTER_POLLS else b""
+            current = self._version(balancer)
+            if current > version:
+                changed = dict.fromkeys(change.server for change in self._changes[version:current])
+                data = self._message(balancer, current, list(changed), complete=False)
+                version = current
+
+    def _message(self, balancer: str, version: int, names: list[str], complete: bool) -> bytes:
+        latest = self._latest(version)
+        instances = []
+        for name in names:
+            change = latest.get(name, ListChange(name, IN_SERVICE, 0))
+            state = IN_SERVICE if balancer in self._lying else change.state
+            self._recording.observe("told", "", balancer, server=name, life=state, version=version)
+            instances.append(self._entry(balancer, name, state, change.started_ms))
+        message = {"generation": 1 + version, "reset": complete, "instances": instances}
+        return json.dumps(message).encode() + b"\n"
+
+    def _entry(self, balancer: str, server: str, state: str, started_ms: int) -> dict[str, Any]:
+        """Return a server's entry in the platform's form."""
+        return {
+            "instanceId": server,
+            "hostPort": self._servers.text(server, balancer),
+            "zone": ZONE,
+            "machineType": "m",
+            "cell": 1,
+            "lifecycle": state,
+            "weight": 1.0,
+            "startedAtMs": started_ms,
+        }
--- /dev/null
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -0,0 +1,136 @@
+"""The result of a run's releases: bounds and halts, held against who was out when."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from cypresswalk.lab.cluster.checkers.halts import HaltReport, check_halts
+from cypresswalk.lab.cluster.checkers.unavailability import (
+    Outage,
+    UnavailabilityReport,
+    check_unavailability,
+)
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.outages import AGENT_POLL_INTERVAL
+from cypresswalk.lab.cluster.testbed.releases import ReleaseEnd
+from cypresswalk.lab.units import MILLISECOND, SECOND
+
+# From a halt's yes until no agent may begin to stop its member: the age of a turn it was granted.
+MAX_HALT_DELAY = 2100 * MILLISECOND
+
+
+@dataclass(frozen=True, slots=True)
+class ReleaseResult:
+    """What came of releases.
+
+    Attributes:
+        end: of the last one.
+        unavailability: who was out at once.
+        bound: on that.
+        departures: how many members were told to go out.
+        halts: how many were agreed.
+        halt: what followed them.
+        violations: a line for each, those of the attributes above included.
+    """
+
+    end: ReleaseEnd
+    unavailability: UnavailabilityReport
+    bound: int
+    departures: int
+    halts: int
+    halt: HaltReport
+    violations: list[str]
+
+    def to_json(self) -> dict[str, Any]:
+        """Return its part of the report."""
+        return self.end.to_json() | {
+            "most_out": self.unavailability.max_planned,
+            "most_out_and_lost": self.unavailability.max_total,
+            "bound": self.bound,
+            "told_to_leave": self.departures,
+            "halts": self.halts,
+            "halt_to_last_out_s": round(self.halt.longest / SECOND, 2),
+        }
+
+
+def check_release(bed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
+    """Check a run with agents, once its last release has come to an end."""
+    releases = bed.releases
+    members = bed.balancer_members or bed.server_members
+    assert releases is not None and members is not None  # there are agents
+    slack = bed.slack() + AGENT_POLL_INTERVAL
+    halt_slack = MAX_HALT_DELAY + bed.slack()
+    planned = bed.outages.planned()
+    lost = bed.outages.lost()
+    if bed.server_members is not None:
+        lost = _not_explained(lost, planned, slack)
+        halt_slack += AGENT_POLL_INTERVAL
+    departures = members.departures()
+    unavailability = check_unavailability(
+        planned, lost, departures, members.bound, releases.rollbacks, slack
+    )
+    halt = check_halts(departures, releases.halts, releases.resumes, releases.rollbacks, halt_slack)
+    violations = [*unavailability.violations, *halt.violations]
+    if bed.server_members is not None:
+        violations += _attempts_during_change(bed, planned, slack)
+    if end.stuck_body:
+        violations.append(f"not home: {end.to_json()}")
+    violations += _agent_violations(bed)
+    return ReleaseResult(
+        end=end,
+        unavailability=unavailability,
+        bound=members.bound,
+        departures=len(departures),
+        halts=len(releases.halts),
+        halt=halt,
+        violations=violations,
+    )
+
+
+def _not_explained(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
+    """Return spans in which a server answered nobody while it was not being changed."""
+    return [
+        outage
+        for outage in lost
+        if not any(
+            change.name == outage.name
+            and change.begin - slack <= outage.begin
+            and outage.end <= change.end + slack
+            for change in planned
+        )
+    ]
+
+
+def _attempts_during_change(bed: ClusterTestBed, planned: list[Outage], slack: int) -> list[str]:
+    violations = []
+    attempts = bed.recording.attempts()
+    for change in planned:
+        sent = [
+            attempt
+            for attempt in attempts
+            if attempt.server == change.name
+            and change.begin + slack < attempt.at < change.end - slack
+        ]
+        if sent:
+            violations.append(
+                f"{sent[0].balancer} sent to {change.name} while it was being changed"
+            )
+    return violations
+
+
+def _agent_violations(bed: ClusterTestBed) -> list[str]:
+    """Return tracebacks in logs of hosts with agents, and flows that a change cut off."""
+    if bed.server_members is None or bed.server_events is None:
+        return [
+            f"{name}: a traceback in its {log}"
+            for name, host in bed.balancers.items()
+            for log in host.logs_with_traceback()
+        ]
+    violations = [
+        f"{name}: a traceback in its agent's log"
+        for name, host in bed.server_members.hosts.items()
+        if host.logs_with_traceback()
+    ]
+    cut_off = bed.server_events.cut_off_flows
+    if cut_off:
+        violations.append(f"{cut_off} flows stood at servers that were told to end")
+    return violations
--- /dev/null
+++ b/cypresswalk/lab/cluster/testbed/run.py
@@ -0,0 +1,47 @@
+"""Plays a plan with real processes and returns the report that commands print."""
+
+import json
+import time
+from pathlib import Path
+from typing import Any
+
+from cypresswalk.lab.cluster.plan import Plan
+from cypresswalk.lab.cluster.testbed.bed import RECORDING_FILE, ClusterTestBed
+from cypresswalk.lab.cluster.testbed.recording import timeline
+from cypresswalk.lab.cluster.testbed.result import conclude
+
+REPORT_FILE = "report.json"
+
+
+async def run_plan(plan: Plan, folder: Path) -> dict[str, Any]:
+    """Play a plan and check the run.
+
+    Args:
+        plan: of the cluster.
+        folder: gets recording, logs and report; what is in it is lost.
+
+    Returns:
+        The report; `broken` lists what broke a rule.
+    """
+    bed = ClusterTestBed(plan, folder)
+    try:
+        await bed.start()
+        began = time.monotonic()
+        status = await bed.convergence.wait()
+        if status is None:
+            return {"broken": [f"the fleet never began: see the logs in {folder}"]}
+        took_s = time.monotonic() - began
+        await bed.agree_on_bounds(status)
+        bed.clients.start()
+        await bed.player.play()
+        result = await conclude(bed)
+        report = result.to_json() | {"began_in_s": round(took_s, 2)}
+        (folder / REPORT_FILE).write_text(json.dumps(report, indent=1))
+        return report
+    finally:
+        await bed.stop()
+
+
+def run_timeline(folder: Path) -> list[str]:
+    """Return lines for people on a run: faults, calls and their answers, in order."""
+    return timeline(folder / RECORDING_FILE)
--- /dev/null
+++ b/cypresswalk/lab/cluster/testbed/server_events.py
@@ -0,0 +1,96 @@
+"""Brings what servers' processes write into the test bed's recording."""
+
+import asyncio
+import json
+
+from cypresswalk.lab.cluster.testbed.endpoint_lists import EndpointLists
+from cypresswalk.lab.cluster.testbed.recording import FLOW_OPENED, Event, Recording
+from cypresswalk.lab.cluster.testbed.server_members import ServerMembers
+from cypresswalk.lab.observations import Observation
+
+READ_INTERVAL_S = 0.05
+LAST_EVENTS_S = 0.5
+
+
+class ServerEvents:
+    """Follows the files of all servers.
+
+    Attributes:
+        cut_off_flows: that were established at servers when they were told to end.
+    """
+
+    def __init__(self, members: ServerMembers, lists: EndpointLists, recording: Recording):
+        """Nothing is read yet; the endpoint lists learn of servers' starts."""
+        self.cut_off_flows = 0
+        self._members = members
+        self._lists = lists
+        self._recording = recording
+        self._offsets = dict.fromkeys(members.names, 0)
+        self._started_once: set[str] = set()
+
+    async def follow(self) -> None:
+        """Read for ever what comes."""
+        while True:
+            await asyncio.sleep(READ_INTERVAL_S)
+            self.read()
+
+    def read(self) -> None:
+        """Read what has come."""
+        for name, host in self._members.hosts.items():
+            try:
+                with open(host.events_file, encoding="utf-8") as file:
+                    file.seek(self._offsets[name])
+                    while (line := file.readline()).endswith("\n"):
+                        self._offsets[name] = file.tell()
+                        self._on_event(Event.from_json(json.loads(line)))
+            except FileNotFoundError:
+                pass  # the server has not started yet
+
+    async def read_last(self) -> None:
+        """Read what comes within a moment, once no more flows come."""
+        await asyncio.sleep(LAST_EVENTS_S)
+        self.read()
+
+    def _on_event(self, event: Event) -> None:
+        match event.kind:
+            case "open":
+                self._on_open(event)
+            case "reply":
+                self._observe(event, "reply", kind=event.fields["kind"], receipt=_receipt(event))
+            case "gone":
+                self._observe(event, "let_go", how="end")
+            case "started":
+                self._on_started(event)
+            case "stopped":
+                self._recording.events.append(event)
+                self._observe_server(event, "server_down")
+                self.cut_off_flows += event.fields["standing"]
+
+    def _on_open(self, event: Event) -> None:
+        balancer = self._members.balancers[event.fields["balancer"]]
+        fields = event.fields | {"balancer": balancer}
+        self._recording.events.append(Event(event.at, FLOW_OPENED, fields))
+        self._observe(event, "attempt", balancer=balancer, load=1.0)
+
+    def _on_started(self, event: Event) -> None:
+        """The first start was long ago, as far as anybody is told."""
+        server = event.fields["server"]
+        self._recording.events.append(event)
+        if server in self._started_once:
+            self._observe_server(event, "server_up")
+            self._lists.restarted(server, event.fields["wall_ms"])
+        self._started_once.add(server)
+
+    def _observe(self, event: Event, kind: str, /, **fields: object) -> None:
+        """Observe something about a flow."""
+        flow, server = event.fields["flow"], event.fields["server"]
+        observed = fields | {"number": event.fields["number"]}
+        self._recording.observations.append(Observation(event.at, kind, flow, server, observed))
+
+    def _observe_server(self, event: Event, kind: str) -> None:
+        server = event.fields["server"]
+        self._recording.observations.append(Observation(event.at, kind, "", server))
+
+
+def _receipt(event: Event) -> str:
+    return f"UP r{event.fields['flow']}"
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -10,7 +10,7 @@
 
 import pytest
 from helpers import PARAMS
-from test_together import ROOT, asked, with_rig
+from test_together import ROOT, ask, with_cluster
 
 from cypresswalk.agreement.messages import Member as One
 from cypresswalk.fleet import commands, disruption_bounds
@@ -26,10 +26,10 @@
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.cluster.checkers.halts import check_halts
 from cypresswalk.lab.cluster.checkers.unavailability import Outage, check_unavailability
-from cypresswalk.lab.cluster.machines import Machines
 from cypresswalk.lab.cluster.plan import Plan as Plan_
-from cypresswalk.lab.cluster.plan import Step
-from cypresswalk.lab.cluster.plan import read as read_plan
+from cypresswalk.lab.cluster.plan import Step, read_plan
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.result import conclude
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import bounds, release
 from cypresswalk.rollout import plan as plans
@@ -193,104 +193,101 @@
 
 def test_of_two_concurrent_drains_one_is_granted_and_a_lost_balancer_counts(tmp_path):
     async def test(rig):
-        _, body = await rig.ask("n0", "show")
+        _, body = await rig.calls.call("n0", "show")
         settings = body["settings"] | {"bounds": {"balancers": {"all": 1}, "servers": {"all": 1}}}
-        assert (await rig.command("n0", "offer", base=body["settings_version"], settings=settings))[
-            0
-        ] == "yes"
-        assert await rig.whole() is not None
-        admin = {name: p.admin for name, p in rig.processes.items()}
+        assert (
+            await rig.calls.command("n0", "offer", base=body["settings_version"], settings=settings)
+        )[0] == "yes"
+        assert await rig.convergence.wait() is not None
+        admin = {name: p.admin for name, p in rig.balancers.items()}
         await ready(rig)
-        answers = await asyncio.gather(
-            asked(admin["n3"], "drain-on"), asked(admin["n4"], "drain-on")
-        )
+        answers = await asyncio.gather(ask(admin["n3"], "drain-on"), ask(admin["n4"], "drain-on"))
         assert sorted(a[:3] for a in answers) == ["ERR", "OK"], answers
         refused = next(a for a in answers if a != "OK")
         assert "1 of 5 are out and 1 may be" in refused and "drained" in refused
         out = "n3" if answers[0] == "OK" else "n4"
-        assert await asked(rig.processes[out].listen, "PING") == "ERR"
-        assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
-        assert await asked(admin[out], "drain-on") == "OK"  # twice is once
-        rig.kill(out)
-        rig.start(out)  # a yes to a drain holds over a restart
-        assert await rig.whole() is not None
-        assert await asked(rig.processes[out].listen, "PING") == "ERR"
-        assert (await asked(admin["n1"], "drain-on")).startswith("ERR not granted")
-        assert await asked(admin[out], "drain-off") == "OK"
+        assert await ask(rig.balancers[out].listen, "PING") == "ERR"
+        assert (await ask(admin["n1"], "drain-on")).startswith("ERR not granted")
+        assert await ask(admin[out], "drain-on") == "OK"  # twice is once
+        rig.balancers[out].kill()
+        rig.balancers[out].start()  # a yes to a drain holds over a restart
+        assert await rig.convergence.wait() is not None
+        assert await ask(rig.balancers[out].listen, "PING") == "ERR"
+        assert (await ask(admin["n1"], "drain-on")).startswith("ERR not granted")
+        assert await ask(admin[out], "drain-off") == "OK"
         await ready(rig)
-        rig.kill("n4")  # by itself: a place that is not there any more
+        rig.balancers["n4"].kill()  # by itself: a place that is not there any more
         await asyncio.sleep(2.5)
-        refused = await asked(admin["n3"], "drain-on")
+        refused = await ask(admin["n3"], "drain-on")
         assert refused.startswith("ERR not granted") and "n4 (not heard)" in refused
         # By force, at this one alone, recorded.
-        assert await asked(admin["n3"], "drain-on-here") == "OK"
-        assert await asked(rig.processes["n3"].listen, "PING") == "ERR"
-        _, body = await rig.ask("n0", "history")
+        assert await ask(admin["n3"], "drain-on-here") == "OK"
+        assert await ask(rig.balancers["n3"].listen, "PING") == "ERR"
+        _, body = await rig.calls.call("n0", "history")
         assert any("by force" in record[3] and "n3" in record[3] for record in body["history"])
-        assert await asked(admin["n3"], "drain-off") == "OK"
+        assert await ask(admin["n3"], "drain-off") == "OK"
         # Servers: one may be out.
         # A leader that has just begun grants nothing until most balancers have told it of servers.
         until = time.monotonic() + 10
         while (
-            "did not answer in time" in (said := await asked(admin["n1"], "set-down s-0"))
+            "did not answer in time" in (said := await ask(admin["n1"], "set-down s-0"))
             and time.monotonic() < until
         ):
             pass
         assert said == "OK"
-        assert "1 of 4 are out and 1 may be: s-0" in await asked(admin["n2"], "set-down s-1")
-        assert await asked(admin["n2"], "set-up s-0") == "OK"
+        assert "1 of 4 are out and 1 may be: s-0" in await ask(admin["n2"], "set-down s-1")
+        assert await ask(admin["n2"], "set-up s-0") == "OK"
         # Back, and not seen ready yet: it has its place until most balancers have.
-        assert "s-0 (not seen ready again)" in await asked(admin["n2"], "set-down s-1")
+        assert "s-0 (not seen ready again)" in await ask(admin["n2"], "set-down s-1")
         until = time.monotonic() + 15
-        while (said := await asked(admin["n2"], "set-down s-1")) != "OK":
+        while (said := await ask(admin["n2"], "set-down s-1")) != "OK":
             assert (
                 "s-0 (not seen ready again)" in said or "did not answer in time" in said
             ) and time.monotonic() < until, said
         # A halt outranks what the bounds would allow, and leaves the way back open.
-        assert await asked(admin["n2"], "set-up s-1") == "OK"
-        await rig.do(Step(at_s=0, do="heal"))
-        assert await rig.whole() is not None
+        assert await ask(admin["n2"], "set-up s-1") == "OK"
+        await rig.player.do(Step(at_s=0, action="heal"))
+        assert await rig.convergence.wait() is not None
         await ready(rig)
         told = await asyncio.gather(
-            rig.command("n1", "halt", why="look at n4"), rig.command("n3", "halt", why="me too")
+            rig.calls.command("n1", "halt", why="look at n4"),
+            rig.calls.command("n3", "halt", why="me too"),
         )
         assert [result for result, _ in told] == ["yes", "yes"] and told[0][1]["why"] == told[1][1][
             "why"
         ]
-        rig.kill(await rig.leader())  # whoever leads next knows of it
-        other = next(name for name in ("n3", "n4") if rig.processes[name].popen is not None)
+        rig.balancers[await rig.calls.leader()].kill()  # whoever leads next knows of it
+        other = next(name for name in ("n3", "n4") if rig.balancers[name].process is not None)
         until = time.monotonic() + 10
         while (
-            "halted by" not in (said := await asked(admin[other], "drain-on"))
+            "halted by" not in (said := await ask(admin[other], "drain-on"))
             and time.monotonic() < until
         ):
             assert said.startswith("ERR")
-        assert "halted by rig: " in said and "halted by" in await asked(
-            admin[other], "set-down s-2"
-        )
-        halts = (await rig.ask(other, "status"))[1]["halts"]
-        assert (await rig.command(other, "resume", halts=halts - 1))[
+        assert "halted by rig: " in said and "halted by" in await ask(admin[other], "set-down s-2")
+        halts = (await rig.calls.call(other, "status"))[1]["halts"]
+        assert (await rig.calls.command(other, "resume", halts=halts - 1))[
             0
         ] == "no"  # said before the second halt, and late
-        assert (await rig.command(other, "resume", halts=halts))[0] == "yes"
-        await rig.do(Step(at_s=0, do="heal"))
-        assert await rig.whole() is not None
+        assert (await rig.calls.command(other, "resume", halts=halts))[0] == "yes"
+        await rig.player.do(Step(at_s=0, action="heal"))
+        assert await rig.convergence.wait() is not None
         await ready(rig)
         # Where nothing can be agreed nothing is done.
-        await rig.do(Step(at_s=0, do="isolate", who="n2"))
-        assert (await asked(admin["n2"], "drain-on")).startswith(
+        await rig.player.do(Step(at_s=0, action="isolate", balancer="n2"))
+        assert (await ask(admin["n2"], "drain-on")).startswith(
             "ERR not granted: the fleet did not answer"
         )
-        assert await asked(rig.processes["n2"].listen, "PING") == "PONG"
+        assert await ask(rig.balancers["n2"].listen, "PING") == "PONG"
 
-    with_rig(tmp_path, test, balancers=5, flows_per_s=0)
+    with_cluster(tmp_path, test, balancers=5, flows_per_s=0)
 
 
 async def ready(rig):
     """Until the leader counts nobody as out."""
     until = time.monotonic() + 15
     while time.monotonic() < until:
-        result, body = await rig.ask(await rig.leader(), "status", span=1.0)
+        result, body = await rig.calls.call(await rig.calls.leader(), "status", timeout_s=1.0)
         if result == "yes" and not body["seen_out"] and not body["away"]:
             return
         await asyncio.sleep(0.1)
@@ -751,14 +748,17 @@
 
 def test_a_release_changes_real_processes_in_waves_and_a_bad_one_is_rolled_back(tmp_path):
     async def run():
-        rig = Machines(
-            Plan_(balancers=4, zones=2, flows_per_s=120, agents=True, bound=2), tmp_path / "rig"
+        plan = Plan_(
+            balancers=4, zones=2, flows_per_s=120, balancer_agents=True, max_unavailable_balancers=2
         )
+        rig = ClusterTestBed(plan, tmp_path / "rig")
 
         async def phase(*wanted: str, halted: bool = False, span: float = 70) -> dict:
             until, body = time.monotonic() + span, {}
             while time.monotonic() < until:
-                result, body = await rig.ask(await rig.leader(), "release", span=2.0)
+                result, body = await rig.calls.call(
+                    await rig.calls.leader(), "release", timeout_s=2.0
+                )
                 if result == "yes" and body["release"]:
                     changing = [
                         n for n, s in body["release"][5].items() if s in ("out", "changing")
@@ -767,12 +767,16 @@
                     if body["release"][3] in wanted and bool(body["halted"]) is halted:
                         return body
                 await asyncio.sleep(0.1)
-            raise AssertionError((wanted, body, [rig.doing(n) for n in rig.names]))
+            raise AssertionError(
+                (wanted, body, [rig.balancers[n].agent_state() for n in rig.names])
+            )
 
         async def until(met) -> None:
             end, body = time.monotonic() + 40, {}
             while time.monotonic() < end:
-                result, body = await rig.ask(await rig.leader(), "release", span=2.0)
+                result, body = await rig.calls.call(
+                    await rig.calls.leader(), "release", timeout_s=2.0
+                )
                 if result == "yes" and body["release"] and met(body["release"]):
                     return
                 await asyncio.sleep(0.05)
@@ -781,21 +785,21 @@
         async def saved(name: str) -> None:
             """The agent has the change on its disk: one that dies before reports a failed change."""
             end = time.monotonic() + 40
-            while not rig.doing(name).get("to"):
-                assert time.monotonic() < end, rig.doing(name)
+            while not rig.balancers[name].agent_state().target_version:
+                assert time.monotonic() < end, rig.balancers[name].agent_state()
                 await asyncio.sleep(0.01)
 
         try:
-            await rig.begin()
-            await rig.agree_on_bound(await rig.whole())
-            rig.spawn(rig.load(rig.plan.flows_per_s))
-            assert await rig.release(Step(at_s=0, do="release")) == "yes"
+            await rig.start()
+            await rig.agree_on_bounds(await rig.convergence.wait())
+            rig.clients.start()
+            assert await rig.releases.begin(Step(at_s=0, action="release")) == "yes"
             # Its agent dies in the middle: the balancers do not, and the next one goes on.
             await until(lambda release: release[5]["n0"] == "changing")
             await saved("n0")
-            rig.kill_agent("n0")
-            rig.start("n0")
-            refused = await rig.command(
+            rig.balancers["n0"].kill_agent()
+            rig.balancers["n0"].start()
+            refused = await rig.calls.command(
                 "n1",
                 "release_begin",
                 plan=["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0],
@@ -803,29 +807,36 @@
             assert refused[0] == "no" and "r1 by rig is running" in refused[1]["why"]
             # Whoever leads dies in the second wave, and is started again by its agent.
             await until(lambda release: release[4] == 1)
-            leader = await rig.leader()
-            rig.kill_balancer(leader)
+            leader = await rig.calls.leader()
+            rig.balancers[leader].kill_balancer()
             await phase("done")
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
-            assert await rig.whole() is not None
-            boots = [(await rig.ask(n, "local"))[1]["boot"] for n in rig.names]
+            assert [rig.balancers[n].agent_state().version for n in rig.names] == ["v1"] * 4
+            assert await rig.convergence.wait() is not None
+            boots = [(await rig.calls.call(n, "local"))[1]["boot"] for n in rig.names]
             assert all(boot == 2 + (name == leader) for name, boot in zip(rig.names, boots)), (
                 boots,
                 leader,
             )
             # One that says that it is ready and rejects every flow: found in the first wave, by what it served.
-            rig.runs = "v1"
-            assert await rig.release(Step(at_s=0, do="release", build="rejects")) == "yes"
+            rig.releases.current_version = "v1"
+            assert (
+                await rig.releases.begin(Step(at_s=0, action="release", build="rejects")) == "yes"
+            )
             body = await phase("running", halted=True)
             assert "n0 failed or rejected" in body["halted"][2] and body["release"][4] == 0, body
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v2", "v1", "v1", "v1"]
-            assert (await rig.command("n2", "release_back", release="r0"))[0] == "no"
-            report = await rig.verdict()  # a person takes it back
+            assert [rig.balancers[n].agent_state().version for n in rig.names] == [
+                "v2",
+                "v1",
+                "v1",
+                "v1",
+            ]
+            assert (await rig.calls.command("n2", "release_back", release="r0"))[0] == "no"
+            report = (await conclude(rig)).to_json()  # a person takes it back
             assert not report["broken"] and report["ended"] == "backed", report
-            assert [rig.doing(n)["version"] for n in rig.names] == ["v1"] * 4
+            assert [rig.balancers[n].agent_state().version for n in rig.names] == ["v1"] * 4
             assert report["answers"].get("UP", 0) > 1000 and report["told_to_leave"] == 6
         finally:
-            await rig.end()
+            await rig.stop()
 
     asyncio.run(run())
 
