--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -125,11 +125,11 @@
             for name, host in bed.balancers.items()
             for log in host.logs_with_traceback()
         ]
-    violations = [
-        f"{name}: a traceback in its agent's log"
-        for name, host in bed.server_members.hosts.items()
-        if host.logs_with_traceback()
-    ]
+    violations = []
+    for name, host in bed.server_members.hosts.items():
+        for log in host.logs_with_traceback():
+            shown = "agent's log" if log == host.log.name else log
+            violations.append(f"{name}: a traceback in its {shown}")
     cut_off = bed.server_events.cut_off_flows
     if cut_off:
         violations.append(f"{cut_off} flows stood at servers that were told to end")
--- a/cypresswalk/lab/cluster/testbed/server_process.py
+++ b/cypresswalk/lab/cluster/testbed/server_process.py
@@ -85,8 +85,8 @@
             while line := await reader.readline():
                 if not await self._answer(connection, line):
                     break
-        except (OSError, ValueError, asyncio.LimitOverrunError):
-            pass  # the connection is over
+        except (OSError, ValueError, asyncio.LimitOverrunError, asyncio.CancelledError):
+            pass  # the connection is over, or the server: asyncio would print a traceback for it
         finally:
             self.established -= connection.established
             if connection.flow:
