--- a/cypresswalk/lab/cluster/testbed/bed.py
+++ b/cypresswalk/lab/cluster/testbed/bed.py
@@ -91,12 +91,7 @@
         self.addresses = Addresses()
         self.chance = Random(f"{plan.seed}/rig")
         self.outages = OutageLog()
-        self.launch = Launch(
-            tree=tree or ROOT,
-            program=FAULTY_PROGRAM if _needs_faulty_balancers(plan) else PROGRAM,
-            agent_root=folder / "versions" if plan.balancer_agents else None,
-            clock_drift=plan.clock_drift,
-        )
+        self.launch = _launch(plan, folder, tree or ROOT)
         stand_in_host = self.addresses.stand_in_host
         server_host = self.addresses.server_host if plan.server_agents else stand_in_host
         self._server_addresses = ServerAddresses(server_host, plan.server_names())
@@ -107,13 +102,9 @@
         self.calls = FleetCalls(self.balancers)
         self.convergence = Convergence(plan, self.calls)
         self.operators = OperatorCalls(plan, self.calls, self.recording, self.chance)
+        stay_s = MAX_STAY_S if plan.server_agents else 0.0
         self.clients = Clients(
-            plan,
-            self.balancers,
-            self.recording,
-            self.tasks,
-            self.chance,
-            max_stay_s=MAX_STAY_S if plan.server_agents else 0.0,
+            plan, self.balancers, self.recording, self.tasks, self.chance, stay_s
         )
         self.balancer_members: BalancerMembers | None = None
         self.server_members: ServerMembers | None = None
@@ -268,5 +259,14 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _needs_faulty_balancers(plan: Plan) -> bool:
-    return bool(plan.clock_drift) or any(step.action in DISK_ACTIONS for step in plan.steps)
+def _launch(plan: Plan, folder: Path, tree: Path) -> Launch:
+    """Return how a plan's balancers are started."""
+    has_inner_faults = bool(plan.clock_drift) or any(
+        step.action in DISK_ACTIONS for step in plan.steps
+    )
+    return Launch(
+        tree=tree,
+        program=FAULTY_PROGRAM if has_inner_faults else PROGRAM,
+        agent_root=folder / "versions" if plan.balancer_agents else None,
+        clock_drift=plan.clock_drift,
+    )
--- a/cypresswalk/lab/cluster/testbed/player.py
+++ b/cypresswalk/lab/cluster/testbed/player.py
@@ -44,6 +44,11 @@
         self._calls = calls
         self._recording = recording
 
+    @property
+    def actions(self) -> set[Action]:
+        """What can be done on this test bed."""
+        return set(self._handlers)
+
     async def play(self) -> None:
         """Do all steps, and wait for the plan's end."""
         began = time.monotonic()
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+import re
 import signal
 import socket
 import subprocess
@@ -19,7 +20,15 @@
 from cypresswalk.lab.balancers import address_text, free_port
 from cypresswalk.lab.cluster.checkers.answers import ClientFlow
 from cypresswalk.lab.cluster.checkers.four_rules import rule_violations
-from cypresswalk.lab.cluster.plan import Action, Plan, Step, read_plan
+from cypresswalk.lab.cluster.plan import (
+    BALANCER_AGENT_ACTIONS,
+    RELEASE_ACTIONS,
+    SERVER_AGENT_ACTIONS,
+    Action,
+    Plan,
+    Step,
+    read_plan,
+)
 from cypresswalk.lab.cluster.random_plans import random_plan
 from cypresswalk.lab.cluster.testbed.bed import SLACK, ClusterTestBed
 from cypresswalk.lab.cluster.testbed.run import run_plan
@@ -83,6 +92,40 @@
     return asyncio.run(run_plan(plan, tmp_path / "rig"))
 
 
+@pytest.mark.parametrize(
+    "plan, not_possible",
+    [
+        (Plan(), BALANCER_AGENT_ACTIONS | SERVER_AGENT_ACTIONS | RELEASE_ACTIONS),
+        (Plan(balancer_agents=True), SERVER_AGENT_ACTIONS),
+        (Plan(server_agents=True), BALANCER_AGENT_ACTIONS),
+    ],
+)
+def test_every_action_that_a_plan_may_have_can_be_done(plan, not_possible, tmp_path):
+    """A step without a handler would fail in the middle of a run."""
+    bed = ClusterTestBed(plan, tmp_path / "rig")
+    assert bed.player.actions == set(Action) - not_possible
+
+
+def test_modules_of_the_test_bed_import_in_one_direction_and_checkers_none_of_them():
+    """No circle, also not by an import inside a function."""
+    folder = ROOT / "cypresswalk/lab/cluster"
+    statement = re.compile(
+        r"^\s*from cypresswalk\.lab\.cluster\.testbed(?:\.| import )(\w+)", re.MULTILINE
+    )
+    imports = {
+        path.stem: set(statement.findall(path.read_text()))
+        for path in (folder / "testbed").glob("*.py")
+        if path.stem != "__init__"
+    }
+    assert len(imports) > 20
+    while ready := {name for name, needs in imports.items() if not needs & imports.keys()}:
+        for name in ready:
+            del imports[name]
+    assert imports == {}
+    for path in (folder / "checkers").glob("*.py"):
+        assert "cluster.testbed" not in path.read_text(), path
+
+
 def test_five_processes_under_each_kind_of_fault(tmp_path):
     """The plan that the operators' page names."""
     report = run_to_report(read_plan(PLANS / "faults.toml"), tmp_path)
@@ -203,6 +246,20 @@
     )
 
 
+async def check_copies_commands(bed: ClusterTestBed) -> None:
+    """The commands show complete replicas, and throw nothing away that is there."""
+    shown = await run_copies_command(bed)
+    assert shown.returncode == 0, shown
+    assert shown.stdout.startswith("64 parts, 3 copies asked for, 2 needed; 0 lack copies"), shown
+    assert "part 63" in shown.stdout, shown
+    checked = await run_copies_command(bed, "check")
+    assert checked.returncode == 0, checked
+    assert "alike" in checked.stdout, checked
+    renewed = await run_copies_command(bed, "renew", "5", "--yes")
+    assert renewed.returncode == 2, renewed
+    assert "parts [5] have copies" in renewed.stderr, renewed
+
+
 def test_an_upgrade_beside_a_running_process_keeps_one_identity_and_serves_throughout(tmp_path):
     """Reservations rest while the replica goes from process to process; each flow is answered."""
 
@@ -230,19 +287,7 @@
         assert all(answer.startswith(("UP ", "BUSY ")) for answer in booked), booked
         assert sum(answer.startswith("UP ") for answer in booked) > 0.8 * len(booked)
         assert (await bed.convergence.wait_for_replicas()).complete
-        shown = await run_copies_command(bed)
-        assert shown.returncode == 0, shown
-        assert shown.stdout.startswith("64 parts, 3 copies asked for, 2 needed; 0 lack copies"), (
-            shown
-        )
-        assert "part 63" in shown.stdout, shown
-        checked = await run_copies_command(bed, "check")
-        assert checked.returncode == 0, checked
-        assert "alike" in checked.stdout, checked
-        # Nothing is thrown away that is there.
-        renewed = await run_copies_command(bed, "renew", "5", "--yes")
-        assert renewed.returncode == 2, renewed
-        assert "parts [5] have copies" in renewed.stderr, renewed
+        await check_copies_commands(bed)
 
     with_cluster(tmp_path, test, balancers=3, max_contradiction_s=8, replicas=3)
 
