--- a/.ci/check_types.py
+++ b/.ci/check_types.py
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parent.parent
 CHECKED = ("cypresswalk", "benchmarks")
-MAX_ERRORS = 93
+MAX_ERRORS = 0
 
 
 def errors() -> list[str]:
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -23,12 +23,14 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from cypresswalk.lab.cluster.machines import Machines, build
-from cypresswalk.lab.cluster.plan import Plan, Step
+from cypresswalk.lab.cluster.plan import Build, Plan, Step
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
 from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.cluster.simulation.world import World
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.builds import make_balancer_build
+from cypresswalk.lab.cluster.testbed.releases import Releases
+from cypresswalk.lab.cluster.testbed.result import conclude
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
 
 SECOND = 1_000_000_000  # in nanoseconds
@@ -185,35 +187,35 @@
     Balancers are named n0, n1 and so on. Use it by `running`.
     """
 
-    rig_class: ClassVar[type[Rig]] = Rig
+    in_fleet: ClassVar[bool] = True  # else balancers' operator files are empty
 
     def __init__(self, folder: Path, plan: Mapping[str, Any]):
         """`plan` is what a cluster's plan file says."""
         self.folder = folder
-        self.rig = self.rig_class(Plan.model_validate(plan), folder / "rig")
+        self.bed = ClusterTestBed(Plan.model_validate(plan), folder / "rig", in_fleet=self.in_fleet)
 
     @property
     def names(self) -> list[str]:
         """All balancers' names."""
-        return self.rig.names
+        return self.bed.names
 
     @property
     def requests(self) -> list[Request]:
         """All requests that have ended."""
         return [
-            Request(flow.effect, flow.answer, flow.asked, flow.due, flow.answered)
-            for flow in self.rig.flows
+            Request(flow.effect, flow.answer, flow.sent_at, flow.deadline, flow.answered_at)
+            for flow in self.bed.clients.flows
         ]
 
     def process(self, name: str) -> "subprocess.Popen[Any]":
         """The process that was started last for a balancer: it, or its agent."""
-        process = self.rig.processes[name].popen
+        process = self.bed.balancers[name].process
         assert process is not None, f"{name} does not run"
         return process
 
     def admin_address(self, name: str) -> tuple[str, int]:
         """Where a balancer takes operators' commands."""
-        return self.rig.processes[name].admin
+        return self.bed.balancers[name].admin
 
     def resident_kib(self) -> list[int]:
         """Resident memory of each balancer, in KiB."""
@@ -221,99 +223,88 @@
 
     async def wait_until_agreed(self) -> dict[str, Any]:
         """The status, once each balancer acts on the fleet's newest version under a lease."""
-        status = await self.rig.whole()
+        status = await self.bed.convergence.wait()
         assert status is not None, "the fleet has not come together"
         return status
 
     async def wait_until_replicated(self) -> None:
         """Waits until each partition of keys is complete at all its replicas."""
-        await self.rig.copies_whole()
-        self.rig.quiet = False  # the wait stops the load
+        await self.bed.convergence.wait_for_replicas()
 
     async def command(self, name: str, command: str, **args: Any) -> bool:
         """Asks a balancer for a command that the fleet agrees on. Whether it was carried out."""
-        result, _ = await self.rig.command(name, command, **args)
-        return result == "yes"
+        return (await self.bed.calls.command(name, command, **args)).ok
 
     async def leader(self) -> str:
         """The name of the balancer that leads."""
-        return await self.rig.leader()
+        return await self.bed.calls.leader()
 
     def kill(self, name: str) -> None:
         """Kills a balancer."""
-        self.rig.kill(name)
+        self.bed.balancers[name].kill()
 
     def start(self, name: str) -> None:
         """Starts a balancer that does not run."""
-        self.rig.start(name)
+        self.bed.balancers[name].start()
 
     def use_build(self, kind: str) -> None:
         """Balancers that are started from now on run a build of that kind."""
         builds = self.folder / "versions"
         builds.mkdir()
-        build(builds, self.rig.tree, "new", kind)
-        self.rig.tree = builds / "new"
+        launch = self.bed.launch
+        make_balancer_build(builds, launch.tree, "new", Build(kind))
+        launch.tree = builds / "new"
 
     async def request(self, ident: str, name: str) -> None:
         """One client's idempotent request to a balancer, until it has ended."""
-        await self.rig.flow(ident, name, "view")
+        await self.bed.clients.flow(ident, name, "view")
 
     def run_in_background(self, work: Any) -> Awaitable[Any]:
         """Runs a coroutine until it ends or the cluster does."""
-        return self.rig.spawn(work)
+        return self.bed.tasks.spawn(work)
 
-    def start_load(self, per_second: float) -> None:
-        """Clients send so many requests a second from now on, to balancers by chance."""
-        self.rig.spawn(self.rig.load(per_second))
+    def start_load(self) -> None:
+        """Clients send as many requests a second as the plan says, to balancers by chance."""
+        self.bed.clients.start()
 
     def stop_load(self) -> None:
         """No client sends a further request."""
-        self.rig.quiet = True
+        self.bed.clients.stop()
 
     async def play(self) -> None:
         """The load of the plan, for as long as it says."""
-        await self.rig.play()
-
-
-class _UnconfiguredRig(Rig):
-    """Its balancers are started without an operator file."""
-
-    def start(self, name: str, **environment: str) -> None:
-        super().start(name, PROXY_OPERATOR="", **environment)
+        self.bed.clients.start()
+        await self.bed.player.play()
 
 
 class UnagreedCluster(RealCluster):
     """The same balancers without an operator file: nothing is agreed."""
 
-    rig_class = _UnconfiguredRig
-
-
-class _SingleRig(Rig):
-    """Its balancer's operator file is empty."""
-
-    def write(self, number: int, name: str) -> None:
-        super().write(number, name)
-        (self.processes[name].folder / "operator.toml").write_text("")
+    def __init__(self, folder: Path, plan: Mapping[str, Any]):
+        """As `RealCluster`."""
+        super().__init__(folder, plan)
+        self.bed.launch.environment["PROXY_OPERATOR"] = ""
 
 
 class SingleBalancer(RealCluster):
     """One balancer, n0, that agrees with nobody and can be upgraded beside the running process."""
 
-    rig_class = _SingleRig
+    in_fleet = False
 
     def start_second_process(self) -> tuple["subprocess.Popen[Any]", tuple[str, int]]:
         """Starts a successor beside the running process; it, and its address for commands."""
-        rig = self.rig
-        first, admin = rig.processes["n0"], rig.free()
+        launch = self.bed.launch
+        first = self.bed.balancers["n0"]
+        admin = self.bed.addresses.free()
         environment = {
             "TMPDIR": str(first.folder),
-            "PROXY_CONFIG": str(first.folder / "config.json"),
+            "PROXY_CONFIG": str(first.config_file),
             "PROXY_ADMIN_ADDR": "{}:{}".format(*admin),
         }
-        with open(first.folder / "log", "ab") as log:
+        with open(first.log, "ab") as log:
             process = subprocess.Popen(
-                rig.words,
-                cwd=rig.tree,
+                launch.program,
+                cwd=launch.tree,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -325,32 +316,35 @@
 class ReleaseCluster(RealCluster):
     """Balancers under agents, with a bound on those that are out at once: releases can be run."""
 
-    rig_class = Machines
-    rig: Machines
+    @property
+    def releases(self) -> Releases:
+        """Releases of the balancers."""
+        assert self.bed.releases is not None, "the plan has no agents"
+        return self.bed.releases
 
     async def agree_on_bound(self) -> None:
         """Agrees on the settings with the plan's bound."""
-        await self.rig.agree_on_bound(await self.wait_until_agreed())
+        await self.bed.agree_on_bounds(await self.wait_until_agreed())
 
     async def begin_release(self, **step: Any) -> None:
         """Begins a release; `step` is what a cluster's plan file says of one."""
-        await self.rig.release(Step.model_validate({"at_s": 0, "do": "release"} | step))
+        await self.releases.begin(Step.model_validate({"at_s": 0, "do": "release"} | step))
 
     async def halt_anywhere(self) -> None:
         """Asks a balancer drawn by chance for a halt."""
-        await self.rig.halt(self.rig.chance.choice(self.names))
+        await self.releases.halt(self.bed.chance.choice(self.names))
 
     async def roll_back(self) -> None:
         """Asks for the way back."""
-        await self.rig.turn_back(self.names[0])
+        await self.releases.roll_back(self.names[0])
 
     async def finish_release(self) -> dict[str, Any]:
         """Brings the release to its end, or back where the build is bad. How that went."""
-        return await self.rig.home()
+        return (await self.releases.finish()).to_json()
 
     async def verdict(self) -> dict[str, Any]:
         """As `finish_release`; then holds the whole run against the rules."""
-        return await self.rig.verdict()
+        return (await conclude(self.bed)).to_json()
 
 
 ClusterT = TypeVar("ClusterT", bound=RealCluster)
@@ -370,10 +364,10 @@
     with tempfile.TemporaryDirectory(dir=MEMORY_FOLDER if in_memory else None) as folder:
         cluster = kind(Path(folder), plan)
         try:
-            await cluster.rig.begin()
+            await cluster.bed.start()
             yield cluster
         finally:
-            await cluster.rig.end()
+            await cluster.bed.stop()
 
 
 # Virtual time.
--- a/benchmarks/operated.py
+++ b/benchmarks/operated.py
@@ -95,7 +95,7 @@
     """Prints clients' answers, and the seconds of each step."""
     async with running(SingleBalancer, single_plan(UPGRADE_RATE)) as cluster:
         await wait_until_ready(cluster.admin_address(NAME))
-        cluster.start_load(UPGRADE_RATE)
+        cluster.start_load()
         upgrades = Upgrades(cluster)
         try:
             for _ in range(UPGRADES):
@@ -155,7 +155,7 @@
     async with running(SingleBalancer, single_plan(CROWD_RATE)) as cluster:
         admin = cluster.admin_address(NAME)
         await wait_until_ready(admin)
-        cluster.start_load(CROWD_RATE)
+        cluster.start_load()
         load = CommandLoad()
         callers = [cluster.run_in_background(load.call_repeatedly(admin)) for _ in range(CALLERS)]
         hanging = [await asyncio.open_connection(*admin) for _ in range(HANGING_CALLERS)]
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -228,7 +228,7 @@
     async with running(RealCluster, LOOP_PLAN) as cluster:
         await cluster.wait_until_agreed()
         cluster.use_build(build)
-        cluster.start_load(LOOP_PLAN["flows_per_s"])
+        cluster.start_load()
         await asyncio.sleep(2)
         for name in cluster.names:
             await replace(cluster, name)
@@ -254,7 +254,7 @@
     """The same by a release, one balancer out at a time."""
     async with running(ReleaseCluster, LOOP_PLAN | AGENTS) as cluster:
         await cluster.agree_on_bound()
-        cluster.start_load(LOOP_PLAN["flows_per_s"])
+        cluster.start_load()
         await asyncio.sleep(2)
         await cluster.begin_release(build=build)
         end = await cluster.finish_release()
@@ -281,7 +281,7 @@
     """Halts a release of a good build, brings it back, and holds the run against the rules."""
     async with running(ReleaseCluster, HALT_PLAN | {"seed": seed}) as cluster:
         await cluster.agree_on_bound()
-        cluster.start_load(HALT_PLAN["flows_per_s"])
+        cluster.start_load()
         await cluster.begin_release(hold_s=1.0)
         await asyncio.sleep(2 + 2.3 * seed)
         await cluster.halt_anywhere()
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -3,7 +3,8 @@
 import subprocess
 
 import pytest
-from program_helpers import PROGRAM, ROOT
+from paths import ROOT
+from program_helpers import PROGRAM
 from state_helpers import snapshot
 
 from cypresswalk.state import file_format
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,8 @@
 # the machine late (machine_late_ms over 1,000 was seen), so each group runs on one worker, one by
 # one.
 REAL_TIME_GROUPS = {
-    "test_together.py": "real_time_1",
+    "test_cluster_processes.py": "real_time_1",
+    "test_server_processes.py": "real_time_1",
     "test_operator_calls.py": "real_time_1",
     "test_rollout_processes.py": "real_time_2",
     "test_upgrade.py": "real_time_2",
--- a/tests/test_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -5,11 +5,11 @@
 import subprocess
 import sys
 from collections.abc import Iterator
-from pathlib import Path
 from random import Random
 from typing import Any
 
 import pytest
+from paths import ROOT
 
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
@@ -23,7 +23,6 @@
 from cypresswalk.rollout.balancer_agent import BalancerAgent
 from cypresswalk.rollout.release import Phase
 
-ROOT = Path(__file__).parent.parent
 HISTORY_LINES = 60  # shown of a run that broke a rule
 
 
--- a/tests/lab/test_cluster_plan.py
+++ b/tests/lab/test_cluster_plan.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cypresswalk.lab.cluster.plan import read as read_plan
+from cypresswalk.lab.cluster.plan import read_plan
 from cypresswalk.refusal import CommandError
 
 UNKNOWN_BUILD = """
--- a/tests/program_helpers.py
+++ b/tests/program_helpers.py
@@ -15,10 +15,11 @@
 from typing import Any, Self, TypeVar
 
 from helpers import config_data, listed
+from paths import ROOT
 
 T = TypeVar("T")
 
-ROOT = Path(__file__).parent.parent
+
 PROGRAM = (sys.executable, "-m", "cypresswalk")
 LOOPBACK = "127.0.0.1"
 
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -9,13 +9,14 @@
 from pathlib import Path
 from typing import Any
 
-from cluster_helpers import Operator, poll, with_rig
+from cluster_helpers import Operator, poll, with_cluster
 from paths import ROOT
 
-from cypresswalk.lab.cluster.machines import Machines
+from cypresswalk.lab.cluster.checkers.linearizability import CallOutcome
+from cypresswalk.lab.cluster.plan import Action, Build, Step
 from cypresswalk.lab.cluster.plan import Plan as ClusterPlan
-from cypresswalk.lab.cluster.plan import Step
-from cypresswalk.lab.cluster.stage import Rig
+from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.result import conclude
 
 BALANCERS = 5
 ONE_OUT = {"balancers": {"all": 1}, "servers": {"all": 1}}
@@ -26,19 +27,19 @@
 LATE = "did not answer in time"
 NOT_SEEN_READY = "s-0 (not seen ready again)"
 
-Check = Callable[[Operator, Rig], Any]
+Check = Callable[[Operator, ClusterTestBed], Any]
 
 
 def with_bounded_cluster(tmp_path: Path, check: Check) -> None:
     """Run a check with five balancers, of which one may be out, and as many servers."""
 
-    async def test(rig: Rig) -> None:
-        operator = Operator(rig)
+    async def test(bed: ClusterTestBed) -> None:
+        operator = Operator(bed)
         await operator.set_bounds(ONE_OUT)
         await operator.wait_until_nobody_is_out()
-        await check(operator, rig)
+        await check(operator, bed)
 
-    with_rig(tmp_path, test, balancers=BALANCERS, flows_per_s=0)
+    with_cluster(tmp_path, test, balancers=BALANCERS, flows_per_s=0)
 
 
 async def set_down_once_leader_knows_servers(operator: Operator, name: str, server: str) -> str:
@@ -51,7 +52,7 @@
 
 
 def test_one_of_two_concurrent_drains_is_granted_and_outlasts_a_restart(tmp_path):
-    async def check(operator: Operator, rig: Rig) -> None:
+    async def check(operator: Operator, bed: ClusterTestBed) -> None:
         answers = await asyncio.gather(
             operator.call("n3", "drain-on"), operator.call("n4", "drain-on")
         )
@@ -63,9 +64,9 @@
         assert await operator.ping(drained) == "ERR"
         assert (await operator.call("n1", "drain-on")).startswith("ERR not granted")
         assert await operator.call(drained, "drain-on") == "OK"  # it is out already
-        rig.kill(drained)
-        rig.start(drained)
-        assert await rig.whole() is not None
+        bed.balancers[drained].kill()
+        bed.balancers[drained].start()
+        assert await bed.convergence.wait() is not None
         assert await operator.ping(drained) == "ERR"
         assert (await operator.call("n1", "drain-on")).startswith("ERR not granted")
         assert await operator.call(drained, "drain-off") == "OK"
@@ -75,16 +76,16 @@
 
 
 def test_lost_balancer_counts_against_the_bound_and_force_goes_beyond_it(tmp_path):
-    async def check(operator: Operator, rig: Rig) -> None:
-        rig.kill("n4")
+    async def check(operator: Operator, bed: ClusterTestBed) -> None:
+        bed.balancers["n4"].kill()
         await asyncio.sleep(LOST_AFTER_S)
         rejection = await operator.call("n3", "drain-on")
         assert rejection.startswith("ERR not granted")
         assert "n4 (not heard)" in rejection
         assert await operator.call("n3", "drain-on-here") == "OK"
         assert await operator.ping("n3") == "ERR"
-        _, body = await rig.ask("n0", "history")
-        notes = [record[3] for record in body["history"]]
+        history = (await bed.calls.call("n0", "history")).body["history"]
+        notes = [record[3] for record in history]
         assert any("by force" in note and "n3" in note for note in notes)
         assert await operator.call("n3", "drain-off") == "OK"
 
@@ -92,7 +93,7 @@
 
 
 def test_server_that_returns_counts_as_out_until_it_is_seen_ready(tmp_path):
-    async def check(operator: Operator, rig: Rig) -> None:
+    async def check(operator: Operator, bed: ClusterTestBed) -> None:
         assert await set_down_once_leader_knows_servers(operator, "n1", "s-0") == "OK"
         assert "1 of 4 are out and 1 may be: s-0" in await operator.call("n2", "set-down s-1")
         assert await operator.call("n2", "set-up s-0") == "OK"
@@ -107,14 +108,15 @@
 
 
 def test_halt_outranks_the_bounds_under_a_new_leader_until_the_last_one_is_resumed(tmp_path):
-    async def check(operator: Operator, rig: Rig) -> None:
+    async def check(operator: Operator, bed: ClusterTestBed) -> None:
         halts = await asyncio.gather(
-            rig.command("n1", "halt", why="look at n4"), rig.command("n3", "halt", why="me too")
+            bed.calls.command("n1", "halt", why="look at n4"),
+            bed.calls.command("n3", "halt", why="me too"),
         )
-        assert [result for result, _ in halts] == ["yes", "yes"]
-        assert halts[0][1]["why"] == halts[1][1]["why"]
-        rig.kill(await rig.leader())
-        other = next(name for name in ("n3", "n4") if rig.processes[name].popen is not None)
+        assert [answer.ok for answer in halts] == [True, True]
+        assert halts[0].body["why"] == halts[1].body["why"]
+        bed.balancers[await bed.calls.leader()].kill()
+        other = next(name for name in ("n3", "n4") if bed.balancers[name].process is not None)
 
         async def rejected_drain() -> str:
             answer = await operator.call(other, "drain-on")
@@ -124,18 +126,19 @@
         rejection = await poll(rejected_drain, lambda text: "halted by" in text, CALL_TIMEOUT_S)
         assert "halted by rig: " in rejection
         assert "halted by" in await operator.call(other, "set-down s-2")
-        count = (await rig.ask(other, "status"))[1]["halts"]
+        count = (await bed.calls.call(other, "status")).body["halts"]
         # A resume that was sent before the second halt comes too late.
-        assert (await rig.command(other, "resume", halts=count - 1))[0] == "no"
-        assert (await rig.command(other, "resume", halts=count))[0] == "yes"
+        early = await bed.calls.command(other, "resume", halts=count - 1)
+        assert early.outcome is CallOutcome.NO
+        assert (await bed.calls.command(other, "resume", halts=count)).ok
         await operator.heal()
 
     with_bounded_cluster(tmp_path, check)
 
 
 def test_isolated_balancer_drains_nothing_and_serves_on(tmp_path):
-    async def check(operator: Operator, rig: Rig) -> None:
-        await rig.do(Step(at_s=0, do="isolate", who="n2"))
+    async def check(operator: Operator, bed: ClusterTestBed) -> None:
+        await bed.player.do(Step(at_s=0, action=Action.ISOLATE, balancer="n2"))
         rejection = await operator.call("n2", "drain-on")
         assert rejection.startswith("ERR not granted: the fleet did not answer")
         assert await operator.ping("n2") == "PONG"
@@ -159,22 +162,27 @@
     def __init__(self, folder: Path) -> None:
         """Prepare the cluster; nothing is started."""
         plan = ClusterPlan(
-            balancers=4, zones=2, flows_per_s=120, agents=True, bound=ReleasedCluster.MAX_OUT
+            balancers=4,
+            zones=2,
+            flows_per_s=120,
+            balancer_agents=True,
+            max_unavailable_balancers=ReleasedCluster.MAX_OUT,
         )
-        self.rig = Machines(plan, folder)
+        self.bed = ClusterTestBed(plan, folder)
 
     async def start(self) -> None:
         """Start all processes, agree on the bound, and send flows."""
-        await self.rig.begin()
-        status = await self.rig.whole()
+        await self.bed.start()
+        status = await self.bed.convergence.wait()
         assert status is not None
-        await self.rig.agree_on_bound(status)
-        self.rig.spawn(self.rig.load(self.rig.plan.flows_per_s))
+        await self.bed.agree_on_bounds(status)
+        self.bed.clients.start()
 
     async def status(self) -> dict[str, Any]:
         """What the leader says of the release; empty if it says nothing."""
-        result, body = await self.rig.ask(await self.rig.leader(), "release", span=2.0)
-        return body if result == "yes" and body["release"] else {}
+        calls = self.bed.calls
+        answer = await calls.call(await calls.leader(), "release", timeout_s=2.0)
+        return answer.body if answer.ok and answer.body["release"] else {}
 
     async def checked_status(self) -> dict[str, Any]:
         """`status`, of which no more may be out than the bound allows."""
@@ -194,7 +202,7 @@
             return body["release"][self.PHASE] == phase and bool(body["halted"]) is halted
 
         body = await poll(self.checked_status, is_met, self.PHASE_TIMEOUT_S)
-        agents = [self.rig.doing(name) for name in self.rig.names]
+        agents = [host.agent_state() for host in self.bed.balancers.values()]
         assert is_met(body), (phase, body, agents)
         return body
 
@@ -210,53 +218,61 @@
     async def wait_until_saved(self, name: str) -> None:
         """Wait until an agent has its change on disk; one that dies before reports a failure."""
         end = time.monotonic() + self.CHANGE_TIMEOUT_S
-        while not self.rig.doing(name).get("to"):
-            assert time.monotonic() < end, self.rig.doing(name)
+        host = self.bed.balancers[name]
+        while not host.agent_state().target_version:
+            assert time.monotonic() < end, host.agent_state()
             await asyncio.sleep(0.01)
 
     def versions(self) -> list[str]:
         """What each balancer runs, as its agent has it."""
-        return [self.rig.doing(name)["version"] for name in self.rig.names]
+        hosts = self.bed.balancers
+        return [hosts[name].agent_state().version for name in self.bed.names]
 
     async def boots(self) -> dict[str, int]:
         """How often each balancer has started."""
-        return {name: (await self.rig.ask(name, "local"))[1]["boot"] for name in self.rig.names}
+        calls = self.bed.calls
+        return {name: (await calls.call(name, "local")).body["boot"] for name in self.bed.names}
 
 
 async def release_good_build(cluster: ReleasedCluster) -> None:
     """Release a good build; an agent and a leader die meanwhile."""
-    rig = cluster.rig
-    assert await rig.release(Step(at_s=0, do="release")) == "yes"
+    bed = cluster.bed
+    assert bed.releases is not None  # the plan has agents
+    step = Step(at_s=0, action=Action.RELEASE)
+    assert await bed.releases.begin(step) is CallOutcome.YES
     # Its agent dies in the middle of a change: the next one goes on.
     await cluster.wait_until(lambda release: release[cluster.MEMBERS]["n0"] == "changing")
     await cluster.wait_until_saved("n0")
-    rig.kill_agent("n0")
-    rig.start("n0")
+    bed.balancers["n0"].kill_agent()
+    bed.balancers["n0"].start()
     plan = ["other", "v0", "v9", [["n1"]], 1.0, 1, 1.0, 0.1, 2.0, 9.0]
-    result, body = await rig.command("n1", "release_begin", plan=plan)
-    assert result == "no"
-    assert "r1 by rig is running" in body["why"]
+    answer = await bed.calls.command("n1", "release_begin", plan=plan)
+    assert answer.outcome is CallOutcome.NO
+    assert "r1 by rig is running" in answer.body["why"]
     # The leader dies in the second wave, and is started again by its agent.
     await cluster.wait_until(lambda release: release[cluster.WAVE] == 1)
-    leader = await rig.leader()
-    rig.kill_balancer(leader)
+    leader = await bed.calls.leader()
+    bed.balancers[leader].kill_balancer()
     await cluster.wait_for_phase("done")
     assert cluster.versions() == ["v1"] * 4
-    assert await rig.whole() is not None
-    expected = {name: 3 if name == leader else 2 for name in rig.names}
+    assert await bed.convergence.wait() is not None
+    expected = {name: 3 if name == leader else 2 for name in bed.names}
     assert await cluster.boots() == expected, leader
 
 
 async def release_rejecting_build(cluster: ReleasedCluster) -> None:
     """Release a build that says that it is ready and rejects every flow."""
-    rig = cluster.rig
-    rig.runs = "v1"
-    assert await rig.release(Step(at_s=0, do="release", build="rejects")) == "yes"
+    bed = cluster.bed
+    assert bed.releases is not None  # the plan has agents
+    bed.releases.current_version = "v1"
+    step = Step(at_s=0, action=Action.RELEASE, build=Build.REJECTS)
+    assert await bed.releases.begin(step) is CallOutcome.YES
     body = await cluster.wait_for_phase("running", halted=True)
     assert "n0 failed or rejected" in body["halted"][2], body
     assert body["release"][cluster.WAVE] == 0, body
     assert cluster.versions() == ["v2", "v1", "v1", "v1"]
-    assert (await rig.command("n2", "release_back", release="r0"))[0] == "no"
+    answer = await bed.calls.command("n2", "release_back", release="r0")
+    assert answer.outcome is CallOutcome.NO
 
 
 def test_good_release_of_processes_is_done_and_a_bad_one_is_rolled_back(tmp_path):
@@ -266,14 +282,14 @@
             await cluster.start()
             await release_good_build(cluster)
             await release_rejecting_build(cluster)
-            report = await cluster.rig.verdict()  # rolls it back, as a person does
+            report = (await conclude(cluster.bed)).to_json()  # rolls it back, as a person does
             assert not report["broken"], report
             assert report["ended"] == "backed", report
             assert cluster.versions() == ["v1"] * 4
             assert report["answers"].get("UP", 0) > 1000
             assert report["told_to_leave"] == 6
         finally:
-            await cluster.rig.end()
+            await cluster.bed.stop()
 
     asyncio.run(run())
 
--- a/tests/state_helpers.py
+++ b/tests/state_helpers.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import START, entries, settings
-from program_helpers import ROOT
+from paths import ROOT
 
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import SECOND, EndpointUpdate
