--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -132,6 +132,7 @@
         began = time.monotonic()
 
         def on_answer(answer: ReservationAnswer, by: str) -> None:
+            """Counts the answer, and claims the next key until the time is up."""
             self.results[answer.result] += 1
             self.durations_ms.append((time.monotonic() - began) * 1000)
             if time.monotonic() < self.ends_at:
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -95,6 +95,7 @@
     """Servers out and back, as fast as the fleet agrees, from 1 and from 8 callers at a time."""
 
     async def run() -> None:
+        """Begins a cluster, measures and prints."""
         async with running(RealCluster, IDLE_PLAN) as cluster:
             await cluster.wait_until_agreed()
             for callers in CALLERS:
@@ -113,6 +114,7 @@
     until = time.monotonic() + COMMAND_SECONDS
 
     async def call_repeatedly(number: int) -> None:
+        """One caller."""
         while time.monotonic() < until:
             began = time.monotonic()
             command = "out" if len(delays_ms) % 2 else "back"
@@ -130,6 +132,7 @@
     """Seconds until a command is agreed again once the leader is killed, and clients' answers."""
 
     async def run() -> None:
+        """Begins a cluster, measures and prints."""
         async with running(RealCluster, IDLE_PLAN) as cluster:
             await cluster.wait_until_agreed()
             gaps = Summary.of([await leader_gap(cluster, turn) for turn in range(LEADER_KILLS)])
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,8 +1,8 @@
 """What the benchmarks share: their arguments, clusters of balancers, child processes, figures.
 
 All that benchmarks use of `cypresswalk.lab.cluster` is used in this module alone. There are two
-kinds of cluster: `RealCluster` and its subclasses run processes on loopback, `VirtualCluster` and
-`VirtualRelease` run the fleet's own code in virtual time.
+kinds of cluster: `RealCluster` and its subclasses run processes on loopback, `VirtualRun` and its
+subclasses the fleet's own code in virtual time.
 
 Imported before the package: a benchmark runs from the source tree, nothing need be installed.
 """
@@ -278,6 +278,7 @@
     """Its balancers are started without an operator file."""
 
     def start(self, name: str, **environment: str) -> None:
+        """Starts a balancer."""
         super().start(name, PROXY_OPERATOR="", **environment)
 
 
@@ -291,6 +292,7 @@
     """Its balancer's operator file is empty."""
 
     def write(self, number: int, name: str) -> None:
+        """Writes a balancer's files."""
         super().write(number, name)
         (self.processes[name].folder / "operator.toml").write_text("")
 
@@ -378,12 +380,10 @@
 # Virtual time.
 
 
-class VirtualCluster:
-    """A fleet in virtual time."""
+class VirtualRun:
+    """A fleet in virtual time; a subclass makes its world. The same seed gives the same run."""
 
-    def __init__(self, seed: int, voters: int, followers: int):
-        """Nothing runs yet; the same seed gives the same run."""
-        self._world = World(seed, voters, followers)
+    _world: World
 
     def start(self) -> None:
         """Starts all balancers."""
@@ -404,8 +404,18 @@
         return self._world.bytes
 
 
-class VirtualRelease(VirtualCluster):
-    """A fleet and its agents in virtual time, and one release."""
+class VirtualCluster(VirtualRun):
+    """A fleet alone."""
+
+    def __init__(self, seed: int, voters: int, followers: int):
+        """Nothing runs yet."""
+        self._world = World(seed, voters, followers)
+
+
+class VirtualRelease(VirtualRun):
+    """A fleet and its agents, and one release."""
+
+    _world: Releases
 
     def __init__(
         self,
@@ -428,9 +438,7 @@
             zones: among which the balancers are spread.
             rate: flows a second at each balancer.
         """
-        self._world: Releases = Releases(
-            seed, voters, followers, bound, build, zones=zones, rate=rate
-        )
+        self._world = Releases(seed, voters, followers, bound, build, zones=zones, rate=rate)
         self.seed = seed
         self.waves: list[list[str]] = []
         self.flow_rate = rate
@@ -470,21 +478,16 @@
         zones = {name: p.table.zone for name, p in self._world.processes.items()}
         file = PlanFile.model_validate({"name": "r1", "since": OLD, "to": NEW})
         self.waves = waves_by_zone(file, zones)
-        # The rest: patience, most excess failures, slower at most, seconds of a change at most.
+        # Hold periods and excess failures at most, set-up ratio at most, seconds of a change.
         limits = [8.0, 0.01, 1.5, 120.0]
         plan = ["r1", OLD, NEW, self.waves, hold_s, min_flows, *limits]
         self._world.tell("release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND)
 
-    def set_load(self, rate: int, failing_share: float) -> None:
-        """Flows a second at each balancer, and what share of them fails at whichever balancer."""
-        self._world.rate = rate
-        self._world.lost_share = failing_share
-
     def vary_load(self, chance: Random) -> None:
         """Half as many flows again for a fifth of the time; for a tenth of it 20 % fail."""
         busy = chance.random() < 0.2
-        rate = self.flow_rate * 3 // 2 if busy else self.flow_rate
-        self.set_load(rate, 0.2 if chance.random() < 0.1 else 0.0)
+        self._world.rate = self.flow_rate * 3 // 2 if busy else self.flow_rate
+        self._world.lost_share = 0.2 if chance.random() < 0.1 else 0.0
 
     def failed_on_new_build(self) -> int:
         """Flows that failed at processes of the new build that still run."""
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -125,11 +125,13 @@
     ended = threading.Event()
 
     def decide() -> None:
+        """The deciding thread."""
         while not ended.is_set():
             at, call, args = inbox.queue.get()
             call(max(at, 0), *args)
 
     def post_events() -> None:
+        """The thread that posts events."""
         while not ended.is_set():
             inbox.post(lambda at: delays.append(clock() - at))
             time.sleep(EVENT_INTERVAL)
