--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -478,11 +478,6 @@
         plan = ["r1", OLD_VERSION, NEW_VERSION, self.waves, hold_s, min_flows, *limits]
         self._world.operator_call("release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND)
 
-    def set_load(self, rate: int, failing_share: float) -> None:
-        """Flows a second at each balancer, and what share of them fails at whichever balancer."""
-        self._world.traffic.flows_per_s = rate
-        self._world.traffic.failure_share = failing_share
-
     def vary_load(self, chance: Random) -> None:
         """Half as many flows again for a fifth of the time; for a tenth of it 20 % fail."""
         busy = chance.random() < 0.2
