--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -63,7 +63,7 @@
 
 MAX_SLEEP = 60 * SECOND  # nothing to do: any time will do
 # Names of the sums that a hand-over carries; the state folder keeps all but "borne".
-PERSISTENT_SUMS = ("carried", "borne", "arrivals", "hints", "setup_time", "setups")
+HANDED_OVER_SUMS = ("carried", "borne", "arrivals", "hints", "setup_time", "setups")
 
 
 class Balancer:
@@ -147,7 +147,7 @@
             self.traffic.setup_time,
             self.traffic.setups,
         )
-        return dict(zip(PERSISTENT_SUMS, sums, strict=True))
+        return dict(zip(HANDED_OVER_SUMS, sums, strict=True))
 
     # Events: the settings, the endpoint list, operators, other processes.
 
--- a/cypresswalk/decisions/list_polling.py
+++ b/cypresswalk/decisions/list_polling.py
@@ -10,6 +10,9 @@
 class ListPolling:
     """Asks for the list once, and again after each failed call, with exponential backoff.
 
+    On the platform the watch itself repeats a failed call sooner (`net/discovery.py`); this wait
+    counts where a host leaves that to the decisions.
+
     Calls wait in turn at one service: coming back at once would keep it jammed.
     """
 
--- a/cypresswalk/decisions/retries.py
+++ b/cypresswalk/decisions/retries.py
@@ -7,7 +7,7 @@
 from cypresswalk.measures import SlidingWindowCounter
 from cypresswalk.model import Abort, Effect, Flow, Reject, Scope, Server, Settings
 
-SPENT_BY_PREDECESSOR = 1_000_000_000  # attempts: more than any budget
+MORE_THAN_ANY_BUDGET = 1_000_000_000  # attempts
 
 
 def may_retry(now: int, flow: Flow) -> bool:
@@ -126,4 +126,4 @@
     def give_away(self, now: int) -> None:
         """Spend all: another process takes what is left."""
         if self._counts is not None:
-            self._counts.retries.add(now, SPENT_BY_PREDECESSOR)
+            self._counts.retries.add(now, MORE_THAN_ANY_BUDGET)
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -26,7 +26,9 @@
 MIN_FLOWS_PER_WINDOW = 1.0  # a budget of less than one flow can't be dealt
 OTHER_KEYS_PART = 0.33  # of a flow a window: for flows whose own servers are others
 MIN_TIME_SEEN = 0.05  # of a sum's time constant
-SPENT_BY_PREDECESSOR = 1e9  # flows: more than any budget, for longer than a process still lives
+MORE_THAN_ANY_BUDGET = (
+    1e9  # flows; decays for longer than a process that gave its budget away still lives
+)
 HELD_TIME_CONSTANT = 10 * SECOND  # thrice the time in which a full server says so
 HELD_INTERVAL = 1 * SECOND
 
@@ -82,7 +84,7 @@
     def give_away(self, now: int) -> None:
         """Spend all budgets: another process takes what is left."""
         for server in self._servers.values():
-            server.slow_start_spent.add(now, SPENT_BY_PREDECESSOR)
+            server.slow_start_spent.add(now, MORE_THAN_ANY_BUDGET)
             server.owed_first_flow = False
 
     # Flows that come.
--- a/cypresswalk/fleet/applied_view.py
+++ b/cypresswalk/fleet/applied_view.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresswalk.fleet.records import SERVERS, FleetState, ListedServer
-from cypresswalk.rollout.release import UNFINISHED
+from cypresswalk.fleet.records import FleetState, ListedServer
+from cypresswalk.rollout.release import UNFINISHED, MemberKind
 
 DRAINED = "drained"  # so begins the reason of a leave that lasts until the balancer is called back
 CALLED_BACK = "called back"
@@ -49,5 +49,7 @@
         list_version=state.list_version,
         servers=tuple(state.servers),
         away=drained,
-        watch=release is not None and release.plan.kind == SERVERS and release.phase in UNFINISHED,
+        watch=release is not None
+        and release.plan.kind == MemberKind.SERVERS
+        and release.phase in UNFINISHED,
     )
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -31,7 +31,7 @@
     request: DiscoveryRequest
 
 
-class Discovery:
+class GroupDiscovery:
     """Finds or bootstraps this member's group, and answers others that look for one."""
 
     def __init__(self, context: MemberContext, now: int):
--- a/cypresswalk/fleet/call_commands.py
+++ b/cypresswalk/fleet/call_commands.py
@@ -27,8 +27,8 @@
     SetDesiredMembers,
 )
 from cypresswalk.fleet.leader import LeaderDuties
-from cypresswalk.fleet.records import SERVERS, FleetState
-from cypresswalk.rollout.release import Plan
+from cypresswalk.fleet.records import FleetState
+from cypresswalk.rollout.release import MemberKind, Plan
 
 MAX_VOTERS = 7
 NEVER = 1 << 62  # a version that nobody acts on
@@ -94,7 +94,7 @@
     name = str(args["member"])
     context = duties.context
     release = context.state.release
-    if release is None or release.plan.kind != SERVERS:
+    if release is None or release.plan.kind != MemberKind.SERVERS:
         unavailable = duties.balancers.unavailable(now)
         return ChangeStarted(*header, name, str(args["to"]), context.zones(), unavailable)
     if not duties.all_act_on(release.out_since_version.get(name, NEVER), now):
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -65,7 +65,7 @@
             lambda settings: shared_settings.objection(self.params, settings),
             shared_settings.shared_part(self.params),
             lambda view: post(self.apply_view, view),
-            lambda: post(self.on_lease_changed),
+            lambda: post(self.on_lease_begun),
         )
         self.name = table.name
         self.version = 0
@@ -91,7 +91,8 @@
                 core, self.fleet, post, table.copies.share
             )
             if core.lifecycle.phase is not Phase.STARTING:
-                # While starting, the process before this one may tell what it spent.
+                # Nobody tells what a process before this one spent: a lost one is assumed. While
+                # starting, a predecessor may tell it.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
         self.fleet.served = self.observations.served_counts
         self.fleet.servers = self.observations.server_report
@@ -99,8 +100,8 @@
         core.extensions.fleet = self
         core.extensions.holds_lease = self.fleet.may_act
 
-    def on_lease_changed(self, now: int) -> None:
-        """The lease was given, or has ended."""
+    def on_lease_begun(self, now: int) -> None:
+        """A lease has begun, after a time without one."""
         self.core.lifecycle.update_readiness()
 
     def apply_view(self, now: int, view: AppliedView) -> None:
--- a/cypresswalk/fleet/disruption_bounds.py
+++ b/cypresswalk/fleet/disruption_bounds.py
@@ -1,8 +1,9 @@
 """Whether one more balancer or server may go out under the agreed bounds: pure functions."""
 
-from cypresswalk.fleet.records import SERVERS, FleetState
+from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import CERTAINLY_OUT
 from cypresswalk.rollout.bounds import violation_reason
+from cypresswalk.rollout.release import ChangeStatus, MemberKind, Phase
 
 
 def balancer_bound(
@@ -58,9 +59,9 @@
     release = state.release
     if release is None:
         raise ValueError("there is no release")
-    rolls_back = release.phase == "back"
-    if release.plan.kind == SERVERS:
-        failed = name in unavailable or release.members.get(name) == "failed"
+    rolls_back = release.phase == Phase.ROLLING_BACK
+    if release.plan.kind == MemberKind.SERVERS:
+        failed = name in unavailable or release.members.get(name) == ChangeStatus.FAILED
         return server_bound(state, name, unavailable, rolls_back and failed)
     certainly_out = unavailable.get(name) in CERTAINLY_OUT
     return balancer_bound(state, name, zones, unavailable, rolls_back and certainly_out)
--- a/cypresswalk/fleet/leader_availability.py
+++ b/cypresswalk/fleet/leader_availability.py
@@ -12,6 +12,7 @@
 from cypresswalk.fleet.server_observations import INCONCLUSIVE_REASON, ServerObservations
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.rollout.evidence import ServedCounts
+from cypresswalk.rollout.release import ChangeStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,8 +59,8 @@
         ended = self.tracker.next_ended(
             now,
             grants,
-            changing={name for name in grants if statuses.get(name) == "changing"},
-            waiting={name for name in grants if statuses.get(name) == "out"},
+            changing={name for name in grants if statuses.get(name) == ChangeStatus.CHANGING},
+            waiting={name for name in grants if statuses.get(name) == ChangeStatus.TURN_GRANTED},
             unavailable=self.unavailable(now),
             present={member.name for member in context.members},
         )
--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -9,14 +9,13 @@
 )
 from cypresswalk.fleet.leader_availability import BalancerDuty, ServerDuty
 from cypresswalk.fleet.member_context import MemberContext
-from cypresswalk.fleet.records import SERVERS
 from cypresswalk.fleet.release_control import (
     ReleaseAction,
     ReleaseControl,
     ReleaseSituation,
     ReleaseStep,
 )
-from cypresswalk.rollout.release import Release
+from cypresswalk.rollout.release import MemberKind, Release
 
 
 class ReleaseDuty:
@@ -35,7 +34,7 @@
         release = context.state.release
         if release is None or not context.has_committed_in_term():
             return
-        if release.plan.kind == SERVERS:
+        if release.plan.kind == MemberKind.SERVERS:
             unavailable = self.servers.unhealthy_for_bound(now)
             zones: dict[str, str] = {}
             situation = self._servers_situation(release, unavailable)
--- a/cypresswalk/fleet/lease_client.py
+++ b/cypresswalk/fleet/lease_client.py
@@ -5,10 +5,10 @@
 from cypresswalk.fleet.messages import LeaseGrant, LeaseRequest
 
 MAX_OBJECTION_LENGTH = 300  # characters
-# Parts of the lease bound after which the next lease is requested.
-RENEWAL_FRACTION = 4  # while one is held
-RETRY_FRACTION = 20  # without one
-JITTER_FRACTION = 4  # of the wait, drawn off it
+# The next lease is requested after `max_contradiction` divided by these.
+RENEWAL_DIVISOR = 4  # while one is held
+RETRY_DIVISOR = 20  # without one
+JITTER_DIVISOR = 4  # up to the wait divided by this is drawn off it
 
 
 class LeaseClient:
@@ -30,9 +30,9 @@
         """Return a request for the leader, if one is known, and set the time of the next."""
         context = self.context
         held = now < self.valid_until()
-        fraction = RENEWAL_FRACTION if held else RETRY_FRACTION
-        wait = context.config.max_contradiction // fraction
-        self.request_at = now + wait - context.random.randrange(wait // JITTER_FRACTION)
+        divisor = RENEWAL_DIVISOR if held else RETRY_DIVISOR
+        wait = context.config.max_contradiction // divisor
+        self.request_at = now + wait - context.random.randrange(wait // JITTER_DIVISOR)
         if not context.leader:
             return None
         host, identity = context.host, context.identity
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -101,7 +101,8 @@
         """Whether the member's lease is certainly over."""
         if now < self.unknown_until:
             return False
-        return now >= self.granted_at.get(member, now - self.span) + self.span
+        granted_at = self.granted_at.get(member)
+        return granted_at is None or now >= granted_at + self.span
 
     def may_act_below(self, now: int, version: int, members: Iterable[str]) -> list[str]:
         """Return the members that may still act on an older version than that."""
--- a/cypresswalk/fleet/local_observations.py
+++ b/cypresswalk/fleet/local_observations.py
@@ -12,13 +12,13 @@
 
 MAX_REPORTED_SERVERS = 1000  # the first by name, the same ones at all balancers
 COUNT_FIELDS = 4
-ESTABLISHED, REJECTED, ERROR_REPLY, SETUP_NS = range(COUNT_FIELDS)
+ESTABLISHED, REJECTED, FAILED, SETUP_NS = range(COUNT_FIELDS)
 FIELD_OF_OUTCOME = {
     Outcome.FULL: REJECTED,
-    Outcome.ERROR: ERROR_REPLY,
-    Outcome.TIMEOUT: ERROR_REPLY,
-    Outcome.CONNECT_FAILED: ERROR_REPLY,
-    Outcome.RESET: ERROR_REPLY,
+    Outcome.ERROR: FAILED,
+    Outcome.TIMEOUT: FAILED,
+    Outcome.CONNECT_FAILED: FAILED,
+    Outcome.RESET: FAILED,
 }
 Counts = tuple[int, int, int, int]  # established, rejected, failed, sum of set-up times in ns
 
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -20,7 +20,7 @@
 from cypresswalk.agreement.node import Node
 from cypresswalk.agreement.ready import PersistentState, Ready
 from cypresswalk.fleet.applied_view import AppliedView, view_of
-from cypresswalk.fleet.bootstrap import Discovery, ReplacedRead
+from cypresswalk.fleet.bootstrap import GroupDiscovery, ReplacedRead
 from cypresswalk.fleet.call_forwarding import CallForwarder
 from cypresswalk.fleet.commands import (
     ActivateSettings,
@@ -113,7 +113,7 @@
         self.context = MemberContext(config, identity, host, random)
         self.own_settings = own_settings
         self.placement = placement
-        self.discovery = Discovery(self.context, now)
+        self.discovery = GroupDiscovery(self.context, now)
         self.lease_client = LeaseClient(self.context, now, acts_on)
         self.forwarder = CallForwarder(self.context)
         self.duties = LeaderDuties(self.context, now, own_settings, placement)
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -12,9 +12,8 @@
 from cypresswalk.fleet.disruption_bounds import change_bound
 from cypresswalk.fleet.leader import LeaderDuties
 from cypresswalk.fleet.member_context import SECOND
-from cypresswalk.fleet.records import SERVERS
 from cypresswalk.fleet.server_observations import INCONCLUSIVE_REASON
-from cypresswalk.rollout.release import Release
+from cypresswalk.rollout.release import ChangeStatus, MemberKind, Release
 
 NEVER = 1 << 62  # a version that nobody acts on
 
@@ -75,7 +74,7 @@
     current = duties.context.state.release
     if current is None or name not in current.members:
         return {"status": ""}
-    if current.plan.kind == SERVERS:
+    if current.plan.kind == MemberKind.SERVERS:
         return _server_turn(duties, now, name, current)
     return _common_turn(duties, name, current) | {
         "crowded": _balancer_crowded(duties, now, name, current),
@@ -93,7 +92,7 @@
 
 
 def _balancer_crowded(duties: LeaderDuties, now: int, name: str, current: Release) -> str:
-    if current.members[name] != "changing":
+    if current.members[name] != ChangeStatus.CHANGING:
         return ""
     context = duties.context
     unavailable = duties.balancers.unavailable(now)
@@ -102,7 +101,7 @@
 
 def _server_turn(duties: LeaderDuties, now: int, name: str, current: Release) -> dict[str, Any]:
     crowded = ""
-    if current.members[name] == "changing":
+    if current.members[name] == ChangeStatus.CHANGING:
         crowded = INCONCLUSIVE_REASON
         if duties.servers.is_conclusive(now):
             unavailable = duties.servers.unhealthy(now)
--- a/cypresswalk/fleet/records.py
+++ b/cypresswalk/fleet/records.py
@@ -4,16 +4,15 @@
 
 import msgspec
 
-from cypresswalk.rollout.release import Release
+from cypresswalk.rollout.release import ChangeStatus, MemberKind, Release
 
 MAX_HISTORY_RECORDS = 200
 MAX_REASON_LENGTH = 200  # characters kept of the reason for a halt
-SERVERS = "servers"  # the kind of a release that changes servers
-SERVERS_OUT_STATUSES = ("out", "changing", "failed")  # a release keeps such servers out of rotation
+# A release keeps such servers out of rotation.
+SERVERS_OUT_STATUSES = (ChangeStatus.TURN_GRANTED, ChangeStatus.CHANGING, ChangeStatus.FAILED)
 
 # Id, zone, cell, state, weight, its latest start in nanoseconds. No address: that may differ
-# between
-# balancers.
+# between balancers.
 ListedServer = tuple[str, int, int, str, float, int]
 
 
@@ -98,7 +97,7 @@
     def servers_out_for_release(self) -> set[str]:
         """Servers that a release keeps out of rotation."""
         release = self.release
-        if release is None or release.plan.kind != SERVERS:
+        if release is None or release.plan.kind != MemberKind.SERVERS:
             return set()
         return {name for name, status in release.members.items() if status in SERVERS_OUT_STATUSES}
 
--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -19,10 +19,10 @@
     WaveObserved,
 )
 from cypresswalk.fleet.disruption_bounds import change_bound
-from cypresswalk.fleet.records import SERVERS, FleetState
+from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.results import CommandResult
 from cypresswalk.rollout import release as releases
-from cypresswalk.rollout.release import Release
+from cypresswalk.rollout.release import ChangeStatus, MemberKind, Phase, Release
 
 
 def apply_release_command(state: FleetState, command: Command) -> CommandResult:
@@ -36,7 +36,7 @@
     if (
         result.accepted
         and release is not None
-        and release.plan.kind == SERVERS
+        and release.plan.kind == MemberKind.SERVERS
         and not isinstance(command, ChangeStarted)
     ):
         _advance_server_release(state, release, command, before)
@@ -62,7 +62,7 @@
 
 def _begin_release(state: FleetState, command: BeginRelease) -> CommandResult:
     known = command.known
-    if command.plan.kind == SERVERS:
+    if command.plan.kind == MemberKind.SERVERS:
         known = [name for name, *_ in state.servers]
     begun, why = releases.begin(command.plan, command.by, command.at, state.release, known)
     if begun is None:
@@ -88,35 +88,35 @@
 
 def _grant_turn(state: FleetState, release: Release, command: GrantTurn) -> CommandResult:
     name = command.name
-    why = releases.may_go(release, name, state.halted is not None) or change_bound(
+    why = releases.turn_objection(release, name, state.halted is not None) or change_bound(
         state, name, command.zones, command.unavailable
     )
-    if release.plan.kind == SERVERS:
+    if release.plan.kind == MemberKind.SERVERS:
         if not why:
-            releases.go(release, name, command.boot)
+            releases.grant_turn(release, name, command.boot)
         return CommandResult(not why, why or "it is out")
     if name in state.leave_grants:
         by, _, granted_for = state.leave_grants[name]
         why = why or f"{name} is out already: {granted_for}, by {by}"
     if not why:
-        releases.go(release, name, command.boot)
+        releases.grant_turn(release, name, command.boot)
         state.leave_grants[name] = command.by, command.at, f"release {release.plan.name}"
     return _result(why)
 
 
 def _change_started(state: FleetState, release: Release, command: ChangeStarted) -> CommandResult:
     name = command.name
-    why = releases.began(release, name, command.to, state.halted is not None) or change_bound(
-        state, name, command.zones, command.unavailable
-    )
+    why = releases.start_objection(
+        release, name, command.to, state.halted is not None
+    ) or change_bound(state, name, command.zones, command.unavailable)
     if not why:
-        release.members[name] = "changing"
+        release.members[name] = ChangeStatus.CHANGING
     return _result(why)
 
 
 def _change_finished(state: FleetState, release: Release, command: ChangeFinished) -> CommandResult:
     name = command.name
-    problem = releases.came(release, name, command.runs, command.why)
+    problem = releases.record_report(release, name, command.runs, command.why)
     if problem:
         state.halt(f"release {release.plan.name}", command.at, problem)
     what = f"{name} runs {command.runs or 'nothing'}: {release.members.get(name)}"
@@ -126,32 +126,32 @@
 
 def _turn_unused(state: FleetState, release: Release, command: TurnUnused) -> CommandResult:
     status = release.members.get(command.name)
-    if release.plan.kind != SERVERS or status != "out":
+    if release.plan.kind != MemberKind.SERVERS or status != ChangeStatus.TURN_GRANTED:
         return CommandResult(False, f"{command.name} is {status}")
-    releases.returned(release, command.name)
+    releases.end_unused_turn(release, command.name)
     return _result("")
 
 
 def _wave_observed(state: FleetState, release: Release, command: WaveObserved) -> CommandResult:
-    why = releases.held(release, command.wave)
+    why = releases.pass_wave(release, command.wave)
     if not why:
-        done = ", done" if release.phase == "done" else ""
+        done = ", done" if release.phase == Phase.DONE else ""
         what = f"release {release.plan.name}: wave {command.wave} has held{done}"
         state.record(command.by, command.at, what)
     return _result(why)
 
 
 def _roll_back(state: FleetState, release: Release, command: RollBack) -> CommandResult:
-    why = releases.turn_back(release)
+    why = releases.roll_back(release)
     if not why:
         state.record(command.by, command.at, f"release {release.plan.name}: back")
     return _result(why)
 
 
 def _pause_release(state: FleetState, release: Release, command: PauseRelease) -> CommandResult:
-    if release.phase != ("running" if command.on else "paused"):
+    if release.phase != (Phase.RUNNING if command.on else Phase.PAUSED):
         return _result(f"the release is {release.phase}")
-    release.phase = "paused" if command.on else "running"
+    release.phase = Phase.PAUSED if command.on else Phase.RUNNING
     state.record(command.by, command.at, f"release {release.plan.name}: {release.phase}")
     return _result("")
 
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -9,9 +9,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from cypresswalk.fleet.records import SERVERS
 from cypresswalk.rollout.evidence import Evidence, ServedCounts
-from cypresswalk.rollout.release import Release, may_go
+from cypresswalk.rollout.release import ChangeStatus, MemberKind, Phase, Release, turn_objection
 
 SECOND = 1_000_000_000
 TURN_RETRY_INTERVAL = SECOND // 2  # a turn that was rejected is asked for again
@@ -100,18 +99,18 @@
     def next_action(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
         """Return the next command to propose, or None; `now` in nanoseconds."""
         release = situation.release
-        if release.phase not in ("running", "back"):
+        if release.phase not in (Phase.RUNNING, Phase.ROLLING_BACK):
             self.waits_for = ""
             return None
         self._begin_observation(situation)
-        if release.plan.kind == SERVERS:
+        if release.plan.kind == MemberKind.SERVERS:
             action = self._late_server(now, situation)
             if action is not None:
                 return action
         action = self._silent_agent(now, situation)
         if action is not None:
             return action
-        if release.phase == "back":
+        if release.phase == Phase.ROLLING_BACK:
             return self._grant_next_turn(now, situation, _worst_first(situation))
         return self._advance_wave(now, situation)
 
@@ -140,12 +139,20 @@
         """Return what to do about a server whose agent, or whose return, is late."""
         release = situation.release
         members = sorted(release.members.items())
-        out = [name for name, status in members if status == "out"]
+        out = [name for name, status in members if status == ChangeStatus.TURN_GRANTED]
         self.turn_since = _since(self.turn_since, now, out)
-        returned = [name for name, status in members if status == "new" and name in situation.away]
+        returned = [
+            name
+            for name, status in members
+            if status == ChangeStatus.NEW and name in situation.away
+        ]
         self.returned_since = _since(self.returned_since, now, returned)
         for name, since in self.turn_since.items():
-            if now - since > TURN_UNUSED or situation.halted and release.phase != "back":
+            if (
+                now - since > TURN_UNUSED
+                or situation.halted
+                and release.phase != Phase.ROLLING_BACK
+            ):
                 return ReleaseAction(ReleaseStep.END_UNUSED_TURN, name)
         if situation.halted:
             return None
@@ -162,7 +169,9 @@
     def _silent_agent(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
         """Return a halt where an agent has been at work for too long."""
         release = situation.release
-        changing = [name for name, status in release.members.items() if status == "changing"]
+        changing = [
+            name for name, status in release.members.items() if status == ChangeStatus.CHANGING
+        ]
         self.changing_since = _since(self.changing_since, now, changing)
         if situation.halted:
             return None
@@ -185,18 +194,22 @@
         )
         if problem:
             return ReleaseAction(ReleaseStep.HALT, reason=problem)
-        all_changed = all(release.members[name] == "new" for name in wave)
+        all_changed = all(release.members[name] == ChangeStatus.NEW for name in wave)
         if all_changed and not set(wave) & (situation.out | situation.away):
             return self._observe_wave(now, release, wave)
         self.healthy_since = None
-        candidates = [name for name in wave if release.members[name] in ("old", "failed")]
+        candidates = [
+            name
+            for name in wave
+            if release.members[name] in (ChangeStatus.OLD, ChangeStatus.FAILED)
+        ]
         return self._grant_next_turn(now, situation, candidates)
 
     def _grant_next_turn(
         self, now: int, situation: ReleaseSituation, candidates: list[str]
     ) -> ReleaseAction | None:
         for name in candidates:
-            if may_go(situation.release, name, situation.halted):
+            if turn_objection(situation.release, name, situation.halted):
                 continue
             if now - self.tried_at.get(name, LONG_AGO) >= TURN_RETRY_INTERVAL:
                 self.tried_at[name] = now
@@ -212,8 +225,10 @@
         falls over and over would never be out for long, and no wave of it would ever be healthy.
         """
         release, out = situation.release, situation.out
-        changed = [name for name, status in sorted(release.members.items()) if status == "new"]
-        if release.plan.kind == SERVERS:
+        changed = [
+            name for name, status in sorted(release.members.items()) if status == ChangeStatus.NEW
+        ]
+        if release.plan.kind == MemberKind.SERVERS:
             fallen = self._fallen_server(changed, out)
             if fallen:
                 return fallen
@@ -279,11 +294,15 @@
 def _worst_first(situation: ReleaseSituation) -> list[str]:
     """Return targets to be taken back: first those that failed, then by failed flows."""
     members = situation.release.members
-    candidates = [name for name, status in members.items() if status in ("new", "failed")]
+    candidates = [
+        name
+        for name, status in members.items()
+        if status in (ChangeStatus.NEW, ChangeStatus.FAILED)
+    ]
     return sorted(
         candidates,
         key=lambda name: (
-            members[name] != "failed",
+            members[name] != ChangeStatus.FAILED,
             -situation.served.get(name, ServedCounts()).failure_share,
             name,
         ),
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -50,7 +50,7 @@
         lifetime = (
             service_type.idempotency_window
             + max(time_left, 0)
-            + self.core.limits.longest_attempt_timeout
+            + self.core.limits.longest_connect_timeout
         )
         self.waiting[session] = None
         # The replication thread may answer nothing: its process may be handing over, or failing.
--- a/cypresswalk/fleet/state_machine.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -218,7 +218,10 @@
     release = state.release
     if state.halted:
         why = state.halt_reason()
-    elif release is not None and release.members.get(name) in ("out", "changing"):
+    elif release is not None and release.members.get(name) in (
+        releases.ChangeStatus.TURN_GRANTED,
+        releases.ChangeStatus.CHANGING,
+    ):
         why = f"release {release.plan.name} is changing it"
     if why and not command.forced:
         return CommandResult(False, why)
@@ -233,7 +236,7 @@
     if state.leave_grants.get(command.name) != command.grant:
         return CommandResult(False, "that place is not held")
     if state.release is not None:
-        releases.returned(state.release, command.name)
+        releases.end_unused_turn(state.release, command.name)
     del state.leave_grants[command.name]
     state.record(command.by, command.at, f"balancer {command.name} back")
     return CommandResult(True, "back")
--- a/cypresswalk/model.py
+++ b/cypresswalk/model.py
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What the deployment tells every balancer, decoded."""
+    """What the deployment tells every balancer, decoded; times are nanoseconds."""
 
     instances: int  # balancers of the tier
     zone: int  # this balancer's
@@ -128,7 +128,7 @@
     checked: bool = False  # a health check has told
     awaiting_first_pass: bool = False  # new or restarted: down until a check passes
     check_in_flight: bool = False
-    next_check_at: int = 0  # by the clock of checks
+    next_check_at: int = 0  # by `HealthCheckSchedule.clock`
     failed_checks: int = 0  # since the last that passed
 
     # Out of rotation by an operator's call, whatever the list says.
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -172,7 +172,7 @@
         max_sockets=int(data["limits"]["sockets"]),
         max_memory=int(data["limits"]["memory_mb"]) << 20,
         dial_timeout=nanoseconds(params["limits"]["dialTimeout"], "dialTimeout"),
-        longest_attempt_timeout=max(
+        longest_connect_timeout=max(
             (nanoseconds(t["giveUp"], "giveUp") for t in params["serviceTypes"]), default=SECOND
         ),
         # A third of the smallest objective is no overload yet.
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -124,7 +124,7 @@
         session.request = request
         session.flow = flow = self._make_flow(now, request, flow_id, timeout)
         if "at" in request.values:
-            self.counters.add("flows_handed_over")
+            self.counters.add("flows_handed_over")  # resumed at the server that the client names
             self.resumption.begin(now, session)
             return
         self.counters.add("flows_taken")
@@ -140,7 +140,7 @@
         if values.get("c") not in self.service_types or not known_tenant:
             return False
         return (
-            0 < timeout <= MAX_CONNECT_TIMEOUTS * self.limits.longest_attempt_timeout
+            0 < timeout <= MAX_CONNECT_TIMEOUTS * self.limits.longest_connect_timeout
             or "at" in values
         )
 
@@ -392,6 +392,7 @@
         self.counters.add("flows_without_lease")
         idempotent = flow.service_type.effect is Effect.IDEMPOTENT
         harmless = flow.may_have_run_on is None or idempotent
+        # For the decisions the flow is over: it leaves them as one whose client has gone.
         self.balancer.on_client_gone(now, flow)
         reply = self.retry_reply(flow) if harmless else ERROR_REPLY
         self.end_session(now, self.sessions.pop(flow), reply)
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -28,8 +28,9 @@
     """Follows the endpoint list at one address.
 
     Where the list is pushed it is followed for good, with a growing pause after each failure. Where
-    it is polled the decisions say when to begin; a failed call is repeated as soon as
-    `Limits.list_update_budget` demands. Once another address has taken its place, only those of its
+    it comes on request the decisions say when to begin. A failed call is repeated after a pause of
+    `min_list_retry_pause` to `max_list_retry_pause`, with jitter: together with its timeouts within
+    `list_update_budget`. Once another address has taken its place, only those of its
     updates count that have servers drain or go.
 
     Attributes:
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from cypresswalk.decisions.balancer import PERSISTENT_SUMS
+from cypresswalk.decisions.balancer import HANDED_OVER_SUMS
 from cypresswalk.measures import DecayingSum
 from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.config import Address, parse_address
@@ -195,7 +195,7 @@
                 int(self.state["started"]),
                 [decode_server(encoded) for encoded in self.servers],
                 [int(ident) for ident in self.ids],
-                {key: decode_sum(sums[key]) for key in PERSISTENT_SUMS if key in sums},
+                {key: decode_sum(sums[key]) for key in HANDED_OVER_SUMS if key in sums},
             )
         except (
             KeyError,
@@ -258,8 +258,8 @@
 def apply_state(now: int, core: Core, source: ListSource, state: PredecessorState) -> None:
     """Puts what the predecessor knows into a core that places nothing yet.
 
-    Its word goes before an older list's; a later start of a server, or a later version of the list,
-    before its word.
+    Its figures override an older list; a server that started later, or a newer version of the list,
+    overrides them.
     """
     balancer = core.balancer
     offset = now - state.now  # between the two clocks
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -59,7 +59,8 @@
         self.sessions = sessions
         self.requests = requests
         self.phase = Phase.SERVING
-        self.ready = False  # flows can be placed; read by the clients' threads
+        # Flows can be placed, but for the lease (`Extensions.may_act`); read by clients' threads.
+        self.ready = False
         # No flow is answered later, while this process is drained or leaves.
         self.answer_deadline: int | None = None
         self.drained = False  # by an operator; stays so over an upgrade
@@ -105,7 +106,7 @@
         if self.phase is Phase.LEAVING:
             return
         span = (
-            min(self.limits.longest_attempt_timeout, self.limits.max_leave_time)
+            min(self.limits.longest_connect_timeout, self.limits.max_leave_time)
             + self.limits.leave_extension
         )
         # A client that is migrated at once would come straight back, since some are still sent here
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -32,8 +32,8 @@
     max_memory: int
     # A TCP connection that takes longer to set up has failed.
     dial_timeout: int
-    # The longest attempt timeout of any service type.
-    longest_attempt_timeout: int
+    # The longest time that a client may allow for the set-up of its flow, of any service type.
+    longest_connect_timeout: int
     # A message that takes longer is reported to the decisions: in the measure of servers' reports.
     min_reported_delay: int
 
--- a/cypresswalk/net/parsers/load_reports.py
+++ b/cypresswalk/net/parsers/load_reports.py
@@ -64,7 +64,7 @@
         self._loads = loads
         self._interval = limits.delay_report_interval
         self._jitter = limits.delay_report_jitter
-        self._longest_delay = limits.longest_attempt_timeout
+        self._longest_delay = limits.longest_connect_timeout
         self._smallest_first_load = math.inf  # of any connection
         self._lock = Lock()  # each server connection has a thread that parses
 
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -49,7 +49,8 @@
         """
         if not (yield IsRunning(self.state.pid)):
             return False
-        if not (yield CheckReady(self.state.admin)):
+        not_ready_reason: str = yield CheckReady(self.state.admin)
+        if not not_ready_reason:
             return False
         assert self.started_at is not None  # keep_running was called before
         now: float = yield ReadClock()
--- a/cypresswalk/rollout/release.py
+++ b/cypresswalk/rollout/release.py
@@ -172,7 +172,7 @@
 
 
 def begin(
-    plan: Plan, by: str, at: int, now: Release | None, known: Sequence[str]
+    plan: Plan, by: str, at: int, current: Release | None, known: Sequence[str]
 ) -> tuple[Release | None, str]:
     """Begins a release.
 
@@ -180,19 +180,20 @@
         plan: as asked for.
         by: who asks.
         at: wall clock, milliseconds.
-        now: the release there is, if any.
+        current: the release there is, if any.
         known: names of the members, or servers, that there are.
 
     Returns:
         The new release and a text for the history, or None and why it is refused.
     """
-    if now is not None and now.phase in UNFINISHED:
+    if current is not None and current.phase in UNFINISHED:
         return (
             None,
-            f"release {now.plan.name} by {now.by} is {now.phase}: it must be done or back first",
+            f"release {current.plan.name} by {current.by} is {current.phase}:"
+            " it must be done or back first",
         )
     errors = objection(plan, known)
-    if now is not None and plan.name == now.plan.name:
+    if current is not None and plan.name == current.plan.name:
         # Commands name their release: one meant for the last must not act on this one.
         errors.append(f"name: {plan.name} was the last one's")
     if errors:
@@ -201,7 +202,7 @@
     return Release(plan, by, at, members=members), f"release {plan.name} begun"
 
 
-def may_go(release: Release, name: str, halted: bool) -> str:
+def turn_objection(release: Release, name: str, halted: bool) -> str:
     """Why a member may not be granted its turn now, or an empty string; bounds.py checks bounds."""
     status = release.members.get(name)
     if release.phase == Phase.ROLLING_BACK:
@@ -218,29 +219,29 @@
     return "" if unchanged else f"{name} is {status}"
 
 
-def go(release: Release, name: str, boot: int) -> None:
+def grant_turn(release: Release, name: str, boot: int) -> None:
     """Grants a member its turn; `boot` is how often it has started, 0 if unknown."""
     release.previous[name] = release.members[name]
     release.members[name] = ChangeStatus.TURN_GRANTED
     release.boots[name] = boot
 
 
-def target(release: Release, name: str) -> str:
+def target_version(release: Release, name: str) -> str:
     """The version that a member's agent is to run."""
     if release.phase == Phase.ROLLING_BACK:
         return release.plan.from_version
     return release.plan.to_version
 
 
-def began(release: Release, name: str, to: str, halted: bool) -> str:
+def start_objection(release: Release, name: str, to: str, halted: bool) -> str:
     """Why a member's agent may not start changing it, or an empty string; bounds are apart."""
     status = release.members.get(name)
-    if status != ChangeStatus.TURN_GRANTED or to != target(release, name):
+    if status != ChangeStatus.TURN_GRANTED or to != target_version(release, name):
         return f"{name} is {status}, and nothing to be changed to {to}"
     return "halted" if halted and release.phase != Phase.ROLLING_BACK else ""
 
 
-def came(release: Release, name: str, runs: str, why: str) -> str:
+def record_report(release: Release, name: str, runs: str, why: str) -> str:
     """Records what an agent reports once it has changed its member, or could not.
 
     Args:
@@ -255,7 +256,7 @@
     if release.members.get(name) != ChangeStatus.CHANGING:
         return ""
     release.reports[name] = why
-    wanted = target(release, name)
+    wanted = target_version(release, name)
     if runs == release.plan.to_version:
         release.members[name] = ChangeStatus.NEW
     elif runs == release.plan.from_version:
@@ -267,14 +268,14 @@
     return "" if runs == wanted else f"{name}: {why or 'it runs ' + (runs or 'nothing')}"
 
 
-def returned(release: Release, name: str) -> None:
+def end_unused_turn(release: Release, name: str) -> None:
     """Ends a turn that was granted and not used: the member is what it was before."""
     if release.members.get(name) == ChangeStatus.TURN_GRANTED:
         # Not simply OLD: one that had failed runs the new version, or nothing.
         release.members[name] = release.previous.pop(name)
 
 
-def held(release: Release, wave: int) -> str:
+def pass_wave(release: Release, wave: int) -> str:
     """Ends a wave that was observed for long enough; why that is refused, or empty."""
     if release.phase != Phase.RUNNING or wave != release.wave:
         return f"wave {release.wave} of a release that is {release.phase}"
@@ -286,7 +287,7 @@
     return ""
 
 
-def turn_back(release: Release) -> str:
+def roll_back(release: Release) -> str:
     """Starts rolling back; why that is refused, or an empty string.
 
     A release that is done may be rolled back too, as long as no other has begun.
@@ -294,7 +295,7 @@
     if release.phase in (Phase.ROLLING_BACK, Phase.ROLLED_BACK):
         return f"the release is {release.phase} already"
     for name in list(release.members):
-        returned(release, name)
+        end_unused_turn(release, name)
     release.phase = Phase.ROLLED_BACK if all_old(release) else Phase.ROLLING_BACK
     return ""
 
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -160,7 +160,7 @@
         )
         self.snapshot_writer.recover(self.clock())
         # A list that knows less than the incarnation before was told is an older one.
-        self.watch.min_version = self.snapshot_writer.floor
+        self.watch.min_version = self.snapshot_writer.previous_list_version
 
     def join_fleet(self, table: "FleetTable", config: Config) -> None:
         """Binds the core to what a fleet agrees on. Imported here alone, as above."""
--- a/cypresswalk/state/recovery.py
+++ b/cypresswalk/state/recovery.py
@@ -22,9 +22,7 @@
 MAX_ID_AGE = 300 * SECOND
 # Sums of flows decay by themselves; past ten minutes nothing is left of any.
 MAX_SUMS_AGE = 600 * SECOND
-MAX_CLOCK_SKEW = (
-    2 * SECOND
-)  # two readings of wall time may differ by it without being from the future
+MAX_CLOCK_SKEW = 2 * SECOND  # between two readings of wall time; beyond it is the future
 MAX_EJECTED_FRACTION = 0.5  # more of the fleet ejected by old knowledge: none of that is believed
 MIN_WEIGHT = 0.01  # a belief of less is not taken over
 COUNTS = ("drains", "beliefs", "aside", "restarted", "unknown")  # as the log names them
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -70,7 +70,7 @@
         self.logged_error = ""  # while it lasts
         self.writing = Lock()
         self.ended = Event()
-        self.floor = 0  # the list's version in the incarnation before
+        self.previous_list_version = 0  # in the incarnation before
         self.longest = 0  # nanoseconds that one slice took
 
     # At the start, before anything runs.
@@ -92,7 +92,7 @@
         if kept is None:
             log.info(event("state_none", folder=self.disk.path))
             return
-        self.floor = kept.head.list_version
+        self.previous_list_version = kept.head.list_version
         recovery = Recovery(kept, now, self.registry.version, self.list_address)
         done = recovery.apply(self.core.balancer)
         self.learned = recovery.learned
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -22,7 +22,7 @@
     max_sockets=100,
     max_memory=192 << 20,
     dial_timeout=SECOND,
-    longest_attempt_timeout=3 * SECOND,
+    longest_connect_timeout=3 * SECOND,
     min_reported_delay=SECOND // 60,
 )
 CLIENT_TIMEOUT = 900 * SECOND // 1000  # of the flows that `CoreHarness.open` opens
--- a/tests/lab/test_server_releases.py
+++ b/tests/lab/test_server_releases.py
@@ -50,14 +50,14 @@
 
 def a_turn_ends_while_its_agent_works(patch):
     """A server that is seen ready counts as unchanged, though its agent is changing it."""
-    returned = releases.returned
+    returned = releases.end_unused_turn
 
     def careless(now, name):
         returned(now, name)
         if now.members.get(name) == "changing":
             now.members[name] = "old"
 
-    patch.setattr(releases, "returned", careless)
+    patch.setattr(releases, "end_unused_turn", careless)
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -34,7 +34,7 @@
         max_sockets=sockets,
         max_memory=memory_mb << 20,
         dial_timeout=SECOND,
-        longest_attempt_timeout=SECOND,
+        longest_connect_timeout=SECOND,
         min_reported_delay=1,
     )
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -37,7 +37,7 @@
     max_sockets=256,
     max_memory=192 << 20,
     dial_timeout=SECOND,
-    longest_attempt_timeout=SECOND,
+    longest_connect_timeout=SECOND,
     min_reported_delay=1,
 )
 HEARTBEAT_INTERVAL = 2 * SECOND  # of discovery
--- a/tests/rollout/release_mutants.py
+++ b/tests/rollout/release_mutants.py
@@ -22,7 +22,7 @@
 
 def slots_are_freed_while_an_agent_works(patch: pytest.MonkeyPatch) -> None:
     """A grant that nobody was seen to use is free while its agent works."""
-    returned, step = release.returned, ModelFleet.step
+    returned, step = release.end_unused_turn, ModelFleet.step
 
     def returned_as_old(now: Release, name: str) -> None:
         returned(now, name)
@@ -35,7 +35,7 @@
                 self.return_balancer(name)
         step(self)
 
-    patch.setattr(release, "returned", returned_as_old)
+    patch.setattr(release, "end_unused_turn", returned_as_old)
     patch.setattr(ModelFleet, "step", step_after_freeing)
 
 
@@ -73,18 +73,18 @@
 
 def halts_are_ignored(patch: pytest.MonkeyPatch) -> None:
     """Neither the leader nor the state machine heeds a halt."""
-    may_go, next_action = release.may_go, ReleaseControl.next_action
+    turn_objection, next_action = release.turn_objection, ReleaseControl.next_action
 
-    def may_go_despite_halt(now: Release, name: str, halted: bool) -> str:
-        return may_go(now, name, False)
+    def turn_objection_despite_halt(now: Release, name: str, halted: bool) -> str:
+        return turn_objection(now, name, False)
 
     def next_action_despite_halt(
         self: ReleaseControl, now: int, situation: ReleaseSituation
     ) -> ReleaseAction | None:
         return next_action(self, now, replace(situation, halted=False))
 
-    patch.setattr(release, "may_go", may_go_despite_halt)
-    patch.setattr("cypresswalk.fleet.release_control.may_go", may_go_despite_halt)
+    patch.setattr(release, "turn_objection", turn_objection_despite_halt)
+    patch.setattr("cypresswalk.fleet.release_control.turn_objection", turn_objection_despite_halt)
     patch.setattr(ReleaseControl, "next_action", next_action_despite_halt)
 
 
@@ -102,5 +102,5 @@
         action = observe_wave(self, now, current, wave)
         return action or ReleaseAction(ReleaseStep.PASS_WAVE, wave=current.wave)
 
-    patch.setattr(release, "held", pass_any_wave)
+    patch.setattr(release, "pass_wave", pass_any_wave)
     patch.setattr(ReleaseControl, "_observe_wave", observe_or_pass)
--- a/tests/state/test_snapshot_writer.py
+++ b/tests/state/test_snapshot_writer.py
@@ -89,7 +89,7 @@
     assert file_names(tmp_path) == ["lock", "state.3", "state.4"]
     (tmp_path / "state.4").write_bytes(b"CWSTATE\nnonsense")
     second = recovered_harness(tmp_path)
-    assert second.writer.floor == 2
+    assert second.writer.previous_list_version == 2
     assert second.writer.number == 4
     second.writer.keep()
     assert (tmp_path / "state.5").exists()
