--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -73,7 +73,7 @@
         accepting = (
             self.phase is Phase.SERVING
             or self.phase is Phase.LEAVING
-            and self.extensions.has_neighbour()
+            and self.extensions.has_other_process()
             and not self.drained
         )
         self.ready = accepting and self.endpoints.count_placeable() > 0
@@ -112,7 +112,7 @@
         # A client that is migrated at once would come straight back, since some are still sent here
         # for a while, and in a rolling restart the balancer before this one is often still away. A
         # successor is there: the longer the migration takes, the less it presses on anyone.
-        if self.extensions.has_neighbour():
+        if self.extensions.has_other_process():
             delay = self.limits.min_leave_delay
         else:
             delay = max(span // 2, self.limits.min_leave_delay)
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -120,7 +120,7 @@
         """Whether it may place flows now: no fleet, a lease, or `without_lease = "hold"`."""
         return self.holds_lease is None or self.holds_lease()
 
-    def has_neighbour(self) -> bool:
+    def has_other_process(self) -> bool:
         """Whether another process of this balancer stands beside this one."""
         return self.handover is not None and self.handover.connected
 
--- a/cypresswalk/rollout/agent_state.py
+++ b/cypresswalk/rollout/agent_state.py
@@ -84,9 +84,10 @@
         from_version: the version before the release.
         to_version: the version of the release.
         halted: a person, or the release itself, has halted the fleet.
-        crowded: why the member may not go out now, since others were lost meanwhile; or empty.
+        bound_objection: why the member may not go out now, since others were lost meanwhile, or
+            empty.
         settled: of a server, whether every balancer acts on its being out.
-        standing: of a server, flows that are there still; None if not all balancers have said.
+        open_flows: of a server, flows that are there still; None if not all balancers have said.
         drain_timeout_s: of a server, within which they must have left it, seconds.
     """
 
@@ -95,9 +96,9 @@
     from_version: str = ""
     to_version: str = ""
     halted: bool = False
-    crowded: str = ""
+    bound_objection: str = ""
     settled: bool = False
-    standing: int | None = None
+    open_flows: int | None = None
     drain_timeout_s: float = 0.0
 
     @classmethod
@@ -109,9 +110,9 @@
             from_version=body.get("since", ""),
             to_version=body.get("to", ""),
             halted=body.get("halted", False),
-            crowded=body.get("crowded", ""),
+            bound_objection=body.get("crowded", ""),
             settled=body.get("settled", False),
-            standing=body.get("standing"),
+            open_flows=body.get("standing"),
             drain_timeout_s=body.get("empty_s", 0.0),
         )
 
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -231,7 +231,7 @@
                     return "the release has turned"
                 if turn.halted and not turn.rolling_back:
                     return "halted before the one that runs was told to leave"
-                error = turn.crowded or self.stop_objection(turn)
+                error = turn.bound_objection or self.stop_objection(turn)
                 if not error:
                     return ""
             yield Sleep(STEP_INTERVAL)
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -54,9 +54,9 @@
         Asked again at the last: a balancer that was cut off so long that nobody waited for its word
         may be back.
         """
-        if turn.standing == 0:
+        if turn.open_flows == 0:
             return ""
-        count = "an unknown number of" if turn.standing is None else turn.standing
+        count = "an unknown number of" if turn.open_flows is None else turn.open_flows
         return f"{count} flows stand there"
 
     def drain_and_stop(self) -> Work[None]:
@@ -81,7 +81,7 @@
             if turn is not None:
                 if self.turned(turn):
                     return "the release has turned"
-                if turn.standing == 0:
+                if turn.open_flows == 0:
                     return ""
                 if (yield ReadClock()) - started_at > turn.drain_timeout_s:
                     return f"{self.stop_objection(turn)} after {turn.drain_timeout_s:g} s"
