--- a/cypresswalk/lab/cluster/checkers/halts.py
+++ b/cypresswalk/lab/cluster/checkers/halts.py
@@ -5,7 +5,12 @@
 
 from cypresswalk.lab.cluster.checkers.linearizability import NEVER
 from cypresswalk.lab.cluster.checkers.unavailability import Departure
-from cypresswalk.lab.units import SECOND
+from cypresswalk.lab.units import MILLISECOND, SECOND
+from cypresswalk.rollout.change_agent import MAX_GRANT_AGE
+
+# From a halt's yes until no agent may begin to stop its member: the age of a turn that it was
+# granted, and a margin.
+MAX_HALT_DELAY = int(MAX_GRANT_AGE * SECOND) + 100 * MILLISECOND
 
 
 class Halt(NamedTuple):
--- a/cypresswalk/lab/cluster/plan.py
+++ b/cypresswalk/lab/cluster/plan.py
@@ -26,10 +26,10 @@
     ISOLATE = "isolate"
     HEAL = "heal"  # ends all faults, disks and endpoint lists included, and starts what is down
     KILL = "kill"  # a balancer's host: with an agent, that too
-    START = "start"
+    START = "start"  # a balancer's host that is down: its agent if it has one, else the balancer
     STOP = "stop"
     FREEZE = "freeze"
-    RESUME_PROCESS = "thaw"
+    RESUME_PROCESS = "thaw"  # a frozen one
     WIPE = "wipe"  # the disk of a host that is killed and started again
     RESTORE_BACKUP = "put_back"
     BACK_UP = "copy"
@@ -49,11 +49,11 @@
     RELEASE = "release"
     ROLL_BACK = "release_back"
     HALT = "halt"
-    RESUME = "resume"
+    RESUME_RELEASES = "resume"  # ends a halt
     PAUSE = "pause"
     UNPAUSE = "unpause"
     KILL_AGENT = "kill_agent"
-    START_AGENT = "start_agent"
+    START_AGENT = "start_agent"  # the same as START; plans with agents only
     KILL_BALANCER = "kill_balancer"  # alone: its agent starts it again
     DRAIN = "drain"
     UNDRAIN = "undrain"
@@ -99,7 +99,7 @@
     Action.RELEASE,
     Action.ROLL_BACK,
     Action.HALT,
-    Action.RESUME,
+    Action.RESUME_RELEASES,
     Action.PAUSE,
     Action.UNPAUSE,
 }
@@ -124,7 +124,7 @@
         duration_ms: of a freeze; the delay of a slow link.
         build: of a release: what is made and rolled out.
         hold_s: of a release: how long each wave is observed.
-        min_flows: of a release: how many flows a verdict on a wave needs.
+        min_flows: of a release: flows each changed member must have answered.
         shuffled: of a release: whether its members go in a random order.
     """
 
--- a/cypresswalk/lab/cluster/random_plans.py
+++ b/cypresswalk/lab/cluster/random_plans.py
@@ -65,7 +65,7 @@
     Action.KILL_AGENT,
     Action.KILL_AGENT,
     Action.HALT,
-    Action.RESUME,
+    Action.RESUME_RELEASES,
     Action.PAUSE,
     Action.UNPAUSE,
     Action.DRAIN,
@@ -241,7 +241,7 @@
         if action == Action.KILL_AGENT:
             self._start(Action.START_AGENT, balancer, at_s + chance.uniform(0.3, 6))
         if self._goes_on_with_good_release(action):
-            action = Action.RESUME
+            action = Action.RESUME_RELEASES
         self.disk_lost = self.disk_lost or action == Action.WIPE
         self.steps.append(
             Step(
--- a/cypresswalk/lab/cluster/simulation/data_losses.py
+++ b/cypresswalk/lab/cluster/simulation/data_losses.py
@@ -5,7 +5,7 @@
 
 
 class DataLosses:
-    """Decides whose disk may be lost: one at a time, and while all others are whole.
+    """Decides whose disk may be lost: one at a time, and while all others have their data.
 
     What is promised is promised for that. More lost at once stop the fleet; a test of its own shows
     that they do nothing worse.
@@ -23,10 +23,10 @@
             return False
         self._forget_replaced(leader)
         is_sound = not (process.disk.failing or process.disk.full)
-        others_whole = (
+        others_have_data = (
             not self._lost and self._all_disks_written() and self._all_voters_known(leader)
         )
-        if leader is process or process.member is None or not is_sound or not others_whole:
+        if leader is process or process.member is None or not is_sound or not others_have_data:
             return False
         self._lost[process.name] = process.member.id
         return True
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -1,7 +1,7 @@
 """Searches the agreement for violations: a run by a schedule of faults and operators' calls.
 
-Invariants are checked after every step; at the end all faults are lifted, and the fleet must be
-whole again and have all that it promised.
+Invariants are checked after every step; at the end all faults are lifted, and the fleet must
+converge and have all that it promised.
 """
 
 import logging
@@ -27,7 +27,7 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 STARTUP_TIME = 6 * SECOND  # after which the first fault is injected
-# Within which a fleet without faults must be whole: leases, a dead voter's replacement, a disk
+# Within which a fleet without faults must converge: leases, a dead voter's replacement, a disk
 # that is tried again.
 RECOVERY_TIME = 40 * SECOND
 LINK_DELAYS_S = (0.3, 1, 2, 4)
@@ -143,7 +143,7 @@
     # The end.
 
     def finish(self) -> None:
-        """Lifts all faults; the fleet must be whole and have all that it promised."""
+        """Lifts all faults; the fleet must converge and have all that it promised."""
         self._lift_faults()
         self.world.note("all faults lifted")
         self.world.run(RECOVERY_TIME)
--- a/cypresswalk/lab/cluster/simulation/release_faults.py
+++ b/cypresswalk/lab/cluster/simulation/release_faults.py
@@ -41,7 +41,7 @@
             "resume": lambda target: world.resume(),
             "pause": lambda target: world.set_paused(True),
             "unpause": lambda target: world.set_paused(False),
-            "back": lambda target: world.turn_back(),
+            "back": lambda target: world.roll_back(),
         }
 
     def start_agents(self, target: Target) -> None:
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -21,7 +21,7 @@
 
 STARTUP_TIME = 8 * SECOND  # after which the release begins
 FINISH_INTERVAL = 2 * SECOND  # between two looks at a release that is to come to its end
-PATIENCE = 0.25  # of its time, after which the release of a bad build is turned back
+ROLL_BACK_AFTER_SHARE = 0.25  # of its time, after which the release of a bad build is rolled back
 LOGGERS = ("cypresswalk.fleet", "cypresswalk.rollout")
 NEVER_BEGUN = "never begun"
 # Drawn for each run, as the longest time that a message takes.
@@ -120,7 +120,7 @@
         return self._random.choices(list(self._weights), list(self._weights.values()))[0]
 
     def _finish(self) -> str:
-        """Lifts all faults and gives a person's word as often as it is asked for.
+        """Lifts all faults, and resumes or rolls back as an operator would until the release ends.
 
         Returns:
             How the release has ended: done, or rolled back. Nobody is out then.
@@ -155,16 +155,16 @@
         return phase
 
     def _operate(self, state: FleetState, end: int) -> None:
-        """Does what a person does with a release that stands still."""
+        """Resumes or rolls back a release that stands still, as an operator would."""
         world = self._world
         is_good = world.build == "good"
         release = state.release
         if release is not None and release.phase == Phase.PAUSED:
             world.set_paused(False)
         elif release is not None and release.phase == Phase.RUNNING and not is_good:
-            is_late = world.now > end - int(self._max_release_time * (1 - PATIENCE))
+            is_late = world.now > end - int(self._max_release_time * (1 - ROLL_BACK_AFTER_SHARE))
             if state.halted or is_late:
-                world.turn_back()
+                world.roll_back()
         if state.halted and (is_good or is_over(release)):
             world.resume()
 
--- a/cypresswalk/lab/cluster/simulation/release_world.py
+++ b/cypresswalk/lab/cluster/simulation/release_world.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from cypresswalk.fleet.records import FleetState
+from cypresswalk.lab.cluster.checkers.halts import MAX_HALT_DELAY
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY
 from cypresswalk.lab.cluster.simulation.world import Reply, World, ignore_reply
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.bounds import Bound, max_unavailable
-from cypresswalk.rollout.change_agent import MAX_GRANT_AGE
 from cypresswalk.rollout.release import MemberKind, Plan
 
 OLD_VERSION = "v1"
@@ -29,8 +29,6 @@
 # After which whoever leads must know that a member was lost: when it was heard last, a link's
 # delay, a read's age.
 MAX_DETECTION_TIME = 8 * SECOND
-# After a halt was confirmed, until nobody goes out.
-MAX_HALT_DELAY = int((MAX_GRANT_AGE + 0.1) * SECOND)
 CALL_SPAN = 6 * SECOND
 BEGIN_SPAN = 20 * SECOND
 
@@ -40,7 +38,7 @@
 
     RELEASE = "release"
     DRAIN = "drain"  # of a balancer, by an operator's call
-    HAND = "hand"  # of a server, by an operator's call
+    OPERATOR = "hand"  # of a server, by an operator's call
 
 
 class ObservedHost(Protocol):
@@ -83,7 +81,7 @@
         build: what the new version does; a key of the kind's builds.
         max_out: how many members may be out at once.
         pid_count: of all processes that were started.
-        turned_back_at: when the way back was asked for; or None.
+        rollback_requested_at: when a rollback was asked for; or None.
         most_out: how many were out at once.
         went_out: how many went out in all.
     """
@@ -122,7 +120,7 @@
         self.own_settings = {"mark": 0, "bounds": {self.kind.value: {"all": bound}}}
         self.build = build
         self.pid_count = 0
-        self.turned_back_at: int | None = None
+        self.rollback_requested_at: int | None = None
         self.most_out = 0
         self.went_out = 0
         self.hosts: dict[str, HostT] = {}  # made by the subclass
@@ -308,9 +306,9 @@
 
         self.operator_call("release", {}, reply)
 
-    def turn_back(self) -> None:
-        """Asks for the way back to the old version."""
-        self.turned_back_at = self.now
+    def roll_back(self) -> None:
+        """Asks for a rollback to the old version."""
+        self.rollback_requested_at = self.now
         self.operator_call("release_back", {"release": RELEASE_NAME})
 
     def agreed_state(self) -> FleetState | None:
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -96,7 +96,7 @@
             if ok and self._brought_back_at < asked_at:
                 self.removed = True
                 if not body["why"].startswith(OUT_BEFORE):
-                    self.world.on_going_out(self, Reason.HAND)
+                    self.world.on_going_out(self, Reason.OPERATOR)
 
         self.world.operator_call("out", {"server": self.name}, reply)
 
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -10,6 +10,7 @@
 from random import Random
 
 from cypresswalk.fleet.records import FleetState
+from cypresswalk.lab.cluster.checkers.halts import MAX_HALT_DELAY
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import Handler, Target
 from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY, MIN_DELAY
@@ -19,7 +20,7 @@
     Outcome,
     ReleaseRun,
 )
-from cypresswalk.lab.cluster.simulation.release_world import MAX_HALT_DELAY, Reason, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_world import Reason, ReleaseWorld
 from cypresswalk.lab.cluster.simulation.server_hosts import ServerHost
 from cypresswalk.lab.cluster.simulation.serving_balancers import Drains, ServingBalancer
 from cypresswalk.lab.units import MILLISECOND, SECOND
@@ -29,6 +30,7 @@
 ZONES = 2
 MAX_RELEASE_TIME = 900 * SECOND  # to its end, once all faults are lifted
 MAX_ACTIONS_UNTIL_CRASH = 16  # of an agent
+RETURN_SERVER = "in"  # the kind, as the history notes and counts it
 # How often each kind of fault or call is drawn.
 WEIGHTS = {
     "cut": 5,
@@ -50,7 +52,7 @@
     "unpause": 3,
     "back": 0.6,
     "out": 5,
-    "in": 6,
+    RETURN_SERVER: 6,
     "hand_over": 4,
 }
 AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # as the history notes
@@ -125,7 +127,7 @@
         name = balancer.process.name
         if host.name not in balancer.out:
             raise ViolationError(f"S: {host.name} is told to leave, and {name} may send to it")
-        # One that acts again for a moment only had no lease when its word was asked for.
+        # One that acts again only since a moment ago had no lease when it was asked.
         acts_for_long = self.now - balancer.idle_at > MAX_HALT_DELAY
         open_flows = balancer.open_flows.get(host.name)
         if acts_for_long and open_flows:
@@ -135,11 +137,11 @@
 
     def is_bound_waived(self, host: ServerHost, reason: Reason) -> bool:
         """On the way back servers that are lost may be among those to be changed."""
-        return self.turned_back_at is not None
+        return self.rollback_requested_at is not None
 
     def is_halt_binding(self, host: ServerHost, reason: Reason) -> bool:
         """A halt forbids a release but for its way back, and no call by hand."""
-        return reason is Reason.RELEASE and self.turned_back_at is None
+        return reason is Reason.RELEASE and self.rollback_requested_at is None
 
     def recover_processes(self) -> None:
         """Starts balancers that do not run."""
@@ -192,7 +194,7 @@
             "lose_server": lambda target: self._host.lose(),
             "server_falls": lambda target: self._host.end_process(self._host.latest_pid),
             "out": lambda target: self._host.take_out(),
-            "in": shared.bring_back,
+            RETURN_SERVER: shared.bring_back,
         }
 
     def inject(self, kind: str) -> None:
--- a/cypresswalk/lab/cluster/testbed/balancer_members.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_members.py
@@ -30,6 +30,7 @@
 from cypresswalk.rollout.release import Plan as ReleasePlan
 
 ANSWER_CHECK_INTERVAL_S = 0.3
+CLIENT_ADDRESS_EVENT = "front"  # in recordings: whether a balancer answers at its client address
 ADMIN_TIMEOUT_S = 2.0
 MAX_SETUP_RATIO = 4.0
 FEW_BALANCERS = 8  # below it a release has two waves, else three
@@ -161,7 +162,7 @@
             host.name,
             host.listen,
             ANSWER_CHECK_INTERVAL_S,
-            "front",
+            CLIENT_ADDRESS_EVENT,
             self._outages,
             self._recording,
         )
--- a/cypresswalk/lab/cluster/testbed/fleet_calls.py
+++ b/cypresswalk/lab/cluster/testbed/fleet_calls.py
@@ -15,8 +15,8 @@
 from cypresswalk.lab.units import MILLISECOND
 from cypresswalk.refusal import CommandError
 
-FLEET_NAME = "rig"
-AUTHOR = "rig"  # of all commands, in the fleet's record
+FLEET_NAME = "rig"  # of all test beds
+AUTHOR = "rig"  # of all the test bed's commands, in the fleet's record
 CALL_TIMEOUT_S = 4.0
 SHORT_CALL_TIMEOUT_S = 1.0
 FIND_LEADER_TIMEOUT_S = 0.5
--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypresswalk.lab.cluster.checkers.halts import HaltReport, check_halts
+from cypresswalk.lab.cluster.checkers.halts import MAX_HALT_DELAY, HaltReport, check_halts
 from cypresswalk.lab.cluster.checkers.unavailability import (
     Outage,
     UnavailabilityReport,
@@ -12,10 +12,7 @@
 from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.outages import AGENT_POLL_INTERVAL
 from cypresswalk.lab.cluster.testbed.releases import ReleaseEnd
-from cypresswalk.lab.units import MILLISECOND, SECOND
-
-# From a halt's yes until no agent may begin to stop its member: the age of a turn it was granted.
-MAX_HALT_DELAY = 2100 * MILLISECOND
+from cypresswalk.lab.units import SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresswalk/lab/cluster/testbed/result.py
+++ b/cypresswalk/lab/cluster/testbed/result.py
@@ -74,6 +74,7 @@
     """Bring a run to its end and check it.
 
     Where there are agents, all faults are ended first and the last release is brought to its end.
+    Without agents the plan itself must end its faults, by `heal`: the fleet is to converge here.
     """
     end = None
     if bed.releases is not None:
@@ -113,7 +114,10 @@
 
 
 async def _end_of_load(bed: ClusterTestBed) -> None:
-    """Stop the load, and read what servers have written by then."""
+    """Stop the load, excuse balancers that crashed, and read what servers have written by then.
+
+    A build may be made to crash: a balancer that ended by itself counts as disrupted then.
+    """
     bed.clients.stop()
     if bed.balancer_members is not None:
         bed.balancer_members.excuse_crashes()
--- a/cypresswalk/lab/cluster/testbed/server_stand_ins.py
+++ b/cypresswalk/lab/cluster/testbed/server_stand_ins.py
@@ -63,7 +63,10 @@
             listener.close()
 
     async def restart(self, name: str) -> None:
-        """End all connections of a server; a moment later it is up again, cold, and listed so."""
+        """End all connections of a server; a moment later it is up again and warming up.
+
+        Endpoint lists tell balancers when it started.
+        """
         self._down.add(name)
         self._recording.observe("server_down", "", name)
         for writer in list(self._open[name]):
--- a/cypresswalk/lab/cluster/testbed/steps.py
+++ b/cypresswalk/lab/cluster/testbed/steps.py
@@ -154,7 +154,7 @@
         Action.RELEASE: lambda step: _spawn(tasks, releases.begin(step)),
         Action.ROLL_BACK: lambda step: _spawn(tasks, releases.roll_back(step.balancer)),
         Action.HALT: lambda step: _spawn(tasks, releases.halt(step.balancer)),
-        Action.RESUME: lambda step: _spawn(tasks, releases.resume(step.balancer)),
+        Action.RESUME_RELEASES: lambda step: _spawn(tasks, releases.resume(step.balancer)),
         Action.PAUSE: set_paused,
         Action.UNPAUSE: set_paused,
     }
