--- a/tests/faults/test_fault_proxy.py
+++ b/tests/faults/test_fault_proxy.py
@@ -146,7 +146,7 @@
     return sock
 
 
-def test_udp_passes_both_ways_and_loses_what_it_should():
+def test_udp_passes_both_ways_and_drops_and_duplicates_as_planned():
     plan = toml.decode({"datagram": DATAGRAM_FAULTS}, Plan, "test")
     with udp_socket() as server, udp_socket() as client:
         server.bind(("127.0.0.1", 0))
@@ -160,7 +160,7 @@
             assert [client.recv(10), client.recv(10)] == [b"back", b"back"]
 
 
-def test_time_passes_only_as_the_plan_says(target):
+def test_a_delay_lasts_at_least_as_planned(target):
     delayed = fault_plan({"kind": "delay", "ms": 200, "direction": "up"})
     with ProxyThread(target, delayed) as proxy:
         sock, began = connect(proxy.address), time.monotonic()
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -27,7 +27,7 @@
     assert grants.lapsed(106 * SECOND, "a")
 
 
-def test_lease_is_no_lease_on_another_version(held_lease):
+def test_lease_is_no_lease_on_an_older_version(held_lease):
     assert held_lease.valid_until(VERSION - 1) == 0
 
 
--- a/tests/lab/test_cluster_checkers.py
+++ b/tests/lab/test_cluster_checkers.py
@@ -52,11 +52,11 @@
     assert contradictions(SERVER_OUT, attempts, 5 * SECOND, 0) == (4 * SECOND, [])
 
 
-def test_attempts_beyond_the_stated_time_are_a_violation():
+def test_attempts_beyond_the_max_contradiction_are_a_violation():
     assert contradictions(SERVER_OUT, [(16 * SECOND, "s0", "n1")], 5 * SECOND, 0)[1]
 
 
-def test_attempts_after_the_yes_for_all_balancers_are_a_violation():
+def test_attempts_after_a_removal_has_settled_are_a_violation():
     violations = contradictions(SERVER_OUT, [(21 * SECOND, "s0", "n1")], 60 * SECOND, 0)[1]
     assert len(violations) == 1
 
@@ -66,11 +66,11 @@
     assert not lost_removals(SERVER_OUT, {"s0"})
 
 
-def test_a_flow_without_an_answer_is_a_violation_unless_its_balancer_was_harmed():
+def test_a_flow_without_an_answer_is_a_violation_unless_its_balancer_was_disrupted():
     flow = ClientFlow("f", "repeatable", 0, SECOND, "end", SECOND // 2, "n0")
-    harmed = {"n0": [(SECOND // 3, SECOND // 2)]}
+    disrupted = {"n0": [(SECOND // 3, SECOND // 2)]}
     assert missing_or_late_answers([flow], {}, 0)
-    assert not missing_or_late_answers([flow], harmed, 0)
+    assert not missing_or_late_answers([flow], disrupted, 0)
 
 
 def test_a_late_answer_is_a_violation():
@@ -101,12 +101,12 @@
     assert "n1 went out (release) while n2 were out or lost" in violations[0]
 
 
-def test_going_out_beside_a_balancer_that_nobody_knows_to_be_lost_is_none():
+def test_going_out_beside_a_balancer_that_nobody_knows_to_be_lost_is_no_violation():
     just_lost = Outage("n2", 14 * SECOND, 40 * SECOND, "lost")
     assert check_unavailability([OUT_N1], [just_lost], N1_GOES_OUT, 1, [], 0)[2] == []
 
 
-def test_going_out_to_be_rolled_back_from_a_fault_is_none():
+def test_going_out_to_be_rolled_back_from_a_fault_is_no_violation():
     lost = [LOST_N2, Outage("n1", 3 * SECOND, 40 * SECOND, "lost")]
     assert check_unavailability([OUT_N1], lost, N1_GOES_OUT, 1, [5 * SECOND], 0)[2] == []
 
@@ -121,6 +121,6 @@
     assert violations == ["n1 went out (release) 3.00 s after a yes to a halt"]
 
 
-def test_going_out_after_a_resume_or_on_the_way_back_is_none():
+def test_going_out_after_a_resume_or_in_a_rollback_is_no_violation():
     assert check_halts(N1_GOES_OUT, HALT, [16 * SECOND], [], 2 * SECOND)[1] == []
     assert check_halts(N1_GOES_OUT, HALT, [], [16 * SECOND], 2 * SECOND)[1] == []
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -97,8 +97,8 @@
         assert "cluster.testbed" not in path.read_text(), path
 
 
-def test_five_processes_under_each_kind_of_fault(tmp_path):
-    """The plan that the operators' page names."""
+def test_faults_plan_breaks_no_rule_and_agrees_on_settings_and_removals(tmp_path):
+    """Five processes under each kind of fault: the plan that the operators' page names."""
     report = run_to_report(read_plan(PLANS / "faults.toml"), tmp_path)
     assert not report["broken"], report
     assert report["longest_contradiction_s"] <= 5.5
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
-def test_claims_under_a_plan_drawn_from_a_seed(seed, tmp_path):
+def test_no_key_runs_twice_under_random_faults(seed, tmp_path):
     """Random faults, disks that are lost among them, with three replicas of each key."""
     report = run_to_report(random_plan(seed, duration_s=12, faults=6, replicas=3), tmp_path)
     assert not report["broken"], (seed, report)
@@ -124,7 +124,7 @@
     assert report["answers"]["ERR"] > 10, report
 
 
-def test_without_copies_the_same_loses_claims(tmp_path):
+def test_without_replicas_repeated_once_only_flows_run_twice(tmp_path):
     """Otherwise the runs above would show nothing."""
     plan = read_plan(PLANS / "copies.toml")
     without_replicas = {"replicas": 0, "duration_s": 6.0, "steps": plan.steps[:1]}
@@ -263,8 +263,8 @@
     with_cluster(tmp_path, test, balancers=3, max_contradiction_s=8, replicas=3)
 
 
-def test_the_way_out_when_most_voters_are_lost_for_good(tmp_path):
-    """One voter and one follower are left; the follower was of the old group, now fenced off."""
+def test_recover_begins_a_new_group_from_one_survivor(tmp_path):
+    """A voter is left, and a follower of the old group, which is now fenced off."""
 
     async def test(bed):
         assert (await bed.calls.command("n3", "out", server="s-0")).ok
@@ -342,7 +342,7 @@
     with_cluster(tmp_path, test, balancers=1, voters=1, flows_per_s=0)
 
 
-def test_a_wrong_table_ends_the_start_with_a_line_for_each_field(tmp_path):
+def test_a_wrong_fleet_table_ends_the_start_with_a_line_for_each_field(tmp_path):
     """Of the operator file."""
     file = tmp_path / "operator.toml"
     file.write_text(
@@ -357,7 +357,7 @@
         assert any(f"fleet.{field}:" in line for line in lines), lines
 
 
-def test_without_the_table_nothing_of_it_is_imported():
+def test_without_the_fleet_table_nothing_of_the_fleet_is_imported():
     """The plain program needs the standard library alone."""
     program = (
         "import sys; from cypresswalk.service import program;"
@@ -369,10 +369,11 @@
     assert run.stdout == "[]\n"
 
 
-def test_five_processes_with_full_and_failing_disks_clocks_that_drift_and_servers_that_restart(
-    tmp_path,
-):
-    """The plan that the operators' page names."""
+def test_machines_plan_breaks_no_rule_and_a_member_restarts_after_a_disk_error(tmp_path):
+    """Five processes: full and failing disks, clocks that drift, servers that restart.
+
+    The plan that the operators' page names.
+    """
     report = run_to_report(read_plan(PLANS / "machines.toml"), tmp_path)
     assert not report["broken"], report
     assert report["answers"]["UP"] > 500, report
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -126,25 +126,55 @@
     assert predecessor.accepting
 
 
-def test_process_whose_peer_ends_serves():
+def upgraded_at_the_second_try() -> tuple[HandoverProcess, HandoverProcess]:
+    """A process and its successor; an earlier successor ended before it accepted clients."""
     predecessor, _ = upgraded()
-    predecessor.lose_peer()  # before the successor accepted clients: another may come
+    predecessor.lose_peer()
+    successor = HandoverProcess(predecessor)
+    successor.exchange_all()
+    return predecessor, successor
+
+
+def successor_of_a_killed_process() -> HandoverProcess:
+    """A process without s-2, whose predecessor was killed before it was told to stop."""
+    predecessor, successor = upgraded_at_the_second_try()
+    predecessor.call("set-down", "s-2")
+    successor.exchange_all()
+    successor.lose_peer()
+    return successor
+
+
+def test_predecessor_serves_on_if_its_successor_ends_before_it_accepts():
+    predecessor, _ = upgraded()
+    predecessor.lose_peer()
     assert predecessor.accepting
     assert predecessor.core.lifecycle.ready
-    second = HandoverProcess(predecessor)
-    second.exchange_all()
+
+
+def test_successor_serves_with_all_that_it_confirmed_if_its_predecessor_is_killed():
+    predecessor, successor = upgraded_at_the_second_try()
     assert predecessor.run_command("set-down", "s-2") is None
-    second.exchange_all()
-    second.lose_peer()  # killed before it was told to stop
-    assert second.accepting
-    assert second.core.lifecycle.ready
-    assert second.server("s-2").out_of_rotation
-    third = HandoverProcess(second)  # a second upgrade right after the first
+    successor.exchange_all()
+    successor.lose_peer()  # the predecessor was not told to stop
+    assert successor.accepting
+    assert successor.core.lifecycle.ready
+    assert successor.server("s-2").out_of_rotation
+
+
+def test_second_upgrade_right_after_the_first_hands_on_what_it_knew():
+    second = successor_of_a_killed_process()
+    third = HandoverProcess(second)
     third.exchange_all()
     assert third.server("s-2").out_of_rotation
+
+
+def test_stopped_predecessor_accepts_clients_again_if_its_successor_is_killed():
+    second = successor_of_a_killed_process()
+    third = HandoverProcess(second)
+    third.exchange_all()
     second.stop()
     third.exchange_all()
-    second.lose_peer()  # the third is killed: the second takes clients for as long as it lives
+    second.lose_peer()  # it accepts for as long as it lives
     assert second.accepting
 
 
