--- a/cypresswalk/lab/cluster/checkers/halts.py
+++ b/cypresswalk/lab/cluster/checkers/halts.py
@@ -40,7 +40,7 @@
         departures: of members.
         halts: that were agreed.
         resumes: when each was asked for; one after a halt may have ended it.
-        rollbacks: when each was asked for; a release may go on its way back while halted.
+        rollbacks: when each was asked for; a release may be rolled back while halted.
         slack: nanoseconds after the agreement within which a departure is allowed.
     """
     longest = 0
--- a/cypresswalk/lab/cluster/checkers/unavailability.py
+++ b/cypresswalk/lab/cluster/checkers/unavailability.py
@@ -64,7 +64,7 @@
         lost: spans in which a member answered nobody.
         departures: in order of time.
         bound: how many may be out at once.
-        rollbacks: when the way back was asked for.
+        rollbacks: when each was asked for.
         slack: nanoseconds by which an outage's end may be seen late, so that two that follow each
             other seem to overlap.
     """
--- a/cypresswalk/lab/cluster/simulation/balancer_releases.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -97,14 +97,14 @@
         self.observe_hosts()
 
     def is_bound_waived(self, host: BalancerHost, reason: Reason) -> bool:
-        """On the way back one that was seen out a moment ago is healed by going out."""
+        """In a rollback one that was seen out a moment ago is healed by going out."""
         if self.rollback_requested_at is None or reason is not Reason.RELEASE:
             return False
         since = host.serving_since
         return since is None or self.now - since < MAX_DETECTION_TIME
 
     def is_halt_binding(self, host: BalancerHost, reason: Reason) -> bool:
-        """A halt forbids drains, and releases but for their way back."""
+        """A halt forbids drains, and releases but no rollbacks."""
         is_forbidden = reason is Reason.DRAIN or self.rollback_requested_at is None
         return is_forbidden and host.is_serving()
 
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -92,7 +92,7 @@
 
         def reply(ok: bool, body: Any) -> None:
             self.world.note(f"out {self.name}: {ok} {body}")
-            # A way back that was asked for meanwhile may have brought it in again.
+            # A rollback that was asked for meanwhile may have brought it in again.
             if ok and self._brought_back_at < asked_at:
                 self.removed = True
                 if not body["why"].startswith(OUT_BEFORE):
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -136,11 +136,11 @@
             )
 
     def is_bound_waived(self, host: ServerHost, reason: Reason) -> bool:
-        """On the way back servers that are lost may be among those to be changed."""
+        """In a rollback servers that are lost may be among those to be changed."""
         return self.rollback_requested_at is not None
 
     def is_halt_binding(self, host: ServerHost, reason: Reason) -> bool:
-        """A halt forbids a release but for its way back, and no call by hand."""
+        """A halt forbids a release but no rollback, and no call by an operator."""
         return reason is Reason.RELEASE and self.rollback_requested_at is None
 
     def recover_processes(self) -> None:
