--- a/cypresswalk/lab/cluster/checkers/halts.py
+++ b/cypresswalk/lab/cluster/checkers/halts.py
@@ -5,7 +5,12 @@
 
 from cypresswalk.lab.cluster.checkers.linearizability import NEVER
 from cypresswalk.lab.cluster.checkers.unavailability import Departure
-from cypresswalk.lab.units import SECOND
+from cypresswalk.lab.units import MILLISECOND, SECOND
+from cypresswalk.rollout.change_agent import MAX_GRANT_AGE
+
+# From a halt's yes until no agent may begin to stop its member: the age of a turn that it was
+# granted, and a margin.
+MAX_HALT_DELAY = int(MAX_GRANT_AGE * SECOND) + 100 * MILLISECOND
 
 
 class Halt(NamedTuple):
@@ -35,7 +40,7 @@
         departures: of members.
         halts: that were agreed.
         resumes: when each was asked for; one after a halt may have ended it.
-        rollbacks: when each was asked for; a release may go on its way back while halted.
+        rollbacks: when each was asked for; a release may be rolled back while halted.
         slack: nanoseconds after the agreement within which a departure is allowed.
     """
     longest = 0
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -92,11 +92,11 @@
 
         def reply(ok: bool, body: Any) -> None:
             self.world.note(f"out {self.name}: {ok} {body}")
-            # A way back that was asked for meanwhile may have brought it in again.
+            # A rollback that was asked for meanwhile may have brought it in again.
             if ok and self._brought_back_at < asked_at:
                 self.removed = True
                 if not body["why"].startswith(OUT_BEFORE):
-                    self.world.on_going_out(self, Reason.HAND)
+                    self.world.on_going_out(self, Reason.OPERATOR)
 
         self.world.operator_call("out", {"server": self.name}, reply)
 
