--- a/cypresswalk/fleet/applied_view.py
+++ b/cypresswalk/fleet/applied_view.py
@@ -18,21 +18,21 @@
         version: its number.
         settings_version: the version that last changed the settings.
         settings: as agreed.
-        out: servers that get no new flow, sorted.
+        servers_out: servers that get no new flow, sorted.
         list_version: the version that last changed the endpoint list.
         servers: the endpoint list.
-        away: balancers that were drained by call.
-        watch: servers are being changed: what each answers is to be reported.
+        drained_balancers: those that were drained by call.
+        report_servers: servers are being changed: what each answers is to be reported.
     """
 
     version: int
     settings_version: int
     settings: dict[str, Any]
-    out: tuple[str, ...]
+    servers_out: tuple[str, ...]
     list_version: int
     servers: tuple[ListedServer, ...]
-    away: tuple[str, ...] = ()
-    watch: bool = False
+    drained_balancers: tuple[str, ...] = ()
+    report_servers: bool = False
 
 
 def view_of(state: FleetState) -> AppliedView:
@@ -45,11 +45,11 @@
         version=state.version,
         settings_version=state.settings_version,
         settings=state.settings,
-        out=tuple(sorted(state.servers_out())),
+        servers_out=tuple(sorted(state.servers_out())),
         list_version=state.list_version,
         servers=tuple(state.servers),
-        away=drained,
-        watch=release is not None
+        drained_balancers=drained,
+        report_servers=release is not None
         and release.plan.kind == MemberKind.SERVERS
         and release.phase in UNFINISHED,
     )
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -112,7 +112,11 @@
         """
         if view.version <= self.version:
             return
-        if self.version == 0 and self.name in view.away and not self.core.lifecycle.drained:
+        if (
+            self.version == 0
+            and self.name in view.drained_balancers
+            and not self.core.lifecycle.drained
+        ):
             # Drained in its life before, or on the machine that this one replaces: that holds until
             # drain-off. Nothing was taken until now, since there was no lease yet.
             log.info(event("drained_still"))
@@ -127,8 +131,8 @@
             self.apply_settings(now, view.settings)
             self.settings_version = view.settings_version
             log.info(event("settings_agreed", version=view.settings_version))
-        self.rotation.follow(now, view.out)
-        self.observations.watch = view.watch
+        self.rotation.follow(now, view.servers_out)
+        self.observations.report_servers = view.report_servers
         if view.list_version > self.list_version:
             self.list_version = view.list_version
             self.endpoints.follow(now, view.servers)
--- a/cypresswalk/fleet/local_observations.py
+++ b/cypresswalk/fleet/local_observations.py
@@ -30,14 +30,15 @@
     the rest.
 
     Attributes:
-        watch: servers are being changed by a release, so that counts by server are reported too.
+        report_servers: servers are being changed by a release, so that counts by server are
+            reported too.
     """
 
     def __init__(self, core: Core, registry: Callable[[], EndpointListDecoder]):
         """Counts from zero; `registry` tells servers' names."""
         self.core = core
         self.registry = registry
-        self.watch = False
+        self.report_servers = False
         self.setup_ns = 0
         self.latest: Counts = (0, 0, 0, 0)
         self.by_server: dict[int, list[int]] = {}  # fields as above
@@ -84,7 +85,7 @@
             # Also of one that is out by hand, so that one that comes back bad is known to be.
             if server.state is ServerState.READY and not is_healthy(server):
                 bad.append(name)
-        served = self.served_by_server(registry) if self.watch else {}
+        served = self.served_by_server(registry) if self.report_servers else {}
         return ServerReport(sorted(bad)[:MAX_REPORTED_SERVERS], standing, served)
 
     def served_by_server(self, registry: EndpointListDecoder) -> dict[str, Counts]:
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -50,7 +50,8 @@
         halted: whether a halt is in force.
         served: flow counts by name, of those heard lately.
         out: targets that are out, for whatever cause.
-        away: targets that count against a bound: with a leave grant, or kept out by the release.
+        held_slots: targets that count against a bound: with a leave grant, or kept out by the
+            release.
         boots: how often each target has started, as it last said.
     """
 
@@ -58,7 +59,7 @@
     halted: bool
     served: dict[str, ServedCounts]
     out: set[str]
-    away: set[str]
+    held_slots: set[str]
     boots: dict[str, int]
 
 
@@ -144,7 +145,7 @@
         returned = [
             name
             for name, status in members
-            if status == ChangeStatus.NEW and name in situation.away
+            if status == ChangeStatus.NEW and name in situation.held_slots
         ]
         self.returned_since = _since(self.returned_since, now, returned)
         for name, since in self.turn_since.items():
@@ -195,7 +196,7 @@
         if problem:
             return ReleaseAction(ReleaseStep.HALT, reason=problem)
         all_changed = all(release.members[name] == ChangeStatus.NEW for name in wave)
-        if all_changed and not set(wave) & (situation.out | situation.away):
+        if all_changed and not set(wave) & (situation.out | situation.held_slots):
             return self._observe_wave(now, release, wave)
         self.healthy_since = None
         candidates = [
--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -83,7 +83,7 @@
         fleet.queue.put(ListReceived(1, digest, servers))
 
     def _on_view(self, view: AppliedView) -> None:
-        out = set(view.out)
+        out = set(view.servers_out)
         for name in out - self.out:
             is_slow = self._random.random() < self._drains.slow_share
             bounds_s = SLOW_DRAIN_TIME_S if is_slow else DRAIN_TIME_S
@@ -91,7 +91,7 @@
         for name in self.out - out:
             self._ready.pop(name, None)
         self.out = out
-        self._is_watching = view.watch
+        self._is_watching = view.report_servers
         self.process.act_on(view)
 
     def _report(self) -> ServerReport:
--- a/tests/binding_helpers.py
+++ b/tests/binding_helpers.py
@@ -93,7 +93,7 @@
     def apply_view(self, version: int, **changes: Any) -> None:
         """The fleet has agreed on something else."""
         view: dict[str, Any] = dict(
-            settings_version=0, settings={}, out=(), list_version=0, servers=()
+            settings_version=0, settings={}, servers_out=(), list_version=0, servers=()
         )
         self.binding.apply_view(self.now, AppliedView(version, **view | changes))
 
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -116,8 +116,8 @@
     call = harness.call("set-down-here", "s-1")
     assert call.answers.get_nowait() == b"OK\r\n"
     assert harness.fleet_calls[0].name == "note"
-    harness.apply_view(1, out=("s-1", "s-2"))
-    harness.apply_view(2, out=())
+    harness.apply_view(1, servers_out=("s-1", "s-2"))
+    harness.apply_view(2, servers_out=())
     assert harness.server("s-1").out_of_rotation
     assert not harness.server("s-2").out_of_rotation
     call = harness.call("set-down", "s-2")
@@ -165,17 +165,17 @@
 
 def test_drained_balancer_stays_drained_over_a_restart_until_it_is_called_back(tmp_path):
     harness = BindingHarness(tmp_path, listed("s-1"))
-    harness.apply_view(7, away=("n0", "n2"))
+    harness.apply_view(7, drained_balancers=("n0", "n2"))
     assert harness.core.lifecycle.drained
     assert not harness.core.lifecycle.ready
     harness.call("drain-off")
     assert harness.fleet_calls[-1].name == "go_out"
     assert harness.fleet_calls[-1].arguments["why"] == "called back"
-    harness.apply_view(8, away=("n0",))  # older than the call
+    harness.apply_view(8, drained_balancers=("n0",))  # older than the call
     assert not harness.core.lifecycle.drained
     assert harness.core.lifecycle.ready
     other = BindingHarness(tmp_path, listed("s-1"))
-    other.apply_view(7, away=("n2",))
+    other.apply_view(7, drained_balancers=("n2",))
     assert not other.core.lifecycle.drained
 
 
@@ -206,9 +206,9 @@
     for _ in range(3):
         harness.core.on_health_check_result(harness.now, server, False, [])
     assert harness.server_report().unhealthy == ["s-1"]
-    harness.apply_view(1, out=("s-1",), watch=True)
+    harness.apply_view(1, servers_out=("s-1",), report_servers=True)
     assert harness.server_report().unhealthy == ["s-1"]  # out of rotation or not
-    harness.apply_view(2, watch=True)
+    harness.apply_view(2, report_servers=True)
     harness.core.on_health_check_result(harness.now, server, True, [])
     assert harness.server_report().unhealthy == []
 
@@ -218,7 +218,7 @@
         tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
     )
     server = harness.server("s-1")
-    harness.apply_view(1, watch=True)
+    harness.apply_view(1, report_servers=True)
     sessions = [harness.open(f"a{i}") for i in range(12)]
     servers = {attempt.session: attempt.server for attempt in harness.drivers.attempts}
     time_outs = 0
@@ -238,7 +238,7 @@
     assert sum(failed for _, _, failed, _ in counts.values()) == time_outs > 1
     assert all(took == up * 2 * MILLISECOND for up, _, _, took in counts.values())
     at_server = sum(session.established and servers[session] is server for session in sessions)
-    harness.apply_view(2, out=("s-1",))
+    harness.apply_view(2, servers_out=("s-1",))
     report = harness.server_report()
     held = {"s-1": at_server} if at_server else {}
     assert report == ServerReport(report.unhealthy, held, {})
