--- a/cypresswalk/lab/cluster/checkers/linearizability.py
+++ b/cypresswalk/lab/cluster/checkers/linearizability.py
@@ -84,6 +84,7 @@
         )
 
     def violation(self, initial: SettingsState) -> str:
+        """Return why no order of the calls is valid from this initial state; "" if one is."""
         visited: set[tuple[int, SettingsState]] = set()
         stack = [(0, initial)]
         most_placed = 0
--- a/cypresswalk/lab/cluster/random_plans.py
+++ b/cypresswalk/lab/cluster/random_plans.py
@@ -153,16 +153,9 @@
             self.steps.append(Step(at_s=start_s, action=Action.START, balancer=balancer))
         if action == Action.WIPE or self.replicas and action in ACTIONS_THAT_TAKE_DOWN:
             self.lost_at_s = at_s
-        self.steps.append(
-            Step(
-                at_s=round(at_s, 2),
-                action=action,
-                balancer="" if action in ACTIONS_WITHOUT_BALANCER else balancer,
-                peer=peer if action in LINK_ACTIONS else "",
-                duration_ms=chance.choice(DURATIONS_MS),
-                server=2 + chance.randrange(2) if action == Action.RESTART_SERVER else 0,
-            )
-        )
+        duration_ms = chance.choice(DURATIONS_MS)
+        server = 2 + chance.randrange(2) if action == Action.RESTART_SERVER else 0
+        self.steps.append(_fault(at_s, action, balancer, peer, duration_ms, server))
 
     def _takes_too_many(self, action: Action, at_s: float) -> bool:
         """Return whether it could take down most voters, or a second disk."""
@@ -243,15 +236,8 @@
         if self._goes_on_with_good_release(action):
             action = Action.RESUME_RELEASES
         self.disk_lost = self.disk_lost or action == Action.WIPE
-        self.steps.append(
-            Step(
-                at_s=round(at_s, 2),
-                action=action,
-                balancer="" if action in ACTIONS_WITHOUT_BALANCER else balancer,
-                peer=peer if action in LINK_ACTIONS else "",
-                duration_ms=chance.choice(RELEASE_DURATIONS_MS),
-            )
-        )
+        duration_ms = chance.choice(RELEASE_DURATIONS_MS)
+        self.steps.append(_fault(at_s, action, balancer, peer, duration_ms))
 
     def _start(self, action: Action, balancer: str, at_s: float) -> None:
         self.steps.append(Step(at_s=round(at_s, 2), action=action, balancer=balancer))
@@ -269,3 +255,17 @@
             and self.build == Build.GOOD
             and self.chance.random() < KEEP_GOOD_RELEASE_PROBABILITY
         )
+
+
+def _fault(
+    at_s: float, action: Action, balancer: str, peer: str, duration_ms: int, server: int = 0
+) -> Step:
+    """Return the step of a fault, with those of the targets that its action has."""
+    return Step(
+        at_s=round(at_s, 2),
+        action=action,
+        balancer="" if action in ACTIONS_WITHOUT_BALANCER else balancer,
+        peer=peer if action in LINK_ACTIONS else "",
+        duration_ms=duration_ms,
+        server=server,
+    )
--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -172,6 +172,7 @@
         is_answered = False
 
         def reply(ok: bool, body: Any) -> None:
+            """Resumes the agent with the first answer, after a latency; ignores later answers."""
             nonlocal is_answered
             if not is_answered:
                 is_answered = True
--- a/cypresswalk/lab/cluster/simulation/balancer_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_hosts.py
@@ -206,6 +206,7 @@
         asked_at = self.process.clock()
 
         def reply(ok: bool, body: Any) -> None:
+            """Marks the balancer as removed if the drain was granted in time and it is ready."""
             is_timely = self.process.clock() - asked_at <= LEAVE_WINDOW
             if ok and is_timely and self.is_ready():
                 self.world.on_going_out(self, Reason.DRAIN)
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -195,6 +195,7 @@
     """Picks always the same one of as many values."""
 
     def pick(values: Sequence[ValueT]) -> ValueT:
+        """Returns the value at the fixed number, modulo the count of values."""
         return values[number % len(values)]
 
     return pick
--- a/cypresswalk/lab/cluster/simulation/operators.py
+++ b/cypresswalk/lab/cluster/simulation/operators.py
@@ -62,6 +62,7 @@
         ident = f"{name}:{self._ident_count}"
 
         def reply(ok: bool, body: Any) -> None:
+            """Counts the answer, and records a promise if the command was confirmed."""
             self._world.count(f"{name}: {'yes' if ok else 'no'}")
             if ok:
                 self.promises[ident] = Promise(name, body.get("version", 0))
@@ -74,6 +75,7 @@
         floor = max((promise.version for promise in self.promises.values()), default=0)
 
         def reply(ok: bool, body: Any) -> None:
+            """Raises a violation if the shown version is older than one promised before."""
             if ok and body["version"] < floor:
                 raise ViolationError(
                     f"A7: version {body['version']} was shown, "
--- a/cypresswalk/lab/cluster/simulation/release_world.py
+++ b/cypresswalk/lab/cluster/simulation/release_world.py
@@ -288,6 +288,7 @@
         asked_at = self.now
 
         def reply(ok: bool, body: Any) -> None:
+            """Records when the halt was confirmed, unless a resume came after it was asked for."""
             if ok and asked_at > self._resumed_at and self._halted_since is None:
                 self._halted_since = self.now
             self.note(f"halt: {ok} {body}")
@@ -298,6 +299,7 @@
         """Ends all halts that the fleet has agreed on."""
 
         def reply(ok: bool, body: Any) -> None:
+            """Forgets the confirmed halt, and asks to end the halts that the answer lists."""
             if ok:
                 # Nobody knows from now on whether halts that were asked for before are in force.
                 self._halted_since = None
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -91,6 +91,7 @@
         asked_at = self.world.now
 
         def reply(ok: bool, body: Any) -> None:
+            """Marks the server as removed if confirmed and not brought back since the call."""
             self.world.note(f"out {self.name}: {ok} {body}")
             # A rollback that was asked for meanwhile may have brought it in again.
             if ok and self._brought_back_at < asked_at:
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -83,6 +83,7 @@
         began = driver.boottime_ns()
 
         def drifting_clock() -> int:
+            """Return the boot time in nanoseconds, with the drift accumulated since the start."""
             now = driver.boottime_ns()
             return now + int((now - began) * drift)
 
--- a/cypresswalk/lab/cluster/testbed/fleet_calls.py
+++ b/cypresswalk/lab/cluster/testbed/fleet_calls.py
@@ -68,6 +68,7 @@
         address = address_text(self._balancers[balancer].fleet)
 
         def make_call() -> FleetAnswer:
+            """Make the call, blocking, and return its answer; errors become NO or UNSURE."""
             try:
                 ok, body = client.call([address], FLEET_NAME, name, args, timeout_s)
                 return FleetAnswer(CallOutcome.YES if ok else CallOutcome.NO, body)
--- a/cypresswalk/lab/cluster/testbed/steps.py
+++ b/cypresswalk/lab/cluster/testbed/steps.py
@@ -35,11 +35,13 @@
     """Faults of balancers' processes, with their agents if there are any."""
 
     def freeze(step: Step) -> None:
+        """Freeze the balancer's process for the step's duration in ms, if it runs unfrozen."""
         host = hosts[step.balancer]
         if host.process is not None and not host.frozen:
             tasks.spawn(host.freeze_for(step.duration_ms))
 
     def stop(step: Step) -> None:
+        """Stop the balancers under an agent, or a balancer without one unless it is frozen."""
         host = hosts[step.balancer]
         if with_agents:
             host.stop_balancers()
@@ -59,6 +61,7 @@
     """Faults of balancers' disks, and what happens to their folders."""
 
     def fail(step: Step) -> None:
+        """Set the step's disk fault on the balancer's host."""
         hosts[step.balancer].set_disk_fault(step.action)
 
     return {
@@ -75,11 +78,13 @@
     """Calls on servers and settings."""
 
     def remove(step: Step) -> None:
+        """Take the server out of rotation; wait until it is settled if the action says so."""
         settle = step.action == Action.REMOVE_SERVER_SETTLED
         server = server_name(step.server)
         tasks.spawn(operators.remove_server(step.balancer, server, settle))
 
     def return_server(step: Step) -> None:
+        """Return the server to rotation by a call."""
         tasks.spawn(operators.return_server(step.balancer, server_name(step.server)))
 
     return {
@@ -111,11 +116,13 @@
     """Faults of servers that are processes, and of their agents."""
 
     def start_agent(step: Step) -> None:
+        """Start the server's agent, if it has no process."""
         name = server_name(step.server)
         if members.hosts[name].process is None:
             members.start_agent(name)
 
     def kill_server(step: Step) -> None:
+        """Kill the server's process; its agent starts it again."""
         members.kill_server(server_name(step.server))
 
     return {
@@ -132,6 +139,7 @@
     """Faults of balancers' agents, and drains by operators."""
 
     def drain(step: Step) -> None:
+        """Drain the balancer or end its drain, as the action says."""
         drained = step.action == Action.DRAIN
         tasks.spawn(members.set_drained(step.balancer, drained))
 
@@ -148,6 +156,7 @@
     """Releases and halts by operators."""
 
     def set_paused(step: Step) -> None:
+        """Pause the release or let it go on, as the action says."""
         tasks.spawn(releases.set_paused(step.balancer, step.action == Action.PAUSE))
 
     return {
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -25,6 +25,14 @@
     longest_connect_timeout=3 * SECOND,
     min_reported_delay=SECOND // 60,
 )
+# Of tests of one driver on real sockets.
+DRIVER_LIMITS = Limits(
+    max_sockets=256,
+    max_memory=192 << 20,
+    dial_timeout=SECOND,
+    longest_connect_timeout=SECOND,
+    min_reported_delay=1,
+)
 CLIENT_TIMEOUT = 900 * SECOND // 1000  # of the flows that `CoreHarness.open` opens
 NO_CLIENT: Any = None  # the core uses nothing of a session's client
 UP = b"UP"  # stands in `RecordingDrivers.answers` for a server's acceptance
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -7,6 +7,7 @@
 from threading import Event, Thread
 
 import pytest
+from core_helpers import DRIVER_LIMITS
 from helpers import config_data, listed
 from program_helpers import (
     END,
@@ -28,18 +29,10 @@
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.discovery import EndpointWatch
 from cypresswalk.net.inbox import Inbox
-from cypresswalk.net.limits import Limits
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 
 pytestmark = pytest.mark.usefixtures("end_watches")
 
-LIMITS = Limits(
-    max_sockets=256,
-    max_memory=192 << 20,
-    dial_timeout=SECOND,
-    longest_connect_timeout=SECOND,
-    min_reported_delay=1,
-)
 HEARTBEAT_INTERVAL = 2 * SECOND  # of discovery
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CUT_UPDATE = http_chunk(endpoint_update(listed("s-0"))[:-9])
@@ -186,7 +179,12 @@
         self.decoder = EndpointListDecoder(config.zones)
         self.core.on_endpoints(self.inbox.clock(), *self.decoder.decode(data["known"]))
         self.watch = EndpointWatch(
-            parse_address(address, "discovery"), self.decoder, self.core, self.inbox, LIMITS, polled
+            parse_address(address, "discovery"),
+            self.decoder,
+            self.core,
+            self.inbox,
+            DRIVER_LIMITS,
+            polled,
         )
 
     def start(self) -> None:
@@ -214,10 +212,13 @@
     # A watch that falls silent right after its heartbeat is noticed, and a call at once tells; so
     # is a change told after a call that was begun just before discovery was back, the longest pause
     # after it included.
-    assert LIMITS.list_silence_timeout + LIMITS.list_call_timeout <= LIMITS.list_update_budget
-    longest_pause = LIMITS.max_list_retry_pause * 13 // 10
-    assert 2 * LIMITS.list_call_timeout + longest_pause <= LIMITS.list_update_budget
-    assert LIMITS.list_silence_timeout > 2 * HEARTBEAT_INTERVAL
+    assert (
+        DRIVER_LIMITS.list_silence_timeout + DRIVER_LIMITS.list_call_timeout
+        <= DRIVER_LIMITS.list_update_budget
+    )
+    longest_pause = DRIVER_LIMITS.max_list_retry_pause * 13 // 10
+    assert 2 * DRIVER_LIMITS.list_call_timeout + longest_pause <= DRIVER_LIMITS.list_update_budget
+    assert DRIVER_LIMITS.list_silence_timeout > 2 * HEARTBEAT_INTERVAL
 
 
 @pytest.mark.parametrize("polled", [False, True])
@@ -265,7 +266,7 @@
         return failed.is_set()
 
     wait_until(has_failed)
-    assert time.monotonic() - began < LIMITS.list_call_timeout / SECOND + 0.5
+    assert time.monotonic() - began < DRIVER_LIMITS.list_call_timeout / SECOND + 0.5
     harness.watch.end()
     for sock in [*waiting, full]:
         sock.close()
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -9,6 +9,7 @@
 from threading import Event, Semaphore, Thread
 
 import pytest
+from core_helpers import DRIVER_LIMITS
 from helpers import START, config_data, listed
 from program_helpers import LOOPBACK, reset_on_close, wait_until
 
@@ -22,18 +23,11 @@
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.delay_gauge import DelayGauge
 from cypresswalk.net.inbox import Inbox
-from cypresswalk.net.limits import MILLISECOND, Limits
+from cypresswalk.net.limits import MILLISECOND
 from cypresswalk.net.parsers.lines import parse_open_request
 from cypresswalk.net.servers import ServerConnection
 from cypresswalk.net.session import Attempt
 
-LIMITS = Limits(
-    max_sockets=256,
-    max_memory=192 << 20,
-    dial_timeout=SECOND,
-    longest_connect_timeout=SECOND,
-    min_reported_delay=1,
-)
 OPEN_LINE = b"OPEN a1 7 c=view,t=north,d=900"
 JOIN_TIMEOUT = 5  # seconds for the attempt's thread to end
 
@@ -58,7 +52,7 @@
         config = build({}, config_data([listed("s-0")]))
         self.core = Core(config, None, Counters(), self.inbox.clock())
         accepted, self.client_socket = connected_pair()
-        self.client = ClientConnection(accepted, self.core, self.inbox, LIMITS, {})
+        self.client = ClientConnection(accepted, self.core, self.inbox, DRIVER_LIMITS, {})
         self.server = socket.create_server((LOOPBACK, 0))
         self.dialed = Event()  # the connection is up, and held
         self.may_go_on = Event()
@@ -75,7 +69,7 @@
             OPEN_LINE + b"\r\n",
             self.core,
             self.inbox,
-            LIMITS,
+            DRIVER_LIMITS,
             Semaphore(1),
         )
         self.thread = Thread(target=self.connection.run, daemon=True)
@@ -131,7 +125,7 @@
 
 
 def test_attempt_without_a_slot_is_known_not_to_have_run(harness):
-    harness.connection.limits = replace(LIMITS, dial_timeout=50 * MILLISECOND)
+    harness.connection.limits = replace(DRIVER_LIMITS, dial_timeout=50 * MILLISECOND)
     assert harness.connection.slots.acquire(blocking=False)
     harness.start()
     assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
--- a/tests/rollout/release_mutants.py
+++ b/tests/rollout/release_mutants.py
@@ -1,6 +1,5 @@
 """Deliberately broken rules of a release, for the model to detect."""
 
-from collections.abc import Mapping
 from dataclasses import replace
 
 import pytest
@@ -14,7 +13,7 @@
     ReleaseStep,
 )
 from cypresswalk.rollout import release
-from cypresswalk.rollout.bounds import Bound, violation_reason
+from cypresswalk.rollout.bounds import violation_reason
 from cypresswalk.rollout.release import Release
 
 FREED_PROBABILITY = 0.05
@@ -41,34 +40,24 @@
 
 def lost_balancers_are_not_counted(patch: pytest.MonkeyPatch) -> None:
     """Balancers that are out by themselves take no place of a bound."""
-
-    def without_observed(
-        scopes: Mapping[str, Bound],
-        zones: Mapping[str, str],
-        granted: Mapping[str, str],
-        observed: Mapping[str, str],
-        candidate: str,
-        heals: bool,
-    ) -> str:
-        return violation_reason(scopes, zones, granted, {}, candidate)
-
-    patch.setattr(disruption_bounds, "violation_reason", without_observed)
+    patch.setattr(
+        disruption_bounds,
+        "violation_reason",
+        lambda scopes, zones, granted, observed, candidate, heals: violation_reason(
+            scopes, zones, granted, {}, candidate
+        ),
+    )
 
 
 def unknown_members_are_taken_for_out(patch: pytest.MonkeyPatch) -> None:
     """Whoever has not said anything to a new leader is out already, and may go."""
-
-    def healing_observed(
-        scopes: Mapping[str, Bound],
-        zones: Mapping[str, str],
-        granted: Mapping[str, str],
-        observed: Mapping[str, str],
-        candidate: str,
-        heals: bool,
-    ) -> str:
-        return violation_reason(scopes, zones, granted, observed, candidate, candidate in observed)
-
-    patch.setattr(disruption_bounds, "violation_reason", healing_observed)
+    patch.setattr(
+        disruption_bounds,
+        "violation_reason",
+        lambda scopes, zones, granted, observed, candidate, heals: violation_reason(
+            scopes, zones, granted, observed, candidate, candidate in observed
+        ),
+    )
 
 
 def halts_are_ignored(patch: pytest.MonkeyPatch) -> None:
