--- a/cypresswalk/fleet/__init__.py
+++ b/cypresswalk/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""Balancers that agree by a Raft group on settings, the endpoint list and servers out of rotation.
+"""The fleet: balancers that agree on shared state through a Raft group.
 
-Agreed state comes in versions, and a balancer acts on one only under a lease. Off without `[fleet]`
-in the operator's file.
+Shared are the settings, the endpoint list and the servers out of rotation. The agreed state is
+versioned; a balancer acts on a version only while it holds a lease. Disabled unless the operator's
+file has a `[fleet]` table.
 """
--- a/cypresswalk/fleet/applied_view.py
+++ b/cypresswalk/fleet/applied_view.py
@@ -6,8 +6,9 @@
 from cypresswalk.fleet.records import FleetState, ListedServer
 from cypresswalk.rollout.release import UNFINISHED, MemberKind
 
-DRAINED = "drained"  # so begins the reason of a leave that lasts until the balancer is called back
-CALLED_BACK = "called back"
+# A leave grant whose reason begins with this lasts until an operator ends the drain.
+DRAINED = "drained"
+CALLED_BACK = "called back"  # the reason of the leave grant that ends a drain
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,14 +16,15 @@
     """One version of the agreed state.
 
     Attributes:
-        version: its number.
+        version: number of this version.
         settings_version: the version that last changed the settings.
-        settings: as agreed.
-        servers_out: servers that get no new flow, sorted.
+        settings: the agreed settings.
+        servers_out: names of the servers that get no new flows, sorted.
         list_version: the version that last changed the endpoint list.
-        servers: the endpoint list.
-        drained_balancers: those that were drained by call.
-        report_servers: servers are being changed: what each answers is to be reported.
+        servers: the agreed endpoint list.
+        drained_balancers: names of the balancers that an operator has drained.
+        report_servers: whether balancers report the flow counts of each server, as they do during
+            a release of servers.
     """
 
     version: int
@@ -36,7 +38,7 @@
 
 
 def view_of(state: FleetState) -> AppliedView:
-    """Return the view of that state."""
+    """Return the view of the fleet state `state`."""
     release = state.release
     drained = tuple(
         name for name, (_, _, why) in state.leave_grants.items() if why.startswith(DRAINED)
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -1,8 +1,9 @@
-"""How a group begins and how a balancer finds one: discovery requests and responses.
+"""Bootstrap and discovery of a group, by discovery requests and responses.
 
-No I/O, no clock. A group is bootstrapped once: by the seed member lowest in name, when every other
-seed member has said, lately and with the same seed members in its table, that it belongs to none.
-Whoever finds a group joins it as a follower under an incarnation of its own.
+No I/O, no clock. A group is bootstrapped once, by the seed member whose name sorts first, when
+every other seed member has recently answered that it belongs to no group and has the same seed
+members in its table. A balancer that finds a group joins it as a follower, under its own
+incarnation.
 """
 
 import logging
@@ -20,32 +21,35 @@
 
 log = logging.getLogger(__name__)
 SEARCH_INTERVAL = SECOND // 2  # how often a balancer without a group looks for one
-LEADER_LOST = 3 * SECOND  # a member that heard no leader for so long looks for a group, too
+LEADER_LOST = 3 * SECOND  # a member without contact to a leader for this long searches, too
 MAX_RESPONSES = 32
 
 
 @dataclass(frozen=True, slots=True)
 class ReplacedRead:
-    """A read token: to tell a requester that its incarnation is no member any more."""
+    """A read token for a discovery request whose incarnation may have been replaced.
+
+    Once the read is confirmed, the requester can be notified that it is no longer a member.
+    """
 
     request: DiscoveryRequest
 
 
 class GroupDiscovery:
-    """Finds or bootstraps this member's group, and answers others that look for one."""
+    """Finds or bootstraps this member's group, and answers the discovery requests of others."""
 
     def __init__(self, context: MemberContext, now: int):
-        """Look for a group at the first call of `on_time`."""
+        """Schedule the first search for the first call of `on_time`."""
         self.context = context
         self.search_at = now
-        # By name of the responder, or by "@" and the leader it named; when it came, and the
-        # response.
+        # The arrival time and the response, by the responder's name if it has no group, else by
+        # "@" and the leader that it named.
         self.responses: dict[str, tuple[int, DiscoveryResponse]] = {}
-        # The group that was bootstrapped or found: its log is to be begun on disk.
+        # A group just bootstrapped or found, whose log has still to be created on disk.
         self.new_log: tuple[str, PersistentState] | None = None
 
     def on_time(self, now: int) -> None:
-        """Look for a group where that is due."""
+        """Search for a group if a search is due."""
         if now >= self.search_at:
             jitter = self.context.random.randrange(SEARCH_INTERVAL // 4)
             self.search_at = now + SEARCH_INTERVAL + jitter
@@ -64,10 +68,10 @@
             config.seed_digest,
             config.is_seed,
         )
-        asked = {config.address}
+        contacted = {config.address}
         for address in self._known_addresses():
-            if address and address not in asked:
-                asked.add(address)
+            if address and address not in contacted:
+                contacted.add(address)
                 context.send(address, request)
         if context.node is None:
             self._bootstrap(now)
@@ -78,8 +82,10 @@
             return False
         if self.context.is_leader:
             return True
-        heard_lately = node.leader_heard_at is not None and now - node.leader_heard_at < LEADER_LOST
-        return heard_lately and self.context.is_member(self.context.id)
+        leader_is_recent = (
+            node.leader_heard_at is not None and now - node.leader_heard_at < LEADER_LOST
+        )
+        return leader_is_recent and self.context.is_member(self.context.id)
 
     def _known_addresses(self) -> list[str]:
         context = self.context
@@ -121,7 +127,7 @@
         self.context.start_node(persisted, now)
 
     def on_request(self, now: int, request: DiscoveryRequest, membership: MembershipDuty) -> None:
-        """Answer another balancer that looks for a group; as the leader, let it join."""
+        """Answer another balancer's discovery request; as the leader, let it join."""
         context, config = self.context, self.context.config
         name = name_of(request.id)
         rejected = ""
@@ -132,13 +138,13 @@
                 there=request.seed_digest,
                 member=request.id,
             )
-            rejected = "the first members in its table are others than in mine"
+            rejected = "its table names other seed members than this balancer's"
         elif name == config.name and request.id != context.id:
-            rejected = "that name is mine"
+            rejected = "this balancer has the same name"
         elif context.is_leader and not context.is_member(request.id):
             if request.group == context.group:
-                # A voter's copy of the log goes with its identity: only a certain leader may say
-                # so.
+                # A voter that discards its identity also loses its copy of the log, so only a
+                # leader whose leadership is confirmed may report it as replaced.
                 self._check_replaced(now, request)
                 return
             rejected = "it belongs to another group"
@@ -156,18 +162,18 @@
         )
 
     def _check_replaced(self, now: int, request: DiscoveryRequest) -> None:
-        with suppress(BusyError):  # it asks again
+        with suppress(BusyError):  # the requester retries
             self.context.raft.read_index(now, ReplacedRead(request))
 
     def on_read(self, read: ReplacedRead) -> None:
-        """The leader is certain: tell an incarnation that is no member any more."""
+        """Notify an incarnation that is no longer a member; leadership has been confirmed."""
         if not self.context.is_member(read.request.id):
             self.respond(read.request, replaced=True)
 
     def respond(
         self, request: DiscoveryRequest, rejected: str = "", replaced: bool = False
     ) -> None:
-        """Send what is known of the group; one without a group names its own incarnation alone."""
+        """Send what is known of the group; without a group, name only the own incarnation."""
         context, config = self.context, self.context.config
         members: Members = context.members
         if context.node is None:
@@ -185,7 +191,7 @@
         context.send(request.address, response)
 
     def on_response(self, now: int, response: DiscoveryResponse) -> None:
-        """Take over what another balancer knows of the group."""
+        """Process what another balancer knows of the group."""
         if response.id != self.context.id:
             return
         if response.rejected:
--- a/cypresswalk/fleet/call_commands.py
+++ b/cypresswalk/fleet/call_commands.py
@@ -1,7 +1,7 @@
-"""Builds the command that a call asks for. No I/O, no clock.
+"""Builds the command for a call. No I/O, no clock.
 
-All functions raise KeyError, TypeError, ValueError or msgspec.ValidationError where the arguments
-are malformed or the command could never be applied.
+All functions raise KeyError, TypeError, ValueError or msgspec.ValidationError if the arguments are
+malformed or the command could never be applied.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 from cypresswalk.rollout.release import MemberKind, Plan
 
 MAX_VOTERS = 7
-NEVER = 1 << 62  # a version that nobody acts on
+NEVER = 1 << 62  # greater than any version
 
 # Calls whose arguments are the fields of a command.
 CALL_COMMANDS: dict[str, type[AnyCommand]] = {
@@ -49,7 +49,7 @@
 
 
 def command_of_call(duties: LeaderDuties, now: int, name: str, args: dict[str, Any]) -> AnyCommand:
-    """Return the command that a call asks for; raises BusyError where too little is known yet."""
+    """Return the command for a call; raise BusyError if too little is known yet."""
     builder = _BUILDERS.get(name)
     if builder is not None:
         return builder(duties, now, args)
@@ -63,7 +63,7 @@
 
 
 def _unhealthy_for_removal(duties: LeaderDuties, now: int, args: dict[str, Any]) -> dict[str, str]:
-    # Under a halt it is refused whatever is known, and its caller is to hear of that.
+    # During a halt the removal is refused anyway. The caller should get that reason, not BusyError.
     if args.get("forced") or duties.context.state.halted:
         return duties.servers.unhealthy(now)
     return duties.servers.unhealthy_for_bound(now)
@@ -98,7 +98,7 @@
         unavailable = duties.balancers.unavailable(now)
         return ChangeStarted(*header, name, str(args["to"]), context.zones(), unavailable)
     if not duties.all_act_on(release.out_since_version.get(name, NEVER), now):
-        raise ValueError("not every balancer acts on it yet")
+        raise ValueError("not every balancer has taken the server out of rotation yet")
     to = str(args["to"])
     return ChangeStarted(*header, name, to, {}, duties.servers.unhealthy_for_bound(now))
 
@@ -122,7 +122,7 @@
     context, member, other = duties.context, str(args["member"]), str(args["other"])
     state: FleetState = context.state
     if member not in state.voters:
-        raise ValueError(f"{member} is no voter; there are {', '.join(state.voters)}")
+        raise ValueError(f"{member} is no voter; the voters are {', '.join(state.voters)}")
     if not any(existing.name == other for existing in context.members):
         raise ValueError(f"{other} is no member yet")
     voters = [other if name == member else name for name in state.voters]
--- a/cypresswalk/fleet/call_forwarding.py
+++ b/cypresswalk/fleet/call_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls asked at this member: carried to whoever leads, and again where no answer comes.
+"""Forwards calls made at this member to the current leader, and retries unanswered ones.
 
 No I/O, no clock.
 """
@@ -10,8 +10,8 @@
 from cypresswalk.fleet.member_context import SECOND, MemberContext
 from cypresswalk.fleet.messages import Call, Result
 
-RETRY_INTERVAL = SECOND // 2  # an unanswered call goes to whoever leads by then
-OWN_RETRY_INTERVAL = 4 * RETRY_INTERVAL  # where this member leads
+RETRY_INTERVAL = SECOND // 2  # until an unanswered call is sent again, to the current leader
+OWN_RETRY_INTERVAL = 4 * RETRY_INTERVAL  # if this member is the leader
 NO_LEADER_INTERVAL = RETRY_INTERVAL // 5  # while no leader is known
 
 
@@ -20,35 +20,35 @@
     """A call that waits for its answer.
 
     Attributes:
-        name: of the call.
+        name: name of the call.
         args: its arguments.
-        reply: called once with the answer.
-        until: when it is given up, in nanoseconds.
-        retry_at: when it goes out again.
+        reply: callback, called once with the answer.
+        deadline: time at which the call fails, in nanoseconds.
+        retry_at: time at which the call is sent again, in nanoseconds.
         sent: whether a leader may have received it.
     """
 
     name: str
     args: dict[str, Any]
     reply: Reply
-    until: int
+    deadline: int
     retry_at: int = 0
     sent: bool = False
 
 
 class CallForwarder:
-    """The calls that are pending at this member, by number."""
+    """Keeps the pending calls of this member by number, and forwards them."""
 
     def __init__(self, context: MemberContext):
-        """Begin with none."""
+        """Begin without pending calls."""
         self.context = context
         self._pending: dict[int, PendingCall] = {}
         self._last_number = 0
 
     def next_due(self) -> int | None:
-        """Return when the next call is to be asked again or given up."""
+        """Return the time of the next retry or deadline, or None without pending calls."""
         calls = self._pending.values()
-        return min((min(call.retry_at, call.until) for call in calls), default=None)
+        return min((min(call.retry_at, call.deadline) for call in calls), default=None)
 
     def call(
         self,
@@ -56,34 +56,34 @@
         name: str,
         args: dict[str, Any],
         reply: Reply,
-        span: int,
+        timeout: int,
         leader_calls: LeaderCalls,
     ) -> None:
-        """Ask the leader; `reply` is called once, within `span` nanoseconds.
+        """Send a call to the leader; `reply` is called once, within `timeout` nanoseconds.
 
-        Asked again for as long: a command's id makes that harmless.
+        Until then the call is retried, which is safe since commands are idempotent by their id.
         """
         if len(self._pending) >= MAX_PENDING_CALLS:
-            reply(False, {"why": "too many calls wait", "unsure": False})
+            reply(False, {"why": "too many pending calls", "unsure": False})
             return
         self._last_number += 1
-        pending = PendingCall(name, args, reply, now + span)
+        pending = PendingCall(name, args, reply, now + timeout)
         self._pending[self._last_number] = pending
         self._forward(now, self._last_number, pending, leader_calls)
 
     def on_time(self, now: int, leader_calls: LeaderCalls) -> None:
-        """Ask again, or give up, where that is due."""
+        """Send due calls again, and fail those whose deadline has passed."""
         for number, pending in list(self._pending.items()):
-            if now >= pending.until:
+            if now >= pending.deadline:
                 del self._pending[number]
-                self._give_up(pending)
+                self._fail(pending)
             elif now >= pending.retry_at:
                 self._forward(now, number, pending, leader_calls)
 
-    def _give_up(self, pending: PendingCall) -> None:
+    def _fail(self, pending: PendingCall) -> None:
         outcome = "nothing was done"
         if pending.sent and pending.name != "status":
-            outcome = "it may or may not come into force; ask for the state"
+            outcome = "it may or may not take effect; query the state"
         why = f"the fleet did not answer in time; {outcome}"
         pending.reply(False, {"why": why, "unsure": pending.sent})
 
@@ -96,8 +96,8 @@
             pending.sent = True
 
             def reply(ok: bool, body: Any) -> None:
-                """Answers the call, once, unless it has to be asked again."""
-                if _asks_again(body):
+                """Answer the call once, unless it must be retried."""
+                if _must_retry(body):
                     pending.retry_at = min(pending.retry_at, now + RETRY_INTERVAL)
                 elif self._pending.pop(number, None) is not None:
                     pending.reply(ok, body)
@@ -111,12 +111,12 @@
             pending.retry_at = now + NO_LEADER_INTERVAL
 
     def on_result(self, result: Result) -> None:
-        """Take over the leader's answer."""
+        """Answer a pending call with the leader's result, unless it must be retried."""
         pending = self._pending.get(result.number)
-        if pending is not None and not _asks_again(result.body):
+        if pending is not None and not _must_retry(result.body):
             del self._pending[result.number]
             pending.reply(result.ok, result.body)
 
 
-def _asks_again(body: Any) -> bool:
+def _must_retry(body: Any) -> bool:
     return isinstance(body, dict) and bool(body.get("again"))
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -1,4 +1,4 @@
-"""What command line tools ask of a fleet: calls to any balancer, and checks of their answers."""
+"""The client of command line tools: calls to any balancer of a fleet, and checks of the answers."""
 
 import os
 import socket
@@ -21,9 +21,9 @@
 
 DIAL_TIMEOUT = 1.0  # seconds
 READ_SIZE = 1 << 16  # bytes
-ANSWER_MARGIN = 0.2  # seconds that the balancer has less than the caller
+ANSWER_MARGIN = 0.2  # seconds by which the balancer's timeout is shorter than the caller's
 MIN_CALL_SPAN = 0.2  # seconds
-LATE_ANSWER = 1.0  # seconds that an answer is waited for beyond the span
+EXTRA_ANSWER_TIMEOUT = 1.0  # seconds to wait for an answer after the call's timeout
 MILLISECOND = 1_000_000
 READ_ONLY_CALLS = ("status", "show", "history", "local", "settled")
 
@@ -35,29 +35,29 @@
     args: dict[str, Any] | None = None,
     span: float = 5.0,
 ) -> tuple[bool, Any]:
-    """Ask the first balancer that answers, whichever it is: it forwards to the leader.
+    """Call a fleet through the first balancer that answers; it forwards the call to the leader.
 
     Args:
-        addresses: host:port of balancers.
+        addresses: host:port of balancers, tried in this order.
         fleet: the fleet's name.
-        name: of the call.
+        name: name of the call.
         args: its arguments.
         span: seconds to wait.
 
     Returns:
-        Whether it was carried out, and the answer.
+        Whether the call was carried out, and the answer.
 
     Raises:
-        CommandError: no balancer could be asked.
-        UncertainOutcomeError: one was asked and its answer does not say what came of it.
+        CommandError: no balancer could be reached.
+        UncertainOutcomeError: the call was sent, but whether it took effect is unknown.
     """
     exchange = _Exchange(fleet, name, args or {})
     until = time.monotonic() + span
     for address in addresses:
-        left = until - time.monotonic()
-        if left <= 0:
+        remaining = until - time.monotonic()
+        if remaining <= 0:
             break
-        result = exchange.ask(address, left)
+        result = exchange.ask(address, remaining)
         if result is not None:
             return _outcome(result)
     raise exchange.error()
@@ -65,22 +65,22 @@
 
 @dataclass
 class _Exchange:
-    """One call, at one balancer after another."""
+    """One call, sent to one balancer after another until one answers."""
 
     fleet: str
     name: str
     args: dict[str, Any]
-    sent: bool = False  # to any balancer
-    errors: list[str] = field(default_factory=list)  # one for each that was asked in vain
+    sent: bool = False  # whether any balancer may have received the call
+    errors: list[str] = field(default_factory=list)  # one for each balancer that did not answer
 
-    def ask(self, address: str, left: float) -> Result | None:
-        """Return a balancer's result within `left` seconds; None where there is none."""
+    def ask(self, address: str, remaining: float) -> Result | None:
+        """Return a balancer's result, or None if it has not answered within `remaining` seconds."""
         host, _, port = address.rpartition(":")
-        timeout = min(DIAL_TIMEOUT, left)
+        timeout = min(DIAL_TIMEOUT, remaining)
         try:
             with socket.create_connection((host, int(port)), timeout=timeout) as sock:
-                self._send(sock, left)
-                sock.settimeout(left + LATE_ANSWER)
+                self._send(sock, remaining)
+                sock.settimeout(remaining + EXTRA_ANSWER_TIMEOUT)
                 frame = _first_answer(sock)
         except (OSError, FrameError) as error:
             self.errors.append(f"{address}: {error}")
@@ -90,15 +90,15 @@
             return None
         return frame
 
-    def _send(self, sock: socket.socket, left: float) -> None:
+    def _send(self, sock: socket.socket, remaining: float) -> None:
         tool_id = f"tool#{uuid.uuid4().hex[:8]}"
         hello = Hello(PROTOCOL, self.fleet, "tool", "", tool_id, 0, 0, "", "")
-        args = self.args | {"span": max(left - ANSWER_MARGIN, MIN_CALL_SPAN)}
+        args = self.args | {"span": max(remaining - ANSWER_MARGIN, MIN_CALL_SPAN)}
         sock.sendall(encode_frame(hello) + encode_frame(Call(1, self.name, args)))
         self.sent = True
 
     def error(self) -> CommandError | UncertainOutcomeError:
-        """Return what to raise where no balancer has answered."""
+        """Return the exception to raise if no balancer has answered."""
         reasons = "; ".join(self.errors)
         if self.sent and self.name not in READ_ONLY_CALLS:
             return UncertainOutcomeError(f"no answer: {reasons}")
@@ -121,7 +121,7 @@
     """Return whether the call was carried out, and the answer.
 
     Raises:
-        UncertainOutcomeError: the balancer can't say what came of it.
+        UncertainOutcomeError: the balancer does not know whether the call took effect.
     """
     if isinstance(result.body, dict) and result.body.get("unsure"):
         raise UncertainOutcomeError(str(result.body.get("why")))
@@ -129,11 +129,11 @@
 
 
 def differing_replicas(parts: list[Any], answers: dict[str, dict[str, Any]]) -> list[str]:
-    """Return a line for each partition that is not complete and alike at all its replicas.
+    """Return a line for each partition that is incomplete or differs between its replicas.
 
     Args:
-        parts: number, view and replicas of each partition, as the leader has them.
-        answers: by member's id, what each answered to `copies_local`.
+        parts: number, view and replicas of each partition, as known to the leader.
+        answers: answers to the call `copies_local`, by member id.
     """
     found = _replicas_by_partition(answers)
     lines = []
@@ -154,9 +154,10 @@
 def _replicas_by_partition(
     answers: dict[str, dict[str, Any]],
 ) -> dict[int, dict[str, tuple[list[Any], dict[Any, Any]]]]:
-    """Return view, complete and sealed, and digests, of each replica, by partition and member.
+    """Return the state and digests of each replica, by partition and member.
 
-    Digests of keys that expire soon are left out: on a busy fleet some expire between two answers.
+    The state is the view and the flags complete and sealed. Digests of keys that expire soon are
+    left out, since on a busy fleet some expire between two answers.
     """
     soon = max((local.get("soon", 0) for local in answers.values()), default=0)
     found: dict[int, dict[str, tuple[list[Any], dict[Any, Any]]]] = {}
@@ -168,11 +169,11 @@
 
 
 def command_args(by: str, **args: Any) -> dict[str, Any]:
-    """Return a command's arguments with a new id, its author and the wall clock."""
+    """Return a command's arguments with a new id, its author and the wall clock time added."""
     at_ms = time.time_ns() // MILLISECOND
     return {"ident": uuid.uuid4().hex, "by": by, "at": at_ms} | args
 
 
 def operator_name() -> str:
-    """Return who runs this tool, for the record."""
+    """Return the name of the user who runs this tool, to be recorded as a command's author."""
     return os.environ.get("SUDO_USER") or os.environ.get("USER") or f"uid {os.getuid()}"
