--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -1,7 +1,9 @@
-"""Applies what the fleet has agreed to one balancer's core: settings, endpoint list, rotation.
+"""Applies the state that the fleet has agreed on to one balancer's core.
 
-Called by the deciding thread, but for the check of proposed settings, which reads what never
-changes. What this balancer was told itself binds it at once; what others agreed is added.
+That state is the settings, the endpoint list and the servers out of rotation. Everything here runs
+in the deciding thread, except for the check of proposed settings, which reads only data that never
+changes. Restrictions from this balancer's own list and commands apply at once; the agreed ones
+apply in addition.
 """
 
 import logging
@@ -11,7 +13,7 @@
 from cypresswalk.fleet import shared_settings
 from cypresswalk.fleet.applied_view import AppliedView
 from cypresswalk.fleet.driver import FleetThread
-from cypresswalk.fleet.endpoint_merge import EndpointMerge, agreed_list
+from cypresswalk.fleet.endpoint_merge import EndpointMerge, decode_agreed_list
 from cypresswalk.fleet.fleet_commands import FleetCommands
 from cypresswalk.fleet.local_observations import LocalObservations
 from cypresswalk.fleet.reservation_gate import ReservationGate
@@ -29,15 +31,14 @@
 
 
 class CoreBinding:
-    """One balancer's part in the fleet, bound to its core.
+    """Connects one balancer's fleet member with its core.
 
-    The methods of `net.ports.FleetBinding` are what the core and the hand-over between processes
-    call.
+    The core and the hand-over between processes call only the methods of `net.ports.FleetBinding`.
 
     Attributes:
-        fleet: the driver of the balancer's member.
-        version: of the agreed state that the core acts on.
-        settings: the agreed settings that it acts on, None before the first.
+        fleet: driver of the balancer's member.
+        version: version of the agreed state that the core acts on.
+        settings: agreed settings that the core acts on, None before the first.
     """
 
     def __init__(
@@ -48,16 +49,16 @@
         post: Callable[..., None],
         registry: Callable[[], EndpointListDecoder],
     ):
-        """Binds a core to the fleet; `fleet.start` starts taking part.
+        """Bind a core to the fleet; the member begins to run with `fleet.start`.
 
         Args:
-            table: `[fleet]` of the operator file.
-            config: of the balancer; its file's settings are read.
-            core: gets its reservations, lease and fleet from here.
-            post: has the deciding thread call a function with the time and more arguments.
-            registry: what is known of servers' names.
+            table: `[fleet]` table of the operator file.
+            config: configuration of the balancer; the settings are read from its file.
+            core: core whose extensions for reservations, lease and fleet are set here.
+            post: makes the deciding thread call a function with the time and the given arguments.
+            registry: returns the decoder that knows the names of servers.
         """
-        # Over 40 lines since it makes one part a line.
+        # Over 40 lines, since each part takes a line.
         self.core = core
         self.params = read_file(config.path)["settings"]
         self.fleet = FleetThread(
@@ -72,7 +73,7 @@
         self.settings_version = 0
         self.list_version = 0
         self.settings: dict[str, Any] | None = None
-        self.tenant_numbers = dict(core.tenants)  # flows in flight are counted by them
+        self.tenant_numbers = dict(core.tenants)  # counts of open flows are kept by number
         self.rotation = Rotation(core)
         self.endpoints = EndpointMerge(core, self.fleet, registry)
         self.observations = LocalObservations(core, registry)
@@ -84,15 +85,15 @@
         self.attach(table, post)
 
     def attach(self, table: FleetTable, post: Callable[..., None]) -> None:
-        """Has the core and the fleet call the parts of this binding."""
+        """Register the parts of this binding with the core and the fleet."""
         core = self.core
         if table.copies is not None:
             core.extensions.reservations = ReservationGate(
                 core, self.fleet, post, table.copies.share
             )
             if core.lifecycle.phase is not Phase.STARTING:
-                # Nobody tells what a process before this one spent: a lost one is assumed. While
-                # starting, a predecessor may tell it.
+                # No predecessor will report the budgets that it has used, so its loss is assumed.
+                # During the start a predecessor may still report them.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
         self.fleet.served = self.observations.served_counts
         self.fleet.servers = self.observations.server_report
@@ -101,14 +102,15 @@
         core.extensions.holds_lease = self.fleet.may_act
 
     def on_lease_begun(self, now: int) -> None:
-        """A lease has begun, after a time without one."""
+        """Update readiness now that a lease has begun after a time without one."""
         self.core.lifecycle.update_readiness()
 
     def apply_view(self, now: int, view: AppliedView) -> None:
-        """Acts on a version of the agreed state.
+        """Act on a version of the agreed state.
 
-        A view whose settings can't be followed is not acted on at all, so that no lease holds;
-        nothing is raised that would leave it half done.
+        A view whose settings can't be used is not applied at all: the balancer stays on the older
+        version, for which its leases are not valid. No exception is raised, since that would leave
+        the view partly applied.
         """
         if view.version <= self.version:
             return
@@ -117,8 +119,9 @@
             and self.name in view.drained_balancers
             and not self.core.lifecycle.drained
         ):
-            # Drained in its life before, or on the machine that this one replaces: that holds until
-            # drain-off. Nothing was taken until now, since there was no lease yet.
+            # The balancer was drained before its restart, or on the machine that this one
+            # replaces. That holds until drain-off. No flow has been accepted yet, for lack of a
+            # lease.
             log.info(event("drained_still"))
             self.core.commands.apply(now, AdminCommand("drain-on"))
         if view.settings_version > self.settings_version:
@@ -135,20 +138,20 @@
         self.observations.report_servers = view.report_servers
         if view.list_version > self.list_version:
             self.list_version = view.list_version
-            self.endpoints.follow(now, view.servers)
+            self.endpoints.apply_agreed_list(now, view.servers)
         self.version = view.version
         self.fleet.on_version_applied(view.version)
         log.info(event("acting_on", version=view.version, out=len(self.rotation.agreed)))
 
     def apply_settings(self, now: int, agreed: dict[str, Any]) -> None:
-        """Has the core act on agreed settings."""
+        """Apply agreed settings to the core."""
         core = self.core
         params = shared_settings.merged(self.params, agreed)
         settings = decode_settings(params)
         numbers = self.tenant_numbers
         names = [tenant["name"] for tenant in params.get("tenants") or []]
         for name in names:
-            numbers.setdefault(name, len(numbers))  # a name keeps the number it had
+            numbers.setdefault(name, len(numbers))  # known names keep their numbers
         quotas = dict(zip(names, settings.quotas, strict=False))
         if quotas:
             settings.quotas = [
@@ -163,10 +166,10 @@
                 counts.setdefault(name, 0)
         core.lifecycle.update_readiness()
 
-    # Two processes of this balancer side by side (net/handover.py) share one member and one lease.
+    # During an upgrade, both processes of a balancer (net/handover.py) share a member and a lease.
 
     def state_for_successor(self) -> dict[str, Any]:
-        """What a successor needs to know of what is agreed."""
+        """Return the agreed state that a successor process needs."""
         return {
             "until": self.fleet.lease_until,
             "version": self.version,
@@ -179,23 +182,24 @@
         }
 
     def inherit(self, now: int, state: dict[str, Any]) -> None:
-        """Reads what the process before this one knows of what is agreed.
+        """Take over the agreed state from the predecessor process.
 
-        That process has the part in the fleet still: its lease serves both until it ends.
+        The predecessor still runs the fleet member, and its lease covers both processes until the
+        predecessor ends.
 
         Raises:
-            KeyError, TypeError, ValueError: `state` has another form; nothing has changed.
+            KeyError, TypeError, ValueError: `state` is malformed; nothing has changed.
         """
         until = int(state["until"])
         version = int(state["version"])
-        agreed = agreed_list(state["list"])
+        agreed = decode_agreed_list(state["list"])
         out = {str(server) for server in state["out"]}
         forced = {str(server) for server in state["here"]}
         settings = state["settings"]
         if version < self.version:
             return
         if settings is not None and shared_settings.objection(self.params, settings):
-            return  # without that lease it waits until it has its own part
+            return  # without that lease, this process waits until it runs the member itself
         if settings is not None and int(state["settings_version"]) > self.settings_version:
             self.apply_settings(now, settings)
             self.settings_version = int(state["settings_version"])
--- a/cypresswalk/fleet/disruption_bounds.py
+++ b/cypresswalk/fleet/disruption_bounds.py
@@ -1,4 +1,7 @@
-"""Whether one more balancer or server may go out under the agreed bounds: pure functions."""
+"""Checks of whether the agreed bounds allow one more balancer or server to go out of service.
+
+All functions are pure.
+"""
 
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import CERTAINLY_OUT
@@ -15,8 +18,12 @@
 ) -> str:
     """Return why the balancer may not go out, or an empty string.
 
-    `zones` maps all members by name to their zones, `unavailable` those that the leader takes for
-    out to the reason. `heals`: the change brings back one that is out.
+    Args:
+        state: the agreed state, with the bounds and the leave grants.
+        name: name of the balancer.
+        zones: zones of all members, by name.
+        unavailable: members that the leader considers out, each with the reason.
+        heals: whether the change is to bring back a balancer that is out already.
     """
     granted = {
         member: f"{why}, by {by}"
@@ -32,8 +39,9 @@
 ) -> str:
     """Return why the server may not go out, or an empty string.
 
-    Counted as out are those removed by hand, by a release or by the list, those that have not been
-    seen ready since their return, and `unavailable`, those that balancers find unhealthy.
+    Servers count as out if an operator, a release or the endpoint list has taken them out, if they
+    have not been seen ready since their return, or if they are in `unavailable`, the servers that
+    balancers find unhealthy.
     """
     scopes = state.settings.get("bounds", {}).get("servers", {})
     if not scopes:
@@ -51,10 +59,10 @@
 def change_bound(
     state: FleetState, name: str, zones: dict[str, str], unavailable: dict[str, str]
 ) -> str:
-    """Return why the release under way may not change that balancer or server, or an empty string.
+    """Return why the current release may not change that balancer or server, or an empty string.
 
-    On the way back a change heals one that is certainly out: a bad version that took out more than
-    the bound allows could never be undone otherwise.
+    During a rollback, changing a balancer or server that is certainly out counts as healing it.
+    Otherwise a bad version that took out more than the bound allows could never be rolled back.
     """
     release = state.release
     if release is None:
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -1,7 +1,7 @@
-"""The fleet's thread: runs a `Member` on a real clock, disk and connections.
+"""The fleet thread, which runs a `Member` with a real clock, disk and connections.
 
-It hands what is agreed to the deciding thread, which waits for nothing here: `may_act` compares a
-number with a clock.
+It passes the agreed state to the deciding thread. The deciding thread never waits for the fleet
+thread: `may_act` only compares a number with a clock.
 """
 
 import logging
@@ -59,29 +59,29 @@
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-MIN_FOLDER_BACKOFF = 1.0  # seconds until a folder that failed is tried anew
+MIN_FOLDER_BACKOFF = 1.0  # seconds until the first retry after a folder has failed
 MAX_FOLDER_BACKOFF = 15.0  # seconds
-MAX_EVENTS_PER_TURN = 256  # taken before time passes and effects go out
+MAX_EVENTS_PER_TURN = 256  # processed before timers run and effects are carried out
 REPLICATION_END_TIMEOUT = 3.0  # seconds
 
 
 def boottime_ns() -> int:
-    """Return a clock in nanoseconds that goes on while the machine sleeps."""
+    """Return the time in nanoseconds of a clock that also runs while the machine is suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 class FleetThread:
     """Owns the member, its folder and its connections.
 
-    Public methods are for any thread, unless they say otherwise.
+    Any thread may call the public methods, unless stated otherwise.
 
     Attributes:
-        served: asked by this thread for the process's flow counts.
-        ready: asked by this thread whether flows that came now would be placed.
-        servers: asked by this thread for a report of servers.
+        served: callback of this thread that returns the process's flow counts.
+        ready: callback of this thread that returns whether a new flow would be placed now.
+        servers: callback of this thread that returns a report on servers.
         started: set once the member runs.
-        ended: set once nothing of it runs any more.
-        lease_until: end of the lease, by `now`; read by the deciding thread.
+        ended: set once this thread has ended and released all resources.
+        lease_until: end of the lease, by the clock `now`; read by the deciding thread.
     """
 
     def __init__(
@@ -90,25 +90,25 @@
         check_settings: Callable[[dict[str, Any]], str],
         own_settings: dict[str, Any],
         on_view: Callable[[AppliedView], None],
-        on_lease: Callable[[], None],
+        on_lease_begun: Callable[[], None],
         now: Callable[[], int] = boottime_ns,
     ):
-        """Run nothing yet.
+        """Prepare the thread without starting it.
 
         Args:
-            table: of the operator's file.
-            check_settings: why this balancer could not act on settings, or an empty string.
-            own_settings: this balancer's own settings, offered where the fleet has none yet.
-            on_view: called by this thread with a view to act on.
-            on_lease: called by this thread when a lease begins anew.
-            now: a clock in nanoseconds that goes on while the machine sleeps.
+            table: `[fleet]` table of the operator's file.
+            check_settings: returns why this balancer can't use given settings, or an empty string.
+            own_settings: this balancer's own settings, proposed if the fleet has none yet.
+            on_view: called by this thread with each view to act on.
+            on_lease_begun: called by this thread when a lease begins after a time without one.
+            now: clock in nanoseconds that also runs while the machine is suspended.
         """
-        # Over 40 lines since it sets one attribute a line.
+        # Over 40 lines, since each attribute takes a line.
         self.table = table
         self.check_settings = check_settings
         self.own_settings = own_settings
         self.on_view = on_view
-        self.on_lease = on_lease
+        self.on_lease_begun = on_lease_begun
         self.now = now
         self.config = config_of(table)
         self.queue: SimpleQueue[Event] = SimpleQueue()
@@ -119,15 +119,15 @@
         self.boot = 0
         self.data_losses = 0
         self.lease_until = 0
-        # End of the lease of an earlier member of this process, or of the process before it.
+        # End of the lease of an earlier member of this process, or of the predecessor process.
         self.inherited_until = 0
         self.acts_on = 0
-        self.problem = ""  # why the member does not run
+        self.problem = ""  # why the member does not run; empty if it does
         self.started = Flag()
         self.ended = Flag()
         self._stopping = Flag()
-        # Wall time as it was at the start, and what has passed since: a jump of the clock changes
-        # nothing.
+        # Wall time at the start plus the time passed since, so that later jumps of the wall clock
+        # have no effect.
         wall_offset = time.time_ns() - self.now()
         self.wall: Callable[[], int] = lambda: wall_offset + self.now()
         self.served: Callable[[], FlowCounts] = lambda: (0, 0, 0, 0)
@@ -138,7 +138,7 @@
         self.router = MessageRouter(table, self.transport, self.copies)
 
     def make_transport(self) -> Transport:
-        """Return the connections to other members; called once, at the end of the constructor."""
+        """Return the connections to other members; called once, by the constructor."""
         return Transport(
             host_and_port(self.table.listen or self.table.address),
             self.table.fleet,
@@ -152,59 +152,59 @@
         copies = self.table.copies
         if copies is None:
             return None
-        # Imported here alone: a balancer that keeps no replicas pays nothing.
+        # Imported only here, so that a balancer without replicas does not load the module.
         from cypresswalk.copies.driver import ReplicationThread
 
         return ReplicationThread(
             self.folder.disk,
             self.now,
             self.wall,
-            self.send_copies,
-            self.tell_leader,
+            self.send_replica_messages,
+            self.post_to_leader,
             lambda holds: self.queue.put(ReplicaCapabilityChanged(holds)),
             copies.most_ids,
         )
 
     def may_act(self) -> bool:
-        """Whether the deciding thread may act on the version that it has."""
+        """Return whether the deciding thread may act on its version."""
         return self.now() < self.lease_until or self.table.without_lease == "hold"
 
     def start(self) -> None:
-        """Begin, as soon as the folder is free."""
+        """Start the threads; the member runs once the folder's lock is free."""
         start_thread(self.run, SECOND, STACK_SIZE)
         if self.copies is not None:
             start_thread(self.copies.run, SECOND, STACK_SIZE)
 
-    def call(self, name: str, args: dict[str, Any], reply: Reply, span: float) -> None:
-        """Ask the leader; the fleet's thread calls `reply` once, within `span` seconds."""
-        self.queue.put(CallRequested(name, args, reply, span))
+    def call(self, name: str, args: dict[str, Any], reply: Reply, timeout: float) -> None:
+        """Call the leader; the fleet thread calls `reply` once, within `timeout` seconds."""
+        self.queue.put(CallRequested(name, args, reply, timeout))
 
     def inherit_lease(self, until: int, version: int) -> None:
-        """Take over the lease of the process before this one, and the version that it acted on."""
+        """Take over the lease of the predecessor process, and the version that it acted on."""
         self.lease_until = min(until, self.now() + self.config.max_contradiction)
         self.inherited_until = self.lease_until
         self.on_version_applied(version)
 
     def on_version_applied(self, version: int) -> None:
-        """The deciding thread acts on that version now."""
+        """Note that the deciding thread now acts on `version`."""
         self.acts_on = max(self.acts_on, version)
         self.queue.put(VersionApplied(version))
 
     def on_list_received(self, generation: int, digest: bytes, servers: list[ListedServer]) -> None:
-        """This balancer's own list agent delivered an endpoint list."""
+        """Process an endpoint list from this balancer's own list agent."""
         self.queue.put(ListReceived(generation, digest, servers))
 
     def release_leadership(self) -> None:
-        """A planned stop: leadership goes to another member. What runs goes on."""
+        """Transfer leadership to another member before a planned stop; the member keeps running."""
         self.queue.put(LeadershipReleased())
 
     def stop(self) -> None:
-        """Another process of this balancer takes its part from here on; the lease runs on."""
+        """Stop the member for another process of this balancer; the lease stays valid."""
         self._stopping.set()
         self.queue.put(StopRequested())
 
     def hello(self, to: str) -> Hello:
-        """Return this member's Hello for that id."""
+        """Return this member's Hello to the member with the id `to`."""
         member = self.member
         return Hello(
             PROTOCOL,
@@ -222,24 +222,24 @@
         """Return this member's group, or an empty string."""
         return self.member.group if self.member else ""
 
-    def send_copies(self, to: str, batch: MessageBatch) -> None:
-        """Send messages between replicas; called by the replication thread."""
+    def send_replica_messages(self, to: str, batch: MessageBatch) -> None:
+        """Send messages to another member's replicas; called by the replication thread."""
         member = self.member
         if member is not None:
             self.router.send(member, to, batch)
 
-    def tell_leader(self, messages: list[ReplicationMessage]) -> None:
+    def post_to_leader(self, messages: list[ReplicationMessage]) -> None:
         """Send messages to the leader; called by the replication thread."""
         self.queue.put(LeaderMessagesPosted(messages))
 
-    # What the member asks of its host (member_context.Host), in the fleet's thread.
+    # Implementation of member_context.Host, which the member calls in the fleet thread.
 
     def settings_objection(self, settings: dict[str, Any]) -> str:
-        """Return why this balancer could not act on those settings, or an empty string."""
+        """Return why this balancer can't use those settings, or an empty string."""
         return self.check_settings(settings)
 
     def is_ready(self) -> bool | None:
-        """Whether flows that came now would be placed; None where nobody has said."""
+        """Return whether a new flow would be placed now; None if unknown."""
         return self.ready()
 
     def flow_counts(self) -> FlowCounts:
@@ -247,17 +247,17 @@
         return self.served()
 
     def server_report(self) -> ServerReport:
-        """Return what this balancer knows of servers."""
+        """Return this balancer's report on servers."""
         return self.servers()
 
     def wall_ms(self) -> int:
-        """Return the wall clock in milliseconds, for people."""
+        """Return the wall clock time in milliseconds, for records that people read."""
         return self.wall() // MILLISECOND
 
-    # The fleet's thread.
+    # Methods from here on run in the fleet thread.
 
     def run(self) -> None:
-        """Run the member until stopped; begin anew where its disk or its log has failed."""
+        """Run the member until stopped; restart it after its disk or its log has failed."""
         if not self.folder.lock(self._stopping):
             self.ended.set()
             return
@@ -268,8 +268,8 @@
                 self._serve()
                 backoff = MIN_FOLDER_BACKOFF
             except OSError as error:
-                # Nothing is sent after a write that failed: what it covered may be lost. All that
-                # can be read is then written anew and flushed before this member says anything.
+                # Nothing may be sent after a failed write, since its data may be lost. On restart,
+                # all readable data is rewritten and flushed before this member sends anything.
                 self._log_problem("fleet_disk_failed", error.strerror or describe(error))
             except (LogDivergedError, UnreadableEntryError) as error:
                 self._log_problem("fleet_member_stopped", str(error))
@@ -286,7 +286,7 @@
     def _end(self) -> None:
         if self.copies is not None:
             self.copies.stop()
-            # Nothing is written once another process has the folder.
+            # The thread must not write any more once another process may lock the folder.
             self.copies.ended.wait(REPLICATION_END_TIMEOUT)
         self.transport.end()
         self.folder.unlock()
@@ -302,22 +302,22 @@
             reject_call(event, self.problem)
 
     def _log_problem(self, event: str, why: str) -> None:
-        """Log a problem, unless it is the same as before."""
+        """Log a problem, unless it is the same as the last one."""
         if why != self.problem:
             log.error("event=%s folder=%s reason=%s", event, self.table.folder, why)
         self.problem = why
 
     def begin(self) -> None:
-        """Make a member from what the folder holds, or a new one.
+        """Create the member from the folder's contents, or a new member if it has none.
 
         Raises:
             OSError: the disk failed.
-            ForeignFileError: another balancer, or a newer program, wrote there.
+            ForeignFileError: another balancer, or a newer program, has written to the folder.
         """
         try:
             loaded = self.folder.load()
         except DamagedLogError as error:
-            self._give_up_identity(str(error))
+            self._discard_identity(str(error))
             loaded = None
         if loaded is None:
             self._begin_blank()
@@ -349,7 +349,7 @@
                 self._log_problem("fleet_listen_failed", str(error))
                 time.sleep(LOCK_RETRY_PAUSE)
 
-    def _give_up_identity(self, why: str) -> None:
+    def _discard_identity(self, why: str) -> None:
         log.error("event=fleet_identity_given_up reason=%s", why)
         self.data_losses += 1
         self.folder.set_aside()
@@ -372,11 +372,11 @@
         )
         self.inherited_until = self.lease_until
         if self.copies is not None:
-            # Another incarnation holds nothing of what this one held.
+            # A new incarnation holds none of the records of the previous one.
             self.copies.put(IdentityAssigned(member_id, self.boot))
 
     def _running_member(self) -> Member:
-        assert self.member is not None, "set by begin, which comes before any turn"
+        assert self.member is not None, "begin sets the member before any turn"
         return self.member
 
     def _serve(self) -> None:
@@ -385,11 +385,11 @@
             self.turn(take_events(self.queue, wait, MAX_EVENTS_PER_TURN))
 
     def turn(self, events: Iterable[Event]) -> None:
-        """Take over events and what time brings, then carry out what follows.
+        """Process events and due timers, then carry out the effects.
 
         Raises:
             OSError: the disk failed.
-            LogDivergedError, UnreadableEntryError: this member must not go on.
+            LogDivergedError, UnreadableEntryError: this member must not continue.
         """
         member = self._running_member()
         for event in events:
@@ -397,7 +397,7 @@
         member.on_time(self.now())
         self.carry_out(member)
         if self.member is not member:
-            member = self._running_member()  # the one before gave up its identity
+            member = self._running_member()  # the previous member lost its identity
             self.carry_out(member)
         self._renew_lease(member)
         while member.views:
@@ -413,13 +413,13 @@
             return
         before, self.lease_until = self.lease_until, until
         if before <= self.now() < until:
-            self.on_lease()
+            self.on_lease_begun()
 
     def carry_out(self, member: Member) -> None:
-        """Carry out all effects; an identity that is lost is followed by a blank member."""
+        """Carry out all effects of a member; replace it by a blank one if its identity is lost."""
         while (effects := member.take()) is not None:
             if effects.identity_lost:
-                self._give_up_identity(effects.identity_lost)
+                self._discard_identity(effects.identity_lost)
                 self._begin_blank()
                 return
             self._write(member, effects)
@@ -444,8 +444,8 @@
             case ToolFrameReceived(frame=Call() as call):
                 self._on_tool_call(now, member, event, call)
             case CallRequested():
-                span = int(event.span_s * SECOND)
-                member.call(now, event.name, event.args, event.reply, span)
+                timeout = int(event.timeout_s * SECOND)
+                member.call(now, event.name, event.args, event.reply, timeout)
             case VersionApplied():
                 member.on_version_applied(now, event.version)
             case ListReceived():
@@ -462,18 +462,18 @@
     def _on_rejection(self, member: Member, event: ConnectionRejected) -> None:
         if event.rejection.code == "put-back":
             member.give_up_identity(
-                f"{event.to} has seen a later start of this one: its disk was set back"
+                f"{event.to} has seen a later start of this member: its disk was restored"
             )
 
     def _release_leadership(self, now: int, member: Member) -> None:
         if not member.is_leader or member.node is None:
             return
         try:
-            heir = member.node.transfer_leadership(now)
+            successor = member.node.transfer_leadership(now)
         except BusyError as error:
             log.info("event=leadership_kept error=%s", error)
         else:
-            log.info("event=leadership_handed_over to=%s", heir)
+            log.info("event=leadership_handed_over to=%s", successor)
 
     def _on_tool_call(self, now: int, member: Member, event: ToolFrameReceived, call: Call) -> None:
         reply = reply_to(event, call)
@@ -483,8 +483,8 @@
             self.copies.put(StatusRequested(reply))
         else:
             args = dict(call.args)
-            span = int(take_span(args) * SECOND)
-            member.call(now, call.name, args, reply, span)
+            timeout = int(take_span(args) * SECOND)
+            member.call(now, call.name, args, reply, timeout)
 
     def _local_status(self, now: int, member: Member) -> dict[str, Any]:
         return local_status(member) | {
--- a/cypresswalk/fleet/errors.py
+++ b/cypresswalk/fleet/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the fleet."""
+"""Exceptions of the fleet package."""
 
 
 class FleetError(Exception):
-    """Base of the errors that this package raises."""
+    """Base class of the exceptions that this package raises."""
 
 
 class FrameError(FleetError):
-    """The bytes are no frame; the message says why."""
+    """Received bytes are not a valid frame; the message says why."""
 
 
 class UnreadableEntryError(FleetError):
-    """An entry that this program can't read: it must not go on as if it were not there."""
+    """This program can't read an entry of the log, and must not continue without it."""
 
 
 class UncertainOutcomeError(FleetError):
-    """What was asked for may or may not come into force; `show` tells."""
+    """A command may or may not take effect; `show` prints the current state."""
--- a/cypresswalk/fleet/events.py
+++ b/cypresswalk/fleet/events.py
@@ -1,4 +1,4 @@
-"""Events that other threads post to the fleet's thread."""
+"""Events that other threads post to the fleet thread."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class FrameReceived:
-    """A member sent a frame; `hello` is its connection's."""
+    """A member sent a frame; `hello` is the Hello of that connection."""
 
     hello: Hello
     frame: AnyFrame
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class ToolFrameReceived:
-    """A tool sent a frame; `respond` sends it a result."""
+    """A command line tool sent a frame; `respond` sends a result to it."""
 
     hello: Hello
     frame: AnyFrame
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class ConnectionRejected:
-    """The member that was dialled as `to` rejected this one's Hello."""
+    """The member dialled under the id or address `to` rejected this member's Hello."""
 
     to: str
     rejection: HelloRejected
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True)
 class CallRequested:
-    """This process asks the leader; `reply` is called once, within `span_s` seconds."""
+    """This process calls the leader; `reply` is called once, within `timeout_s` seconds."""
 
     name: str
     args: dict[str, Any]
     reply: Callable[[bool, Any], None]
-    span_s: float
+    timeout_s: float
 
 
 @dataclass(slots=True)
 class VersionApplied:
-    """The deciding thread acts on that version now."""
+    """The deciding thread now acts on `version`."""
 
     version: int
 
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class ReplicaCapabilityChanged:
-    """This balancer can hold replicas of keys from now on, or no more."""
+    """This balancer has become able, or unable, to hold replicas of keys."""
 
     holds_replicas: bool
 
@@ -76,12 +76,12 @@
 
 @dataclass(slots=True)
 class LeadershipReleased:
-    """A planned stop: leadership is to go to another member."""
+    """Leadership is to be transferred to another member before a planned stop."""
 
 
 @dataclass(slots=True)
 class StopRequested:
-    """The thread is to end."""
+    """The fleet thread is to end."""
 
 
 Event = (
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Admin commands that the fleet must agree on, or record: drains and servers in or out."""
+"""Admin commands for drains and rotation, which the fleet must agree on or record."""
 
 import time
 import uuid
@@ -14,24 +14,24 @@
 from cypresswalk.net.parsers.endpoint_list import server_number
 
 NANOSECONDS_PER_MS = 1_000_000
-CALL_TIMEOUT = 0.7  # seconds: a caller of the admin address waits one
-RECORD_TIMEOUT = 600.0  # seconds, of calls that nobody waits for
+CALL_TIMEOUT = 0.7  # seconds; callers of the admin address wait 1 s
+RECORD_TIMEOUT = 600.0  # seconds, for calls whose result no caller waits for
 SERVER_COMMANDS = ("set-down", "set-up", "set-down-here", "set-up-here")
 
 
 def ignore_result(ok: bool, body: Any) -> None:
-    """For calls whose result changes nothing here."""
+    """Do nothing; the reply callback of calls whose result is not needed."""
 
 
 def refusal_text(body: Any) -> Any:
-    """Why the fleet said no."""
+    """Return why the fleet refused a call."""
     return body.get("why", body) if isinstance(body, dict) else body
 
 
 class FleetCommands:
-    """Asks the fleet, and replies to the caller once it has answered.
+    """Sends commands to the fleet, and replies to the caller once the fleet has answered.
 
-    Called by the deciding thread.
+    All methods run in the deciding thread.
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         name: str,
         post: Callable[..., None],
     ):
-        """Takes what commands act on.
+        """Store the objects that commands act on.
 
         Args:
-            core: of this balancer.
-            fleet: its part in the fleet.
-            rotation: which servers are out of rotation here.
-            name: this balancer's in the fleet.
-            post: has the deciding thread call a function with the time and more arguments.
+            core: core of this balancer.
+            fleet: driver of this balancer's fleet member.
+            rotation: servers that are out of rotation at this balancer.
+            name: name of this balancer in the fleet.
+            post: makes the deciding thread call a function with the time and the given arguments.
         """
         self.core = core
         self.fleet = fleet
@@ -58,16 +58,17 @@
         self.post = post
 
     def handle_command(self, now: int, call: AdminCommand) -> bool:
-        """Whether the reply comes from here; if not, the core carries the command out by itself."""
+        """Handle a command; return False if the core is to carry it out by itself."""
         if call.name == "drain-on" and not self.core.lifecycle.drained:
-            self.ask_to_drain(call)
+            self.request_drain(call)
         elif call.name == "drain-off" and self.core.lifecycle.drained:
             self.core.commands.run(now, call)
-            # Its place is free once it is seen ready; until then a restart must not drain it again.
+            # Its leave grant ends once the balancer is seen ready. Until then the new reason
+            # prevents a restart from draining it again.
             self.record_leave(CALLED_BACK)
         elif call.name == "drain-on-here":
             self.core.commands.run(now, call)
-            self.record_leave(f"{DRAINED} by force at it alone")
+            self.record_leave(f"{DRAINED} by force at this balancer alone")
         elif call.name in SERVER_COMMANDS:
             self.on_server_command(now, call)
         else:
@@ -75,33 +76,33 @@
         return True
 
     def on_server_command(self, now: int, call: AdminCommand) -> None:
-        """Takes a server out of rotation, or returns it."""
+        """Take a server out of rotation, or return it."""
         if not self.fleet.started.is_set():
             call.answers.put(
                 b"ERR this process has no part in the fleet yet; call another balancer\r\n"
             )
         elif call.name.endswith("-here"):
-            self.force(now, call)
+            self.apply_locally(now, call)
         elif (
             call.name == "set-down" and server_number(call.server) not in self.core.balancer.servers
         ):
             self.core.commands.reply(call, "no list has named that server")
         else:
-            self.ask_about_server(call)
+            self.request_server_change(call)
 
-    def ask_about_server(self, call: AdminCommand) -> None:
-        """Asks the fleet to agree on a server's being out, or in."""
+    def request_server_change(self, call: AdminCommand) -> None:
+        """Ask the fleet to agree to take a server out of rotation or to return it."""
 
         def reply(ok: bool, body: Any) -> None:
-            """Passes the fleet's word on to the deciding thread."""
-            self.post(self.on_server_agreed, call, ok, body)
+            """Pass the fleet's answer to the deciding thread."""
+            self.post(self.on_server_change_answered, call, ok, body)
 
         name = "out" if call.name == "set-down" else "back"
         args = self.command_args(f"{self.name} (call)") | {"server": call.server}
         self.fleet.call(name, args, reply, CALL_TIMEOUT)
 
-    def on_server_agreed(self, now: int, call: AdminCommand, ok: bool, body: Any) -> None:
-        """Acts on the fleet's word and then replies: a yes means that this balancer acts on it."""
+    def on_server_change_answered(self, now: int, call: AdminCommand, ok: bool, body: Any) -> None:
+        """Apply the change if the fleet has agreed, and only then reply to the caller."""
         if not ok:
             self.core.commands.reply(call, f"not agreed: {refusal_text(body)}")
             return
@@ -111,8 +112,8 @@
             self.rotation.restore(now, call.server)
         self.core.commands.reply(call, None)
 
-    def force(self, now: int, call: AdminCommand) -> None:
-        """Acts at this balancer alone, and has the fleet record it as soon as that can be had."""
+    def apply_locally(self, now: int, call: AdminCommand) -> None:
+        """Change rotation at this balancer alone, and have the fleet record it once possible."""
         error, done = self.rotation.force(now, call)
         if done:
             what = f"{call.name} {call.server} at {self.name} alone"
@@ -120,8 +121,8 @@
             self.fleet.call("note", args, ignore_result, RECORD_TIMEOUT)
         self.core.commands.reply(call, error)
 
-    def ask_to_drain(self, call: AdminCommand) -> None:
-        """Asks the fleet's leave: what it grants is used at once or not at all."""
+    def request_drain(self, call: AdminCommand) -> None:
+        """Request a leave grant for a drain; a grant must be used at once or not at all."""
         if not self.fleet.started.is_set():
             call.answers.put(
                 b"ERR this process has no part in the fleet yet; call again in a moment\r\n"
@@ -130,15 +131,15 @@
         asked_at = self.fleet.now()
 
         def reply(ok: bool, body: Any) -> None:
-            """Passes the fleet's word on to the deciding thread."""
-            self.post(self.on_drain_granted, call, asked_at, ok, body)
+            """Pass the fleet's answer to the deciding thread."""
+            self.post(self.on_drain_answered, call, asked_at, ok, body)
 
         self.fleet.call("go_out", self.leave_args(DRAINED, False), reply, CALL_TIMEOUT)
 
-    def on_drain_granted(
+    def on_drain_answered(
         self, now: int, call: AdminCommand, asked_at: int, ok: bool, body: Any
     ) -> None:
-        """Drains if the fleet said yes in time; later the grant may be another's again."""
+        """Drain if the leave was granted in time; later, another balancer may have the slot."""
         if not ok:
             self.core.commands.reply(call, f"not granted: {refusal_text(body)}")
         elif self.fleet.now() - asked_at > LEAVE_WINDOW:
@@ -147,11 +148,11 @@
             self.core.commands.run(now, call)
 
     def record_leave(self, reason: str) -> None:
-        """Has the fleet record that this balancer goes out, or comes back, whatever the bounds."""
+        """Have the fleet record that this balancer goes out or returns, whatever the bounds."""
         self.fleet.call("go_out", self.leave_args(reason, True), ignore_result, RECORD_TIMEOUT)
 
     def leave_args(self, reason: str, forced: bool) -> dict[str, Any]:
-        """Arguments of the fleet's call `go_out`."""
+        """Return the arguments of the fleet call `go_out`."""
         return self.command_args(f"{self.name} (call)") | {
             "member": self.name,
             "why": reason,
@@ -159,7 +160,7 @@
         }
 
     def command_args(self, by: str) -> dict[str, Any]:
-        """What every command to the fleet names: its id, who asks, and when (ms, wall clock)."""
+        """Return the arguments common to all commands: a new id, the author and the time (ms)."""
         return {
             "ident": uuid.uuid4().hex,
             "by": by,
--- a/cypresswalk/fleet/leader.py
+++ b/cypresswalk/fleet/leader.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from cypresswalk.agreement.errors import BusyError
-from cypresswalk.fleet.leader_availability import BalancerDuty, BalancerFigures, ServerDuty
+from cypresswalk.fleet.leader_availability import BalancerDuty, BalancerReport, ServerDuty
 from cypresswalk.fleet.leader_membership import MembershipDuty
 from cypresswalk.fleet.leader_releases import ReleaseDuty
 from cypresswalk.fleet.leader_replicas import ReplicaDuty
@@ -22,25 +22,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRead:
-    """A read token: a member's lease request that is granted once the read is certain."""
+    """A read token for a member's lease request, which is granted once the read is confirmed."""
 
     member: str
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class ActingVersion:
-    """The version that a member acts on, and when it was first heard to, in nanoseconds."""
+class AppliedVersion:
+    """The version that a member acts on, and the time of its first report of it, in nanoseconds."""
 
     version: int
     since: int
 
 
 class LeaderDuties:
-    """What a leader knows and does.
+    """The state and the periodic duties of a leader.
 
-    Made anew whenever the member begins or ceases to lead, so nothing of an earlier time is
-    believed. Those of a member that does not lead are idle and have no `grants`.
+    The object is recreated whenever the member gains or loses leadership, so that no outdated
+    information is used. Without leadership the duties are idle and `grants` is None.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         own_settings: dict[str, Any] | None,
         placement: ReplicaPlacement | None,
     ):
-        """Begin as the leader if the member leads at `now` (nanoseconds)."""
+        """Begin a time of leading if the member is the leader at `now` (nanoseconds)."""
         self.context = context
         self.grants: LeaseGrants | None = None
         if context.is_leader:
             self.grants = LeaseGrants(context.config.max_contradiction, now)
         self.run_at = now
-        # By member's id.
-        self.acting: dict[str, ActingVersion] = {}
+        # By member id.
+        self.acting: dict[str, AppliedVersion] = {}
         self.data_losses: dict[str, int] = {}
         self.settings = SettingsDuty(context, self.grants, own_settings)
         self.endpoint_list = EndpointListDuty(context)
@@ -68,9 +68,9 @@
         self.releases = ReleaseDuty(context, self.balancers, self.servers)
 
     def run(self, now: int) -> None:
-        """Carry out all duties, up to the first that the log has no room for; the rest wait."""
+        """Carry out the duties in order; if the log is busy, the rest wait for the next run."""
         self.run_at = now + DUTY_INTERVAL
-        with suppress(BusyError):  # at the next run
+        with suppress(BusyError):  # retried at the next run
             self.settings.run(now)
             self.endpoint_list.run(now)
             self.membership.run(now)
@@ -81,44 +81,44 @@
             self.releases.run(now)
 
     def all_act_on(self, version: int, now: int) -> bool:
-        """Whether every balancer acts on that version or a later one, or acts no more."""
-        return self.grants is not None and not self.members_below(version, now)
+        """Return whether no balancer may still act on a version older than `version`."""
+        return self.grants is not None and not self.outdated_members(version, now)
 
-    def members_below(self, version: int, now: int) -> list[str]:
-        """Return the members that may still act on an older version; none known without grants."""
+    def outdated_members(self, version: int, now: int) -> list[str]:
+        """Return the members that may still act on an older version; empty without grants."""
         if self.grants is None:
             return []
         ids = [member.id for member in self.context.members]
-        return self.grants.may_act_below(now, version, ids)
+        return self.grants.possibly_outdated(now, version, ids)
 
     def on_lease_request(self, now: int, source: str, request: LeaseRequest) -> None:
-        """Take over what a member reports, and grant its lease once a majority is heard."""
+        """Store a member's report, and grant its lease once a majority confirms the leadership."""
         if not self.context.is_leader or not self.context.is_member(source):
             return
-        self._note_report(now, source, request)
-        with suppress(BusyError):  # it asks again
+        self._store_report(now, source, request)
+        with suppress(BusyError):  # the member retries
             self.context.raft.read_index(now, LeaseRead(source, request.number))
 
-    def _note_report(self, now: int, source: str, request: LeaseRequest) -> None:
-        assert self.grants is not None, "made with the duties once the member leads"
+    def _store_report(self, now: int, source: str, request: LeaseRequest) -> None:
+        assert self.grants is not None, "a leader's duties have grants"
         self.grants.on_version(source, request.version)
         acting = self.acting.get(source)
         if acting is None or acting.version != request.version:
-            self.acting[source] = ActingVersion(request.version, now)
+            self.acting[source] = AppliedVersion(request.version, now)
         if request.proposal_id:
             self.settings.objections[source] = request.proposal_id, request.objection
         self.endpoint_list.received[source] = request.generation, request.digest
         self.data_losses[source] = request.data_losses
         if self.replicas is not None:
             self.replicas.placement.on_capability(source, request.holds_replicas)
-        figures = BalancerFigures(ServedCounts(*request.flow_counts), now, request.boot)
+        figures = BalancerReport(ServedCounts(*request.flow_counts), now, request.boot)
         self.balancers.figures[name_of(source)] = figures
         self.balancers.tracker.on_readiness(now, source, request.ready, request.last_lease)
         report = request.servers
         self.servers.observations.on_report(now, source, request.version, report)
 
     def grant_lease(self, now: int, read: LeaseRead) -> bool:
-        """Note that the lease is granted; False where this member leads no more."""
+        """Record that the lease is granted; return False if this member is no longer the leader."""
         if self.grants is None:
             return False
         self.grants.grant(now, read.member)
--- a/cypresswalk/fleet/leader_availability.py
+++ b/cypresswalk/fleet/leader_availability.py
@@ -1,4 +1,4 @@
-"""The leader's knowledge of which balancers and servers are out, and its duties towards them.
+"""The leader's record of the balancers and servers that are out, and its duties for them.
 
 No I/O, no clock.
 """
@@ -16,13 +16,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BalancerFigures:
-    """What a balancer last reported of itself.
+class BalancerReport:
+    """A balancer's latest report on itself.
 
     Attributes:
-        served: its flow counts.
-        received_at: nanoseconds.
-        boot: how often it has started under its identity.
+        served: flow counts of its process.
+        received_at: time of receipt, nanoseconds.
+        boot: number of its starts under its identity.
     """
 
     served: ServedCounts
@@ -31,27 +31,29 @@
 
 
 class BalancerDuty:
-    """Which balancers are out, and when their leave grants end."""
+    """Tracks which balancers are out, and ends their leave grants."""
 
     def __init__(self, context: MemberContext, grants: LeaseGrants | None):
         """Begin with nothing known."""
         self.context = context
         self.grants = grants
         self.tracker = UnavailabilityTracker(context.config.max_contradiction)
-        # By name.
-        self.figures: dict[str, BalancerFigures] = {}
+        # By balancer name.
+        self.figures: dict[str, BalancerReport] = {}
 
     def unavailable(self, now: int) -> dict[str, str]:
-        """Return the names of balancers that are out, with the reason."""
+        """Return the balancers that are out, by name, each with the reason."""
         context, grants = self.context, self.grants
-        unheard = {m.id for m in context.members if not context.hears(now, m.id)}
-        # A member that leads no more knows of nobody's lease.
-        lapsed = {member for member in unheard if grants is not None and grants.lapsed(now, member)}
+        unreachable = {m.id for m in context.members if not context.hears(now, m.id)}
+        # Without leadership, the state of the members' leases is unknown.
+        lapsed = {
+            member for member in unreachable if grants is not None and grants.lapsed(now, member)
+        }
         departed = context.state.departed
-        return self.tracker.unavailable(now, context.members, departed, unheard, lapsed)
+        return self.tracker.unavailable(now, context.members, departed, unreachable, lapsed)
 
     def run(self, now: int) -> None:
-        """End the next leave grant that is over; raises BusyError where the log takes nothing."""
+        """End the next leave grant that is over; raise BusyError if the log is busy."""
         context = self.context
         grants = context.state.leave_grants
         release = context.state.release
@@ -69,7 +71,7 @@
 
 
 class ServerDuty:
-    """Which servers are out, and which of the returning ones have been seen ready."""
+    """Tracks which servers are out, and records returning ones that have been seen ready."""
 
     def __init__(self, context: MemberContext, grants: LeaseGrants | None):
         """Begin with nothing known."""
@@ -78,22 +80,22 @@
         self.observations = ServerObservations(context.config.max_contradiction)
 
     def unhealthy(self, now: int) -> dict[str, str]:
-        """Return the servers that balancers find unhealthy, as far as is known, with the reason."""
+        """Return the servers that balancers are known to find unhealthy, each with the reason."""
         return self.observations.unhealthy(now, self.context.remaining_ids())
 
     def is_conclusive(self, now: int) -> bool:
-        """Whether enough balancers have reported lately."""
+        """Return whether enough balancers have reported recently."""
         return self.observations.conclusive(now, self.context.remaining_ids())
 
     def unhealthy_for_bound(self, now: int) -> dict[str, str]:
-        """Like `unhealthy`; raises BusyError where a bound rests on too few reports."""
+        """Return the same as `unhealthy`; raise BusyError if a bound depends on too few reports."""
         bounds = self.context.state.settings.get("bounds", {})
         if not self.is_conclusive(now) and bounds.get("servers"):
             raise BusyError(INCONCLUSIVE_REASON)
         return self.unhealthy(now)
 
     def open_flows(self, now: int, server: str) -> int | None:
-        """Return a server's flows over all balancers that may act; None where one has not said."""
+        """Return a server's flows at all balancers that may act; None without all reports."""
         acting = {
             member
             for member in self.context.remaining_ids()
@@ -102,7 +104,7 @@
         return self.observations.open_flows(now, acting, server)
 
     def run(self, now: int) -> None:
-        """Record returning servers that were seen ready; raises BusyError where the log is busy."""
+        """Record returning servers that were seen ready; raise BusyError if the log is busy."""
         context = self.context
         members = context.remaining_ids()
         self.observations.retain(members)
--- a/cypresswalk/fleet/leader_calls.py
+++ b/cypresswalk/fleet/leader_calls.py
@@ -1,4 +1,4 @@
-"""Calls that the leader carries out: queries, commands, and waiting until all act on a version.
+"""Calls that the leader carries out: queries, commands, and waits for all to act on a version.
 
 No I/O, no clock.
 """
@@ -21,14 +21,14 @@
 from cypresswalk.fleet.leader import LeaderDuties
 from cypresswalk.fleet.results import CommandResult
 
-MAX_PENDING_CALLS = 1000  # that wait here at a time
+MAX_PENDING_CALLS = 1000  # at a time
 
 Reply = Callable[[bool, Any], None]
 
 
 @dataclass(frozen=True, slots=True)
 class QueryRead:
-    """A read token: a query that is answered once the read is certain."""
+    """A read token for a query, which is answered once the read is confirmed."""
 
     name: str
     args: dict[str, Any]
@@ -36,41 +36,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettleWait:
-    """A call that waits until all act on `version`, until the time `until`."""
+class VersionWait:
+    """A call that waits until all balancers act on `version`, at most until `deadline`."""
 
     version: int
-    until: int
+    deadline: int
     reply: Reply
 
 
 class LeaderCalls:
-    """Carries out calls for one time of leading, or of not leading; made anew with `LeaderDuties`.
+    """Carries out calls during one period with or without leadership.
 
-    A reply whose body has `again` means that the caller is to ask whoever leads by then.
+    Recreated with `LeaderDuties`. A reply whose body has `again` set tells the caller to retry the
+    call at the current leader.
     """
 
     def __init__(self, duties: LeaderDuties):
-        """Begin with no call."""
+        """Begin without calls."""
         self.duties = duties
         self.context = duties.context
-        # Who waits for the result of a command, by its id; "end:" and its id for the end of a
-        # proposal.
-        self._waiting: dict[str, list[Reply]] = {}
-        self._settling: list[SettleWait] = []
+        # Callers that wait for a result: by the command's id for its result, by "end:" and the id
+        # for the decision on proposed settings.
+        self._result_waiters: dict[str, list[Reply]] = {}
+        self._version_waits: list[VersionWait] = []
 
     def next_timeout(self) -> int | None:
-        """Return when the next wait ends at the latest."""
-        return min((wait.until for wait in self._settling), default=None)
+        """Return the earliest deadline of a wait, or None without waits."""
+        return min((wait.deadline for wait in self._version_waits), default=None)
 
     def abandon(self) -> None:
-        """Another time of leading begins: who waits for all to act on a version must ask again."""
-        settling, self._settling = self._settling, []
-        for wait in settling:
-            wait.reply(False, {"why": "another leads now; ask again", "again": True})
+        """Make all callers that wait for a version retry, since leadership has changed."""
+        waits, self._version_waits = self._version_waits, []
+        for wait in waits:
+            wait.reply(False, {"why": "the leader has changed; retry", "again": True})
 
     def handle(self, now: int, name: str, args: dict[str, Any], reply: Reply) -> None:
-        """Carry out a call; `reply` may be called at once or later, or never if leadership ends."""
+        """Carry out a call; `reply` is called at once or later, or never if leadership ends."""
         try:
             self._handle(now, name, args, reply)
         except BusyError as error:
@@ -83,38 +84,38 @@
         if name in queries.QUERIES or name == "turn":
             self.context.raft.read_index(now, QueryRead(name, args, reply))
         elif name == "copies_renew":
-            self._renew_partitions(now, args, reply)
+            self._recreate_partitions(now, args, reply)
         elif name == "settled":
-            if len(self._settling) >= MAX_PENDING_CALLS:
-                raise BusyError("too many calls wait")
-            until = now + 2 * self.context.config.max_contradiction
-            self._settling.append(SettleWait(int(args["version"]), until, reply))
+            if len(self._version_waits) >= MAX_PENDING_CALLS:
+                raise BusyError("too many pending calls")
+            deadline = now + 2 * self.context.config.max_contradiction
+            self._version_waits.append(VersionWait(int(args["version"]), deadline, reply))
         else:
             self._propose(now, command_of_call(self.duties, now, name, args), reply)
 
-    def _renew_partitions(self, now: int, args: dict[str, Any], reply: Reply) -> None:
+    def _recreate_partitions(self, now: int, args: dict[str, Any], reply: Reply) -> None:
         partitions, by = [int(part) for part in args["parts"]], str(args["by"])
         if self.duties.replicas is None:
-            raise ValueError("no copies are kept here")
-        reply(True, {"why": self.duties.replicas.renew(now, partitions, by)})
+            raise ValueError("this balancer keeps no copies")
+        reply(True, {"why": self.duties.replicas.recreate_partitions(now, partitions, by)})
 
     def _propose(self, now: int, command: AnyCommand, reply: Reply) -> None:
         known = self.context.machine.results.get(command.ident)
         if known is not None:
             self._answer(command, known, reply)
             return
-        waiting = self._waiting.setdefault(command.ident, [])
+        waiting = self._result_waiters.setdefault(command.ident, [])
         waiting.append(reply)
         if len(waiting) > 1:
             return
         try:
             self.context.propose(now, command)
         except BusyError:
-            del self._waiting[command.ident]
+            del self._result_waiters[command.ident]
             raise
 
     def _answer(self, command: AnyCommand, result: CommandResult, reply: Reply) -> None:
-        """Answer with the result; a proposal of settings is answered once it is decided."""
+        """Reply with the result; for proposed settings, wait until the proposal is decided."""
         if isinstance(command, ProposeSettings) and result == (True, "pending"):
             results = self.context.machine.results
             activated = results.get(f"activate:{command.ident}")
@@ -124,7 +125,7 @@
             elif rejected is not None:
                 result = CommandResult(False, rejected.message)
             else:
-                self._waiting.setdefault(f"end:{command.ident}", []).append(reply)
+                self._result_waiters.setdefault(f"end:{command.ident}", []).append(reply)
                 return
         self._reply(reply, result)
 
@@ -133,20 +134,20 @@
         reply(result.accepted, {"why": result.message, "version": version})
 
     def on_applied(self, command: AnyCommand, result: CommandResult) -> None:
-        """Answer those that wait for a command that was applied."""
-        for reply in self._waiting.pop(command.ident, ()):
+        """Answer the callers that wait for the result of an applied command."""
+        for reply in self._result_waiters.pop(command.ident, ()):
             self._answer(command, result, reply)
 
     def on_proposal_decided(
         self, command: ActivateSettings | RejectSettings, result: CommandResult
     ) -> None:
-        """Answer those that wait for the end of a proposal."""
+        """Answer the callers that wait for the decision on proposed settings."""
         accepted = result.accepted and isinstance(command, ActivateSettings)
-        for reply in self._waiting.pop(f"end:{command.proposal_id}", ()):
+        for reply in self._result_waiters.pop(f"end:{command.proposal_id}", ()):
             self._reply(reply, CommandResult(accepted, result.message))
 
     def on_read(self, now: int, read: QueryRead) -> None:
-        """Answer a query: nothing agreed before it was asked is missing here."""
+        """Answer a query from a state that includes all that was agreed before the query."""
         if read.name == "turn":
             member = str(read.args.get("member", ""))
             read.reply(True, queries.turn(self.duties, now, member))
@@ -154,14 +155,14 @@
             read.reply(True, queries.QUERIES[read.name](self.duties, now))
 
     def check_settled(self, now: int) -> None:
-        """Answer those that wait until all act on a version, where they do or time is up."""
-        settling, self._settling = self._settling, []
-        for wait in settling:
-            below = self.duties.members_below(wait.version, now)
-            if self.duties.grants is not None and not below:
+        """Answer each wait whose version all balancers act on, or whose deadline has passed."""
+        waits, self._version_waits = self._version_waits, []
+        for wait in waits:
+            outdated = self.duties.outdated_members(wait.version, now)
+            if self.duties.grants is not None and not outdated:
                 wait.reply(True, {"version": wait.version})
-            elif now >= wait.until:
-                why = "may act on an older version still: " + ", ".join(below)
+            elif now >= wait.deadline:
+                why = "may still act on an older version: " + ", ".join(outdated)
                 wait.reply(False, {"why": why, "unsure": False})
             else:
-                self._settling.append(wait)
+                self._version_waits.append(wait)
--- a/cypresswalk/fleet/leader_membership.py
+++ b/cypresswalk/fleet/leader_membership.py
@@ -1,4 +1,4 @@
-"""The leader's duty to bring the group's members towards the desired ones. No I/O, no clock."""
+"""The leader's duty to change the group's members to the desired ones. No I/O, no clock."""
 
 from cypresswalk.agreement.messages import Member, Members
 from cypresswalk.fleet.commands import SetDesiredMembers
@@ -6,42 +6,42 @@
 from cypresswalk.fleet.messages import DiscoveryRequest
 from cypresswalk.fleet.unavailability import name_of
 
-MAX_MEMBERS = 207  # seven voters and two hundred that follow
-MAX_LAG = 16  # entries that a member may lack and count as caught up
+MAX_MEMBERS = 207  # 7 voters and 200 followers without a vote
+MAX_LAG = 16  # entries that a member which counts as caught up may lack
 
 
 class MembershipDuty:
-    """Lets balancers join, and changes who votes, one step at a time (Raft dissertation, 4.1)."""
+    """Adds balancers and changes the voters, one step at a time (Raft dissertation, 4.1)."""
 
     def __init__(self, context: MemberContext):
-        """Begin with nobody that wants to join."""
+        """Begin without join requests."""
         self.context = context
-        # Who wants in, by name: when it asked, and its request.
+        # Join requests and their times of arrival, by balancer name.
         self._joining: dict[str, tuple[int, DiscoveryRequest]] = {}
 
     def request_join(self, now: int, request: DiscoveryRequest) -> str:
-        """Note that a balancer wants in; return why it may not, or an empty string."""
+        """Store a balancer's request to join; return why it may not join, or an empty string."""
         context = self.context
         name = name_of(request.id)
         if name in context.state.departed:
-            return "it has left the fleet; `fleet join` lets it in again"
+            return "it has left the fleet; `fleet join` allows it to join again"
         if len(context.members) >= MAX_MEMBERS:
             return f"the fleet has {MAX_MEMBERS} members"
         for member in context.members:
             peer = context.raft.peers.get(member.id)
-            # Two processes of one name would replace each other in turn.
+            # Two processes with one name would replace each other again and again.
             if (
                 member.name == name
                 and peer is not None
                 and peer.acknowledged_round
                 and now - peer.heard_at < FRESH
             ):
-                return "a balancer of that name is heard still"
+                return "a balancer with that name is still in contact with the leader"
         self._joining[name] = now, request
         return ""
 
     def run(self, now: int) -> None:
-        """Take the next step; raises BusyError where the log takes nothing now."""
+        """Take the next step; raise BusyError if the log is busy."""
         context = self.context
         members = context.members
         if not context.state.voters:
@@ -65,12 +65,12 @@
         context.propose(now, command)
 
     def _next_members(self, now: int, members: Members) -> Members | None:
-        newest = {member.name: member for member in members}  # of several incarnations the latest
+        newest = {member.name: member for member in members}  # the latest incarnation of each
         leaving = self._leaving(now, members, newest)
         if any(not member.voter for member in leaving):
             return tuple(member for member in members if member.voter or member not in leaving)
-        # All that wait at once: a change goes to every member, and two hundred that start together
-        # would make two hundred changes.
+        # Add all joining balancers in one change, since each change is sent to every member: 200
+        # balancers that start together would otherwise cause 200 changes.
         joining = self._take_joining(now, members)
         if joining:
             return (*members, *joining)
@@ -83,9 +83,9 @@
         return None
 
     def _leaving(self, now: int, members: Members, newest: dict[str, Member]) -> list[Member]:
-        """Return members that are to go.
+        """Return the members to remove.
 
-        A follower that holds replicas stays until they have been placed elsewhere.
+        A follower that holds replicas is kept until they have been placed elsewhere.
         """
         state = self.context.state
         holders = {holder for _, replicas in state.partitions.values() for holder in replicas}
@@ -122,9 +122,9 @@
     def _member_to_demote(
         self, members: Members, newest: dict[str, Member], leaving: list[Member]
     ) -> Member | None:
-        """Return a voter that is to vote no more.
+        """Return a voter whose vote is to be removed.
 
-        It goes once all desired voters vote, or at once where it was told to leave.
+        It loses its vote once all desired voters vote, or at once if it is to leave the fleet.
         """
         desired = self.context.state.voters
         voting = {m.name for m in members if m.voter and newest[m.name] is m}
--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -1,4 +1,4 @@
-"""The leader's duty towards the release under way. No I/O, no clock."""
+"""The leader's duty to drive the current release. No I/O, no clock."""
 
 from cypresswalk.fleet.commands import (
     AnyCommand,
@@ -19,17 +19,17 @@
 
 
 class ReleaseDuty:
-    """Feeds `ReleaseControl` with what is known and proposes what it decides."""
+    """Passes the situation to `ReleaseControl` and proposes the commands that it decides on."""
 
     def __init__(self, context: MemberContext, balancers: BalancerDuty, servers: ServerDuty):
-        """Begin with nothing observed."""
+        """Begin without observations."""
         self.context = context
         self.balancers = balancers
         self.servers = servers
         self.control = ReleaseControl()
 
     def run(self, now: int) -> None:
-        """Take the next step; raises BusyError where too little is known or the log is busy."""
+        """Take the next step; raise BusyError if too little is known or the log is busy."""
         context = self.context
         release = context.state.release
         if release is None or not context.has_committed_in_term():
--- a/cypresswalk/fleet/leader_replicas.py
+++ b/cypresswalk/fleet/leader_replicas.py
@@ -8,29 +8,31 @@
 from cypresswalk.fleet.member_context import MemberContext
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
 
-MAX_RETRY_AFTER = 20  # times the longest attempt timeout: what a client may ask for (net/core.py)
+# The longest attempt timeout that a client may request, as a multiple of the longest `giveUp`
+# (net/core.py).
+MAX_REQUESTED_TIMEOUTS = 20
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 class ReplicaDuty:
-    """Feeds `ReplicaPlacement` with what is known and proposes what it decides."""
+    """Passes the state to `ReplicaPlacement` and proposes the placements that it decides on."""
 
     def __init__(self, context: MemberContext, placement: ReplicaPlacement):
-        """Begin to place; `placement` has been reset for this time of leading."""
+        """Begin a time of leading; `placement` has been reset for it."""
         self.context = context
         self.placement = placement
 
     def on_messages(self, now: int, source: str, messages: Iterable[Any]) -> None:
-        """Take over what a member reports about its replicas."""
+        """Process a member's reports about its replicas."""
         partitions = self.context.state.partitions
         for message in messages:
             self.placement.on_message(now, source, message, partitions)
 
     def run(self, now: int) -> None:
-        """Take the next steps; raises BusyError where the log takes nothing now."""
+        """Take the next steps; raise BusyError if the log is busy."""
         context = self.context
         if not context.has_committed_in_term():
-            return  # what earlier leaders agreed on is not all known here
+            return  # entries that earlier leaders committed may still be unknown here
         state = context.state
         proposals, messages = self.placement.next_steps(
             now,
@@ -45,34 +47,37 @@
         if proposals:
             context.propose(now, PlaceReplicas(*context.command_header("place"), proposals))
 
-    def renew(self, now: int, partitions: list[int], by: str) -> str:
-        """Let partitions without any replica begin empty, by an operator's word.
+    def recreate_partitions(self, now: int, partitions: list[int], by: str) -> str:
+        """Recreate lost partitions as empty ones, on an operator's request.
 
-        Keys that were claimed there may run again. Returns the answer for the operator.
+        Requests whose keys were reserved there may run a second time.
+
+        Returns:
+            The answer for the operator.
 
         Raises:
-            ValueError: a partition has replicas, or none was named.
-            BusyError: the log takes nothing now.
+            ValueError: a partition still has replicas, or no partition was given.
+            BusyError: the log is busy.
         """
         with_replicas = [p for p in partitions if p not in self.placement.unreachable]
         if with_replicas:
             raise ValueError(f"parts {with_replicas} have copies")
         if not partitions:
-            raise ValueError("no part named")
+            raise ValueError("no part given")
         header = self.context.command_header("renew", by)
-        note = f"copies begun anew with nothing: {partitions}"
+        note = f"copies recreated empty: {partitions}"
         self.context.propose(now, AddNote(*header, note))
         self.placement.renewed.update(partitions)
-        return f"{len(partitions)} parts begin anew"
+        return f"{len(partitions)} parts are recreated empty"
 
 
 def max_key_retention(settings: dict[str, Any]) -> int:
-    """Return the longest time for which a key is kept under these settings.
+    """Return the longest time for which a key is kept under these settings, in nanoseconds.
 
-    In nanoseconds, with the difference of wall clocks on both sides.
+    It includes the maximum skew of wall clocks in both directions.
     """
     service_types = settings.get("serviceTypes") or []
     window_ms = max((float(kind.get("window", 0.0)) for kind in service_types), default=0.0)
     timeout_ms = max((float(kind.get("giveUp", 0.0)) for kind in service_types), default=0.0)
-    longest_ms = window_ms + (MAX_RETRY_AFTER + 1) * timeout_ms
+    longest_ms = window_ms + (MAX_REQUESTED_TIMEOUTS + 1) * timeout_ms
     return int(longest_ms * NANOSECONDS_PER_MILLISECOND) + 2 * MAX_CLOCK_SKEW
--- a/cypresswalk/fleet/lease_client.py
+++ b/cypresswalk/fleet/lease_client.py
@@ -1,21 +1,21 @@
-"""A member's own lease: when to request one, and what it tells the leader with that. No clock."""
+"""A member's lease: when to request it, and the report sent with each request. No clock."""
 
 from cypresswalk.fleet.leases import HeldLease
 from cypresswalk.fleet.member_context import MemberContext
 from cypresswalk.fleet.messages import LeaseGrant, LeaseRequest
 
 MAX_OBJECTION_LENGTH = 300  # characters
-# The next lease is requested after `max_contradiction` divided by these.
-RENEWAL_DIVISOR = 4  # while one is held
-RETRY_DIVISOR = 20  # without one
-JITTER_DIVISOR = 4  # up to the wait divided by this is drawn off it
+# The next lease is requested after `max_contradiction` divided by one of these.
+RENEWAL_DIVISOR = 4  # while a lease is held
+RETRY_DIVISOR = 20  # without a lease
+JITTER_DIVISOR = 4  # a random share of up to the wait divided by this is subtracted from it
 
 
 class LeaseClient:
-    """Requests leases and knows until when the deciding thread may act."""
+    """Requests leases, and computes until when the deciding thread may act."""
 
     def __init__(self, context: MemberContext, now: int, acts_on: int):
-        """Hold no lease; `acts_on` is the version that the deciding thread acts on."""
+        """Begin without a lease; `acts_on` is the version that the deciding thread acts on."""
         self.context = context
         self.lease = HeldLease(context.config.max_contradiction, now)
         self.request_at = now
@@ -23,11 +23,11 @@
         self.holds_replicas = False
 
     def valid_until(self) -> int:
-        """Return until when the deciding thread may act on its version; 0 for not at all."""
+        """Return until when the deciding thread may act on its version; 0 if it may not act."""
         return self.lease.valid_until(self.acts_on)
 
     def next_request(self, now: int) -> LeaseRequest | None:
-        """Return a request for the leader, if one is known, and set the time of the next."""
+        """Return a request if a leader is known, and set the time of the next request."""
         context = self.context
         held = now < self.valid_until()
         divisor = RENEWAL_DIVISOR if held else RETRY_DIVISOR
@@ -57,11 +57,11 @@
         )
 
     def on_grant(self, now: int, grant: LeaseGrant) -> None:
-        """Take over a lease that was granted."""
+        """Process a granted lease."""
         self.lease.on_grant(grant.number, grant.version)
 
     def on_version_applied(self, now: int, version: int) -> None:
-        """The deciding thread acts on that version now; the leader hears of it at once."""
+        """Note that the deciding thread now acts on `version`; the leader is informed at once."""
         if version > self.acts_on:
             self.acts_on = version
             self.request_at = now
