--- a/tests/binding_helpers.py
+++ b/tests/binding_helpers.py
@@ -1,4 +1,4 @@
-"""A core that is bound to what a fleet agrees, and no fleet behind it."""
+"""A core with a fleet binding whose fleet is replaced by the test."""
 
 import json
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class FleetCall(NamedTuple):
-    """A call that the binding has made to the fleet."""
+    """A call from the binding to the fleet."""
 
     name: str
     arguments: dict[str, Any]
@@ -31,17 +31,17 @@
 
 
 class BindingHarness:
-    """A core that knows servers from its own list, and the binding; the test is the fleet."""
+    """A core with servers from its own list, and its binding; the test plays the fleet."""
 
     def __init__(self, folder: Path, *entries: dict[str, Any], copies: dict | None = None):
-        """A core whose own list has the entries; `copies` is the operator file's table."""
+        """Build the core from `entries` of its own list; `copies` is for the operator file."""
         file = folder / "config.json"
         file.write_text(json.dumps(config_data(entries)))
         config = build({"PROXY_CONFIG": str(file)}, config_data(entries))
         self.now = START
         self.drivers = RecordingDrivers()
-        self.posted: list[tuple] = []  # to the deciding thread: a function and its arguments
-        self.reported_lists: list[tuple] = []  # own lists, as told to the fleet
+        self.posted: list[tuple] = []  # functions posted to the deciding thread, with arguments
+        self.reported_lists: list[tuple] = []  # own lists, as reported to the fleet
         self.fleet_calls: list[FleetCall] = []
         self.core = Core(config, self.drivers, Counters(), self.now)
         self.decoder = EndpointListDecoder(config.zones)
@@ -60,7 +60,7 @@
         self.binding = CoreBinding(
             table, config, self.core, lambda *what: self.posted.append(what), lambda: self.decoder
         )
-        fleet: Any = self.binding.fleet  # some of whose methods the test takes the place of
+        fleet: Any = self.binding.fleet  # Any, since the test replaces some of its methods
         fleet.on_list_received = lambda *what: self.reported_lists.append(what)
         fleet.call = self.record_fleet_call
         fleet.started.set()
@@ -70,53 +70,53 @@
     def record_fleet_call(
         self, name: str, arguments: dict[str, Any], reply: Callable[..., None], timeout: float
     ) -> None:
-        """Takes the place of the fleet's call."""
+        """Record a call to the fleet; replaces `FleetThread.call`."""
         self.fleet_calls.append(FleetCall(name, arguments, reply))
 
     def answer_fleet_call(self, agreed: bool, body: dict[str, Any]) -> None:
-        """The fleet answers the latest call."""
+        """Answer the latest call to the fleet, and process the answer."""
         self.fleet_calls[-1].reply(agreed, body)
         self.process_posted()
 
     def process_posted(self) -> None:
-        """The deciding thread does what was posted last."""
+        """Call the function that was posted last to the deciding thread."""
         function, *args = self.posted.pop()
         function(self.now, *args)
 
     def update_own_list(
         self, generation: int, *entries: dict[str, Any], reset: bool = False
     ) -> None:
-        """The balancer's own list says something else."""
+        """Deliver an update of the balancer's own list."""
         message = {"generation": generation, "reset": reset, "instances": list(entries)}
         self.core.on_endpoints(self.now, *self.decoder.decode(message))
 
     def apply_view(self, version: int, **changes: Any) -> None:
-        """The fleet has agreed on something else."""
+        """Apply a new version of the agreed state; `changes` are fields of its view."""
         view: dict[str, Any] = dict(
             settings_version=0, settings={}, servers_out=(), list_version=0, servers=()
         )
         self.binding.apply_view(self.now, AppliedView(version, **view | changes))
 
     def server(self, name: str) -> Server:
-        """The server of that name."""
+        """Return the server named `name`."""
         return self.core.balancer.servers[server_number(name)]
 
     def state(self, name: str) -> ServerState:
-        """The state of the server of that name."""
+        """Return the state of the server named `name`."""
         return self.server(name).state
 
     def server_report(self) -> ServerReport:
-        """What the fleet is told of the servers."""
+        """Return the report on servers that the fleet gets."""
         return self.binding.observations.server_report()
 
     def call(self, name: str, server: str = "") -> AdminCommand:
-        """An operator's call."""
+        """Send an operator's command to the core."""
         command = AdminCommand(name, server)
         self.core.commands.on_command(self.now, command)
         return command
 
     def open(self, flow_id: str, kind: str = "view") -> Session:
-        """A client opens a flow."""
+        """Open a flow for a client."""
         session = Session(NO_CLIENT)
         line = f"OPEN {flow_id} {flow_id.encode().hex()} c={kind},t=north,d=900"
         self.core.on_open(self.now, session, parse_open_request(line.encode()))
@@ -124,17 +124,17 @@
         return session
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt ends; what follows from it is not decided yet."""
+        """End an attempt; decisions that follow from it are not carried out yet."""
         self.drivers.close_attempt(attempt)
         self.core.on_attempt_ended(self.now, attempt, outcome)
 
     def pass_time(self, span: int) -> None:
-        """Time passes; what is due happens once, at its end."""
+        """Let time pass; due timers run once, at the end."""
         self.now += span
         self.core.timers.run_due(self.now)
         self.core.carry_out_decisions(self.now)
 
 
 def agreed_entry(name: str, state: str = "ready", since: int = 0) -> tuple:
-    """A server's entry in the agreed list."""
+    """Return a server's entry in the agreed list."""
     return (name, 0, 1, state, 1.0, since)
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -1,6 +1,6 @@
-"""Agreed state applied to a core: two lists at once, settings that change, servers out of rotation.
+"""Applying agreed state to a core: the merge of both endpoint lists, settings, and rotation.
 
-Idempotency keys that are reserved before a flow is placed are in test_reservation_gate.py.
+Reservations of idempotency keys before a flow is placed are tested in test_reservation_gate.py.
 """
 
 import copy
@@ -23,19 +23,19 @@
 ERROR = b"ERR\r\n"
 
 
-def test_stricter_of_two_lists_counts_and_the_own_list_alone_loosens_nothing(tmp_path):
+def test_more_restrictive_of_both_lists_applies_and_the_own_list_lifts_no_restriction(tmp_path):
     harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
     harness.update_own_list(5, listed("s-1"), listed("s-2"), listed("s-3"), reset=True)
     assert [generation for generation, *_ in harness.reported_lists] == [5]
     assert len(harness.reported_lists[0][2]) == 3
     agreed = (agreed_entry("s-1"), agreed_entry("s-2", "draining"), agreed_entry("s-4"))
     harness.apply_view(1, list_version=1, servers=agreed)
-    # Its own list is behind: it still has s-2 in service, and s-3 is not agreed.
+    # The own list lags behind: s-2 is still in service there. s-3 is not in the agreed list.
     assert harness.state("s-1") is ServerState.READY
     assert harness.state("s-2") is ServerState.DRAINING
     assert harness.state("s-3") is ServerState.GONE
     harness.update_own_list(6, listed("s-1", lifecycle="terminating"))
-    assert harness.state("s-1") is ServerState.DRAINING  # what it was told itself binds at once
+    assert harness.state("s-1") is ServerState.DRAINING  # the own list's restrictions apply at once
     harness.update_own_list(7, listed("s-2"), listed("s-3"))
     assert harness.state("s-2") is ServerState.DRAINING
     assert harness.state("s-3") is ServerState.GONE
@@ -46,7 +46,7 @@
     assert harness.state("s-1") is ServerState.DRAINING
 
 
-def test_settings_change_under_flows_and_unusable_ones_are_not_applied(tmp_path):
+def test_settings_change_while_flows_are_open_and_unusable_ones_are_not_applied(tmp_path):
     harness = BindingHarness(tmp_path, listed("s-1"))
     first = harness.open("a1", "book")
     params = shared_part(copy.deepcopy(PARAMS))
@@ -59,7 +59,7 @@
     harness.apply_view(4, settings_version=4, settings=params)
     assert applied == [4]
     assert list(harness.core.service_types) == ["chat"]
-    # A tenant keeps its number: its established flows are counted by it.
+    # A tenant keeps its number, under which its established flows are counted.
     assert harness.core.tenants == {"north": 0, "south": 1, "west": 2}
     assert first.flow.service_type.setup_latency_objective == 300 * MILLISECOND
     second = harness.open("a2", "chat")
@@ -100,7 +100,7 @@
     assert harness.open("b2").finished
     assert harness.drivers.replies() == [BUSY]
     assert len(harness.drivers.attempts) == 1
-    # A flow that needs another server after the lease has ended gets none.
+    # A flow that needs another server after the lease has ended is not placed again.
     harness.end_attempt(harness.drivers.attempts[0], Outcome.FULL)
     for _ in range(50):
         harness.pass_time(20 * MILLISECOND)
@@ -121,7 +121,7 @@
     assert harness.server("s-1").out_of_rotation
     assert not harness.server("s-2").out_of_rotation
     call = harness.call("set-down", "s-2")
-    assert call.answers.empty()  # the OK comes after the fleet's
+    assert call.answers.empty()  # the reply waits for the fleet
     harness.answer_fleet_call(True, {"version": 3})
     assert call.answers.get_nowait() == b"OK\r\n"
     assert harness.server("s-2").out_of_rotation
@@ -131,7 +131,7 @@
 
 
 def test_fleet_thread_that_failed_unexpectedly_starts_again(tmp_path):
-    """Its own lock, held still, must not pass for another process's."""
+    """The lock that it still holds on its folder must not count as another process's lock."""
     address = f"127.0.0.1:{free_port('127.0.0.1')}"
     table = FleetTable(
         fleet="f", name="n0", address=address, folder=str(tmp_path / "kept"), first={"n0": address}
@@ -163,7 +163,7 @@
     assert fleet.ended.wait(5)
 
 
-def test_drained_balancer_stays_drained_over_a_restart_until_it_is_called_back(tmp_path):
+def test_drained_balancer_stays_drained_over_a_restart_until_its_drain_is_ended(tmp_path):
     harness = BindingHarness(tmp_path, listed("s-1"))
     harness.apply_view(7, drained_balancers=("n0", "n2"))
     assert harness.core.lifecycle.drained
@@ -171,7 +171,7 @@
     harness.call("drain-off")
     assert harness.fleet_calls[-1].name == "go_out"
     assert harness.fleet_calls[-1].arguments["why"] == "called back"
-    harness.apply_view(8, drained_balancers=("n0",))  # older than the call
+    harness.apply_view(8, drained_balancers=("n0",))  # a version older than the call
     assert not harness.core.lifecycle.drained
     assert harness.core.lifecycle.ready
     other = BindingHarness(tmp_path, listed("s-1"))
@@ -181,7 +181,7 @@
 
 def test_after_a_lost_balancer_slow_start_budgets_count_as_spent_for_their_window(tmp_path):
     def admitted(copies: dict | None) -> list[int]:
-        """Flows that the warming server was to take, in the first window and in the second."""
+        """Return how many flows the warming server is assigned in its first and second window."""
         harness = BindingHarness(tmp_path, listed("s-1"), copies=copies)
         server = harness.server("s-1")
         server.started_at = harness.now
@@ -207,13 +207,13 @@
         harness.core.on_health_check_result(harness.now, server, False, [])
     assert harness.server_report().unhealthy == ["s-1"]
     harness.apply_view(1, servers_out=("s-1",), report_servers=True)
-    assert harness.server_report().unhealthy == ["s-1"]  # out of rotation or not
+    assert harness.server_report().unhealthy == ["s-1"]  # even out of rotation
     harness.apply_view(2, report_servers=True)
     harness.core.on_health_check_result(harness.now, server, True, [])
     assert harness.server_report().unhealthy == []
 
 
-def test_server_report_counts_what_attempts_show(tmp_path):
+def test_server_report_counts_the_outcomes_of_attempts(tmp_path):
     harness = BindingHarness(
         tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
     )
@@ -234,11 +234,11 @@
     counts = harness.server_report().flow_counts
     established = sum(session.established for session in sessions)
     assert set(counts) <= {"s-1", "s-2"}
-    assert sum(up for up, *_ in counts.values()) == established > 4
+    assert sum(successes for successes, *_ in counts.values()) == established > 4
     assert sum(failed for _, _, failed, _ in counts.values()) == time_outs > 1
-    assert all(took == up * 2 * MILLISECOND for up, _, _, took in counts.values())
+    assert all(took == successes * 2 * MILLISECOND for successes, _, _, took in counts.values())
     at_server = sum(session.established and servers[session] is server for session in sessions)
     harness.apply_view(2, servers_out=("s-1",))
     report = harness.server_report()
-    held = {"s-1": at_server} if at_server else {}
-    assert report == ServerReport(report.unhealthy, held, {})
+    open_flows = {"s-1": at_server} if at_server else {}
+    assert report == ServerReport(report.unhealthy, open_flows, {})
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between members: what is malformed ends the connection and has no effect."""
+"""Frames between members: a malformed frame ends the connection and has no effect."""
 
 import socket
 import struct
@@ -15,7 +15,7 @@
 
 
 def decoder_of(data: bytes) -> FrameDecoder:
-    """A decoder that was fed some bytes."""
+    """Return a decoder that has been fed `data`."""
     decoder = FrameDecoder()
     decoder.feed(data)
     return decoder
@@ -23,12 +23,12 @@
 
 def test_frame_with_a_changed_byte_fails_its_checksum():
     changed = bytearray(encode_frame(Call(1, "status", {"server": "s-1"})))
-    changed[-1] ^= 1  # another server's name, as well-formed as before
+    changed[-1] ^= 1  # changes the server's name; the body stays well-formed
     with pytest.raises(FrameError, match="checksum"):
         decoder_of(bytes(changed)).next_frame()
 
 
-def test_random_body_with_a_right_checksum_is_malformed():
+def test_random_body_with_a_valid_checksum_is_malformed():
     random = Random(7)
     for _ in range(RANDOM_FRAMES):
         body = random.randbytes(RANDOM_FRAME_BYTES)
@@ -42,7 +42,7 @@
         decoder_of(b"\xff" * 8).next_frame()
 
 
-def test_frame_that_comes_byte_by_byte_is_decoded_at_its_last():
+def test_frame_received_byte_by_byte_is_decoded_after_its_last_byte():
     *first_bytes, last_byte = encode_frame(Call(1, "status", {}))
     decoder = FrameDecoder()
     for byte in first_bytes:
@@ -59,13 +59,13 @@
     boot: int = 2,
     start_nonce: int = 5,
 ) -> Hello:
-    """The first frame of member b#1."""
+    """Return the Hello of member b#1, the first frame of its connections."""
     return Hello(protocol, fleet, "member", "g", "b#1", boot, start_nonce, "", receiver)
 
 
 @pytest.fixture
 def transport() -> Transport:
-    """The transport of member a#1, which listens nowhere and has heard nobody."""
+    """Return the transport of member a#1, which does not listen and has received no Hello."""
     return Transport(
         ("127.0.0.1", 0),
         "f",
@@ -95,14 +95,14 @@
 
 @pytest.mark.parametrize("earlier", [hello(boot=2, start_nonce=7), hello(boot=3, start_nonce=7)])
 def test_hello_of_a_restored_folder_is_rejected(transport, earlier):
-    """Its starts are counted anew, or counted the same with another nonce."""
+    """Its count of starts is lower than before, or the same with another start nonce."""
     assert transport.rejection_of(hello()) is None
     assert transport.rejection_of(hello(boot=3, start_nonce=6)) is None
     assert transport.rejection_of(earlier).code == "put-back"
 
 
-def test_second_hello_ends_the_connection_and_reaches_nobody():
-    # Found by reading: it was handed on as if it were a message, and ended the fleet's thread.
+def test_second_hello_ends_the_connection_and_is_not_processed():
+    # Guards against a second Hello being posted like a message, which ended the fleet thread.
     posted = []
     transport = Transport(
         ("127.0.0.1", 0),
@@ -113,10 +113,10 @@
         lambda: "g",
     )
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        theirs = socket.create_connection(listener.getsockname(), timeout=5)
-        ours, _ = listener.accept()
-    theirs.sendall(encode_frame(hello()) + encode_frame(hello()))
-    transport._serve(ours)
-    assert theirs.recv(1) == b""
+        peer_socket = socket.create_connection(listener.getsockname(), timeout=5)
+        accepted_socket, _ = listener.accept()
+    peer_socket.sendall(encode_frame(hello()) + encode_frame(hello()))
+    transport._serve(accepted_socket)
+    assert peer_socket.recv(1) == b""
     assert posted == []
     assert transport.counts["frames_odd"] == 1
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the holder gives one up before its grantor counts it as lapsed."""
+"""Leases: a holder stops using a lease before its grantor counts it as lapsed."""
 
 import pytest
 
@@ -12,14 +12,14 @@
 
 @pytest.fixture
 def held_lease() -> HeldLease:
-    """A lease on a version, requested and granted at one time."""
+    """Return a lease that was requested and granted at the same time."""
     lease = HeldLease(SPAN, 0)
     number = lease.request(REQUESTED_AT)
     lease.on_grant(number, VERSION)
     return lease
 
 
-def test_holder_gives_a_lease_up_before_its_grantor_counts_it_as_lapsed(held_lease):
+def test_lease_ends_for_its_holder_before_its_grantor_counts_it_as_lapsed(held_lease):
     grants = LeaseGrants(SPAN, 0)
     grants.grant(REQUESTED_AT, "a")
     assert 104 * SECOND < held_lease.valid_until(VERSION) < 105 * SECOND
@@ -27,7 +27,7 @@
     assert grants.lapsed(106 * SECOND, "a")
 
 
-def test_lease_is_no_lease_on_an_older_version(held_lease):
+def test_lease_is_not_valid_for_an_older_version(held_lease):
     assert held_lease.valid_until(VERSION - 1) == 0
 
 
