--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -82,10 +82,10 @@
             return False
         if self.context.is_leader:
             return True
-        leader_is_recent = (
+        has_recent_leader = (
             node.leader_heard_at is not None and now - node.leader_heard_at < LEADER_LOST
         )
-        return leader_is_recent and self.context.is_member(self.context.id)
+        return has_recent_leader and self.context.is_member(self.context.id)
 
     def _known_addresses(self) -> list[str]:
         context = self.context
@@ -173,7 +173,7 @@
     def respond(
         self, request: DiscoveryRequest, rejected: str = "", replaced: bool = False
     ) -> None:
-        """Send what is known of the group; without a group, name only the own incarnation."""
+        """Send what is known of the group; without a group, name only this incarnation."""
         context, config = self.context, self.context.config
         members: Members = context.members
         if context.node is None:
@@ -225,5 +225,5 @@
                 context.warn_once("other_group_found", here=context.group, there=response.group)
         elif response.replaced:
             context.identity_lost = (
-                "another incarnation of this name took its place, or it was never let in"
+                "another incarnation of this name took its place, or it was never admitted"
             )
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -22,7 +22,7 @@
 DIAL_TIMEOUT = 1.0  # seconds
 READ_SIZE = 1 << 16  # bytes
 ANSWER_MARGIN = 0.2  # seconds by which the balancer's timeout is shorter than the caller's
-MIN_CALL_SPAN = 0.2  # seconds
+MIN_CALL_TIMEOUT = 0.2  # seconds
 EXTRA_ANSWER_TIMEOUT = 1.0  # seconds to wait for an answer after the call's timeout
 MILLISECOND = 1_000_000
 READ_ONLY_CALLS = ("status", "show", "history", "local", "settled")
@@ -33,7 +33,7 @@
     fleet: str,
     name: str,
     args: dict[str, Any] | None = None,
-    span: float = 5.0,
+    timeout: float = 5.0,
 ) -> tuple[bool, Any]:
     """Call a fleet through the first balancer that answers; it forwards the call to the leader.
 
@@ -42,7 +42,7 @@
         fleet: the fleet's name.
         name: name of the call.
         args: its arguments.
-        span: seconds to wait.
+        timeout: seconds to wait for the answer.
 
     Returns:
         Whether the call was carried out, and the answer.
@@ -52,9 +52,9 @@
         UncertainOutcomeError: the call was sent, but whether it took effect is unknown.
     """
     exchange = _Exchange(fleet, name, args or {})
-    until = time.monotonic() + span
+    deadline = time.monotonic() + timeout
     for address in addresses:
-        remaining = until - time.monotonic()
+        remaining = deadline - time.monotonic()
         if remaining <= 0:
             break
         result = exchange.ask(address, remaining)
@@ -93,7 +93,7 @@
     def _send(self, sock: socket.socket, remaining: float) -> None:
         tool_id = f"tool#{uuid.uuid4().hex[:8]}"
         hello = Hello(PROTOCOL, self.fleet, "tool", "", tool_id, 0, 0, "", "")
-        args = self.args | {"span": max(remaining - ANSWER_MARGIN, MIN_CALL_SPAN)}
+        args = self.args | {"span": max(remaining - ANSWER_MARGIN, MIN_CALL_TIMEOUT)}
         sock.sendall(encode_frame(hello) + encode_frame(Call(1, self.name, args)))
         self.sent = True
 
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -92,8 +92,8 @@
                 core, self.fleet, post, table.copies.share
             )
             if core.lifecycle.phase is not Phase.STARTING:
-                # No predecessor will report the budgets that it has used, so its loss is assumed.
-                # During the start a predecessor may still report them.
+                # No predecessor reports the budgets that it has used, so they count as used up, as
+                # after its loss. During the start a predecessor may still report them.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
         self.fleet.served = self.observations.served_counts
         self.fleet.servers = self.observations.server_report
--- a/cypresswalk/fleet/leader.py
+++ b/cypresswalk/fleet/leader.py
@@ -50,7 +50,7 @@
         own_settings: dict[str, Any] | None,
         placement: ReplicaPlacement | None,
     ):
-        """Begin a time of leading if the member is the leader at `now` (nanoseconds)."""
+        """Begin a period of leadership if the member is the leader at `now` (nanoseconds)."""
         self.context = context
         self.grants: LeaseGrants | None = None
         if context.is_leader:
@@ -81,7 +81,7 @@
             self.releases.run(now)
 
     def all_act_on(self, version: int, now: int) -> bool:
-        """Return whether no balancer may still act on a version older than `version`."""
+        """Return whether no balancer may act on an older version; False without leadership."""
         return self.grants is not None and not self.outdated_members(version, now)
 
     def outdated_members(self, version: int, now: int) -> list[str]:
--- a/cypresswalk/fleet/leader_replicas.py
+++ b/cypresswalk/fleet/leader_replicas.py
@@ -18,7 +18,7 @@
     """Passes the state to `ReplicaPlacement` and proposes the placements that it decides on."""
 
     def __init__(self, context: MemberContext, placement: ReplicaPlacement):
-        """Begin a time of leading; `placement` has been reset for it."""
+        """Begin a period of leadership, for which `placement` has been reset."""
         self.context = context
         self.placement = placement
 
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -2,11 +2,11 @@
 
 No clock: times are nanoseconds of a clock that also runs while the machine is suspended. A balancer
 requests a lease. The leader grants it on the current version, once a majority has confirmed that it
-is still the leader (`agreement.Node.read`). The lease runs from the request, by the holder's clock
-(Gray and Cheriton, SOSP 1989). The granted version was current at some time after the request, so a
-holder acts on an outdated version for at most the length of a lease after a newer one took effect.
-The leader counts a lease as lapsed once its span plus the bound on clock drift have passed since
-the grant.
+is still the leader (`agreement.node.Node.read_index`). The lease runs from the request, by the
+holder's clock (Gray and Cheriton, SOSP 1989). The granted version was current at some time after
+the request, so a holder acts on an outdated version for at most the length of a lease after a newer
+one took effect. The leader counts a lease as lapsed once its span plus the bound on clock drift
+have passed since the grant.
 
 Invariants:
     L1: no balancer acts on a lease after its span since the request has passed.
