--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients: their first line, the relaying of the others, and their end."""
+"""Client connections: reading the OPEN request, forwarding later lines, and closing."""
 
 import logging
 import socket
@@ -20,13 +20,13 @@
 
 
 class ClientConnection:
-    """One client's connection; a thread of its own runs `run`, from accepting to closing it.
+    """One client's connection. Its own thread runs `run`, which reads and closes it.
 
     Attributes:
         link: The connection.
-        session: The core's view of it.
-        accepted_at: When it was accepted, in nanoseconds.
-        relay: To the server, once the core has joined the two.
+        session: The core's state for this client.
+        accepted_at: The time at which it was accepted, in nanoseconds.
+        relay: The relay to the server, once the core has started it.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         limits: Limits,
         unopened: "dict[ClientConnection, None]",
     ):
-        """Takes over an accepted socket.
+        """Take over an accepted socket.
 
         Args:
             sock: The socket.
-            core: Is told what happens.
-            inbox: Of the deciding thread.
+            core: The core, whose event methods are posted to the inbox.
+            inbox: The event queue of the deciding thread.
             limits: Sizes and times.
             unopened: The listener's clients that have not sent their first line.
 
@@ -57,14 +57,14 @@
         self.accepted_at = inbox.clock()
         self.relay: Relay | None = None
         self._unopened = unopened
-        self._opened = False  # its first line is complete
-        self._dismissed = False  # its place is needed by others
+        self._opened = False  # whether the first line is complete
+        self._dismissed = False  # whether `dismiss` has freed its place for others
         self._lines = LineParser(limits.max_line_bytes)
-        # Held while lines are parsed and forwarded, and while the first two states above change.
+        # Held while lines are parsed and forwarded, and while `_opened` and `_dismissed` change.
         self._lock = Lock()
 
     def run(self) -> None:
-        """Reads the connection up to its end, ends the server's side likewise and closes it."""
+        """Read the connection to its end, end the server's side in the same way, and close it."""
         reset = malformed = False
         try:
             request = self._receive_open_request()
@@ -89,20 +89,20 @@
                 self.session,
             )
         elif malformed:
-            # Nothing was sent to a server: a client that is only in the way may come again.
+            # Nothing was sent to a server, so a client dismissed only to make room may retry.
             self.link.send_nowait(BUSY_REPLY if self._dismissed else ERROR_REPLY)
-            # Reading of a dismissed one is shut down already; with both directions shut down the
-            # kernel would answer what still arrives with a reset.
+            # Reading from a dismissed client is shut down already; if both directions were shut
+            # down, the kernel would answer data that still arrives with a reset.
             if not self._dismissed:
                 self.link.shutdown(socket.SHUT_WR)
         if self.relay is not None:
             forward_end(reset, self.relay.server, self.limits)
         elif malformed:
-            self._drain()
+            self._discard_input()
         self.link.close()
 
     def _receive_open_request(self) -> OpenRequest | None:
-        """Answers PINGs up to the request; None if the client ends before that."""
+        """Return the OPEN request, answering PINGs before it; None if the client ends first."""
         deadline = self.accepted_at + self.limits.first_line_timeout
         while True:
             line = self._lines.next_line()
@@ -110,48 +110,48 @@
                 if not self._receive_before_open(deadline):
                     return None
             elif len(self._lines.buffer):
-                # A client waits for its answer, so that commands do not come by the hundred.
-                raise ProtocolError("more than one line at once")
+                # A client must wait for each reply, so that it cannot send hundreds of commands.
+                raise ProtocolError("more than one line before a reply")
             elif line == b"PING":
-                able = self.core.lifecycle.ready and self.core.extensions.may_act()
-                self.link.send(b"PONG\r\n" if able else ERROR_REPLY)
+                ready = self.core.lifecycle.ready and self.core.extensions.may_act()
+                self.link.send(b"PONG\r\n" if ready else ERROR_REPLY)
             else:
                 return self._open(line)
 
     def _receive_before_open(self, deadline: int) -> bool:
-        """Reads more of the first line; False if the client has ended.
+        """Read more of the first line; return False if the client has ended.
 
-        The deadline is that of the whole line, however its bytes trickle in.
+        The deadline applies to the whole line, however slowly its bytes arrive.
         """
         self.link.set_read_timeout(max(deadline - self.inbox.clock(), MILLISECOND))
         try:
             data = self.link.sock.recv(self.limits.max_line_bytes)
         except BlockingIOError as error:
-            raise ProtocolError("no first line in time") from error
+            raise ProtocolError("no first line before the timeout") from error
         if data:
             self._lines.feed(data)
             return True
         if self._dismissed:
-            raise ProtocolError("no first line while others wait")
+            raise ProtocolError("no first line, and its place was needed by others")
         return False
 
     def _open(self, line: bytes) -> OpenRequest:
         request = parse_open_request(line)
         with self._lock:
             if self._dismissed:
-                raise ProtocolError("the first line came when its place was given away")
+                raise ProtocolError("first line arrived after its place was taken for others")
             self._opened = True
         self._unopened.pop(self, None)
         self.link.set_read_timeout(0)
         return request
 
     def dismiss(self) -> bool:
-        """Ends a client that has sent nothing, whose place is needed; returns whether it did.
+        """End a client that has sent nothing, to free its place; return whether it was ended.
 
-        Its own thread finds an end of stream and answers, so that a first line that crosses with
-        this gets a reject. A client whose line has arrived stays.
+        The client's own thread then reads an end of stream and replies, so that a first line that
+        arrives at the same time is rejected. A client whose line has arrived is kept.
         """
-        # Its thread holds the lock only after the first line, perhaps for long.
+        # The client's thread may hold the lock for long, but only after the first line.
         if not self._lock.acquire(blocking=False):
             return False
         try:
@@ -163,12 +163,12 @@
         finally:
             self._lock.release()
 
-    def _drain(self) -> None:
-        """Reads what still arrives, not much and not for long.
+    def _discard_input(self) -> None:
+        """Read and discard what still arrives, up to a limit of bytes and time.
 
-        Closing with something unread would take the answer back as a reset.
+        Closing a socket with unread data sends a reset, and the client could lose the reply.
         """
-        # A dismissed one must make room soon; its line may be on its way all the same.
+        # A dismissed client must free its place soon, but its first line may still be in transit.
         duration = self.limits.idle_grace if self._dismissed else self.limits.linger_timeout
         deadline = self.inbox.clock() + duration
         remaining_bytes = self.limits.max_drained_bytes
@@ -182,7 +182,8 @@
                 if data:
                     remaining_bytes -= len(data)
                 elif self._dismissed and not self.link.peer_closed():
-                    # After `dismiss` a read finds an end at once, though the client has not ended.
+                    # After `dismiss` a read returns an end at once, even if the client has not
+                    # ended.
                     time.sleep(self.limits.drain_poll_interval / SECOND)
                 else:
                     return
@@ -190,7 +191,7 @@
             pass
 
     def has_ended(self) -> bool:
-        """Returns whether its end has arrived, read by its thread or not."""
+        """Return whether the client's end has arrived, whether or not its thread has read it."""
         return self.link.reader_done.is_set() or self.link.has_ended()
 
     def _forward_lines(self) -> None:
@@ -200,17 +201,17 @@
             self.flush()
 
     def flush(self) -> None:
-        """Forwards complete lines to the server, once there is one.
+        """Forward complete lines to the server, once the flow is established.
 
         Raises:
-            ProtocolError: There is none yet, and something came before the answer.
+            ProtocolError: The flow is not established, and data came before the reply to OPEN.
             OSError: The server's connection has failed.
         """
         relay = self.relay
         with self._lock:
             if relay is None:
                 if len(self._lines.buffer):
-                    raise ProtocolError("more than one line before the answer")
+                    raise ProtocolError("more than one line before the reply to OPEN")
                 return
             data = self._lines.take_complete_lines()
             if data:
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -1,7 +1,7 @@
-"""The balancer without its sockets: events call the decisions, decisions call the drivers.
+"""The core of the balancer: passes events to the decisions and their results to the drivers.
 
-No I/O and no clock of its own; one thread alone calls it. A request goes through this module from
-top to bottom: accepted, admitted, placed, attempted, established or retried or rejected, ended.
+It does no I/O, reads no clock, and is called by the deciding thread only. The methods follow the
+life of a request: accepted, admitted, placed, attempted, established or retried or rejected, ended.
 """
 
 import logging
@@ -47,14 +47,16 @@
 
 log = logging.getLogger(__name__)
 
-# Times the longest `giveUp` of any service type; a client that asks for more is refused.
+# A client's set-up timeout may be up to this many times the longest `giveUp` of any service type;
+# a request with a longer one is refused.
 MAX_CONNECT_TIMEOUTS = 20
 
 
 class Core:
-    """The on_... methods take events; `carry_out_decisions` does what the decisions ask for.
+    """Connects the sessions and drivers to the `Balancer` that decides.
 
-    All times are nanoseconds of one monotonic clock.
+    The `on_...` methods handle events; `carry_out_decisions` executes the resulting decisions. All
+    times are nanoseconds of one monotonic clock.
     """
 
     def __init__(
@@ -65,8 +67,8 @@
         now: int,
         policy: type[Balancer] = Balancer,
     ):
-        """Connects all parts; `policy` is the class that makes the decisions."""
-        # Over 40 lines since it makes one part a line.
+        """Create and connect all parts; `policy` is the class that makes the decisions."""
+        # Longer than 40 lines because each part is created on a line of its own.
         self.limits = config.limits
         self.drivers = drivers
         self.counters = counters
@@ -75,9 +77,9 @@
         self.groups = config.groups
         self.load_reports = LoadReportParser(config.reports_load, config.reports_delay, self.limits)
         self.balancer = policy(config.settings, config.seed, now)
-        self.sessions: dict[Flow, Session] = {}  # flows that are held or established
-        self.seen_ids: OrderedDict[int, None] = OrderedDict()  # the latest flows', oldest first
-        self.delay_gauges: dict[int, DelayGauge] = {}  # by the server's number
+        self.sessions: dict[Flow, Session] = {}  # flows that are being placed or established
+        self.seen_ids: OrderedDict[int, None] = OrderedDict()  # recent flow ids, oldest first
+        self.delay_gauges: dict[int, DelayGauge] = {}  # by `Server.id`
         self.timers = Timers()
         self.extensions = Extensions()
         self.metrics = Metrics(self.service_types, self.balancer, counters, self.sessions)
@@ -106,16 +108,16 @@
         )
         self.silence.check(now)
 
-    # A request is accepted, admitted and placed.
+    # Accepting, admitting and placing a request.
 
     def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
-        """A client's first line has come."""
+        """Handle a client's OPEN request."""
         timeout = nanoseconds(float(request.values.get("d", 0)), "d")
         if not self._is_acceptable(request, timeout):
             self._refuse(now, session, "request_invalid", line=request.encode(0)[:200])
             return
         flow_id = stable_hash(request.ident)
-        # An id is new with every connection: sent again it may not disturb the flow that has it.
+        # Each connection must use a new id: a repeated one must not disturb the flow that has it.
         if flow_id in self.seen_ids:
             self._refuse(now, session, "flow_twice", flow=request.ident)
             return
@@ -134,7 +136,10 @@
         self._admit(now, session)
 
     def _is_acceptable(self, request: OpenRequest, timeout: int) -> bool:
-        """Whether the settings know what the request names; servers would refuse it otherwise."""
+        """Return whether the request's service type, tenant and timeout fit the settings.
+
+        Servers would refuse it otherwise.
+        """
         values = request.values
         tenant = values.get("t")
         known_tenant = tenant in self.tenants if self.tenants else tenant is None
@@ -164,10 +169,10 @@
         )
 
     def _admit(self, now: int, session: Session) -> None:
-        """Places the flow if this process may take it, after its reservation where it needs one."""
+        """Reject the flow, request its reservation if it needs one, or place it."""
         flow = session.flow
         extensions = self.extensions
-        # Descriptors must not run out in mid-flow. Nothing was sent, so a reject does no harm.
+        # Descriptors must not run out during a flow. Nothing was sent yet, so rejecting is safe.
         if len(self.sessions) + extensions.flows_elsewhere() >= self.limits.max_flows:
             self.counters.add("flows_beyond_sockets")
             self.end_session(now, session, BUSY_REPLY)
@@ -183,20 +188,20 @@
             self.place(now, session)
 
     def place(self, now: int, session: Session) -> None:
-        """Hands an admitted flow to the decisions."""
+        """Pass an admitted flow to the decisions."""
         self.sessions[session.flow] = session
         self.balancer.on_flow(now, session.flow)
 
-    # What the decisions ask for.
+    # Executing decisions.
 
     def carry_out_decisions(self, now: int) -> None:
-        """Pulls decisions until there is none, and carries each out at once."""
+        """Execute each pending decision at once, until there is none left."""
         if self.lifecycle.phase is Phase.STARTING:
             return
         while (decision := self.balancer.next_decision(now)) is not None:
             self._carry_out(now, decision)
 
-    def _carry_out(self, now: int, decision: Decision) -> None:  # noqa: C901 (one case a decision)
+    def _carry_out(self, now: int, decision: Decision) -> None:  # noqa: C901 (a case per decision)
         match decision:
             case StartAttempt(flow) if not self.extensions.may_act():
                 self._end_without_lease(now, flow)
@@ -213,7 +218,7 @@
             case Migrate(flow):
                 self.migrate(now, flow)
             case CheckHealth() if self.extensions.is_replaced():
-                pass  # the other process checks for both
+                pass  # the successor checks the servers for both processes
             case CheckHealth(server):
                 self.counters.add("probes_sent")
                 self.drivers.check_health(server, self.endpoints.addresses[server.id])
@@ -228,7 +233,7 @@
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
     ) -> None:
-        """Connects a session to a server; the attempt ends by `deadline`."""
+        """Start an attempt to connect a session to a server, which ends by `deadline`."""
         flow = session.flow
         if flow.may_have_run_on is None:
             send_deadline: int | float = deadline
@@ -250,10 +255,10 @@
             self.delay_gauges[server.id] = gauge
         return gauge
 
-    # An attempt is established, or ends.
+    # Establishment and end of an attempt.
 
     def on_established(self, now: int, attempt: Attempt) -> None:
-        """The server has accepted the session."""
+        """Handle a server's acceptance of the session."""
         session = attempt.session
         flow = session.flow
         if session.attempt is not attempt or session.finished:
@@ -267,7 +272,7 @@
             flow_of_attempt(self.balancer, flow.id, attempt.number) is not flow
             or now >= flow.deadline
         ):
-            self.drivers.close_attempt(attempt)  # the timer that is due ends it
+            self.drivers.close_attempt(attempt)  # the timer that is due ends the session
             return
         else:
             self.balancer.on_established(now, flow, duration)
@@ -281,18 +286,18 @@
         self.drivers.start_relay(attempt)
 
     def on_attempt_timeout(self, now: int, attempt: Attempt) -> None:
-        """The attempt's time is up."""
+        """Handle the timeout of an attempt."""
         session = attempt.session
         if session.attempt is attempt and not session.finished and not session.established:
-            # Without a connection yet it is certain that nothing ran.
-            recalled = self.drivers.cancel_unsent(attempt)
-            outcome = Outcome.CONNECT_FAILED if recalled else Outcome.TIMEOUT
+            # If the request was not sent yet, the flow cannot have run.
+            unsent = self.drivers.cancel_unsent(attempt)
+            outcome = Outcome.CONNECT_FAILED if unsent else Outcome.TIMEOUT
             self.drivers.close_attempt(attempt)
             if session.flow in self.sessions:
                 self.on_attempt_ended(now, attempt, outcome)
 
     def on_attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        """The attempt failed, timed out or was recalled; or its established connection ended."""
+        """Handle a failed, timed-out or cancelled attempt, or the end of an established flow."""
         session = attempt.session
         flow = session.flow
         if session.attempt is not attempt or session.finished:
@@ -312,26 +317,26 @@
                 del self.sessions[flow]
             self.balancer.on_ended(now, flow, outcome, final, now - attempt.started_at)
 
-    def cancel_unsent_attempts(self, now: int, leaves: Callable[[Server], bool]) -> None:
-        """Attempts that have sent nothing yet to a server that leaves go elsewhere.
+    def cancel_unsent_attempts(self, now: int, is_leaving: Callable[[Server], bool]) -> None:
+        """Cancel attempts that have sent nothing yet to a leaving server, to place them elsewhere.
 
-        A connection takes its time to be set up: without this a first line would go out after the
-        server was known to leave, or after an operator's OK.
+        Connecting takes time: otherwise a request could be sent after the server was known to
+        leave, or after an operator's command to take it out of rotation was answered with OK.
         """
         for session in list(self.sessions.values()):
             attempt = session.attempt
             if (
                 attempt is not None
                 and not session.established
-                and leaves(attempt.server)
+                and is_leaving(attempt.server)
                 and self.drivers.cancel_unsent(attempt)
             ):
                 self.on_attempt_ended(now, attempt, Outcome.MOOT)
 
-    # A session ends.
+    # End of a session.
 
     def on_client_left(self, now: int, session: Session) -> None:
-        """The client's side has ended, or broke the protocol."""
+        """Handle the end of the client's connection, or its violation of the protocol."""
         if session.finished:
             return
         session.finished = True
@@ -345,14 +350,17 @@
                 self.balancer.on_client_gone(now, session.flow)
 
     def on_early_client_data(self, now: int, session: Session) -> None:
-        """The client sent more before its reply; served, it could send commands by the hundred."""
+        """Refuse a client that sent more before the reply to its request.
+
+        Otherwise a client could send hundreds of commands without waiting for replies.
+        """
         answered = session.finished or session.established
         self.on_client_left(now, session)
         if not answered:
             self._refuse(now, session, "client_impatient", flow=session.request.ident)
 
     def on_resume_failed(self, now: int, session: Session) -> None:
-        """The time to resume is over: refuses the session unless it is established."""
+        """Refuse a session that was not resumed in time."""
         if not session.finished and not session.established:
             if session.attempt is not None:
                 self.drivers.close_attempt(session.attempt)
@@ -361,17 +369,17 @@
             self._refuse(now, session, "resume_failed", flow=request.ident, server=server)
 
     def migrate(self, now: int, flow: Flow) -> None:
-        """Tells an established client to look for another server."""
+        """Tell the client of an established flow to reconnect to another server."""
         session = self.sessions.pop(flow)
         attempt = session.attempt
-        assert attempt is not None  # the session is established
+        assert attempt is not None  # since the session is established
         session.finished = True
         self.counters.add("flows_moved")
         self.drivers.migrate(session)
         self.balancer.on_ended(now, flow, Outcome.CANCELLED, True, now - attempt.started_at)
 
     def end_session(self, now: int, session: Session, reply: bytes) -> None:
-        """Sends a session that is not established its only reply."""
+        """Send the only reply to a session that is not established, and finish it."""
         session.finished = True
         if session.has_flow:
             self._finish_reservation(session)
@@ -389,13 +397,13 @@
         self.end_session(now, session, ERROR_REPLY)
 
     def _end_without_lease(self, now: int, flow: Flow) -> None:
-        """Answers a flow at once: the rules by which its server was chosen may be out of date."""
+        """Finish a flow without an attempt, since its server may be chosen by outdated rules."""
         self.counters.add("flows_without_lease")
         idempotent = flow.service_type.effect is Effect.IDEMPOTENT
-        harmless = flow.may_have_run_on is None or idempotent
-        # For the decisions the flow is over: it leaves them as one whose client has gone.
+        safe_to_retry = flow.may_have_run_on is None or idempotent
+        # Remove the flow from the decisions in the same way as if its client had gone.
         self.balancer.on_client_gone(now, flow)
-        reply = self.retry_reply(flow) if harmless else ERROR_REPLY
+        reply = self.retry_reply(flow) if safe_to_retry else ERROR_REPLY
         self.end_session(now, self.sessions.pop(flow), reply)
 
     def _finish_reservation(self, session: Session) -> None:
@@ -404,14 +412,14 @@
             self.extensions.reservations.finish(session.flow, "never" if never_ran else "unknown")
 
     def retry_reply(self, flow: Flow) -> bytes:
-        """The reply where a repeat does no harm: when to come back, if that may be said."""
+        """Return the reply for a flow that is safe to retry, with a delay if settings allow it."""
         settings = self.balancer.settings
         if not settings.retry_after_allowed:
             return BUSY_REPLY
         objective = flow.service_type.setup_latency_objective
         return busy_reply(min(objective, settings.max_retry_after))
 
-    # What is known of servers.
+    # Information about servers.
 
     def on_endpoints(
         self,
@@ -420,7 +428,14 @@
         entries: list[Endpoint],
         older: bool = False,
     ) -> None:
-        """The endpoint list has changed; `older`: it knows less than a list that was acted on."""
+        """Handle a change of the endpoint list.
+
+        Args:
+            now: The current time, in nanoseconds.
+            update: The kind of update, such as a whole list or changed entries.
+            entries: The entries of the update.
+            older: Whether it comes from a list that is older than one that was acted on before.
+        """
         self.counters.add("lists")
         if self.extensions.fleet is not None:
             update, entries = self.extensions.fleet.merge_endpoints(now, update, entries)
@@ -435,7 +450,7 @@
             self.cancel_unsent_attempts(now, lambda server: server.state is not ServerState.READY)
 
     def on_endpoints_failed(self, now: int) -> None:
-        """A call for the endpoint list failed, or its watch broke."""
+        """Handle a failed call for the endpoint list, or the end of its watch."""
         self.counters.add("lists_failed")
         if self.balancer.settings.list_polled:
             self.balancer.on_endpoints(now, EndpointUpdate.FAILED, [])
@@ -443,19 +458,22 @@
     def on_health_check_result(
         self, now: int, server: Server, passed: bool, load: list[float]
     ) -> None:
-        """A health check has ended; `load` holds the figures of the server's report, or nothing."""
+        """Handle the result of a health check.
+
+        `load` holds the values of the server's load report, or is empty if there is none.
+        """
         self.counters.add("probes_passed" if passed else "probes_failed")
         index = self.balancer.settings.load_index
         reported = load[index] if 0 <= index < len(load) else None
         self.balancer.on_health_check_result(now, server, passed, reported)
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
-        """A message takes so long at the server, as it reports or as relayed lines show."""
+        """Handle a server's message delay, reported by it or estimated from relayed lines."""
         self.counters.add("delays")
         self.balancer.on_message_delay(now, server, delay)
 
     def on_gossip(self, now: int, message: bytes) -> None:
-        """Another balancer has sent a datagram."""
+        """Handle a gossip datagram of another balancer."""
         gossip = unpack_gossip(self.balancer, message)
         self.counters.add("hints_heard" if gossip else "hints_odd")
         if gossip:
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -18,24 +18,25 @@
 from cypresswalk.net.relay import OUTCOME_BY_WORD, Relay
 from cypresswalk.net.session import Attempt
 
-# A server's acceptance carries its receipt; a line without one is no acceptance.
+# A server accepts a flow with UP and a receipt; a line without a receipt is no acceptance.
 UP_LINE = re.compile(rb"UP [!-~][ -~]*")
-# This machine is short of something, which says nothing of the server.
-OWN_SHORTAGE = frozenset(
+# Errors of connecting that mean that this machine lacks a resource; the server is not at fault.
+LOCAL_SHORTAGE_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
 
 
 class ServerConnection:
-    """One attempt at a server: dial, first line, and the relaying once the flow is accepted.
+    """One attempt at a server: connects, sends OPEN, and relays lines once the flow is accepted.
 
-    A thread of its own runs `run`. The deciding thread calls `start_relay`, `close`,
-    `cancel_unsent` and `migrate`, none of which waits for a socket.
+    Its own thread runs `run`. The deciding thread calls `start_relay`, `close`, `cancel_unsent` and
+    `migrate`, none of which waits for a socket.
 
     Attributes:
         open_line: The OPEN line for the server.
-        sent: Whether that line has begun to go out.
-        slots: Of all attempts and relays at a time, which leaves descriptors for others.
+        sent: Whether sending of that line has begun.
+        slots: A semaphore that limits concurrent attempts and relays, which reserves descriptors
+            for other uses.
     """
 
     def __init__(
@@ -48,16 +49,16 @@
         limits: Limits,
         slots: Semaphore,
     ):
-        """Creates an attempt that has not begun.
+        """Create an attempt without starting it.
 
         Args:
-            attempt: The core's view of it.
-            address: The server's.
+            attempt: The core's state for this attempt.
+            address: The server's address.
             open_line: The OPEN line for the server.
-            core: Is told how it ends.
-            inbox: Of the deciding thread.
+            core: The core, whose event methods are posted to the inbox.
+            inbox: The event queue of the deciding thread.
             limits: Sizes and times.
-            slots: Of all attempts and relays at a time.
+            slots: The semaphore that limits concurrent attempts and relays.
         """
         self.attempt = attempt
         self.address = address
@@ -67,136 +68,142 @@
         self.limits = limits
         self.slots = slots
         self.sent = False
-        # The core keeps the driver's object for a session as it was handed over.
+        # `Session.client` is the `ClientConnection` that created the session.
         self._client = cast(ClientConnection, attempt.session.client)
         self._lines = LineParser(limits.max_line_bytes)
-        self._link: Connection | None = None  # once it is dialed
-        self._relay: Relay | None = None  # once the server has accepted
+        self._link: Connection | None = None  # set once connected
+        self._relay: Relay | None = None  # set once the server has accepted
         self._dropped = False
-        # Excludes sending and dropping; never held over a write, which may last.
+        # Keeps `sent` and `_dropped` from both being set; not held during a write, which may block.
         self._send_lock = Lock()
-        # Held until the core has said whether the server's acceptance is relayed.
-        self._verdict = Lock()
-        self._verdict.acquire()
+        # Held until the core has decided whether the server's acceptance is relayed.
+        self._decision_pending = Lock()
+        self._decision_pending.acquire()
 
     def run(self) -> None:
-        """Runs the attempt, and the relay if it is accepted, up to the end of the connection."""
-        # Attempts that were dropped and still dial count too: descriptors are left for the rest.
+        """Run the attempt, and the relay if it is accepted, until the connection ends."""
+        # Attempts that were dropped but still dial hold slots too, since they use descriptors.
         if not self.slots.acquire(timeout=self.limits.dial_timeout / SECOND):
-            self._end(Outcome.MOOT)
+            self._report_end(Outcome.MOOT)
             return
         try:
             sock = self._dial()
             if sock is not None:
-                self._talk(sock)
+                self._open_flow(sock)
         finally:
             self.slots.release()
 
-    # By the deciding thread.
+    # Called by the deciding thread.
 
     def start_relay(self) -> None:
-        """Has the server's acceptance relayed to the client, and all lines after it."""
+        """Start relaying the server's acceptance and all later lines to the client."""
         self._client.relay = self._relay
-        self._verdict.release()
+        self._decision_pending.release()
 
     def close(self) -> None:
-        """Ends the attempt, whatever it has come to."""
+        """End the attempt in any state."""
         with self._send_lock:
             if self._dropped:
                 return
             self._dropped = True
         if self._link is not None:
             self._link.shutdown(socket.SHUT_RDWR)
-        self._verdict.release()
+        self._decision_pending.release()
 
     def cancel_unsent(self) -> bool:
-        """Drops the attempt if nothing was sent; returns whether nothing was and now will be."""
+        """Drop the attempt if nothing was sent; return whether it was dropped by this call."""
         with self._send_lock:
             if self.sent or self._dropped:
                 return False
             self._dropped = True
-        self._verdict.release()
+        self._decision_pending.release()
         return True
 
     def migrate(self) -> None:
-        """Has the client of an accepted flow told to move."""
-        assert self._relay is not None, "the core migrates flows that are accepted"
+        """Tell the client of an accepted flow to reconnect to another server."""
+        assert self._relay is not None, "only accepted flows can be migrated"
         self._relay.migrate()
 
-    # By the attempt's own thread.
+    # Called by the attempt's own thread.
 
-    def _end(self, outcome: Outcome) -> None:
+    def _report_end(self, outcome: Outcome) -> None:
         self.inbox.post(self.core.on_attempt_ended, self.attempt, outcome)
 
     def _client_has_ended(self) -> bool:
-        """Whether nobody waits for the flow, though the deciding thread may not know it yet."""
+        """Return whether the client has ended, and report it to the core if so.
+
+        The deciding thread may not have handled the client's end yet.
+        """
         if not self._client.has_ended():
             return False
         self.inbox.post(self.core.on_client_left, self.attempt.session)
         return True
 
     def _dial(self) -> socket.socket | None:
-        """Connects to the server; None if that failed or is not wanted any more."""
+        """Connect to the server; return None if that failed or the attempt is no longer needed."""
         if self._dropped or self._client_has_ended():
             return None
         began = self.inbox.clock()
         try:
             sock = dial(self.address, self.limits.dial_timeout)
         except OSError as error:
-            self._end(Outcome.MOOT if error.errno in OWN_SHORTAGE else Outcome.CONNECT_FAILED)
+            self._report_end(
+                Outcome.MOOT if error.errno in LOCAL_SHORTAGE_ERRNOS else Outcome.CONNECT_FAILED
+            )
             return None
         self.attempt.delay_gauge.on_setup(self.inbox.clock() - began)
         return sock
 
-    def _talk(self, sock: socket.socket) -> None:
-        """Sends the request, and waits for the server's answer and the core's verdict."""
+    def _open_flow(self, sock: socket.socket) -> None:
+        """Send the OPEN line, read the server's reply, and relay if the core accepts it."""
         link = self._link = Connection(sock, self.limits)
         try:
             if not self._send_open_line(link):
                 return
             first_line = self._receive_first_line(link)
             if first_line is None:
-                self._end(Outcome.RESET)
+                self._report_end(Outcome.RESET)
             elif not UP_LINE.fullmatch(first_line):
                 word = first_line.partition(b" ")[0]
-                self._end(OUTCOME_BY_WORD.get(word, Outcome.ERROR))
+                self._report_end(OUTCOME_BY_WORD.get(word, Outcome.ERROR))
             else:
                 self._relay_if_wanted(link, first_line)
         except Exception:
-            # Whatever failed, the core hears of an end; a second one has no effect.
-            self._end(Outcome.RESET)
+            # Report an end to the core after any failure; a repeated report has no effect.
+            self._report_end(Outcome.RESET)
             raise
         finally:
             link.reader_done.set()
             link.close()
 
     def _send_open_line(self, link: Connection) -> bool:
-        """Sends the request unless it is not wanted any more; returns whether it went out."""
+        """Send the OPEN line unless it is no longer wanted; return whether it was sent."""
         if self._client_has_ended():
             return False
         with self._send_lock:
             if self._dropped:
                 return False
-            # Dialing takes its time, and a flow that may have run has a latest time to run again.
+            # The deadline may have passed while dialing: a flow that may have run already can be
+            # sent again only for a limited time.
             late = self.inbox.clock() >= self.attempt.send_deadline
             if late:
                 self._dropped = True
             else:
                 self.sent = True
         if late:
-            self._end(Outcome.MOOT)
+            self._report_end(Outcome.MOOT)
             return False
         try:
             link.sock.sendall(self.open_line)
         except OSError:
-            # The last byte never went out, so that the server has not run it.
-            self._end(Outcome.CONNECT_FAILED)
+            # The line was not sent completely, so the server cannot have run the flow.
+            self._report_end(Outcome.CONNECT_FAILED)
             return False
         self.core.counters.add("connects_written")
         return True
 
     def _receive_first_line(self, link: Connection) -> bytes | None:
-        """Returns the server's first line; None if it sends none before the connection ends."""
+        """Return the server's first line; None if the connection ends or fails before that."""
         try:
             return receive_line(link.sock, self._lines, self.limits.max_line_bytes)
         except (OSError, ProtocolError):
@@ -213,6 +220,6 @@
             self.limits,
         )
         self.inbox.post(self.core.on_established, self.attempt)
-        self._verdict.acquire()
+        self._decision_pending.acquire()
         if not self._dropped:
             self._relay.run(first_line, self._client.flush)
--- a/cypresswalk/net/session.py
+++ b/cypresswalk/net/session.py
@@ -1,4 +1,4 @@
-"""A client's session, its attempts at servers, and the replies to clients."""
+"""The core's state of a client's session and of its attempts, and the replies to clients."""
 
 from typing import Protocol
 
@@ -12,18 +12,21 @@
 
 
 def busy_reply(retry_after: int) -> bytes:
-    """The reply that rejects a flow; `retry_after` nanoseconds, 0 for no advice."""
+    """Return the reply that rejects a flow.
+
+    `retry_after` is the advised delay before a retry in nanoseconds, or 0 for no advice.
+    """
     return b"BUSY %d\r\n" % (retry_after // MILLISECOND) if retry_after else BUSY_REPLY
 
 
 class ClientSocket(Protocol):
-    """What may be done with a client's socket without waiting."""
+    """The operations on a client's socket that never block."""
 
     def send_nowait(self, data: bytes) -> None:
-        """Sends a few bytes on a connection on which nothing else was written."""
+        """Send a few bytes on a connection to which nothing else was written."""
 
     def shutdown(self, how: int) -> None:
-        """Shuts one or both directions; `how` as in `socket.shutdown`."""
+        """Shut down one or both directions; `how` as in `socket.shutdown`."""
 
 
 class ClientDriver(Protocol):
@@ -35,26 +38,26 @@
 
 
 class AttemptDriver(Protocol):
-    """The driver's object for an attempt; see `Drivers` for what each call means."""
+    """The driver's object for an attempt; `Drivers` documents its methods in full."""
 
     def run(self) -> None:
-        """Connects and reads until the end; the thread's own."""
+        """Connect and read until the end; runs in the attempt's own thread."""
 
     def start_relay(self) -> None:
-        """Starts relaying lines."""
+        """Start relaying lines."""
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
 
     def cancel_unsent(self) -> bool:
-        """Whether nothing was sent, and now never will be."""
+        """Drop an attempt that has sent nothing; return whether it was dropped by this call."""
 
     def migrate(self) -> None:
-        """Sends the client MOVE between two whole lines."""
+        """Send MOVE to the client between two complete lines."""
 
 
 class Session:
-    """A client's connection (downstream), from its first line to its end.
+    """A client's connection (downstream) from its first line to its end.
 
     `request` and `flow` are set once the core has accepted the first line.
     """
@@ -65,20 +68,20 @@
     flow: Flow
 
     def __init__(self, client: ClientDriver):
-        """`client` is the driver's object for the connection."""
-        self.attempt: Attempt | None = None  # the latest on its behalf
-        self.established = False  # lines are relayed
-        self.finished = False  # rejected, failed, migrated or ended
+        """Create a session; `client` is the driver's object for the connection."""
+        self.attempt: Attempt | None = None  # the latest attempt
+        self.established = False  # whether lines are relayed
+        self.finished = False  # whether it was rejected, failed, was migrated or ended
         self.client = client
 
     @property
     def has_flow(self) -> bool:
-        """Whether the first line was accepted, so that `request` and `flow` are set."""
+        """Return whether the first line was accepted, so that `request` and `flow` are set."""
         return hasattr(self, "flow")
 
 
 class Attempt:
-    """One connection to a server (upstream) on behalf of a session. Times are nanoseconds."""
+    """One connection to a server (upstream) for a session. Times are nanoseconds."""
 
     __slots__ = (
         "session",
@@ -91,7 +94,7 @@
         "connection",
     )
 
-    connection: AttemptDriver  # set by the driver as it connects
+    connection: AttemptDriver  # set by the driver when it starts the attempt
 
     def __init__(
         self,
@@ -102,11 +105,14 @@
         send_deadline: int | float,
         delay_gauge: DelayGauge,
     ):
-        """`number` counts the flow's attempts from 0; after `send_deadline` nothing may be sent."""
+        """Create an attempt.
+
+        `number` counts the flow's attempts from 0; after `send_deadline` nothing may be sent.
+        """
         self.session = session
         self.server = server
         self.number = number
         self.started_at = started_at
         self.send_deadline = send_deadline
         self.delay_gauge = delay_gauge
-        self.unanswered_since = 0  # when the oldest line without a reply was sent; 0: none
+        self.unanswered_since = 0  # time at which the oldest unanswered line was sent; 0 if none
