--- a/cypresswalk/net/accepting.py
+++ b/cypresswalk/net/accepting.py
@@ -6,7 +6,7 @@
 
 
 def never() -> bool:
-    """For a loop that ends with the process."""
+    """Return False; the default of `stopping`, for a loop that ends with the process."""
     return False
 
 
@@ -16,15 +16,17 @@
     on_failure: Callable[[OSError], None],
     stopping: Callable[[], bool] = never,
 ) -> Iterator[socket.socket]:
-    """Yields each connection as it comes.
+    """Yield each accepted connection.
 
-    Accepting may fail for a while, as where descriptors run short: others close in time.
+    After a failure accepting is tried again: descriptors may run short until other connections
+    close.
 
     Args:
-        listener: blocks in `accept`.
-        retry_pause: seconds after a failure until it is tried again.
-        on_failure: is called with each failure, except one that `stopping` explains.
-        stopping: whether the loop is to end; asked before each try and after a failure.
+        listener: The listening socket, in blocking mode.
+        retry_pause: The pause after a failure before the next try, in seconds.
+        on_failure: A function called with each error, unless `stopping` returns True then.
+        stopping: A function that returns whether to end the loop, called before each try and after
+            a failure.
     """
     while not stopping():
         try:
--- a/cypresswalk/net/connection.py
+++ b/cypresswalk/net/connection.py
@@ -1,4 +1,4 @@
-"""A connected socket that several threads use: one reads and closes it, others write or end it."""
+"""A TCP connection shared by threads: one reads and closes it, others write or shut it down."""
 
 import socket
 import struct
@@ -11,29 +11,29 @@
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.parsers.lines import LineParser
 
-# Linux's numbers of the TCP states in which the peer has ended its side:
+# Linux's numbers of the TCP states after the peer has closed its side:
 # TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK and CLOSING.
 PEER_CLOSED_STATES = frozenset((6, 7, 8, 9, 11))
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets the connection
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes closing send a reset
 
 
 def timeval(duration: int) -> bytes:
-    """Returns nanoseconds as the `struct timeval` of socket options."""
+    """Return a duration in nanoseconds as the `struct timeval` of socket options."""
     return struct.pack("ll", duration // SECOND, duration % SECOND // 1000)
 
 
 def dial(address: Address, timeout: int) -> socket.socket:
-    """Returns a TCP connection, with the timeout still set.
+    """Open a TCP connection; the returned socket still has the timeout set.
 
-    The address is in figures: looking up a name would need more stack than these threads have, and
-    could hang.
+    The address must be numeric: looking up a name would need more stack than these threads have,
+    and could hang.
 
     Args:
-        address: Where to connect.
-        timeout: Nanoseconds that setting up the connection may take.
+        address: The address to connect to.
+        timeout: The longest time that connecting may take, in nanoseconds.
 
     Raises:
-        OSError: It was refused, or did not come up in time.
+        OSError: The connection was refused or not set up in time.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -52,16 +52,16 @@
     max_bytes: int,
     before_receive: Callable[[], None] | None = None,
 ) -> bytes | None:
-    """Returns the next line, or None if the connection ends before it is complete.
+    """Return the next line, or None if the connection ends before it is complete.
 
     Args:
-        sock: Where it is read.
-        lines: Splits what arrives; keeps what follows the line.
-        max_bytes: How much is read at once.
-        before_receive: Called before each read, such as to set the time that is left for it.
+        sock: The socket to read from.
+        lines: The parser of received data, which keeps what follows the line.
+        max_bytes: The most bytes to read at once.
+        before_receive: A function called before each read, such as one that sets a timeout.
 
     Raises:
-        OSError: The connection failed, or the time of its reads is over.
+        OSError: The connection failed, or a read timed out.
         MessageTooLongError: The line exceeds the limit of `lines`.
     """
     while (line := lines.next_line()) is None:
@@ -75,21 +75,21 @@
 
 
 class Connection:
-    """A connected socket; its reading thread alone closes it.
+    """A connected socket, closed only by the thread that reads it.
 
-    A descriptor may be given out again the moment it is closed, so nobody may be about to use it
-    then. Writing takes `_write_lock`, which may be held for long. Closing and ending take
-    `_close_lock`, which is held for a moment only.
+    The system may reuse a descriptor as soon as it is closed, so no other thread may be about to
+    use it then. Writing takes `_write_lock`, which may be held for long. Closing and shutting down
+    take `_close_lock`, which is held only briefly.
 
     Attributes:
         sock: The socket, in blocking mode.
-        reader_done: Set once the reading thread has come to the end.
+        reader_done: An event that is set once the reading thread has read to the end.
     """
 
     __slots__ = ("sock", "reader_done", "_write_lock", "_close_lock")
 
     def __init__(self, sock: socket.socket, limits: Limits):
-        """Takes over a connected socket.
+        """Take over a connected socket.
 
         Raises:
             OSError: The connection has failed already.
@@ -103,31 +103,31 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write_timeout))
 
     def set_read_timeout(self, timeout: int) -> None:
-        """Limits each read from the next one on to so many nanoseconds; 0 for no limit.
+        """Set the timeout of each further read, in nanoseconds; 0 for no timeout.
 
         A read that takes longer raises BlockingIOError.
         """
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(timeout))
 
     def send(self, data: bytes) -> None:
-        """Writes all of the data.
+        """Write all of the data.
 
         Raises:
-            OSError: The connection failed, or the peer accepts nothing.
+            OSError: The connection failed, or the peer accepted no data within the write timeout.
         """
         with self._write_lock:
             self.sock.sendall(data)
 
     def send_nowait(self, data: bytes) -> None:
-        """Writes a few bytes on a connection that nothing else was written to.
+        """Write a few bytes to a connection to which nothing else was written, without blocking.
 
-        They fit, so that nobody waits; a connection that has failed is left to its reader.
+        They fit into the empty send buffer. Errors are ignored: the reading thread finds them.
         """
         with self._close_lock, suppress(OSError):
             self.sock.send(data, socket.MSG_DONTWAIT)
 
     def is_readable(self) -> bool:
-        """Returns whether data, an end or a reset waits to be read."""
+        """Return whether data, an end of stream or a reset is waiting to be read."""
         with self._close_lock:
             try:
                 self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -138,7 +138,7 @@
             return True
 
     def has_ended(self) -> bool:
-        """Returns whether an end or a reset has arrived, be it behind unread data."""
+        """Return whether an end of stream or a reset has arrived, even behind unread data."""
         with self._close_lock:
             try:
                 if not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
@@ -150,26 +150,26 @@
                 return True
 
     def peer_closed(self) -> bool:
-        """Returns whether the peer has ended its side, by the kernel's state of the connection.
+        """Return whether the peer has closed its side, by the kernel's state of the connection.
 
-        That tells also after reading was shut down, when a read finds an end in any case.
+        This works also after reading was shut down, when each read returns an end of stream.
         """
         state = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         return state in PEER_CLOSED_STATES
 
     def shutdown(self, how: int) -> None:
-        """Ends one or both directions, such as `socket.SHUT_WR`."""
+        """Shut down one or both directions, such as `socket.SHUT_WR`."""
         with self._close_lock, suppress(OSError):
             self.sock.shutdown(how)
 
     def reset_on_close(self) -> None:
-        """Has the connection end in a reset, and its reader close it now."""
+        """Make closing send a reset, and make the reading thread close the connection now."""
         with self._close_lock, suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.sock.shutdown(socket.SHUT_RD)
 
     def close(self) -> None:
-        """Closes the socket once nobody writes to it; a write that hangs is ended before."""
+        """Close the socket once no thread writes to it, aborting a write in progress."""
         if self._write_lock.locked():
             self.shutdown(socket.SHUT_RDWR)
         with self._write_lock, self._close_lock:
@@ -177,10 +177,10 @@
 
 
 def forward_end(reset: bool, other: Connection, limits: Limits) -> None:
-    """Ends the other side of a relay as this one has ended.
+    """End the other side of a relay in the same way as this side has ended.
 
-    After an end of stream, what the other side still sends is relayed by its own thread for at
-    most `limits.linger_timeout`.
+    After an end of stream, the other side's thread goes on relaying what it still sends for at most
+    `limits.linger_timeout`.
     """
     if reset:
         other.reset_on_close()
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases of this process: start beside a predecessor, service, drain, shutdown."""
+"""The phases of this process: starting beside a predecessor, serving, drained, shutting down."""
 
 import logging
 from enum import Enum
@@ -16,26 +16,26 @@
 
 
 class Phase(Enum):
-    """Of this process. An operator's command or a signal ends one, never time alone."""
+    """A phase of this process, ended by an operator's command or a signal, never by time alone."""
 
-    STARTING = "starting"  # beside a predecessor that still serves: places nothing
+    STARTING = "starting"  # a predecessor still serves; this process places no flows
     SERVING = "serving"
-    DRAINED = "drained"  # by an operator: fails PING, migrates its clients, may be called back
-    LEAVING = "leaving"  # graceful shutdown: goes on answering until it ends
+    DRAINED = "drained"  # by an operator: fails PING and migrates clients; can return to service
+    LEAVING = "leaving"  # graceful shutdown: still answers requests until the process ends
 
 
 class RequestHandler(Protocol):
-    """What draining asks of the core."""
+    """The methods of the core that draining uses."""
 
     def migrate(self, now: int, flow: Flow) -> None:
-        """Has an established flow's client look for another balancer or server."""
+        """Tell an established flow's client to reconnect to another balancer or server."""
 
     def on_attempt_timeout(self, now: int, attempt: Attempt) -> None:
-        """An attempt's time is up."""
+        """Handle the timeout of an attempt."""
 
 
 class Lifecycle:
-    """The phase, whether new flows are welcome, and the even migration of clients before an end.
+    """The phase, the readiness for new flows, and the gradual migration of clients when draining.
 
     Times are nanoseconds.
     """
@@ -50,7 +50,7 @@
         sessions: dict[Flow, Session],
         requests: RequestHandler,
     ):
-        """`sessions` is the core's own map of all flows that are held or established."""
+        """Start in the phase `SERVING`; `sessions` is the core's own map of its flows."""
         self.limits = limits
         self.timers = timers
         self.drivers = drivers
@@ -59,17 +59,19 @@
         self.sessions = sessions
         self.requests = requests
         self.phase = Phase.SERVING
-        # Flows can be placed, but for the lease (`Extensions.may_act`); read by clients' threads.
+        # Whether flows can be placed, apart from the lease (`Extensions.may_act`); read by clients'
+        # threads too.
         self.ready = False
-        # No flow is answered later, while this process is drained or leaves.
+        # Latest time for replies to OPEN while this process is drained or shutting down, else None.
         self.answer_deadline: int | None = None
-        self.drained = False  # by an operator; stays so over an upgrade
-        self.stopped = False  # all is over but the last bytes
-        self.round = 0  # of migrating all clients; a new one, or a call back, ends the one before
+        self.drained = False  # whether an operator drained it; kept across an upgrade
+        self.stopped = False  # whether all sessions are over, apart from sending the last bytes
+        # Number of the current migration of all clients; increasing it ends the one before.
+        self.round = 0
 
     def update_readiness(self) -> None:
-        """Derives `ready` anew; to be called after each change of what it depends on."""
-        # Of two processes at one address the predecessor answers PING for both, without a gap.
+        """Recompute `ready`; must be called after each change of what it depends on."""
+        # During a hand-over the predecessor goes on answering PING, so that there is no gap.
         accepting = (
             self.phase is Phase.SERVING
             or self.phase is Phase.LEAVING
@@ -79,7 +81,7 @@
         self.ready = accepting and self.endpoints.count_placeable() > 0
 
     def begin_serving(self, now: int) -> None:
-        """The predecessor has handed over, or is gone."""
+        """Start serving after the predecessor has handed over or is gone."""
         if self.phase is Phase.STARTING:
             self.phase = Phase.SERVING
             log.info(event("taken_over", drained=self.drained))
@@ -88,13 +90,13 @@
             self.update_readiness()
 
     def drain(self, now: int) -> None:
-        """Migrates all clients until called back."""
+        """Migrate all clients, until `return_to_service`."""
         self.drained = True
         if self.phase is Phase.SERVING:
             self._migrate_all(now, Phase.DRAINED, self.limits.drain_delay, self.limits.drain_time)
 
     def return_to_service(self) -> None:
-        """Ends a drain."""
+        """End a drain."""
         self.phase = Phase.SERVING
         self.answer_deadline = None
         self.drained = False
@@ -102,16 +104,20 @@
         self.update_readiness()
 
     def stop(self, now: int) -> None:
-        """Goes on answering while clients are migrated evenly; ends well before the kill."""
+        """Shut down gracefully: still answer requests while clients are migrated evenly.
+
+        This ends well before the process is killed.
+        """
         if self.phase is Phase.LEAVING:
             return
         span = (
             min(self.limits.longest_connect_timeout, self.limits.max_leave_time)
             + self.limits.leave_extension
         )
-        # A client that is migrated at once would come straight back, since some are still sent here
-        # for a while, and in a rolling restart the balancer before this one is often still away. A
-        # successor is there: the longer the migration takes, the less it presses on anyone.
+        # Clients are still sent here for a while after a stop begins, and in a rolling restart the
+        # balancer restarted before this one is often still down, so a client migrated at once could
+        # come straight back. With a successor that does not matter, and a longer migration spreads
+        # the load of reconnecting clients.
         if self.extensions.has_other_process():
             delay = self.limits.min_leave_delay
         else:
@@ -122,7 +128,7 @@
             self.extensions.handover.hand_over(now)
 
     def _migrate_all(self, now: int, phase: Phase, delay: int, span: int) -> int:
-        """Migrates clients evenly from `delay` to `span` after now; returns the deadline."""
+        """Migrate clients evenly from `delay` to `span` after now; return the deadline."""
         deadline = self.answer_deadline = now + span
         self.phase = phase
         self.round += 1
--- a/cypresswalk/net/listener.py
+++ b/cypresswalk/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients and bounds how many are connected."""
+"""Accepts clients and limits how many are connected."""
 
 import logging
 import socket
@@ -19,16 +19,17 @@
 
 
 class ClientListener:
-    """Accepts clients and gives each a thread.
+    """The listening socket for clients; accepts each and starts its thread.
 
     Attributes:
         sock: The listening socket.
-        accepting: Cleared where another process accepts in this one's place; `run` ends then.
-        slots: Places for clients. Further ones wait in the backlog, so that descriptors last for
-            the flows that stand.
-        clients: Those connected.
-        unopened: Those that have not sent their first line, the oldest first.
-        closes_at: When to stop accepting for good; None while that is open.
+        accepting: Whether this process accepts; cleared when another process takes over, which ends
+            `run`.
+        slots: A semaphore that limits connected clients. Further clients wait in the backlog, so
+            that descriptors remain for established flows.
+        clients: The connected clients.
+        unopened: The clients that have not sent their first line, oldest first.
+        closes_at: The time at which to stop accepting for good, in nanoseconds; None if not set.
         closed: Whether `run` has ended.
     """
 
@@ -41,18 +42,18 @@
         shared: bool = False,
         sock: socket.socket | None = None,
     ):
-        """Listens; `run` accepts.
+        """Start listening; `run` accepts the clients.
 
         Args:
-            address: Where to listen.
-            core: Is told what clients do.
-            inbox: Of the deciding thread.
+            address: The address to listen at.
+            core: The core, to which clients' events are reported.
+            inbox: The event queue of the deciding thread.
             limits: Sizes, counts and times.
-            shared: Another process may accept at the same address.
-            sock: The listening socket that the other process passed on, if it did.
+            shared: Whether another process may accept at the same address.
+            sock: The listening socket passed on by the other process, if any.
 
         Raises:
-            OSError: The address stays taken.
+            OSError: The address was still in use after `limits.bind_timeout`, or is not usable.
         """
         self.core = core
         self.inbox = inbox
@@ -67,18 +68,18 @@
         self.sock = sock or self._listen(address)
 
     def run(self) -> None:
-        """Accepts clients up to `closes_at`; runs in a thread of its own."""
-        while self.accepting and self._remaining() > 0:
+        """Accept clients until `closes_at`; runs in a thread of its own."""
+        while self.accepting and self._accept_timeout() > 0:
             if not self._acquire_slot():
                 break
-            self.sock.settimeout(max(self._remaining(), MILLISECOND) / SECOND)
+            self.sock.settimeout(max(self._accept_timeout(), MILLISECOND) / SECOND)
             try:
                 sock, _ = self.sock.accept()
             except TimeoutError:
                 self.slots.release()
                 continue
             except OSError as error:
-                # Descriptors may run short all the same: others close in time.
+                # Descriptors may still run short for a while, until other connections close.
                 self.slots.release()
                 log.warning(event("accept_failed", error=error))
                 time.sleep(self.limits.accept_retry_pause / SECOND)
@@ -92,7 +93,7 @@
         self.closed = True
 
     def admit(self, sock: socket.socket) -> None:
-        """Starts a client's thread, in a slot that the caller has acquired for it."""
+        """Start a client's thread, in a slot that the caller has acquired for it."""
         self.core.counters.add("clients")
         try:
             client = ClientConnection(sock, self.core, self.inbox, self.limits, self.unopened)
@@ -103,7 +104,7 @@
             self.slots.release()
 
     def dismiss_unopened(self) -> None:
-        """Dismisses all clients that have not sent anything."""
+        """Dismiss all clients that have not sent anything."""
         for client in list(self.unopened):
             client.dismiss()
 
@@ -120,18 +121,18 @@
                 time.sleep(self.limits.accept_retry_pause / SECOND)
 
     def _acquire_slot(self) -> bool:
-        """Waits for a slot; False once accepting ends.
+        """Wait for a slot; return False if accepting ends before one is free.
 
-        Clients that send nothing make room for others, the oldest first.
+        While there is none, idle clients that have sent nothing are dismissed.
         """
         while not self.slots.acquire(timeout=self.limits.accept_retry_pause / SECOND):
             self._dismiss_idle(len(self.unopened))
-            if self._remaining() <= 0:
+            if self._accept_timeout() <= 0:
                 return False
         return True
 
-    def _remaining(self) -> int:
-        """Nanoseconds to wait for a client before the next look at whether to go on."""
+    def _accept_timeout(self) -> int:
+        """Return how long to wait for a client before checking for the end, in nanoseconds."""
         wait = self.limits.accept_retry_pause if self._shared else self.limits.accept_poll_interval
         if self.closes_at is None:
             return wait
@@ -139,13 +140,13 @@
 
     def _dismiss_idle(self, count: int) -> None:
         latest = self.inbox.clock() - self.limits.idle_grace
-        # In one call: clients' threads change it between any two.
+        # Copy it in one call, since clients' threads change it concurrently.
         for client in list(self.unopened)[:count]:
             if client.accepted_at < latest and client.dismiss():
                 self.core.counters.add("clients_idle")
 
     def _close(self) -> None:
-        """Stops listening once all that the system has accepted are admitted or rejected."""
+        """Admit or reject all clients in the backlog, then stop listening."""
         self.sock.setblocking(False)
         while True:
             try:
@@ -159,9 +160,10 @@
         self.sock.close()
 
     def _reject(self, sock: socket.socket) -> None:
-        """Answers without a thread, for want of a slot.
+        """Reject a client for which there is no slot, without a thread.
 
-        What has arrived is read: closing with it unread would take the answer back as a reset.
+        Received data is read first: closing a socket with unread data sends a reset, and the client
+        could lose the reply.
         """
         try:
             sock.setblocking(False)
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the sockets' drivers and of parts that operators turn on."""
+"""The interfaces through which the core uses the drivers and the optional extensions."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -12,124 +12,137 @@
 
 
 class Drivers(Protocol):
-    """What the core asks of the sockets. None of these waits."""
+    """The socket operations that the core uses. None of them blocks."""
 
     def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
-        """Connects to a server and sends the line; reports back by the core's on_... methods."""
+        """Connect to a server and send the line; results go to the core's `on_...` methods."""
 
     def start_relay(self, attempt: Attempt) -> None:
-        """Starts relaying lines between the client and the server."""
+        """Start relaying lines between the client and the server."""
 
     def close_attempt(self, attempt: Attempt) -> None:
-        """Closes the connection to the server."""
+        """Close the connection to the server."""
 
     def cancel_unsent(self, attempt: Attempt) -> bool:
-        """Drops an attempt that has sent nothing. False if it has, or if it was dropped before."""
+        """Drop an attempt that has sent nothing.
+
+        Return False if it has sent something, or was dropped before.
+        """
 
     def stop_accepting_at(self, at: int) -> None:
-        """Ends the listening for clients at that time, nanoseconds."""
+        """Stop accepting clients at the time `at`, in nanoseconds."""
 
     def send_reply(self, session: Session, line: bytes) -> None:
-        """Sends the client its last line and ends the connection's sending half."""
+        """Send the client its last line and shut down the sending half of the connection."""
 
     def close_client(self, session: Session) -> None:
-        """Closes the client's connection."""
+        """Close the client's connection."""
 
     def migrate(self, session: Session) -> None:
-        """Tells an established client to look for another server."""
+        """Tell an established client to reconnect to another server."""
 
     def check_health(self, server: Server, address: Address) -> None:
-        """Checks a server's health."""
+        """Start a health check of a server."""
 
     def request_endpoints(self) -> None:
-        """Asks for the endpoint list's changes."""
+        """Request the changes of the endpoint list."""
 
     def send_gossip(self, message: bytes) -> None:
-        """Sends gossip to the other balancers."""
+        """Send gossip to the other balancers."""
 
 
 class HandoverPartner(Protocol):
-    """Another process of this balancer beside this one, for an upgrade (net/handover.py)."""
+    """The link to another process of the same balancer during an upgrade (net/handover.py)."""
 
     @property
     def connected(self) -> bool:
-        """Whether there is another process now."""
+        """Return whether there is another process now."""
 
-    peer_sessions: int  # that the other process still holds
-    replaced: bool  # the other process accepts clients in this one's place
-    state_received: bool  # the predecessor's whole state has been read
+    peer_sessions: int  # sessions that the other process still has
+    replaced: bool  # whether the other process accepts clients instead of this one
+    state_received: bool  # whether the predecessor's whole state has been read
 
     def hand_over(self, now: int) -> None:
-        """Has the successor accept clients from now on."""
+        """Make the successor accept clients from now on."""
 
     def send_session_count(self) -> None:
-        """Tells the other process how many sessions this one holds, if that has changed."""
+        """Send the other process the number of this process's sessions, if it has changed."""
 
     def forward(self, now: int, command: AdminCommand, reason: str | None) -> bool:
-        """Passes a command on. Whether the reply waits for the other process."""
+        """Pass a command on; return whether its reply waits for the other process."""
 
 
 class FleetBinding(Protocol):
-    """What balancers of one fleet have agreed (fleet/core_binding.py)."""
+    """The link to what the balancers of one fleet have agreed on (fleet/core_binding.py)."""
 
     def on_attempt_established(self, attempt: Attempt, took: int) -> None:
-        """An attempt was established within so many nanoseconds."""
+        """Handle the establishment of an attempt, which took `took` nanoseconds."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt or an established connection ended, whatever its outcome."""
+        """Handle the end of an attempt or of an established connection, with any outcome."""
 
     def merge_endpoints(
         self, now: int, form: EndpointUpdate, entries: list[Endpoint]
     ) -> tuple[EndpointUpdate, list[Endpoint]]:
-        """The update to act on, from what this balancer's own endpoint list says."""
+        """Return the update to apply, given an update of this balancer's own endpoint list."""
 
     def handle_command(self, now: int, call: AdminCommand) -> bool:
-        """Whether the fleet replies to the command."""
+        """Handle an operator's command; return False if the fleet does not reply to it."""
 
     def state_for_successor(self) -> dict[str, Any]:
-        """What a successor needs to know of what is agreed."""
+        """Return the agreed state that a successor needs."""
 
     def inherit(self, now: int, state: dict[str, Any]) -> None:
-        """Reads what a predecessor knows of what is agreed."""
+        """Apply the agreed state that a predecessor sent."""
 
 
 class Reservations(Protocol):
-    """Idempotency keys reserved at replicas before a flow is placed (cypresswalk/copies/)."""
+    """Reservations of idempotency keys, made at replicas before a flow is placed.
+
+    The client of the replicas is in cypresswalk/copies/.
+
+    Attributes:
+        waiting: The sessions whose reservation was requested but not answered yet.
+    """
 
     waiting: dict[Session, None]
 
     def ask(self, now: int, session: Session) -> None:
-        """Asks for the flow's reservation; the answer places or rejects the session."""
+        """Request the flow's reservation; the answer places or rejects the session."""
 
     def finish(self, flow: Flow, how: str) -> None:
-        """Ends the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
+        """End the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
 
 
 class Extensions:
-    """Parts that operators turn on. Each is None where it is off."""
+    """Optional parts that operators can enable. Each is None if disabled."""
 
     def __init__(self) -> None:
-        """All are off."""
+        """Start with all extensions disabled."""
         self.handover: HandoverPartner | None = None
         self.fleet: FleetBinding | None = None
         self.reservations: Reservations | None = None
-        # Asked at each decision, not by a timer: a frozen process wakes with a queue of work.
+        # Called before each placement rather than by a timer: a process that was frozen resumes
+        # with queued events, while its lease may have expired.
         self.holds_lease: Callable[[], bool] | None = None
 
     def may_act(self) -> bool:
-        """Whether it may place flows now: no fleet, a lease, or `without_lease = "hold"`."""
+        """Return whether flows may be placed now.
+
+        That is so without a fleet, with a lease, or with `without_lease = "hold"`.
+        """
         return self.holds_lease is None or self.holds_lease()
 
     def has_other_process(self) -> bool:
-        """Whether another process of this balancer stands beside this one."""
+        """Return whether another process of this balancer runs beside this one."""
         return self.handover is not None and self.handover.connected
 
     def is_replaced(self) -> bool:
-        """Whether another process accepts this one's clients already."""
+        """Return whether another process already accepts clients instead of this one."""
         return self.handover is not None and self.handover.replaced
 
     def flows_elsewhere(self) -> int:
-        """Flows that count toward this process's limit but are not among its sessions."""
+        """Return the number of flows that count toward the limit but are not in its sessions."""
         count = self.handover.peer_sessions if self.handover is not None else 0
         if self.reservations is not None:
             count += len(self.reservations.waiting)
--- a/cypresswalk/net/relay.py
+++ b/cypresswalk/net/relay.py
@@ -1,4 +1,4 @@
-"""Relays lines between a client and the server that has taken its flow."""
+"""Relays lines between a client and the server that accepted its flow."""
 
 import socket
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from cypresswalk.net.parsers.load_reports import LoadReportHistory, parse_load_line
 from cypresswalk.net.session import Attempt
 
-# What a server's first or last line says of the flow, by its first word.
+# Outcomes of a flow by the first word of the server's first or last line.
 OUTCOME_BY_WORD = {
     b"BUSY": Outcome.FULL,
     b"ERR": Outcome.ERROR,
@@ -23,9 +23,10 @@
 
 
 class Relay:
-    """Relays a flow's lines; the thread of the server's connection runs `run`.
+    """The relay of one established flow.
 
-    Lines to the server are forwarded by the client's thread.
+    The thread of the server's connection runs `run`, which relays the server's lines; the client's
+    thread forwards the client's lines.
 
     Attributes:
         server: The server's connection.
@@ -53,15 +54,15 @@
         inbox: Inbox,
         limits: Limits,
     ):
-        """Creates a relay between two connections.
+        """Create a relay between two connections.
 
         Args:
-            attempt: That has come up.
+            attempt: The attempt that the server accepted.
             server: The server's connection.
             client: The client's connection.
-            lines: The parser of the server's lines, which may hold some that followed the first.
-            core: Is told delays and the end.
-            inbox: Of the deciding thread.
+            lines: The parser of the server's lines, which may hold lines that followed the first.
+            core: The core, to which message delays and the end are reported.
+            inbox: The event queue of the deciding thread.
             limits: Sizes and times.
         """
         self.server = server
@@ -75,15 +76,15 @@
         self._migrating = False
 
     def run(self, first_line: bytes, flush_client: Callable[[], None]) -> None:
-        """Relays the server's lines up to the end of either side, which the other is given too.
+        """Relay the server's lines until either side ends, then end the other side too.
 
         Args:
-            first_line: The server's acceptance, not yet sent to the client; without its end.
-            flush_client: Forwards the client's lines that have arrived in the meantime.
+            first_line: The server's acceptance without its line end, not yet sent to the client.
+            flush_client: A function that forwards the client's lines that have arrived meanwhile.
         """
         client = self._client
         reset = False
-        delivered = False  # the client took the latest lines
+        delivered = False  # whether the latest lines were sent to the client
         last = b""
         try:
             last = self._lines.take_complete_lines()
@@ -107,13 +108,13 @@
             outcome = OUTCOME_BY_WORD.get(last_line, Outcome.RESET)
             self.inbox.post(self.core.on_attempt_ended, self.attempt, outcome)
         else:
-            # The client's end comes back from the server as a reset, which is not its fault.
+            # The server's reset may only answer the client's end, so the server is not blamed.
             self.inbox.post(self.core.on_client_left, self.attempt.session)
         self.server.reader_done.set()
         forward_end(reset, client, self.limits)
 
     def forward_to_server(self, data: bytes) -> None:
-        """Sends a client's complete lines to the server.
+        """Send a client's complete lines to the server.
 
         Raises:
             OSError: The server's connection has failed.
@@ -124,15 +125,16 @@
         self.server.send(data)
 
     def migrate(self) -> None:
-        """Has the client told to move, by the thread of the server's connection.
+        """Have the thread of the server's connection send MOVE to the client.
 
-        That reads what has arrived already, then an end, and then sends MOVE.
+        Shutting down the reading side makes that thread read what has already arrived, then an end
+        of stream, and then send MOVE.
         """
         self._migrating = True
         self.server.shutdown(socket.SHUT_RD)
 
     def _send_to_client(self, data: bytes) -> bool:
-        """Returns whether the client took it."""
+        """Send data to the client; return whether that succeeded."""
         try:
             self._client.send(data)
         except OSError:
@@ -140,9 +142,10 @@
         return True
 
     def _observe_response(self, data: bytes) -> None:
-        """Reports delays that the server's lines tell.
+        """Report the message delay that the server's lines contain or imply.
 
-        A LOAD line is a report, not the response to a line: a server that hangs sends it still.
+        A LOAD line does not count as the response to a client's line, since a server that hangs may
+        still send it.
         """
         now = self.inbox.clock()
         attempt = self.attempt
