--- a/cypresswalk/net/__init__.py
+++ b/cypresswalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on blocking sockets: drivers, and the core that joins them to the decisions."""
+"""The network code of the balancer: drivers for blocking sockets, and the core that uses them."""
--- a/cypresswalk/net/clock.py
+++ b/cypresswalk/net/clock.py
@@ -1,18 +1,19 @@
-"""The clock of the balancer."""
+"""The balancer's clock."""
 
 import time
 
 
 class Clock:
-    """Wall time at the start, moved on by the monotonic clock.
+    """A clock that starts at the wall time and advances with the monotonic clock.
 
-    So start times in the endpoint list compare with it, and setting the wall clock has no effect.
+    It can be compared with start times in the endpoint list, and is not affected by later changes
+    of the wall clock.
     """
 
     def __init__(self) -> None:
-        """Reads the wall clock, once."""
+        """Read the wall clock once."""
         self.offset = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        """Returns the time in nanoseconds since the Unix epoch."""
+        """Return the time in nanoseconds since the Unix epoch."""
         return time.monotonic_ns() + self.offset
--- a/cypresswalk/net/counters.py
+++ b/cypresswalk/net/counters.py
@@ -8,20 +8,20 @@
     """Named counters that any thread may increase.
 
     Attributes:
-        counts: The counts by name, since the start.
+        counts: The counts since the start, by name.
     """
 
     def __init__(self) -> None:
-        """Creates counters at 0."""
+        """Create counters at 0."""
         self.counts: Counter[str] = Counter()
         self._lock = Lock()
 
     def add(self, name: str, count: int = 1) -> None:
-        """Increases a counter."""
+        """Increase a counter."""
         with self._lock:
             self.counts[name] += count
 
     def line(self) -> str:
-        """Returns all counters for a log line, in the order of their names."""
+        """Return all counters for a log line, ordered by name."""
         with self._lock:
             return " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
--- a/cypresswalk/net/delay_gauge.py
+++ b/cypresswalk/net/delay_gauge.py
@@ -4,10 +4,11 @@
 
 
 class DelayGauge:
-    """Measures one server's delay and thins the measurements out to what the decisions use.
+    """The gauge of one server's message delay, which limits how many measurements are reported.
 
-    While messages take long, one measurement an interval is reported; and the first that does not.
-    Times are nanoseconds. Used by the threads of all connections to that server.
+    While the delay is above the threshold, one measurement per interval is reported; then the first
+    one that is not above it. Times are nanoseconds. The threads of all connections to the server
+    share one gauge.
     """
 
     __slots__ = (
@@ -21,24 +22,25 @@
     )
 
     def __init__(self, server: Server, threshold: int, interval: int):
-        """Delays above `threshold` are long."""
+        """Create a gauge that reports delays above `threshold`, one per `interval`."""
         self.server = server
         self.threshold = threshold
         self.interval = interval
         self.reported_at = 0
         self.above_threshold = False
-        self.shortest_setup: int | None = None  # of a TCP connection: the network's part of a delay
-        self.latest_answered = 0  # when the latest line was sent that has a reply
+        # Shortest time to set up a TCP connection, taken as the network's part of a delay.
+        self.shortest_setup: int | None = None
+        self.latest_answered = 0  # time at which the latest line that has a reply was sent
 
     def on_setup(self, duration: int) -> None:
-        """A TCP connection to the server took so long."""
+        """Record the set-up time of a TCP connection to the server."""
         if self.shortest_setup is None:
             self.shortest_setup = duration
         else:
             self.shortest_setup = min(self.shortest_setup, duration)
 
     def delay_to_report(self, now: int, duration: int) -> int | None:
-        """The delay to report for a reply that took `duration`; None where it need not be."""
+        """Return the delay to report for a reply that took `duration`; None for no report."""
         delay = max(duration - (self.shortest_setup or 0), 0)
         if delay > self.threshold:
             if self.above_threshold and now - self.reported_at < self.interval:
--- a/cypresswalk/net/health_checks.py
+++ b/cypresswalk/net/health_checks.py
@@ -20,8 +20,9 @@
     """A server's answer to a health check.
 
     Attributes:
-        passed: Whether it is healthy by its own word.
-        load: Its load report in the order of the settings' fields; empty if there is none.
+        passed: Whether the server reported that it is healthy.
+        load: The values of its load report in the order of the settings' fields; empty if it sent
+            none.
     """
 
     passed: bool
@@ -36,20 +37,20 @@
 
 
 class HealthChecker:
-    """Checks servers, each in a thread of its own that ends with its check.
+    """The health checker, which runs each check in a thread of its own.
 
-    A connection whose check passed is kept for the next one: a new connection costs the server
-    more than the check.
+    The connection of a passed check is kept for the next one, since a new connection costs the
+    server more than a check.
     """
 
     def __init__(self, core: Core, inbox: Inbox, limits: Limits, load_fields: list[str]):
-        """Creates a checker without connections.
+        """Create a checker without connections.
 
         Args:
-            core: Is told the results.
-            inbox: Of the deciding thread.
+            core: The core, to which the results are reported.
+            inbox: The event queue of the deciding thread.
             limits: Sizes, counts and times.
-            load_fields: Of the load reports to ask for; empty to ask for none.
+            load_fields: The fields to read from load reports; empty to request no load reports.
         """
         self.core = core
         self.inbox = inbox
@@ -60,7 +61,7 @@
         self._slots = Semaphore(limits.max_running_health_checks)
 
     def check(self, server: Server, address: Address) -> None:
-        """Starts a check, whose result the core is told; called by the deciding thread."""
+        """Start a check and report its result to the core; called by the deciding thread."""
         with self._idle_lock:
             for other in [s for s in self._idle if s.state is ServerState.GONE]:
                 self._idle.pop(other).sock.close()
@@ -70,14 +71,14 @@
             self.inbox.post(self.core.on_health_check_result, server, False, [])
 
     def close_idle(self) -> None:
-        """Closes the connections that are kept: another process checks from now on."""
+        """Close the kept connections, since another process checks from now on."""
         with self._idle_lock:
             for connection in self._idle.values():
                 connection.sock.close()
             self._idle.clear()
 
     def _run_in_slot(self, server: Server, address: Address) -> None:
-        """Runs the check once there are descriptors for it; its time counts from then."""
+        """Run the check once there are descriptors for it; its timeout starts then."""
         with self._slots:
             self._run(server, address)
 
@@ -92,7 +93,8 @@
                 except TimeoutError:
                     raise
                 except (OSError, ProtocolError):
-                    # It ended while it was idle, which says nothing of the server now.
+                    # The connection ended while idle, which does not mean that the server is
+                    # unhealthy now.
                     sock.close()
                     sock = None
             if sock is None:
@@ -101,7 +103,7 @@
         except (OSError, ProtocolError):
             answer = HealthCheckAnswer(False, [])
         finally:
-            # The result is told whatever failed: without one the server is never checked again.
+            # Always report a result: without one the server would never be checked again.
             self.inbox.post(self.core.on_health_check_result, server, answer.passed, answer.load)
             if sock is not None:
                 self._keep_or_close(server, address, sock, answer.passed)
@@ -126,7 +128,11 @@
                 sock.close()
 
     def _remaining(self, deadline: int) -> int:
-        """Nanoseconds up to the deadline; raises TimeoutError once it has passed."""
+        """Return the nanoseconds until the deadline.
+
+        Raises:
+            TimeoutError: The deadline has passed.
+        """
         remaining = deadline - self.inbox.clock()
         if remaining <= 0:
             raise TimeoutError
@@ -134,7 +140,7 @@
 
     def _ask(self, sock: socket.socket, deadline: int) -> HealthCheckAnswer:
         def limit_read() -> None:
-            """Has the next read end at the deadline."""
+            """Set the timeout of the next operation so that it ends at the deadline."""
             sock.settimeout(self._remaining(deadline) / SECOND)
 
         lines = LineParser(self.limits.max_line_bytes)
--- a/cypresswalk/net/inbox.py
+++ b/cypresswalk/net/inbox.py
@@ -7,31 +7,32 @@
 
 
 class Inbox:
-    """Calls that other threads ask the deciding thread to make, in their order.
+    """A queue of calls that other threads post for the deciding thread to make in order.
 
     Attributes:
-        clock: Stamps the calls.
-        queue: Calls with the time at which they were posted and their further arguments.
-        urgent: Calls that go before all that waits in `queue`, with their arguments.
+        clock: The clock that gives the calls their time.
+        queue: The posted calls, each with the time of posting and its further arguments.
+        urgent: The calls to make before those in `queue`, with their arguments.
     """
 
     def __init__(self, clock: Clock):
-        """Creates an empty inbox."""
+        """Create an empty inbox."""
         self.clock = clock
         self.queue: SimpleQueue = SimpleQueue()
         self.urgent: SimpleQueue = SimpleQueue()
 
     def post(self, call: Callable[..., object], *args: object) -> None:
-        """Has the deciding thread make the call with the present time and the arguments."""
+        """Post a call for the deciding thread, with the current time and the arguments."""
         self.queue.put((self.clock(), call, args))
 
     def post_urgent(self, call: Callable[..., object], *args: object) -> None:
-        """Has the call made before all that waits, with the time of that moment.
+        """Post a call to make before all waiting calls, with the time at which it is made.
 
-        For operators' calls, whose callers wait a second, while a crowd's events are queued.
+        Used for operators' calls, whose callers wait for only a second, even while many clients'
+        events are queued.
         """
         self.urgent.put((call, args))
-        # The deciding thread waits on the other queue.
+        # The deciding thread blocks on `queue` only.
         self.post(_wake_up)
 
 
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -1,6 +1,6 @@
-"""Every size, count and time of the network code, in one type that is filled at start.
+"""All sizes, counts and times of the network code, in one type that is filled at start.
 
-Times are nanoseconds, memory and lengths are bytes, the rest are counts.
+Times are in nanoseconds, memory and lengths in bytes; the rest are counts.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 MILLISECOND = SECOND // 1000
 KIB = 1 << 10
 MIB = 1 << 20
-# Discovery sends an empty line so often while nothing changes.
+# Interval at which discovery sends an empty line while nothing changes.
 LIST_HEARTBEAT_INTERVAL = 2 * SECOND
 
 
@@ -18,183 +18,193 @@
 class Limits:
     """The limits of one balancer.
 
-    What may be open at once leaves the endpoint list its descriptor whatever clients do. Added up
-    it is: `max_flows` twice, for a client and a server each; `max_unopened_clients`;
-    `max_lingering_connections`; `max_idle_health_checks` and `max_running_health_checks`;
-    `fixed_sockets`.
+    They ensure that there is always a descriptor for the endpoint list, whatever clients do. The
+    most descriptors open at once are the sum of: two for each of `max_flows`, for the client and
+    the server; `max_unopened_clients`; `max_lingering_connections`; `max_idle_health_checks`;
+    `max_running_health_checks`; and `fixed_sockets`.
     """
 
     # From the configuration.
 
-    # Descriptors that the process may hold.
+    # Descriptors that the process may have open.
     max_sockets: int
     # Bytes of memory that the process may use.
     max_memory: int
     # A TCP connection that takes longer to set up has failed.
     dial_timeout: int
-    # The longest time that a client may allow for the set-up of its flow, of any service type.
+    # The longest set-up timeout of any service type (`giveUp`).
     longest_connect_timeout: int
-    # A message that takes longer is reported to the decisions: in the measure of servers' reports.
+    # Longer message delays are reported to the decisions, in the same unit as servers' reports.
     min_reported_delay: int
 
     # Memory and buffers.
 
-    # Flow ids that are remembered: a few minutes' worth, half a megabyte.
+    # Recent flow ids that are remembered: those of a few minutes, in half a megabyte.
     max_remembered_flows: int = 8192
     # Bytes of a gossip datagram.
     max_gossip_bytes: int = 256
-    # Bytes of a line of the clients', servers' and admin protocol.
+    # Bytes of a line of the client, server and admin protocols.
     max_line_bytes: int = 4 * KIB
-    # Bytes of one object of the endpoint list: some ten thousand servers.
+    # Bytes of one object of the endpoint list: about ten thousand servers.
     max_list_bytes: int = MIB
     # Bytes read at once from discovery.
     list_read_bytes: int = 64 * KIB
     # Bytes of a thread's stack, of which the parsers need a few KiB.
     thread_stack: int = 128 * KIB
-    # Bytes of the stack of the thread that decodes the endpoint list, nested as deep as it may be.
+    # Bytes of the stack of the thread that decodes the endpoint list, enough for the deepest
+    # nesting that fits into an object.
     list_thread_stack: int = MIB
-    # Bytes of memory without any client; 19 MB were measured.
+    # Bytes of memory without any client: 19 MB in use, rounded up.
     program_memory: int = 20 * MIB
-    # Bytes of memory for each flow, two threads and buffers; 51 to 60 KB were measured.
+    # Bytes of memory per flow, for two threads and buffers: 51 to 60 KB in use, rounded up.
     flow_memory: int = 64 * KIB
 
     # Clients.
 
-    # Clients that return all at once wait in the backlog, not in a retry.
+    # Clients that reconnect all at once wait in the backlog instead of having to retry.
     accept_backlog: int = 1024
-    # After an error of accepting, and where another process may accept in this one's place.
+    # Pause after an error of accepting, and poll interval where another process may take over.
     accept_retry_pause: int = SECOND // 20
-    # How often the accept loop looks whether it is to end.
+    # How often the accept loop checks whether it must end.
     accept_poll_interval: int = SECOND // 5
-    # The address of a process that has just died may be taken for a moment.
+    # The address may stay in use for a moment after the process that used it has died.
     bind_timeout: int = 3 * SECOND
-    # A client that has not sent its first line by then is dismissed.
+    # A client that has not sent its first line by then is rejected.
     first_line_timeout: int = 2 * SECOND
-    # And after this already where others wait for its place.
+    # The same where others wait for its place.
     idle_grace: int = SECOND // 10
-    # Bytes that a dismissed client may still send, which cost as much to read as others'.
+    # Bytes read and discarded after the final reply, since reading them costs as much as any.
     max_drained_bytes: int = 256 * KIB
-    # How often a client that was dismissed unread is looked at.
+    # Interval of checks for the end of a dismissed client, whose reading side is shut down.
     drain_poll_interval: int = 5 * MILLISECOND
-    # A peer that accepts nothing for so long is gone.
+    # A peer that accepts no data for so long is considered gone.
     write_timeout: int = 5 * SECOND
     # How long one side may still send after the other has ended.
     linger_timeout: int = SECOND // 2
-    # How long before a flow's deadline its answer must be on its way.
+    # How long before a flow's deadline its reply must be sent.
     answer_margin: int = 10 * MILLISECOND
-    # A connection that stood before the start must be up at its server by then.
+    # A connection from before this process's start must be re-established at its server by then.
     resume_timeout: int = 38 * SECOND
     resume_retry_interval: int = SECOND // 2
 
     # Servers.
 
-    # A fifth of the shortest interval of health checks: one never meets the next.
+    # A fifth of the shortest interval of health checks, so that checks of a server never overlap.
     health_check_timeout: int = 200 * MILLISECOND
-    # A client's line is unanswered for so long, as are the two that follow in that time.
+    # A connection is silent if a client's line has no reply for this long. In that time the client
+    # sends two more lines, which have none either.
     silence_timeout: int = 4 * SECOND
-    # The same where a client that sent to that server later has its answer.
+    # The same if another client's later line to that server has a reply.
     single_silence_timeout: int = SECOND
     silence_check_interval: int = SECOND // 4
-    # A burst of set-ups may hold a line back here for so long, which says nothing of its server.
+    # A burst of set-ups may delay a line in this process by this much, which is not the server's
+    # fault.
     own_delay_allowance: int = SECOND // 20
-    # Delays of one server are reported, and passed to the decisions, so often.
+    # Interval at which delays of one server are reported and passed to the decisions.
     delay_report_interval: int = SECOND
-    # What the network and this program add to that interval; under 1 ms was measured.
+    # What the network and this program add to that interval; they add under 1 ms.
     delay_report_jitter: int = 5 * MILLISECOND
 
     # Endpoint list.
 
-    # A change must be known so long after discovery had it and could be reached, or after a watch
-    # fell silent. The last line of a watch may be as old as its silence when that is noticed:
-    # silence, a call at once and time to apply make 5.9 s. A call that had just begun when
-    # discovery came back: call, longest pause, call again make 4.3 s.
+    # A change must be known within this time after discovery had it and was reachable, or after a
+    # watch stopped sending. When the silence of a watch is detected, its last line is as old as the
+    # silence timeout: that timeout, an immediate call and the time to apply the list take 5.9 s.
+    # If a call began just before discovery was reachable again, that call, the longest pause and
+    # another call take 4.3 s.
     list_update_budget: int = 6 * SECOND
-    # Two heartbeats missed, and 0.4 s for the network.
+    # Two missed heartbeats, and 0.4 s for the network.
     list_silence_timeout: int = 2 * LIST_HEARTBEAT_INTERVAL + 400 * MILLISECOND
-    # Set-up, request and first line of one call.
+    # Connecting, sending the request and reading the first line of one call.
     list_call_timeout: int = 3 * SECOND // 2
-    # By then another address of discovery knows what the one before it knew.
+    # After this time any other address of discovery knows what the one used before knew.
     list_convergence_time: int = 4 * SECOND
-    # The pause between calls doubles from the smallest to the largest, each 30% more or less.
+    # The pause between calls doubles from the smallest to the largest; each varies by up to 30%.
     min_list_retry_pause: int = SECOND // 5
     max_list_retry_pause: int = SECOND
-    # A file that cannot be read at SIGHUP, mostly half written, is read again for so long.
+    # How long reading a file is retried at SIGHUP; it is usually a file that is half written.
     reload_retry_time: int = 2 * SECOND
 
     # The process.
 
-    # After a fault in a decision.
+    # Pause after an unexpected error in a decision.
     fault_pause: int = SECOND // 50
-    # Warnings and errors a second: writing more would delay the threads that log.
+    # Warnings and errors logged per second: writing more would delay the threads that log.
     max_log_lines: int = 50
-    # A planned stop lasts for the longest attempt timeout, but no longer than this,
+    # A planned stop takes the longest attempt timeout, limited to this time,
     max_leave_time: int = 3 * SECOND
-    # and so much longer, since new clients still come; the kill is 0.7 s after that.
+    # plus this time, since new clients still arrive; the kill follows 0.7 s later.
     leave_extension: int = 3 * SECOND // 10
-    # The edge load balancer goes on sending clients for about so long after a stop began.
+    # The edge load balancer still sends clients for about this time after a stop has begun.
     min_leave_delay: int = 2 * SECOND // 5
-    # What was sent last is read by then.
+    # Time for peers to read the last data sent before the process exits.
     leave_read_time: int = SECOND // 4
     leave_poll_interval: int = SECOND // 50
-    # The edge load balancer asks each 0.1 s, and sends clients for 0.2 s after the first refusal.
+    # The edge load balancer checks every 0.1 s, and sends clients for 0.2 s after the first
+    # failed check.
     drain_delay: int = SECOND // 2
-    # After the call for a drain; a client that is still connected one second later is lost.
+    # Time from the drain command until all clients are migrated; a client that is still connected
+    # one second later is lost.
     drain_time: int = 3 * SECOND
 
     # Operators' calls.
 
-    # Whether operators can call: descriptors are reserved for them.
+    # Whether operators can call, so that descriptors are reserved for them.
     operated: bool = False
-    # Callers at a time.
+    # Concurrent callers.
     max_admin_connections: int = 8
-    # Descriptors for the hand-over to a process of another version, beside its flows.
+    # Descriptors for the hand-over to a process of another version, in addition to its flows.
     handover_sockets: int = 24
-    # A caller whose line is not complete by then is dismissed.
+    # A caller whose line is not complete by then is disconnected.
     admin_line_timeout: int = 2 * SECOND
-    # A caller waits a second.
+    # Less than the second that a caller waits for the reply.
     admin_call_timeout: int = 8 * SECOND // 10
-    # Of that time, what the other process of a hand-over has to confirm a call.
+    # The part of that time in which the other process of a hand-over must confirm a call.
     handover_confirm_timeout: int = SECOND // 2
 
-    # Descriptors: three standard ones, listener, gossip, the list at two addresses, one to come.
+    # Descriptors: three standard ones, the listener, gossip, the endpoint list at two addresses,
+    # and one in reserve.
     fixed_sockets: int = 8
 
     @property
     def spare_sockets(self) -> int:
-        """Descriptors for all but flows.
+        """Return the number of descriptors for uses other than flows.
 
-        A quarter, since clients of flows may hold a third and each flow takes another for its
-        server.
+        It is a quarter, since the clients of flows may hold a third and each flow needs one more
+        for its server.
         """
         return self.max_sockets // 4
 
     @property
     def max_flows(self) -> int:
-        """Flows for which there are descriptors, one each for client and server, and memory."""
+        """Return the number of flows for which there are enough descriptors and memory.
+
+        Each flow takes two descriptors, for its client and its server.
+        """
         by_sockets = (self.max_sockets - self.spare_sockets) // 2
         by_memory = (self.max_memory - self.program_memory) // self.flow_memory
         return max(min(by_sockets, by_memory), 1)
 
     @property
     def max_unopened_clients(self) -> int:
-        """Clients that have not sent their first line, or are being rejected."""
+        """Return the limit of clients that have not sent their first line or are being rejected."""
         reserved = (self.max_admin_connections + self.handover_sockets) * self.operated
         return max(self.spare_sockets - reserved, self.spare_sockets // 2) // 2
 
     @property
     def max_lingering_connections(self) -> int:
-        """Connections to servers that outlive their flow for a moment.
+        """Return the limit of connections to servers that briefly outlive their flow.
 
-        These are attempts dropped while they dial, and ends that are being passed on.
+        These are attempts dropped while dialing, and connections whose end is being forwarded.
         """
         return max(self.spare_sockets // 16, 1)
 
     @property
     def max_idle_health_checks(self) -> int:
-        """Connections to servers that stay open between health checks."""
+        """Return the limit of connections to servers kept open between health checks."""
         return self.spare_sockets // 4
 
     @property
     def max_running_health_checks(self) -> int:
-        """Health checks at a time."""
+        """Return the limit of concurrent health checks."""
         return max(self.spare_sockets // 16, 1)
--- a/cypresswalk/net/logs.py
+++ b/cypresswalk/net/logs.py
@@ -1,19 +1,19 @@
-"""Log lines of `key=value` fields on standard error."""
+"""Logging to standard error, in lines of `key=value` fields."""
 
 import logging
 import sys
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats a record as time, level, balancer and the fields of its message."""
+    """The formatter of lines with the time, the level, the balancer and a message's fields."""
 
     def __init__(self, balancer: str):
-        """Creates a formatter for the balancer of that name."""
+        """Create a formatter for the balancer of that name."""
         super().__init__()
         self.balancer = balancer
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the line; a trace stands in its field `error`."""
+        """Return the line; an exception's traceback is in its field `error`."""
         level = record.levelname.lower()
         line = (
             f"ts={record.created:.3f} level={level} balancer={self.balancer} {record.getMessage()}"
@@ -24,22 +24,22 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Passes a number of warnings and errors a second and counts the others.
+    """A filter that limits warnings and errors per second and counts those left out.
 
-    The next line that passes carries the count in `left_out=`. Records of level INFO (start, stop,
-    counters) are rare and always pass: a flood of warnings must not hide them.
+    The next line that passes has the count in `left_out=`. Records of level INFO (start, stop,
+    counters) are rare and always pass, so that a flood of warnings cannot hide them.
     """
 
     def __init__(self, max_per_second: int):
-        """Creates a filter that passes so many records a second."""
+        """Create a filter that passes `max_per_second` records per second."""
         super().__init__()
         self.max_per_second = max_per_second
-        self._second = 0  # the Unix time that is being counted
-        self._passed = 0  # records in that second
-        self._left_out = 0  # records since the last one that passed
+        self._second = 0  # the current second, as Unix time
+        self._passed = 0  # records that passed in that second
+        self._left_out = 0  # records left out since the last one that passed
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Returns whether the record passes."""
+        """Return whether the record passes."""
         if int(record.created) != self._second:
             self._second = int(record.created)
             self._passed = 0
@@ -54,7 +54,7 @@
 
 
 def describe(value: object) -> str:
-    """Returns a value's text; of an error without a text, the name of its class."""
+    """Return a value's text, or for an error without a text the name of its class."""
     text = str(value)
     if not text and isinstance(value, BaseException):
         return type(value).__name__
@@ -62,7 +62,7 @@
 
 
 def quote(value: object) -> str:
-    """Returns a field's value, in quotes if it is empty or holds a blank, `=` or the like."""
+    """Return a field's value, in quotes if it is empty or contains spaces, `=` or the like."""
     text = describe(value)
     if text and all(c.isprintable() and c not in ' "=' for c in text):
         return text
@@ -71,16 +71,16 @@
 
 
 def event(name: str, **fields: object) -> str:
-    """Returns the message of an event, `event=name key=value ...`."""
+    """Return the message of an event, `event=name key=value ...`."""
     return " ".join([f"event={name}", *(f"{key}={quote(value)}" for key, value in fields.items())])
 
 
 def configure(balancer: str, max_lines: int) -> logging.Logger:
-    """Sends the program's log to standard error.
+    """Configure the program's logging to standard error.
 
     Args:
-        balancer: The balancer's name, which each line carries.
-        max_lines: Warnings and errors a second.
+        balancer: The balancer's name, which is part of each line.
+        max_lines: The most warnings and errors per second.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter(balancer))
--- a/cypresswalk/net/metrics.py
+++ b/cypresswalk/net/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of the admin command `vars`."""
+"""The metrics that the admin command `vars` returns."""
 
 import json
 from collections import Counter
@@ -11,14 +11,14 @@
 ESTABLISHED = "fulfilled"
 REJECTED = "throttled"
 FAILED = "faulted"
-RESULTS = (ESTABLISHED, REJECTED, FAILED)  # as `vars` names them
+RESULTS = (ESTABLISHED, REJECTED, FAILED)  # their names in the reply to `vars`
 
 
 class Metrics:
-    """Counts one result for each flow by its service type, and reads the rest when it is asked.
+    """The count of flows by result and service type, and metrics computed on request.
 
-    Used by the deciding thread alone, so that no figure is from the middle of a change; only
-    `counts` is read by the fleet's thread too.
+    Only the deciding thread uses it, so that no metric is read in the middle of a change; `counts`
+    alone is also read by the fleet's thread.
     """
 
     def __init__(
@@ -28,18 +28,18 @@
         counters: Counters,
         sessions: dict[Flow, Session],
     ):
-        """`service_types` by name; each is counted from 0 on."""
+        """Create metrics with all counts at 0; `service_types` maps names to indexes."""
         self.counts = {result: Counter(dict.fromkeys(service_types, 0)) for result in RESULTS}
         self.balancer = balancer
         self.counters = counters
         self.sessions = sessions
 
     def count(self, result: str, service_type: str) -> None:
-        """Counts a flow's result, one of `RESULTS`."""
+        """Count a flow's result, one of `RESULTS`."""
         self.counts[result][service_type] += 1
 
     def snapshot(self, now: int) -> dict[str, object]:
-        """Counts since this process began, and how things stand at `now`."""
+        """Return the counts since the start of this process and the other metrics at `now`."""
         listed = [
             server
             for server in self.balancer.servers.values()
@@ -53,5 +53,5 @@
         }
 
     def render(self, now: int) -> bytes:
-        """The reply to `vars`: one JSON object, then END."""
+        """Return the reply to `vars`: a JSON object, then END."""
         return json.dumps(self.snapshot(now), separators=(",", ":")).encode() + b"\r\nEND\r\n"
--- a/cypresswalk/net/silence.py
+++ b/cypresswalk/net/silence.py
@@ -1,4 +1,4 @@
-"""Finds established connections on which nothing comes back."""
+"""Detects established connections on which a client's lines get no reply."""
 
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import Flow
@@ -9,7 +9,7 @@
 
 
 class SilenceDetector:
-    """Looks at all sessions from time to time and reports the silent ones to the decisions."""
+    """The periodic check of all sessions, which reports the silent ones to the decisions."""
 
     def __init__(
         self,
@@ -19,7 +19,7 @@
         limits: Limits,
         timers: Timers,
     ):
-        """`sessions` is the core's own map, read at each check."""
+        """Create a detector; `sessions` is the core's own map, read at each check."""
         self.sessions = sessions
         self.balancer = balancer
         self.counters = counters
@@ -27,18 +27,20 @@
         self.timers = timers
 
     def check(self, now: int) -> None:
-        """Reports each silent session once, and schedules the next check."""
+        """Report each silent session once, and schedule the next check."""
         for flow, session in list(self.sessions.items()):
             attempt = session.attempt
             if not session.established or attempt is None or not attempt.unanswered_since:
                 continue
             sent_at = attempt.unanswered_since
-            # Whoever sent later has a reply: then this connection is slow, not the server.
-            alone = attempt.delay_gauge.latest_answered > sent_at
+            # If a line sent later by another client has a reply, only this connection is silent.
+            others_answered = attempt.delay_gauge.latest_answered > sent_at
             if now - sent_at > (
-                self.limits.single_silence_timeout if alone else self.limits.silence_timeout
+                self.limits.single_silence_timeout
+                if others_answered
+                else self.limits.silence_timeout
             ):
                 attempt.unanswered_since = 0
                 self.counters.add("flows_silent")
-                self.balancer.on_silence(now, flow, alone)
+                self.balancer.on_silence(now, flow, others_answered)
         self.timers.schedule(now + self.limits.silence_check_interval, self.check)
--- a/cypresswalk/net/threads.py
+++ b/cypresswalk/net/threads.py
@@ -1,4 +1,4 @@
-"""Threads of the drivers."""
+"""Starts the threads of the drivers."""
 
 import _thread
 import logging
@@ -10,31 +10,32 @@
 from cypresswalk.net.logs import event
 
 log = logging.getLogger(__name__)
-# The stack size is the interpreter's, not the call's: one thread at a time sets it and starts.
+# The stack size is a setting of the whole interpreter, so only one thread at a time may set it and
+# start a thread.
 _start_lock = threading.Lock()
 
 
 def start_thread(
     run: Callable[[], object], restart_pause: int = 0, stack_bytes: int = 0, name: str = ""
 ) -> None:
-    """Runs a function in a thread that ends when it returns.
+    """Run a function in a thread that ends when it returns.
 
-    A failure is logged as `thread_failed`. The thread is a bare one of the interpreter's, which
-    starts faster than `threading.Thread` and is never joined.
+    An exception is logged as `thread_failed`. The thread is started with `_thread`, which is faster
+    than `threading.Thread`; it cannot be joined.
 
     Args:
         run: The function.
-        restart_pause: Nanoseconds after which a run that failed is begun again; 0 for not at all.
-            For loops that the balancer cannot do without, such as accepting clients.
-        stack_bytes: The thread's stack; 0 for the size that is set for the process.
-        name: Names the thread in the log; the function's own name if it is empty.
+        restart_pause: The pause in nanoseconds before a failed function is run again, or 0 not to
+            run it again. For loops that the balancer needs, such as accepting clients.
+        stack_bytes: The thread's stack size in bytes; 0 for the process's default.
+        name: The thread's name in the log; if empty, the function's own name.
 
     Raises:
-        RuntimeError: The system starts no further thread.
+        RuntimeError: The system cannot start another thread.
     """
 
     def run_logged() -> None:
-        """Runs it; logs an exception, and begins anew where that is asked for."""
+        """Run the function and log an exception; run it again if there is a restart pause."""
         while True:
             try:
                 run()
--- a/cypresswalk/net/timers.py
+++ b/cypresswalk/net/timers.py
@@ -1,28 +1,28 @@
-"""Calls that are due at a later time, in the order of their times."""
+"""Timers: calls scheduled for a later time."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 
 
 class Timers:
-    """A heap of calls; of two due at one time the one scheduled first runs first."""
+    """A heap of scheduled calls; calls due at the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
-        """Nothing is due."""
+        """Create an empty heap."""
         self.heap: list[tuple[int, int, Callable, tuple]] = []
         self.scheduled = 0
 
     def schedule(self, when: int, call: Callable[..., None], *args: object) -> None:
-        """Has `call(now, *args)` made at `when`, nanoseconds."""
+        """Schedule `call(now, *args)` for the time `when`, in nanoseconds."""
         self.scheduled += 1
         heappush(self.heap, (when, self.scheduled, call, args))
 
     def next_due(self) -> int | None:
-        """When the first call is due, or None if there is none."""
+        """Return the time of the first scheduled call, or None if there is none."""
         return self.heap[0][0] if self.heap else None
 
     def run_due(self, now: int) -> None:
-        """Makes the calls that are due; those that they schedule for `now` or before, too."""
+        """Make all calls that are due, including those that these calls schedule up to `now`."""
         while self.heap and self.heap[0][0] <= now:
             _, _, call, args = heappop(self.heap)
             call(now, *args)
