--- a/cypresswalk/net/__init__.py
+++ b/cypresswalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network code of the balancer: drivers for blocking sockets, and the core that uses them."""
+"""The balancer on blocking sockets: drivers, and the core that connects them to the decisions."""
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -53,7 +53,7 @@
 
 
 class Core:
-    """Connects the sessions and drivers to the `Balancer` that decides.
+    """The sessions of one balancer and the handlers that connect them to its decisions.
 
     The `on_...` methods handle events; `carry_out_decisions` executes the resulting decisions. All
     times are nanoseconds of one monotonic clock.
--- a/cypresswalk/net/health_checks.py
+++ b/cypresswalk/net/health_checks.py
@@ -89,7 +89,7 @@
         try:
             if sock is not None:
                 try:
-                    answer = self._ask(sock, deadline)
+                    answer = self._request_health(sock, deadline)
                 except TimeoutError:
                     raise
                 except (OSError, ProtocolError):
@@ -99,7 +99,7 @@
                     sock = None
             if sock is None:
                 sock = dial(address, self._remaining(deadline))
-                answer = self._ask(sock, deadline)
+                answer = self._request_health(sock, deadline)
         except (OSError, ProtocolError):
             answer = HealthCheckAnswer(False, [])
         finally:
@@ -138,7 +138,7 @@
             raise TimeoutError
         return remaining
 
-    def _ask(self, sock: socket.socket, deadline: int) -> HealthCheckAnswer:
+    def _request_health(self, sock: socket.socket, deadline: int) -> HealthCheckAnswer:
         def limit_read() -> None:
             """Set the timeout of the next operation so that it ends at the deadline."""
             sock.settimeout(self._remaining(deadline) / SECOND)
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -111,17 +111,17 @@
         if self.phase is Phase.LEAVING:
             return
         span = (
-            min(self.limits.longest_connect_timeout, self.limits.max_leave_time)
-            + self.limits.leave_extension
+            min(self.limits.longest_connect_timeout, self.limits.max_shutdown_time)
+            + self.limits.shutdown_extension
         )
         # Clients are still sent here for a while after a stop begins, and in a rolling restart the
         # balancer restarted before this one is often still down, so a client migrated at once could
         # come straight back. With a successor that does not matter, and a longer migration spreads
         # the load of reconnecting clients.
         if self.extensions.has_other_process():
-            delay = self.limits.min_leave_delay
+            delay = self.limits.min_migration_delay
         else:
-            delay = max(span // 2, self.limits.min_leave_delay)
+            delay = max(span // 2, self.limits.min_migration_delay)
         answer_deadline = self._migrate_all(now, Phase.LEAVING, delay, span)
         self.drivers.stop_accepting_at(answer_deadline)
         if self.extensions.handover is not None:
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -132,11 +132,11 @@
     # Warnings and errors logged per second: writing more would delay the threads that log.
     max_log_lines: int = 50
     # A planned stop takes the longest attempt timeout, limited to this time,
-    max_leave_time: int = 3 * SECOND
+    max_shutdown_time: int = 3 * SECOND
     # plus this time, since new clients still arrive; the kill follows 0.7 s later.
-    leave_extension: int = 3 * SECOND // 10
+    shutdown_extension: int = 3 * SECOND // 10
     # The edge load balancer still sends clients for about this time after a stop has begun.
-    min_leave_delay: int = 2 * SECOND // 5
+    min_migration_delay: int = 2 * SECOND // 5
     # Time for peers to read the last data sent before the process exits.
     leave_read_time: int = SECOND // 4
     leave_poll_interval: int = SECOND // 50
--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -1,4 +1,4 @@
-"""The core, fed events: flows from their first line to their end."""
+"""Tests of the core without sockets: flows from their OPEN request to their end."""
 
 import pytest
 from core_helpers import UP, CoreHarness
@@ -10,7 +10,7 @@
 ERROR = b"ERR\r\n"
 
 
-def test_flow_is_established_and_its_end_is_told_once():
+def test_flow_is_established_and_its_end_is_handled_once():
     harness = CoreHarness()
     session = harness.open(1)
     attempt = harness.drivers.pending[session]
@@ -23,7 +23,7 @@
     assert not harness.core.balancer.flows
 
 
-def test_late_acceptance_is_not_passed_on():
+def test_late_acceptance_is_not_relayed():
     harness = CoreHarness()
     session = harness.open(1)
     late = harness.drivers.pending[session]
@@ -31,7 +31,7 @@
     harness.deliver(harness.core.on_established, late)
     assert harness.drivers.answers[session] == BUSY
     session = harness.open(2)
-    harness.now += SECOND  # it was in the inbox when the time was up
+    harness.now += SECOND  # the acceptance was still in the inbox when the attempt timed out
     harness.deliver(harness.core.on_established, harness.drivers.pending[session])
     assert harness.drivers.answers[session] == BUSY
 
@@ -48,7 +48,7 @@
         "c=view,t=north,d=20001",
     ],
 )
-def test_request_that_the_settings_do_not_cover_gets_an_error(values):
+def test_request_that_does_not_fit_the_settings_gets_an_error(values):
     harness = CoreHarness()
     assert harness.drivers.answers[harness.open(1, values)] == ERROR
 
@@ -66,7 +66,7 @@
     assert second.server.established_flows
 
 
-def test_resumed_connection_of_an_unknown_server_soon_gets_an_error():
+def test_resumed_connection_of_an_unknown_server_gets_an_error_within_seconds():
     harness = CoreHarness()
     session = harness.open(1, "c=view,t=north,d=99999,at=nowhere")
     harness.pass_time(3 * SECOND)
@@ -74,7 +74,8 @@
 
 
 def test_flow_id_that_was_seen_before_is_not_served_again():
-    # Servers know it as another's, open or ended: they would be asked for it, and blamed.
+    # Servers know the id from the earlier flow, open or ended: they would refuse the attempt, and
+    # be blamed for it.
     harness = CoreHarness()
     first = harness.open(1)
     harness.deliver(harness.core.on_established, harness.drivers.pending[first])
@@ -85,8 +86,8 @@
     assert again not in harness.drivers.pending
 
 
-def test_client_that_sends_more_before_its_answer_is_not_served():
-    # Otherwise the first of hundreds of commands at once would be served.
+def test_client_that_sends_more_before_its_reply_is_refused():
+    # Otherwise the first of hundreds of commands sent at once would be served.
     harness = CoreHarness()
     session = harness.open(1)
     attempt = harness.drivers.pending[session]
@@ -104,7 +105,8 @@
     harness.establish(10)
     waiting = harness.open(10)
     harness.deliver(harness.core.lifecycle.stop)
-    # A stop takes 1.3 s here. None may move while the balancer before this one is still away.
+    # A stop takes 1.3 s here. No client may be migrated while the balancer that was restarted
+    # before this one may still be down.
     harness.pass_time(SECOND * 6 // 10)
     assert not harness.drivers.migrated
     harness.pass_time(SECOND * 4 // 10)
@@ -117,7 +119,7 @@
     assert harness.core.lifecycle.stopped
 
 
-def test_connection_without_answers_is_migrated_within_seven_seconds_of_its_last():
+def test_connection_without_replies_is_migrated_within_seven_seconds_of_its_last_reply():
     harness = CoreHarness()
     answered, silent = (attempt.session for attempt in harness.establish(2, first=1))
     harness.pass_time(2 * SECOND)
@@ -128,13 +130,14 @@
     assert harness.drivers.migrated == {silent}
 
 
-def test_connection_that_alone_falls_silent_is_soon_migrated_and_its_server_not_blamed():
-    # Four seconds would be lost, and two such connections would have all leave a sound server.
+def test_single_silent_connection_is_migrated_early_without_blaming_its_server():
+    # Otherwise it would wait for four seconds, and two such connections would make all clients
+    # leave a healthy server.
     harness = CoreHarness(servers=1)
     answered, silent = (attempt.session for attempt in harness.establish(2, first=1))
     silent.attempt.unanswered_since = harness.now
     harness.pass_time(SECOND // 2)
-    silent.attempt.delay_gauge.latest_answered = harness.now  # to a line of the other
+    silent.attempt.delay_gauge.latest_answered = harness.now  # for a line of the other client
     harness.pass_time(SECOND)
     assert harness.drivers.migrated == {silent}
     assert answered.attempt.server is silent.attempt.server
@@ -148,11 +151,11 @@
     assert server.load == 10.0
 
 
-# What an older address of the endpoint list still says.
+# Endpoint lists from an address that knows less than the one used before.
 
 
 def test_older_list_does_not_bring_back_a_draining_server_at_once():
-    # New flows would go to a server that the address before had told to drain.
+    # Otherwise new flows would go to a server that the previous address listed as draining.
     harness = CoreHarness(servers=2)
 
     def state_after(lifecycle: str, older: bool, **entry: object) -> ServerState:
@@ -164,19 +167,19 @@
     assert state_after("terminating", False) is ServerState.DRAINING
     assert state_after("in_service", True) is ServerState.DRAINING
     harness.pass_time(2 * SECOND)
-    # It has caught up: what was withheld is void.
+    # The older address has caught up, so the withheld entry is discarded.
     assert state_after("terminated", True) is ServerState.GONE
     harness.pass_time(9 * SECOND)
     assert state_after("in_service", True) is ServerState.GONE
     harness.pass_time(5 * SECOND)
     assert harness.server("s-0").state is ServerState.READY
     assert state_after("terminating", False) is ServerState.DRAINING
-    # A start since then is newer than the drain.
+    # The server has started again after the drain.
     assert state_after("in_service", True, startedAtMs=7) is ServerState.READY
 
 
-def test_server_withheld_twice_waits_from_the_second_time_on():
-    # Two SIGHUPs in a row: the wait of the first must not end that of the second.
+def test_server_withheld_twice_is_withheld_for_the_whole_second_time():
+    # With two SIGHUPs in a row, the timer of the first must not end the second wait.
     harness = CoreHarness(servers=2)
 
     def state_after(lifecycle: str, older: bool) -> ServerState:
@@ -194,8 +197,8 @@
 
 
 @pytest.mark.parametrize("order", ["drain first", "line first"])
-def test_attempt_that_dials_a_server_that_begins_to_drain_goes_elsewhere(order):
-    # A dial may take longer than a server that drains goes on accepting first lines.
+def test_attempt_that_still_dials_a_draining_server_moves_to_another_server(order):
+    # Dialing may take longer than a draining server goes on accepting requests.
     harness = CoreHarness(servers=3)
     session = harness.open(1)
     attempt = harness.drivers.pending[session]
--- a/tests/net/test_core_races.py
+++ b/tests/net/test_core_races.py
@@ -1,4 +1,4 @@
-"""Events that cross in one turn of the core: each flow has one answer, whatever their order."""
+"""Tests of concurrent events in one turn of the core: each flow gets one reply in any order."""
 
 import random
 from collections.abc import Callable
@@ -26,7 +26,7 @@
     assert harness.drivers.answers[session] == UP
 
 
-def test_acceptance_behind_the_attempt_timeout_in_one_turn_does_not_count():
+def test_acceptance_after_the_attempt_timeout_in_one_turn_does_not_count():
     harness = CoreHarness()
     session = harness.open(1)
     attempt = harness.drivers.pending[session]
@@ -37,16 +37,16 @@
     assert harness.drivers.answers[session] == BUSY
 
 
-class CrossingEvents:
-    """What may happen to a session in one turn, drawn by a seed."""
+class ConcurrentEvents:
+    """A generator of random events for all sessions in one turn of the core."""
 
     def __init__(self, harness: CoreHarness, seed: int):
-        """Events at the harness's core."""
+        """Create a generator for the harness's core; `seed` determines its events."""
         self.harness = harness
-        self.chance = random.Random(f"crossings {seed}")
+        self.rng = random.Random(f"crossings {seed}")
 
     def draw(self) -> list[Callable[[], None]]:
-        """Events for all sessions whose attempts are out, in any order."""
+        """Return events for all sessions with a pending attempt, in random order."""
         events = []
         for session, attempt in list(self.harness.drivers.pending.items()):
             choices = [
@@ -55,35 +55,35 @@
                 lambda session=session: self.leave(session),
                 lambda: None,
             ]
-            events.append(self.chance.choice(choices))
-            if self.chance.random() < 0.5:
+            events.append(self.rng.choice(choices))
+            if self.rng.random() < 0.5:
                 events.append(lambda session=session: self.leave(session))
-        self.chance.shuffle(events)
+        self.rng.shuffle(events)
         return events
 
     def establish(self, attempt: Attempt) -> None:
-        """The server accepts."""
+        """Report that the server accepts."""
         self.harness.core.on_established(self.harness.now, attempt)
 
     def end(self, attempt: Attempt) -> None:
-        """The attempt fails."""
+        """Report that the attempt fails."""
         self.harness.drivers.close_attempt(attempt)
-        outcome = self.chance.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED])
+        outcome = self.rng.choice([Outcome.RESET, Outcome.FULL, Outcome.CONNECT_FAILED])
         self.harness.core.on_attempt_ended(self.harness.now, attempt, outcome)
 
     def leave(self, session: Session) -> None:
-        """The client leaves."""
+        """Report that the client leaves."""
         self.harness.core.on_client_left(self.harness.now, session)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_events_that_cross_in_one_turn_leave_one_answer_or_none_for_a_client_that_left(seed):
+def test_concurrent_events_in_one_turn_give_one_reply_or_none_for_a_client_that_left(seed):
     harness = CoreHarness()
-    events = CrossingEvents(harness, seed)
+    events = ConcurrentEvents(harness, seed)
     sessions = [harness.open(number) for number in range(1, 7)]
     for _ in range(60):
         turn = events.draw()
-        harness.now += events.chance.randrange(100 * MILLISECOND)
+        harness.now += events.rng.randrange(100 * MILLISECOND)
         for event in turn:
             event()
         harness.step()
@@ -98,7 +98,7 @@
     session = harness.open(1, "c=book,t=north,d=900")
     harness.drivers.dialing.add(harness.drivers.pending[session])
     harness.pass_time(SECOND)
-    # It is not idempotent, but nothing ran: the client may try again.
+    # The flow is not idempotent, but it did not run, so the client may retry.
     assert harness.drivers.answers[session] == BUSY
     other = harness.open(2, "c=book,t=north,d=900")
     harness.pass_time(SECOND)
--- a/tests/net/test_core_rules.py
+++ b/tests/net/test_core_rules.py
@@ -1,4 +1,4 @@
-"""The core under seeded random events: the rules hold after each, whatever their order."""
+"""Property tests of the core: its rules hold after each of many random events in any order."""
 
 from core_helpers import SEEDED, CoreHarness
 from helpers import listed
@@ -10,19 +10,19 @@
 from cypresswalk.net.parsers.admin_commands import AdminCommand
 from cypresswalk.net.session import Attempt, Session
 
-INDEX = st.integers(0, 99)  # chooses one of some things, by the remainder
+INDEX = st.integers(0, 99)  # selects an item of a list, modulo its length
 
 
 class CoreRules(RuleBasedStateMachine):
-    """Clients, servers, lists and operators of one core, at random.
+    """Random events of clients, servers, endpoint lists and operators at one core.
 
-    An attempt's thread reports an acceptance once at most, and the end once, also where the core
-    has given the attempt up.
+    An attempt's thread reports an acceptance at most once, and the end once, even if the core has
+    abandoned the attempt.
     """
 
     @initialize(servers=st.integers(0, 4), sockets=st.sampled_from([140, 1024]))
     def start(self, servers, sockets):
-        """A core that knows some servers."""
+        """Create a core that knows some servers."""
         self.harness = CoreHarness(servers, sockets=sockets)
         self.flow_count = 0
         self.clients_left: set[Session] = set()
@@ -35,7 +35,7 @@
         resumed_at=st.sampled_from(["", "s-1"]),
     )
     def open(self, kind, group, resumed_at):
-        """A client opens a flow; one that is resumed has no deadline."""
+        """Open a client's flow; a resumed one has no deadline."""
         self.flow_count += 1
         values = f"c={kind},t=south,d=900"
         if group:
@@ -48,7 +48,7 @@
 
     @rule(which=INDEX)
     def accept(self, which):
-        """A server accepts."""
+        """Report a server's acceptance."""
         done = self.reported_up | self.reported_end
         waiting = [attempt for attempt in self.harness.drivers.attempts if attempt not in done]
         if waiting:
@@ -58,7 +58,7 @@
 
     @rule(which=INDEX, outcome=st.sampled_from(Outcome))
     def end(self, which, outcome):
-        """An attempt or an established connection ends."""
+        """Report the end of an attempt or of an established connection."""
         attempts = self.harness.drivers.attempts
         running = [attempt for attempt in attempts if attempt not in self.reported_end]
         if running:
@@ -70,16 +70,16 @@
     @precondition(lambda self: self.harness.deadlines)
     @rule(which=INDEX)
     def leave(self, which):
-        """A client leaves, with or without its answer."""
+        """Report that a client leaves, with or without its reply."""
         sessions = list(self.harness.deadlines)
         session = sessions[which % len(sessions)]
         self.clients_left.add(session)
         self.harness.deliver(self.harness.core.on_client_left, session)
-        assert session not in self.harness.drivers.pending, "an attempt without its client"
+        assert session not in self.harness.drivers.pending, "pending attempt of a client that left"
 
     @rule(which=INDEX, passed=st.booleans())
     def answer_health_check(self, which, passed):
-        """A health check ends."""
+        """Report the result of a health check."""
         checks = self.harness.drivers.health_checks
         if checks:
             server = checks.pop(which % len(checks))
@@ -90,13 +90,13 @@
         states=st.lists(st.sampled_from(["in_service", "terminating", "terminated"]), max_size=5),
     )
     def update_endpoints(self, reset, states):
-        """The endpoint list says something else."""
+        """Change the endpoint list."""
         entries = [listed(f"s-{i}", lifecycle=state) for i, state in enumerate(states)]
         self.harness.update_endpoints(*entries, reset=reset)
 
     @rule(tenths=st.integers(0, 12))
     def wait(self, tenths):
-        """Time passes; every flow whose time is up has its answer."""
+        """Let time pass; each flow whose deadline has passed must have its reply."""
         self.harness.pass_time(tenths * SECOND // 10)
         self.harness.assert_all_answered_in_time(excused=self.clients_left)
 
@@ -105,28 +105,28 @@
         server=st.integers(0, 4),
     )
     def call(self, name, server):
-        """An operator calls, while every second attempt that is out still dials."""
+        """Run an operator's command while every second pending attempt is still dialing."""
         drivers = self.harness.drivers
         drivers.dialing = set(list(drivers.pending.values())[::2]) - self.reported_up
         command = AdminCommand(name, f"s-{server}")
         self.harness.deliver(self.harness.core.commands.on_command, command)
         self.reported_end |= drivers.dialing - set(drivers.pending.values())
-        assert not command.answers.empty(), "a caller without an answer"
+        assert not command.answers.empty(), "no reply to the operator's command"
 
     @rule()
     def stop(self):
-        """The process is stopped, not at the very beginning."""
+        """Stop the process, but not before many flows were opened."""
         if self.flow_count > 30:
             self.harness.deliver(self.harness.core.lifecycle.stop)
 
     def teardown(self):
-        """In the end the process is stopped: nobody is left."""
+        """Stop the process at the end; each established client must be migrated."""
         if hasattr(self, "harness"):
             self.harness.deliver(self.harness.core.lifecycle.stop)
             self.wait(20)
             relayed = self.harness.drivers.relayed
             left = {session for session in relayed if not session.finished}
-            assert not left, "not migrated before the stop"
+            assert not left, "clients not migrated before the process stopped"
 
 
 TestCoreRules = CoreRules.TestCase
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients while those that are connected come and go in their own threads."""
+"""Tests of the listener while clients' threads add and remove clients concurrently."""
 
 import sys
 from collections.abc import Iterator
@@ -12,38 +12,38 @@
 from cypresswalk.net.inbox import Inbox
 from cypresswalk.net.listener import ClientListener
 
-LOOKS = 20_000
+CALLS = 20_000
 CLIENTS = 50
 TINY_SWITCH_INTERVAL = 1e-6  # seconds
 
 
 class BusyClient:
-    """A client that can't be dismissed."""
+    """A client that cannot be dismissed."""
 
     accepted_at = 0
 
     def dismiss(self) -> bool:
-        """Its line has arrived."""
+        """Return False, as for a client whose first line has arrived."""
         return False
 
 
 @pytest.fixture
 def frequent_thread_switches() -> Iterator[None]:
-    """Threads take turns after each few instructions."""
-    usual = sys.getswitchinterval()
+    """Make the interpreter switch threads after every few instructions."""
+    default_interval = sys.getswitchinterval()
     sys.setswitchinterval(TINY_SWITCH_INTERVAL)
     yield
-    sys.setswitchinterval(usual)
+    sys.setswitchinterval(default_interval)
 
 
-def test_clients_that_come_and_go_do_not_end_the_look_for_idle_ones(frequent_thread_switches):
-    # Seen in the soak, with a crowd: "dictionary changed size during iteration" ended the thread
-    # that accepts clients, which began anew 20 ms later.
+def test_idle_clients_can_be_dismissed_while_others_come_and_go(frequent_thread_switches):
+    # In a soak run with many clients, "dictionary changed size during iteration" ended the thread
+    # that accepts clients, which was restarted 20 ms later.
     listener = ClientListener(("127.0.0.1", 0), SimpleNamespace(), Inbox(Clock()), LIMITS)
     ended = Event()
 
-    def come_and_go() -> None:
-        """Clients' threads add and remove them."""
+    def add_and_remove_clients() -> None:
+        """Change the listener's clients as their threads do."""
         while not ended.is_set():
             clients = [BusyClient() for _ in range(CLIENTS)]
             for client in clients:
@@ -53,10 +53,10 @@
 
     for _ in range(CLIENTS):
         listener.unopened[BusyClient()] = None
-    thread = Thread(target=come_and_go, daemon=True)
+    thread = Thread(target=add_and_remove_clients, daemon=True)
     thread.start()
     try:
-        for _ in range(LOOKS):
+        for _ in range(CALLS):
             listener._dismiss_idle(1)
     finally:
         ended.set()
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -1,4 +1,7 @@
-"""One attempt at a server, held at its dial: what is sent and what is reported to the core."""
+"""Tests of one attempt at a server: what it sends and what it reports to the core.
+
+The attempt is paused after connecting, so that events can be placed before the request is sent.
+"""
 
 import errno
 import socket
@@ -29,11 +32,11 @@
 from cypresswalk.net.session import Attempt
 
 OPEN_LINE = b"OPEN a1 7 c=view,t=north,d=900"
-JOIN_TIMEOUT = 5  # seconds for the attempt's thread to end
+JOIN_TIMEOUT = 5  # seconds in which the attempt's thread must end
 
 
 def connected_pair() -> tuple[socket.socket, socket.socket]:
-    """Both ends of a TCP connection: the balancer's and the client's."""
+    """Return both ends of a TCP connection: the balancer's and the client's."""
     with socket.create_server((LOOPBACK, 0)) as listener:
         client = socket.create_connection(listener.getsockname())
         accepted, _ = listener.accept()
@@ -41,21 +44,21 @@
 
 
 class AttemptHarness:
-    """One attempt at a server, whose dial the test holds.
+    """One attempt at a server, paused by the test after it has connected.
 
-    No thread decides: what the attempt reports stays in the inbox.
+    There is no deciding thread: what the attempt reports stays in the inbox.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
-        """An attempt on behalf of a client, not yet begun."""
+        """Create an attempt for a client without starting it."""
         self.inbox = Inbox(Clock())
         config = build({}, config_data([listed("s-0")]))
         self.core = Core(config, None, Counters(), self.inbox.clock())
         accepted, self.client_socket = connected_pair()
         self.client = ClientConnection(accepted, self.core, self.inbox, DRIVER_LIMITS, {})
         self.server = socket.create_server((LOOPBACK, 0))
-        self.dialed = Event()  # the connection is up, and held
-        self.may_go_on = Event()
+        self.dialed = Event()  # set once connected; the attempt then waits for `may_continue`
+        self.may_continue = Event()
         monkeypatch.setattr(servers_module, "dial", self.dial_and_hold)
         session = self.client.session
         session.request = parse_open_request(OPEN_LINE)
@@ -75,31 +78,31 @@
         self.thread = Thread(target=self.connection.run, daemon=True)
 
     def dial_and_hold(self, address: Address, timeout: int) -> socket.socket:
-        """Dials, and returns once the test lets it."""
+        """Connect, and return once the test has set `may_continue`."""
         sock = dial(address, timeout)
         self.dialed.set()
-        assert self.may_go_on.wait(10)
+        assert self.may_continue.wait(10)
         return sock
 
     def start(self) -> None:
-        """Begins the attempt."""
+        """Start the attempt."""
         self.thread.start()
 
     def start_and_hold(self) -> None:
-        """Begins the attempt and returns once its connection is up."""
+        """Start the attempt and return once it has connected."""
         self.start()
         assert self.dialed.wait(5)
 
     def start_and_accept(self) -> socket.socket:
-        """Begins the attempt, lets it go on, and returns the server's end."""
+        """Start the attempt without a pause and return the server's end of its connection."""
         self.start()
-        self.may_go_on.set()
+        self.may_continue.set()
         sock, _ = self.server.accept()
         sock.settimeout(5)
         return sock
 
     def received_by_server(self) -> bytes:
-        """What the server reads up to the end of the connection."""
+        """Return what the server reads until the connection ends."""
         sock, _ = self.server.accept()
         sock.settimeout(5)
         data = b""
@@ -109,7 +112,7 @@
         return data
 
     def reported(self) -> list[tuple]:
-        """Names of the core's methods that were posted, and their arguments, once it has ended."""
+        """Return the posted calls, by method name and arguments, once the attempt has ended."""
         self.thread.join(JOIN_TIMEOUT)
         calls = []
         while self.inbox.queue.qsize():
@@ -120,7 +123,7 @@
 
 @pytest.fixture
 def harness(monkeypatch: pytest.MonkeyPatch) -> AttemptHarness:
-    """An attempt that has not begun."""
+    """Return an attempt that has not been started."""
     return AttemptHarness(monkeypatch)
 
 
@@ -133,23 +136,23 @@
 
 
 def close(sock: socket.socket) -> None:
-    """The client closes."""
+    """Close the client's connection."""
     sock.close()
 
 
 def half_close(sock: socket.socket) -> None:
-    """The client ends its sending half."""
+    """Shut down the client's sending half."""
     sock.shutdown(socket.SHUT_WR)
 
 
 def reset(sock: socket.socket) -> None:
-    """The client resets."""
+    """Reset the client's connection."""
     reset_on_close(sock)
     sock.close()
 
 
 def close_behind_bytes(sock: socket.socket) -> None:
-    """The client sends something and closes."""
+    """Send something as the client, then close its connection."""
     sock.sendall(b"more than was asked for")
     sock.close()
 
@@ -158,17 +161,17 @@
 def test_nothing_is_sent_for_a_client_that_left_before_the_core_knows(
     harness, leave: Callable[[socket.socket], None]
 ):
-    # The client's end waits in the inbox while its attempt comes up: nobody's flow is not
-    # forwarded.
+    # While the attempt connects, the client's end is still waiting in the inbox. A flow without a
+    # client must not be sent to the server.
     harness.start_and_hold()
     leave(harness.client_socket)
     wait_until(harness.client.has_ended)
-    harness.may_go_on.set()
+    harness.may_continue.set()
     assert harness.received_by_server() == b""
     assert harness.reported() == [("on_client_left",)]
 
 
-def test_client_that_left_before_the_dial_costs_its_server_no_connection(harness):
+def test_no_connection_is_opened_for_a_client_that_left_before_the_dial(harness):
     harness.client_socket.close()
     wait_until(harness.client.has_ended)
     harness.start()
@@ -176,7 +179,7 @@
     assert not harness.dialed.is_set()
 
 
-def test_line_of_a_client_that_leaves_after_the_dial_was_sent_complete(harness):
+def test_complete_line_is_sent_for_a_client_that_leaves_after_the_dial(harness):
     server = harness.start_and_accept()
     assert server.recv(4096) == harness.connection.open_line
     harness.client_socket.close()
@@ -185,25 +188,25 @@
 
 
 def test_line_is_not_sent_when_the_idempotency_window_ends_during_the_dial(harness):
-    # The servers' memory of the first attempt has ended by then: a second could take effect again.
+    # The servers may have forgotten the first attempt by then, so a second could take effect again.
     harness.attempt.send_deadline = harness.inbox.clock() + 20 * MILLISECOND
     harness.start_and_hold()
     wait_until(lambda: harness.inbox.clock() > harness.attempt.send_deadline)
-    harness.may_go_on.set()
+    harness.may_continue.set()
     assert harness.received_by_server() == b""
     assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
     assert not harness.connection.cancel_unsent()
 
 
 @pytest.mark.parametrize("first", ["drop", "dial"])
-def test_attempt_that_is_dropped_as_it_comes_up_sends_all_or_nothing(harness, first):
+def test_attempt_dropped_while_it_connects_sends_the_whole_line_or_nothing(harness, first):
     harness.start_and_hold()
     if first == "drop":
         harness.connection.close()
-        harness.may_go_on.set()
+        harness.may_continue.set()
         assert harness.received_by_server() == b""
     else:
-        harness.may_go_on.set()
+        harness.may_continue.set()
         wait_until(lambda: harness.connection.sent)
         assert not harness.connection.cancel_unsent()
         harness.connection.close()
@@ -229,7 +232,7 @@
         (b"BYE\r\n", Outcome.OK),
     ],
 )
-def test_answer_that_is_no_acceptance_is_never_relayed(harness, answer, outcome):
+def test_reply_that_is_no_acceptance_is_never_relayed(harness, answer, outcome):
     server = harness.start_and_accept()
     server.recv(4096)
     server.sendall(answer)
@@ -238,16 +241,16 @@
 
 
 def test_decisions_go_on_while_a_server_reads_nothing(harness):
-    # The deciding thread calls `close` and `cancel_unsent`; they must not wait until the line is
+    # The deciding thread calls `close` and `cancel_unsent`, which must not block until the line is
     # written.
-    harness.connection.open_line = b"x" * (64 << 20)  # more than any buffer takes
+    harness.connection.open_line = b"x" * (64 << 20)  # larger than any socket buffer
     server = harness.start_and_accept()
     wait_until(lambda: harness.connection.sent)
     began = time.monotonic()
     assert not harness.connection.cancel_unsent()
     harness.connection.close()
     assert time.monotonic() - began < 1
-    # Its last byte never went out.
+    # The line was not sent completely.
     assert harness.reported()[:1] == [("on_attempt_ended", Outcome.CONNECT_FAILED)]
     server.close()
 
--- a/tests/net/test_threads.py
+++ b/tests/net/test_threads.py
@@ -1,4 +1,4 @@
-"""Threads of the drivers."""
+"""Tests of starting threads."""
 
 from threading import Event
 
