--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -397,7 +397,7 @@
         self.end_session(now, session, ERROR_REPLY)
 
     def _end_without_lease(self, now: int, flow: Flow) -> None:
-        """Finish a flow without an attempt, since its server may be chosen by outdated rules."""
+        """Reject a flow at once, since its server may have been chosen by outdated rules."""
         self.counters.add("flows_without_lease")
         idempotent = flow.service_type.effect is Effect.IDEMPOTENT
         safe_to_retry = flow.may_have_run_on is None or idempotent
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -71,9 +71,10 @@
     bind_timeout: int = 3 * SECOND
     # A client that has not sent its first line by then is rejected.
     first_line_timeout: int = 2 * SECOND
-    # The same where others wait for its place.
+    # The same if other clients wait for its place.
     idle_grace: int = SECOND // 10
-    # Bytes read and discarded after the final reply, since reading them costs as much as any.
+    # Most bytes to read and discard after the final reply; reading them costs as much as reading
+    # other clients' data.
     max_drained_bytes: int = 256 * KIB
     # Interval of checks for the end of a dismissed client, whose reading side is shut down.
     drain_poll_interval: int = 5 * MILLISECOND
@@ -131,9 +132,9 @@
     fault_pause: int = SECOND // 50
     # Warnings and errors logged per second: writing more would delay the threads that log.
     max_log_lines: int = 50
-    # A planned stop takes the longest attempt timeout, limited to this time,
+    # A planned stop takes `longest_connect_timeout`, but at most this time.
     max_shutdown_time: int = 3 * SECOND
-    # plus this time, since new clients still arrive; the kill follows 0.7 s later.
+    # It takes this time in addition, since new clients still arrive. The kill is 0.7 s after that.
     shutdown_extension: int = 3 * SECOND // 10
     # The edge load balancer still sends clients for about this time after a stop has begun.
     min_migration_delay: int = 2 * SECOND // 5
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -74,7 +74,7 @@
         self._link: Connection | None = None  # set once connected
         self._relay: Relay | None = None  # set once the server has accepted
         self._dropped = False
-        # Keeps `sent` and `_dropped` from both being set; not held during a write, which may block.
+        # Makes deciding to send and dropping exclusive; not held during a write, which may block.
         self._send_lock = Lock()
         # Held until the core has decided whether the server's acceptance is relayed.
         self._decision_pending = Lock()
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -59,7 +59,7 @@
         self.server = socket.create_server((LOOPBACK, 0))
         self.dialed = Event()  # set once connected; the attempt then waits for `may_continue`
         self.may_continue = Event()
-        monkeypatch.setattr(servers_module, "dial", self.dial_and_hold)
+        monkeypatch.setattr(servers_module, "dial", self.dial_and_pause)
         session = self.client.session
         session.request = parse_open_request(OPEN_LINE)
         server = Server(id=1)
@@ -77,7 +77,7 @@
         )
         self.thread = Thread(target=self.connection.run, daemon=True)
 
-    def dial_and_hold(self, address: Address, timeout: int) -> socket.socket:
+    def dial_and_pause(self, address: Address, timeout: int) -> socket.socket:
         """Connect, and return once the test has set `may_continue`."""
         sock = dial(address, timeout)
         self.dialed.set()
@@ -88,7 +88,7 @@
         """Start the attempt."""
         self.thread.start()
 
-    def start_and_hold(self) -> None:
+    def start_and_pause(self) -> None:
         """Start the attempt and return once it has connected."""
         self.start()
         assert self.dialed.wait(5)
@@ -163,7 +163,7 @@
 ):
     # While the attempt connects, the client's end is still waiting in the inbox. A flow without a
     # client must not be sent to the server.
-    harness.start_and_hold()
+    harness.start_and_pause()
     leave(harness.client_socket)
     wait_until(harness.client.has_ended)
     harness.may_continue.set()
@@ -190,7 +190,7 @@
 def test_line_is_not_sent_when_the_idempotency_window_ends_during_the_dial(harness):
     # The servers may have forgotten the first attempt by then, so a second could take effect again.
     harness.attempt.send_deadline = harness.inbox.clock() + 20 * MILLISECOND
-    harness.start_and_hold()
+    harness.start_and_pause()
     wait_until(lambda: harness.inbox.clock() > harness.attempt.send_deadline)
     harness.may_continue.set()
     assert harness.received_by_server() == b""
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("first", ["drop", "dial"])
 def test_attempt_dropped_while_it_connects_sends_the_whole_line_or_nothing(harness, first):
-    harness.start_and_hold()
+    harness.start_and_pause()
     if first == "drop":
         harness.connection.close()
         harness.may_continue.set()
