--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -39,7 +39,7 @@
         self.waiting: dict[Session, None] = {}
         self.granted: dict[Flow, str] = {}
 
-    def ask(self, now: int, session: Session) -> None:
+    def request(self, now: int, session: Session) -> None:
         """Asks for the flow's reservation; the session is placed or rejected with the answer."""
         flow = flow_of(session)
         service_type = flow.service_type
@@ -86,7 +86,7 @@
             elif (
                 core.lifecycle.answer_deadline is not None
                 and now >= core.lifecycle.answer_deadline
-                or not core.extensions.may_act()
+                or not core.extensions.may_place_flows()
             ):
                 core.end_session(now, session, core.retry_reply(flow))
             else:
--- a/cypresswalk/lab/cluster/testbed/builds.py
+++ b/cypresswalk/lab/cluster/testbed/builds.py
@@ -38,7 +38,7 @@
 threading.Timer(10, os._exit, (1,)).start()
 """,
     Build.NEVER_READY: """
-Extensions.may_act = lambda self: False
+Extensions.may_place_flows = lambda self: False
 """,
     Build.CANNOT_READ_SETTINGS: """
 from cypresswalk.fleet import shared_settings
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -113,7 +113,7 @@
                 # A client must wait for each reply, so that it cannot send hundreds of commands.
                 raise ProtocolError("more than one line before a reply")
             elif line == b"PING":
-                ready = self.core.lifecycle.ready and self.core.extensions.may_act()
+                ready = self.core.lifecycle.ready and self.core.extensions.may_place_flows()
                 self.link.send(b"PONG\r\n" if ready else ERROR_REPLY)
             else:
                 return self._open(line)
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -161,7 +161,7 @@
     )
 
 
-def _build_limits(data: dict[str, Any], settings: Settings, operated: bool) -> Limits:
+def _build_limits(data: dict[str, Any], settings: Settings, admin_enabled: bool) -> Limits:
     params = data["settings"]
     objectives = [
         service_type.message_latency_objective
@@ -177,5 +177,5 @@
         ),
         # A third of the smallest objective is no overload yet.
         min_reported_delay=min(objectives, default=SECOND) // 3,
-        operated=operated,
+        admin_enabled=admin_enabled,
     )
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -176,14 +176,14 @@
         if len(self.sessions) + extensions.flows_elsewhere() >= self.limits.max_flows:
             self.counters.add("flows_beyond_sockets")
             self.end_session(now, session, BUSY_REPLY)
-        elif not extensions.may_act():
+        elif not extensions.may_place_flows():
             self.counters.add("flows_without_lease")
             self.end_session(now, session, self.retry_reply(flow))
         elif (
             extensions.reservations is not None
             and flow.service_type.effect is not Effect.IDEMPOTENT
         ):
-            extensions.reservations.ask(now, session)
+            extensions.reservations.request(now, session)
         else:
             self.place(now, session)
 
@@ -203,7 +203,7 @@
 
     def _carry_out(self, now: int, decision: Decision) -> None:  # noqa: C901 (a case per decision)
         match decision:
-            case StartAttempt(flow) if not self.extensions.may_act():
+            case StartAttempt(flow) if not self.extensions.may_place_flows():
                 self._end_without_lease(now, flow)
             case StartAttempt(flow, server, timeout):
                 deadline = min(now + timeout, flow.deadline) if timeout else flow.deadline
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -59,8 +59,8 @@
         self.sessions = sessions
         self.requests = requests
         self.phase = Phase.SERVING
-        # Whether flows can be placed, apart from the lease (`Extensions.may_act`); read by clients'
-        # threads too.
+        # Whether flows can be placed, apart from the lease (`Extensions.may_place_flows`); read by
+        # clients' threads too.
         self.ready = False
         # Latest time for replies to OPEN while this process is drained or shutting down, else None.
         self.answer_deadline: int | None = None
@@ -156,12 +156,12 @@
                 self.requests.migrate(now, flow)
             if self.phase is Phase.LEAVING:
                 self.stopped = not self.sessions and not self._awaits_reservations()
-            due = now + self.limits.leave_poll_interval
+            due = now + self.limits.shutdown_poll_interval
         elif established:
             self.requests.migrate(now, established[0])
             due = now + (deadline - now) // len(established)
         else:
-            due = min(now + self.limits.leave_poll_interval, deadline)
+            due = min(now + self.limits.shutdown_poll_interval, deadline)
         self.timers.schedule(due, self._migrate_next, migration_round, deadline)
 
     def _awaits_reservations(self) -> bool:
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -139,8 +139,8 @@
     # The edge load balancer still sends clients for about this time after a stop has begun.
     min_migration_delay: int = 2 * SECOND // 5
     # Time for peers to read the last data sent before the process exits.
-    leave_read_time: int = SECOND // 4
-    leave_poll_interval: int = SECOND // 50
+    final_read_time: int = SECOND // 4
+    shutdown_poll_interval: int = SECOND // 50
     # The edge load balancer checks every 0.1 s, and sends clients for 0.2 s after the first
     # failed check.
     drain_delay: int = SECOND // 2
@@ -151,7 +151,7 @@
     # Operators' calls.
 
     # Whether operators can call, so that descriptors are reserved for them.
-    operated: bool = False
+    admin_enabled: bool = False
     # Concurrent callers.
     max_admin_connections: int = 8
     # Descriptors for the hand-over to a process of another version, in addition to its flows.
@@ -189,7 +189,7 @@
     @property
     def max_unopened_clients(self) -> int:
         """Return the limit of clients that have not sent their first line or are being rejected."""
-        reserved = (self.max_admin_connections + self.handover_sockets) * self.operated
+        reserved = (self.max_admin_connections + self.handover_sockets) * self.admin_enabled
         return max(self.spare_sockets - reserved, self.spare_sockets // 2) // 2
 
     @property
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -108,10 +108,10 @@
         )
         serves = informed or lifecycle.phase is Phase.SERVING
         placeable = self.endpoints.count_placeable()
-        if serves and placeable and self.extensions.may_act():
+        if serves and placeable and self.extensions.may_place_flows():
             return None
         reason = f"{lifecycle.phase.value}, {placeable} servers to place flows on"
-        return reason if self.extensions.may_act() else reason + ", no lease of the fleet's"
+        return reason if self.extensions.may_place_flows() else reason + ", no lease of the fleet's"
 
     def _set_drained(self, now: int, drained: bool, forwarded: bool) -> str | None:
         lifecycle = self.lifecycle
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -107,7 +107,7 @@
 
     waiting: dict[Session, None]
 
-    def ask(self, now: int, session: Session) -> None:
+    def request(self, now: int, session: Session) -> None:
         """Request the flow's reservation; the answer places or rejects the session."""
 
     def finish(self, flow: Flow, how: str) -> None:
@@ -126,7 +126,7 @@
         # with queued events, while its lease may have expired.
         self.holds_lease: Callable[[], bool] | None = None
 
-    def may_act(self) -> bool:
+    def may_place_flows(self) -> bool:
         """Return whether flows may be placed now.
 
         That is so without a fleet, with a lease, or with `without_lease = "hold"`.
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -62,7 +62,7 @@
             server is None
             or server.state is ServerState.GONE
             or server.out_of_rotation
-            or not self.extensions.may_act()
+            or not self.extensions.may_place_flows()
         ):
             self.retry_later(now, session)
             return
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -179,7 +179,7 @@
             due = core.timers.next_due()
             wait = SECOND if due is None else due - self.clock()
             if core.lifecycle.stopped:
-                wait = min(wait, self.limits.leave_poll_interval)
+                wait = min(wait, self.limits.shutdown_poll_interval)
             last = self._apply_events(wait, last)
             last = max(last, self.clock())
             self._call_guarded(core.timers.run_due, last)
@@ -230,7 +230,7 @@
         """
         if not self.core.lifecycle.stopped:
             return False
-        self.exit_deadline = self.exit_deadline or self.clock() + self.limits.leave_read_time
+        self.exit_deadline = self.exit_deadline or self.clock() + self.limits.final_read_time
         if self.listener.closed:
             self.listener.dismiss_unopened()
         return (
