--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -150,7 +150,7 @@
 
         deadline = self.fleet.now() + SECOND
         event = ReservationRequested(self._key(number), SECOND, deadline, on_answer)
-        self.fleet.copies.put(event)
+        self.fleet.replication.put(event)
 
     def _key(self, number: int) -> str:
         if self.key != "part":
@@ -177,12 +177,12 @@
         lambda: None,
     )
     # The fleet's thread makes its own replication thread; this one takes one more event.
-    fleet.copies.__class__ = FillableReplicationThread
+    fleet.replication.__class__ = FillableReplicationThread
     fleet.start()
     for line in sys.stdin:
         command, *words = line.split()
         if command == "fill":
-            fleet.copies.queue.put(FillRequested(int(words[0])))
+            fleet.replication.queue.put(FillRequested(int(words[0])))
         elif command == "claim":
             key = words[2] if len(words) > 2 else ""
             Claimer(fleet, int(words[0]), float(words[1]), key).run()
--- a/cypresswalk/fleet/applied_view.py
+++ b/cypresswalk/fleet/applied_view.py
@@ -8,7 +8,7 @@
 
 # A leave grant whose reason begins with this lasts until an operator ends the drain.
 DRAINED = "drained"
-CALLED_BACK = "called back"  # the reason of the leave grant that ends a drain
+DRAIN_ENDED = "called back"  # the reason of the leave grant that ends a drain
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -95,9 +95,9 @@
                 # No predecessor reports the budgets that it has used, so they count as used up, as
                 # after its loss. During the start a predecessor may still report them.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
-        self.fleet.served = self.observations.served_counts
-        self.fleet.servers = self.observations.server_report
-        self.fleet.ready = lambda: core.lifecycle.ready and self.fleet.may_act()
+        self.fleet.flow_counts_provider = self.observations.served_counts
+        self.fleet.server_report_provider = self.observations.server_report
+        self.fleet.readiness_provider = lambda: core.lifecycle.ready and self.fleet.may_act()
         core.extensions.fleet = self
         core.extensions.holds_lease = self.fleet.may_act
 
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -76,9 +76,10 @@
     Any thread may call the public methods, unless stated otherwise.
 
     Attributes:
-        served: callback of this thread that returns the process's flow counts.
-        ready: callback of this thread that returns whether a new flow would be placed now.
-        servers: callback of this thread that returns a report on servers.
+        flow_counts_provider: callback of this thread that returns the process's flow counts.
+        readiness_provider: callback of this thread that returns whether a new flow would be placed
+            now.
+        server_report_provider: callback of this thread that returns a report on servers.
         started: set once the member runs.
         ended: set once this thread has ended and released all resources.
         lease_until: end of the lease, by the clock `now`; read by the deciding thread.
@@ -121,7 +122,7 @@
         self.lease_until = 0
         # End of the lease of an earlier member of this process, or of the predecessor process.
         self.inherited_until = 0
-        self.acts_on = 0
+        self.applied_version = 0
         self.problem = ""  # why the member does not run; empty if it does
         self.started = Flag()
         self.ended = Flag()
@@ -130,12 +131,12 @@
         # have no effect.
         wall_offset = time.time_ns() - self.now()
         self.wall: Callable[[], int] = lambda: wall_offset + self.now()
-        self.served: Callable[[], FlowCounts] = lambda: (0, 0, 0, 0)
-        self.ready: Callable[[], bool | None] = lambda: None
-        self.servers: Callable[[], ServerReport] = ServerReport
-        self.copies = self._make_replication_thread()
+        self.flow_counts_provider: Callable[[], FlowCounts] = lambda: (0, 0, 0, 0)
+        self.readiness_provider: Callable[[], bool | None] = lambda: None
+        self.server_report_provider: Callable[[], ServerReport] = ServerReport
+        self.replication = self._make_replication_thread()
         self.transport = self.make_transport()
-        self.router = MessageRouter(table, self.transport, self.copies)
+        self.router = MessageRouter(table, self.transport, self.replication)
 
     def make_transport(self) -> Transport:
         """Return the connections to other members; called once, by the constructor."""
@@ -172,8 +173,8 @@
     def start(self) -> None:
         """Start the threads; the member runs once the folder's lock is free."""
         start_thread(self.run, SECOND, STACK_SIZE)
-        if self.copies is not None:
-            start_thread(self.copies.run, SECOND, STACK_SIZE)
+        if self.replication is not None:
+            start_thread(self.replication.run, SECOND, STACK_SIZE)
 
     def call(self, name: str, args: dict[str, Any], reply: Reply, timeout: float) -> None:
         """Call the leader; the fleet thread calls `reply` once, within `timeout` seconds."""
@@ -187,7 +188,7 @@
 
     def on_version_applied(self, version: int) -> None:
         """Note that the deciding thread now acts on `version`."""
-        self.acts_on = max(self.acts_on, version)
+        self.applied_version = max(self.applied_version, version)
         self.queue.put(VersionApplied(version))
 
     def on_list_received(self, generation: int, digest: bytes, servers: list[ListedServer]) -> None:
@@ -240,15 +241,15 @@
 
     def is_ready(self) -> bool | None:
         """Return whether a new flow would be placed now; None if unknown."""
-        return self.ready()
+        return self.readiness_provider()
 
     def flow_counts(self) -> FlowCounts:
         """Return the process's flow counts."""
-        return self.served()
+        return self.flow_counts_provider()
 
     def server_report(self) -> ServerReport:
         """Return this balancer's report on servers."""
-        return self.servers()
+        return self.server_report_provider()
 
     def wall_ms(self) -> int:
         """Return the wall clock time in milliseconds, for records that people read."""
@@ -264,7 +265,7 @@
         backoff = MIN_FOLDER_BACKOFF
         while not self._stopping.is_set():
             try:
-                self.begin()
+                self.start_member()
                 self._serve()
                 backoff = MIN_FOLDER_BACKOFF
             except OSError as error:
@@ -284,10 +285,10 @@
         self._end()
 
     def _end(self) -> None:
-        if self.copies is not None:
-            self.copies.stop()
+        if self.replication is not None:
+            self.replication.stop()
             # The thread must not write any more once another process may lock the folder.
-            self.copies.ended.wait(REPLICATION_END_TIMEOUT)
+            self.replication.ended.wait(REPLICATION_END_TIMEOUT)
         self.transport.end()
         self.folder.unlock()
         self.ended.set()
@@ -307,7 +308,7 @@
             log.error("event=%s folder=%s reason=%s", event, self.table.folder, why)
         self.problem = why
 
-    def begin(self) -> None:
+    def start_member(self) -> None:
         """Create the member from the folder's contents, or a new member if it has none.
 
         Raises:
@@ -320,7 +321,7 @@
             self._discard_identity(str(error))
             loaded = None
         if loaded is None:
-            self._begin_blank()
+            self._start_blank_member()
         else:
             identity, persisted = loaded
             self.boot = identity.boot
@@ -335,7 +336,7 @@
             self.problem = ""
         self.started.set()
 
-    def _begin_blank(self) -> None:
+    def _start_blank_member(self) -> None:
         self.boot = 1
         self.start_nonce = self.random.getrandbits(63)
         self._make_member(f"{self.table.name}#{self.random.getrandbits(64):016x}", "", None)
@@ -368,23 +369,23 @@
             self,
             self.own_settings,
             placement,
-            self.acts_on,
+            self.applied_version,
         )
         self.inherited_until = self.lease_until
-        if self.copies is not None:
+        if self.replication is not None:
             # A new incarnation holds none of the records of the previous one.
-            self.copies.put(IdentityAssigned(member_id, self.boot))
+            self.replication.put(IdentityAssigned(member_id, self.boot))
 
     def _running_member(self) -> Member:
-        assert self.member is not None, "begin sets the member before any turn"
+        assert self.member is not None, "start_member sets the member before events are processed"
         return self.member
 
     def _serve(self) -> None:
         while not self._stopping.is_set():
             wait = self._running_member().due() - self.now()
-            self.turn(take_events(self.queue, wait, MAX_EVENTS_PER_TURN))
+            self.process_events(take_events(self.queue, wait, MAX_EVENTS_PER_TURN))
 
-    def turn(self, events: Iterable[Event]) -> None:
+    def process_events(self, events: Iterable[Event]) -> None:
         """Process events and due timers, then carry out the effects.
 
         Raises:
@@ -404,8 +405,8 @@
             self.on_view(member.views.pop(0))
         while member.placements:
             placed = member.placements.pop(0)
-            if self.copies is not None:
-                self.copies.put(ViewsAgreed(placed))
+            if self.replication is not None:
+                self.replication.put(ViewsAgreed(placed))
 
     def _renew_lease(self, member: Member) -> None:
         until = max(member.lease_until(), self.inherited_until)
@@ -420,7 +421,7 @@
         while (effects := member.take()) is not None:
             if effects.identity_lost:
                 self._discard_identity(effects.identity_lost)
-                self._begin_blank()
+                self._start_blank_member()
                 return
             self._write(member, effects)
             for to, message in effects.messages:
@@ -479,8 +480,8 @@
         reply = reply_to(event, call)
         if call.name == "local":
             reply(True, self._local_status(now, member))
-        elif call.name == "copies_local" and self.copies is not None:
-            self.copies.put(StatusRequested(reply))
+        elif call.name == "copies_local" and self.replication is not None:
+            self.replication.put(StatusRequested(reply))
         else:
             args = dict(call.args)
             timeout = int(take_span(args) * SECOND)
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.applied_view import DRAIN_ENDED, DRAINED
 from cypresswalk.fleet.driver import FleetThread
 from cypresswalk.fleet.rotation import Rotation
 from cypresswalk.fleet.unavailability import LEAVE_WINDOW
@@ -65,7 +65,7 @@
             self.core.commands.run(now, call)
             # Its leave grant ends once the balancer is seen ready. Until then the new reason
             # prevents a restart from draining it again.
-            self.record_leave(CALLED_BACK)
+            self.record_leave(DRAIN_ENDED)
         elif call.name == "drain-on-here":
             self.core.commands.run(now, call)
             self.record_leave(f"{DRAINED} by force at this balancer alone")
--- a/cypresswalk/fleet/leader.py
+++ b/cypresswalk/fleet/leader.py
@@ -57,7 +57,7 @@
             self.grants = LeaseGrants(context.config.max_contradiction, now)
         self.run_at = now
         # By member id.
-        self.acting: dict[str, AppliedVersion] = {}
+        self.applied_versions: dict[str, AppliedVersion] = {}
         self.data_losses: dict[str, int] = {}
         self.settings = SettingsDuty(context, self.grants, own_settings)
         self.endpoint_list = EndpointListDuty(context)
@@ -102,17 +102,17 @@
     def _store_report(self, now: int, source: str, request: LeaseRequest) -> None:
         assert self.grants is not None, "a leader's duties have grants"
         self.grants.on_version(source, request.version)
-        acting = self.acting.get(source)
-        if acting is None or acting.version != request.version:
-            self.acting[source] = AppliedVersion(request.version, now)
+        applied = self.applied_versions.get(source)
+        if applied is None or applied.version != request.version:
+            self.applied_versions[source] = AppliedVersion(request.version, now)
         if request.proposal_id:
             self.settings.objections[source] = request.proposal_id, request.objection
         self.endpoint_list.received[source] = request.generation, request.digest
         self.data_losses[source] = request.data_losses
         if self.replicas is not None:
             self.replicas.placement.on_capability(source, request.holds_replicas)
-        figures = BalancerReport(ServedCounts(*request.flow_counts), now, request.boot)
-        self.balancers.figures[name_of(source)] = figures
+        balancer_report = BalancerReport(ServedCounts(*request.flow_counts), now, request.boot)
+        self.balancers.reports[name_of(source)] = balancer_report
         self.balancers.tracker.on_readiness(now, source, request.ready, request.last_lease)
         report = request.servers
         self.servers.observations.on_report(now, source, request.version, report)
--- a/cypresswalk/fleet/leader_availability.py
+++ b/cypresswalk/fleet/leader_availability.py
@@ -39,7 +39,7 @@
         self.grants = grants
         self.tracker = UnavailabilityTracker(context.config.max_contradiction)
         # By balancer name.
-        self.figures: dict[str, BalancerReport] = {}
+        self.reports: dict[str, BalancerReport] = {}
 
     def unavailable(self, now: int) -> dict[str, str]:
         """Return the balancers that are out, by name, each with the reason."""
--- a/cypresswalk/fleet/leader_calls.py
+++ b/cypresswalk/fleet/leader_calls.py
@@ -64,7 +64,7 @@
         """Return the earliest deadline of a wait, or None without waits."""
         return min((wait.deadline for wait in self._version_waits), default=None)
 
-    def abandon(self) -> None:
+    def retry_version_waits(self) -> None:
         """Make all callers that wait for a version retry, since leadership has changed."""
         waits, self._version_waits = self._version_waits, []
         for wait in waits:
@@ -154,7 +154,7 @@
         else:
             read.reply(True, queries.QUERIES[read.name](self.duties, now))
 
-    def check_settled(self, now: int) -> None:
+    def check_version_waits(self, now: int) -> None:
         """Answer each wait whose version all balancers act on, or whose deadline has passed."""
         waits, self._version_waits = self._version_waits, []
         for wait in waits:
--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -62,19 +62,19 @@
         self, now: int, release: Release, unavailable: dict[str, str]
     ) -> ReleaseSituation:
         state = self.context.state
-        figures = self.balancers.figures
+        reports = self.balancers.reports
         fresh = self.context.config.max_contradiction
         return ReleaseSituation(
             release,
             halted=state.halted is not None,
             served={
                 name: latest.served
-                for name, latest in figures.items()
+                for name, latest in reports.items()
                 if now - latest.received_at <= fresh
             },
             out=set(unavailable),
             held_slots=set(state.leave_grants),
-            boots={name: latest.boot for name, latest in figures.items()},
+            boots={name: latest.boot for name, latest in reports.items()},
         )
 
     def _command(
--- a/cypresswalk/fleet/lease_client.py
+++ b/cypresswalk/fleet/lease_client.py
@@ -14,17 +14,17 @@
 class LeaseClient:
     """Requests leases, and computes until when the deciding thread may act."""
 
-    def __init__(self, context: MemberContext, now: int, acts_on: int):
-        """Begin without a lease; `acts_on` is the version that the deciding thread acts on."""
+    def __init__(self, context: MemberContext, now: int, applied_version: int):
+        """Begin without a lease; the deciding thread acts on `applied_version`."""
         self.context = context
         self.lease = HeldLease(context.config.max_contradiction, now)
         self.request_at = now
-        self.acts_on = acts_on
+        self.applied_version = applied_version
         self.holds_replicas = False
 
     def valid_until(self) -> int:
         """Return until when the deciding thread may act on its version; 0 if it may not act."""
-        return self.lease.valid_until(self.acts_on)
+        return self.lease.valid_until(self.applied_version)
 
     def next_request(self, now: int) -> LeaseRequest | None:
         """Return a request if a leader is known, and set the time of the next request."""
@@ -42,7 +42,7 @@
             objection = host.settings_objection(pending.settings)[:MAX_OBJECTION_LENGTH]
         return LeaseRequest(
             number=self.lease.request(now),
-            version=self.acts_on,
+            version=self.applied_version,
             proposal_id=pending.proposal_id if pending is not None else "",
             objection=objection,
             generation=context.received_list.generation,
@@ -62,6 +62,6 @@
 
     def on_version_applied(self, now: int, version: int) -> None:
         """Note that the deciding thread now acts on `version`; the leader is informed at once."""
-        if version > self.acts_on:
-            self.acts_on = version
+        if version > self.applied_version:
+            self.applied_version = version
             self.request_at = now
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -72,9 +72,9 @@
             self.version = max(version, self.version)
             self.granted_number = number
 
-    def valid_until(self, acts_on: int) -> int:
-        """Return when the lease ends; 0 without one or if its version is later than `acts_on`."""
-        if self.requested_at is None or acts_on < self.version:
+    def valid_until(self, applied_version: int) -> int:
+        """Return when the lease ends; 0 without one or if it is on a later version."""
+        if self.requested_at is None or applied_version < self.version:
             return 0
         return self.requested_at + self.span
 
@@ -89,11 +89,11 @@
         self.unknown_until = now + self.span
         self.granted_at: dict[str, int] = {}
         # The version that each member acts on, according to its latest request.
-        self.acts_on: dict[str, int] = {}
+        self.applied_versions: dict[str, int] = {}
 
-    def on_version(self, member: str, acts_on: int) -> None:
+    def on_version(self, member: str, applied_version: int) -> None:
         """Record which version a member acts on."""
-        self.acts_on[member] = acts_on
+        self.applied_versions[member] = applied_version
 
     def grant(self, now: int, member: str) -> None:
         """Record that a member was granted a lease."""
@@ -111,5 +111,5 @@
         return [
             member
             for member in members
-            if self.acts_on.get(member, -1) < version and not self.lapsed(now, member)
+            if self.applied_versions.get(member, -1) < version and not self.lapsed(now, member)
         ]
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -91,7 +91,7 @@
         host: Host,
         own_settings: dict[str, Any] | None = None,
         placement: ReplicaPlacement | None = None,
-        acts_on: int = 0,
+        applied_version: int = 0,
     ):
         """Begin with what stands on disk.
 
@@ -104,7 +104,7 @@
             host: the process that runs it.
             own_settings: of its file, proposed where the fleet has none yet.
             placement: where replicas of keys lie, if this balancer keeps any.
-            acts_on: the version that the deciding thread acts on.
+            applied_version: the version that the deciding thread acts on.
 
         Raises:
             msgspec.DecodeError: what was persisted is no state.
@@ -114,7 +114,7 @@
         self.own_settings = own_settings
         self.placement = placement
         self.discovery = GroupDiscovery(self.context, now)
-        self.lease_client = LeaseClient(self.context, now, acts_on)
+        self.lease_client = LeaseClient(self.context, now, applied_version)
         self.forwarder = CallForwarder(self.context)
         self.duties = LeaderDuties(self.context, now, own_settings, placement)
         self.leader_calls = LeaderCalls(self.duties)
@@ -204,14 +204,14 @@
         if self.is_leader and now >= self.duties.run_at:
             self.duties.run(now)
         self.forwarder.on_time(now, self.leader_calls)
-        self.leader_calls.check_settled(now)
+        self.leader_calls.check_version_waits(now)
 
     def _check_leadership(self, now: int) -> None:
         if self.is_leader == self._led_before:
             return
         self._led_before = self.is_leader
         self.duties = LeaderDuties(self.context, now, self.own_settings, self.placement)
-        self.leader_calls.abandon()
+        self.leader_calls.retry_version_waits()
         self.leader_calls = LeaderCalls(self.duties)
         if self.placement is not None:
             self.placement.reset(now)
@@ -317,7 +317,7 @@
             self._on_read(now, token)
         self._update_view()
         self._compact()
-        self.leader_calls.check_settled(now)
+        self.leader_calls.check_version_waits(now)
 
     def _install_snapshot(self, ready: Ready) -> None:
         snapshot = ready.restore
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -60,7 +60,7 @@
         "coming": state.returning_servers,
         "served": {
             name: [f.served.established, f.served.rejected, f.served.failed, f.served.setup_ns]
-            for name, f in duties.balancers.figures.items()
+            for name, f in duties.balancers.reports.items()
         },
     }
 
@@ -150,7 +150,7 @@
 def _member_status(duties: LeaderDuties, now: int, member: Member) -> dict[str, Any]:
     node = duties.context.raft
     peer = node.peers.get(member.id)
-    acting = duties.acting.get(member.id)
+    acting = duties.applied_versions.get(member.id)
     since = acting.since if acting is not None else now
     return {
         "id": member.id,
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -63,7 +63,7 @@
 
         deadline = self.fleet.now() + timeout
         event = ReservationRequested(flow_key(flow), lifetime, deadline, reply)
-        self.fleet.copies.put(event)
+        self.fleet.replication.put(event)
 
     def on_answer(self, now: int, session: Session, answer: ReservationAnswer, by: str) -> None:
         """Places the flow if its key was reserved for it; else rejects it.
@@ -109,7 +109,7 @@
         """Releases the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
         by = self.granted.pop(flow, None)
         if by is not None:
-            self.fleet.copies.put(ReservationEnded(flow_key(flow), by, how))
+            self.fleet.replication.put(ReservationEnded(flow_key(flow), by, how))
 
 
 def flow_of(session: Session) -> Flow:
--- a/cypresswalk/fleet/tool_calls.py
+++ b/cypresswalk/fleet/tool_calls.py
@@ -53,5 +53,5 @@
         "index": node.commit_index if node else -1,
         "last": node.log.last_index if node else -1,
         "version": member.state.version,
-        "acts_on": member.lease_client.acts_on,
+        "acts_on": member.lease_client.applied_version,
     }
--- a/cypresswalk/lab/cluster/simulation/balancer_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_hosts.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any
 
-from cypresswalk.fleet.applied_view import CALLED_BACK, DRAINED
+from cypresswalk.fleet.applied_view import DRAIN_ENDED, DRAINED
 from cypresswalk.fleet.messages import FlowCounts
 from cypresswalk.fleet.unavailability import LEAVE_WINDOW
 from cypresswalk.lab.cluster.simulation.hosts import (
@@ -68,8 +68,8 @@
         process.on_start = self._connect
 
     def _connect(self, fleet: SimulatedFleetThread) -> None:
-        fleet.ready = self.is_ready
-        fleet.served = self.flow_counts
+        fleet.readiness_provider = self.is_ready
+        fleet.flow_counts_provider = self.flow_counts
 
     @property
     def frozen_until(self) -> int:
@@ -222,7 +222,7 @@
         if not self._is_callable() or not self.removed:
             return
         self.removed = False
-        args = {"member": self.name, "why": CALLED_BACK, "forced": True}
+        args = {"member": self.name, "why": DRAIN_ENDED, "forced": True}
         command = self.world.make_command(f"{self.name} (call)", args)
         self.world.call(self.process, "go_out", command, CALL_BACK_SPAN)
 
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -173,7 +173,7 @@
         if self.fleet is not None and view.version > self.acts_on:
             self.acts_on = view.version
             self.fleet.queue.put(VersionApplied(view.version))
-            self.fleet.acts_on = view.version
+            self.fleet.applied_version = view.version
 
     # Starts and ends.
 
@@ -184,7 +184,7 @@
         self.fleet = SimulatedFleetThread(self._environment, self)
         self.on_start(self.fleet)
         self._retry_at = 0
-        self._run(self.fleet.begin)
+        self._run(self.fleet.start_member)
         self._environment.schedule(self)
 
     def kill(self) -> None:
@@ -236,9 +236,9 @@
         if self.fleet.member is not None:
             while not self.fleet.queue.empty():
                 events = [*events, self.fleet.queue.get()]
-            self._run(self.fleet.turn, events)
+            self._run(self.fleet.process_events, events)
         elif self._retry_at <= self._environment.now:
-            self._run(self.fleet.begin)
+            self._run(self.fleet.start_member)
         self._environment.schedule(self)
 
     def _run(self, function: Callable[..., None], *args: object) -> None:
--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -73,8 +73,8 @@
         self._served = {}
         self._ready = dict.fromkeys(self._servers, True)
         fleet.on_view = self._on_view
-        fleet.servers = self._report
-        fleet.ready = fleet.may_act
+        fleet.server_report_provider = self._report
+        fleet.readiness_provider = fleet.may_act
         servers: list[ListedServer] = [
             (name, i % 2, 1, ServerState.READY.value, 1.0, 0)
             for i, name in enumerate(sorted(self._servers))
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -90,10 +90,10 @@
         disk = FaultyDisk(table.folder, Path(os.environ["FAULTY_BALANCER_DISK"]))
         fleet.folder.disk = disk
         fleet.now = drifting_clock
-        if fleet.copies is not None:
+        if fleet.replication is not None:
             # Its wall time follows the fleet's clock by itself.
-            fleet.copies.files = disk
-            fleet.copies.now = drifting_clock
+            fleet.replication.files = disk
+            fleet.replication.now = drifting_clock
 
 
 if __name__ == "__main__":
--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -86,7 +86,7 @@
         self.start_nonce = self.random.getrandbits(63)
         self._make_member(f"{self.table.name}#0", "", None)
 
-    patch.setattr(FleetThread, "_begin_blank", begin_under_old_name)
+    patch.setattr(FleetThread, "_start_blank_member", begin_under_old_name)
 
 
 def votes_of_non_voters_are_counted(patch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -137,19 +137,19 @@
         fleet="f", name="n0", address=address, folder=str(tmp_path / "kept"), first={"n0": address}
     )
     fleet = driver.FleetThread(table, lambda settings: "", {}, lambda view: None, lambda: None)
-    turn = fleet.turn
+    process_events = fleet.process_events
     failed = Event()
 
     def fail_once(events):
         if not failed.is_set() and fleet.may_act():
             failed.set()
             raise ZeroDivisionError
-        turn(events)
+        process_events(events)
 
     def leads_again() -> bool:
         return failed.is_set() and fleet.boot >= 2 and fleet.member.is_leader
 
-    fleet.turn = fail_once
+    fleet.process_events = fail_once
     fleet.start()
     deadline = time.monotonic() + 15
     while time.monotonic() < deadline and not leads_again():
--- a/tests/fleet/test_member.py
+++ b/tests/fleet/test_member.py
@@ -100,7 +100,7 @@
     member.on_time(now)
     carry_out(member, now)
     assert member.duties.grants is not None
-    assert "n1#1" in member.duties.acting
+    assert "n1#1" in member.duties.applied_versions
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -22,7 +22,7 @@
         """Knows one server."""
         super().__init__(folder, listed("s-1"), copies={})
         self.events: list[ReservationRequested | ReservationEnded] = []
-        self.binding.fleet.copies.put = self.events.append
+        self.binding.fleet.replication.put = self.events.append
 
     def answer(self, kind: str, outcome: str = "", request: int = 0) -> None:
         """The replicas answer one of the requests, by its place among the events."""
