--- a/cypresswalk/net/__init__.py
+++ b/cypresswalk/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on blocking sockets: drivers, and the core that joins them to the decisions."""
+"""The balancer on blocking sockets: drivers, and the core that connects them to the decisions."""
