--- a/cypresswalk/__main__.py
+++ b/cypresswalk/__main__.py
@@ -1,14 +1,14 @@
-"""`python -m cypresswalk`: the balancer without arguments, the commands with arguments.
+"""`python -m cypresswalk`: runs the balancer without arguments, else an operator command.
 
-The balancer is configured by its environment. Its path imports neither the commands nor any
-library: it starts on small machines.
+The balancer is configured by environment variables. To run it, neither the commands nor any
+third-party library is imported, since it must start on small machines.
 """
 
 import sys
 
 
 def main() -> int:
-    """Runs the balancer or a command; the exit code."""
+    """Run the balancer or a command and return the exit code."""
     if len(sys.argv) == 1:
         from cypresswalk.service import program
 
--- a/cypresswalk/benchlink/__init__.py
+++ b/cypresswalk/benchlink/__init__.py
@@ -1,1 +1,4 @@
-"""The bench's wire: decodes its events, hosts many instances and carries out what they decide."""
+"""Adapter to the bench, a program that drives many balancer instances over stdin and stdout.
+
+Decodes the bench's events, hosts the instances and encodes their decisions.
+"""
--- a/cypresswalk/benchlink/__main__.py
+++ b/cypresswalk/benchlink/__main__.py
@@ -1,16 +1,16 @@
-"""Reads batches on standard input and answers each on standard output until the input ends."""
+"""Reads batches of events from stdin and writes a reply to each to stdout until the input ends."""
 
 import sys
 
 from cypresswalk.benchlink.host import Host
-from cypresswalk.benchlink.wire import HEADER, WireError
+from cypresswalk.benchlink.wire import BATCH_HEADER, WireError
 
 
-def read(count: int, what: str, at_end_ok: bool = False) -> bytes | None:
-    """Return so many bytes of the input, None at its end where it may end.
+def read_input(count: int, what: str, at_end_ok: bool = False) -> bytes | None:
+    """Return `count` bytes of the input, or None if it has ended and `at_end_ok` is set.
 
     Raises:
-        WireError: the input ended before.
+        WireError: The input ended too early.
     """
     data = sys.stdin.buffer.read(count)
     if not data and at_end_ok:
@@ -25,12 +25,16 @@
     host = Host()
     batch = 0
     try:
-        while (head := read(HEADER.size, f"header of batch {batch}", at_end_ok=True)) is not None:
-            count, length, clock = HEADER.unpack(head)
+        while (
+            header := read_input(BATCH_HEADER.size, f"header of batch {batch}", at_end_ok=True)
+        ) is not None:
+            count, length, clock = BATCH_HEADER.unpack(header)
             if length < 8:
-                raise WireError(f"header of batch {batch}: length {length} does not hold the clock")
-            body = read(length - 8, f"batch {batch}")
-            assert body is not None  # the input may not end there
+                raise WireError(
+                    f"header of batch {batch}: length {length} is too short for the clock"
+                )
+            body = read_input(length - 8, f"batch {batch}")
+            assert body is not None  # read_input raises at the end of the input
             sys.stdout.buffer.write(host.answer(count, clock, body))
             sys.stdout.buffer.flush()
             batch += 1
--- a/cypresswalk/benchlink/host.py
+++ b/cypresswalk/benchlink/host.py
@@ -1,8 +1,14 @@
-"""Hosts the instances: events in, decisions out."""
+"""Hosts the instances: decodes events, runs the decision code and encodes its decisions."""
 
 import struct
 
-from cypresswalk.benchlink.wire import Reader, WireError, entry, settings, span
+from cypresswalk.benchlink.wire import (
+    Reader,
+    WireError,
+    parse_settings,
+    read_server,
+    to_nanoseconds,
+)
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.hosting import flow_of_attempt, pack_gossip, unpack_gossip
 from cypresswalk.model import (
@@ -19,14 +25,14 @@
     Subscribe,
 )
 
-ABOUT = 12  # the record that names the instance of those that follow
-FORMS = {
+ABOUT = 12  # code of the record that names the instance of the records after it
+UPDATES_BY_CODE = {
     0: EndpointUpdate.DELTA,
     1: EndpointUpdate.FULL,
     2: EndpointUpdate.CACHED,
     3: EndpointUpdate.FAILED,
 }
-OUTCOMES = {
+OUTCOMES_BY_CODE = {
     100: Outcome.OK,
     301: Outcome.ERROR,
     302: Outcome.FULL,
@@ -36,260 +42,289 @@
     306: Outcome.CANCELLED,
     307: Outcome.MOOT,
 }
-CODE, U16, U32, U64 = (struct.Struct("<" + c) for c in "BHIQ")
+U8, U16, U32, U64 = (struct.Struct("<" + c) for c in "BHIQ")
 INIT, SYNC = struct.Struct("<QI"), struct.Struct("<BQI")
 FLOW, ACCEPTED, REPLY = (
     struct.Struct("<QHHQddQB"),
     struct.Struct("<QIdB"),
     struct.Struct("<QIBdBHB"),
 )
-PROBE, PEER, UPDATE = struct.Struct("<dIHB"), struct.Struct("<HH"), struct.Struct("<QfBIB")
+PROBE_DONE, DATAGRAM, UPDATE_OF = (
+    struct.Struct("<dIHB"),
+    struct.Struct("<HH"),
+    struct.Struct("<QfBIB"),
+)
 
 
 class _Batch:
-    """What a batch of records has touched."""
+    """The instances that the records of a batch concern."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
-        self.active: dict[int, None] = {}  # instances, in the order of their first record
-        self.broken: dict[int, str] = {}  # instances that failed, with why
+        """Start with no instances."""
+        self.instances: dict[int, None] = {}  # ids in the order of their first record
+        self.failures: dict[int, str] = {}  # error messages by the id of the failed instance
 
 
 class Host:
-    """Many instances of the decisions, driven by the bench's batches.
+    """Balancer instances driven by the bench's batches.
 
     Attributes:
-        instances: by number.
+        instances: the started instances by id.
     """
 
     def __init__(self) -> None:
-        """Begin with no instance."""
+        """Start with no instances."""
         self.instances: dict[int, Balancer] = {}
 
     def answer(self, count: int, clock: float, body: bytes) -> bytes:
-        """Carry out a batch and return the reply to it.
+        """Process a batch and return the reply to it.
 
         Args:
-            count: records in the batch.
-            clock: milliseconds.
-            body: the records.
+            count: number of records in the batch.
+            clock: time of the batch in milliseconds.
+            body: the encoded records.
 
         Raises:
-            WireError: the batch is malformed.
+            WireError: The batch is malformed.
         """
-        now = span(clock, "clock")
+        now = to_nanoseconds(clock, "clock")
         reader = Reader(body)
         batch = _Batch()
-        who: int | None = None
+        instance_id: int | None = None
         for _ in range(count):
-            (code,) = reader.take(CODE, "record code")
+            (code,) = reader.take(U8, "record code")
             if code == ABOUT:
-                (who,) = reader.take(U16, "About")
-            elif who is None:
-                raise WireError(f"record {code} at byte {reader.at - 1} comes before any About")
+                (instance_id,) = reader.take(U16, "About")
+            elif instance_id is None:
+                raise WireError(f"record {code} at byte {reader.offset - 1} comes before any About")
             else:
-                self._carry_out(now, who, code, reader, batch)
-        if reader.at != len(body):
-            raise WireError(f"{len(body) - reader.at} bytes follow the last record")
+                self._carry_out(now, instance_id, code, reader, batch)
+        if reader.offset != len(body):
+            raise WireError(f"{len(body) - reader.offset} bytes follow the last record")
         return self._reply(now, batch)
 
-    def _carry_out(self, now: int, who: int, code: int, reader: Reader, batch: _Batch) -> None:
-        if code not in EVENTS:
-            raise WireError(f"unknown record code {code} at byte {reader.at - 1}")
-        batch.active[who] = None
-        call = EVENTS[code](self, who, reader, now)
-        if call is None or who in batch.broken:
+    def _carry_out(
+        self, now: int, instance_id: int, code: int, reader: Reader, batch: _Batch
+    ) -> None:
+        if code not in EVENT_READERS:
+            raise WireError(f"unknown record code {code} at byte {reader.offset - 1}")
+        batch.instances[instance_id] = None
+        call = EVENT_READERS[code](self, instance_id, reader, now)
+        if call is None or instance_id in batch.failures:
             return
         try:
             call[0](now, *call[1:])
         except Exception as error:
-            batch.broken[who] = f"{type(error).__name__}: {error}"
+            batch.failures[instance_id] = f"{type(error).__name__}: {error}"
 
     def _reply(self, now: int, batch: _Batch) -> bytes:
         out: list[bytes] = []
-        for who in batch.active:
-            is_up = who not in batch.broken and who in self.instances
-            records = self._pull(now, who, batch.broken) if is_up else []
-            if who in batch.broken:
-                records.append(text(9, batch.broken[who]))
+        for instance_id in batch.instances:
+            is_up = instance_id not in batch.failures and instance_id in self.instances
+            records = self._encode_decisions(now, instance_id, batch.failures) if is_up else []
+            if instance_id in batch.failures:
+                records.append(encode_text(9, batch.failures[instance_id]))
             if records:
-                out.append(b"\x0d" + U16.pack(who))
+                out.append(b"\x0d" + U16.pack(instance_id))
                 out += records
         return U32.pack(4 + sum(map(len, out))) + U32.pack(len(out)) + b"".join(out)
 
-    def _pull(self, now: int, who: int, broken: dict[int, str]) -> list[bytes]:
-        """Return the records of all that an instance decides."""
+    def _encode_decisions(
+        self, now: int, instance_id: int, failures: dict[int, str]
+    ) -> list[bytes]:
+        """Return the encoded records of an instance's decisions."""
         records = []
         try:
-            while (decision := self.instances[who].next_decision(now)) is not None:
+            while (decision := self.instances[instance_id].next_decision(now)) is not None:
                 records.append(encode(decision))
         except Exception as error:
-            broken[who] = f"{type(error).__name__}: {error}"
+            failures[instance_id] = f"{type(error).__name__}: {error}"
         return records
 
-    # Each reads one event and says which call it makes, or None where nothing is owed.
+    # Each method in `EVENT_READERS` reads one event. It returns the balancer method to call and its
+    # arguments except the time, or None if there is nothing to call.
 
-    def started(self, who, reader, now):
-        """Init: an instance begins."""
+    def read_init(self, instance_id, reader, now):
+        """Read Init and start an instance."""
         seed, length = reader.take(INIT, "Init")
-        self.instances[who] = Balancer(settings(reader.chunk(length, "settings")), seed, now)
+        self.instances[instance_id] = Balancer(
+            parse_settings(reader.take_bytes(length, "settings")), seed, now
+        )
 
-    def balancer(self, who) -> Balancer:
-        """Return a started instance.
+    def find_instance(self, instance_id) -> Balancer:
+        """Return the started instance with an id.
 
         Raises:
-            WireError: it was not started.
+            WireError: The instance was not started.
         """
-        if who not in self.instances:
-            raise WireError(f"an event for instance {who}, which was not started")
-        return self.instances[who]
-
-    def sync(self, who, reader, now):
-        """Sync: an update of the endpoint list."""
-        form, _, length = reader.take(SYNC, "Sync")
-        if form not in FORMS:
-            raise WireError(f"Sync: unknown form {form}")
-        entries = [entry(reader) for _ in range(length)]
-        return self.balancer(who).on_endpoints, FORMS[form], entries
-
-    def flow(self, balancer, reader):
-        """Return the flow that a record describes."""
-        ident, qos, customer, key, until, _, group, bits = reader.take(FLOW, "flow")
+        if instance_id not in self.instances:
+            raise WireError(f"an event for instance {instance_id}, which was not started")
+        return self.instances[instance_id]
+
+    def read_sync(self, instance_id, reader, now):
+        """Read Sync, an update of the endpoint list."""
+        update_code, _, length = reader.take(SYNC, "Sync")
+        if update_code not in UPDATES_BY_CODE:
+            raise WireError(f"Sync: unknown kind of update {update_code}")
+        entries = [read_server(reader) for _ in range(length)]
+        return self.find_instance(instance_id).on_endpoints, UPDATES_BY_CODE[update_code], entries
+
+    def read_flow(self, balancer, reader):
+        """Read the description of a flow and return the flow."""
+        flow_id, type_index, tenant, key, deadline_ms, _, group, flags = reader.take(FLOW, "flow")
         types = balancer.settings.service_types
-        if qos >= len(types):
-            raise WireError(f"flow {ident}: no service type {qos}")
+        if type_index >= len(types):
+            raise WireError(f"flow {flow_id}: no service type {type_index}")
         return Flow(
-            ident,
-            types[qos],
-            group or key or ident,
-            span(until, "giveUpAt"),
-            customer,
+            flow_id,
+            types[type_index],
+            group or key or flow_id,
+            to_nanoseconds(deadline_ms, "giveUpAt"),
+            tenant,
             grouped=bool(group),
-            returning=bool(bits & (2 | 16)),
+            returning=bool(flags & (2 | 16)),
         )
 
-    def arrival(self, who, reader, now):
-        """Arrival: a flow came."""
-        balancer = self.balancer(who)
-        return balancer.on_flow, self.flow(balancer, reader)
-
-    def resumption(self, who, reader, now):
-        """Resumption: an established flow came."""
-        balancer = self.balancer(who)
-        flow = self.flow(balancer, reader)
-        (ident,) = reader.take(U32, "server")
-        server = balancer.servers.get(ident)
+    def read_arrival(self, instance_id, reader, now):
+        """Read Arrival, a new flow."""
+        balancer = self.find_instance(instance_id)
+        return balancer.on_flow, self.read_flow(balancer, reader)
+
+    def read_resumption(self, instance_id, reader, now):
+        """Read Resumption, a flow that is already established at a server."""
+        balancer = self.find_instance(instance_id)
+        flow = self.read_flow(balancer, reader)
+        (server_id,) = reader.take(U32, "server")
+        server = balancer.servers.get(server_id)
         if server is not None:
             return balancer.on_flow_resumed, flow, server
 
-    def accepted(self, who, reader, now):
-        """Accepted: an attempt came up."""
-        ident, _, took, number = reader.take(ACCEPTED, "Accepted")
-        flow = flow_of_attempt(self.balancer(who), ident, number)
+    def read_accepted(self, instance_id, reader, now):
+        """Read Accepted, an attempt that was established."""
+        flow_id, _, took, number = reader.take(ACCEPTED, "Accepted")
+        flow = flow_of_attempt(self.find_instance(instance_id), flow_id, number)
         if flow is not None:
-            return self.balancer(who).on_established, flow, span(took, "took")
-
-    def reply(self, who, reader, now):
-        """Reply: an attempt or a connection ended."""
-        ident, _, final, took, number, how, n = reader.take(REPLY, "Reply")
-        reader.chunk(4 * n, "load report")
-        if how not in OUTCOMES:
-            raise WireError(f"Reply: unknown outcome {how}")
-        flow = flow_of_attempt(self.balancer(who), ident, number)
+            return (
+                self.find_instance(instance_id).on_established,
+                flow,
+                to_nanoseconds(took, "took"),
+            )
+
+    def read_reply(self, instance_id, reader, now):
+        """Read Reply, the end of an attempt or an established connection."""
+        flow_id, _, final, took, number, outcome_code, field_count = reader.take(REPLY, "Reply")
+        reader.take_bytes(4 * field_count, "load report")
+        if outcome_code not in OUTCOMES_BY_CODE:
+            raise WireError(f"Reply: unknown outcome {outcome_code}")
+        flow = flow_of_attempt(self.find_instance(instance_id), flow_id, number)
         if flow is not None:
-            return self.balancer(who).on_ended, flow, OUTCOMES[how], bool(final), span(took, "took")
+            return (
+                self.find_instance(instance_id).on_ended,
+                flow,
+                OUTCOMES_BY_CODE[outcome_code],
+                bool(final),
+                to_nanoseconds(took, "took"),
+            )
 
-    def hangup(self, who, reader, now):
-        """Hangup: the client is gone."""
-        flow = self.balancer(who).flows.get(reader.take(U64, "Hangup")[0])
+    def read_hangup(self, instance_id, reader, now):
+        """Read Hangup, a client that has disconnected."""
+        flow = self.find_instance(instance_id).flows.get(reader.take(U64, "Hangup")[0])
         if flow is not None:
-            return self.balancer(who).on_client_gone, flow
+            return self.find_instance(instance_id).on_client_gone, flow
 
-    def timer(self, who, reader, now):
-        """Timer: a wake-up."""
+    def read_timer(self, instance_id, reader, now):
+        """Read Timer, a wake-up."""
         reader.take(U64, "Timer")
-        return (self.balancer(who).on_wakeup,)
-
-    def probe_done(self, who, reader, now):
-        """ProbeDone: a health check ended."""
-        _, ident, how, n = reader.take(PROBE, "ProbeDone")
-        values = struct.unpack(f"<{n}f", reader.chunk(4 * n, "load report"))
-        balancer = self.balancer(who)
-        server, at = balancer.servers.get(ident), balancer.settings.load_index
+        return (self.find_instance(instance_id).on_wakeup,)
+
+    def read_health_check_result(self, instance_id, reader, now):
+        """Read ProbeDone, the result of a health check."""
+        _, server_id, outcome_code, field_count = reader.take(PROBE_DONE, "ProbeDone")
+        values = struct.unpack(
+            f"<{field_count}f", reader.take_bytes(4 * field_count, "load report")
+        )
+        balancer = self.find_instance(instance_id)
+        server, load_index = balancer.servers.get(server_id), balancer.settings.load_index
         if server is not None:
             return (
                 balancer.on_health_check_result,
                 server,
-                how == 100,
-                values[at] if 0 <= at < n else None,
+                outcome_code == 100,
+                values[load_index] if 0 <= load_index < field_count else None,
             )
 
-    def datagram(self, who, reader, now):
-        """Datagram: gossip came."""
-        _, length = reader.take(PEER, "Datagram")
-        message = reader.chunk(length, "message")
-        balancer = self.balancer(who)
-        hint = unpack_gossip(balancer, message)
-        if hint is not None:
-            return balancer.on_gossip, *hint
-
-    def torn_down(self, who, reader, now):
-        """Teardown: an instance ends."""
-        self.instances.pop(who, None)
-
-    def update(self, who, reader, now):
-        """UpdateOf: a delay that a server tells."""
-        _, level, sort, server, _ = reader.take(UPDATE, "UpdateOf")
-        balancer = self.balancer(who)
-        if sort == 2 and server in balancer.servers:
-            return balancer.on_message_delay, balancer.servers[server], span(level, "delay")
-
-
-EVENTS = {
-    0: Host.started,
-    1: Host.sync,
-    2: Host.arrival,
-    3: Host.accepted,
-    4: Host.reply,
-    5: Host.hangup,
-    6: Host.timer,
-    7: Host.probe_done,
-    8: Host.datagram,
-    9: Host.torn_down,
-    10: Host.resumption,
-    11: Host.update,
+    def read_gossip(self, instance_id, reader, now):
+        """Read Datagram, a gossip message."""
+        _, length = reader.take(DATAGRAM, "Datagram")
+        message = reader.take_bytes(length, "message")
+        balancer = self.find_instance(instance_id)
+        server_load = unpack_gossip(balancer, message)
+        if server_load is not None:
+            return balancer.on_gossip, *server_load
+
+    def read_teardown(self, instance_id, reader, now):
+        """Read Teardown and remove the instance."""
+        self.instances.pop(instance_id, None)
+
+    def read_message_delay(self, instance_id, reader, now):
+        """Read UpdateOf, a message delay that a server reports."""
+        _, delay_ms, kind, server_id, _ = reader.take(UPDATE_OF, "UpdateOf")
+        balancer = self.find_instance(instance_id)
+        if kind == 2 and server_id in balancer.servers:
+            return (
+                balancer.on_message_delay,
+                balancer.servers[server_id],
+                to_nanoseconds(delay_ms, "delay"),
+            )
+
+
+EVENT_READERS = {
+    0: Host.read_init,
+    1: Host.read_sync,
+    2: Host.read_arrival,
+    3: Host.read_accepted,
+    4: Host.read_reply,
+    5: Host.read_hangup,
+    6: Host.read_timer,
+    7: Host.read_health_check_result,
+    8: Host.read_gossip,
+    9: Host.read_teardown,
+    10: Host.read_resumption,
+    11: Host.read_message_delay,
 }
-ISSUE, BOUNCE, SLEEP, TELL = (struct.Struct("<" + c) for c in ("BQdI", "BQd", "BdQ", "BHH"))
+START_ATTEMPT, REJECT, SCHEDULE_WAKEUP, GOSSIP = (
+    struct.Struct("<" + c) for c in ("BQdI", "BQd", "BdQ", "BHH")
+)
 
 
-def text(code: int, words: str) -> bytes:
-    """Return a record that holds words."""
-    data = words.encode()[:60000]
-    return CODE.pack(code) + U16.pack(len(data)) + data
+def encode_text(code: int, text: str) -> bytes:
+    """Encode a record that contains a text."""
+    data = text.encode()[:60000]
+    return U8.pack(code) + U16.pack(len(data)) + data
 
 
-def told(message: bytes) -> bytes:
-    """Return a record with a message to all instances."""
-    return TELL.pack(7, 0xFFFF, len(message)) + message
+def encode_gossip(message: bytes) -> bytes:
+    """Encode a record with a gossip message to all instances."""
+    return GOSSIP.pack(7, 0xFFFF, len(message)) + message
 
 
 def encode(decision) -> bytes:
-    """Return the record for a decision."""
+    """Encode a decision as a record."""
     match decision:
         case StartAttempt(flow, server, timeout):
-            return ISSUE.pack(0, flow.id, timeout / 1e6, server.id)
-        case Reject(flow, wait):
-            return BOUNCE.pack(1, flow.id, wait / 1e6)
+            return START_ATTEMPT.pack(0, flow.id, timeout / 1e6, server.id)
+        case Reject(flow, retry_after):
+            return REJECT.pack(1, flow.id, retry_after / 1e6)
         case Abort(flow):
-            return CODE.pack(2) + U64.pack(flow.id)
+            return U8.pack(2) + U64.pack(flow.id)
         case ScheduleWakeup(after):
-            return SLEEP.pack(4, after / 1e6, 0)
+            return SCHEDULE_WAKEUP.pack(4, after / 1e6, 0)
         case CheckHealth(server):
-            return CODE.pack(5) + U32.pack(server.id)
-        case SendGossip(server, strain):
-            return told(pack_gossip(server, strain))
+            return U8.pack(5) + U32.pack(server.id)
+        case SendGossip(server, load):
+            return encode_gossip(pack_gossip(server, load))
         case Subscribe():
             return b"\x0a\x01"
         case Migrate(flow):
-            return CODE.pack(12) + U64.pack(flow.id)
+            return U8.pack(12) + U64.pack(flow.id)
     raise TypeError(f"no record for {decision!r}")
--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -1,4 +1,4 @@
-"""Reading and writing the records of the wire."""
+"""Parsing of the bench's records: bytes, times, endpoint list entries and settings."""
 
 import json
 import struct
@@ -6,75 +6,82 @@
 from cypresswalk.hosting import SettingsError, decode_settings, nanoseconds, usable_weight
 from cypresswalk.model import Server, ServerState, Settings
 
-HEADER = struct.Struct("<IId")
-ENTRY = struct.Struct("<HdHIHfB")
-STATES = {0: ServerState.READY, 1: ServerState.GONE, 2: ServerState.DRAINING}
+BATCH_HEADER = struct.Struct("<IId")
+SERVER_ENTRY = struct.Struct("<HdHIHfB")
+STATES_BY_CODE = {0: ServerState.READY, 1: ServerState.GONE, 2: ServerState.DRAINING}
 
 
 class WireError(Exception):
-    """What came in is not the wire's; the message says what and where."""
+    """The input violates the bench's protocol; the message says what is wrong and where."""
 
 
 class Reader:
-    """Reads the records of a batch, one after the other."""
+    """Reads the records of a batch one after another.
+
+    Attributes:
+        data: the bytes of the batch.
+        offset: position of the next byte to read.
+    """
 
     def __init__(self, data: bytes):
-        """Begin at the first byte."""
-        self.data, self.at = data, 0
+        """Start at the first byte."""
+        self.data, self.offset = data, 0
 
     def take(self, layout: struct.Struct, what: str) -> tuple:
-        """Return the values of a layout.
+        """Return the values that a layout describes.
 
         Raises:
-            WireError: too few bytes are left.
+            WireError: Too few bytes are left.
         """
-        if self.at + layout.size > len(self.data):
-            left = len(self.data) - self.at
-            raise WireError(f"{what} at byte {self.at}: {layout.size} bytes needed, {left} left")
-        values = layout.unpack_from(self.data, self.at)
-        self.at += layout.size
+        if self.offset + layout.size > len(self.data):
+            left = len(self.data) - self.offset
+            raise WireError(
+                f"{what} at byte {self.offset}: {layout.size} bytes needed, {left} left"
+            )
+        values = layout.unpack_from(self.data, self.offset)
+        self.offset += layout.size
         return values
 
-    def chunk(self, count: int, what: str) -> bytes:
-        """Return so many bytes.
+    def take_bytes(self, count: int, what: str) -> bytes:
+        """Return the next `count` bytes.
 
         Raises:
-            WireError: too few bytes are left.
+            WireError: Too few bytes are left.
         """
-        if self.at + count > len(self.data):
-            left = len(self.data) - self.at
-            raise WireError(f"{what} at byte {self.at}: {count} bytes needed, {left} left")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        if self.offset + count > len(self.data):
+            left = len(self.data) - self.offset
+            raise WireError(f"{what} at byte {self.offset}: {count} bytes needed, {left} left")
+        self.offset += count
+        return self.data[self.offset - count : self.offset]
 
 
-def span(milliseconds: float, what: str) -> int:
-    """Return milliseconds as nanoseconds; raises WireError where they are no time."""
+def to_nanoseconds(milliseconds: float, what: str) -> int:
+    """Return milliseconds as nanoseconds; raise WireError if they are not finite."""
     try:
         return nanoseconds(milliseconds, what)
     except ValueError as error:
         raise WireError(str(error)) from None
 
 
-def entry(reader: Reader) -> Server:
-    """Read an entry of the endpoint list."""
-    cell, since, _, server, zone, weight, state = reader.take(ENTRY, "list entry")
-    if state not in STATES:
-        raise WireError(f"list entry before byte {reader.at}: unknown state {state}")
+def read_server(reader: Reader) -> Server:
+    """Read an entry of the endpoint list and return its server."""
+    cell, started_ms, _, server_id, zone, weight, state = reader.take(SERVER_ENTRY, "list entry")
+    if state not in STATES_BY_CODE:
+        raise WireError(f"list entry before byte {reader.offset}: unknown state {state}")
     return Server(
-        id=server,
+        id=server_id,
         zone=zone,
         cell=cell,
         weight=usable_weight(weight),
-        started_at=span(since, "start time"),
-        state=STATES[state],
+        started_at=to_nanoseconds(started_ms, "start time"),
+        state=STATES_BY_CODE[state],
     )
 
 
-def settings(text: bytes) -> Settings:
-    """Return the settings that a text holds; raises WireError where it holds none."""
+def parse_settings(data: bytes) -> Settings:
+    """Parse the settings from JSON; raise WireError if they are invalid."""
     try:
-        return decode_settings(json.loads(text))
+        return decode_settings(json.loads(data))
     except SettingsError as error:
         raise WireError(str(error)) from None
     except ValueError as error:
--- a/cypresswalk/event_queue.py
+++ b/cypresswalk/event_queue.py
@@ -1,4 +1,4 @@
-"""How the threads of a fleet take events: all that have come, up to a bound, or none in time."""
+"""Taking batches of events from a queue, for the threads of a fleet."""
 
 from queue import Empty, SimpleQueue
 from typing import TypeVar
@@ -9,12 +9,12 @@
 
 
 def take_events(queue: "SimpleQueue[EventT]", wait: int, limit: int) -> list[EventT]:
-    """Events that have come, in their order.
+    """Return the queued events in order; none if no event comes in time.
 
     Args:
-        queue: from which they are taken.
-        wait: nanoseconds to wait for the first one; none where it is not positive.
-        limit: events to take at most.
+        queue: the queue to take them from.
+        wait: nanoseconds to wait for the first event; does not wait if zero or negative.
+        limit: maximum number of events.
     """
     events: list[EventT] = []
     try:
--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -1,6 +1,6 @@
-"""What every host of the decisions shares: settings decoded, gossip packed, which answer counts.
+"""Code shared by all hosts of the decision code: settings, gossip messages, matching of answers.
 
-The settings keep the platform's names; they are mapped to the terms of `model.Settings` here alone.
+The settings come with the platform's names. Only this module maps them to `model.Settings`.
 """
 
 import math
@@ -14,35 +14,35 @@
     "deduplicated": Effect.IDEMPOTENCY_KEY,
     "at_most_once": Effect.NON_IDEMPOTENT,
 }
-GOSSIP_MESSAGE = struct.Struct("<Ie")  # a server's id and its load, as a half-precision float
-MAX_GOSSIP_LOAD = 60000.0  # what a half-precision float still holds
+GOSSIP_MESSAGE = struct.Struct("<Ie")  # a server's id, and its load as a half-precision float
+MAX_GOSSIP_LOAD = 60000.0  # fits into a half-precision float
 
 
 class SettingsError(Exception):
-    """The settings lack something or hold something invalid; the message says what."""
+    """A setting is missing or invalid; the message says which one."""
 
 
 def nanoseconds(milliseconds: float, what: str) -> int:
     """Return a time in nanoseconds.
 
     Raises:
-        ValueError: it is not finite; the message begins with `what`.
+        ValueError: The time is not finite; the message begins with `what`.
     """
     if not math.isfinite(milliseconds):
-        raise ValueError(f"{what}: {milliseconds} is no time")
+        raise ValueError(f"{what}: {milliseconds} is not a time")
     return round(milliseconds * 1e6)
 
 
 def optional_number(rules: dict, name: str) -> float:
-    """Return a number from 0 on, 0 where it is absent.
+    """Return a number of at least 0, or 0 if it is absent.
 
     Raises:
-        ValueError: it is no such number; the message names it.
+        ValueError: The value is not such a number; the message names it.
     """
     value = rules.get(name, 0.0)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not 0 <= value < math.inf:
-        raise ValueError(f"rules.{name}: {value!r}, not a number from 0 on")
+        raise ValueError(f"rules.{name}: {value!r} is not a finite number of at least 0")
     return value
 
 
@@ -52,10 +52,10 @@
 
 
 def decode_settings(params: dict) -> Settings:
-    """Return the settings that the platform's object holds.
+    """Return the settings that the platform's JSON object contains.
 
     Raises:
-        SettingsError: something is missing, unknown or invalid; the message names it.
+        SettingsError: A setting is missing, unknown or invalid; the message names it.
     """
     try:
         return _decode(params)
@@ -91,7 +91,7 @@
         health_check_price=prices.get("probe", 0.0),
         gossip=limits.get("peerMessages", False),
         gossip_price=prices.get("peer", 0.0),
-        # A tenant may come without a quota: then nothing of it is beyond one.
+        # A tenant without a quota has no limit.
         quotas=[
             math.inf if quota is None else quota
             for quota in extra.get("tenantQuotaConnections") or []
@@ -121,9 +121,9 @@
 
 
 def flow_of_attempt(balancer: Balancer, flow_id: int, number: int) -> Flow | None:
-    """Return the flow if it is still held and the attempt of that number is its latest.
+    """Return the flow if it still exists and `number` is that of its latest attempt, else None.
 
-    Answers of earlier attempts change nothing.
+    Answers to earlier attempts are ignored.
     """
     flow = balancer.flows.get(flow_id)
     if flow is None or flow.server is None or number != len(flow.attempts) - 1:
@@ -132,12 +132,12 @@
 
 
 def pack_gossip(server: Server, load: float) -> bytes:
-    """Return the message that tells other balancers of a server's load."""
+    """Return the gossip message with a server's load."""
     return GOSSIP_MESSAGE.pack(server.id, min(load, MAX_GOSSIP_LOAD))
 
 
 def unpack_gossip(balancer: Balancer, message: bytes) -> tuple[Server, float] | None:
-    """Return the server and its load; None for what is no gossip or of an unknown server."""
+    """Return the server and its load, or None if the message is invalid or the server unknown."""
     if len(message) != GOSSIP_MESSAGE.size:
         return None
     server_id, load = GOSSIP_MESSAGE.unpack(message)
--- a/cypresswalk/measures.py
+++ b/cypresswalk/measures.py
@@ -1,48 +1,52 @@
-"""Sums and counts over the recent past. Times are nanoseconds of the caller's clock."""
+"""Sums and counts over a recent period. Times are nanoseconds of the caller's clock."""
 
 import math
 from collections import deque
 from itertools import islice
 
-WINDOW_SLOTS = 32  # three in a hundred of a window are counted against the balancer
+# The bounds err on the safe side by up to a slot, which is about 3 percent of a window.
+WINDOW_SLOTS = 32
 
 
 class DecayingSum:
-    """A sum whose parts fade exponentially; brought up to date when it is read.
+    """An exponentially decaying sum, brought up to date when it is read.
 
     Args:
-        time_constant: nanoseconds in which a part fades to 1/e.
-        now: when the sum begins, at 0.
+        time_constant: nanoseconds in which an amount decays to 1/e.
+        now: when the sum starts, at 0.
     """
 
     __slots__ = ("time_constant", "total", "updated_at")
 
     def __init__(self, time_constant: int, now: int):
-        """Begin at 0."""
+        """Start at 0."""
         self.time_constant = time_constant
         self.total = 0.0
         self.updated_at = now
 
     def read(self, now: int) -> float:
-        """Return what is left of the sum."""
+        """Return the decayed sum."""
         self.total *= math.exp((self.updated_at - now) / self.time_constant)
         self.updated_at = now
         return self.total
 
     def add(self, now: int, amount: float) -> None:
-        """Add a part that has not faded yet."""
+        """Add an amount, which decays from now on."""
         self.total = self.read(now) + amount
 
     def part_seen(self, now: int, since: int) -> float:
-        """Return which part of a steady sum has come in if it began at `since`: 0 to 1."""
+        """Return the fraction, 0 to 1, of its final value that a sum started at `since` has.
+
+        This assumes that amounts are added at a steady rate.
+        """
         return 1 - math.exp((since - now) / self.time_constant)
 
 
 class SlidingWindowCounter:
-    """Counts events in the last `span` nanoseconds, by slots, with a bound on either side."""
+    """Lower and upper bounds for the number of events in the last `span` nanoseconds."""
 
     def __init__(self, span: int, now: int):
-        """Begin with no event."""
+        """Start with no events."""
         self.slot_span = -(-span // WINDOW_SLOTS)
         self.slot = now // self.slot_span
         self.counts: deque[int] = deque([0] * (WINDOW_SLOTS + 1), WINDOW_SLOTS + 1)
@@ -54,14 +58,15 @@
         return self.counts
 
     def add(self, now: int, number: int = 1) -> None:
-        """Count that many events."""
+        """Count events that happen now."""
         self._advance(now)[-1] += number
 
     def upper_bound(self, now: int) -> int:
-        """Return no fewer than there were in the window."""
+        """Return an upper bound for the number of events in the window."""
         return sum(self._advance(now))
 
     def lower_bound(self, now: int) -> int:
-        """Return no more than there were in the window."""
-        # The oldest slot may begin before the window, the next by less than a nanosecond a slot.
+        """Return a lower bound for the number of events in the window."""
+        # The oldest slot may start before the window. So may the next one, because slots are
+        # rounded up, by less than a nanosecond each.
         return sum(islice(self._advance(now), 2, None))
--- a/cypresswalk/model.py
+++ b/cypresswalk/model.py
@@ -1,6 +1,7 @@
-"""Plain types that the decisions and their hosts share.
+"""Data types shared by the decision code and the hosts that run it.
 
-Times and spans are whole nanoseconds of the host's clock; prices are points of what one flow earns.
+Times and durations are whole nanoseconds of the host's clock. Prices are in points, the unit in
+which the deployment states what one flow earns.
 """
 
 import math
@@ -14,15 +15,15 @@
 
 
 class Effect(Enum):
-    """What a second run of a flow's opening would do."""
+    """Whether a flow's opening can safely run twice."""
 
-    IDEMPOTENT = "repeatable"  # it may run again
-    IDEMPOTENCY_KEY = "referenced"  # repeats are dropped by servers in its scope, for a while
-    NON_IDEMPOTENT = "once-only"
+    IDEMPOTENT = "repeatable"  # safe on any server, at any time
+    IDEMPOTENCY_KEY = "referenced"  # servers in its scope drop repeats for a limited time
+    NON_IDEMPOTENT = "once-only"  # never safe
 
 
 class Scope(Enum):
-    """Which servers drop the repeats of a flow with an idempotency key."""
+    """The servers that recognize and drop repeats of a flow with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +31,7 @@
 
 
 class ServerState(Enum):
-    """A server's state by the endpoint list."""
+    """The state that the endpoint list gives for a server."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -38,16 +39,19 @@
 
 
 class EndpointUpdate(Enum):
-    """What an update of the endpoint list holds."""
+    """The kind of an endpoint list update."""
 
-    DELTA = "delta"  # the changed entries alone
+    DELTA = "delta"  # only the entries that changed
     FULL = "full"
-    CACHED = "cached"  # a whole list, perhaps out of date
-    FAILED = "failed"  # a call for the list failed, or the watch broke
+    CACHED = "cached"  # a complete list that may be out of date
+    FAILED = "failed"  # no list: a request for it failed or the watch broke
 
 
 class Outcome(Enum):
-    """How an attempt or an established connection ended."""
+    """How an attempt or an established connection ended.
+
+    Each value holds the name and whether the outcome proves that the flow did not run.
+    """
 
     OK = ("ok", False)
     ERROR = ("error", False)
@@ -56,116 +60,117 @@
     CONNECT_FAILED = ("connect failed", True)
     RESET = ("reset", False)
     CANCELLED = ("cancelled", False)
-    MOOT = ("moot", True)
+    MOOT = ("moot", True)  # the balancer dropped the attempt before it sent anything
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the flow never ran on that server."""
+        """Whether the outcome proves that the flow did not run on the server."""
         return self.value[1]
 
 
 @dataclass(slots=True, eq=False)
 class ServiceType:
-    """One kind of flow, as the settings describe it."""
+    """A kind of flow, as the settings describe it."""
 
     effect: Effect
     scope: Scope
-    idempotency_window: int  # how long repeats of a flow with an idempotency key are dropped
+    idempotency_window: int  # how long servers drop repeats of a flow with an idempotency key
     setup_latency_objective: int
-    message_latency_objective: int  # 0 where none is stated
+    message_latency_objective: int  # 0 if there is none
 
 
 @dataclass(slots=True)
 class Settings:
-    """What the deployment tells every balancer, decoded; times are nanoseconds."""
+    """The deployment's settings for a balancer, decoded; times are nanoseconds."""
 
-    instances: int  # balancers of the tier
-    zone: int  # this balancer's
+    instances: int  # balancers in the tier
+    zone: int  # of this balancer
     service_types: list[ServiceType]
-    max_attempts: int  # for one flow
-    retry_after_allowed: bool  # a reject may say when to come back
+    max_attempts: int  # per flow
+    retry_after_allowed: bool  # a reject may tell the client when to retry
     max_retry_after: int
     health_checks: bool  # servers answer health checks
-    can_migrate: bool  # an established flow can be sent to look for a new server
-    list_polled: bool  # the endpoint list comes on request only
-    poll_within: int
-    warm_up_time: int  # a started server is warm no later than this
-    warm_up_initial_fraction: float  # of its capacity, right after its start
-    slow_start_window: int  # in which a server that warms up can be overrun
-    overload_factor: float  # times its capacity that it can be sent in that window
-    zone_crossing_price: float  # for each flow that crosses zones once
-    migration_price: float  # for each flow migrated once
-    health_check_price: float  # for one check a flow
-    gossip: bool  # instances can tell each other a few bytes
-    gossip_price: float  # for a full message a flow, for each that receives it
-    quotas: list[float]  # by tenant: standing flows within its quota, all balancers together
-    overage_weight: float  # what a flow beyond the quota is worth, as a part
-    load_index: int  # place of the utilization in a server's report, -1 where none
-    # Attempts beyond a flow's first, in any window: so many, and that part of the flows taken in
-    # it.
-    retry_window: int = 0  # 0: no such budget
+    can_migrate: bool  # the client of an established flow can be sent to look for a new server
+    list_polled: bool  # the endpoint list is sent only on request
+    poll_within: int  # a failed request for the list is repeated within this time
+    warm_up_time: int  # longest time from a server's start until it is warm
+    warm_up_initial_fraction: float  # fraction of its capacity that a server has at its start
+    slow_start_window: int  # in which too many new flows overload a server that warms up
+    overload_factor: float  # multiple of its capacity that it can be sent in that window
+    zone_crossing_price: float  # per flow that crosses zones once
+    migration_price: float  # per flow that is migrated once
+    health_check_price: float  # at a rate of one check per flow
+    gossip: bool  # balancers can send each other messages of a few bytes
+    gossip_price: float  # per receiver, at a rate of one message of full size per flow
+    quotas: list[float]  # by tenant: concurrent flows within the quota, over all balancers
+    overage_weight: float  # value of a flow beyond the quota, as a fraction of one within it
+    load_index: int  # position of the utilization in a server's load report, -1 if it has none
+    # The retry budget limits attempts beyond a flow's first in any window: the base number, plus
+    # the ratio times the flows that arrived in the window.
+    retry_window: int = 0  # 0: no retry budget
     retry_budget_base: float = 0.0
     retry_budget_ratio: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server of the endpoint list, and what the decisions know of it.
+    """A server of the endpoint list, with the state that the decision code keeps about it.
 
-    The fields after the list's own belong to the rule named above them. The sums are set when a
-    balancer first lists the server.
+    The first fields come from the list. Those below a comment belong to the rule that the comment
+    names. The decaying sums are set when the server first appears in a balancer's list.
     """
 
     id: int
     zone: int = 0
     cell: int = 0
     weight: float = 1.0
-    started_at: int = 0  # its latest start; 0: long ago
+    started_at: int = 0  # time of its latest start; 0: long ago
     state: ServerState = ServerState.READY
 
     # Health checks.
     health: int = 0  # the rise/fall counter
-    checked: bool = False  # a health check has told
-    awaiting_first_pass: bool = False  # new or restarted: down until a check passes
+    checked: bool = False  # at least one health check has completed
+    awaiting_first_pass: bool = False  # new or restarted, and down until a check passes
     check_in_flight: bool = False
-    next_check_at: int = 0  # by `HealthCheckSchedule.clock`
-    failed_checks: int = 0  # since the last that passed
+    next_check_at: int = 0  # on `HealthCheckSchedule.clock`
+    failed_checks: int = 0  # since the last check that passed
 
-    # Out of rotation by an operator's call, whatever the list says.
+    # Rotation: an operator can take a server out of rotation, whatever state the list gives.
     out_of_rotation: bool = False
     out_of_rotation_since: int = 0
-    owed_first_flow: bool = False  # returned: the next flow that may go there does
+    owed_first_flow: bool = False  # back in rotation: gets the next flow that may go to it
 
     # Outlier ejection.
-    consecutive_failures: int = 0  # attempts unanswered since the last that was established
+    consecutive_failures: int = 0  # attempts without an answer since one was last established
     consecutive_errors: int = 0  # attempts answered with an error since then
-    next_trial_at: int = 0  # when one flow may try an ejected server
-    ejected_until: int = 0  # it said that it is full, or dropped what it had just taken
+    next_trial_at: int = 0  # when one flow may be sent to an ejected server as a trial
+    ejected_until: int = 0  # set when it reports that it is full or drops flows it just accepted
 
     # Load.
-    load: float = 0.0  # as last told: 1 is a message at its objective, or all capacity in use
-    load_at: int = 0
-    message_delay: int = 0  # as last told
-    gossiped_at: int = 0  # when a balancer last told the others of its load
+    load: float = 0.0  # last report; 1: messages take their objective, or all capacity is in use
+    load_at: int = 0  # time of that report
+    message_delay: int = 0  # last report
+    gossiped_at: int = 0  # when a balancer last sent the others its load
 
     # Concurrency limit.
-    concurrency_limit: float = math.inf  # connections; none before it has dropped any
+    concurrency_limit: float = math.inf  # connections; infinite until it first drops some
     limit_cut_at: int = 0
     delay_at_cut: int = 0  # message delay when the limit was cut
-    recent_drops: DecayingSum = field(init=False)  # established flows that it broke off
+    recent_drops: DecayingSum = field(init=False)  # established flows that the server dropped
 
     # Slow start.
     established_count: int = 0  # attempts established since its start
-    slow_start_spent: DecayingSum = field(init=False)  # of this balancer's budget for it
-    slow_start_fills: DecayingSum = field(init=False)  # flows beyond the budget, instead of rejects
+    slow_start_spent: DecayingSum = field(init=False)  # used part of this balancer's budget
+    # Flows sent to it beyond the budget, because they would have been rejected otherwise.
+    slow_start_fills: DecayingSum = field(init=False)
 
     # Migration.
     next_migration_at: int = 0
 
     # Flows from this balancer.
-    pending_flows: dict["Flow", None] = field(default_factory=dict)  # their attempt is out there
+    pending_flows: dict["Flow", None] = field(default_factory=dict)  # with an unfinished attempt
     established_flows: dict["Flow", None] = field(default_factory=dict)
-    group_sizes: Counter[int] = field(default_factory=Counter)  # how many of each group
+    group_sizes: Counter[int] = field(default_factory=Counter)  # number of its flows, by group
 
 
 @dataclass(slots=True, eq=False)
@@ -174,17 +179,18 @@
 
     id: int
     service_type: ServiceType
-    key: int  # its group's, else its routing key, else its id
+    key: int  # the group's key, else the flow's routing key, else the flow's id
     deadline: int  # when the client gives up connecting
     tenant: int = 0
-    grouped: bool = False  # the key names a group, whose work its members share
-    returning: bool = False  # its client comes back after a break or a migration, or says so
+    grouped: bool = False  # the key is that of a group, whose flows share work on a server
+    returning: bool = False  # the client reconnects after a break or migration, or says it does
     attempts: list[Server] = field(default_factory=list)
-    slow_start_admitted: list[Server] = field(default_factory=list)  # those it may go to
-    server: Server | None = None  # where its attempt is out or it is established
+    # Servers that warm up and to which the flow may go, by their slow-start budgets.
+    slow_start_admitted: list[Server] = field(default_factory=list)
+    server: Server | None = None  # of the unfinished attempt or the established connection
     attempt_sent_at: int = 0
     queued_until: int = 0
-    awaited_checks: list[Server] = field(default_factory=list)  # checked on its behalf
+    awaited_checks: list[Server] = field(default_factory=list)  # whose health checks it awaits
     await_checks_until: int = 0
     established: bool = False
     may_have_run_on: Server | None = None
@@ -192,28 +198,29 @@
     last_outcome: Outcome | None = None
 
     def next_due(self, now: int) -> int:
-        """Return when it must be looked at again if nothing happens before."""
+        """Return when the flow must be processed again if no event for it comes first."""
         waits_for_checks = now < self.await_checks_until or not self.queued_until
         due = self.await_checks_until if waits_for_checks else self.queued_until
-        # The deadline may have been cut since, at a shutdown.
+        # A shutdown may have shortened the deadline since.
         return min(due, self.deadline)
 
     def idempotency_expires_at(self) -> float:
-        """Return when one more attempt of a flow that may have run does harm.
+        """Return when servers stop dropping repeats of this flow, if it may have run.
 
-        That is where servers drop repeats for a while; infinity for all other flows.
+        From then on another attempt may take effect twice. Infinity for flows without an
+        idempotency key.
         """
         if self.service_type.effect is not Effect.IDEMPOTENCY_KEY:
             return math.inf
         return self.may_have_run_since + self.service_type.idempotency_window
 
 
-# Decisions: the host carries out each at once.
+# Decisions. The host carries out each one immediately.
 
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Connect to that server on the flow's behalf."""
+    """Connect the flow to a server."""
 
     flow: Flow
     server: Server
@@ -222,15 +229,15 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Turn the flow away; nothing of it has run, or a repeat does no harm."""
+    """Reject the flow; it has not run, or the client can safely send it again."""
 
     flow: Flow
-    retry_after: int  # 0: no advice
+    retry_after: int  # time until the client should retry; 0: not stated
 
 
 @dataclass(slots=True)
 class Abort:
-    """Answer the flow with a failure: it may have run, and a repeat may do harm."""
+    """Answer the flow with an error; it may have run, and sending it again is not safe."""
 
     flow: Flow
 
@@ -244,19 +251,19 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send that server a health check."""
+    """Send the server a health check."""
 
     server: Server
 
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the endpoint list's changes from here on."""
+    """Request the changes of the endpoint list from now on."""
 
 
 @dataclass(slots=True)
 class SendGossip:
-    """Tell all other instances of a server's load; the message may be lost."""
+    """Send a server's load to all other balancers; the message may be lost."""
 
     server: Server
     load: float
@@ -264,7 +271,7 @@
 
 @dataclass(slots=True)
 class ScheduleWakeup:
-    """Call `on_wakeup` after that time, unless another wake-up comes before."""
+    """Call `on_wakeup` after a time, unless another wake-up is due earlier."""
 
     after: int
 
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter to the bench: frames in, frames out, plain messages for what is malformed."""
+"""The adapter to the bench: replies to batches, and error messages for malformed input."""
 
 import json
 import struct
@@ -9,7 +9,7 @@
 import pytest
 from paths import ROOT
 
-from cypresswalk.benchlink.wire import WireError, settings
+from cypresswalk.benchlink.wire import WireError, parse_settings
 from cypresswalk.model import SECOND
 
 PARAMS: dict[str, Any] = {
@@ -39,25 +39,25 @@
 
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
-    """Start the adapter, give it all of its input, and wait for its end."""
+    """Run the adapter on the input until it exits."""
     command = [sys.executable, "-m", "cypresswalk.benchlink"]
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT)
 
 
 def batch(*records: bytes) -> bytes:
-    """A batch of records at one time."""
+    """Encode a batch of records, all at `START_MS`."""
     body = b"".join(records)
     return struct.pack("<IId", len(records), 8 + len(body), START_MS) + body
 
 
 def init_record(params: bytes) -> bytes:
-    """The record that begins an instance; `params` is JSON if the bench is right."""
+    """Encode the record that starts an instance; `params` is JSON unless a test malforms it."""
     return b"\x00" + struct.pack("<QI", 9, len(params)) + params
 
 
 def settings_with(**changes: Any) -> Any:
-    """The settings that the adapter reads from changed parameters."""
-    return settings(json.dumps(PARAMS | changes).encode())
+    """Return the settings that the adapter parses from `PARAMS` with changes."""
+    return parse_settings(json.dumps(PARAMS | changes).encode())
 
 
 ABOUT = b"\x0c\x03\x00"
@@ -72,7 +72,7 @@
 START_ATTEMPT = b"\x0d\x03\x00" + struct.pack("<BQdI", 0, FLOW, 150.0, SERVER)
 
 
-def test_a_flow_is_sent_to_the_listed_server_and_the_end_is_clean():
+def test_flow_is_sent_to_the_listed_server_and_the_adapter_exits_cleanly():
     run = run_adapter(batch() + batch(ABOUT, INIT, ENDPOINT_LIST) + batch(ABOUT, NEW_FLOW))
     assert run.returncode == 0
     assert not run.stderr
@@ -92,7 +92,7 @@
         (batch(NEW_FLOW), "before any About"),
     ],
 )
-def test_malformed_input_is_named_and_ends_with_an_error(data, message):
+def test_malformed_input_ends_the_adapter_with_an_error_that_names_it(data, message):
     run = run_adapter(data)
     assert run.returncode == 1
     assert message in run.stderr.decode()
@@ -108,11 +108,11 @@
     assert run.returncode == 0
 
 
-def test_there_is_no_retry_budget_unless_it_is_set():
+def test_retry_budget_is_off_by_default():
     assert settings_with().retry_window == 0
 
 
-def test_the_retry_budget_is_read():
+def test_retry_budget_is_parsed():
     found = settings_with(rules=PARAMS["rules"] | RETRY_BUDGET)
     assert found.retry_window == 2 * SECOND
     assert found.retry_budget_base == 5
