--- a/cypresswalk/service/__init__.py
+++ b/cypresswalk/service/__init__.py
@@ -1,4 +1,4 @@
-"""The program: which drivers, core and optional parts run, and the thread that decides.
+"""The balancer program: creates the core, the socket drivers and optional parts, and runs them.
 
-Knows all packages below; none of them knows it. `program.main` is all that is called.
+It may import all other packages; none of them imports it, except to call `program.main`.
 """
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -1,8 +1,9 @@
-"""Puts the parts together, runs the deciding thread, and handles signals.
+"""Creates the parts of the balancer, runs the decision thread, and handles signals.
 
-Threads: the deciding thread is the main one and alone calls the core. The listener, the watch of
-the endpoint list, peers and the admin address have one each, started by `Program.run` or `accept`,
-which lives as long as the process or until its part is stopped; each connection has its own.
+Threads: the main thread is the decision thread and the only one that calls the core. The client
+listener, the endpoint list watch, the gossip socket and the admin listener have a thread each.
+`Program.run` or `Program.accept` starts it, and it runs until its part is stopped or the process
+ends. Each connection has its own thread.
 """
 
 import logging
@@ -35,7 +36,7 @@
 from cypresswalk.net.session import Attempt, Session
 from cypresswalk.net.threads import start_thread
 
-if TYPE_CHECKING:  # imported at run time only where an operator turns them on
+if TYPE_CHECKING:  # imported at run time only if the operator enables them
     from cypresswalk.fleet.core_binding import CoreBinding
     from cypresswalk.net.admin import AdminListener
     from cypresswalk.net.handover import Handover
@@ -45,13 +46,14 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds; the interpreter's own is 5 ms. With 300 clients coming at once on two cores, the echo of
-# an established one's line took 2.5 to 3.2 ms instead of 3.7 to 7.6; on quiet days it is the same.
+# Thread switch interval in seconds; the interpreter's default is 5 ms. When 300 clients connect at
+# once on two cores, the echo of an established client's line takes 2.5 to 3.2 ms with this value
+# and 3.7 to 7.6 ms with the default. Without load there is no difference.
 SWITCH_INTERVAL = 0.0005
 
 
 class Program:
-    """The drivers that the core calls, and the one thread that calls the core."""
+    """The core's socket drivers and the decision thread, the only one that calls the core."""
 
     def __init__(
         self,
@@ -59,34 +61,34 @@
         policy: type[Balancer] = Balancer,
         core: Callable[..., Core] = Core,
     ):
-        """Opens all sockets; `policy` and `core` as in `main`.
+        """Open all sockets; `policy` and `core` as in `main`.
 
         Raises:
-            ConfigError: the configuration's list of servers cannot be read.
-            OSError: an address cannot be listened at.
+            ConfigError: The configuration's list of servers is invalid.
+            OSError: The program cannot listen at an address.
         """
-        # Over 40 lines since it makes one part a line.
+        # Over 40 lines long, because it creates one part per line.
         self.limits = config.limits
         self.path = config.path
         self.clock = Clock()
         self.inbox = Inbox(self.clock)
         self.counters = Counters()
         self.core = core(config, self, self.counters, self.clock(), policy)
-        registry = EndpointListDecoder(config.zones)
+        decoder = EndpointListDecoder(config.zones)
         try:
-            _, entries = registry.decode(config.known)
+            _, entries = decoder.decode(config.known)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
         self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
         polled = config.settings.list_polled
         self.watch = EndpointWatch(
-            config.discovery, registry, self.core, self.inbox, self.limits, polled
+            config.discovery, decoder, self.core, self.inbox, self.limits, polled
         )
         self.server_slots = threading.Semaphore(
             self.limits.max_flows + self.limits.max_lingering_connections
         )
-        self.prober = HealthChecker(self.core, self.inbox, self.limits, config.load_fields)
-        self.peers: GossipSocket | None = None
+        self.health_checker = HealthChecker(self.core, self.inbox, self.limits, config.load_fields)
+        self.gossip_socket: GossipSocket | None = None
         self.admin: AdminListener | None = None
         self.handover: Handover | None = None
         self.handover_socket: HandoverSocket | None = None
@@ -97,13 +99,14 @@
             self._enable_operators(config, config.admin_address) if config.admin_address else []
         )
         self._open_sockets(config, inherited)
-        self.reloads = 0  # signals that asked for one
-        self.exit_deadline = 0  # nanoseconds, once all flows are answered
+        self.reloads = 0  # number of SIGHUPs received
+        self.exit_deadline = 0  # in nanoseconds; set once all flows are answered
 
     def _enable_operators(self, config: Config, address: Address) -> list[socket.socket]:
-        """Lets operators call and upgrade this process; returns the predecessor's sockets, if any.
+        """Accept operators' calls and upgrades; return the predecessor's sockets, if there is one.
 
-        Imported here alone: without an admin address no such call and no Unix socket exists.
+        The modules are imported only here: without an admin address the program takes no operator
+        calls and opens no Unix socket.
         """
         from cypresswalk.net.admin import AdminListener
         from cypresswalk.net.handover import Handover
@@ -121,10 +124,10 @@
         return [socket.socket(fileno=number) for number in self.predecessor.descriptors]
 
     def _open_sockets(self, config: Config, inherited: list[socket.socket]) -> None:
-        """Opens the clients' and peers' sockets, or takes those of a predecessor."""
+        """Open the client and gossip sockets, or take those of a predecessor."""
         shared = config.admin_address is not None
         if config.gossip_listen is not None:
-            self.peers = GossipSocket(
+            self.gossip_socket = GossipSocket(
                 config.gossip_listen,
                 config.gossip_target,
                 self.core,
@@ -142,16 +145,16 @@
             inherited[0] if inherited else None,
         )
 
-    def keep_state(self, folder: str, every: float, config: Config) -> None:
-        """Recovers persisted state and writes it every so many seconds.
+    def enable_persistence(self, folder: str, interval: float, config: Config) -> None:
+        """Recover persisted state from a folder, and write it there every `interval` seconds.
 
-        Imported here alone: without the operator file nothing of it is loaded.
+        The modules are imported only here: without an operator file they are not loaded.
         """
         from cypresswalk.state.snapshot_writer import SnapshotWriter
 
         self.snapshot_writer = SnapshotWriter(
             folder,
-            every,
+            interval,
             self.core,
             self.inbox,
             self.watch.decoder,
@@ -159,11 +162,11 @@
             "%s:%d" % config.discovery,  # noqa: UP031 (a tuple)
         )
         self.snapshot_writer.recover(self.clock())
-        # A list that knows less than the incarnation before was told is an older one.
+        # A list with a lower version than the previous incarnation had read is out of date.
         self.watch.min_version = self.snapshot_writer.previous_list_version
 
     def join_fleet(self, table: "FleetTable", config: Config) -> None:
-        """Binds the core to what a fleet agrees on. Imported here alone, as above."""
+        """Bind the core to the state that a fleet agrees on; imports its modules only here, too."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
@@ -171,7 +174,7 @@
         )
 
     def run(self) -> None:
-        """Starts all threads and is the deciding thread until the process may end."""
+        """Start all threads and run the decision thread until the process may exit."""
         self._start_threads()
         core = self.core
         last = self.clock()
@@ -202,15 +205,15 @@
             self.snapshot_writer.start()
 
     def _apply_events(self, wait: int, last: int) -> int:
-        """Waits for an event and applies all there are, operators' first; returns the time."""
+        """Wait for an event and apply all queued ones, operators' calls first; return the time."""
         queue = self.inbox.queue
         calls = self.inbox.urgent
         try:
             item = queue.get(timeout=wait / SECOND) if wait > 0 else queue.get_nowait()
-            # All that waits now, and no more: a flood of events must not keep decisions waiting.
+            # Only the events queued now: a flood of further events must not delay the decisions.
             for left in range(queue.qsize(), -1, -1):
                 at, call, args = item
-                # Threads stamp what they read: two stamps can come in the wrong order.
+                # The reading threads set the events' times, so these may be slightly out of order.
                 last = max(last, at)
                 while not calls.empty():
                     urgent_call, urgent_args = calls.get_nowait()
@@ -224,9 +227,9 @@
         return last
 
     def _may_exit(self) -> bool:
-        """Whether flows are answered, none can come, and clients have had time to read.
+        """Return whether all flows are answered, and no client is left or the time to read is over.
 
-        Clients that come in the last moments must not be accepted and never answered.
+        A client that connects at the last moment must not be accepted and left without an answer.
         """
         if not self.core.lifecycle.stopped:
             return False
@@ -241,7 +244,7 @@
         )
 
     def _call_guarded(self, call: Callable[..., object], now: int, *args: object) -> None:
-        """Logs a fault over one flow, which must not end the others."""
+        """Call a function and log any exception: a fault in one flow must not end the others."""
         try:
             call(now, *args)
         except Exception:
@@ -251,34 +254,37 @@
             time.sleep(self.limits.fault_pause / SECOND)
 
     def stop(self, now: int) -> None:
-        """SIGTERM or SIGINT: a graceful shutdown."""
+        """Shut down gracefully, on SIGTERM or SIGINT."""
         if self.binding is not None:
             self.binding.fleet.release_leadership()
         self.core.lifecycle.stop(now)
 
     def reload(self, now: int) -> None:
-        """SIGHUP: the endpoint list comes from where the configuration file says now."""
+        """Read the endpoint list's address from the configuration file again, on SIGHUP."""
         self.reloads += 1
         self._reload_until(now, self.reloads, now + self.limits.reload_retry_time)
 
-    def _reload_until(self, now: int, number: int, until: int) -> None:
-        """Reads the file; half written, it is read again until then or the next SIGHUP."""
+    def _reload_until(self, now: int, number: int, deadline: int) -> None:
+        """Read the file; if it is invalid, retry until the deadline or the next SIGHUP.
+
+        It may be half written.
+        """
         if number != self.reloads:
             return
         try:
             discovery = read_discovery_address(self.path)
         except ConfigError as error:
-            if now < until:
+            if now < deadline:
                 self.core.timers.schedule(
-                    now + self.limits.min_list_retry_pause, self._reload_until, number, until
+                    now + self.limits.min_list_retry_pause, self._reload_until, number, deadline
                 )
             else:
                 log.error(event("reload_failed", error=error))
             return
-        self._follow_list_at(discovery)
+        self._switch_list_address(discovery)
 
-    def _follow_list_at(self, discovery: Address) -> None:
-        """Follows the list at another address; flows and health stay."""
+    def _switch_list_address(self, discovery: Address) -> None:
+        """Watch the endpoint list at another address; flows and health states are kept."""
         before = "%s:%d" % self.watch.address  # noqa: UP031 (a tuple)
         log.info(event("reload", discovery="%s:%d" % discovery, before=before))  # noqa: UP031
         if discovery == self.watch.address:
@@ -294,128 +300,130 @@
             old.polled,
             max(old.min_version, old.decoder.version),
         )
-        new.request_update()  # what the decisions have asked for they have asked of any address
+        new.request_update()  # the core's earlier request holds for every address
         start_thread(new.run, self.limits.fault_pause, self.limits.list_thread_stack)
         self.watch = new
         old.end()
 
-    def report(self, now: int) -> None:
-        """SIGUSR1: logs the counters."""
+    def log_counters(self, now: int) -> None:
+        """Log the counters, on SIGUSR1."""
         log.info(f"event=counters {self.counters.line()}")
 
-    # What two processes of one balancer do for each other.
+    # Called by the hand-over between two processes of one balancer.
 
     def accept(self) -> None:
-        """Accepts clients and peers' datagrams, and lets a successor find this process."""
+        """Accept clients and gossip, and let a successor process find this one."""
         self.listener.accepting = True
         start_thread(self.listener.run, self.limits.fault_pause)
-        if self.peers is not None:
-            self.peers.receiving = True
-            start_thread(self.peers.run, self.limits.fault_pause)
+        if self.gossip_socket is not None:
+            self.gossip_socket.receiving = True
+            start_thread(self.gossip_socket.run, self.limits.fault_pause)
         if self.handover_socket is not None and self.handover is not None:
             self.handover_socket.wait_for_successor(self.handover)
 
     def stop_accepting(self) -> None:
-        """The successor accepts, checks health and takes part in the fleet from now on."""
+        """Leave clients, gossip, health checks and the fleet to the successor from now on."""
         self.listener.accepting = False
-        if self.peers is not None:
-            self.peers.receiving = False
-        self.prober.close_idle()
+        if self.gossip_socket is not None:
+            self.gossip_socket.receiving = False
+        self.health_checker.close_idle()
         if self.binding is not None:
             self.binding.fleet.stop()
 
     def list_position(self) -> tuple[str, int]:
-        """The endpoint list's address, and the version that was read last."""
+        """Return the endpoint list's address and the version read last."""
         host, port = self.watch.address
         return f"{host}:{port}", self.watch.decoder.version
 
     def server_names(self) -> dict[int, str]:
-        """Servers' names by number."""
+        """Return the servers' names by id."""
         return self.watch.decoder.names
 
     def listening_sockets(self) -> tuple[int, ...]:
-        """Descriptors of the clients' socket and, where there is one, the peers'."""
-        return tuple(part.sock.fileno() for part in (self.listener, self.peers) if part is not None)
+        """Return the descriptors of the client socket and of the gossip socket, if there is one."""
+        return tuple(
+            part.sock.fileno() for part in (self.listener, self.gossip_socket) if part is not None
+        )
 
-    # What the core asks for; see net/ports.py.
+    # Called by the core; see `Drivers` in net/ports.py.
 
     def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
-        """Starts the attempt's thread."""
-        link = ServerConnection(
+        """Start the attempt's thread."""
+        connection = ServerConnection(
             attempt, address, line, self.core, self.inbox, self.limits, self.server_slots
         )
-        attempt.connection = link
+        attempt.connection = connection
         try:
-            start_thread(link.run)
+            start_thread(connection.run)
         except RuntimeError as error:
             log.error(event("connect_not_started", error=error))
             self.inbox.post(self.core.on_attempt_ended, attempt, Outcome.CONNECT_FAILED)
 
     def start_relay(self, attempt: Attempt) -> None:
-        """Starts relaying lines."""
+        """Start relaying lines."""
         attempt.connection.start_relay()
 
     def close_attempt(self, attempt: Attempt) -> None:
-        """Closes the connection to the server."""
+        """Close the connection to the server."""
         attempt.connection.close()
 
     def cancel_unsent(self, attempt: Attempt) -> bool:
-        """Drops an attempt that has sent nothing yet."""
+        """Cancel an attempt that has sent nothing yet; return whether it was cancelled."""
         return attempt.connection.cancel_unsent()
 
     def stop_accepting_at(self, at: int) -> None:
-        """Ends the listening for clients at that time."""
+        """Stop accepting clients at a time."""
         self.listener.closes_at = at
 
     def send_reply(self, session: Session, line: bytes) -> None:
-        """Sends the client its last line."""
+        """Send the client its last line."""
         session.client.link.send_nowait(line)
         session.client.link.shutdown(socket.SHUT_WR)
 
     def close_client(self, session: Session) -> None:
-        """Closes the client's connection."""
+        """Close the client's connection."""
         session.client.link.shutdown(socket.SHUT_RDWR)
 
     def migrate(self, session: Session) -> None:
-        """Sends an established client MOVE."""
+        """Send an established client MOVE."""
         assert session.attempt is not None  # it is established
         session.attempt.connection.migrate()
 
     def check_health(self, server: Server, address: Address) -> None:
-        """Checks a server's health."""
-        self.prober.check(server, address)
+        """Check a server's health."""
+        self.health_checker.check(server, address)
 
     def request_endpoints(self) -> None:
-        """Asks for the endpoint list's changes."""
+        """Request the endpoint list's changes."""
         self.watch.request_update()
 
     def send_gossip(self, message: bytes) -> None:
-        """Sends gossip to the other balancers."""
-        if self.peers is not None:
-            self.peers.send(message)
+        """Send gossip to the other balancers."""
+        if self.gossip_socket is not None:
+            self.gossip_socket.send(message)
 
 
-def enable(program: Program, path: str, config: Config) -> None:
-    """What the operator file turns on. Without one nothing of it is imported."""
+def apply_operator_file(program: Program, path: str, config: Config) -> None:
+    """Enable the parts that the operator file asks for; their modules are imported only here."""
     from cypresswalk import operator
     from cypresswalk.refusal import CommandError
 
     try:
-        asked = operator.read(path)
+        options = operator.read(path)
     except CommandError as refusal:
         raise ConfigError(f"PROXY_OPERATOR {refusal}") from None
-    if asked.state is not None:
-        program.keep_state(asked.state.folder, asked.state.every_s, config)
-    if asked.fleet is not None:
-        program.join_fleet(asked.fleet, config)
+    if options.state is not None:
+        program.enable_persistence(options.state.folder, options.state.every_s, config)
+    if options.fleet is not None:
+        program.join_fleet(options.fleet, config)
 
 
 def handle_signals(program: Program) -> None:
-    """Has signals posted to the deciding thread."""
+    """Post signals to the decision thread."""
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: program.inbox.post(program.stop))
     signal.signal(signal.SIGHUP, lambda *_: program.inbox.post(program.reload))
-    signal.signal(signal.SIGUSR1, lambda *_: program.inbox.post(program.report))
+    signal.signal(signal.SIGUSR1, lambda *_: program.inbox.post(program.log_counters))
 
 
 def build_program(
@@ -424,13 +432,18 @@
     core: Callable[..., Core],
     program_class: type[Program],
 ) -> Program:
-    """The program with all that the operator file turns on. Raises ConfigError or OSError."""
+    """Create the program with the parts that the operator file enables.
+
+    Raises:
+        ConfigError: The configuration or the operator file is invalid.
+        OSError: The program cannot listen at an address.
+    """
     logs.configure(config.name, config.limits.max_log_lines)
     sys.setswitchinterval(SWITCH_INTERVAL)
     threading.stack_size(config.limits.thread_stack)
     program = program_class(config, policy, core)
     if operator := os.environ.get("PROXY_OPERATOR"):
-        enable(program, operator, config)
+        apply_operator_file(program, operator, config)
     return program
 
 
@@ -439,13 +452,15 @@
     core: Callable[..., Core] = Core,
     made: type[Program] = Program,
 ) -> int:
-    """Runs the balancer; returns an exit code where it cannot start.
+    """Run the balancer until it exits; return an exit code if it cannot start.
 
-    Another policy, core or program than the product's is for comparison, tracing and faults alone.
+    Other policies, cores or programs than the defaults are only for comparison, tracing and fault
+    injection.
     """
-    # Until there is something to reload; its own action would end the start.
+    # SIGHUP's default action would end the process, and there is nothing to reload yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # From listening on, clients are accepted by the machine: none may be left without an answer.
+    # The kernel accepts clients as soon as the socket listens, and each must get an answer. So a
+    # stop signal during the start takes effect after it.
     stop_signals = []
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop_signals.append(True))
@@ -470,5 +485,5 @@
     program.run()
     log.info(f"event=end {program.counters.line()}")
     logging.shutdown()
-    # Threads still read: ended with the interpreter, one of them could abort it while it logs.
+    # Other threads still read. If the interpreter ended them while one logs, it could abort.
     os._exit(0)
