--- a/tests/service/test_operator_calls.py
+++ b/tests/service/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls to a running program, over sockets."""
+"""Operator calls to a running program, over sockets."""
 
 import json
 import os
@@ -23,22 +23,22 @@
     free_port,
 )
 
-# Prints the admin part of a program that is made and not run, and which modules of it are loaded.
+# Creates a program without running it; prints its admin listener and the loaded admin modules.
 LOADED_MODULES = """
 import os, sys
 from cypresswalk.net.config import load
 from cypresswalk.service import program
 
-made = program.Program(load(dict(os.environ)))
-print(made.admin, [m for m in sys.modules if m.endswith(("net.admin", "net.handover"))])
+created = program.Program(load(dict(os.environ)))
+print(created.admin, [m for m in sys.modules if m.endswith(("net.admin", "net.handover"))])
 """
 
 
 @pytest.fixture
-def start_operated(
+def start_with_admin(
     start_program: Callable[..., ProgramProcess],
 ) -> Callable[..., tuple[ProgramProcess, OperatorClient]]:
-    """Starts a program that takes operators' calls."""
+    """Return a function that starts a program with an admin address."""
 
     def start(*servers, **options) -> tuple[ProgramProcess, OperatorClient]:
         port = free_port()
@@ -48,88 +48,90 @@
     return start
 
 
-def test_calls_are_answered_while_other_callers_hang_and_malformed_ones_are_refused(start_operated):
-    program, operator = start_operated(ServerDouble(), sockets=64)
+def test_calls_are_answered_while_other_callers_hang_and_malformed_ones_are_refused(
+    start_with_admin,
+):
+    program, operator = start_with_admin(ServerDouble(), sockets=64)
     hanging = [operator.connect() for _ in range(40)]
     for connection in hanging[::2]:
         connection.sock.sendall(b"chec")
-    began = time.monotonic()
+    started = time.monotonic()
     assert operator.call("check") == ["OK"]
     for malformed in ("", "chek", "check now", "set-down nobody", "x" * 6000, "check\r\nvars"):
         (answer,) = operator.call(malformed)
         assert answer.startswith("ERR ")
-        assert len(answer) > 8  # there is a reason
-    assert time.monotonic() - began < 2
+        assert len(answer) > 8  # a reason follows
+    assert time.monotonic() - started < 2
     assert program.open("a1").read_line() == "UP ra1"
     assert operator.call("check") == ["OK"]
     for connection in hanging:
         connection.close()
 
 
-class Crowd:
-    """Clients that open flows one after another, in a thread."""
+class ClientBurst:
+    """A thread of clients that open flows one after another and keep them."""
 
     def __init__(self, program: ProgramProcess, count: int):
-        """Begins at once."""
+        """Start the thread."""
         self.program = program
         self.count = count
         self.clients: list[LineConnection] = []
-        self.thread = Thread(target=self.arrive)
+        self.thread = Thread(target=self.open_flows)
         self.thread.start()
 
-    def arrive(self) -> None:
-        """Opens all flows."""
+    def open_flows(self) -> None:
+        """Open all flows."""
         for number in range(self.count):
             self.clients.append(self.program.open(f"c{number}", "c=view,t=north,d=900"))
 
 
-def test_call_is_answered_within_a_second_under_a_crowd(start_operated):
-    program, operator = start_operated(ServerDouble(), ServerDouble(), sockets=1024)
-    crowd = Crowd(program, 300)
+def test_call_is_answered_within_a_second_during_a_burst_of_clients(start_with_admin):
+    program, operator = start_with_admin(ServerDouble(), ServerDouble(), sockets=1024)
+    burst = ClientBurst(program, 300)
     waits = []
-    while crowd.thread.is_alive() or len(waits) < 5:
-        began = time.monotonic()
+    while burst.thread.is_alive() or len(waits) < 5:
+        started = time.monotonic()
         metrics, end = operator.call("vars")
-        waits.append(time.monotonic() - began)
+        waits.append(time.monotonic() - started)
         assert end == "END"
         assert json.loads(metrics)["registry_entries"] == 2
-    crowd.thread.join()
+    burst.thread.join()
     assert max(waits) < 1
-    answers = [client.read_line().split(" ")[0] for client in crowd.clients]
+    answers = [client.read_line().split(" ")[0] for client in burst.clients]
     time.sleep(0.3)
     metrics = json.loads(operator.call("vars")[0])
     assert metrics["fulfilled"]["view"] == answers.count("UP")
     assert metrics["throttled"]["view"] == answers.count("BUSY")
     assert metrics["open_requests"] == answers.count("UP") <= metrics["relayed"]
-    for client in crowd.clients:
+    for client in burst.clients:
         client.close()
 
 
-def answer_to_ping(program: ProgramProcess) -> str:
-    """What the edge load balancer hears as it checks the program."""
+def ping_from_edge(program: ProgramProcess) -> str:
+    """Return the program's answer to a health check by the edge load balancer."""
     edge = program.connect()
     edge.send_line("PING")
     return edge.read_line()
 
 
-def test_drained_program_is_not_ready_and_moves_its_clients_until_the_drain_is_taken_back(
-    start_operated,
+def test_drained_program_is_not_ready_and_migrates_its_clients_until_the_drain_is_undone(
+    start_with_admin,
 ):
-    program, operator = start_operated(ServerDouble(), ServerDouble())
+    program, operator = start_with_admin(ServerDouble(), ServerDouble())
     clients = [program.open(f"d{i}") for i in range(5)]
     assert {client.read_line().split(" ")[0] for client in clients} == {"UP"}
-    began = time.monotonic()
+    started = time.monotonic()
     assert operator.call("drain-on") == ["OK"]
-    assert answer_to_ping(program) == "ERR"
+    assert ping_from_edge(program) == "ERR"
     assert [(client.read_line(), client.read_line()) for client in clients] == [("MOVE", END)] * 5
-    assert time.monotonic() - began < 3.5
+    assert time.monotonic() - started < 3.5
     assert operator.call("drain-off") == ["OK"]
-    assert answer_to_ping(program) == "PONG"
+    assert ping_from_edge(program) == "PONG"
     assert program.open("e1").read_line() == "UP re1"
 
 
 def run_with(config: Path, command: tuple[str, ...], **environment: str):
-    """Runs a command to its end, with a configuration file."""
+    """Run a command with a configuration file until it exits."""
     return subprocess.run(
         command,
         cwd=ROOT,
@@ -140,7 +142,7 @@
     )
 
 
-def test_unusable_admin_address_ends_the_start_and_without_one_no_admin_module_is_loaded(tmp_path):
+def test_unusable_admin_address_stops_the_start_and_without_one_no_admin_module_is_loaded(tmp_path):
     config = tmp_path / "config.json"
     config.write_text(json.dumps(config_data()))
     for address, message in (
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again."""
+"""SIGHUP makes the program read its configuration file again."""
 
 import json
 import signal
@@ -29,7 +29,7 @@
     assert "reload_failed" not in program.log.read_text()
 
 
-def test_file_that_stays_unreadable_is_given_up_and_logged_once(start_program):
+def test_reload_of_a_file_that_stays_invalid_fails_and_is_logged_once(start_program):
     program = start_program(ServerDouble())
     program.reload("{")
     assert program.logged("event=reload_failed")
--- a/tests/service/test_saturation.py
+++ b/tests/service/test_saturation.py
@@ -1,4 +1,4 @@
-"""The program with every slot in use, and with peers that read nothing."""
+"""The program with every connection slot in use, and with peers that read nothing."""
 
 import itertools
 import signal
@@ -19,19 +19,19 @@
     wait_until,
 )
 
-SOCKETS = 256  # descriptors of the program
+SOCKETS = 256  # limit of the program's descriptors
 
 
 class LosingDiscovery(DiscoveryServer):
-    """Loses its first watch when the test says so, having told it nothing."""
+    """Breaks the first watch when the test sets `lost`, without having sent it an update."""
 
     def __init__(self, *updates: bytes):
-        """The updates are for the watches after the first."""
+        """Listen; the updates are for the watches after the first."""
         self.lost = Event()
         super().__init__(*updates)
 
     def serve(self, client: LineConnection) -> None:
-        """Serves all watches but the first."""
+        """Break the first watch once `lost` is set; serve all others."""
         if self.paths:
             super().serve(client)
             return
@@ -40,8 +40,8 @@
         client.close()
 
 
-def test_endpoint_list_is_fetched_though_clients_hold_every_slot(start_program):
-    """Every flow is established, silent clients take what is left, and the watch is lost then."""
+def test_endpoint_list_is_fetched_although_clients_hold_every_slot(start_program):
+    """The watch breaks when established flows and silent clients hold all descriptors."""
     draining, other = ServerDouble(), ServerDouble()
     drain = endpoint_update(listed("s-0", draining.address, "terminating"), generation=9)
     discovery = LosingDiscovery(drain)
@@ -66,18 +66,18 @@
     before = len(draining.open_lines)
     for number in range(6):
         assert program.open(f"f{number}").read_line().startswith("UP")
-    assert len(draining.open_lines) == before  # its drain was told
+    assert len(draining.open_lines) == before  # the new list says that it drains
     assert "Too many open files" not in program.log.read_text()
     for client in silent + established:
         client.close()
 
 
 class UnreadingServer(ServerDouble):
-    """Accepts flows, and then reads nothing any more."""
+    """Accepts flows, and then reads nothing from them."""
 
     def serve(self, client: LineConnection) -> None:
-        """Reads first lines and health checks alone."""
-        with suppress(OSError):  # the balancer ends with the test, while this may still wait
+        """Read only first lines and health checks."""
+        with suppress(OSError):  # the balancer may exit with the test while this still waits
             while (line := client.read_line()) not in (END, RESET):
                 if line == "PING":
                     client.send_line("PONG")
@@ -88,14 +88,14 @@
 
 
 def send_until_blocked(client: LineConnection) -> None:
-    """Sends until nothing more is taken."""
+    """Send until the peer takes nothing more."""
     client.sock.settimeout(0.5)
     with pytest.raises(TimeoutError):
         while True:
             client.sock.sendall(b"M " + b"x" * 1000 + b"\r\n")
 
 
-def test_decisions_go_on_while_a_server_and_a_client_read_nothing(start_program):
+def test_flows_are_still_placed_while_a_server_and_a_client_read_nothing(start_program):
     streaming, unreading = ServerDouble(), UnreadingServer()
     program = start_program(streaming, unreading)
     clients: dict[str, LineConnection] = {}  # by flow id
@@ -103,14 +103,14 @@
         flow_id = f"n{len(clients)}"
         clients[flow_id] = program.open(flow_id)
         assert clients[flow_id].read_line().startswith("UP")
-    of_streaming, of_unreading = (
+    client_of_streaming, client_of_unreading = (
         clients[server.open_lines[0].split(" ")[1]] for server in (streaming, unreading)
     )
-    of_streaming.send_line("STREAM")  # its client reads none of it
-    send_until_blocked(of_unreading)
+    client_of_streaming.send_line("STREAM")  # and reads none of it
+    send_until_blocked(client_of_unreading)
     for number in range(20):
-        began = time.monotonic()
+        started = time.monotonic()
         assert program.open(f"o{number}").read_line().startswith("UP")
-        assert time.monotonic() - began < 1
+        assert time.monotonic() - started < 1
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(5) == 0
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program as a process, as its clients, its servers and operators' signals meet it."""
+"""The program as a process: clients, servers and signals, over real sockets."""
 
 import json
 import signal
@@ -26,7 +26,7 @@
 
 
 def assert_counted(program: ProgramProcess, counter: str) -> None:
-    """The program logs the counter on request, within some seconds."""
+    """Assert that the program logs the counter on request within a few seconds."""
     for _ in range(20):
         program.process.send_signal(signal.SIGUSR1)
         assert program.logged("event=counters")
@@ -36,7 +36,7 @@
     raise AssertionError(f"{counter} was not counted")
 
 
-def test_lines_are_relayed_both_ways_and_ends_as_they_came(start_program):
+def test_lines_and_ends_of_connections_are_relayed_unchanged(start_program):
     server = ServerDouble()
     program = start_program(server)
     client = program.open("a1", "c=view,t=north,d=800,g=5c")
@@ -61,13 +61,13 @@
 def test_flow_that_no_server_accepts_is_answered_once_and_in_time(start_program, mode):
     servers = [ServerDouble(mode), ServerDouble(mode)]
     program = start_program(*servers)
-    began = time.monotonic()
+    started = time.monotonic()
     client = program.open("b1", "c=view,t=north,d=500")
     client.assert_only_answer("BUSY")
-    assert time.monotonic() - began < 0.9
-    seen = [line.split(" ")[1] for server in servers for line in server.open_lines]
-    assert seen
-    assert len(seen) <= 3
+    assert time.monotonic() - started < 0.9
+    attempts = [line.split(" ")[1] for server in servers for line in server.open_lines]
+    assert attempts
+    assert len(attempts) <= 3
 
 
 def test_non_idempotent_flow_that_may_have_run_is_aborted_and_not_retried(start_program):
@@ -89,9 +89,9 @@
         client = program.connect()
         client.send_line(line)
         client.assert_only_answer("ERR")
-    half = program.connect()
-    half.sock.sendall(b"OPEN half")
-    half.close()
+    incomplete = program.connect()
+    incomplete.sock.sendall(b"OPEN half")
+    incomplete.close()
     assert program.open("d1").read_line() == "UP rd1"
 
 
@@ -103,12 +103,12 @@
         assert len(servers[i].open_lines) == 1
 
 
-def test_watch_is_followed_and_reopened_from_the_last_version(start_program):
+def test_watch_is_read_and_reopened_from_the_last_version(start_program):
     drained, other = ServerDouble(), ServerDouble()
-    leaving = endpoint_update(
+    drain = endpoint_update(
         7, listed("s-0", drained.address, "terminating"), listed("s-9", "nowhere"), generation=41
     )
-    program = start_program(drained, other, discovery_server=DiscoveryServer(leaving, None))
+    program = start_program(drained, other, discovery_server=DiscoveryServer(drain, None))
     assert program.logged("event=list_failed")
     assert program.logged("event=entry_malformed")
     for i in range(12):
@@ -121,18 +121,17 @@
     assert second_path.endswith("since=41")
 
 
-def test_list_nested_too_deep_is_a_failed_list_and_no_crash(start_program):
+def test_list_nested_too_deep_is_logged_as_failed_and_does_not_crash(start_program):
     program = start_program(ServerDouble(), discovery_server=DiscoveryServer(b"[" * 100_000))
     assert program.logged("event=list_failed")
     assert program.open("m1").read_line() == "UP rm1"
 
 
 @pytest.mark.parametrize("settings", [{}, {"discovery": "on_request"}], ids=["pushed", "polled"])
-def test_sighup_follows_the_list_at_the_new_address_and_established_flows_go_on(
+def test_sighup_switches_to_the_list_at_the_new_address_and_established_flows_go_on(
     start_program, settings
 ):
-    # The signal does not end the program, and the old address's updates no longer count beside the
-    # new one's.
+    # The signal must not end the program, and the old address's updates must be ignored afterwards.
     drained, other = ServerDouble(), ServerDouble()
     first = DiscoveryServer(endpoint_update(listed("s-0", drained.address), generation=900))
     second = DiscoveryServer(
@@ -150,7 +149,7 @@
         assert program.open(f"r{i}").read_line() == f"UP rr{i}"
     assert len(drained.open_lines) + len(other.open_lines) == 13
     assert len(other.open_lines) >= 12
-    # The new address's versions are its own, the old one's break is none.
+    # Versions start again at the new address, and leaving the old one is not logged as a failure.
     assert second.paths[0].endswith("since=0")
     assert len(first.paths) == len(second.paths) == 1
     first.updates.append(
@@ -162,7 +161,7 @@
     assert "list_failed" not in program.log.read_text()
 
 
-def test_stop_sends_move_between_lines_to_every_client_and_ends_in_time(start_program):
+def test_stop_sends_every_client_move_between_two_lines_and_ends_in_time(start_program):
     program = start_program(ServerDouble(), ServerDouble())
     clients = [program.open(f"g{i}") for i in range(12)]
     assert [client.read_line() for client in clients] == [f"UP rg{i}" for i in range(12)]
@@ -184,33 +183,33 @@
     assert client.read_line() == "UP rh1"
     client.send_line("SLOW")
     assert client.read_line() == "LOAD 700"
-    assert_counted(program, "delays=1")  # the line is passed on before it is counted
+    assert_counted(program, "delays=1")  # the line is relayed before it is counted
 
 
 def test_client_whose_server_stops_answering_lines_is_told_to_move(start_program):
     client = start_program(ServerDouble()).open("k1")
-    began = time.monotonic()
+    started = time.monotonic()
     assert client.read_line() == "UP rk1"
     client.send_line("HANG")
-    heard = []
-    while not heard or heard[-1] not in ("MOVE", END, RESET):
+    replies = []
+    while not replies or replies[-1] not in ("MOVE", END, RESET):
         client.send_line("M 1")
-        heard.append(client.read_line())
-    assert heard[-1] == "MOVE"
-    assert set(heard[:-1]) == {"LOAD 900"}
-    assert 4 < time.monotonic() - began < 7
+        replies.append(client.read_line())
+    assert replies[-1] == "MOVE"
+    assert set(replies[:-1]) == {"LOAD 900"}
+    assert 4 < time.monotonic() - started < 7
 
 
 def test_burst_of_clients_is_answered_in_time_and_every_line_comes_back(start_program):
     program = start_program(ServerDouble(), ServerDouble(), ServerDouble(), sockets=1024)
-    began = time.monotonic()
+    started = time.monotonic()
     clients = [program.open(f"l{i}", "c=view,t=north,d=1900") for i in range(150)]
-    heard = [client.read_line() for client in clients]
-    assert time.monotonic() - began < 5
-    accepted = [client for client, line in zip(clients, heard, strict=True) if line != "BUSY"]
-    assert {line.split(" ")[0] for line in heard} <= {"UP", "BUSY"}
-    # How many is the machine's pace: set-ups wait 150 ms for one of 12 slots, which are three
-    # servers with MAX_PENDING_ATTEMPTS each.
+    replies = [client.read_line() for client in clients]
+    assert time.monotonic() - started < 5
+    accepted = [client for client, line in zip(clients, replies, strict=True) if line != "BUSY"]
+    assert {line.split(" ")[0] for line in replies} <= {"UP", "BUSY"}
+    # The number depends on the machine's speed: set-ups wait 150 ms for one of 12 slots, which are
+    # MAX_PENDING_ATTEMPTS at each of three servers.
     assert len(accepted) > 24
     for number in range(3):
         for client in accepted:
@@ -218,7 +217,7 @@
         assert {client.read_line() for client in accepted} == {f"M {number}"}
 
 
-def test_server_is_not_blamed_for_a_client_that_breaks_off(start_program):
+def test_reset_by_a_client_is_not_counted_as_a_reset_by_the_server(start_program):
     program = start_program(ServerDouble())
     for i in range(8):
         client = program.open(f"n{i}")
@@ -232,13 +231,13 @@
     assert "connects_reset" not in program.log.read_text()
 
 
-def test_rejects_and_goes_on_when_short_of_descriptors(start_program):
+def test_program_rejects_clients_and_continues_when_short_of_descriptors(start_program):
     program = start_program(ServerDouble(), sockets=24)
     clients = [program.open(f"i{i}") for i in range(20)]
-    heard = [client.read_line().split(" ")[0] for client in clients]
-    assert heard.count("UP") == 9
-    assert heard.count("BUSY") == 11
-    clients[heard.index("UP")].close()
+    replies = [client.read_line().split(" ")[0] for client in clients]
+    assert replies.count("UP") == 9
+    assert replies.count("BUSY") == 11
+    clients[replies.index("UP")].close()
     time.sleep(0.2)
     assert program.open("i99").read_line() == "UP ri99"
 
@@ -246,16 +245,16 @@
 def test_clients_that_send_nothing_are_dismissed_when_slots_run_out(start_program):
     program = start_program(ServerDouble(), sockets=24)
     silent = [program.connect() for _ in range(60)]
-    began = time.monotonic()
+    started = time.monotonic()
     assert program.open("j1").read_line() == "UP rj1"
-    assert time.monotonic() - began < 2
+    assert time.monotonic() - started < 2
     assert {client.read_line() for client in silent} <= {"BUSY", "ERR"}
-    assert time.monotonic() - began < 3
+    assert time.monotonic() - started < 3
 
 
 def test_flood_before_the_answer_is_answered_once_and_reaches_no_server(start_program):
-    # Not even the first of hundreds of commands is served, and a line without end is neither kept
-    # nor read on.
+    # Of hundreds of commands in one burst not even the first is served. A line without an end is
+    # neither stored nor read any further.
     server = ServerDouble()
     program = start_program(server)
     for number, flood in enumerate(
@@ -266,50 +265,50 @@
         ]
     ):
         client = program.connect()
-        began = time.monotonic()
+        started = time.monotonic()
         with suppress(ConnectionError):
             client.sock.sendall(flood.replace(b"%d", b"%d" % number))
         assert client.read_line() in ("ERR", RESET)
         assert client.read_line() in (END, RESET)
-        assert time.monotonic() - began < 2
-    half = program.connect()
-    half.sock.sendall(b"OPEN half 77 c=view")
-    assert [half.read_line(), half.read_line()] == ["ERR", END]
-    assert time.monotonic() - began < 4
+        assert time.monotonic() - started < 2
+    incomplete = program.connect()
+    incomplete.sock.sendall(b"OPEN half 77 c=view")
+    assert [incomplete.read_line(), incomplete.read_line()] == ["ERR", END]
+    assert time.monotonic() - started < 4
     assert server.open_lines == []
     assert program.open("v1").read_line() == "UP rv1"
 
 
-def test_start_without_a_configuration_fails_with_a_plain_message():
+def test_start_without_a_configuration_fails_with_a_clear_message():
     done = subprocess.run(PROGRAM, cwd=ROOT, capture_output=True, env={})
     assert done.returncode == 1
     assert done.stderr == b"cypresswalk: PROXY_CONFIG is not set\n"
 
 
-def test_client_dismissed_as_its_line_arrives_keeps_its_answer(start_program):
-    """After a dismissal reading is shut down, so that a read finds an end at once.
+def test_client_dismissed_as_its_line_arrives_still_gets_its_answer(start_program):
+    """A dismissal shuts down reading, so that the next read returns the end at once.
 
-    Taking that for the client's end would close the connection, and the line that came next would
-    meet a reset, which takes the answer back.
+    If the program took that for the client's end, it would close the connection. The line that
+    arrives next would then be answered with a reset, which discards the answer before it is read.
     """
     program = start_program(ServerDouble(), sockets=64)
     slow = program.connect()
-    time.sleep(0.15)  # longer than `Limits.idle_grace`: its slot may be given away
+    time.sleep(0.15)  # longer than `Limits.idle_grace`: its slot may be taken from it
     others = []
     while len(others) < 24 and not is_readable(slow.sock, 0.01):
-        others.append(program.connect())  # one by one: the listener looks for slots at each
+        others.append(program.connect())  # one by one: the listener looks for idle clients at each
     assert slow.read_line() == "BUSY"
     for _ in range(3):
-        slow.sock.sendall(b"OPEN m1 77 c=view,t=north,d=800")  # after a reset the second fails
+        slow.sock.sendall(b"OPEN m1 77 c=view,t=north,d=800")  # the second would fail after a reset
         time.sleep(0.01)
-    assert slow.read_line() in (END, RESET)  # too late for its slot, which others have by now
+    assert slow.read_line() in (END, RESET)  # others have its slot by now
     for client in [slow, *others]:
         client.close()
 
 
-def test_run_line_of_the_deploy_file_is_one_process_and_ignores_an_operator_file(start_program):
-    # Where many balancers share a machine's clock, other processes are refused; and persisted state
-    # has no folder there.
+def test_run_command_of_the_deploy_file_is_one_process_and_ignores_an_operator_file(start_program):
+    # Where many balancers share one machine's clock, they may start no other processes, and there
+    # is no folder for persisted state.
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     program = start_program(
         ServerDouble(),
--- a/tests/service/test_state_restart.py
+++ b/tests/service/test_state_restart.py
@@ -1,4 +1,4 @@
-"""The program with persisted state, over restarts."""
+"""The program with persisted state, restarted."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def state_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """Where the programs of a test keep their state, as their operator file says."""
+    """Write an operator file with a state folder; return the folder."""
     folder = tmp_path / "kept"
     folder.mkdir()
     operator_file = tmp_path / "operator.toml"
@@ -36,7 +36,7 @@
 def start_incarnation(
     tmp_path: Path, state_folder: Path
 ) -> Iterator[Callable[..., ProgramProcess]]:
-    """Starts a program that keeps its state; each has a name for its configuration and log."""
+    """Return a function that starts a program with persisted state, in a subfolder by its name."""
     running = []
 
     def start(name: str, *servers: ServerDouble, **options) -> ProgramProcess:
@@ -50,19 +50,19 @@
         program.kill()
 
 
-def test_drain_told_before_a_kill_holds_after_it(start_incarnation, state_folder):
-    """Rule three over a restart: the list that the new one begins with still has the server."""
+def test_drain_from_the_list_still_holds_after_a_kill_and_restart(start_incarnation, state_folder):
+    """Rule three over a restart: in the new process's configured list the server is still ready."""
     stays, drains = ServerDouble(), ServerDouble()
     drain = endpoint_update(listed("s-1", drains.address, "terminating"))
     first = start_incarnation("one", stays, drains, discovery_server=DiscoveryServer(drain))
 
-    def drain_is_kept() -> bool:
+    def drain_is_persisted() -> bool:
         generations = [path.read_bytes() for path in state_folder.glob("state.*")]
         return any(file_format.decode(data).servers[1].state != "ready" for data in generations)
 
-    wait_until(drain_is_kept, 5)
+    wait_until(drain_is_persisted, 5)
     first.kill()
-    second = start_incarnation("two", stays, drains)  # its discovery tells nothing
+    second = start_incarnation("two", stays, drains)  # its discovery sends no update
     assert second.logged("event=state_recovered")
     assert second.logged("drains=1")
     for i in range(12):
@@ -75,7 +75,7 @@
     server = ServerDouble()
     first = start_incarnation("one", server)
     assert first.open("y1").read_line() == "UP ry1"
-    first.process.terminate()  # a planned stop writes the last generation
+    first.process.terminate()  # a graceful stop writes a last generation
     first.process.wait()
     second = start_incarnation("two", server)
     assert second.open("y1").read_line() == "ERR"
@@ -92,7 +92,7 @@
     ],
     ids=["relative folder", "unknown table", "no interval"],
 )
-def test_invalid_operator_file_ends_the_start_with_a_plain_message(tmp_path, text, message):
+def test_invalid_operator_file_stops_the_start_with_a_clear_message(tmp_path, text, message):
     operator_file = tmp_path / "operator.toml"
     operator_file.write_text(text)
     config = tmp_path / "config.json"
--- a/tests/service/test_stop.py
+++ b/tests/service/test_stop.py
@@ -1,4 +1,4 @@
-"""The program's stop: whatever crosses it is answered once."""
+"""The program's shutdown: every client that connects or sends meanwhile gets one answer."""
 
 import json
 import os
@@ -33,8 +33,8 @@
 
 STOP_TIMEOUT = 8  # seconds
 
-# Sent SIGTERM between its first listening and its first decision; goes on once it reads a byte.
-SIGNALLED_AT_ITS_START = """
+# Sends itself SIGTERM between its first listening and its first decision, then waits for a byte.
+SIGNALLED_AT_START = """
 import os, signal, sys
 from cypresswalk.service import program
 
@@ -49,10 +49,10 @@
 
 
 class InProcessProgram:
-    """The program in this process: its threads can be held at a point."""
+    """The program in the test's process, so that a test can hold its threads at a point."""
 
     def __init__(self, folder: Path, *servers: ServerDouble, **changes: Any):
-        """Starts it; `changes` as of `config_data`."""
+        """Start the program; `changes` as for `config_data`."""
         self.address = (LOOPBACK, free_port())
         data = config_data(
             [listed(f"s-{i}", server.address) for i, server in enumerate(servers)],
@@ -67,63 +67,64 @@
         self.thread.start()
 
     def connect(self) -> LineConnection:
-        """A client's connection."""
+        """Return a new client connection."""
         return LineConnection.to(self.address)
 
     def open(self, ident: str, timeout_ms: int = 800) -> LineConnection:
-        """A client's connection on which it has sent a flow's first line."""
+        """Return a client connection on which a flow's first line was sent."""
         client = self.connect()
         client.send_line(open_line(ident, timeout_ms))
         return client
 
     def stop(self) -> None:
-        """Stops the program as SIGTERM does."""
+        """Stop the program as SIGTERM does."""
         self.program.inbox.post(self.program.stop)
 
     def wait_until_stopped(self) -> None:
-        """Returns once the core has stopped; the listener may not have."""
+        """Wait until the core has stopped; the listener may still run."""
         wait_until(lambda: self.program.core.lifecycle.stopped)
 
     def has_ended(self) -> bool:
-        """Whether the program ends in time."""
+        """Return whether the program ends within `STOP_TIMEOUT`."""
         self.thread.join(STOP_TIMEOUT)
         return not self.thread.is_alive()
 
 
 def open_line(ident: str, timeout_ms: int = 900) -> str:
-    """A flow's first line."""
+    """Return a flow's first line."""
     return f"OPEN {ident} 77 c=view,t=north,d={timeout_ms}"
 
 
-class HeldAccept:
-    """Holds a program's accepting thread at its next client. What the thread does later goes on."""
+class BlockedAccept:
+    """Blocks the program's accepting thread at its next client until `may_go_on` is set."""
 
     def __init__(self, program: Program):
-        """Holds from now on."""
+        """Replace the listener's `admit`."""
         self.reached = Event()
         self.may_go_on = Event()
         self.admit = program.listener.admit
-        program.listener.admit = self.hold_and_admit
+        program.listener.admit = self.wait_and_admit
 
-    def hold_and_admit(self, sock: socket.socket) -> None:
-        """Takes the listener's place."""
+    def wait_and_admit(self, sock: socket.socket) -> None:
+        """Wait for `may_go_on`, then call the listener's `admit`."""
         self.reached.set()
         assert self.may_go_on.wait(20)
         self.admit(sock)
 
 
 def test_stop_answers_every_client_in_the_backlog(tmp_path):
-    # The accepting thread is held until the stop's end: who wrote a line by then is in the backlog.
+    # The accepting thread is blocked until the core has stopped: until then the clients are in the
+    # backlog.
     server = ServerDouble()
     running = InProcessProgram(tmp_path, server)
-    held = HeldAccept(running.program)
+    blocked = BlockedAccept(running.program)
     first = running.open("a0")
-    assert held.reached.wait(5)
+    assert blocked.reached.wait(5)
     waiting = [running.open(f"a{i}", 4000) for i in range(1, 12)]
     idle = [running.connect() for _ in range(4)]
     running.stop()
     running.wait_until_stopped()
-    held.may_go_on.set()
+    blocked.may_go_on.set()
     assert running.has_ended()
     for client in [first, *waiting, *idle]:
         client.assert_only_answer("BUSY")
@@ -135,35 +136,35 @@
 def test_stop_answers_the_backlog_without_a_free_slot(tmp_path):
     server = ServerDouble()
     running = InProcessProgram(tmp_path, server, sockets=64)
-    held = HeldAccept(running.program)
+    blocked = BlockedAccept(running.program)
     first = running.open("b0")
-    assert held.reached.wait(5)
+    assert blocked.reached.wait(5)
     while running.program.listener.slots.acquire(blocking=False):
         pass
     waiting = [running.open(f"b{i}", 4000) for i in range(1, 9)]
     running.stop()
     running.wait_until_stopped()
-    held.may_go_on.set()
+    blocked.may_go_on.set()
     assert running.has_ended()
     assert [client.read_line() for client in waiting] == ["BUSY"] * 8
     assert first.read_line() == "BUSY"
 
 
 class RequestsAroundDismissal:
-    """Sends requests in the instant in which the program dismisses idle clients.
+    """Sends requests at the moment when the program dismisses idle clients.
 
     Half of the clients send theirs right before the first dismissal, the others right after it.
     """
 
     def __init__(self, program: Program, clients: list[LineConnection]):
-        """Takes the place of the listener's dismissal."""
+        """Replace the listener's `dismiss_unopened`."""
         self.clients = clients
         self.halves_sent = 0
         self.dismiss = program.listener.dismiss_unopened
         program.listener.dismiss_unopened = self.send_and_dismiss
 
     def send_and_dismiss(self) -> None:
-        """Sends around the first dismissal, and only dismisses from then on."""
+        """Send the requests around the first dismissal; later ones only dismiss."""
         if self.halves_sent:
             self.dismiss()
             return
@@ -179,7 +180,7 @@
 
 
 def test_idle_client_gets_one_answer_when_its_request_crosses_the_stop(tmp_path):
-    """Its line is read before the dismissal, or it meets the rejection; no server ever gets it."""
+    """Whether its line is read before the dismissal or after it, no server gets the flow."""
     server = ServerDouble()
     running = InProcessProgram(tmp_path, server)
     idle = [running.connect() for _ in range(6)]
@@ -194,7 +195,7 @@
     assert server.open_lines == []
 
 
-def test_stop_answers_flows_whose_server_hangs_and_sends_nothing_after(tmp_path):
+def test_stop_answers_flows_whose_server_hangs_and_sends_nothing_afterwards(tmp_path):
     servers = [ServerDouble(ServerMode.SILENT), ServerDouble(ServerMode.SILENT)]
     running = InProcessProgram(tmp_path, *servers)
 
@@ -214,7 +215,7 @@
 
 @pytest.fixture
 def signalled_program(tmp_path: Path):
-    """A process that has sent itself SIGTERM at its start and waits, its port, and its server."""
+    """Start `SIGNALLED_AT_START`; return the process, its port and its server."""
     server = ServerDouble()
     port = free_port()
     data = config_data(
@@ -223,7 +224,7 @@
     file = tmp_path / "config.json"
     file.write_text(json.dumps(data))
     process = subprocess.Popen(
-        (sys.executable, "-c", SIGNALLED_AT_ITS_START),
+        (sys.executable, "-c", SIGNALLED_AT_START),
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stderr=subprocess.DEVNULL,
@@ -234,8 +235,8 @@
     process.wait()
 
 
-def test_sigterm_counts_from_the_first_listening_on(signalled_program):
-    """Who comes between the first listening and the first decision is answered all the same."""
+def test_sigterm_during_the_start_stops_the_program_gracefully(signalled_program):
+    """A client that connects between the first listening and the first decision is answered."""
     process, port, _ = signalled_program
 
     def connect() -> LineConnection | None:
@@ -247,13 +248,13 @@
 
     client = wait_until(connect)
     client.send_line(open_line("t1"))
-    process.stdin.write(b"x")  # the start goes on
+    process.stdin.write(b"x")  # lets the start continue
     process.stdin.flush()
     assert [client.read_line(), client.read_line(), client.read_line()] == ["UP rt1", "MOVE", END]
     assert process.wait(STOP_TIMEOUT) == 0
 
 
-def test_second_sigterm_changes_nothing(start_program):
+def test_second_sigterm_has_no_effect(start_program):
     program = start_program(ServerDouble())
     client = program.open("s1")
     assert client.read_line() == "UP rs1"
--- a/tests/service/test_upgrade.py
+++ b/tests/service/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The program upgraded by a second process beside the first, over sockets."""
+"""Upgrades of the program: a second process starts beside the first and takes over its sockets."""
 
 import json
 import os
@@ -31,21 +31,21 @@
 from cypresswalk.net.inbox import Inbox
 
 STOP_TIMEOUT = 4  # seconds for a stopped process to end
-ATTEMPT_TIMEOUT = 0.7  # seconds; a balancer has given up an attempt by then
+ATTEMPT_TIMEOUT = 0.7  # seconds after which a balancer has given up an attempt
 
 
 class UpgradedProgram:
-    """A program that is started again beside itself, as operators upgrade it."""
+    """A program and the successor processes that upgrade it."""
 
     def __init__(self, program: ProgramProcess, folder: Path):
-        """The program's first process; the folder is that of the hand-over's socket."""
+        """Take the program's first process and the folder of its hand-over socket."""
         self.program = program
         self.folder = folder
         self.processes = [program.process]
         self.started = 0
 
     def start_successor(self, **environment: str) -> tuple[subprocess.Popen, OperatorClient]:
-        """Starts a process beside those that run."""
+        """Start a successor beside the processes that run."""
         port = free_port()
         self.started += 1
         with (self.folder / f"log{self.started}").open("wb") as log:
@@ -62,13 +62,13 @@
         return process, OperatorClient(port)
 
     def start_ready_successor(self, **environment: str) -> tuple[subprocess.Popen, OperatorClient]:
-        """Starts a process beside those that run, and waits until it is ready."""
+        """Start a successor beside the processes that run, and wait until it is ready."""
         process, operator = self.start_successor(**environment)
         wait_until(lambda: is_ready(operator))
         return process, operator
 
     def attempts_timed_out(self) -> int:
-        """How many attempts timed out, at all processes; the last of them still runs."""
+        """Return how many attempts timed out at all processes; the last process still runs."""
         self.processes[-1].send_signal(signal.SIGUSR1)
         logs = [self.program.log]
         logs += [self.folder / f"log{number + 1}" for number in range(self.started)]
@@ -76,26 +76,26 @@
         last_lines = [counter_lines(log.read_text())[-1] for log in logs]
         return sum(counter_value(line, "connects_timeout") for line in last_lines)
 
-    def end(self) -> None:
-        """Kills all processes."""
+    def kill(self) -> None:
+        """Kill all processes."""
         for process in self.processes:
             process.kill()
             process.wait()
 
 
 def counter_lines(log: str) -> list[str]:
-    """The lines of a log that hold the process's counters."""
+    """Return the lines of a log that contain the process's counters."""
     return [line for line in log.splitlines() if "event=counters" in line or "event=end" in line]
 
 
 def counter_value(line: str, name: str) -> int:
-    """A counter's value; one that is 0 is left out of the line."""
+    """Return a counter's value; counters that are 0 are not in the line."""
     fields = dict(field.split("=", 1) for field in line.split() if "=" in field)
     return int(fields.get(name, 0))
 
 
 def is_ready(operator: OperatorClient) -> bool:
-    """Whether the process answers that it is ready."""
+    """Return whether the process answers that it is ready."""
     try:
         return operator.call("check") == ["OK"]
     except ConnectionRefusedError:
@@ -106,7 +106,7 @@
 def start_upgradable(
     start_program: Callable[..., ProgramProcess], tmp_path: Path
 ) -> Iterator[Callable[..., tuple[UpgradedProgram, OperatorClient]]]:
-    """Starts programs whose hand-over socket is in a folder."""
+    """Return a function that starts a program with its hand-over socket in a folder."""
     upgraded = []
 
     def start(*servers, folder=tmp_path, **options) -> tuple[UpgradedProgram, OperatorClient]:
@@ -117,21 +117,21 @@
         return upgraded[-1], OperatorClient(port)
 
     yield start
-    for one in upgraded:
-        one.end()
+    for program in upgraded:
+        program.kill()
 
 
 class ClientStream:
-    """Clients that come one after another without a pause, and what became of each.
+    """Clients that open flows one after another, in several threads, and their results.
 
-    Of twenty, nineteen end their flow at once; the flow of the twentieth stays.
+    Of every twenty clients nineteen end their flow at once; the twentieth keeps it.
     """
 
     def __init__(self, program: ProgramProcess, name: str, threads: int = 2):
-        """Begins at once, in that many threads."""
+        """Start the threads."""
         self.program = program
         self.name = name
-        self.results: list[str] = []  # the last word that a client heard, or its error
+        self.results: list[str] = []  # the last command that each client received, or its error
         self.established: list[LineConnection] = []
         self.ended = Event()
         self.threads = [Thread(target=self.run, args=(i,), daemon=True) for i in range(threads)]
@@ -139,31 +139,31 @@
             thread.start()
 
     def run(self, thread_number: int) -> None:
-        """Clients of one thread."""
+        """Run clients in one thread until `stop`."""
         number = 0
         while not self.ended.is_set():
             number += 1
             try:
-                result = self.play_client(f"{self.name}{thread_number}-{number}", number % 20 == 0)
+                result = self.run_client(f"{self.name}{thread_number}-{number}", number % 20 == 0)
             except OSError as error:
                 result = type(error).__name__
             self.results.append(result)
             time.sleep(0.002)
 
-    def play_client(self, flow_id: str, stays: bool) -> str:
-        """One client; returns the last word that it heard."""
+    def run_client(self, flow_id: str, keeps_flow: bool) -> str:
+        """Run a client; return the last command that it received."""
         client = self.program.open(flow_id)
-        word = client.read_line().split(" ")[0]
-        if word != "UP" or stays:
+        command = client.read_line().split(" ")[0]
+        if command != "UP" or keeps_flow:
             self.established.append(client)
-            return word
+            return command
         client.send_line("END")
-        word = client.read_line()
+        command = client.read_line()
         client.close()
-        return word
+        return command
 
     def stop(self) -> None:
-        """No further clients come."""
+        """Start no further clients and wait for the threads."""
         self.ended.set()
         for thread in self.threads:
             thread.join()
@@ -193,20 +193,20 @@
     assert set(clients.results) <= {"BYE", "UP"}
     assert established_before > 1
     assert {client.read_line() for client in clients.established[:established_before]} == {"MOVE"}
-    assert len(servers[0].open_lines) == sent_before  # out of rotation over both upgrades
+    assert len(servers[0].open_lines) == sent_before  # still out of rotation after both upgrades
     ids = [line.split(" ")[1] for server in servers for line in server.open_lines]
-    # Seen under load: 1,268 lines for 1,267 ids. These flows may be repeated, and one whose attempt
-    # timed out is: nothing else sends a line twice.
+    # Under load 1,268 lines for 1,267 ids were seen. These flows are idempotent, so that an attempt
+    # that timed out is repeated. Nothing else sends a line twice.
     assert len(ids) - len(set(ids)) <= upgraded.attempts_timed_out()
     for client in clients.established:
         client.close()
 
 
 class SlowOnceServer(ServerDouble):
-    """Answers its first flow once its balancer has given the attempt up."""
+    """A server that answers its first flow only after the balancer has given up the attempt."""
 
     def respond_to_open(self, client: LineConnection, line: str) -> bool:
-        """Answers a flow's first line."""
+        """Answer a flow's first line."""
         if not self.open_lines:
             self.open_lines.append(line)
             time.sleep(ATTEMPT_TIMEOUT)
@@ -215,8 +215,8 @@
 
 
 def test_repeat_after_a_time_out_is_counted_as_the_upgrade_test_expects(start_upgradable):
-    # The trace behind that test's bound: a line comes twice where an attempt timed out, and is
-    # counted.
+    # Justifies the bound in the test of upgrades under load: if an attempt times out, its line is
+    # sent twice and the time-out is counted.
     servers = [SlowOnceServer() for _ in range(2)]
     upgraded, _ = start_upgradable(*servers, sockets=512)
     clients = [upgraded.program.open(f"i{number}") for number in range(20)]
@@ -227,7 +227,7 @@
         client.close()
 
 
-def test_process_that_is_killed_leaves_the_other_serving(start_upgradable):
+def test_kill_of_one_process_leaves_the_other_serving(start_upgradable):
     upgraded, operator = start_upgradable(ServerDouble(), ServerDouble())
     program = upgraded.program
     first_successor, _ = upgraded.start_ready_successor()
@@ -239,14 +239,17 @@
     program.kill()
     assert program.open("a2").read_line() == "UP ra2"
     assert json.loads(operator.call("vars")[0])["out_of_rotation"] == 1
-    upgraded.start_ready_successor()  # over what the killed one left
+    upgraded.start_ready_successor()  # although the killed process left its socket behind
     second_successor.send_signal(signal.SIGTERM)
     assert second_successor.wait(STOP_TIMEOUT) == 0
     assert program.open("a3").read_line() == "UP ra3"
 
 
-def test_second_of_two_that_start_at_once_waits_until_it_can_find_the_first(tmp_path):
-    """Otherwise both listen, and with one of them goes the place where a third finds the other."""
+def test_second_of_two_concurrent_starts_waits_until_it_can_find_the_first(tmp_path):
+    """Otherwise both would listen.
+
+    The socket at which a third process finds one of them would disappear when the other ends.
+    """
     clock = Clock()
     inboxes = [Inbox(clock), Inbox(clock)]
     first, second = (
@@ -254,10 +257,10 @@
     )
     assert first.find_predecessor() is None
     found = []
-    looking = Thread(target=lambda: found.append(second.find_predecessor()), daemon=True)
-    looking.start()
-    looking.join(0.3)
-    assert looking.is_alive()
+    search = Thread(target=lambda: found.append(second.find_predecessor()), daemon=True)
+    search.start()
+    search.join(0.3)
+    assert search.is_alive()
     handover = SimpleNamespace(
         on_hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
         heard=None,
@@ -266,7 +269,7 @@
     first.wait_for_successor(handover)
     call, args = inboxes[0].urgent.get(timeout=3)
     call(clock(), *args)
-    looking.join(3)
+    search.join(3)
     assert found[0] is not None
     assert first.start_lock is None
     assert second.start_lock is None
@@ -280,14 +283,14 @@
 def test_successor_starts_although_the_folder_is_unusable_or_its_name_is_long(
     start_upgradable, tmp_path, folder
 ):
-    place = tmp_path / folder
+    folder_path = tmp_path / folder
     if folder == LONG_NAME:
-        place.mkdir()
+        folder_path.mkdir()
     elif folder != "missing":
-        place.write_text("")
-    upgraded, _ = start_upgradable(ServerDouble(), folder=place)
+        folder_path.write_text("")
+    upgraded, _ = start_upgradable(ServerDouble(), folder=folder_path)
     upgraded.folder = tmp_path
-    upgraded.start_ready_successor(TMPDIR=str(place))
+    upgraded.start_ready_successor(TMPDIR=str(folder_path))
     program = upgraded.program
     program.process.send_signal(signal.SIGTERM)
     program.process.wait(STOP_TIMEOUT)
@@ -296,7 +299,9 @@
     assert ("event=taken_over" in log) is (folder == LONG_NAME)
 
 
-def test_handover_socket_refuses_what_is_no_process_of_this_balancer(start_upgradable, tmp_path):
+def test_handover_socket_refuses_anything_but_a_process_of_this_balancer(
+    start_upgradable, tmp_path
+):
     upgraded, operator = start_upgradable(ServerDouble())
     (path,) = [file for file in tmp_path.iterdir() if file.is_socket()]
     assert path.stat().st_mode & 0o077 == 0
