--- a/cypresswalk/benchlink/wire.py
+++ b/cypresswalk/benchlink/wire.py
@@ -16,7 +16,7 @@
 
 
 class Reader:
-    """Reads the records of a batch one after another.
+    """A reader of the records of a batch.
 
     Attributes:
         data: the bytes of the batch.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Options and fixtures of all tests, groups of those in real time, and tests known to fail."""
+"""Options and fixtures for all tests, groups of real-time tests, and known failures."""
 
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -9,9 +9,9 @@
 
 from cypresswalk.net.discovery import EndpointWatch
 
-# Files whose tests start several processes and judge them by real time. Six of them at once make
-# the machine late (machine_late_ms over 1,000 was seen), so each group runs on one worker, one by
-# one.
+# Files whose tests start several processes and measure them in real time. Six of them at once slow
+# the machine down too much (machine_late_ms above 1,000 was seen), so the tests of a group run one
+# after another on one worker.
 REAL_TIME_GROUPS = {
     "test_cluster_processes.py": "real_time_1",
     "test_server_processes.py": "real_time_1",
@@ -32,7 +32,7 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Adds the options that put the fault tool between the sockets of test_sockets.py."""
+    """Add the options that put the fault tool between the sockets of test_sockets.py."""
     parser.addoption(
         "--faults",
         metavar="PLAN",
@@ -42,13 +42,16 @@
 
 
 def known_red() -> set[str]:
-    """Tests that fail because of a fault that is known and not mended yet, by node id."""
+    """Return the node ids of the tests that fail because of a known fault that is not fixed yet."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {line.split(" ", 1)[1] for line in lines if line.startswith("test: ")}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Known red tests run, and show as xfailed or xpassed; exactly these, no pattern."""
+    """Group real-time tests, and mark exactly the tests of KNOWN-RED.txt as expected to fail.
+
+    The marked tests still run, and are reported as xfailed or xpassed.
+    """
     red = known_red()
     for item in items:
         group = REAL_TIME_GROUPS.get(item.path.name)
@@ -62,7 +65,7 @@
 def fault_proxies(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> Iterator[None]:
-    """With `--faults PLAN`: the fault tool between all sockets of test_sockets.py."""
+    """Put the fault tool between all sockets of test_sockets.py if `--faults PLAN` is given."""
     plan = request.config.getoption("--faults")
     if plan is None or request.module.__name__ != MODULE_UNDER_FAULTS:
         yield
@@ -75,7 +78,7 @@
 
 @pytest.fixture
 def start_program(tmp_path: Path) -> Iterator[Callable[..., ProgramProcess]]:
-    """Starts programs by their servers and what `ProgramProcess` takes; ends them with the test."""
+    """Return a function that starts a `ProgramProcess`; kill the programs after the test."""
     programs = []
 
     def start(*servers, **options) -> ProgramProcess:
@@ -89,19 +92,19 @@
 
 @pytest.fixture
 def end_watches(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Ends all endpoint watches of a test, which run in this process.
+    """End all endpoint watches that a test has started in its own process.
 
-    One that outlived it would go on calling its discovery, each time with a thread and two
-    descriptors, and log its failures among those of the next tests.
+    A watch that outlived its test would go on calling its discovery, each time with a thread and
+    two descriptors, and would log its failures during the next tests.
     """
     watches = []
-    make = EndpointWatch.__init__
+    initialize = EndpointWatch.__init__
 
-    def make_and_record(self, *args, **options):
-        make(self, *args, **options)
+    def initialize_and_record(self, *args, **options):
+        initialize(self, *args, **options)
         watches.append(self)
 
-    monkeypatch.setattr(EndpointWatch, "__init__", make_and_record)
+    monkeypatch.setattr(EndpointWatch, "__init__", initialize_and_record)
     yield
     for watch in watches:
         watch.end()
--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -1,4 +1,4 @@
-"""Steps that tests of the decisions share."""
+"""Steps shared by tests of the decision code."""
 
 from typing import Any
 
@@ -9,13 +9,13 @@
 
 
 def pass_health_checks(host: SimulatedHost) -> None:
-    """Every health check that is out passes."""
+    """Let every unanswered health check pass."""
     for server in list(host.health_checks):
         host.answer_health_check(server, True)
 
 
 def settle(host: SimulatedHost, rounds: int = 4) -> None:
-    """Lets every server pass a few health checks."""
+    """Let every server pass a few health checks, two seconds apart."""
     for _ in range(rounds):
         pass_health_checks(host)
         host.pass_time(2 * SECOND)
@@ -23,13 +23,13 @@
 
 
 def fill(host: SimulatedHost, count: int, **flow: Any) -> None:
-    """Establishes that many flows."""
+    """Establish `count` flows."""
     for _ in range(count):
         host.accept(host.arrive(**flow))
 
 
 def fill_warming_up(balancer: Balancer, now: int, flow: Flow) -> Server | None:
-    """The server that warms up to which the flow would go rather than be rejected."""
+    """Return the server that warms up to which the flow goes instead of being rejected."""
     pools = balancer.placement.pools()
-    walked = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
-    return balancer.slow_start.fill(now, flow, walked)
+    candidates = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
+    return balancer.slow_start.fill(now, flow, candidates)
--- a/tests/handover_helpers.py
+++ b/tests/handover_helpers.py
@@ -1,4 +1,4 @@
-"""Two processes of one balancer side by side: two cores, and what they send each other."""
+"""Two processes of one balancer during an upgrade: two cores and the channel between them."""
 
 import json
 from collections.abc import Sequence
@@ -8,74 +8,74 @@
 
 from cypresswalk.net.handover import Handover
 
-MAX_MESSAGES = 1000  # that `MessageChannel.deliver` hands on at once
+MAX_MESSAGES = 1000  # delivered by one call of `MessageChannel.deliver`
 
 
 class MessageChannel:
-    """One direction between the two: what is sent waits here until the test delivers it."""
+    """One direction of the channel; holds the messages sent until the test delivers them."""
 
     def __init__(self, receiver: "HandoverProcess | None", reverse: Self | None = None):
-        """The channel to a process; `reverse` is the other direction, made if not given."""
+        """Create the channel to a process, and the other direction if `reverse` is not given."""
         self.receiver = receiver
         self.reverse = reverse or MessageChannel(None, self)
         self.sent: list[str] = []
         self.closed = False
 
     def send(self, message: dict[str, Any], descriptors: Sequence[int] = ()) -> None:
-        """Takes a message, as JSON."""
+        """Queue a message as JSON."""
         self.sent.append(json.dumps(message))
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Close the channel."""
         self.closed = True
 
-    def deliver(self, most: int = MAX_MESSAGES) -> int:
-        """Delivers the oldest messages; returns how many."""
+    def deliver(self, limit: int = MAX_MESSAGES) -> int:
+        """Deliver up to `limit` of the oldest messages; return how many."""
         count = 0
         assert self.receiver is not None, "the other process has not started"
-        while self.sent and count < most:
+        while self.sent and count < limit:
             message = json.loads(self.sent.pop(0))
             count += 1
-            if "welcome" not in message:  # read by the driver, before there is a core
+            if "welcome" not in message:  # the driver reads this one before there is a core
                 self.receiver.deliver(self.receiver.handover.on_message, self.reverse, message)
         return count
 
 
 class ProcessDrivers:
-    """What the hand-over asks of a process's sockets and of its endpoint list."""
+    """Fake sockets and endpoint list of a process, as the hand-over uses them."""
 
     def __init__(self, process: "HandoverProcess", accepting: bool):
-        """The drivers of a process that accepts clients or does not yet."""
+        """Take the process; `accepting` is whether it already accepts clients."""
         self.process = process
         self.accepting = accepting
         self.list_version = 1
 
     def accept(self) -> None:
-        """Clients are accepted from now on."""
+        """Accept clients from now on."""
         self.accepting = True
 
     def stop_accepting(self) -> None:
-        """New clients are the other process's."""
+        """Leave new clients to the other process."""
         self.accepting = False
 
     def list_position(self) -> tuple[str, int]:
-        """The endpoint list's address and version."""
+        """Return the endpoint list's address and version."""
         return "127.0.0.1:9", self.list_version
 
     def server_names(self) -> dict[int, str]:
-        """Names of servers by id."""
+        """Return the servers' names by id."""
         return self.process.decoder.names
 
     def listening_sockets(self) -> tuple[int, ...]:
-        """Descriptors for the other process; nobody uses them here."""
+        """Return descriptors for the other process; they are not used."""
         return 7, 8
 
 
 class HandoverProcess(CoreHarness):
-    """One of the two processes: a core whose hand-over is on."""
+    """One of the two processes: a core with a hand-over."""
 
     def __init__(self, predecessor: "HandoverProcess | None" = None, **changes: Any):
-        """A process that starts alone or beside its predecessor; `changes` as of `CoreHarness`."""
+        """Start alone or beside a predecessor; `changes` as for `CoreHarness`."""
         super().__init__(**changes)
         self.process_drivers = ProcessDrivers(self, accepting=predecessor is None)
         self._channel = MessageChannel(predecessor) if predecessor else None
@@ -89,44 +89,44 @@
     @property
     def channel(self) -> MessageChannel:
         """The channel to the predecessor."""
-        assert self._channel is not None, "it has no predecessor"
+        assert self._channel is not None, "the process has no predecessor"
         return self._channel
 
     @property
     def accepting(self) -> bool:
-        """Whether new clients come to this process."""
+        """Whether this process accepts new clients."""
         return self.process_drivers.accepting
 
     def exchange_all(self) -> None:
-        """Delivers all messages in both directions, and those that follow from them."""
+        """Deliver all messages in both directions, including replies to them."""
         while self.channel.deliver() + self.channel.reverse.deliver():
             pass
 
     def has_messages(self) -> bool:
-        """Whether messages wait in either direction."""
+        """Return whether messages wait in either direction."""
         return bool(self.channel.sent or self.channel.reverse.sent)
 
     def state_is_on_its_way(self) -> bool:
-        """Whether this process, a successor, has still to read a state of its predecessor."""
+        """Return whether this process, a successor, has not yet read all of a state sent to it."""
         messages = (json.loads(text) for text in self.channel.reverse.sent)
         return self.handover.received is not None or any("state" in m for m in messages)
 
     def stop(self) -> None:
-        """An operator stops the process."""
+        """Stop the process as an operator does."""
         self.deliver(self.core.lifecycle.stop)
 
     def lose_peer(self) -> None:
-        """The other process is killed: this one finds the end of the connection."""
+        """Deliver the end of the connection, as when the other process is killed."""
         self.deliver(self.handover.on_disconnected, self.handover.peer)
 
     def out_of_rotation(self) -> set[int]:
-        """Ids of the servers that are out of rotation here."""
+        """Return the ids of the servers that are out of rotation in this process."""
         servers = self.core.balancer.servers.values()
         return {server.id for server in servers if server.out_of_rotation}
 
 
 def upgraded(**changes: Any) -> tuple[HandoverProcess, HandoverProcess]:
-    """A process and its successor, which has read the whole state."""
+    """Return a process and its successor, which has read the whole state."""
     predecessor = HandoverProcess(**changes)
     successor = HandoverProcess(predecessor, **changes)
     successor.exchange_all()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hosts, settings and configurations that many tests use."""
+"""A simulated host, settings and configurations that many tests use."""
 
 from typing import Any
 
@@ -33,13 +33,13 @@
     Subscribe,
 )
 
-START = 5_000 * SECOND  # at which simulated time begins
-SETUP_TIME = SECOND // 100  # of every attempt of a simulated host
-MAX_DECISIONS = 10_000  # after one event
+START = 5_000 * SECOND  # start of simulated time
+SETUP_TIME = SECOND // 100  # set-up time of every attempt in a simulated host
+MAX_DECISIONS = 10_000  # that may follow one event
 
 
 def service(effect: Effect = Effect.IDEMPOTENT, scope: Scope = Scope.ALL) -> ServiceType:
-    """A service type with objectives of half a second to set up and a tenth for messages."""
+    """Return a service type with objectives of 500 ms for set-ups and 100 ms for messages."""
     return ServiceType(
         effect,
         scope,
@@ -50,7 +50,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of the decisions, with changes."""
+    """Return settings for the decision code, with changes."""
     values: dict[str, Any] = dict(
         instances=1,
         zone=0,
@@ -79,37 +79,36 @@
 
 
 def entries(count: int, **changes: Any) -> list[Server]:
-    """That many servers, with ids 7, 20, 33 and so on, in turn in two zones and three cells."""
+    """Return `count` servers with ids 7, 20, 33 and so on, alternating over zones and cells."""
     return [Server(id=7 + 13 * i, zone=i % 2, cell=i % 3, **changes) for i in range(count)]
 
 
 class SimulatedHost:
-    """Drives one balancer in simulated time.
+    """A host that drives one balancer in simulated time.
 
-    A test plays what happens to the balancer; every decision that the host pulls is held against
-    the rules.
+    A test supplies the events; the host checks each decision of the balancer against the rules.
     """
 
     def __init__(self, servers: int = 4, **changes: Any):
-        """A balancer that has cached that many servers; `changes` are to its settings."""
+        """Create a balancer with a cached list of servers; `changes` apply to its settings."""
         self.now = START
         self.balancer = Balancer(settings(**changes), seed=1, now=self.now)
-        self.server_states: dict[int, ServerState] = {}  # by server id, as listed
+        self.server_states: dict[int, ServerState] = {}  # from the endpoint list, by server id
         self.open: dict[int, Flow] = {}  # flows without a final answer, by id
         self.history: dict[int, list[AttemptRecord]] = {}  # by flow id
         self.answers: dict[int, str] = {}  # "established", "reject" or "abort", by flow id
-        self.attempts: list[tuple[int, Server]] = []  # all of them, with their times
-        self.health_checks: list[Server] = []  # that were not answered yet
-        self.gossip: list[tuple[Server, float]] = []  # servers and the load that was told
+        self.attempts: list[tuple[int, Server]] = []  # time and server of each
+        self.health_checks: list[Server] = []  # servers with an unanswered check
+        self.gossip: list[tuple[Server, float]] = []  # server and load of each message
         self.list_polls = 0
         self.wakeup_at: int | None = None
         self.last_id = 0
         self.update_endpoints(EndpointUpdate.CACHED, entries(servers))
 
-    # What happens to the balancer.
+    # Events for the balancer.
 
     def update_endpoints(self, update: EndpointUpdate, servers: list[Server]) -> None:
-        """The endpoint list says this."""
+        """Deliver an endpoint list update."""
         if update in (EndpointUpdate.FULL, EndpointUpdate.CACHED):
             self.server_states = dict.fromkeys(self.server_states, ServerState.GONE)
         self.server_states |= {server.id: server.state for server in servers}
@@ -119,7 +118,7 @@
     def arrive(
         self, kind: int = 0, key: int | None = None, timeout: int = 2 * SECOND, **options: Any
     ) -> Flow:
-        """A flow arrives, of the service type with that number; `options` are the flow's."""
+        """Deliver a new flow of the service type with index `kind`; `options` are for `Flow`."""
         self.last_id += 1
         flow = Flow(
             self.last_id,
@@ -132,33 +131,33 @@
         return flow
 
     def submit(self, flow: Flow) -> None:
-        """The flow arrives."""
+        """Deliver a new flow."""
         self.open[flow.id] = flow
         self.history[flow.id] = []
         self.balancer.on_flow(self.now, flow)
         self.carry_out_decisions()
 
     def accept(self, flow: Flow) -> None:
-        """The flow's server accepts it."""
+        """Let the flow's server accept it."""
         self.balancer.on_established(self.now, flow, SETUP_TIME)
         self.open.pop(flow.id)
         self.answers[flow.id] = "established"
         self.carry_out_decisions()
 
     def end(self, flow: Flow, outcome: Outcome) -> None:
-        """The flow's attempt, or the established flow, ends."""
+        """End the flow's attempt or, if it is established, its connection."""
         self.history[flow.id][-1].outcome = outcome
         self.balancer.on_ended(self.now, flow, outcome, flow.established, SETUP_TIME)
         self.carry_out_decisions()
 
     def answer_health_check(self, server: Server, passed: bool, load: float | None = None) -> None:
-        """The server's health check ends."""
+        """Answer the server's health check."""
         self.health_checks.remove(server)
         self.balancer.on_health_check_result(self.now, server, passed, load)
         self.carry_out_decisions()
 
     def pass_time(self, span: int) -> None:
-        """Plays time up to `span` on: wake-ups, and time-outs of attempts at flows' deadlines."""
+        """Advance time by `span`, with wake-ups and with time-outs of attempts at deadlines."""
         end = self.now + span
         while (due := self._next_due()) is not None and due[0] <= end:
             at, is_wakeup, flow_id = due
@@ -172,27 +171,27 @@
         self.now = end
 
     def _next_due(self) -> tuple[int, bool, int] | None:
-        """When the next thing happens by itself, whether it is a wake-up, else which flow's."""
+        """Return the time of the next wake-up or deadline, whether it is a wake-up, and flow id."""
         due = [(flow.deadline, False, flow.id) for flow in self.open.values()]
         if self.wakeup_at:
             due.append((self.wakeup_at, True, 0))
         return min(due, default=None)
 
     def _time_out(self, flow: Flow) -> None:
-        assert flow.server is not None, "queued past its deadline"
+        assert flow.server is not None, "flow still queued at its deadline"
         self.end(flow, Outcome.TIMEOUT)
-        assert flow.id not in self.open, "no final answer at its deadline"
+        assert flow.id not in self.open, "flow without a final answer at its deadline"
 
-    # What the balancer decides.
+    # Decisions of the balancer.
 
     def carry_out_decisions(self) -> None:
-        """Pulls decisions until there is none."""
+        """Carry out decisions until there are no more."""
         for _ in range(MAX_DECISIONS):
             decision = self.balancer.next_decision(self.now)
             if decision is None:
                 return
             self._carry_out(decision)
-        raise AssertionError("decisions without end")
+        raise AssertionError("too many decisions after one event")
 
     def _carry_out(self, decision: object) -> None:
         match decision:
@@ -221,7 +220,7 @@
 
     def _start_attempt(self, flow: Flow, server: Server) -> None:
         earlier = self.history[flow.id]
-        assert flow.id in self.open, "an attempt after the final answer"
+        assert flow.id in self.open, "attempt after the final answer"
         assert self.now < flow.deadline
         assert len(earlier) < self.balancer.settings.max_attempts
         assert_no_attempt_out(earlier)
@@ -237,7 +236,7 @@
         self.answers[flow.id] = answer
 
 
-# For the network code: configurations.
+# Configurations for the network code.
 
 PARAMS: dict[str, Any] = {
     "me": 0,
@@ -269,13 +268,13 @@
         {"name": "book", "semantics": "at_most_once", "setupTarget": 300.0, "giveUp": 1000.0},
     ],
 }
-"""Settings of a configuration: `view` is idempotent, `book` is not."""
+"""Settings of a configuration; service type `view` is idempotent, `book` is not."""
 
 
 def listed(
     name: str, address: str = "127.0.0.1:9", lifecycle: str = "in_service", **changes: Any
 ) -> dict[str, Any]:
-    """A server's entry as discovery writes it."""
+    """Return a server's entry of the endpoint list, in discovery's JSON format."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -295,7 +294,7 @@
     sockets: int = 256,
     **changes: Any,
 ) -> dict[str, Any]:
-    """A configuration as the program reads it; `changes` are to its settings."""
+    """Return a configuration of the program; `changes` apply to its settings."""
     return {
         "name": "n0",
         "listen": listen,
@@ -308,8 +307,8 @@
 
 
 def played(*args: Any, **options: Any):
-    """Plays a scenario of the lab; again, up to three times, if the machine itself was late."""
-    from cypresswalk.lab.play import play_scenario  # not all tests have the lab's packages
+    """Play a lab scenario; repeat it, up to three runs, if the machine was too slow."""
+    from cypresswalk.lab.play import play_scenario  # some test environments lack the lab's packages
 
     for _ in range(3):
         result = play_scenario(*args, **options)
--- a/tests/program_helpers.py
+++ b/tests/program_helpers.py
@@ -1,4 +1,4 @@
-"""Starts the program as a process, and speaks to it as clients, servers and discovery do."""
+"""Runs the program as a process, with clients, servers, operators and discovery for it."""
 
 import json
 import os
@@ -25,33 +25,33 @@
 LOOPBACK = "127.0.0.1"
 
 READ_TIMEOUT = 8.0  # seconds, for each read of a client's connection
-START_TIMEOUT = 10.0  # seconds until the program answers its first client
-LOG_TIMEOUT = 3.0  # seconds until a line is in the log
-POLL_PAUSE = 0.02  # seconds between two looks
+START_TIMEOUT = 10.0  # seconds until the program listens
+LOG_TIMEOUT = 3.0  # seconds until a text is in the log
+POLL_PAUSE = 0.02  # seconds between two polls
 
-END = ""  # what `LineConnection.read_line` returns at the end of a connection
-RESET = "reset"  # what it returns at a reset
-FIRST_PORT = 12_000  # the system's own begin at 32,768
+END = ""  # result of `LineConnection.read_line` at the end of a connection
+RESET = "reset"  # its result if the connection was reset
+FIRST_PORT = 12_000  # the system's ephemeral ports begin at 32,768
 PORTS_PER_WORKER = 1_000
 MAX_WORKERS = 20
-LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # SO_LINGER on, for 0 s: the close sends a reset
+LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # SO_LINGER on with 0 s: close sends a reset
 
 
 class PortRange:
-    """Ports for programs that a test starts, none given twice.
+    """A range of ports for the programs that tests start; no port is given twice.
 
-    They lie below those that the system gives to outgoing connections, and each worker of pytest
-    has its own: otherwise a port is another's by the time at which its program listens there.
+    The ports are below those that the system uses for outgoing connections, and each pytest worker
+    has its own range. Otherwise a port could be taken before its program listens on it.
     """
 
     def __init__(self, worker: str):
-        """The range of a worker, by its name: gw0, gw1 and so on; empty without workers."""
+        """Take the range of a worker by its name: gw0, gw1 and so on, or empty without workers."""
         number = int(worker.removeprefix("gw") or 0) % MAX_WORKERS
         self._first = FIRST_PORT + number * PORTS_PER_WORKER
-        self._offset = os.getpid() % PORTS_PER_WORKER  # runs beside this one begin elsewhere
+        self._offset = os.getpid() % PORTS_PER_WORKER  # concurrent test runs start elsewhere
 
     def take(self) -> int:
-        """The next port on which nothing listens."""
+        """Return the next port on which nothing listens."""
         for _ in range(PORTS_PER_WORKER):
             self._offset = (self._offset + 1) % PORTS_PER_WORKER
             port = self._first + self._offset
@@ -64,23 +64,23 @@
 
 
 def free_port() -> int:
-    """A port of this machine on which nothing listens, and that no other test is given."""
+    """Return a local port on which nothing listens and that no other test gets."""
     return PORTS.take()
 
 
 def address_of(sock: socket.socket) -> str:
-    """The socket's own address, as configurations write it."""
+    """Return the socket's local address in the format of configurations."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Has the socket's close send a reset instead of an end."""
+    """Make the socket send a reset when it is closed."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
 
 
 def wait_until(condition: Callable[[], T], timeout: float = 10.0) -> T:
-    """Polls until the condition is true, for `timeout` seconds at most, and returns its value."""
+    """Poll until the condition is true, for `timeout` seconds at most, and return its value."""
     deadline = time.monotonic() + timeout
     while not (value := condition()):
         assert time.monotonic() < deadline, "the condition was never true"
@@ -89,9 +89,9 @@
 
 
 def is_readable(sock: socket.socket, timeout: float) -> bool:
-    """Whether there is something to read within so many seconds.
+    """Return whether there is something to read within `timeout` seconds.
 
-    By poll: select takes no descriptor above 1023.
+    Uses poll, because select takes no descriptor above 1023.
     """
     poll = select.poll()
     poll.register(sock, select.POLLIN)
@@ -99,7 +99,7 @@
 
 
 def peer_has_ended(sock: socket.socket, timeout: float) -> bool:
-    """Whether the peer ends within so many seconds. What it still sent is read and dropped."""
+    """Return whether the peer ends the connection within `timeout` seconds; discards its data."""
     try:
         return is_readable(sock, timeout) and not sock.recv(4096)
     except OSError:
@@ -107,68 +107,73 @@
 
 
 class LineConnection:
-    """A test's end of a connection that carries lines."""
+    """The test's side of a line-based connection."""
 
     def __init__(self, sock: socket.socket, timeout: float | None = READ_TIMEOUT):
-        """Takes over the socket; `timeout` is in seconds and holds for each read and write."""
+        """Take over the socket; `timeout` is in seconds, for each read and write."""
         self.sock = sock
         self.file = sock.makefile("rb")
         sock.settimeout(timeout)
 
     @classmethod
     def to(cls, address: tuple[str, int]) -> Self:
-        """A new connection to an address."""
+        """Connect to an address."""
         return cls(socket.create_connection(address))
 
     def send_line(self, text: str) -> None:
-        """Sends the text as one line."""
+        """Send the text as one line."""
         self.sock.sendall(text.encode() + b"\r\n")
 
     def read_line(self) -> str:
-        """The next line; `END` at the end, `RESET` at a reset."""
+        """Return the next line, `END` at the end, or `RESET` after a reset."""
         try:
             return self.file.readline().decode().rstrip("\r\n")
         except ConnectionResetError:
             return RESET
 
     def read_to_end(self) -> list[str]:
-        """All lines up to the end or a reset, which is the last item."""
+        """Return all lines up to and including `END` or `RESET`."""
         lines = [self.read_line()]
         while lines[-1] not in (END, RESET):
             lines.append(self.read_line())
         return lines
 
     def assert_only_answer(self, answer: str) -> None:
-        """Rule one: the client gets this one line and then the end."""
+        """Assert rule one: the client gets this one line and then the end."""
         assert self.read_to_end() == [answer, END]
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         self.file.close()
         self.sock.close()
 
 
 class ListeningServer:
-    """Serves each connection in a thread of its own."""
+    """A local server that serves each connection in its own thread.
+
+    Attributes:
+        listener: the listening socket.
+        address: its address in the format of configurations.
+    """
 
     listener: socket.socket
-    address: str  # as configurations write it
+    address: str
 
     def listen(self) -> None:
-        """Begins to accept connections."""
+        """Start to accept connections."""
         self.listener = socket.create_server((LOOPBACK, 0))
         self.address = address_of(self.listener)
         Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Accepts for as long as the test runs."""
+        """Accept connections for as long as the test runs."""
         while True:
             sock, _ = self.listener.accept()
             client = LineConnection(sock, timeout=None)
             Thread(target=self.serve, args=(client,), daemon=True).start()
 
     def serve(self, client: LineConnection) -> None:
-        """Serves one connection; subclasses say how."""
+        """Serve one connection; implemented by subclasses."""
         raise NotImplementedError
 
 
@@ -179,31 +184,31 @@
     BUSY = "busy"
     ERROR = "err"
     SILENT = "silent"  # not at all
-    HUNG = "hung"  # as UP; but of established flows it only says how late it is
+    HUNG = "hung"  # accepts as UP does; answers lines of established flows only with its delay
 
 
 class ServerDouble(ListeningServer):
-    """A server that accepts flows and echoes their lines, or does what a client's line names.
+    """A server that accepts flows and echoes their lines, except for some commands.
 
-    `STREAM` sends without end, `HANG` makes the server hang, `END` and `RESET` end the flow,
-    `SLOW` is answered with a delay report.
+    `STREAM` makes it send lines without end, `HANG` makes it hang, `END` and `RESET` make it end
+    the flow, and `SLOW` is answered with a delay report.
     """
 
     def __init__(self, mode: ServerMode = ServerMode.UP):
-        """Listens at once."""
+        """Start to listen."""
         self.mode = mode
-        self.open_lines: list[str] = []  # received, in their order
+        self.open_lines: list[str] = []  # first lines of flows, in the order received
         self.listen()
 
     def serve(self, client: LineConnection) -> None:
-        """Answers line by line until an answer ends the connection."""
+        """Answer line by line until an answer ends the connection."""
         while (line := client.read_line()) not in (END, RESET):
             if not self.respond(client, line):
                 break
         client.close()
 
     def respond(self, client: LineConnection, line: str) -> bool:
-        """Answers a line. False if the connection ends with that."""
+        """Answer a line; return False if that ends the connection."""
         command = line.split(" ")[0]
         if command == "PING":
             client.send_line("PONG")
@@ -221,7 +226,7 @@
         return True
 
     def respond_to_open(self, client: LineConnection, line: str) -> bool:
-        """Answers a flow's first line."""
+        """Answer a flow's first line; return False if that ends the connection."""
         self.open_lines.append(line)
         flow_id = line.split(" ")[1]
         if self.mode is ServerMode.SILENT:
@@ -236,7 +241,7 @@
         return True
 
     def respond_in_flow(self, client: LineConnection, command: str, line: str) -> bool:
-        """Answers a line of an established flow."""
+        """Answer a line of an established flow; return False if that ends the connection."""
         if command == "END":
             client.send_line("BYE")
             return False
@@ -248,7 +253,7 @@
 
 
 def stream_until_closed(client: LineConnection) -> None:
-    """Sends lines until the client has gone."""
+    """Send lines until the client closes the connection."""
     try:
         while True:
             client.send_line("x" * 1000)
@@ -257,18 +262,18 @@
 
 
 class DiscoveryServer(ListeningServer):
-    """Discovery's end: sends each watch the updates that it was given, one after another."""
+    """A discovery service that sends each watch the same updates one after another."""
 
     def __init__(self, *updates: bytes | None):
-        """Listens at once. In place of an update, None breaks the watch off."""
+        """Start to listen. None in place of an update breaks the watch."""
         self.updates = list(updates)
-        self.paths: list[str] = []  # of the requests, in their order
+        self.paths: list[str] = []  # paths of the requests, in the order received
         self.listen()
 
     def serve(self, client: LineConnection) -> None:
-        """Answers a watch: all updates from the first on, also those that are added later."""
+        """Answer a watch with all updates, including those added later."""
         request = client.read_line()
-        if request in (END, RESET):  # the program has ended meanwhile
+        if request in (END, RESET):  # the program has exited
             return
         self.paths.append(request.split(" ")[1])
         client.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -286,18 +291,18 @@
 
 
 def http_chunk(data: bytes) -> bytes:
-    """The data as a chunk of an HTTP body."""
+    """Encode data as a chunk of an HTTP body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def endpoint_update(*entries: object, generation: int = 2) -> bytes:
-    """Discovery's message of a change: these entries, and no others."""
+    """Encode a delta update of the endpoint list with these entries."""
     message = {"generation": generation, "reset": False, "instances": list(entries)}
     return json.dumps(message).encode()
 
 
 class ProgramProcess:
-    """The program as a process of its own, with its configuration, its log and its discovery."""
+    """The program as a process, with its configuration, log and discovery."""
 
     def __init__(
         self,
@@ -308,15 +313,15 @@
         environment: Mapping[str, str] | None = None,
         **changes: Any,
     ):
-        """Starts it and waits until it answers.
+        """Start the program and wait until it answers.
 
         Args:
-            folder: where its configuration and its log stand.
-            servers: its endpoint list, named s-0, s-1 and so on.
-            discovery_server: one that tells nothing if not given.
-            command: the program to run.
-            environment: variables beside those of this process.
-            changes: to `config_data`, or to the configuration's settings.
+            folder: the folder for its configuration and log.
+            servers: the servers of its configured endpoint list, named s-0, s-1 and so on.
+            discovery_server: its discovery; by default one that sends no updates.
+            command: the command that runs the program.
+            environment: variables to add to those of this process.
+            changes: arguments of `config_data`, or changes to the configuration's settings.
         """
         self.port = free_port()
         self.discovery = discovery_server or DiscoveryServer()
@@ -339,14 +344,14 @@
         self.wait_until_answering("PONG" if servers else "ERR")
 
     def wait_until_answering(self, expected: str) -> None:
-        """Returns once the program answers a ping, as expected."""
+        """Wait until the program listens, and assert that it answers a ping as expected."""
         deadline = time.monotonic() + START_TIMEOUT
         while True:
             try:
                 client = self.connect()
             except ConnectionRefusedError:
                 assert time.monotonic() < deadline, "the program does not listen"
-                assert self.process.poll() is None, "the program has ended"
+                assert self.process.poll() is None, "the program has exited"
                 time.sleep(POLL_PAUSE)
                 continue
             client.send_line("PING")
@@ -355,24 +360,24 @@
             return
 
     def connect(self) -> LineConnection:
-        """A client's connection."""
+        """Return a new client connection."""
         return LineConnection.to((LOOPBACK, self.port))
 
     def open(self, ident: str, values: str = "c=view,t=north,d=800") -> LineConnection:
-        """A client's connection on which it has sent a flow's first line."""
+        """Return a client connection on which a flow's first line was sent."""
         client = self.connect()
         client.send_line(f"OPEN {ident} 77 {values}")
         return client
 
     def reload(self, text: str) -> None:
-        """Replaces the configuration file and tells the program."""
+        """Replace the configuration file and send the program SIGHUP."""
         new = self.file.with_suffix(".new")
         new.write_text(text)
         new.replace(self.file)
         self.process.send_signal(signal.SIGHUP)
 
     def logged(self, text: str) -> bool:
-        """Whether the text is in the log, or comes within three seconds."""
+        """Return whether the text is in the log within `LOG_TIMEOUT`."""
         deadline = time.monotonic() + LOG_TIMEOUT
         while time.monotonic() < deadline:
             if text in self.log.read_text():
@@ -381,24 +386,24 @@
         return False
 
     def kill(self) -> None:
-        """Kills the process, if it has not ended, and waits for its end."""
+        """Kill the process if it still runs, and wait for its exit."""
         self.process.kill()
         self.process.wait()
 
 
 class OperatorClient:
-    """What an operator types, at one process."""
+    """An operator's calls to one process."""
 
     def __init__(self, port: int):
-        """Calls the process whose admin address has this port."""
+        """Take the port of the process's admin address."""
         self.port = port
 
     def connect(self) -> LineConnection:
-        """A connection on which nothing was sent yet."""
+        """Return a new connection to the admin address."""
         return LineConnection.to((LOOPBACK, self.port))
 
     def call(self, text: str) -> list[str]:
-        """The lines of the answer to a call."""
+        """Make a call and return the lines of the answer."""
         connection = self.connect()
         connection.send_line(text)
         lines = connection.read_to_end()
@@ -407,5 +412,5 @@
 
 
 def admin_environment(port: int) -> dict[str, str]:
-    """The variable that has a program take operators' calls at a port."""
+    """Return the environment that gives a program an admin address with this port."""
     return {"PROXY_ADMIN_ADDR": f"{LOOPBACK}:{port}"}
--- a/tests/rule_assertions.py
+++ b/tests/rule_assertions.py
@@ -1,8 +1,8 @@
-"""The four rules that no balancer may break, as assertions.
+"""Assertions for the four rules that no balancer may break.
 
-One: each flow has one answer, by its deadline. Two: no flow takes effect twice. Three: a server
-that drains, is gone or is out of rotation gets nothing new. Four: a server that warms up gets no
-more flows than its slow-start budget.
+One: each flow gets exactly one answer, by its deadline. Two: no flow takes effect twice. Three: a
+server that drains, is gone or is out of rotation gets no new flows. Four: a server that warms up
+gets no more flows than its slow-start budget.
 """
 
 from collections.abc import Container, Sequence
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt of a flow, as a simulated host remembers it."""
+    """One attempt of a flow, as a simulated host records it."""
 
     server: Server
     sent_at: int  # nanoseconds
-    outcome: Outcome | None = None  # None while it is out
+    outcome: Outcome | None = None  # None until the attempt ends
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have begun to serve the flow."""
+        """Whether the server may have started to serve the flow."""
         return self.outcome is None or not self.outcome.never_ran
 
 
@@ -30,12 +30,12 @@
 
 
 def assert_first_answer(answered: Container[object], who: object) -> None:
-    """Nobody is answered twice."""
+    """Assert that a flow or client has no answer yet."""
     assert who not in answered, "answered twice"
 
 
 def assert_answered_in_time(answered: bool, now: int, deadline: int) -> None:
-    """A flow has its answer once its deadline has come."""
+    """Assert that a flow is answered by its deadline."""
     assert answered or now < deadline, "no answer in time"
 
 
@@ -43,17 +43,19 @@
 
 
 def assert_no_attempt_out(attempts: Sequence[AttemptRecord]) -> None:
-    """No earlier attempt of a flow is still out as it is attempted again, or answered."""
-    assert all(attempt.outcome is not None for attempt in attempts), "an earlier attempt is out"
+    """Assert that all earlier attempts have ended when a flow is attempted again or answered."""
+    assert all(attempt.outcome is not None for attempt in attempts), (
+        "an earlier attempt has not ended"
+    )
 
 
 def assert_no_second_effect(
     flow: Flow, earlier: Sequence[AttemptRecord], server: Server, now: int
 ) -> None:
-    """A flow that may have run is attempted again only where a second run does no harm.
+    """Assert that a flow that may have run is attempted again only where that is safe.
 
-    That is anywhere for an idempotent flow; for one with an idempotency key within the window and
-    the group of servers that drop repeats; nowhere for any other.
+    This is every server for an idempotent flow; for one with an idempotency key, the servers that
+    drop repeats, while they do; and no server for other flows.
     """
     ran = [attempt for attempt in earlier if attempt.may_have_run]
     service_type = flow.service_type
@@ -62,42 +64,42 @@
     assert service_type.effect is Effect.IDEMPOTENCY_KEY, "a non-idempotent flow may run twice"
     first = ran[0]
     assert now < first.sent_at + service_type.idempotency_window, "past the idempotency window"
-    shares_keys = {
+    drops_repeats = {
         Scope.ALL: True,
         Scope.ZONE: first.server.zone == server.zone,
         Scope.CELL: first.server.cell == server.cell,
     }
-    assert shares_keys[service_type.scope], "outside the group that drops repeats"
+    assert drops_repeats[service_type.scope], "outside the servers that drop repeats"
 
 
 def assert_reject_is_harmless(flow: Flow, attempts: Sequence[AttemptRecord]) -> None:
-    """A rejected client may send its flow again: that must do no harm."""
+    """Assert that a rejected client can safely send its flow again."""
     service_type = flow.service_type
     harmless = (
         service_type.effect is Effect.IDEMPOTENT
         or not any(attempt.may_have_run for attempt in attempts)
         or (service_type.effect is Effect.IDEMPOTENCY_KEY and service_type.scope is Scope.ALL)
     )
-    assert harmless, "a reject though a repeat may do harm"
+    assert harmless, "rejected although a repeat is not safe"
 
 
 # Rule three.
 
 
 def assert_takes_new_flows(state: ServerState, out_of_rotation: bool = False) -> None:
-    """A server may get a new flow."""
-    assert state is ServerState.READY, "an attempt at a server that drains or is gone"
-    assert not out_of_rotation, "an attempt at a server that is out of rotation"
+    """Assert that a server may get a new flow."""
+    assert state is ServerState.READY, "attempt at a server that drains or is gone"
+    assert not out_of_rotation, "attempt at a server that is out of rotation"
 
 
 # Rule four.
 
 
 def slow_start_limit(budget: float) -> float:
-    """Most flows in a window that many balancers may send, which share a budget by chance."""
+    """Return how many flows balancers that share a budget by chance may send in a window."""
     return budget + 2 * sqrt(budget) + 2
 
 
 def assert_within_slow_start_budget(count: int, limit: float) -> None:
-    """A server that warms up got no more flows in a window."""
-    assert count <= limit, f"{count} flows in a window of at most {limit:.1f}"
+    """Assert that a server that warms up got at most `limit` flows in a window."""
+    assert count <= limit, f"{count} flows in a window, which is above the limit of {limit:.1f}"
--- a/tests/service/test_saturation.py
+++ b/tests/service/test_saturation.py
@@ -23,7 +23,7 @@
 
 
 class LosingDiscovery(DiscoveryServer):
-    """Breaks the first watch when the test sets `lost`, without having sent it an update."""
+    """A discovery service that breaks the first watch, without an update, once `lost` is set."""
 
     def __init__(self, *updates: bytes):
         """Listen; the updates are for the watches after the first."""
@@ -73,7 +73,7 @@
 
 
 class UnreadingServer(ServerDouble):
-    """Accepts flows, and then reads nothing from them."""
+    """A server that accepts flows and then reads nothing from them."""
 
     def serve(self, client: LineConnection) -> None:
         """Read only first lines and health checks."""
--- a/tests/service/test_stop.py
+++ b/tests/service/test_stop.py
@@ -96,7 +96,7 @@
 
 
 class BlockedAccept:
-    """Blocks the program's accepting thread at its next client until `may_go_on` is set."""
+    """A block of the program's accepting thread, at its next client, until `may_go_on` is set."""
 
     def __init__(self, program: Program):
         """Replace the listener's `admit`."""
@@ -151,7 +151,7 @@
 
 
 class RequestsAroundDismissal:
-    """Sends requests at the moment when the program dismisses idle clients.
+    """Requests sent at the moment when the program dismisses idle clients.
 
     Half of the clients send theirs right before the first dismissal, the others right after it.
     """
