--- a/cypresswalk/model.py
+++ b/cypresswalk/model.py
@@ -128,8 +128,8 @@
     state: ServerState = ServerState.READY
 
     # Health checks.
-    health: int = 0  # the rise/fall counter
-    checked: bool = False  # at least one health check has completed
+    health: int = 0  # rise/fall counter, see decisions/health.py
+    checked: bool = False  # at least one health check has completed since its start
     awaiting_first_pass: bool = False  # new or restarted, and down until a check passes
     check_in_flight: bool = False
     next_check_at: int = 0  # on `HealthCheckSchedule.clock`
