--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -1,12 +1,13 @@
-"""One balancer's part in the fleet, round one `agreement.Node`. No I/O, no clock.
+"""One balancer's member of the fleet, built on one `agreement.Node`. No I/O, no clock.
 
-How it is called: `on_frame`, `on_time`, `call`, `on_version_applied` and `on_list_received` say
-what happens. Then the owner takes `take()` until None, and for each `MemberEffects` writes and
-flushes what it says, calls `on_written`, sends, calls `apply`. One thread alone calls it.
+The owner passes in events by `on_frame`, `on_time`, `call`, `on_version_applied` and
+`on_list_received`. It then calls `take()` until that returns None. For each `MemberEffects` it
+writes and flushes the data, calls `on_written`, sends the messages and calls `apply`. All calls
+come from one thread.
 
-Its parts: `Discovery` finds the group, `LeaseClient` holds the lease, `CallForwarder` carries calls
-to the leader; `LeaderDuties` and `LeaderCalls` are made anew whenever the member begins or ceases
-to lead.
+Its parts: `GroupDiscovery` finds the group, `LeaseClient` holds the lease, `CallForwarder` forwards
+calls to the leader. `LeaderDuties` and `LeaderCalls` are replaced by new ones whenever the member
+becomes leader or ceases to be.
 """
 
 import logging
@@ -54,22 +55,24 @@
 from cypresswalk.fleet.state_machine import StateMachine
 
 log = logging.getLogger(__name__)
-COMPACTION_INTERVAL = 512  # entries applied since the last snapshot: it is taken anew
+COMPACTION_INTERVAL = 512  # entries applied between two snapshots
 LOG_LOST = (
-    "it lacks what it had acknowledged: its folder was put back from an older copy, or lost a part"
+    "the log lacks entries that were acknowledged: its folder was restored from an older copy,"
+    " or lost data"
 )
 
 
 @dataclass(slots=True)
 class MemberEffects:
-    """What the owner carries out: write, `on_written`, send, `apply`.
+    """Work for the owner, in this order: write, `on_written`, send, `apply`.
 
     Attributes:
-        identity_lost: why this identity is given up; the rest is void.
-        new_log: a log to begin on disk: its group and first state.
-        ready: the Raft node's work: written and flushed before `Member.on_written`, and handed to
-            `Member.apply` last.
-        messages: to be sent after `Member.on_written`.
+        identity_lost: why this identity must be given up, or an empty string; if it is set, the
+            other attributes are ignored.
+        new_log: group and first state of a log to create on disk.
+        ready: output of the Raft node, to be written and flushed before `Member.on_written` and
+            passed to `Member.apply` last.
+        messages: messages to send after `Member.on_written`.
     """
 
     identity_lost: str = ""
@@ -79,7 +82,7 @@
 
 
 class Member:
-    """A member of the fleet, or a balancer that looks for the fleet's group."""
+    """A member of the fleet, or a balancer that still looks for the fleet's group."""
 
     def __init__(
         self,
@@ -93,21 +96,21 @@
         placement: ReplicaPlacement | None = None,
         acts_on: int = 0,
     ):
-        """Begin with what stands on disk.
+        """Start from the persisted state.
 
         Args:
             config: this balancer's table of the fleet.
-            identity: under which it takes part.
-            persisted: what stands on disk, if it belongs to a group.
-            now: nanoseconds of a clock that goes on while the machine sleeps.
+            identity: incarnation under which it takes part.
+            persisted: state read from disk, if it belongs to a group.
+            now: nanoseconds of a clock that also runs while the machine sleeps.
             random: source of all random draws.
-            host: the process that runs it.
-            own_settings: of its file, proposed where the fleet has none yet.
-            placement: where replicas of keys lie, if this balancer keeps any.
-            acts_on: the version that the deciding thread acts on.
+            host: process that runs the member.
+            own_settings: settings of its own file, proposed if the fleet has none yet.
+            placement: placement of replicas of keys, if this balancer keeps any.
+            acts_on: version that the deciding thread acts on.
 
         Raises:
-            msgspec.DecodeError: what was persisted is no state.
+            msgspec.DecodeError: the persisted state can't be decoded.
         """
         # Over 40 lines since it sets one attribute a line.
         self.context = MemberContext(config, identity, host, random)
@@ -118,7 +121,7 @@
         self.forwarder = CallForwarder(self.context)
         self.duties = LeaderDuties(self.context, now, own_settings, placement)
         self.leader_calls = LeaderCalls(self.duties)
-        # For the deciding thread, and for whoever keeps replicas here; the owner takes them.
+        # For the deciding thread and for the replication thread; the owner takes them from here.
         self.views: list[AppliedView] = []
         self.placements: list[Views] = []
         self._applied_index = -1
@@ -129,42 +132,42 @@
 
     @property
     def id(self) -> str:
-        """This incarnation's id: name#incarnation."""
+        """Return this incarnation's id: name#incarnation."""
         return self.context.id
 
     @property
     def group(self) -> str:
-        """The group it belongs to, or an empty string."""
+        """Return the group it belongs to, or an empty string."""
         return self.context.group
 
     @property
     def node(self) -> Node | None:
-        """The Raft node; None without a group."""
+        """Return the Raft node; None without a group."""
         return self.context.node
 
     @property
     def machine(self) -> StateMachine:
-        """The replicated state machine."""
+        """Return the replicated state machine."""
         return self.context.machine
 
     @property
     def state(self) -> FleetState:
-        """What has been agreed and applied here."""
+        """Return the agreed state as far as it has been applied here."""
         return self.context.state
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads the group, as far as it knows."""
+        """Return whether it leads the group, as far as it knows."""
         return self.context.is_leader
 
     @property
     def leader(self) -> str:
-        """The leader's id, or an empty string."""
+        """Return the leader's id, or an empty string."""
         return self.context.leader
 
     @property
     def members(self) -> Members:
-        """The group's members."""
+        """Return the group's members."""
         return self.context.members
 
     def address_of(self, member_id: str) -> str:
@@ -172,15 +175,15 @@
         return next((m.address for m in self.members if m.id == member_id), "")
 
     def lease_until(self) -> int:
-        """Return until when the deciding thread may act on its version; 0 for not at all."""
+        """Return until when the deciding thread may act on its version; 0 if it may not."""
         return self.lease_client.valid_until()
 
     def give_up_identity(self, reason: str) -> None:
-        """This incarnation must end; the next `take` says so."""
+        """End this incarnation; the next `take` returns the reason."""
         self.context.identity_lost = reason
 
     def due(self) -> int:
-        """Return when `on_time` is to be called next, in nanoseconds."""
+        """Return when to call `on_time` next, in nanoseconds."""
         due = [self.lease_client.request_at, self.discovery.search_at]
         if self.node is not None:
             due.append(self.node.due())
@@ -194,7 +197,7 @@
         return min(due)
 
     def on_time(self, now: int) -> None:
-        """Do what is due."""
+        """Run everything that is due."""
         if self.node is not None:
             self.node.tick(now)
             self._check_leadership(now)
@@ -228,31 +231,31 @@
             self.context.send(self.leader, request)
 
     def on_version_applied(self, now: int, version: int) -> None:
-        """The deciding thread acts on that version now."""
+        """Note that the deciding thread acts on that version now."""
         self.lease_client.on_version_applied(now, version)
 
     def on_list_received(
         self, now: int, generation: int, digest: bytes, servers: list[ListedServer]
     ) -> None:
-        """This balancer's own list agent delivered an endpoint list."""
+        """Store an endpoint list that this balancer's own list agent delivered."""
         self.context.received_list = ReceivedList(generation, digest, servers)
         if self.node is not None and self.node.is_voter():
             client = self.lease_client
             client.request_at = min(client.request_at, now)
 
     def on_replica_capability(self, now: int, holds_replicas: bool) -> None:
-        """This balancer can hold replicas of keys from now on, or no more."""
+        """Note whether this balancer can hold replicas of keys from now on."""
         self.lease_client.holds_replicas = holds_replicas
         self.lease_client.request_at = now
 
     def on_replica_messages(self, now: int, source: str, messages: Iterable[Any]) -> None:
-        """A member reports to the leader about its replicas."""
+        """Process a member's reports about its replicas; they are ignored unless this one leads."""
         if self.is_leader and self.duties.replicas is not None:
             self.duties.replicas.on_messages(now, source, messages)
             self.duties.run_at = now
 
     def on_frame(self, now: int, source: str, frame: AnyFrame) -> None:
-        """Take over a frame; `source` is the id that its connection's Hello named."""
+        """Process a frame; `source` is the id in the Hello of its connection."""
         match frame:
             case DiscoveryRequest():
                 self.discovery.on_request(now, frame, self.duties.membership)
@@ -268,12 +271,12 @@
                 self.forwarder.on_result(frame)
             case _ if self.node is not None and isinstance(frame, RaftMessage):
                 self.node.step(now, source, frame)
-                # The frames that follow in this batch meet the duties of what it is now.
+                # The next frames of this batch need the duties of the member's new role.
                 self._check_leadership(now)
 
     def _on_call(self, now: int, source: str, call: Call) -> None:
         def reply(ok: bool, body: Any) -> None:
-            """Sends the answer to the member that forwarded the call."""
+            """Send the answer to the member that forwarded the call."""
             self.context.send(source, Result(call.number, ok, body))
 
         if self.is_leader:
@@ -282,11 +285,11 @@
             reply(False, {"why": "not the leader", "again": True})
 
     def call(self, now: int, name: str, args: dict[str, Any], reply: Reply, span: int) -> None:
-        """Ask the leader; `reply` is called once, within `span` nanoseconds."""
+        """Call the leader; `reply` is called once, within `span` nanoseconds."""
         self.forwarder.call(now, name, args, reply, span, self.leader_calls)
 
     def take(self) -> MemberEffects | None:
-        """Return what the owner is to carry out next, or None."""
+        """Return the next work for the owner, or None."""
         context = self.context
         if context.identity_lost:
             return MemberEffects(identity_lost=context.identity_lost)
@@ -302,12 +305,12 @@
         return MemberEffects(new_log=new_log, ready=ready, messages=messages)
 
     def on_written(self, now: int, ready: Ready) -> None:
-        """What `ready` has to write is on disk."""
+        """Note that the data of `ready` is on disk."""
         self.context.raft.on_persisted(now, ready)
         self._check_leadership(now)
 
     def apply(self, now: int, ready: Ready) -> None:
-        """Apply what was agreed, once all messages are sent; raises UnreadableEntryError."""
+        """Apply the agreed entries, after all messages are sent; raises UnreadableEntryError."""
         self._install_snapshot(ready)
         for index, entry in ready.committed:
             self._applied_index = index
@@ -338,10 +341,11 @@
         elif isinstance(command, ActivateSettings | RejectSettings):
             self.leader_calls.on_proposal_decided(command, result)
         elif isinstance(command, ProposeSettings) and result.accepted and self.state.pending:
-            self.lease_client.request_at = now  # says at once whether it can be read here
+            # The request reports without delay whether the settings can be read here.
+            self.lease_client.request_at = now
 
     def _on_replicas_placed(self, now: int, command: PlaceReplicas) -> None:
-        # Each view by itself: a holder that skipped one would not know whether it is complete.
+        # Pass on each view: a replica that skipped one would not know whether it is complete.
         partitions = self.state.partitions
         placed = {
             partition: placement
@@ -351,12 +355,13 @@
         self.placements.append(placed)
         self.duties.run_at = now
         if self.is_leader:
-            # Followers would hear at their next heartbeat that it is agreed, and claims wait there.
+            # Send heartbeats now: they tell followers that the placement is agreed, and
+            # reservations wait there for it.
             for peer in self.context.raft.peers.values():
                 peer.heartbeat_due_at = min(peer.heartbeat_due_at, now)
 
     def _on_read(self, now: int, token: object) -> None:
-        """Nothing agreed before this read was asked for is missing here."""
+        """Finish a read: all that was agreed before its request has been applied here."""
         match token:
             case LeaseRead():
                 self._grant_lease(now, token)
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a fleet member share: identity, Raft node, replicated state, outbox."""
+"""Context shared by the parts of a fleet member: identity, Raft node, replicated state, outbox."""
 
 import logging
 from dataclasses import dataclass, field
@@ -20,32 +20,33 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-FRESH = 2 * SECOND  # what was heard longer ago says nothing of now
+FRESH = 2 * SECOND  # older messages tell nothing about a member's present state
 MAX_WARNINGS_REMEMBERED = 1000  # distinct warnings that are logged once each
 
-Outgoing = tuple[str, AnyFrame | ReplicationMessage]  # to a member's id, or an address with a colon
+# Receiver and message. The receiver is a member's id, or an address, which contains a colon.
+Outgoing = tuple[str, AnyFrame | ReplicationMessage]
 
 
 class Host(Protocol):
-    """What a member asks the process that runs it."""
+    """The process that runs a member, as the member sees it."""
 
     def settings_objection(self, settings: dict[str, Any]) -> str:
-        """Return why this balancer could not act on those settings, or an empty string."""
+        """Return why this balancer can't act on these settings, or an empty string."""
 
     def is_ready(self) -> bool | None:
-        """Whether flows that came now would be placed; None where nobody has said."""
+        """Return whether a flow that arrived now would be placed; None if that is unknown."""
 
     def flow_counts(self) -> FlowCounts:
-        """Return flows up, rejected and failed, and the sum of their set-ups in nanoseconds.
+        """Return counts of established, rejected and failed flows, and the sum of setup times.
 
-        Counted since the process began.
+        They count from the start of the process; setup times are in nanoseconds.
         """
 
     def server_report(self) -> ServerReport:
-        """Return what this balancer knows of servers."""
+        """Return this balancer's observations of servers."""
 
     def wall_ms(self) -> int:
-        """Return the wall clock in milliseconds, for people."""
+        """Return the wall clock in milliseconds, for display only."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +55,12 @@
 
     Attributes:
         fleet: the fleet's name.
-        name: this balancer's.
-        address: where others reach it.
-        zone: where it stands.
+        name: this balancer's name.
+        address: address at which other members reach it.
+        zone: its zone.
         seeds: names and addresses of the seed members.
-        max_contradiction: nanoseconds for which two may act on contradicting versions.
-        timing: of the Raft node.
+        max_contradiction: nanoseconds for which two balancers may act on contradicting versions.
+        timing: timing of the Raft node.
     """
 
     fleet: str
@@ -72,18 +73,18 @@
 
     @property
     def seed_digest(self) -> str:
-        """A digest of the seed members, the same wherever the tables are alike."""
+        """Return a digest of the seed members; equal tables give equal digests."""
         names = "\n".join(f"{name} {address}" for name, address in sorted(self.seeds))
         return blake2b(names.encode(), digest_size=8).hexdigest()
 
     @property
     def is_seed(self) -> bool:
-        """Whether this balancer is a seed member."""
+        """Return whether this balancer is a seed member."""
         return any(name == self.name for name, _ in self.seeds)
 
 
 def config_of(table: FleetTable) -> MemberConfig:
-    """Return the configuration in the operator's table."""
+    """Return the member's configuration from the operator's table."""
     return MemberConfig(
         fleet=table.fleet,
         name=table.name,
@@ -96,13 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """Under which incarnation a member runs.
+    """The incarnation of a balancer that a member runs as.
 
     Attributes:
         id: name#incarnation.
-        group: the group it belongs to, or an empty string.
-        boot: how often it has started under this id.
-        data_losses: how often its folder was found damaged or put back.
+        group: group that it belongs to, or an empty string.
+        boot: number of starts under this id.
+        data_losses: how often its folder was found damaged or restored from an older copy.
     """
 
     id: str
@@ -113,7 +114,7 @@
 
 @dataclass(slots=True)
 class ReceivedList:
-    """The endpoint list as this balancer's own list agent delivered it."""
+    """The latest endpoint list that this balancer's own list agent delivered."""
 
     generation: int = -1
     digest: bytes = b""
@@ -121,10 +122,10 @@
 
 
 class MemberContext:
-    """Shared by the parts of one member; see the module."""
+    """Identity, Raft node, replicated state and outbox of one member, shared by its parts."""
 
     def __init__(self, config: MemberConfig, identity: MemberIdentity, host: Host, random: Random):
-        """Begin without a Raft node: the member belongs to no group yet."""
+        """Start without a Raft node: the member belongs to no group yet."""
         self.config = config
         self.identity = identity
         self.id = identity.id
@@ -139,57 +140,57 @@
         self._warned: set[str] = set()
 
     def start_node(self, persisted: PersistentState, now: int) -> None:
-        """Begin to take part in the group, from what stands on disk."""
+        """Start to take part in the group, from the persisted state."""
         self.node = Node(self.id, persisted, self.config.timing, self.random, now)
 
     @property
     def raft(self) -> Node:
-        """The node of a member that belongs to a group."""
+        """Return the Raft node of a member that belongs to a group."""
         assert self.node is not None, "only called for a member of a group"
         return self.node
 
     @property
     def state(self) -> FleetState:
-        """What has been agreed and applied here."""
+        """Return the agreed state as far as it has been applied here."""
         return self.machine.state
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads its group, as far as it knows."""
+        """Return whether this member leads its group, as far as it knows."""
         return self.node is not None and self.node.role is Role.LEADER
 
     @property
     def leader(self) -> str:
-        """The leader's id, or an empty string."""
+        """Return the leader's id, or an empty string."""
         return self.node.leader if self.node is not None else ""
 
     @property
     def members(self) -> Members:
-        """The group's members, in the order in which they joined."""
+        """Return the group's members, in the order in which they joined."""
         return self.node.log.members if self.node is not None else ()
 
     def is_member(self, member_id: str) -> bool:
-        """Whether that incarnation is a member of the group."""
+        """Return whether that incarnation is a member of the group."""
         return any(member.id == member_id for member in self.members)
 
     def remaining_ids(self) -> set[str]:
-        """Return ids of members that have not left the fleet."""
+        """Return the ids of members that have not left the fleet."""
         return {member.id for member in self.members if member.name not in self.state.departed}
 
     def zones(self) -> dict[str, str]:
-        """Return names of members that have not left the fleet, with their zones."""
+        """Return the names of members that have not left the fleet, with their zones."""
         departed = self.state.departed
         return {member.name: member.zone for member in self.members if member.name not in departed}
 
     def has_committed_in_term(self) -> bool:
-        """Whether all that earlier leaders agreed on is known here (Raft, section 8)."""
+        """Return whether all that earlier leaders committed is known here (Raft, section 8)."""
         node = self.raft
         return node.log.term_at(node.commit_index) == node.term
 
     def hears(self, now: int, member_id: str) -> bool:
-        """Whether the leader has heard that member lately.
+        """Return whether this leader has received a message from that member recently.
 
-        Voters, which get five times as many heartbeats, must have been heard more lately.
+        Voters get five times as many heartbeats, so the limit for them is half as long.
         """
         if member_id == self.id:
             return True
@@ -199,20 +200,20 @@
         return now - peer.heard_at < (FRESH // 2 if member_id in self.raft.voters else FRESH)
 
     def send(self, to: str, message: AnyFrame | ReplicationMessage) -> None:
-        """Send to a member's id, or to an address with a colon."""
+        """Queue a message to a member's id, or to an address, which contains a colon."""
         self.outbox.append((to, message))
 
     def propose(self, now: int, command: AnyCommand) -> None:
-        """Append a command to the log as the leader; raises BusyError while it can't be taken."""
+        """Propose a command as the leader; raises BusyError while the log accepts none."""
         self.raft.propose(now, encode(command))
 
     def command_header(self, kind: str, by: str = "") -> tuple[str, str, int]:
-        """Return id, author and time of a command that the leader proposes by itself."""
+        """Return the id, author and time of a command that the leader itself proposes."""
         ident = f"{kind}:{self.random.getrandbits(64):016x}"
         return ident, by or self.config.name, self.host.wall_ms()
 
     def warn_once(self, event: str, **fields: object) -> None:
-        """Log a warning unless the very same was logged before."""
+        """Log a warning, unless the same one was logged before."""
         key = event + repr(sorted(fields.items()))
         if key in self._warned or len(self._warned) >= MAX_WARNINGS_REMEMBERED:
             return
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -1,4 +1,4 @@
-"""A member's folder: its lock, its Raft log and the identity that stands there."""
+"""A member's folder: its lock, its Raft log and the stored identity."""
 
 import logging
 import os
@@ -10,14 +10,14 @@
 from cypresswalk.state.disk import DiskFolder, FolderLockedError
 
 log = logging.getLogger(__name__)
-LOCK_RETRY_PAUSE = 0.05  # seconds: the process before this one ends soon
+LOCK_RETRY_PAUSE = 0.05  # seconds; the predecessor process ends soon
 
 
 class MemberFolder:
     """Reads and writes one member's log; used by the fleet's thread alone."""
 
     def __init__(self, path: str, fleet: str, name: str):
-        """Use the folder at `path` for the balancer `name` of that fleet."""
+        """Use the folder at `path` for the balancer `name` of the fleet."""
         self.path = path
         self.fleet = fleet
         self.name = name
@@ -25,9 +25,12 @@
         self.store = Store(self.disk)
 
     def lock(self, stopping: Flag) -> bool:
-        """Wait for the folder's lock; False if stopped. Two processes never vote as one member."""
+        """Wait for the folder's lock; return False if stopped.
+
+        The lock keeps two processes from voting as one member.
+        """
         if self.disk.held is not None:
-            return True  # the fleet's thread begins anew: the lock is this process's still
+            return True  # the fleet's thread was restarted; this process still holds the lock
         logged = ""
         while not stopping.is_set():
             try:
@@ -35,7 +38,7 @@
                 self.disk.lock()
                 return True
             except FolderLockedError:
-                why = "another process of this balancer has the folder"
+                why = "another process of this balancer holds the lock"
             except OSError as error:
                 why = str(error)
             if why != logged:
@@ -45,19 +48,19 @@
         return False
 
     def unlock(self) -> None:
-        """Let another process have the folder."""
+        """Release the folder's lock."""
         self.disk.unlock()
 
     def load(self) -> tuple[LogIdentity, PersistentState] | None:
-        """Read the log and begin it anew for the next start, or return None where there is none.
+        """Read the log and rewrite it for this start, or return None if there is none.
 
-        All that can be read is written anew and flushed: a write that failed before may have left
-        it on disk in part.
+        Everything that can be read is written again and flushed, because an earlier write that
+        failed may have reached the disk only in part.
 
         Raises:
             OSError: the disk failed.
-            DamagedLogError: what stands there is no log.
-            ForeignFileError: another balancer, or a newer program, wrote there.
+            DamagedLogError: the file is not a log.
+            ForeignFileError: another balancer, or a newer program, wrote the file.
         """
         self.store = Store(self.disk)
         persisted = self.store.load(
@@ -74,13 +77,13 @@
         return identity, persisted
 
     def begin_log(self, group: str, member_id: str, boot: int, persisted: PersistentState) -> None:
-        """Begin a log for a member that has found its group; raises OSError."""
+        """Create the log of a member that has found its group; raises OSError."""
         self.store.begin(LogIdentity(self.fleet, group, member_id, boot), persisted)
 
     def write(self, ready: Ready) -> None:
-        """Write and flush the Raft node's work; raises OSError."""
+        """Write and flush the Raft node's output; raises OSError."""
         self.store.write(ready)
 
     def set_aside(self) -> None:
-        """Put the log out of the way: its identity is given up; raises OSError."""
+        """Move the log of an identity that is given up out of the way; raises OSError."""
         self.store.set_aside()
--- a/cypresswalk/fleet/message_router.py
+++ b/cypresswalk/fleet/message_router.py
@@ -1,4 +1,4 @@
-"""Routes messages between the member, the replication thread and other members' connections."""
+"""Routing of messages between the member, the replication thread and other members."""
 
 from typing import Any
 
@@ -13,21 +13,27 @@
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.operator import FleetTable
 
-# Messages of replicas to the leader; all others are between replicas and their clients.
+# Messages from replicas to the leader; all others go between replicas and their clients.
 TO_LEADER = PartitionSealed | PartitionFetched | ReplicaSlow
 
 
 class MessageRouter:
-    """Knows where each message goes; nothing here waits."""
+    """Router that passes each message to its receiver; no method blocks."""
 
     def __init__(self, table: FleetTable, transport: Transport, replication: Any):
-        """`replication`: the replication thread, None where this balancer keeps no replicas."""
+        """Route by these tables and threads.
+
+        Args:
+            table: the operator's table of the fleet.
+            transport: connections to other members.
+            replication: the replication thread, or None if this balancer keeps no replicas.
+        """
         self.addresses = AddressBook(table)
         self.transport = transport
         self.replication = replication
 
     def send(self, member: Member, to: str, message: AnyFrame | ReplicationMessage) -> None:
-        """Send to a member's id, or to an address with a colon; unknown ones are passed over."""
+        """Send to a member's id or to an address; drop messages to unknown receivers."""
         if isinstance(message, ReplicationMessageBase):
             if to == member.id:
                 self.replication.put(MessagesReceived(to, [message]))
@@ -38,7 +44,7 @@
             self.transport.send(host_and_port(address), member_id, message)
 
     def on_frame(self, now: int, member: Member, event: FrameReceived) -> None:
-        """Hand a received frame to the member or the replication thread."""
+        """Pass a received frame to the member or to the replication thread."""
         self.addresses.on_hello(event.hello)
         source = event.hello.id
         if not isinstance(event.frame, MessageBatch):
@@ -55,7 +61,7 @@
             self.replication.put(MessagesReceived(source, others))
 
     def send_to_leader(self, now: int, member: Member, messages: list[ReplicationMessage]) -> None:
-        """Send the replication thread's messages to the leader; without one they are lost."""
+        """Send the replication thread's messages to the leader; drop them if there is none."""
         if member.is_leader:
             member.on_replica_messages(now, member.id, messages)
         elif member.leader:
--- a/cypresswalk/fleet/messages.py
+++ b/cypresswalk/fleet/messages.py
@@ -1,12 +1,12 @@
-"""Frames between the balancers of a fleet, and its tools, beside Raft's own messages.
+"""Frames that the balancers of a fleet and its tools exchange, besides Raft's own messages.
 
-A frame is a u32 length and a u32 CRC of what follows, both little-endian, then MessagePack. The CRC
-is there since TCP's own checksum does not find all that is changed on the way (Stone and Partridge,
-SIGCOMM 2000), and a changed message that can still be read does harm that nobody sees.
+A frame is a u32 length and a u32 CRC of the payload, both little-endian, then the payload in
+MessagePack. The CRC is needed because TCP's checksum misses some corruption (Stone and Partridge,
+SIGCOMM 2000), and a corrupted message that can still be decoded does unnoticed harm.
 
-The first frame on a connection is a Hello; what does not fit ends the connection and is counted. A
-connection carries messages one way, from the side that dialled, except that a Hello may be answered
-by HelloRejected and a tool's Call by Result.
+The first frame on a connection is a Hello. An invalid frame ends the connection and is counted. A
+connection carries messages one way, from the side that dialled, except that HelloRejected may
+answer a Hello, and Result a tool's Call.
 """
 
 import struct
@@ -25,24 +25,24 @@
 MAX_FRAME_SIZE = 8 << 20
 FRAME_HEADER = struct.Struct("<II")  # length and CRC
 
-# Flows brought up, rejected and failed, and the sum of their set-ups in nanoseconds, since a
-# process began.
+# Counts of established, rejected and failed flows since the process started, and the sum of their
+# setup times in nanoseconds.
 FlowCounts = tuple[int, int, int, int]
 
 
 class Hello(Message, frozen=True):
-    """Who dials.
+    """First frame on a connection, which identifies the side that dialled.
 
     Attributes:
         protocol: version of this protocol.
-        fleet: the fleet's name.
+        fleet: fleet's name.
         kind: "member" or "tool".
-        group: the sender's group, or an empty string.
-        id: the sender's id.
-        boot: how often it has started under that id.
-        start_nonce: drawn at each start.
-        address: where others reach it.
-        to: the id that it means to reach; empty where it does not know.
+        group: sender's group, or an empty string.
+        id: sender's id.
+        boot: number of the sender's starts under that id.
+        start_nonce: random number drawn at each start.
+        address: address at which others reach the sender.
+        to: id that the sender expects at this address; empty if it knows none.
     """
 
     protocol: int
@@ -57,9 +57,11 @@
 
 
 class HelloRejected(Message, frozen=True, tag="Refused"):
-    """The answer to a Hello that is not accepted.
+    """Answer to a Hello that is not accepted.
 
-    `code` is "fleet", "protocol", "replaced" or "put-back".
+    Attributes:
+        code: "fleet", "protocol", "replaced" or "put-back".
+        reason: explanation for people.
     """
 
     code: str
@@ -67,9 +69,15 @@
 
 
 class DiscoveryRequest(Message, frozen=True, tag="Hail"):
-    """Sent by a balancer that belongs to no group yet, or has lost it.
+    """Request of a balancer that belongs to no group yet, or has lost contact with its group.
 
-    `seed_digest` is of the seed members in its table; `is_seed`: it is one of them.
+    Attributes:
+        id: sender's id.
+        group: sender's group, or an empty string.
+        address: address at which others reach the sender.
+        zone: sender's zone.
+        seed_digest: digest of the seed members in the sender's table.
+        is_seed: whether the sender is one of the seed members.
     """
 
     id: str
@@ -81,14 +89,18 @@
 
 
 class DiscoveryResponse(Message, frozen=True, tag="HailAnswer"):
-    """What the responder knows of its group.
-
-    Attributes: id: of the requester. group: empty for a responder that belongs to none itself.
-    seed_digest: of the seed members in the responder's table. members: of its group; its own
-    incarnation alone where it belongs to none. leader: as far as it knows. rejected: why the
-    requester may not join, or an empty string. replaced: said by a leader that is certain to lead
-    still: the requester's id is no member (any more). fenced_groups: groups that the responder's
-    own took the place of, by an operator's word.
+    """Answer to a DiscoveryRequest: the group as the responder knows it.
+
+    Attributes:
+        id: requester's id.
+        group: responder's group; empty if it belongs to none.
+        seed_digest: digest of the seed members in the responder's table.
+        members: members of the responder's group; its own incarnation alone if it has no group.
+        leader: the group's leader, as far as the responder knows.
+        rejected: why the requester may not join, or an empty string.
+        replaced: whether the requester's id is not, or no longer, a member's; set only by a leader
+            that has confirmed that it still leads.
+        fenced_groups: former groups that the responder's group replaced on an operator's command.
     """
 
     id: str
@@ -102,18 +114,21 @@
 
 
 class BootstrapGroup(Message, frozen=True, tag="Found"):
-    """The group begins with these members; no version sends it."""
+    """Start of a group with these members; no version of the program sends it."""
 
     group: str
     members: Members
 
 
 class ServerReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a balancer reports of servers.
+    """A balancer's report on servers.
 
-    Attributes: unhealthy: in service by its list and not ready for flows, by its own health checks
-    and attempts, whether or not they are out of rotation by hand. open_flows: its flows at servers
-    that are out. flow_counts: by server, while a release of servers is under way.
+    Attributes:
+        unhealthy: servers that its list has in service and that are not ready for flows, judged by
+            its own health checks and attempts, whether or not an operator took them out of
+            rotation.
+        open_flows: its number of open flows at each server that is out of rotation.
+        flow_counts: flow counts by server; sent only during a release of servers.
     """
 
     unhealthy: list[str] = []
@@ -122,22 +137,23 @@
 
 
 class LeaseRequest(Message, frozen=True, tag="Ask"):
-    """A request for a lease, with what its sender reports to the leader.
+    """Request for a lease, with the sender's report to the leader.
 
     Attributes:
-        number: of the request.
-        version: that the sender acts on.
-        proposal_id: the pending settings that it has looked at.
-        objection: why it can't read them, or an empty string.
-        generation: of the endpoint list that its own agent delivered.
-        digest: of that list.
-        data_losses: how often its folder was found damaged or put back.
+        number: number of the request.
+        version: version that the sender acts on.
+        proposal_id: id of the pending settings that it has checked.
+        objection: why it can't act on them, or an empty string.
+        generation: generation of the endpoint list that its own agent delivered.
+        digest: digest of that list.
+        data_losses: how often its folder was found damaged or restored from an older copy.
         holds_replicas: whether it can hold replicas of keys.
-        ready: whether flows that came now would be placed; None where nobody has said.
-        flow_counts: of the sender's process.
-        boot: how often it has started.
-        last_lease: number of the latest lease that it was granted: the request was made after that.
-        servers: what it reports of servers.
+        ready: whether a flow that arrived now would be placed; None if that is unknown.
+        flow_counts: flow counts of the sender's process.
+        boot: number of the sender's starts.
+        last_lease: number of the latest lease that the sender had been granted when it made the
+            request.
+        servers: its report on servers.
     """
 
     number: int
@@ -156,14 +172,14 @@
 
 
 class LeaseGrant(Message, frozen=True, tag="Grant"):
-    """The request of that number is granted, on the version in force."""
+    """Grant of the lease request `number`, for the agreed version `version`."""
 
     number: int
     version: int
 
 
 class Call(Message, frozen=True):
-    """A call by a tool, or forwarded to the leader."""
+    """Call from a tool, or one that a member forwards to the leader."""
 
     number: int
     name: str
@@ -171,7 +187,7 @@
 
 
 class Result(Message, frozen=True):
-    """The answer to the call of that number."""
+    """Answer to the call with the same number."""
 
     number: int
     ok: bool
@@ -196,17 +212,17 @@
 
 
 def encode_frame(frame: AnyFrame) -> bytes:
-    """Return the frame with its header; raises FrameError where it is too long."""
+    """Return the encoded frame with its header; raises FrameError if it is too long."""
     data = encode(frame)
     if len(data) > MAX_FRAME_SIZE:
-        raise FrameError(f"{len(data)} bytes, more than {MAX_FRAME_SIZE}")
+        raise FrameError(f"{len(data)} bytes, the maximum is {MAX_FRAME_SIZE}")
     return FRAME_HEADER.pack(len(data), crc32(data)) + data
 
 
 class FrameDecoder:
-    """Is fed bytes as they come and gives whole frames.
+    """Decoder of a byte stream into frames.
 
-    Memory stays under one longest frame and one read.
+    It buffers at most one frame of the maximum size and one read.
     """
 
     def __init__(self, max_size: int = MAX_FRAME_SIZE):
@@ -219,23 +235,23 @@
         self.buffer += data
 
     def next_frame(self) -> AnyFrame | None:
-        """Return the next whole frame, or None.
+        """Return the next complete frame, or None.
 
         Raises:
-            FrameError: the bytes are no frame; nothing that follows can be believed.
+            FrameError: the bytes are no valid frame; the rest of the stream can't be trusted.
         """
         header_size = FRAME_HEADER.size
         if len(self.buffer) < header_size:
             return None
         length, checksum = FRAME_HEADER.unpack_from(self.buffer)
         if length > self.max_size:
-            raise FrameError(f"a frame of {length} bytes")
+            raise FrameError(f"frame of {length} bytes is too long")
         if len(self.buffer) < header_size + length:
             return None
         data = bytes(self.buffer[header_size : header_size + length])
         del self.buffer[: header_size + length]
         if crc32(data) != checksum:
-            raise FrameError("its checksum is wrong")
+            raise FrameError("wrong checksum")
         try:
             return FRAME_DECODER.decode(data)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
--- a/cypresswalk/fleet/outgoing_link.py
+++ b/cypresswalk/fleet/outgoing_link.py
@@ -1,4 +1,4 @@
-"""What goes to one address: a queue and the thread that writes it to a connection."""
+"""Outgoing frames for one address: a queue, and the thread that writes it to a connection."""
 
 import socket
 import time
@@ -13,60 +13,60 @@
 
 SECOND = 1_000_000_000
 READ_SIZE = 64 << 10  # bytes
-MAX_QUEUED_FRAMES = 256  # to one address; beyond them the oldest goes, since frames may be lost
+MAX_QUEUED_FRAMES = 256  # per address; above that the oldest is dropped, since frames may be lost
 MAX_QUEUED_BYTES = 8 << 20
 DIAL_TIMEOUT = SECOND
 SEND_TIMEOUT = 2 * SECOND
-IDLE_TIMEOUT = 30 * SECOND  # a connection without a frame for so long is closed
-# A peer that is not heard for so long is dialled anew: the path may swallow what is sent.
-PEER_UNHEARD_TIMEOUT = 3 * SECOND
+IDLE_TIMEOUT = 30 * SECOND  # after which a connection without frames is closed
+# After this time without a frame from the peer it is dialled again: the path may drop what is sent.
+PEER_SILENCE_TIMEOUT = 3 * SECOND
 MIN_BACKOFF = SECOND // 10
 MAX_BACKOFF = SECOND
-# TCP_USER_TIMEOUT: what the peer's kernel has not acknowledged by then ends the connection.
+# TCP_USER_TIMEOUT: a connection ends if the peer's kernel leaves data unacknowledged for so long.
 UNACKNOWLEDGED_TIMEOUT_MS = 4000
 
 
 class LinkOwner(Protocol):
-    """What an outgoing link needs of the transport."""
+    """The part of the transport that an outgoing link uses."""
 
     counts: Counter[str]
-    heard_at: dict[str, int]
+    last_frame_at: dict[str, int]
 
     def make_hello(self, to: str) -> Hello:
-        """Return this member's Hello for that id."""
+        """Return this member's Hello to the member with that id."""
 
     def current_group(self) -> str:
         """Return this member's group."""
 
     def on_rejected(self, to: str, rejection: HelloRejected) -> None:
-        """The other side rejected the Hello."""
+        """Process a rejection of this member's Hello."""
 
     def on_link_lost(self, link: "OutgoingLink", error: Exception) -> None:
-        """The connection ended by an error."""
+        """Process the loss of a connection by an error."""
 
     def remove_link(self, link: "OutgoingLink") -> None:
-        """Forget an idle link, unless frames wait again; ends it then."""
+        """Remove and end an idle link, unless it has frames to send again."""
 
 
 class OutgoingLink:
-    """Frames for one address. `send` is for any thread, `run` is the link's own thread."""
+    """Queue of frames for one address; any thread may call `send`, `run` is the link's thread."""
 
     def __init__(self, owner: LinkOwner, address: tuple[str, int], to: str):
-        """`to`: the id that is meant to be reached there, or an empty string."""
+        """Start without a connection; `to` is the id expected at the address, or empty."""
         self.owner = owner
         self.address = address
         self.to = to
-        # None ends the thread.
+        # Encoded frames; None ends the thread.
         self.queue: SimpleQueue[bytes | None] = SimpleQueue()
         self.queued_bytes = 0
         self.used_at = time.monotonic_ns()
         self.ended = False
         self._lock = Lock()
-        # Goes first on the next connection.
+        # A frame that is sent first on the next connection.
         self._unsent: bytes | None = None
 
     def send(self, data: bytes) -> None:
-        """Queue an encoded frame without waiting; drops the oldest where too many wait."""
+        """Queue an encoded frame without blocking; drop the oldest frames if too many wait."""
         self.used_at = time.monotonic_ns()
         with self._lock:
             while self.queue.qsize() >= MAX_QUEUED_FRAMES or self.queued_bytes > MAX_QUEUED_BYTES:
@@ -80,12 +80,12 @@
             self.queue.put(data)
 
     def end(self) -> None:
-        """End the thread once it has sent what waits."""
+        """End the thread after it has sent the queued frames."""
         self.ended = True
         self.queue.put(None)
 
     def run(self) -> None:
-        """Connect and write until ended, with a growing backoff after errors."""
+        """Connect and write until the link is ended, with exponential backoff after errors."""
         backoff = MIN_BACKOFF
         while not self.ended:
             try:
@@ -94,12 +94,15 @@
             except (OSError, FrameError) as error:
                 self.owner.on_link_lost(self, error)
                 backoff = min(2 * backoff, MAX_BACKOFF)
-            # An unheard peer is dialled anew at once: what waits there has little time.
+            # A silent peer is dialled again without a pause, since the queued frames are urgent.
             if not self.ended and self._unsent is None:
                 time.sleep(backoff / SECOND)
 
     def _write_to_connection(self) -> None:
-        """Connect once there is a frame; write until idle, or until peer or group are others."""
+        """Connect when there is a frame, and write the queue.
+
+        Return once the link is idle or ended, the peer is silent, or this member's group changes.
+        """
         first = self._next_frame()
         if first is None:
             return
@@ -113,19 +116,19 @@
             decoder = FrameDecoder()
             while (data := self._next_frame()) is not None:
                 self._check_rejected(sock, decoder)
-                if self.owner.current_group() != group or self._peer_unheard(connected_at):
+                if self.owner.current_group() != group or self._is_peer_silent(connected_at):
                     self._unsent = data
                     return
                 sock.sendall(data)
 
-    def _peer_unheard(self, connected_at: int) -> bool:
+    def _is_peer_silent(self, connected_at: int) -> bool:
         if not self.to:
             return False
-        heard_at = max(connected_at, self.owner.heard_at.get(self.to, 0))
-        return time.monotonic_ns() - heard_at > PEER_UNHEARD_TIMEOUT
+        last_frame_at = max(connected_at, self.owner.last_frame_at.get(self.to, 0))
+        return time.monotonic_ns() - last_frame_at > PEER_SILENCE_TIMEOUT
 
     def _next_frame(self) -> bytes | None:
-        """Return the next frame; None once nothing was to be sent for a while, or at the end."""
+        """Return the next frame, or None if none came for a while or the link was ended."""
         if self._unsent is not None:
             data, self._unsent = self._unsent, None
             return data
@@ -141,13 +144,13 @@
         return queued
 
     def _check_rejected(self, sock: socket.socket, decoder: FrameDecoder) -> None:
-        """Raise ConnectionError where the other side has ended or rejected this connection."""
+        """Raise ConnectionError if the other side has ended or rejected this connection."""
         try:
             data = sock.recv(READ_SIZE, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return
         if not data:
-            raise ConnectionResetError("ended by the other side")
+            raise ConnectionResetError("closed by the other side")
         decoder.feed(data)
         while (frame := decoder.next_frame()) is not None:
             if isinstance(frame, HelloRejected):
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: what the leader answers once it is certain that nothing newer was agreed.
+"""Linearizable reads, which the leader answers after confirming that nothing newer was agreed.
 
 No I/O, no clock. The keys of the answers are part of the tools' interface.
 """
@@ -15,11 +15,11 @@
 from cypresswalk.fleet.server_observations import INCONCLUSIVE_REASON
 from cypresswalk.rollout.release import ChangeStatus, MemberKind, Release
 
-NEVER = 1 << 62  # a version that nobody acts on
+NEVER = 1 << 62  # greater than any version, so no balancer acts on it
 
 
 def show(duties: LeaderDuties, now: int) -> dict[str, Any]:
-    """Return the agreed settings, endpoint list and servers out by hand."""
+    """Return the agreed settings and endpoint list, and the servers that operators took out."""
     state = duties.context.state
     return {
         "version": state.version,
@@ -35,19 +35,19 @@
 
 
 def history(duties: LeaderDuties, now: int) -> dict[str, Any]:
-    """Return who did what when."""
+    """Return the history records: author, time and change."""
     return {"history": [msgspec.to_builtins(record) for record in duties.context.state.history]}
 
 
 def copies(duties: LeaderDuties, now: int) -> dict[str, Any]:
-    """Return where replicas of the idempotency keys lie."""
+    """Return the placement of the replicas of idempotency keys."""
     if duties.replicas is None:
         return {"copies": 0}
     return duties.replicas.placement.report(now, duties.context.state.partitions)
 
 
 def release(duties: LeaderDuties, now: int) -> dict[str, Any]:
-    """Return the release under way and all that it waits for."""
+    """Return the current release and what it waits for."""
     state = duties.context.state
     return {
         "release": msgspec.to_builtins(state.release),
@@ -66,10 +66,10 @@
 
 
 def turn(duties: LeaderDuties, now: int, name: str) -> dict[str, Any]:
-    """Return what an agent needs to know of the release; it asks twice a second.
+    """Return the state of the release for the agent of target `name`, which polls twice a second.
 
-    `crowded`: why a target that is being changed may not go out now, since others were lost
-    meanwhile.
+    The key `crowded` is the reason why a target that is being changed may not go out now, if others
+    became unavailable in the meantime, or an empty string.
     """
     current = duties.context.state.release
     if current is None or name not in current.members:
@@ -77,7 +77,7 @@
     if current.plan.kind == MemberKind.SERVERS:
         return _server_turn(duties, now, name, current)
     return _common_turn(duties, name, current) | {
-        "crowded": _balancer_crowded(duties, now, name, current),
+        "crowded": _balancer_bound_objection(duties, now, name, current),
     }
 
 
@@ -91,7 +91,7 @@
     }
 
 
-def _balancer_crowded(duties: LeaderDuties, now: int, name: str, current: Release) -> str:
+def _balancer_bound_objection(duties: LeaderDuties, now: int, name: str, current: Release) -> str:
     if current.members[name] != ChangeStatus.CHANGING:
         return ""
     context = duties.context
@@ -115,7 +115,7 @@
 
 
 def status(duties: LeaderDuties, now: int) -> dict[str, Any]:
-    """Return who leads, who is a member and how far behind, and what is out."""
+    """Return the leader, the members with their replication lag, and what is out of rotation."""
     context = duties.context
     state = context.state
     placement = duties.replicas.placement if duties.replicas is not None else None
--- a/cypresswalk/fleet/records.py
+++ b/cypresswalk/fleet/records.py
@@ -1,4 +1,4 @@
-"""The fleet's agreed state as it stands in snapshots: msgspec structs encoded as arrays."""
+"""The fleet's agreed state, as snapshots store it: msgspec structs encoded as arrays."""
 
 from typing import Any
 
@@ -7,17 +7,24 @@
 from cypresswalk.rollout.release import ChangeStatus, MemberKind, Release
 
 MAX_HISTORY_RECORDS = 200
-MAX_REASON_LENGTH = 200  # characters kept of the reason for a halt
-# A release keeps such servers out of rotation.
+MAX_REASON_LENGTH = 200  # characters of the reason for a halt; the rest is cut off
+# Statuses of servers that a release keeps out of rotation.
 SERVERS_OUT_STATUSES = (ChangeStatus.TURN_GRANTED, ChangeStatus.CHANGING, ChangeStatus.FAILED)
 
-# Id, zone, cell, state, weight, its latest start in nanoseconds. No address: that may differ
-# between balancers.
+# Id, zone, cell, state, weight, time of its latest start in nanoseconds. The address is omitted
+# since it may differ between balancers.
 ListedServer = tuple[str, int, int, str, float, int]
 
 
 class HistoryRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who did what in which version, and when (`at`: wall clock in milliseconds)."""
+    """One change to the agreed state.
+
+    Attributes:
+        version: version in which it was made.
+        by: its author.
+        at: wall clock in milliseconds.
+        what: description of the change.
+    """
 
     version: int
     by: str
@@ -26,7 +33,7 @@
 
 
 class PendingSettings(msgspec.Struct, frozen=True, array_like=True):
-    """Proposed settings that balancers are checking."""
+    """Proposed settings that the balancers are still checking."""
 
     proposal_id: str
     by: str
@@ -35,74 +42,74 @@
 
 
 class FleetState(msgspec.Struct, array_like=True):
-    """All that the fleet has agreed on.
+    """State that the fleet has agreed on.
 
-    A version is a number and all that it covers: the settings, the server list, the servers out of
-    rotation. Each change of one of these makes the next number.
+    The version number increases with each change of the settings, the endpoint list or the servers
+    that are out of rotation.
     """
 
     version: int = 0
     settings_version: int = 0
     settings: dict[str, Any] = {}
     pending: PendingSettings | None = None
-    # Server: who took it out of rotation by hand, and when.
+    # By server that an operator took out of rotation: author and time.
     removed_servers: dict[str, tuple[str, int]] = {}
     list_epoch: int = 0
     list_generation: int = -1
     list_version: int = 0
     servers: list[ListedServer] = []
-    # Settings by version, the latest last.
+    # Version and settings, the latest last.
     settings_history: list[tuple[int, dict[str, Any]]] = []
     history: list[HistoryRecord] = []
-    # Ids of commands, the latest last, whether each was accepted, and the reason.
+    # Command id, whether the command was accepted, and the answer; the latest last.
     results: list[tuple[str, bool, str]] = []
     voters: list[str] = []
     departed: list[str] = []
     fenced_groups: list[str] = []
-    # Balancers that may go out or are out: by whom, when, why.
+    # By balancer that may go out or is out: author, time and reason of its leave grant.
     leave_grants: dict[str, tuple[str, int, str]] = {}
     release: Release | None = None
-    # By whom, when, why.
+    # Author, time and reason of the halt in force.
     halted: tuple[str, int, str] | None = None
     halt_count: int = 0
-    # Partitions of the idempotency keys: the view of each, and its replicas.
+    # By partition of the idempotency keys: number and replicas of its view.
     partitions: dict[int, tuple[int, tuple[str, ...]]] = {}
-    # Servers back in rotation and not seen ready yet: the version that returned each.
+    # By server that is back in rotation and not seen ready yet: the version that returned it.
     returning_servers: dict[str, int] = {}
 
     def record(self, by: str, at: int, what: str) -> None:
-        """Append a history record in the current version."""
+        """Append a history record of the current version."""
         records = [*self.history, HistoryRecord(self.version, by, at, what)]
         self.history = records[-MAX_HISTORY_RECORDS:]
 
     def advance(self, by: str, at: int, what: str) -> None:
-        """Begin the next version, with a history record."""
+        """Start the next version, and append a history record."""
         self.version += 1
         self.record(by, at, what)
 
     def halt(self, by: str, at: int, why: str) -> None:
-        """Count a halt; the first one's author and reason stay until a person resumes."""
+        """Count a halt, and keep the first one's author and reason until a person resumes."""
         self.halt_count += 1
         if self.halted is None:
             self.halted = by, at, why[:MAX_REASON_LENGTH]
             self.record(by, at, f"halt: {why[:MAX_REASON_LENGTH]}")
 
     def halt_reason(self) -> str:
-        """Who halted and why, for people; empty where nothing is halted."""
+        """Return author and reason of the halt, for people, or an empty string."""
         if self.halted is None:
             return ""
         by, _, why = self.halted
         return f"halted by {by}: {why}"
 
     def servers_out_for_release(self) -> set[str]:
-        """Servers that a release keeps out of rotation."""
+        """Return the servers that a release keeps out of rotation."""
         release = self.release
         if release is None or release.plan.kind != MemberKind.SERVERS:
             return set()
         return {name for name, status in release.members.items() if status in SERVERS_OUT_STATUSES}
 
     def servers_out(self) -> set[str]:
-        """Servers that get no new flow, whatever the endpoint list says."""
+        """Return the servers that get no new flow, whatever the endpoint list says."""
         return set(self.removed_servers) | self.servers_out_for_release()
 
 
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -88,7 +88,7 @@
         self.links: dict[tuple[tuple[str, int], str], OutgoingLink] = {}
         self.counts: Counter[str] = Counter()
         # By member's id: when it was last heard, by the monotonic clock.
-        self.heard_at: dict[str, int] = {}
+        self.last_frame_at: dict[str, int] = {}
         # By member's id: boot and nonce of its latest start.
         self.latest_starts: dict[str, tuple[int, int]] = {}
         self.connections: dict[socket.socket, None] = {}
@@ -232,7 +232,7 @@
         if hello.kind == "tool":
             self.post(ToolFrameReceived(hello, frame, responses.send))
         elif hello.group == self.group() or isinstance(frame, DiscoveryRequest | DiscoveryResponse):
-            self.heard_at[hello.id] = time.monotonic_ns()
+            self.last_frame_at[hello.id] = time.monotonic_ns()
             self.post(FrameReceived(hello, frame))
         else:
             self.counts["words_of_other_groups"] += 1
