--- a/cypresswalk/fleet/recovery.py
+++ b/cypresswalk/fleet/recovery.py
@@ -1,4 +1,4 @@
-"""The way out when most voters are lost for good: a new group from one member's disk."""
+"""Recovery after the permanent loss of most voters: a new group from one member's disk."""
 
 import time
 import uuid
@@ -14,26 +14,26 @@
 from cypresswalk.refusal import CommandError
 from cypresswalk.state.disk import DiskFolder
 
-# Versions skipped, so that none of the new group has the number of one that the old one had in
-# force.
+# Number of versions skipped, so that no version of the new group has the number of a version that
+# was in force in the old group.
 SKIPPED_VERSIONS = 1000
 MILLISECOND = 1_000_000
 
 
 def recover(folder: str, fleet: str, name: str, by: str) -> dict[str, Any]:
-    """Begin a new group from what one member of the old one has on disk.
+    """Create a new group from the log of one member of the old group.
 
-    All that it has counts, agreed or not, since what it does not know to be agreed may have been
-    promised.
+    All entries of the log are applied, committed or not: an entry that this member does not know to
+    be committed may have been, and been acknowledged.
 
     Args:
-        folder: the member's.
-        fleet: the fleet's name.
-        name: the balancer's, which becomes the only voter.
-        by: who orders it.
+        folder: path of the member's folder.
+        fleet: fleet's name.
+        name: name of the balancer, which becomes the only voter.
+        by: operator who orders the recovery.
 
     Returns:
-        What was begun, for people.
+        A description of the new group, for people.
 
     Raises:
         CommandError: the folder can't be used.
@@ -42,8 +42,8 @@
     try:
         log = _load(disk, folder, fleet, name)
         old = log.identity
-        machine = _machine_of(log.persisted)
-        _give_up_group(machine.state, old.group, name, by)
+        machine = _replay(log.persisted)
+        _fence_group(machine.state, old.group, name, by)
         group = f"{fleet}-{uuid.uuid4().hex[:16]}"
         identity = LogIdentity(fleet, group, old.member, old.boot + 1)
         log.store.begin(identity, _new_log(log.persisted, old.member, machine))
@@ -61,7 +61,7 @@
 
 
 class _OldLog(NamedTuple):
-    """What a member of the old group has on disk."""
+    """Log of a member of the old group."""
 
     store: Store
     identity: LogIdentity
@@ -69,7 +69,7 @@
 
 
 def _load(disk: DiskFolder, folder: str, fleet: str, name: str) -> _OldLog:
-    """Lock the folder and read its log; raises CommandError where it can't be used."""
+    """Lock the folder and read its log; raises CommandError if it can't be used."""
     try:
         disk.lock()
         store = Store(disk)
@@ -78,11 +78,11 @@
         raise CommandError(f"{folder}: {error}") from error
     identity = store.identity
     if persisted is None or identity is None or persisted.snapshot.index < 0:
-        raise CommandError(f"{folder}: it holds nothing that was agreed")
+        raise CommandError(f"{folder}: it holds no agreed state")
     return _OldLog(store, identity, persisted)
 
 
-def _machine_of(persisted: PersistentState) -> StateMachine:
+def _replay(persisted: PersistentState) -> StateMachine:
     machine = StateMachine(persisted.snapshot.data)
     for entry in persisted.entries:
         if entry.kind == ENTRY_COMMAND:
@@ -90,7 +90,7 @@
     return machine
 
 
-def _give_up_group(state: FleetState, group: str, name: str, by: str) -> None:
+def _fence_group(state: FleetState, group: str, name: str, by: str) -> None:
     state.version += SKIPPED_VERSIONS
     state.pending = None
     state.voters = [name]
--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -1,7 +1,8 @@
-"""Handlers of the release commands: a table from command class to function over the fleet's state.
+"""Handlers of the release commands: a table from command class to function on the fleet's state.
 
-No I/O, no clock. A release of balancers counts against their bound by leave grants, one of servers
-by what the release keeps out of rotation, which is a part of the version.
+No I/O, no clock. What counts against the bound is, in a release of balancers, their leave grants,
+and in a release of servers, the servers that it keeps out of rotation. The latter are part of the
+version.
 """
 
 from collections.abc import Callable
@@ -26,7 +27,7 @@
 
 
 def apply_release_command(state: FleetState, command: Command) -> CommandResult:
-    """Apply a release command; one on a release of servers makes a new version."""
+    """Apply a release command; an accepted one on a release of servers starts a new version."""
     before = state.servers_out_for_release()
     if isinstance(command, BeginRelease):
         result = _begin_release(state, command)
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -1,8 +1,8 @@
-"""What the leader does about a release: who goes next, whether a wave is healthy, when to halt.
+"""The leader's control of a release: which target is next, whether a wave is healthy, when to halt.
 
-No I/O, no clock. All that must survive a leader stands in the agreed log; what stands here (since
-when a wave is healthy, what each target had served then) begins anew with the next leader, which so
-observes for at least as long.
+No I/O, no clock. State that must survive a change of leader is in the agreed log. The observations
+here (since when a wave has been healthy, what each target had served then) start empty with the
+next leader, which therefore observes for at least as long.
 """
 
 from collections.abc import Iterable
@@ -13,17 +13,19 @@
 from cypresswalk.rollout.release import ChangeStatus, MemberKind, Phase, Release, turn_objection
 
 SECOND = 1_000_000_000
-TURN_RETRY_INTERVAL = SECOND // 2  # a turn that was rejected is asked for again
-MAX_CHANGED_OUT = 10 * SECOND  # a changed target that is out for so long is taken for lost
-MAX_FALLS = 2  # times that a changed server may become unhealthy again
-TURN_UNUSED = 30 * SECOND  # a server's agent has not begun: all balancers must have heard first
+TURN_RETRY_INTERVAL = SECOND // 2  # between two proposals of the same target's turn
+MAX_CHANGED_OUT = 10 * SECOND  # after which a changed target that is out counts as lost
+MAX_RELAPSES = 2  # number of times that a changed server becomes unhealthy before a halt
+# After which a turn ends that a server's agent has not used. The agent can begin only after all
+# balancers act on the version that takes the server out.
+UNUSED_TURN_TIMEOUT = 30 * SECOND
 LONG_AGO = -1 << 62
 UNKNOWN_BOOT = 1 << 62
 MAX_NAMES_SHOWN = 5
 
 
 class ReleaseStep(Enum):
-    """Kinds of commands that `ReleaseControl` asks for."""
+    """Kind of a command that `ReleaseControl` proposes."""
 
     GRANT_TURN = "grant_turn"
     END_UNUSED_TURN = "end_unused_turn"
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAction:
-    """One command to propose; `name`, `reason` and `wave` as the step needs them."""
+    """A command to propose; the step decides which of `name`, `reason` and `wave` are used."""
 
     step: ReleaseStep
     name: str = ""
@@ -43,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSituation:
-    """What is known of a release and its targets.
+    """The leader's present knowledge of a release and its targets.
 
     Attributes:
-        release: as agreed.
+        release: the release, as agreed.
         halted: whether a halt is in force.
-        served: flow counts by name, of those heard lately.
+        served: flow counts by name, of targets with a recent report.
         out: targets that are out, for whatever cause.
-        held_slots: targets that count against a bound: with a leave grant, or kept out by the
-            release.
-        boots: how often each target has started, as it last said.
+        held_slots: targets that count against a bound because they have a leave grant or the
+            release keeps them out.
+        boots: number of starts by target, from its latest report.
     """
 
     release: Release
@@ -65,22 +67,24 @@
 
 @dataclass
 class ReleaseControl:
-    """Observations of the release under way.
+    """Observations of the current release, and the next step that follows from them.
+
+    Times are in nanoseconds; dictionaries have the target's name as key.
 
     Attributes:
-        observed: name and phase of the release that the other attributes are of.
-        wave: the wave that is observed.
-        healthy_since: since when all of the wave are changed and none is out.
-        evidence: whether changed targets serve as well as the others.
-        changing_since: of targets whose agents are at work.
-        turn_since: of servers whose agents have not begun.
-        returned_since: of changed servers that have not been seen ready yet.
-        falls: of changed servers: how often each became unhealthy again.
-        tried_at: when each target's turn was last asked for.
-        out_since: of changed targets that are out.
-        boots: of changed targets whose starts before their turn are unknown.
-        was_halted: whether a halt was in force at the last look.
-        waits_for: what is waited for, for people.
+        observed: name and phase of the release that the other attributes belong to.
+        wave: number of the wave that is observed.
+        healthy_since: time since which the whole wave has been changed and none of it out.
+        evidence: comparison of the flows of changed targets with those of the others.
+        changing_since: times since which agents have been changing their targets.
+        turn_since: times since which servers have had a turn that their agents have not used.
+        returned_since: times since which changed servers have waited to be seen ready.
+        relapses: numbers of times that changed servers became unhealthy again.
+        turn_proposed_at: times at which turns were last proposed.
+        out_since: times since which changed targets have been out.
+        boots: numbers of starts of changed targets whose starts before their turn are unknown.
+        was_halted: whether a halt was in force at the previous call.
+        waits_for: the condition that the release waits for, for people.
     """
 
     observed: str = ""
@@ -90,8 +94,8 @@
     changing_since: dict[str, int] = field(default_factory=dict)
     turn_since: dict[str, int] = field(default_factory=dict)
     returned_since: dict[str, int] = field(default_factory=dict)
-    falls: dict[str, int] = field(default_factory=dict)
-    tried_at: dict[str, int] = field(default_factory=dict)
+    relapses: dict[str, int] = field(default_factory=dict)
+    turn_proposed_at: dict[str, int] = field(default_factory=dict)
     out_since: dict[str, int] = field(default_factory=dict)
     boots: dict[str, int] = field(default_factory=dict)
     was_halted: bool = False
@@ -105,21 +109,21 @@
             return None
         self._begin_observation(situation)
         if release.plan.kind == MemberKind.SERVERS:
-            action = self._late_server(now, situation)
+            action = self._check_late_servers(now, situation)
             if action is not None:
                 return action
-        action = self._silent_agent(now, situation)
+        action = self._check_agents(now, situation)
         if action is not None:
             return action
         if release.phase == Phase.ROLLING_BACK:
-            return self._grant_next_turn(now, situation, _worst_first(situation))
+            return self._grant_next_turn(now, situation, _rollback_order(situation))
         return self._advance_wave(now, situation)
 
     def _begin_observation(self, situation: ReleaseSituation) -> None:
-        """Forget what was observed of another release, phase or wave.
+        """Discard observations of another release, phase or wave.
 
-        Also where a person has resumed: what counts is what comes from then on, or one fault would
-        halt the release for ever.
+        They are also discarded after a person has resumed the release. Otherwise the fault that
+        halted it would halt it again at once, for ever.
         """
         release = situation.release
         observed = release.plan.name + release.phase
@@ -129,28 +133,28 @@
             self.evidence = Evidence()
             self.out_since = {}
             self.boots = {}
-            self.falls = {}
+            self.relapses = {}
         if self.wave != release.wave:
             self.wave = release.wave
             self.healthy_since = None
-            self.tried_at.clear()
+            self.turn_proposed_at.clear()
         self.was_halted = situation.halted
 
-    def _late_server(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
-        """Return what to do about a server whose agent, or whose return, is late."""
+    def _check_late_servers(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        """Return the action for a server whose agent or return to rotation is late, or None."""
         release = situation.release
         members = sorted(release.members.items())
         out = [name for name, status in members if status == ChangeStatus.TURN_GRANTED]
-        self.turn_since = _since(self.turn_since, now, out)
+        self.turn_since = _track_since(self.turn_since, now, out)
         returned = [
             name
             for name, status in members
             if status == ChangeStatus.NEW and name in situation.held_slots
         ]
-        self.returned_since = _since(self.returned_since, now, returned)
+        self.returned_since = _track_since(self.returned_since, now, returned)
         for name, since in self.turn_since.items():
             if (
-                now - since > TURN_UNUSED
+                now - since > UNUSED_TURN_TIMEOUT
                 or situation.halted
                 and release.phase != Phase.ROLLING_BACK
             ):
@@ -167,19 +171,19 @@
                 return ReleaseAction(ReleaseStep.HALT, reason=reason)
         return None
 
-    def _silent_agent(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
-        """Return a halt where an agent has been at work for too long."""
+    def _check_agents(self, now: int, situation: ReleaseSituation) -> ReleaseAction | None:
+        """Return a halt if an agent has taken too long for its change."""
         release = situation.release
         changing = [
             name for name, status in release.members.items() if status == ChangeStatus.CHANGING
         ]
-        self.changing_since = _since(self.changing_since, now, changing)
+        self.changing_since = _track_since(self.changing_since, now, changing)
         if situation.halted:
             return None
         change_s = release.plan.change_timeout_s
         for name, since in sorted(self.changing_since.items()):
             if now - since > change_s * SECOND:
-                reason = f"the agent of {name} has said nothing for {change_s:g} s"
+                reason = f"the agent of {name} has not reported for {change_s:g} s"
                 return ReleaseAction(ReleaseStep.HALT, reason=reason)
         return None
 
@@ -190,7 +194,7 @@
         if situation.halted:
             self.waits_for = "halted"
             return None
-        problem = self._lost_target(now, situation) or self.evidence.first_failure(
+        problem = self._lost_target_reason(now, situation) or self.evidence.first_failure(
             release.plan, now
         )
         if problem:
@@ -212,52 +216,58 @@
         for name in candidates:
             if turn_objection(situation.release, name, situation.halted):
                 continue
-            if now - self.tried_at.get(name, LONG_AGO) >= TURN_RETRY_INTERVAL:
-                self.tried_at[name] = now
+            if now - self.turn_proposed_at.get(name, LONG_AGO) >= TURN_RETRY_INTERVAL:
+                self.turn_proposed_at[name] = now
                 return ReleaseAction(ReleaseStep.GRANT_TURN, name)
         names = ", ".join(candidates[:MAX_NAMES_SHOWN])
         self.waits_for = f"waits for {names or 'those that are being changed'}"
         return None
 
-    def _lost_target(self, now: int, situation: ReleaseSituation) -> str:
-        """Return why a changed target does not stay in, or an empty string.
+    def _lost_target_reason(self, now: int, situation: ReleaseSituation) -> str:
+        """Return why a changed target counts as lost, or an empty string.
 
-        It is out for long, or its process ended and another was started in its place. One that
-        falls over and over would never be out for long, and no wave of it would ever be healthy.
+        It has been out for too long, or its process ended and another was started. A target that
+        fails again and again is never out for long, but its wave never becomes healthy either.
         """
         release, out = situation.release, situation.out
         changed = [
             name for name, status in sorted(release.members.items()) if status == ChangeStatus.NEW
         ]
         if release.plan.kind == MemberKind.SERVERS:
-            fallen = self._fallen_server(changed, out)
-            if fallen:
-                return fallen
-        self.out_since = _since(self.out_since, now, [name for name in changed if name in out])
+            relapsed = self._relapsed_server_reason(changed, out)
+            if relapsed:
+                return relapsed
+        self.out_since = _track_since(
+            self.out_since, now, [name for name in changed if name in out]
+        )
         for name, since in self.out_since.items():
             if now - since > MAX_CHANGED_OUT:
                 return f"{name} was changed and has been out for {(now - since) / SECOND:.0f} s"
-        return self._restarted_target(situation, changed)
+        return self._restarted_target_reason(situation, changed)
 
-    def _fallen_server(self, changed: list[str], out: set[str]) -> str:
-        """Count falls, since nobody tells how often a server has started; one may be its start."""
-        self.falls |= {
-            name: self.falls.get(name, 0) + 1
+    def _relapsed_server_reason(self, changed: list[str], out: set[str]) -> str:
+        """Count relapses and return why a server has too many, or an empty string.
+
+        They are counted because servers don't report their number of starts. One relapse is allowed
+        since it may be the start after the change.
+        """
+        self.relapses |= {
+            name: self.relapses.get(name, 0) + 1
             for name in changed
             if name in out and name not in self.out_since
         }
         for name in changed:
-            if self.falls.get(name, 0) >= MAX_FALLS:
-                return f"{name} was changed, came up and fell over, {MAX_FALLS} times"
+            if self.relapses.get(name, 0) >= MAX_RELAPSES:
+                return f"{name} was changed, came up and fell over, {MAX_RELAPSES} times"
         return ""
 
-    def _restarted_target(self, situation: ReleaseSituation, changed: list[str]) -> str:
+    def _restarted_target_reason(self, situation: ReleaseSituation, changed: list[str]) -> str:
         boots = situation.boots
         self.boots = {name: boot for name, boot in self.boots.items() if name in changed}
         for name in changed:
             before = situation.release.boots.get(name, 0)
             if before:
-                expected = before + 1  # one start is the change itself
+                expected = before + 1  # the change itself starts the target once
             else:
                 expected = self.boots.setdefault(name, boots.get(name, UNKNOWN_BOOT))
             if boots.get(name, 0) > expected:
@@ -265,7 +275,7 @@
         return ""
 
     def _observe_wave(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
-        """All of the wave are changed and in: pass it once enough is known and time is up."""
+        """Observe a wave that is changed and in; pass it after its hold time, given evidence."""
         plan = release.plan
         if self.healthy_since is None:
             self.healthy_since = now
@@ -287,13 +297,13 @@
         return None
 
 
-def _since(before: dict[str, int], now: int, names: Iterable[str]) -> dict[str, int]:
-    """Return since when each name has been there, with `now` for new ones."""
+def _track_since(before: dict[str, int], now: int, names: Iterable[str]) -> dict[str, int]:
+    """Return the time since which each name has been in `names`; for new ones it is `now`."""
     return {name: before.get(name, now) for name in names}
 
 
-def _worst_first(situation: ReleaseSituation) -> list[str]:
-    """Return targets to be taken back: first those that failed, then by failed flows."""
+def _rollback_order(situation: ReleaseSituation) -> list[str]:
+    """Return the targets to roll back: first failed ones, then by share of failed flows."""
     members = situation.release.members
     candidates = [
         name
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -1,13 +1,13 @@
-"""Where the replicas of each partition of the idempotency keys lie: what the leader does about it.
+"""The leader's placement of the replicas of each partition of the idempotency keys.
 
-No I/O, no clock. A partition's view is a number and its replicas, agreed in the log. It is ended by
-sealing one replica that is complete; the next begins once each of its replicas is complete: those
-of the old view that are heard are, newcomers fetch it from the sealed one. Replicas that are not
-heard are left out first, at once, as long as enough stay; making up for them goes a few partitions
-at a time.
+No I/O, no clock. A partition's view is a number and its replicas, agreed in the log. Sealing one
+complete replica ends a view. The next view begins when each of its replicas is complete. Reachable
+replicas of the old view are complete already; new ones fetch the partition from the sealed one.
+Unreachable replicas are left out at once, as long as enough others remain. Replacing them follows,
+for a few partitions at a time.
 
-Wrong guesses here cost time and no more: a replica that is not complete knows it
-(copies/replica.py), and a view that is not the next of the agreed one is rejected by the log.
+A wrong decision here only costs time: a replica that is not complete knows it (copies/replica.py),
+and the state machine rejects a view that does not directly follow the agreed one.
 """
 
 import logging
@@ -28,13 +28,14 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-SETTLING_TIME = 5 * SECOND  # with fewer members than replicas the first placement waits for more
-RESEND_INTERVAL = 3 * SECOND // 10  # an unanswered message goes out once more
+# For which the first placement waits for more members, if there are fewer members than replicas.
+SETTLING_TIME = 5 * SECOND
+RESEND_INTERVAL = 3 * SECOND // 10  # after which an unanswered message is sent again
 REPROPOSE_INTERVAL = 2 * SECOND
-STUCK_TIME = 10 * SECOND  # a change that has come no further goes on with the replicas it has
-SLOW_TIME = 10 * SECOND  # a replica that its primary could not reach is left out for so long
-MAX_MAKING_UP = 6  # partitions that get new replicas at a time
-MAX_STARTED_PER_RUN = 2  # of them; there are five runs a second
+STUCK_TIME = 10 * SECOND  # after which a change goes on with the replicas that are complete
+SLOW_TIME = 10 * SECOND  # for which a replica that its primary could not reach is left out
+MAX_REPLACING = 6  # partitions that get new replicas at the same time
+MAX_STARTED_PER_RUN = 2  # such partitions; the leader runs five times a second
 LONG_AGO = -1 << 62
 
 Replicas = tuple[str, ...]  # members' ids, the primary first
@@ -47,22 +48,22 @@
     """A partition's change from one view to the next.
 
     Attributes:
-        view: the view that ends.
-        target: the next view's replicas.
-        since: when the change began, in nanoseconds.
-        source: the replica that was sealed, once it has said so.
-        asked: the replica that was asked to seal.
-        complete: members that have said that they are complete for the next view.
-        sent_at: when each member was last sent a message.
-        proposed_at: when the next view was last proposed.
-        starts_empty: the next view begins without any key.
+        view: number of the view that ends.
+        target: replicas of the next view.
+        since: time at which the change began, in nanoseconds.
+        source: replica that has reported that it is sealed, or an empty string.
+        seal_target: replica that was asked to seal.
+        complete: members that have reported that they are complete for the next view.
+        sent_at: times at which members were last sent a message, in nanoseconds.
+        proposed_at: time at which the next view was last proposed, in nanoseconds.
+        starts_empty: whether the next view begins without any key.
     """
 
     view: int
     target: Replicas
     since: int
     source: str = ""
-    asked: str = ""
+    seal_target: str = ""
     complete: set[str] = field(default_factory=set)
     sent_at: dict[str, int] = field(default_factory=dict)
     proposed_at: int = LONG_AGO
@@ -71,74 +72,74 @@
 
 @dataclass(slots=True)
 class _Run:
-    """What is known of all members in one run of the duty, and what it has started."""
+    """Knowledge of all members in one run of the placement, and the changes that it started."""
 
     now: int
     views: Views
     zones: dict[str, str]  # of all members, by id
-    alive: set[str]  # able to hold replicas, and heard
-    usable: dict[str, str]  # alive and not leaving: zones by id
-    waits: bool  # for more members before the first placement
-    retention: int  # nanoseconds for which a key is kept at the longest
-    started: int = 0  # changes that bring in new replicas
+    alive: set[str]  # able to hold replicas and heard from recently
+    usable: dict[str, str]  # zones of members that are alive and not leaving, by id
+    awaits_members: bool  # whether the first placement waits for more members
+    retention: int  # longest time for which a key is kept, in nanoseconds
+    started: int = 0  # number of changes started that add replicas
 
 
 @dataclass(frozen=True, slots=True)
 class _Partition:
-    """One partition in one run."""
+    """State of one partition in one run."""
 
     number: int
     view: int
     replicas: Replicas
-    complete: list[str]  # replicas that are heard and complete
-    wanted: Replicas
+    complete: list[str]  # replicas that are alive and complete
+    wanted: Replicas  # best placement on the usable members
 
 
 class ReplicaPlacement:
-    """Places the replicas of all partitions, as long as this member leads."""
+    """Placement of the replicas of all partitions while this member leads."""
 
-    def __init__(self, me: str, copies: int, least: int):
-        """Place nothing yet.
+    def __init__(self, own_id: str, replica_count: int, min_replicas: int):
+        """Start without any knowledge.
 
         Args:
-            me: this member's id.
-            copies: replicas of each partition.
-            least: fewer replicas grant nothing.
+            own_id: this member's id.
+            replica_count: number of replicas of each partition.
+            min_replicas: number of replicas below which a partition grants no reservation.
         """
-        self.me = me
-        self.copies = copies
-        self.least = least
-        # Partitions that have lost all replicas: since when.
+        self.own_id = own_id
+        self.replica_count = replica_count
+        self.min_replicas = min_replicas
+        # By partition that has lost all replicas: since when.
         self.lost: dict[int, int] = {}
-        # Partitions of which no complete replica is heard.
+        # Partitions without a reachable complete replica.
         self.unreachable: set[int] = set()
-        # Those of them that an operator lets begin empty.
+        # Partitions that an operator has allowed to begin empty.
         self.renewed: set[int] = set()
         self._logged_lost: set[int] = set()
         self.reset(0)
 
     def reset(self, now: int) -> None:
-        """Begin or cease to lead at `now` (nanoseconds): nothing of before is known."""
-        self.began = now
-        # Whether each member can hold replicas, as it said.
-        self.able: dict[str, bool] = {}
+        """Discard all knowledge as this member begins or ceases to lead at `now` (nanoseconds)."""
+        self.reset_at = now
+        # By member: whether it can hold replicas, from its own report.
+        self.can_hold_replicas: dict[str, bool] = {}
         self.changes: dict[int, PlacementChange] = {}
-        # Partition, view and member: a replica that is not complete.
+        # Partition, view and member of each replica that is not complete.
         self.incomplete: set[tuple[int, int, str]] = set()
-        # Partition and member: until when it is left out.
+        # By partition and member: until when the replica is left out.
         self.slow_until: dict[tuple[int, str], int] = {}
-        # Partitions with fewer replicas than asked for: since when.
-        self.lacking: dict[int, int] = {}
+        # By partition with too few complete replicas: since when.
+        self.under_replicated: dict[int, int] = {}
         self.lost.clear()
         self.unreachable.clear()
         self.renewed.clear()
 
     def on_capability(self, member: str, able: bool) -> None:
         """Note whether a member can hold replicas."""
-        self.able[member] = able
+        self.can_hold_replicas[member] = able
 
     def on_message(self, now: int, source: str, message: AnyMessage, views: Views) -> None:
-        """Take over what a replica reports to the leader."""
+        """Process a replica's message to the leader."""
         match message:
             case PartitionSealed():
                 self._on_sealed(now, source, message, views)
@@ -158,7 +159,7 @@
             self.incomplete.add((number, view, source))
         elif source in replicas:
             change = self.changes.get(number)
-            if change is None:  # asked for by an earlier leader
+            if change is None:  # an earlier leader asked it to seal
                 change = self.changes[number] = PlacementChange(view, (), now)
             change.source = change.source or source
 
@@ -180,33 +181,33 @@
         members: Members,
         views: Views,
         departed: list[str],
-        hears: Callable[[str], bool],
+        heard_recently: Callable[[str], bool],
         retention: int,
     ) -> tuple[Views, Messages]:
         """Return views to propose, and messages to send.
 
         Args:
             now: nanoseconds.
-            members: of the group.
-            views: as agreed.
-            departed: names that are to leave.
-            hears: whether a member was heard lately, by its id.
-            retention: nanoseconds for which a key is kept at the longest.
+            members: members of the group.
+            views: agreed views.
+            departed: names of members that are to leave.
+            heard_recently: tells whether the member with an id was heard from recently.
+            retention: longest time for which a key is kept, in nanoseconds.
         """
-        run = self._begin_run(now, members, views, departed, hears, retention)
+        run = self._begin_run(now, members, views, departed, heard_recently, retention)
         if not views and not run.usable:
             return {}, []
         proposals: Views = {}
         messages: Messages = []
         for number in range(PARTITIONS):
-            partition = self._look_at(run, number)
-            change = self._change_under_way(partition)
-            self._note_lacking(now, partition)
+            partition = self._inspect(run, number)
+            change = self._current_change(partition)
+            self._track_under_replicated(now, partition)
             if change is None:
                 change = self._start_change(run, partition)
             if change is None:
                 continue
-            replicas = self._drive(run, partition, change, messages)
+            replicas = self._advance_change(run, partition, change, messages)
             if replicas and now - change.proposed_at > REPROPOSE_INTERVAL:
                 change.proposed_at = now
                 proposals[number] = partition.view + 1, replicas
@@ -218,11 +219,15 @@
         members: Members,
         views: Views,
         departed: list[str],
-        hears: Callable[[str], bool],
+        heard_recently: Callable[[str], bool],
         retention: int,
     ) -> _Run:
         zones = {member.id: member.zone for member in members}
-        alive = {member for member in zones if self.able.get(member) and hears(member)}
+        alive = {
+            member
+            for member in zones
+            if self.can_hold_replicas.get(member) and heard_recently(member)
+        }
         usable = {
             member.id: member.zone
             for member in members
@@ -232,10 +237,10 @@
         self.incomplete = {
             key for key in self.incomplete if views.get(key[0], (0, ()))[0] == key[1]
         }
-        waits = len(usable) < self.copies and now - self.began < SETTLING_TIME
-        return _Run(now, views, zones, alive, usable, waits, retention)
+        awaits_members = len(usable) < self.replica_count and now - self.reset_at < SETTLING_TIME
+        return _Run(now, views, zones, alive, usable, awaits_members, retention)
 
-    def _look_at(self, run: _Run, number: int) -> _Partition:
+    def _inspect(self, run: _Run, number: int) -> _Partition:
         view, replicas = run.views.get(number, (0, ()))
         able = {
             member: zone
@@ -250,14 +255,14 @@
             and (number, member) not in self.slow_until
         ]
         return _Partition(
-            number, view, replicas, complete, choose_replicas(number, able, self.copies)
+            number, view, replicas, complete, choose_replicas(number, able, self.replica_count)
         )
 
-    def _change_under_way(self, partition: _Partition) -> PlacementChange | None:
+    def _current_change(self, partition: _Partition) -> PlacementChange | None:
         change = self.changes.get(partition.number)
         if change is None:
             return None
-        # A replica that comes back complete ends a beginning without keys.
+        # The return of a complete replica cancels a change to an empty view.
         if change.view != partition.view or change.starts_empty and partition.complete:
             del self.changes[partition.number]
             return None
@@ -268,40 +273,43 @@
         change = self._next_change(run, partition)
         if change is None:
             return None
-        if _makes_up(change, partition):
-            if run.started >= MAX_STARTED_PER_RUN or self._making_up(run.views) >= MAX_MAKING_UP:
+        if _adds_replicas(change, partition):
+            if (
+                run.started >= MAX_STARTED_PER_RUN
+                or self._count_replacing(run.views) >= MAX_REPLACING
+            ):
                 return None
             run.started += 1
         self.changes[partition.number] = change
         return change
 
-    def _making_up(self, views: Views) -> int:
-        """Return how many changes bring in new replicas."""
+    def _count_replacing(self, views: Views) -> int:
+        """Return the number of changes that add replicas."""
         return sum(
             any(member not in views[number][1] for member in change.target)
             for number, change in self.changes.items()
             if number in views
         )
 
-    def _note_lacking(self, now: int, partition: _Partition) -> None:
-        if len(partition.complete) < self.copies:
-            self.lacking.setdefault(partition.number, now)
+    def _track_under_replicated(self, now: int, partition: _Partition) -> None:
+        if len(partition.complete) < self.replica_count:
+            self.under_replicated.setdefault(partition.number, now)
         else:
-            self.lacking.pop(partition.number, None)
+            self.under_replicated.pop(partition.number, None)
 
     def _next_change(self, run: _Run, partition: _Partition) -> PlacementChange | None:
         view, wanted, complete = partition.view, partition.wanted, partition.complete
         if view == 0:
-            if len(wanted) < self.least or run.waits:
+            if len(wanted) < self.min_replicas or run.awaits_members:
                 return None
             return PlacementChange(0, wanted, run.now, starts_empty=True)
         if not complete:
             return self._change_without_replicas(run, partition)
         self._note_reachable(partition.number)
-        if self.least <= len(complete) < len(partition.replicas):
-            # At once, so that claims go on; the missing replica is made up after that.
+        if self.min_replicas <= len(complete) < len(partition.replicas):
+            # Don't wait for a new replica, so that reservations go on; it is added after that.
             return PlacementChange(view, tuple(complete), run.now)
-        if set(wanted) == set(partition.replicas) or len(wanted) < self.least:
+        if set(wanted) == set(partition.replicas) or len(wanted) < self.min_replicas:
             return None
         leaves = any(member not in run.usable for member in partition.replicas)
         if len(wanted) >= len(complete) or leaves:
@@ -315,9 +323,10 @@
         self._logged_lost.discard(number)
 
     def _change_without_replicas(self, run: _Run, partition: _Partition) -> PlacementChange | None:
-        """No complete replica is heard; begin empty once no key of the partition can be valid.
+        """Return a change to an empty view if no key of the partition can still be valid.
 
-        A replica that is a member still and has not said that it is incomplete may come back.
+        Called if no complete replica is reachable. A replica that is still a member and has not
+        reported that it is incomplete may come back.
         """
         number, view = partition.number, partition.view
         self.unreachable.add(number)
@@ -329,7 +338,7 @@
             since = self.lost.setdefault(number, run.now)
             self._log_lost(run, partition)
             begins_empty = begins_empty or run.now - since > run.retention
-        if begins_empty and len(partition.wanted) >= self.least:
+        if begins_empty and len(partition.wanted) >= self.min_replicas:
             return PlacementChange(view, partition.wanted, run.now, starts_empty=True)
         return None
 
@@ -344,18 +353,18 @@
             run.retention / SECOND,
         )
 
-    def _drive(
+    def _advance_change(
         self, run: _Run, partition: _Partition, change: PlacementChange, messages: Messages
     ) -> Replicas:
-        """Take the change one step further; return the next view's replicas once it can begin."""
+        """Advance the change by a step; return the next view's replicas when it can begin."""
         if change.starts_empty:
-            return self._drive_empty(run, partition, change, messages)
+            return self._advance_empty_change(run, partition, change, messages)
         if not self._is_sealed(run, partition, change, messages):
             return ()
         complete = partition.complete
         if not change.target or not set(change.target) <= run.alive:
-            # Rather fewer replicas at once than claims that wait; what lacks is made up later.
-            enough = len(complete) >= self.least
+            # Prefer fewer replicas now to reservations that wait; missing ones are added later.
+            enough = len(complete) >= self.min_replicas
             change.target = tuple(complete) if enough else partition.wanted
         missing = [
             member
@@ -368,11 +377,11 @@
         if not missing:
             return change.target
         stuck = run.now - change.since > STUCK_TIME
-        if stuck and len(change.target) - len(missing) >= self.least:
+        if stuck and len(change.target) - len(missing) >= self.min_replicas:
             return tuple(member for member in change.target if member not in missing)
         return ()
 
-    def _drive_empty(
+    def _advance_empty_change(
         self, run: _Run, partition: _Partition, change: PlacementChange, messages: Messages
     ) -> Replicas:
         if not set(change.target) <= run.alive:
@@ -386,39 +395,39 @@
     def _is_sealed(
         self, run: _Run, partition: _Partition, change: PlacementChange, messages: Messages
     ) -> bool:
-        """Whether a complete replica is sealed; asks one to seal where none is."""
+        """Return whether a complete replica is sealed; ask one to seal if none is."""
         complete = partition.complete
         if change.source in complete:
             return True
         change.source = ""
         if complete:
-            if change.asked not in complete:
-                change.asked = complete[0]
+            if change.seal_target not in complete:
+                change.seal_target = complete[0]
             seal = SealPartition(partition.number, change.view)
-            _send(run, change, change.asked, seal, messages)
+            _send(run, change, change.seal_target, seal, messages)
         return False
 
     def report(self, now: int, views: Views) -> dict[str, Any]:
-        """Return where replicas lie, for people; the keys are part of the tools' interface."""
+        """Return the placement, for people; the keys are part of the tools' interface."""
         return {
-            "copies": self.copies,
-            "least": self.least,
+            "copies": self.replica_count,
+            "least": self.min_replicas,
             "parts": [
                 [number, view, list(replicas)] for number, (view, replicas) in sorted(views.items())
             ],
-            "lacking": _ages(now, self.lacking),
+            "lacking": _ages(now, self.under_replicated),
             "lost": _ages(now, self.lost),
             "away": sorted(self.unreachable),
             "changing": {
                 number: [list(change.target), sorted(change.complete), change.source]
                 for number, change in sorted(self.changes.items())
             },
-            "able": sorted(member for member, able in self.able.items() if able),
+            "able": sorted(member for member, able in self.can_hold_replicas.items() if able),
         }
 
 
-def _makes_up(change: PlacementChange, partition: _Partition) -> bool:
-    """Whether the change brings in new replicas."""
+def _adds_replicas(change: PlacementChange, partition: _Partition) -> bool:
+    """Return whether the change adds replicas."""
     if change.starts_empty:
         return False
     return any(member not in partition.complete for member in change.target)
@@ -427,7 +436,7 @@
 def _send(
     run: _Run, change: PlacementChange, to: str, message: AnyMessage, messages: Messages
 ) -> None:
-    """Send unless the member was sent a message of this change a moment ago."""
+    """Send a message, unless the member was sent one of this change a moment ago."""
     if run.now - change.sent_at.get(to, LONG_AGO) >= RESEND_INTERVAL:
         change.sent_at[to] = run.now
         messages.append((to, message))
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -16,7 +16,7 @@
 )
 from cypresswalk.copies.placement import PARTITIONS
 from cypresswalk.copies.replica import Replica
-from cypresswalk.fleet.replica_placement import MAX_MAKING_UP, SECOND, ReplicaPlacement
+from cypresswalk.fleet.replica_placement import MAX_REPLACING, SECOND, ReplicaPlacement
 
 STEPS_A_SECOND = 5
 REPLICAS = 3
@@ -217,7 +217,7 @@
     fleet.run(0.8)
     # They do again at once, with two replicas, but for the few that are being replicated.
     fleet.reserve_everywhere("z")
-    assert len(fleet.partitions_that_granted("z")) >= PARTITIONS - MAX_MAKING_UP
+    assert len(fleet.partitions_that_granted("z")) >= PARTITIONS - MAX_REPLACING
     fleet.run(15)
     assert fleet.replica_counts() == {REPLICAS}
     assert not fleet.partitions_at("m1#1")
@@ -225,7 +225,7 @@
     fleet.run(15)
     assert fleet.replica_counts() == {REPLICAS}
     assert fleet.partitions_that_granted("x") == set(fleet.granted)
-    assert not fleet.placement.lacking
+    assert not fleet.placement.under_replicated
     assert not fleet.placement.lost
 
 
@@ -238,7 +238,7 @@
     fleet.run(5)
     fleet.reserve_everywhere("w")
     assert len(fleet.partitions_that_granted("w")) == PARTITIONS
-    assert len(fleet.placement.lacking) == PARTITIONS
+    assert len(fleet.placement.under_replicated) == PARTITIONS
     fleet.dead.add("m4#1")
     fleet.run(20)
     fleet.reserve_everywhere("v")
