--- a/cypresswalk/fleet/results.py
+++ b/cypresswalk/fleet/results.py
@@ -1,12 +1,16 @@
-"""What came of a command."""
+"""Result of a command."""
 
 from typing import NamedTuple
 
 
 class CommandResult(NamedTuple):
-    """Whether the command changed the state as asked, and the answer for people.
+    """Result of a command on the agreed state.
 
-    Stored in snapshots beside the command's id, so that a repeated command gets the same answer.
+    Snapshots store it with the command's id, so that a repeated command gets the same answer.
+
+    Attributes:
+        accepted: whether the command changed the state as requested.
+        message: answer for people.
     """
 
     accepted: bool
--- a/cypresswalk/fleet/rotation.py
+++ b/cypresswalk/fleet/rotation.py
@@ -1,4 +1,4 @@
-"""Servers that are out of rotation here: as the fleet has agreed, or by force here alone."""
+"""Servers that are out of rotation, by the fleet's agreement or at this balancer alone."""
 
 from collections.abc import Iterable
 
@@ -7,52 +7,52 @@
 
 
 class Rotation:
-    """Takes servers out of the core's rotation and returns them.
+    """Servers that the core must not use, by cause.
 
     Attributes:
-        agreed: ids of servers that are out by what the fleet has agreed.
-        forced: ids of servers that are out by force at this balancer alone.
+        agreed: ids of servers that are out by the fleet's agreement.
+        forced: ids of servers that an operator has forced out at this balancer alone.
     """
 
     def __init__(self, core: Core):
-        """All are in rotation."""
+        """Start with all servers in rotation."""
         self.core = core
         self.agreed: set[str] = set()
         self.forced: set[str] = set()
 
     def follow(self, now: int, out: Iterable[str]) -> None:
-        """Acts on another agreed set of servers that are out."""
+        """Apply a new agreed set of servers that are out."""
         wanted = set(out)
         for server in sorted(wanted - self.agreed):
-            self.take_down(now, server)
+            self._disable(now, server)
         for server in sorted(self.agreed - wanted):
             if server not in self.forced:
-                self.take_up(now, server)
+                self._enable(now, server)
         self.agreed = wanted
 
     def inherit(self, now: int, agreed: set[str], forced: set[str]) -> None:
-        """Starts from what the process before this one acted on."""
+        """Start from the sets that the predecessor process acted on."""
         self.agreed = agreed
         self.forced = forced
         for server in sorted(agreed | forced):
-            self.take_down(now, server)
+            self._disable(now, server)
 
     def remove(self, now: int, server: str) -> None:
-        """The fleet has agreed that a server is out."""
+        """Take out a server, as the fleet has agreed."""
         self.agreed.add(server)
-        self.take_down(now, server)
+        self._disable(now, server)
 
     def restore(self, now: int, server: str) -> None:
-        """The fleet has agreed that a server is in; one that is out by force here stays out."""
+        """Return a server, as the fleet has agreed; one that is forced out here stays out."""
         if server in self.agreed and server not in self.forced:
             self.agreed.discard(server)
-            self.take_up(now, server)
+            self._enable(now, server)
 
     def force(self, now: int, command: AdminCommand) -> tuple[str | None, bool]:
-        """Carries out `set-down-here` or `set-up-here`.
+        """Carry out `set-down-here` or `set-up-here`.
 
         Returns:
-            Why the reply is no, or None; and whether anything was done.
+            The error for the reply, or None; and whether the command had an effect.
         """
         error = self.core.commands.apply(now, command)
         if error is not None:
@@ -62,14 +62,14 @@
             return None, True
         self.forced.discard(command.server)
         if command.server in self.agreed:
-            self.take_down(now, command.server)
+            self._disable(now, command.server)
             return "out by the fleet still: `set-up` ends that", True
         return None, True
 
-    def take_down(self, now: int, server: str) -> None:
-        """Has the core send nothing new to a server."""
+    def _disable(self, now: int, server: str) -> None:
+        """Make the core send no new flow to a server."""
         self.core.commands.apply(now, AdminCommand("set-down", server), known=True)
 
-    def take_up(self, now: int, server: str) -> None:
-        """Has the core use a server again."""
+    def _enable(self, now: int, server: str) -> None:
+        """Make the core use a server again."""
         self.core.commands.apply(now, AdminCommand("set-up", server), known=True)
--- a/cypresswalk/fleet/server_observations.py
+++ b/cypresswalk/fleet/server_observations.py
@@ -1,11 +1,12 @@
-"""What the leader knows of servers from balancers' reports.
+"""The leader's knowledge of servers from balancers' reports. No I/O, no clock.
 
-Which are unhealthy, which have been seen ready again, what each has answered. No I/O, no clock. It
-begins empty with each leader, and is inconclusive until most balancers have reported.
+It covers which servers are unhealthy, which have been seen ready again, and the flow counts of
+each. It starts empty with each leader, and is inconclusive until most balancers have reported.
 
-A single report counts for little: a server can be unreachable for one balancer alone, and a
-balancer that is cut off finds all of them unhealthy. So half of the recent reports make a server
-unhealthy, and more than half of the members that act on its return make it ready again.
+A single report is not enough: a server can be unreachable from one balancer alone, and a balancer
+that is cut off finds all servers unhealthy. So a server counts as unhealthy if half of the recent
+reports say so, and as ready again if more than half of the members have reported it healthy while
+they acted on its return.
 """
 
 from collections.abc import Collection
@@ -14,13 +15,19 @@
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.rollout.evidence import ServedCounts
 
-UNHEALTHY_REASON = "held for bad by {} of {} balancers"
-INCONCLUSIVE_REASON = "most balancers have not said yet which servers are bad"
+UNHEALTHY_REASON = "reported unhealthy by {} of {} balancers"
+INCONCLUSIVE_REASON = "most balancers have not reported yet which servers are unhealthy"
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report, when it came (nanoseconds) and which version its sender acted on."""
+    """A report as the leader received it.
+
+    Attributes:
+        received_at: time of receipt in nanoseconds.
+        version: version that the sender acted on.
+        report: the report.
+    """
 
     received_at: int
     version: int
@@ -32,32 +39,32 @@
     """The latest report of each member, and totals since this leader began.
 
     Attributes:
-        fresh: nanoseconds for which a report counts.
-        reports: by member's id.
-        counts: flow counts by server in each member's latest report.
-        served: by server, all that has been added to the counts since this leader began.
+        max_report_age: nanoseconds for which a report counts.
+        reports: latest report by member's id.
+        counts: flow counts by server in each member's latest report, by member's id.
+        served: growth of the flow counts since this leader began, by server.
     """
 
-    fresh: int
+    max_report_age: int
     reports: dict[str, ReceivedReport] = field(default_factory=dict)
     counts: dict[str, dict[str, ServedCounts]] = field(default_factory=dict)
     served: dict[str, ServedCounts] = field(default_factory=dict)
 
     def on_report(self, now: int, member: str, version: int, report: ServerReport) -> None:
-        """Take over a member's report."""
+        """Store a member's report, and add the growth of its counts to the totals."""
         self.reports[member] = ReceivedReport(now, version, report)
         before = self.counts.get(member)
         self.counts[member] = {
             name: ServedCounts(*counts) for name, counts in report.flow_counts.items()
         }
         if before is None:
-            return  # counted over a time before this leader began
+            return  # the first counts cover time before this leader began
         for name, counts in self.counts[member].items():
             added = counts.growth_since(before.get(name, ServedCounts()))
             self.served[name] = self.served.get(name, ServedCounts()) + added
 
     def retain(self, members: Collection[str]) -> None:
-        """Drop what others than these members reported."""
+        """Drop the reports of all but these members."""
         self.reports = {
             member: report for member, report in self.reports.items() if member in members
         }
@@ -70,11 +77,11 @@
         return [
             received
             for member, received in self.reports.items()
-            if member in members and now - received.received_at <= self.fresh
+            if member in members and now - received.received_at <= self.max_report_age
         ]
 
     def conclusive(self, now: int, members: Collection[str]) -> bool:
-        """Whether more than half of the members have reported lately."""
+        """Return whether more than half of the members have reported recently."""
         return 2 * len(self.recent(now, members)) > len(members)
 
     def unhealthy(self, now: int, members: Collection[str]) -> dict[str, str]:
@@ -97,10 +104,16 @@
         returning: dict[str, int],
         listed: Collection[str],
     ) -> dict[str, int]:
-        """Return returning servers that need not be waited for any more, with their versions.
+        """Return the returning servers that have been seen ready or are gone, with their versions.
+
+        A server has been seen ready if most members reported it healthy while they acted on its
+        return. It is gone if the endpoint list no longer has it.
 
-        These are servers that most members, in reports made while they acted on the return, find
-        healthy, and servers that are listed no more.
+        Args:
+            now: nanoseconds.
+            members: ids of the members whose reports count.
+            returning: version that returned each server to rotation, by server.
+            listed: servers in the endpoint list.
         """
         recent = self.recent(now, members)
         found = {}
@@ -114,7 +127,7 @@
         return found
 
     def open_flows(self, now: int, members: Collection[str], server: str) -> int | None:
-        """Return a server's flows over all these members; None while one of them is not heard."""
+        """Return a server's open flows at all these members; None if a recent report is missing."""
         recent = self.recent(now, members)
         if len(recent) != len(members):
             return None
--- a/cypresswalk/fleet/shared_settings.py
+++ b/cypresswalk/fleet/shared_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the fleet agrees on, and whether a balancer can act on them."""
+"""Settings that the fleet agrees on, and checks whether a balancer can act on them."""
 
 import copy
 from typing import Any
@@ -6,7 +6,7 @@
 from cypresswalk.hosting import SettingsError, decode_settings
 from cypresswalk.rollout import bounds
 
-# Settings that decide where flows may go and how many; the others say who the balancer is.
+# Settings that decide on placement and number of flows; all others describe a single balancer.
 SHARED_KEYS = (
     "serviceTypes",
     "tenants",
@@ -18,7 +18,8 @@
     "instances",
     "bounds",
 )
-# Read at the program's start alone: another value is refused, not followed in part.
+# Settings that are read only at the program's start. A change is rejected, since the balancer could
+# not apply all of it.
 START_ONLY_KEYS = (
     ("limits", "dialTimeout"),
     ("extra", "groups"),
@@ -28,23 +29,24 @@
 
 
 def shared_part(params: dict[str, Any]) -> dict[str, Any]:
-    """The settings among `params` that the fleet agrees on."""
+    """Return the settings among `params` that the fleet agrees on."""
     return {name: params[name] for name in SHARED_KEYS if name in params}
 
 
 def merged(own: dict[str, Any], agreed: dict[str, Any]) -> dict[str, Any]:
-    """A balancer's own settings with what the fleet has agreed in place of the shared part."""
+    """Return a balancer's own settings with the agreed ones in place of the shared part."""
     params = {name: value for name, value in own.items() if name not in SHARED_KEYS}
     return params | copy.deepcopy(agreed)
 
 
 def objection(own: dict[str, Any], settings: object) -> str:
-    """Why a balancer with its own settings could not act on `settings`, or an empty string."""
+    """Return why a balancer with settings `own` can't act on `settings`, or an empty string."""
     if not isinstance(settings, dict):
-        return "no table of settings"
+        return "the settings are not a table"
     if unknown := sorted(set(settings) - set(SHARED_KEYS)):
         return (
-            f"{', '.join(unknown)}: not among what the fleet agrees on ({', '.join(SHARED_KEYS)})"
+            f"{', '.join(unknown)}: not among the settings that the fleet agrees on"
+            f" ({', '.join(SHARED_KEYS)})"
         )
     params = merged(own, settings)
     try:
@@ -61,29 +63,29 @@
         or decoded.max_attempts < 1
         or min(k.setup_latency_objective for k in decoded.service_types) <= 0
     ):
-        return "instances, maxConnects, setupTarget: each above 0"
+        return "instances, maxConnects, setupTarget: must be above 0"
     return start_only_error(own, params)
 
 
 def names_error(params: dict[str, Any]) -> str:
-    """What is wrong with the names of service types and tenants, or an empty string.
+    """Return the error in the names of service types and tenants, or an empty string.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: the settings have another form.
+        KeyError, TypeError, ValueError, AttributeError: the settings have the wrong structure.
     """
     names = [kind["name"] for kind in params["serviceTypes"]]
     tenants = [tenant["name"] for tenant in params.get("tenants") or []]
     if not names or len(set(names)) != len(names) or len(set(tenants)) != len(tenants):
         return "serviceTypes, tenants: none, or a name twice"
     if not all(isinstance(name, str) for name in (*names, *tenants)):
-        return "serviceTypes, tenants: a name that is no text"
+        return "serviceTypes, tenants: a name is not a string"
     if any(float(kind["giveUp"]) <= 0 for kind in params["serviceTypes"]):
         return "serviceTypes: giveUp must be above 0"
     return ""
 
 
 def start_only_error(own: dict[str, Any], params: dict[str, Any]) -> str:
-    """Which setting would take effect at a start alone, or an empty string."""
+    """Return an error if `params` change a start-only setting, or an empty string."""
     for part, name in START_ONLY_KEYS:
         current = (own.get(part) or {}).get(name)
         if (params.get(part) or {}).get(name) != current:
--- a/cypresswalk/fleet/state_machine.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -1,9 +1,9 @@
-"""The fleet's replicated state machine: the same at every member after the same entries.
+"""The fleet's replicated state machine: the same entries give the same state at every member.
 
 No I/O, no clock, no randomness. Settings change by compare-and-set on the version that last changed
-them, and come into force by a second command once every acting balancer has said that it can read
-them. A command is applied once however often it is proposed: its id tells (Raft dissertation,
-section 6.3).
+them. They take effect by a second command, after every acting balancer has reported that it can
+read them. A command takes effect once however often it is proposed, since its id identifies it
+(Raft dissertation, section 6.3).
 """
 
 from collections import OrderedDict
@@ -48,19 +48,19 @@
 from cypresswalk.fleet.results import CommandResult
 from cypresswalk.rollout import release as releases
 
-MAX_REMEMBERED_RESULTS = 512  # a requester asks again within seconds
-MAX_SETTINGS_KEPT = 20  # versions that can be returned to
+MAX_REMEMBERED_RESULTS = 512  # enough since a requester repeats a command within seconds
+MAX_SETTINGS_KEPT = 20  # versions that an operator can go back to
 MAX_LISTED_SERVERS = 20_000
-MAX_REMOVED_SERVERS = 10_000  # out of rotation by hand
+MAX_REMOVED_SERVERS = 10_000  # servers that operators have taken out of rotation
 MAX_FENCED_GROUPS = 20
 MAX_NOTE_LENGTH = 500  # characters
 
 
 class StateMachine:
-    """Applies the log's commands to a `FleetState` and remembers what came of the latest."""
+    """A `FleetState` to which the log's commands are applied, with the latest commands' results."""
 
     def __init__(self, snapshot: bytes = b""):
-        """Begin with a snapshot, or empty; raises msgspec.DecodeError where it can't be read."""
+        """Start from a snapshot, or empty; raises msgspec.DecodeError if it can't be decoded."""
         self.state = STATE_DECODER.decode(snapshot) if snapshot else FleetState()
         self.results: OrderedDict[str, CommandResult] = OrderedDict(
             (ident, CommandResult(accepted, message))
@@ -77,8 +77,8 @@
     def apply(self, data: bytes) -> tuple[AnyCommand | None, CommandResult]:
         """Apply an encoded command; return it and its result for the requester.
 
-        An unreadable one changes nothing and gives None: the member must not go on as if it were
-        not there.
+        For a command that can't be decoded return None and change nothing. The caller must then
+        stop the member, since skipping the command would make its state differ from others.
         """
         try:
             command = COMMAND_DECODER.decode(data)
@@ -177,7 +177,7 @@
 
 
 def _update_endpoint_list(state: FleetState, command: UpdateEndpointList) -> CommandResult:
-    # An agent that is behind, or an entry overtaken by another, must not bring back an older list.
+    # A list agent that lags behind, or entries out of order, must not bring back an older list.
     if command.epoch != state.list_epoch or command.generation <= state.list_generation:
         why = f"list {command.generation} is not newer than {state.list_generation}"
         return CommandResult(False, why)
@@ -232,7 +232,7 @@
 
 
 def _balancer_returned(state: FleetState, command: BalancerReturned) -> CommandResult:
-    # A grant that was agreed after this return was proposed stays.
+    # Keep a grant that was agreed after this return was proposed.
     if state.leave_grants.get(command.name) != command.grant:
         return CommandResult(False, "that place is not held")
     if state.release is not None:
@@ -255,13 +255,13 @@
         return CommandResult(False, why)
     state.halted = None
     if state.release is not None:
-        state.release.boots = {}  # starts count from here on
+        state.release.boots = {}  # only starts after the resumption count
     state.record(command.by, command.at, "resumed")
     return CommandResult(True, "resumed")
 
 
 def _place_replicas(state: FleetState, command: PlaceReplicas) -> CommandResult:
-    # The next view of each and no other: two leaders that both saw one view make one.
+    # Accept only each partition's next view: if two leaders propose it, the first one takes effect.
     accepted = {
         partition: placement
         for partition, placement in command.partitions.items()
--- a/cypresswalk/fleet/tool_calls.py
+++ b/cypresswalk/fleet/tool_calls.py
@@ -7,23 +7,23 @@
 from cypresswalk.fleet.member import Member
 from cypresswalk.fleet.messages import Call, Result
 
-DEFAULT_SPAN = 5.0  # seconds that a call may take if it names no other span
-MIN_SPAN = 0.1  # seconds
-MAX_SPAN = 600.0  # seconds
+DEFAULT_CALL_TIMEOUT = 5.0  # seconds
+MIN_CALL_TIMEOUT = 0.1  # seconds
+MAX_CALL_TIMEOUT = 600.0  # seconds
 
 
 def reply_to(event: ToolFrameReceived, call: Call) -> Reply:
-    """Return a function that answers the tool."""
+    """Return a function that sends the answer to the tool."""
 
     def reply(ok: bool, body: Any) -> None:
-        """Sends the tool its call's result."""
+        """Send the tool the result of its call."""
         event.respond(Result(call.number, ok, body))
 
     return reply
 
 
 def reject_call(event: Event, problem: str) -> None:
-    """Answer a call while no member runs; other events are passed over."""
+    """Answer a call with an error while no member runs; ignore other events."""
     match event:
         case CallRequested():
             why = f"this balancer's part in the fleet has stopped: {problem}"
@@ -34,15 +34,17 @@
 
 
 def take_span(args: dict[str, Any]) -> float:
-    """Remove the span from a call's arguments and return it, in seconds and within bounds."""
+    """Remove the timeout from a call's arguments and return it in seconds, within its limits."""
     try:
-        return min(max(float(args.pop("span", DEFAULT_SPAN)), MIN_SPAN), MAX_SPAN)
+        return min(
+            max(float(args.pop("span", DEFAULT_CALL_TIMEOUT)), MIN_CALL_TIMEOUT), MAX_CALL_TIMEOUT
+        )
     except (TypeError, ValueError):
-        return DEFAULT_SPAN
+        return DEFAULT_CALL_TIMEOUT
 
 
 def local_status(member: Member) -> dict[str, Any]:
-    """Return what a member knows by itself; the keys are part of the tools' interface."""
+    """Return a member's local status; the keys are part of the tools' interface."""
     node = member.node
     return {
         "id": member.id,
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -1,6 +1,7 @@
-"""Connections between balancers: a thread for each that is read, one for each address written to.
+"""Connections between balancers, on blocking sockets and threads with small stacks.
 
-Small-stack threads on blocking sockets; nobody who asks for something to be sent ever waits.
+Each incoming connection has a thread that reads it, and each destination a thread that writes.
+Callers that send a frame never block.
 """
 
 import logging
@@ -46,19 +47,19 @@
 
 log = logging.getLogger(__name__)
 STACK_SIZE = 512 * 1024  # bytes; the serializer needs more than the drivers' stacks
-# Incoming connections at a time: two hundred members, their tools and what just ends.
+# Concurrent incoming connections: 200 members, their tools, and connections that just end.
 MAX_CONNECTIONS = 512
-MAX_REMEMBERED_STARTS = 4 * MAX_CONNECTIONS  # of other members
-MAX_REMEMBERED_ERRORS = 1000  # by address
-MAX_QUEUED_EVENTS = 4096  # for the fleet's thread; beyond them connections are not read
+MAX_REMEMBERED_STARTS = 4 * MAX_CONNECTIONS  # latest starts of other members
+MAX_REMEMBERED_ERRORS = 1000  # addresses whose latest error is remembered
+MAX_QUEUED_EVENTS = 4096  # for the fleet's thread; above that, reading of connections pauses
 QUEUE_FULL_PAUSE = 0.01  # seconds
 ACCEPT_RETRY_PAUSE = 0.05  # seconds
 HELLO_TIMEOUT = 2 * SECOND
-MAX_HELLO_SIZE = 4096  # bytes of a frame until a connection has said who it is
+MAX_HELLO_SIZE = 4096  # bytes of a frame before the connection's Hello was accepted
 
 
 class Transport:
-    """Accepts, reads and rejects connections, and has a link for each address written to."""
+    """Incoming connections, and an outgoing link for each destination."""
 
     def __init__(
         self,
@@ -69,15 +70,15 @@
         hello: Callable[[str], Hello],
         group: Callable[[], str],
     ):
-        """Listen nowhere yet.
+        """Store the settings; `start` begins to listen.
 
         Args:
-            listen: host and port.
-            fleet: the fleet's name.
-            post: takes events for the fleet's thread.
-            queued: how many events wait there.
-            hello: this member's Hello for an id.
-            group: this member's group.
+            listen: host and port to listen at.
+            fleet: fleet's name.
+            post: posts an event to the fleet's thread.
+            queued: returns the number of events that wait for the fleet's thread.
+            hello: returns this member's Hello to the member with an id.
+            group: returns this member's group.
         """
         self.listen_at = listen
         self.fleet = fleet
@@ -87,25 +88,25 @@
         self.group = group
         self.links: dict[tuple[tuple[str, int], str], OutgoingLink] = {}
         self.counts: Counter[str] = Counter()
-        # By member's id: when it was last heard, by the monotonic clock.
+        # By member's id: time of its latest frame, by the monotonic clock.
         self.last_frame_at: dict[str, int] = {}
         # By member's id: boot and nonce of its latest start.
         self.latest_starts: dict[str, tuple[int, int]] = {}
         self.connections: dict[socket.socket, None] = {}
         self.listening = False
         self._socket: socket.socket | None = None
-        self._lock = Lock()  # of `links`
+        self._lock = Lock()  # protects `links`
         self._stopping = Flag()
         self._logged_errors: dict[tuple[tuple[str, int], str], str] = {}
 
     def start(self) -> None:
-        """Listen; raises OSError where that is impossible."""
+        """Start to listen; raises OSError if that fails."""
         self._socket = socket.create_server(self.listen_at, backlog=MAX_CONNECTIONS)
         self.listening = True
         start_thread(partial(self._accept_connections, self._socket), SECOND // 50, STACK_SIZE)
 
     def send(self, address: tuple[str, int], to: str, frame: AnyFrame) -> None:
-        """Queue a frame for the member `to` at that address; never waits, and it may be lost."""
+        """Queue a frame for the member `to` at an address without blocking; it may be lost."""
         try:
             data = encode_frame(frame)
         except FrameError as error:
@@ -123,7 +124,7 @@
     # Called by outgoing links.
 
     def make_hello(self, to: str) -> Hello:
-        """Return this member's Hello for that id."""
+        """Return this member's Hello to the member with that id."""
         return self.hello(to)
 
     def current_group(self) -> str:
@@ -131,18 +132,18 @@
         return self.group()
 
     def on_rejected(self, to: str, rejection: HelloRejected) -> None:
-        """Tell the fleet's thread that a Hello was rejected."""
+        """Report to the fleet's thread that a Hello was rejected."""
         self.post(ConnectionRejected(to, rejection))
 
     def remove_link(self, link: OutgoingLink) -> None:
-        """Forget an idle link, unless frames wait again; ends it then."""
+        """Remove and end an idle link, unless it has frames to send again."""
         with self._lock:
             if link.queue.empty():
                 link.ended = True
                 self.links.pop((link.address, link.to), None)
 
     def on_link_lost(self, link: OutgoingLink, error: Exception) -> None:
-        """Count and log a lost connection; the same error is logged once."""
+        """Count a lost connection; log its error unless that equals the link's previous one."""
         self.counts["links_lost"] += 1
         why = f"{type(error).__name__} {error}"
         key = link.address, link.to
@@ -186,7 +187,7 @@
             self.counts["frames_odd"] += 1
             log.info("event=frame_malformed error=%s", str(error)[:200])
         except (OSError, struct.error):
-            pass  # the other side is gone, or silent
+            pass  # the other side closed the connection or sends nothing
         finally:
             self.connections.pop(sock, None)
             sock.close()
@@ -213,9 +214,9 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval(IDLE_TIMEOUT))
 
     def _check_hello(self, sock: socket.socket, frame: AnyFrame) -> Hello | None:
-        """Return a Hello that is accepted; another one is answered and gives None."""
+        """Return the Hello if it is accepted; otherwise send the rejection and return None."""
         if not isinstance(frame, Hello):
-            raise FrameError("it did not say who it is")
+            raise FrameError("the first frame is not a Hello")
         rejection = self.rejection_of(frame)
         if rejection is None:
             return frame
@@ -225,7 +226,7 @@
 
     def _on_frame(self, hello: Hello, frame: AnyFrame, responses: "ToolResponses") -> None:
         if isinstance(frame, Hello | HelloRejected):
-            raise FrameError("it said who it is already")
+            raise FrameError("a second Hello on one connection")
         self.counts["words_heard"] += 1
         while self.queued() > MAX_QUEUED_EVENTS and not self._stopping.is_set():
             time.sleep(QUEUE_FULL_PAUSE)
@@ -251,7 +252,7 @@
         return self._rejection_of_start(hello)
 
     def _rejection_of_start(self, hello: Hello) -> HelloRejected | None:
-        """Reject a second process under one id, or a disk put back to before a start seen here."""
+        """Reject a second process under one id, or a disk restored to before a start seen here."""
         start = hello.boot, hello.start_nonce
         known = self.latest_starts.get(hello.id, (0, 0))
         if start != known and hello.boot <= known[0]:
@@ -284,19 +285,19 @@
 
 
 class ToolResponses:
-    """Results for a tool, on its own connection.
+    """Sender of results to a tool, on the tool's own connection.
 
-    Never waits: a few short results fit into the socket's buffer, and a tool that does not read
-    loses them.
+    Sending never blocks: a few short results fit into the socket's buffer, and a tool that does not
+    read loses them.
     """
 
     def __init__(self, sock: socket.socket):
-        """Send on that socket, which another thread reads and closes."""
+        """Use a socket that another thread reads and closes."""
         self._socket = sock
         self._lock = Lock()
 
     def send(self, result: Result) -> None:
-        """Send a result; a long one by a thread of its own."""
+        """Send a result; a long one is sent by a separate thread."""
         data = encode_frame(result)
         with self._lock:
             try:
@@ -305,7 +306,7 @@
                 else:
                     start_thread(partial(self._send_long, data), 0, STACK_SIZE)
             except OSError:
-                pass  # the tool is gone, or does not read
+                pass  # the tool has disconnected or does not read
 
     def _send_long(self, data: bytes) -> None:
         with self._lock, suppress(OSError):
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -1,10 +1,10 @@
-"""Which balancers are out, as the leader sees it, and when a leave grant has ended.
+"""The leader's record of balancers that are out, and of when leave grants have ended.
 
-No I/O, no clock. It begins empty with each leader, so what is not known yet counts as out.
+No I/O, no clock. It starts empty with each leader, and a balancer of unknown state counts as out.
 
-A grant has ended once its balancer has said that it is ready, and said so after it could no longer
-go out by that grant. Requests may be delayed for long: one counts as made after a moment where it
-names a lease that was granted after that moment.
+A leave grant has ended when its balancer has reported that it is ready, and made that report after
+the grant could no longer take it out. Since requests may be delayed for long, a request is known to
+be made after a moment only if it names a lease that was granted after that moment.
 """
 
 from collections import deque
@@ -14,29 +14,29 @@
 from cypresswalk.agreement.messages import Member
 
 SECOND = 1_000_000_000
-LEAVE_WINDOW = 2 * SECOND  # a balancer that may go out goes within it, or not at all
-LEAVE_WINDOW_OVER = 3 * SECOND  # after which it has, by any clock within the bound on drift
-TURN_UNUSED = 10 * SECOND  # after which an agent that has not begun gives its turn up
+LEAVE_WINDOW = 2 * SECOND  # a balancer with a leave grant goes out within this time or not at all
+LEAVE_WINDOW_WITH_DRIFT = 3 * SECOND  # the same by any clock within the bound on drift
+UNUSED_TURN_TIMEOUT = 10 * SECOND  # after which an agent that has not begun gives up its turn
 MAX_REMEMBERED_LEASES = 16  # per leave grant
 
 UNKNOWN = "has not said that it is ready"
 UNHEARD = "not heard"
 UNREADY = "not ready"
 LAPSED = "not heard, its lease is over"
-CERTAINLY_OUT = (UNREADY, LAPSED)  # one that is out for another reason may be in all the same
+CERTAINLY_OUT = (UNREADY, LAPSED)  # with the other reasons a balancer may still be in
 
-LeaveGrant = tuple[str, int, str]  # by whom, when, why: as agreed
+LeaveGrant = tuple[str, int, str]  # author, time and reason, as agreed
 
 
 @dataclass(slots=True)
 class TrackedLeave:
-    """What is known of one balancer's leave grant.
+    """The leader's observations of one balancer's leave grant.
 
     Attributes:
-        grant: as agreed.
-        settled_at: when the balancer can no longer go out by it.
-        leases: numbers of leases granted since then.
-        ready_since: whether the balancer was ready after `settled_at`.
+        grant: the grant, as agreed.
+        settled_at: time from which the balancer can no longer go out by the grant.
+        leases: numbers of leases granted to it since then.
+        ready_since: whether it has reported that it is ready after `settled_at`.
         changing: whether its agent is changing it.
     """
 
@@ -51,22 +51,22 @@
     """Readiness of all members, and their leave grants."""
 
     def __init__(self, max_contradiction: int):
-        """Begin empty; what a balancer said counts for `max_contradiction` nanoseconds."""
+        """Start empty; a balancer's report counts for `max_contradiction` nanoseconds."""
         self.max_contradiction = max_contradiction
-        # By member's id: whether it is ready, by its latest lease request, and when that came.
+        # By member's id: readiness in its latest lease request, and when that was received.
         self.readiness: dict[str, tuple[bool | None, int]] = {}
-        # By name.
+        # By balancer's name.
         self.leaves: dict[str, TrackedLeave] = {}
 
     def on_readiness(self, now: int, member: str, ready: bool | None, last_lease: int) -> None:
-        """Note a member's readiness; `last_lease` is the latest lease that it knew of then."""
+        """Store a member's readiness; `last_lease` is the latest lease that it then knew of."""
         self.readiness[member] = ready, now
         leave = self.leaves.get(name_of(member))
         if leave is not None and last_lease in leave.leases:
             leave.ready_since = bool(ready)
 
     def on_lease_granted(self, now: int, member: str, number: int) -> None:
-        """Note a lease that was granted to a member."""
+        """Store the number of a lease that was granted to a member."""
         leave = self.leaves.get(name_of(member))
         if leave is not None and now >= leave.settled_at:
             leave.leases.append(number)
@@ -79,13 +79,13 @@
         unheard: Collection[str],
         lapsed: Collection[str],
     ) -> dict[str, str]:
-        """Return the names of members that are out for whatever cause, with the reason.
+        """Return the names of members that are out, with the reason.
 
         Args:
             now: nanoseconds.
             members: all members; a later incarnation of a name overrides an earlier one.
-            departed: names that have left the fleet.
-            unheard: ids of members that are not heard.
+            departed: names of members that have left the fleet.
+            unheard: ids of members without a recent message.
             lapsed: ids among them whose leases are over.
         """
         reasons: dict[str, str] = {}
@@ -114,10 +114,14 @@
     ) -> tuple[str, LeaveGrant] | None:
         """Return the next balancer whose leave grant has ended, with that grant.
 
-        Args: now: nanoseconds. grants: all leave grants, by name. changing: names whose agents are
-        at work; two processes run side by side then, ready all the while. waiting: names whose
-        agents have not begun. unavailable: names of members that are out. present: names of
-        members.
+        Args:
+            now: nanoseconds.
+            grants: all leave grants, by balancer's name.
+            changing: names of balancers that their agents are changing; meanwhile an old and a new
+                process run side by side, and at least one is always ready.
+            waiting: names of balancers whose agents have not begun.
+            unavailable: names of members that are out.
+            present: names of all members.
         """
         self.leaves = {
             name: leave for name, leave in self.leaves.items() if grants.get(name) == leave.grant
@@ -125,10 +129,10 @@
         for name, grant in grants.items():
             leave = self.leaves.get(name)
             if leave is None:
-                window = TURN_UNUSED if name in waiting else LEAVE_WINDOW_OVER
+                window = UNUSED_TURN_TIMEOUT if name in waiting else LEAVE_WINDOW_WITH_DRIFT
                 leave = self.leaves[name] = TrackedLeave(grant, now + window)
             if name in changing or leave.changing:
-                # What the old process said and was granted until it ended says nothing of the new
+                # Reports and leases of the old process, until its end, tell nothing about the new
                 # one.
                 leave.settled_at = now
                 leave.ready_since = False
--- a/tests/fleet/test_member.py
+++ b/tests/fleet/test_member.py
@@ -1,4 +1,4 @@
-"""A member of the fleet, called as the fleet's thread calls it: frames in one batch, then time."""
+"""Tests of a fleet member that gets a batch of frames, then a tick, as from the fleet's thread."""
 
 from random import Random
 
@@ -23,36 +23,36 @@
 from cypresswalk.model import SECOND
 
 START = 100 * SECOND
-ELECTION_SPAN = 60 * SECOND  # within which a member without a leader campaigns
+ELECTION_TIMEOUT = 60 * SECOND  # within which a member without a leader campaigns
 GROUP = "fleet-1"
 
 
 class HostDouble:
-    """A process that has nothing to report."""
+    """Host process without flows, whose settings are always accepted."""
 
     def settings_objection(self, settings: dict) -> str:
-        """Any settings will do."""
+        """Accept all settings."""
         return ""
 
     def is_ready(self) -> bool | None:
-        """Flows would be placed."""
+        """Return that flows would be placed."""
         return True
 
     def flow_counts(self) -> tuple[int, int, int, int]:
-        """No flow came."""
+        """Return zero flows."""
         return 0, 0, 0, 0
 
     def server_report(self) -> ServerReport:
-        """Nothing of servers."""
+        """Return an empty report."""
         return ServerReport()
 
     def wall_ms(self) -> int:
-        """A time."""
+        """Return a fixed time."""
         return 0
 
 
 def carry_out(member: Member, now: int) -> None:
-    """Writes what the member asks for; its messages are lost."""
+    """Write the member's data and apply its entries; drop its messages."""
     while (effects := member.take()) is not None:
         if effects.ready is not None:
             member.on_written(now, effects.ready)
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def member() -> Member:
-    """The first of three voters of a group that has agreed on nothing yet."""
+    """Return the first of three voters of a group that has agreed on nothing yet."""
     members = tuple(GroupMember(f"n{i}#1", True, f"127.0.0.1:{i + 1}") for i in range(3))
     persisted = PersistentState(Snapshot(0, 1, members, StateMachine().dump()), [], 1, "")
     config = MemberConfig(
@@ -77,9 +77,9 @@
 
 
 def become_candidate(member: Member) -> int:
-    """Lets time pass until the member has voted for itself; returns that time."""
+    """Advance time until the member has voted for itself; return that time."""
     assert member.node is not None
-    for now in range(START, START + ELECTION_SPAN, SECOND // 10):
+    for now in range(START, START + ELECTION_TIMEOUT, SECOND // 10):
         member.on_time(now)
         carry_out(member, now)
         if member.node.role.name == "PRE_CANDIDATE":
@@ -90,9 +90,9 @@
     raise AssertionError("the member never campaigned")
 
 
-def test_lease_request_in_the_batch_that_elects_its_leader_is_taken(member):
-    # Found by reading: a leader elected by one frame met a lease request of the next without
-    # grants, and the fleet's thread ended.
+def test_lease_request_in_the_batch_that_elects_the_leader_is_accepted(member):
+    # A member that one frame elected leader handled the lease request in the next frame before it
+    # had any lease grants, which ended the fleet's thread. Found by reading the code.
     now = become_candidate(member)
     member.on_frame(now, "n1#1", RequestVoteResponse(member.node.term, True, False))
     assert member.is_leader
@@ -111,9 +111,9 @@
         BootstrapGroup(GROUP, ()),
     ],
 )
-def test_frame_that_is_no_message_of_raft_never_reaches_the_raft_node(member, frame: AnyFrame):
-    # Found by reading: a second Hello on a connection reached the Raft core, which knows no such
-    # message, and the fleet's thread ended.
+def test_frame_that_is_no_raft_message_does_not_reach_the_raft_node(member, frame: AnyFrame):
+    # A second Hello on a connection reached the Raft node, which does not handle that message, and
+    # this ended the fleet's thread. Found by reading the code.
     member.on_frame(START, "n1#1", frame)
     member.on_time(START)
     carry_out(member, START)
--- a/tests/fleet/test_recovery_of_a_group.py
+++ b/tests/fleet/test_recovery_of_a_group.py
@@ -1,4 +1,4 @@
-"""`cypresswalk fleet recover`: a new group from what one member has on disk."""
+"""Tests of `cypresswalk fleet recover`, which creates a new group from one member's disk."""
 
 from pathlib import Path
 
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize("content", [None, b"no log at all"])
-def test_folder_that_holds_nothing_readable_is_free_again_after_the_refusal(
+def test_folder_without_a_readable_log_is_unlocked_after_the_error(
     tmp_path: Path, content: bytes | None
 ):
-    # Found by reading: `recover` kept the lock of a folder whose log it could not read.
+    # `recover` kept the lock of a folder whose log it could not read. Found by reading the code.
     folder = tmp_path / "kept"
     folder.mkdir()
     if content is not None:
--- a/tests/fleet/test_replica_comparison.py
+++ b/tests/fleet/test_replica_comparison.py
@@ -1,4 +1,4 @@
-"""The comparison of replicas by their digests."""
+"""Tests of the comparison of replicas by their digests."""
 
 from typing import Any
 
@@ -16,14 +16,14 @@
 
 
 def answer(soon: int, digests: dict[str, str], view: int = VIEW) -> dict[str, Any]:
-    """What a member answers: which digests expire soon, and the state of its replica."""
+    """Return a member's answer: which digests expire soon, and the state of its replica."""
     complete, sealed, pending = True, False, 0
     replica = [PARTITION, view, complete, sealed, len(digests), pending, digests]
     return {"soon": soon, "parts": [replica]}
 
 
 def test_digests_that_one_replica_is_about_to_expire_are_not_compared():
-    """Each expires by its own clock: on a busy fleet one always has what another has not."""
+    """Each replica expires keys by its own clock, so on a busy fleet their keys always differ."""
     answers = {"a#1": answer(10, BOTH_DIGESTS), "b#1": answer(11, ONE_DIGEST)}
     assert differing_replicas(PARTITIONS, answers) == []
 
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Placement of replicas: the leader's part with real replicas, in virtual time."""
+"""Tests of the placement of replicas by the leader, with real replicas in virtual time."""
 
 from collections.abc import Iterable
 from random import Random
@@ -18,10 +18,10 @@
 from cypresswalk.copies.replica import Replica
 from cypresswalk.fleet.replica_placement import MAX_REPLACING, SECOND, ReplicaPlacement
 
-STEPS_A_SECOND = 5
+STEPS_PER_SECOND = 5
 REPLICAS = 3
 MIN_REPLICAS = 2
-# After which a partition without any replica begins anew.
+# Nanoseconds after which a partition without any replica begins empty.
 MAX_UNAVAILABLE = 60 * SECOND
 # A reservation that outlasts each test.
 NEVER = 1 << 62
@@ -31,18 +31,18 @@
 
 
 class Fleet:
-    """Members with replicas, agreed views, and a leader that looks at them five times a second.
+    """Members with replicas, agreed views, and a leader that runs five times a second.
 
-    Messages take no time.
+    Messages are delivered without delay.
 
     Attributes:
-        members: Members of the group, the first three of which vote.
-        replicas: By the member's id.
-        dead: Ids of members that do not answer.
-        views: Of each partition.
-        leaving: Names of members that are to leave.
-        placement: The leader's part, under test.
-        granted: Keys that were granted, by partition.
+        members: members of the group, the first three of which vote.
+        replicas: replicas by member's id.
+        dead: ids of members that do not answer.
+        views: agreed views by partition.
+        leaving: names of members that are to leave.
+        placement: the leader's placement, which is under test.
+        granted: keys that were granted, by partition.
     """
 
     def __init__(self, size: int = 5) -> None:
@@ -56,25 +56,25 @@
         self.now = 0
         self.results: list[str] = []
         self.granted: dict[int, set[str]] = {}
-        self.tell_capabilities()
+        self.report_capabilities()
 
-    def tell_capabilities(self) -> None:
-        """Tell the leader that all members can hold replicas."""
+    def report_capabilities(self) -> None:
+        """Report to the leader that all members can hold replicas."""
         for member in self.members:
             self.placement.on_capability(member.id, True)
 
     def change_leader(self) -> None:
-        """Another member leads, which knows only what is agreed."""
+        """Replace the leader by another member, which knows only what is agreed."""
         self.placement = ReplicaPlacement("m1#1", REPLICAS, MIN_REPLICAS)
         self.placement.reset(self.now)
-        self.tell_capabilities()
+        self.report_capabilities()
 
     def is_alive(self, member: str) -> bool:
-        """Whether a member answers."""
+        """Return whether a member answers."""
         return member not in self.dead
 
     def live_replicas(self) -> Iterable[tuple[str, Replica]]:
-        """The replicas of members that answer, by id."""
+        """Return the replicas of members that answer, with the members' ids."""
         return [(name, replica) for name, replica in self.replicas.items() if self.is_alive(name)]
 
     def tell_leader(self, member: str, message: AnyMessage) -> None:
@@ -82,7 +82,7 @@
         self.placement.on_message(self.now, member, message, self.views)
 
     def carry_out(self, member: str) -> None:
-        """Carry out a replica's effects, and those of its messages at others."""
+        """Carry out a replica's effects, and the effects of its messages at other replicas."""
         replica = self.replicas[member]
         while replica.effects:
             match replica.effects.pop(0):
@@ -94,7 +94,7 @@
                     self.deliver(member, receiver, message)
 
     def deliver(self, sender: str, receiver: str, message: AnyMessage) -> None:
-        """Deliver a message to another replica, or to the leader if it is for that one."""
+        """Deliver a message to another replica, or to the leader if it is the receiver."""
         if isinstance(message, PartitionSealed | PartitionFetched):
             self.tell_leader(sender, message)
         else:
@@ -103,9 +103,9 @@
             self.carry_out(receiver)
 
     def run(self, seconds: float) -> None:
-        """Let time pass, with a look of the leader at each step."""
-        for _ in range(round(seconds * STEPS_A_SECOND)):
-            self.now += SECOND // STEPS_A_SECOND
+        """Advance time, and run the leader at each step."""
+        for _ in range(round(seconds * STEPS_PER_SECOND)):
+            self.now += SECOND // STEPS_PER_SECOND
             proposals, messages = self.placement.next_steps(
                 self.now, self.members, self.views, self.leaving, self.is_alive, MAX_UNAVAILABLE
             )
@@ -118,7 +118,7 @@
             self.report_slow_replicas()
 
     def deliver_from_leader(self, receiver: str, message: AnyMessage) -> None:
-        """Deliver the leader's message; what the replica answers the leader comes first."""
+        """Deliver the leader's message; the replica's answers to the leader are delivered first."""
         replica = self.replicas[receiver]
         if not isinstance(message, PartitionSealed):
             assert isinstance(message, PartitionMessage)
@@ -130,7 +130,7 @@
         self.carry_out(receiver)
 
     def agree(self, partition: int, view: View) -> None:
-        """Agree on a partition's next view; live replicas begin it."""
+        """Agree on a partition's next view, and begin it at the live replicas."""
         number, chosen = view
         assert number == self.views.get(partition, (0,))[0] + 1
         assert len(chosen) >= MIN_REPLICAS
@@ -140,7 +140,7 @@
             self.carry_out(name)
 
     def check_complete_replicas(self) -> None:
-        """Whoever is complete in a partition's newest view has all that was granted there."""
+        """Assert that each complete replica of a newest view has all keys granted in it."""
         for partition, (view, chosen) in self.views.items():
             for name, replica in self.live_replicas():
                 state = replica.partition(partition)
@@ -148,7 +148,7 @@
                     assert set(state.records) >= self.granted.get(partition, set())
 
     def report_slow_replicas(self) -> None:
-        """Tell the leader of replicas that are not complete in their view."""
+        """Report to the leader the replicas that are not complete in their view."""
         for name, replica in self.live_replicas():
             for partition, (view, chosen) in self.views.items():
                 state = replica.partition(partition)
@@ -156,14 +156,14 @@
                     self.tell_leader(name, ReplicaSlow(partition, view, name))
 
     def revive(self, member: str) -> None:
-        """A member answers again, and has read what was agreed meanwhile."""
+        """Make a member answer again, with all that was agreed in the meantime."""
         self.dead.discard(member)
         for partition, view in self.views.items():
             self.replicas[member].begin_view(partition, *view)
         self.carry_out(member)
 
     def revive_all(self) -> None:
-        """All members answer again."""
+        """Make all members answer again."""
         self.dead.clear()
         for member in self.replicas:
             self.revive(member)
@@ -181,15 +181,15 @@
                 self.granted.setdefault(partition, set()).add(key)
 
     def partitions_that_granted(self, key: str) -> set[int]:
-        """Partitions that granted a key."""
+        """Return the partitions that granted a key."""
         return {partition for partition, keys in self.granted.items() if key in keys}
 
     def partitions_at(self, member: str) -> list[int]:
-        """Partitions with a replica at a member."""
+        """Return the partitions with a replica at a member."""
         return [partition for partition, (_, chosen) in self.views.items() if member in chosen]
 
     def replica_counts(self) -> set[int]:
-        """How many complete replicas that answer the partitions have."""
+        """Return the numbers of complete live replicas that occur among the partitions."""
         return {
             sum(
                 self.is_alive(name) and self.replicas[name].partition(partition).complete
@@ -200,7 +200,7 @@
 
 
 def settled_fleet(size: int) -> Fleet:
-    """A fleet in which each partition has its replicas."""
+    """Return a fleet in which each partition has its replicas."""
     fleet = Fleet(size)
     fleet.run(2)
     return fleet
@@ -213,9 +213,9 @@
     fleet.reserve_everywhere("x")
     assert len(fleet.granted) == PARTITIONS
     fleet.dead.add("m1#1")
-    fleet.reserve_everywhere("y")  # its partitions grant nothing now
+    fleet.reserve_everywhere("y")  # the partitions of m1 grant nothing now
     fleet.run(0.8)
-    # They do again at once, with two replicas, but for the few that are being replicated.
+    # They grant again soon, with two replicas, except for the few that get new replicas.
     fleet.reserve_everywhere("z")
     assert len(fleet.partitions_that_granted("z")) >= PARTITIONS - MAX_REPLACING
     fleet.run(15)
@@ -229,7 +229,7 @@
     assert not fleet.placement.lost
 
 
-def test_partitions_grant_with_the_least_replicas_and_not_with_one():
+def test_partitions_grant_with_the_minimum_of_replicas_and_not_with_one():
     fleet = settled_fleet(5)
     for dead in ("m1#1", "m2#1"):
         fleet.dead.add(dead)
@@ -249,7 +249,7 @@
     assert not fleet.placement.unreachable
 
 
-def test_replica_that_lost_its_files_is_filled_again_before_it_is_complete():
+def test_replica_that_lost_its_files_gets_all_keys_before_it_is_complete():
     fleet = settled_fleet(3)
     fleet.reserve_everywhere("x")
     emptied = fleet.replicas["m2#1"] = Replica("m2#1")
@@ -260,14 +260,14 @@
     assert all("x" in emptied.partition(number).records for number in range(PARTITIONS))
 
 
-def test_new_leader_goes_on_with_partitions_that_its_predecessor_sealed():
+def test_new_leader_continues_with_partitions_that_its_predecessor_sealed():
     fleet = settled_fleet(3)
     for partition, (view, chosen) in fleet.views.items():
         primary = fleet.replicas[chosen[0]]
         assert primary.seal(partition, view)
         primary.effects.clear()
     fleet.change_leader()
-    # A sealed primary says so until the next view begins.
+    # A sealed primary reports that it is sealed until the next view begins.
     for partition, (view, chosen) in fleet.views.items():
         fleet.tell_leader(chosen[0], PartitionSealed(partition, view, True))
     fleet.run(3)
@@ -275,21 +275,21 @@
     assert len(fleet.granted) == PARTITIONS
 
 
-def test_partition_without_any_replica_grants_nothing_until_the_longest_time_has_passed():
+def test_partition_without_any_replica_grants_nothing_until_all_its_keys_have_expired():
     fleet = settled_fleet(4)
     fleet.reserve_everywhere("x")
-    # Three machines lose their disks, and come back under new incarnations.
+    # Three machines lose their disks and return under new incarnations.
     fleet.dead |= {"m1#1", "m2#1", "m3#1"}
-    reborn = tuple(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3))
-    fleet.members = (fleet.members[0], *reborn)
-    for member in reborn:
+    returned = tuple(Member(f"m{i}#2", True, "", f"z{i % 3}") for i in (1, 2, 3))
+    fleet.members = (fleet.members[0], *returned)
+    for member in returned:
         fleet.replicas[member.id] = Replica(member.id)
-    fleet.tell_capabilities()
+    fleet.report_capabilities()
     lost = set(fleet.views) - set(fleet.partitions_at("m0#1"))
     assert 0 < len(lost) < PARTITIONS
     fleet.run(40)
     assert set(fleet.placement.lost) == lost
-    # Nobody knows what was granted in a lost partition: it may run again.
+    # The keys granted in a lost partition are unknown, so their flows may run again.
     for partition in lost:
         del fleet.granted[partition]
     fleet.reserve_everywhere("y")
@@ -301,7 +301,7 @@
     assert not fleet.placement.lost
 
 
-def test_member_that_leaves_is_relieved_and_one_that_joins_takes_partitions():
+def test_leaving_member_loses_its_partitions_and_a_joining_member_gets_some():
     fleet = settled_fleet(4)
     fleet.reserve_everywhere("x")
     fleet.leaving = ["m3"]
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that are reserved at replicas before a flow is placed."""
+"""Tests of reservations of idempotency keys, made at replicas before a flow is placed."""
 
 from pathlib import Path
 
@@ -11,40 +11,40 @@
 from cypresswalk.model import SECOND
 
 MILLISECOND = SECOND // 1000
-OWNER = "n0#1/1.1"  # under whose name a key is reserved
+OWNER = "n0#1/1.1"  # owner of the reservations
 BUSY = b"BUSY\r\n"
 
 
 class ReservationHarness(BindingHarness):
-    """A binding whose requests for reservations wait for the test's answer."""
+    """Binding whose reservation requests wait until the test answers them."""
 
     def __init__(self, folder: Path):
-        """Knows one server."""
+        """Start with one listed server."""
         super().__init__(folder, listed("s-1"), copies={})
         self.events: list[ReservationRequested | ReservationEnded] = []
         self.binding.fleet.copies.put = self.events.append
 
     def answer(self, kind: str, outcome: str = "", request: int = 0) -> None:
-        """The replicas answer one of the requests, by its place among the events."""
+        """Answer the request at index `request` of the events, as the replicas do."""
         answer = ReservationAnswer(kind, "n9#1/1.1", outcome)
         self.events[request].reply(answer, OWNER)
         self.process_posted()
         self.core.carry_out_decisions(self.now)
 
     def ended_with(self, place: int) -> str:
-        """The outcome with which the reservation ended, by its place among the events."""
+        """Return the outcome of the ended reservation at index `place` of the events."""
         event = self.events[place]
         assert isinstance(event, ReservationEnded)
         return event.outcome
 
     def waiting(self) -> int:
-        """How many flows wait for their reservation."""
+        """Return the number of flows that wait for their reservation."""
         return len(self.core.extensions.reservations.waiting)
 
 
 @pytest.fixture
 def harness(tmp_path: Path) -> ReservationHarness:
-    """A core with reservations."""
+    """Return a core with reservations."""
     return ReservationHarness(tmp_path)
 
 
@@ -78,7 +78,9 @@
         ("refused", "", b"BUSY 200\r\n"),
     ],
 )
-def test_flow_reserved_elsewhere_is_answered_as_the_rules_allow(harness, kind, outcome, line):
+def test_reply_to_a_flow_without_its_reservation_follows_from_the_answer(
+    harness, kind, outcome, line
+):
     settings = harness.core.balancer.settings
     settings.retry_after_allowed = True
     settings.max_retry_after = SECOND
@@ -96,7 +98,7 @@
     harness.answer("granted")
     assert not harness.drivers.attempts
     assert harness.ended_with(1) == "never"
-    # With its attempt out nobody knows.
+    # Once the attempt was sent, its outcome is unknown.
     session = harness.open("o2", "book")
     harness.answer("granted", request=2)
     harness.core.on_client_left(harness.now, session)
@@ -114,7 +116,7 @@
     harness.now += objective // 2
     harness.core.timers.run_due(harness.now)
     assert harness.drivers.replies() == [BUSY]
-    harness.answer("granted")  # after all: nothing is sent, and its end is told
+    harness.answer("granted")  # too late: no attempt is sent, and the reservation ends
     assert not harness.drivers.attempts
     assert harness.ended_with(1) == "never"
     harness.now += 10 * SECOND
--- a/tests/fleet/test_unavailability.py
+++ b/tests/fleet/test_unavailability.py
@@ -1,4 +1,4 @@
-"""When the leader sees that a balancer that was out is back."""
+"""Tests of when the leader sees that a balancer that was out is back."""
 
 from collections.abc import Collection
 
@@ -14,10 +14,10 @@
 
 
 class Leader:
-    """A leader's tracker, with n1 out by a grant."""
+    """Leader's tracker, with n1 out by a leave grant."""
 
     def __init__(self) -> None:
-        """Start as a new leader does, which has heard nobody."""
+        """Start like a new leader, without any report."""
         self.tracker = UnavailabilityTracker(5 * SECOND)
         self.present = {"n0", "n1"}
 
@@ -28,7 +28,7 @@
         changing: Collection[str] = (),
         waiting: Collection[str] = (),
     ) -> tuple[str, tuple[str, int, str]] | None:
-        """The balancer whose grant has ended, with that grant."""
+        """Return the balancer whose grant has ended, with that grant, or None."""
         now = at_s * SECOND
         unavailable = set(self.tracker.unavailable(now, MEMBERS, [], [], [])) - {"n0"}
         return self.tracker.next_ended(
@@ -36,49 +36,49 @@
         )
 
     def grant_lease(self, at_s: int, number: int) -> None:
-        """Note that n1 was granted a lease."""
+        """Grant n1 a lease."""
         self.tracker.on_lease_granted(at_s * SECOND, "n1#1", number)
 
-    def hear_readiness(self, at_s: int, ready: bool, last_lease: int) -> None:
-        """Note what n1 said, which it sent when it had that lease."""
+    def report_readiness(self, at_s: int, ready: bool, last_lease: int) -> None:
+        """Process a readiness report that n1 sent when `last_lease` was its latest lease."""
         self.tracker.on_readiness(at_s * SECOND, "n1#1", ready, last_lease)
 
 
 @pytest.fixture
 def leader() -> Leader:
-    """A leader that has just begun."""
+    """Return a leader that has just begun."""
     return Leader()
 
 
-def test_member_that_a_new_leader_has_not_heard_is_unavailable(leader):
+def test_member_without_a_report_to_a_new_leader_is_unavailable(leader):
     assert set(leader.tracker.unavailable(0, MEMBERS[1:], [], [], [])) == {"n1"}
 
 
 def test_grant_ends_with_readiness_that_was_sent_after_the_grant_expired(leader):
     assert leader.ended_grant(0) is None
     leader.grant_lease(1, 10)
-    leader.hear_readiness(4, ready=True, last_lease=10)  # sent before it went out
+    leader.report_readiness(4, ready=True, last_lease=10)  # sent before it went out
     assert leader.ended_grant(4) is None
     leader.grant_lease(4, 11)
-    leader.hear_readiness(5, ready=False, last_lease=11)  # now it is out
+    leader.report_readiness(5, ready=False, last_lease=11)  # now it is out
     assert leader.ended_grant(5) is None
     leader.grant_lease(6, 12)
-    leader.hear_readiness(7, ready=True, last_lease=12)
+    leader.report_readiness(7, ready=True, last_lease=12)
     assert leader.ended_grant(7) == ("n1", GRANT)
     assert leader.ended_grant(8, LATER_GRANT) is None
 
 
 def test_grant_of_a_release_ends_with_readiness_of_the_new_process(leader):
-    """The old process is ready all the while, and says nothing of the new one."""
+    """The old process is ready all the time, which tells nothing about the new one."""
     assert leader.ended_grant(0, waiting={"n1"}) is None
     assert leader.ended_grant(9, changing={"n1"}) is None
     leader.grant_lease(9, 20)
-    leader.hear_readiness(9, ready=True, last_lease=20)
+    leader.report_readiness(9, ready=True, last_lease=20)
     assert leader.ended_grant(10) is None
-    leader.hear_readiness(10, ready=True, last_lease=20)
+    leader.report_readiness(10, ready=True, last_lease=20)
     assert leader.ended_grant(10) is None
     leader.grant_lease(10, 21)
-    leader.hear_readiness(10, ready=True, last_lease=21)
+    leader.report_readiness(10, ready=True, last_lease=21)
     assert leader.ended_grant(10) == ("n1", GRANT)
 
 
