--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -27,7 +27,7 @@
 
 
 def apply_release_command(state: FleetState, command: Command) -> CommandResult:
-    """Apply a release command; an accepted one on a release of servers starts a new version."""
+    """Apply a release command; for a release of servers, all but ChangeStarted start a version."""
     before = state.servers_out_for_release()
     if isinstance(command, BeginRelease):
         result = _begin_release(state, command)
