--- a/cypresswalk/copies/__init__.py
+++ b/cypresswalk/copies/__init__.py
@@ -1,7 +1,8 @@
-"""Replicated idempotency keys: an id that must not run twice is reserved at several balancers.
+"""Replicated reservations of idempotency keys, so that no flow with such a key runs twice.
 
-`replica.Replica` holds one balancer's partitions and `client.ReservationClient` asks for keys, both
-without I/O or clock; `placement` says which members hold which partition, `store` how a replica's
-records are laid out on disk, and `driver` runs all of it in a thread. The design is described in
-docs/design/copies.md.
+A key is reserved at several balancers before its flow runs. `replica.Replica` holds one balancer's
+partitions of the keys and `client.ReservationClient` requests reservations; neither does I/O or
+reads a clock. `placement` chooses the members that hold each partition, `store` defines how a
+replica's records are laid out on disk, and `driver` runs everything in a thread. The design is
+described in docs/design/copies.md.
 """
--- a/cypresswalk/copies/backup.py
+++ b/cypresswalk/copies/backup.py
@@ -1,4 +1,4 @@
-"""A replica that is not the primary: stores what the primary sends."""
+"""The backup role of a replica: storing the records that the primary sends."""
 
 from cypresswalk.copies.messages import (
     CompareDigests,
@@ -10,22 +10,24 @@
 from cypresswalk.copies.partition import Partition, digest_bucket
 from cypresswalk.copies.replica_state import ReplicaState
 
-MAX_BACKUP_FACTOR = 2  # times the limit of records, for those of primaries that hold less
-MAX_DIFFERING_BUCKETS = 4  # reported in answer to one comparison
+# A backup accepts records up to this multiple of the limit at which a primary refuses keys, since
+# the primaries that send them may hold fewer records.
+MAX_BACKUP_FACTOR = 2
+MAX_DIFFERING_BUCKETS = 4  # that are reported in answer to one comparison
 MAX_RECORDS_PER_MESSAGE = 4_000  # some 300 KB
 
 
 class Backup:
-    """What a replica does for partitions of which another one is the primary."""
+    """The part of a replica that handles partitions of which another member is the primary."""
 
     def __init__(self, state: ReplicaState):
-        """`state` is shared with the rest of the replica."""
+        """Use the `state` that the parts of the replica share."""
         self.state = state
 
     def on_replicate_record(
         self, source: str, partition: Partition, message: ReplicateRecord
     ) -> None:
-        """Stores the record, if it comes from the primary of this view."""
+        """Store the record if it comes from the primary of the current view."""
         if message.view != partition.view or not partition.complete or partition.sealed:
             return
         if self.state.member_id not in partition.replicas[1:] or source != partition.replicas[0]:
@@ -40,17 +42,18 @@
     def on_compare_digests(
         self, wall_now: int, source: str, partition: Partition, message: CompareDigests
     ) -> None:
-        """Reports the records of buckets that differ from the primary's."""
+        """Report the records of buckets whose digests differ from the primary's."""
         if message.view != partition.view or not partition.complete or partition.sealed:
             return
         if not partition.is_primary(source):
             return
-        # Records that end about now are dropped at each replica by its own clock.
-        current = digest_bucket(wall_now)
+        # Each replica drops expired records by its own clock, so the current bucket may differ.
+        current_bucket = digest_bucket(wall_now)
         differing = [
             bucket
             for bucket in partition.digests.keys() | message.digests.keys()
-            if bucket > current and partition.digests.get(bucket) != message.digests.get(bucket)
+            if bucket > current_bucket
+            and partition.digests.get(bucket) != message.digests.get(bucket)
         ]
         for bucket in sorted(differing)[:MAX_DIFFERING_BUCKETS]:
             records = partition.records_in_bucket(bucket)[:MAX_RECORDS_PER_MESSAGE]
--- a/cypresswalk/copies/effects.py
+++ b/cypresswalk/copies/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks its owner to do."""
+"""Effects: actions that a replica requests of its owner, which does the I/O."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class WriteChange:
-    """Write and flush, before anything after it is carried out."""
+    """A change to write and flush before any later effect is carried out."""
 
     change: StoredChange
 
 
 @dataclass(slots=True)
 class SendMessage:
-    """Send to a member."""
+    """A message to send to a member."""
 
     receiver: str
     message: AnyMessage
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True)
 class TellLeader:
-    """Send to whoever leads the group."""
+    """A message to send to the leader of the fleet."""
 
     message: AnyMessage
 
 
 @dataclass(slots=True)
 class AnswerRequest:
-    """Answer the request that came with that token."""
+    """An answer to the request that has this token."""
 
     token: object
     answer: ReservationAnswer
--- a/cypresswalk/copies/errors.py
+++ b/cypresswalk/copies/errors.py
@@ -1,9 +1,9 @@
 """Errors of this package."""
 
 
-class CopiesError(Exception):
-    """Base of all errors of this package; the text says what is wrong."""
+class ReplicationError(Exception):
+    """Base of all errors of this package; its text describes the cause."""
 
 
-class DataLostError(CopiesError):
-    """What this replica had on disk can't be relied on."""
+class DataLostError(ReplicationError):
+    """Raised if the stored data of a replica is damaged or not its latest, so it can't be used."""
--- a/cypresswalk/copies/events.py
+++ b/cypresswalk/copies/events.py
@@ -1,4 +1,4 @@
-"""Events that other threads put into the replication thread's queue."""
+"""Events that other threads put into the queue of the replication thread."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MessagesReceived:
-    """Messages of a member arrived.
+    """Messages received from another member.
 
     Attributes:
-        source: the member's id.
-        messages: in the order in which they were sent.
+        source: the id of the sender.
+        messages: the messages, in the order in which they were sent.
     """
 
     source: str
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationRequested:
-    """A flow waits for its idempotency key to be reserved.
+    """A flow that waits for the reservation of its idempotency key.
 
     Attributes:
-        key: of the flow.
-        hold_ns: how long the reservation lasts, nanoseconds.
-        deadline: by which `reply` is called, in nanoseconds of the thread's clock.
-        reply: called once with the answer and the owner under whose name the key is reserved.
+        key: the idempotency key of the flow.
+        hold_ns: the duration of the reservation, in nanoseconds.
+        deadline: the latest time at which `reply` is called, in nanoseconds of the thread's clock.
+        reply: a callback, called once with the answer and the name of the reservation's owner.
     """
 
     key: str
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservationEnded:
-    """A flow with a reservation is over.
+    """The end of a flow that has a reservation.
 
     Attributes:
-        key: of the flow.
-        owner: under whose name it was reserved.
+        key: the idempotency key of the flow.
+        owner: the owner of the reservation.
         outcome: "ran", "never" or "unknown".
     """
 
@@ -55,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewsAgreed:
-    """The group agreed on views.
+    """Views of partitions that the fleet agreed on.
 
     Attributes:
-        views: by partition, the view's number and its replicas' ids, the primary first.
+        views: the number and the replica ids of each view, the primary first, by partition.
     """
 
     views: Mapping[int, tuple[int, Sequence[str]]]
@@ -66,11 +66,11 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityAssigned:
-    """This process is that member from now on.
+    """The identity of this process in the fleet, effective from now on.
 
     Attributes:
-        member: its id.
-        boot: the number of this start.
+        member: the member id.
+        boot: the sequence number of this process start.
     """
 
     member: str
@@ -79,10 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequested:
-    """Somebody wants to know the replica's status.
+    """A request for the status of the replica.
 
     Attributes:
-        reply: called with True and the status.
+        reply: a callback, called with True and the status.
     """
 
     reply: Callable[[bool, dict[str, Any]], None]
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Wakes the thread, which is to end."""
+    """A wake-up for the thread after a stop was requested."""
 
 
 Event = (
--- a/cypresswalk/copies/messages.py
+++ b/cypresswalk/copies/messages.py
@@ -1,34 +1,35 @@
-"""Messages between replicas, clients and the leader, and the changes that a replica writes.
+"""Messages between replicas, clients and the leader, and the changes that a replica stores.
 
-The forms on the wire and on disk are MessagePack arrays; a `tag` is the message's name there.
+On the wire and on disk they are MessagePack arrays; a `tag` is the name of the type there.
 """
 
 from typing import Any, TypeAlias
 
 import msgspec
 
-# Nanoseconds by which the wall clocks of two machines may differ; keys are held for so much longer.
+# Tolerated difference between the wall clocks of two machines, in nanoseconds. Every reservation
+# is extended by it.
 MAX_CLOCK_SKEW = 30_000_000_000
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages. Unknown trailing fields of a later version are ignored."""
+    """Base of all messages; decoding ignores trailing fields that a later version added."""
 
 
 class PartitionMessage(Message, frozen=True):
-    """A message about one partition in one view."""
+    """Base of messages about one partition in one view."""
 
     partition: int
     view: int
 
 
 class ReservationRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A reserved key.
+    """The reservation of a key.
 
     Attributes:
         key: the idempotency key.
-        owner: names the one request that it was granted to.
-        held_until: wall time in nanoseconds.
+        owner: the unique name of the request that holds the reservation.
+        held_until: the wall time at which the reservation expires, in nanoseconds.
         outcome: one of PENDING, RAN, NEVER_RAN and UNKNOWN (`reservations`).
     """
 
@@ -38,30 +39,30 @@
     outcome: str
 
 
-# Between replicas.
+# Messages between replicas.
 
 
 class ReplicateRecord(PartitionMessage, frozen=True, tag="Copy"):
-    """From the primary: store this record."""
+    """Request of the primary to store a record."""
 
     sequence: int
     record: ReservationRecord
 
 
 class RecordReplicated(PartitionMessage, frozen=True, tag="Copied"):
-    """To the primary: the record of that sequence number is flushed."""
+    """Confirmation to the primary that the record of this sequence number is flushed."""
 
     sequence: int
 
 
 class FetchRecords(PartitionMessage, frozen=True, tag="Fetch"):
-    """To a sealed replica of the view before: send the records from `offset` on."""
+    """Request to a sealed replica of the previous view to send its records from `offset` on."""
 
     offset: int
 
 
 class RecordsFetched(PartitionMessage, frozen=True, tag="Fetched"):
-    """Answers FetchRecords; `total` is the number of records in the partition."""
+    """Answer to FetchRecords; `total` is the number of records in the partition."""
 
     offset: int
     total: int
@@ -69,23 +70,23 @@
 
 
 class CompareDigests(PartitionMessage, frozen=True, tag="Compare"):
-    """From the primary: digests of its records, by bucket of the time until which they are held."""
+    """Digests of the primary's records, by bucket of the expiry time, to be compared."""
 
     digests: dict[int, int]
 
 
 class DigestsDiffer(PartitionMessage, frozen=True, tag="Differs"):
-    """To the primary: the records of a bucket whose digest differs."""
+    """Answer to the primary with the backup's records of a bucket whose digest differs."""
 
     bucket: int
     records: list[ReservationRecord]
 
 
-# Between a client and the primary of a partition.
+# Messages between a client and the primary of a partition.
 
 
 class ReserveKey(Message, frozen=True, tag="Claim"):
-    """Asks for a key; `hold_ns` is for how long, in nanoseconds."""
+    """Request to reserve a key for `hold_ns` nanoseconds."""
 
     request_id: int
     partition: int
@@ -95,7 +96,7 @@
 
 
 class EndReservation(Message, frozen=True, tag="Ended"):
-    """Reports the outcome of a reservation."""
+    """Report of the outcome of a reservation."""
 
     request_id: int
     partition: int
@@ -105,7 +106,7 @@
 
 
 class ReservationResult(Message, frozen=True, tag="Answered"):
-    """Answers ReserveKey and EndReservation; fields as in `ReservationAnswer`."""
+    """Answer to ReserveKey and EndReservation; fields as in `ReservationAnswer`."""
 
     request_id: int
     result: str
@@ -115,44 +116,46 @@
 
 
 class Ping(Message, frozen=True):
-    """Keeps a connection open: a reservation has no time to wait for a new one."""
+    """Keep-alive of a connection, since a reservation can't wait until a new one is open."""
 
 
 class Pong(Message, frozen=True):
-    """Answers Ping."""
+    """Answer to Ping."""
 
 
-# Between the leader and replicas.
+# Messages between the leader and replicas.
 
 
 class SealPartition(PartitionMessage, frozen=True, tag="Seal"):
-    """Asks a replica to end that view."""
+    """Request to a replica to seal its partition, which ends the view."""
 
 
 class PartitionSealed(PartitionMessage, frozen=True, tag="Sealed"):
-    """Nothing is granted in that view any more.
+    """Answer to SealPartition.
 
-    `complete` says whether the replica has all of it; if not, it could not seal it.
+    If `complete` is true, the replica has all records of the view and has sealed it: nothing is
+    granted in the view any more. Otherwise it lacks records and could not seal the view.
     """
 
     complete: bool
 
 
 class FetchPartition(PartitionMessage, frozen=True, tag="Bring"):
-    """Asks a replica of that view to fetch all records from `source`.
+    """Request to a replica of the view to fetch all records from `source`.
 
-    Without a source it begins empty: the partition was never held, or what it held counts no more.
+    An empty `source` makes the replica start without records: the partition was never held, or its
+    records were given up.
     """
 
     source: str
 
 
 class PartitionFetched(PartitionMessage, frozen=True, tag="Brought"):
-    """The replica has all it needs for that view, flushed."""
+    """Report that the replica has all records that it needs for the view, flushed."""
 
 
 class ReplicaSlow(PartitionMessage, frozen=True, tag="Slow"):
-    """A replica does not confirm records for long, or reports itself as not complete."""
+    """Report of a replica that is late to confirm records, or reports itself as incomplete."""
 
     replica: str
 
@@ -178,23 +181,23 @@
 
 
 class MessageBatch(msgspec.Struct, frozen=True, array_like=True, tag="Bundle"):
-    """All that one member sends to another at a time."""
+    """The messages that one member sends to another at one time."""
 
     messages: list[AnyMessage]
 
 
-# What a replica writes, in the order in which it happened.
+# Changes that a replica stores, in the order in which they happened.
 
 
 class RecordStored(msgspec.Struct, frozen=True, array_like=True, tag="Kept"):
-    """A record is new, or changed."""
+    """A new or changed record."""
 
     partition: int
     record: ReservationRecord
 
 
 class ViewBegun(msgspec.Struct, frozen=True, array_like=True, tag="Begun"):
-    """A view has begun; `complete` says whether this replica has all of it."""
+    """The begin of a view; `complete` says whether this replica has all its records."""
 
     partition: int
     view: int
@@ -203,26 +206,26 @@
 
 
 class ViewSealed(msgspec.Struct, frozen=True, array_like=True, tag="Shut"):
-    """This replica grants and stores nothing in that view any more."""
+    """The sealing of a view: this replica grants and stores nothing in it any more."""
 
     partition: int
     view: int
 
 
 class PartitionReceived(msgspec.Struct, frozen=True, array_like=True, tag="Got"):
-    """All records for a view, from a sealed replica of the view before.
+    """All records for a view, received from a sealed replica of the previous view.
 
-    `late` says that the view had begun here already.
+    `for_current_view` says that the view had already begun at this replica.
     """
 
     partition: int
     view: int
     records: list[ReservationRecord]
-    late: bool
+    for_current_view: bool
 
 
 class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
-    """The state of a partition at the begin of a file, without its records."""
+    """The state of a partition without its records, stored at the start of a file."""
 
     partition: int
     view: int
@@ -236,5 +239,5 @@
 
 
 def encode(value: Any) -> bytes:
-    """A message's or change's bytes."""
+    """Return the encoded bytes of a message or change."""
     return encoder.encode(value)
--- a/cypresswalk/copies/partition.py
+++ b/cypresswalk/copies/partition.py
@@ -1,4 +1,4 @@
-"""One partition of the keys, as a replica holds it."""
+"""The data of one partition at a replica: its records and its view."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -6,34 +6,34 @@
 
 from cypresswalk.copies.messages import ReservationRecord, encoder
 
-DIGEST_BUCKET_BITS = 34  # of nanoseconds: records that end within the same 17 s share a digest
+DIGEST_BUCKET_BITS = 34  # 2^34 ns: records that expire within the same 17 s share a digest
 
 
 def digest_bucket(wall_time: int) -> int:
-    """The bucket of a time in nanoseconds."""
+    """Return the digest bucket of a wall time in nanoseconds."""
     return wall_time >> DIGEST_BUCKET_BITS
 
 
 @dataclass(slots=True)
 class PendingRecord:
-    """A record that not all replicas have confirmed yet, at the primary.
+    """A record at the primary that not all replicas have confirmed yet.
 
     Attributes:
-        record: that was sent.
-        missing: the replicas that have not confirmed it.
-        tokens: of the requests to answer once all have.
-        sent_at: when it was first sent, by the owner's clock.
+        record: the record that was sent.
+        unconfirmed: the replicas that have not confirmed it.
+        tokens: the tokens of the requests to answer once all replicas have confirmed it.
+        sent_at: the time at which it was first sent, in nanoseconds of the owner's clock.
     """
 
     record: ReservationRecord
-    missing: set[str]
+    unconfirmed: set[str]
     tokens: list[object]
     sent_at: int
 
 
 @dataclass(slots=True)
 class PartitionFetch:
-    """All records on their way from a sealed replica, for a view to come."""
+    """A transfer in progress of all records from a sealed replica, for a later view."""
 
     view: int
     source: str
@@ -42,21 +42,21 @@
 
 @dataclass(slots=True)
 class Partition:
-    """Records and view of one partition.
+    """The records and the view of one partition.
 
     Attributes:
-        view: the number of the latest view known; 0 for none.
-        replicas: of that view, the primary first.
-        sealed: nothing is granted or stored in that view any more.
-        complete: this replica has all that was granted.
-        fetched_view: the view for which all was fetched before it began.
-        records: by key.
-        expiry_heap: times until which keys are held, and the keys.
-        digests: by bucket, the XOR of the digests of its records.
-        confirmed: keys that all replicas are known to have, at the primary.
-        pending: records on their way to the other replicas, by sequence number.
-        pending_keys: the latest sequence number of each key on its way.
-        fetch: what is being fetched.
+        view: the number of the latest known view; 0 if there is none.
+        replicas: the replicas of that view, the primary first.
+        sealed: whether the view is sealed, so that nothing is granted or stored in it any more.
+        complete: whether this replica has every record that was granted.
+        fetched_view: the number of the view for which all records were fetched before it began.
+        records: the records by key.
+        expiry_heap: a heap of the expiry times (wall time in nanoseconds) and keys of records.
+        digests: the XOR of the records' digests, by bucket.
+        confirmed: at the primary, the keys that all replicas are known to have.
+        pending: records that are being replicated, by sequence number.
+        pending_keys: the latest sequence number of each key that is being replicated.
+        fetch: the transfer in progress, if any.
     """
 
     view: int = 0
@@ -73,13 +73,13 @@
     fetch: PartitionFetch | None = None
 
     def is_primary(self, member_id: str) -> bool:
-        """Whether that member is the primary of the view."""
+        """Return whether a member is the primary of the view."""
         return self.replicas[:1] == (member_id,)
 
     def begin_view(self, view: int, replicas: tuple[str, ...], complete: bool) -> None:
-        """Enters a view; records of a replica that is not complete there are dropped."""
+        """Enter a view; if this replica is not complete in it, drop all records."""
         if not complete and self.fetched_view <= view:
-            # What was fetched for a later view stays for that one.
+            # Records that were fetched for a later view are kept for it.
             self.replace([])
         self.view = view
         self.replicas = replicas
@@ -87,14 +87,18 @@
         self.complete = complete
         self.confirmed = set()
 
-    def receive(self, view: int, records: list[ReservationRecord], late: bool) -> None:
-        """Takes all records for a view; `late` if it has begun already."""
+    def receive(self, view: int, records: list[ReservationRecord], for_current_view: bool) -> None:
+        """Replace all records with those fetched for a view.
+
+        `for_current_view` says that the view has already begun here, and that the records make this
+        replica complete in it.
+        """
         self.replace(records)
         self.fetched_view = view
-        self.complete = self.complete or late
+        self.complete = self.complete or for_current_view
 
     def replace(self, records: list[ReservationRecord]) -> None:
-        """Holds these records and no others."""
+        """Replace all records with these."""
         self.records = {record.key: record for record in records}
         self.expiry_heap = sorted((record.held_until, record.key) for record in records)
         self.digests = {}
@@ -102,7 +106,7 @@
             self._toggle_digest(record)
 
     def put(self, record: ReservationRecord) -> bool:
-        """Adds a record, or replaces that of the same key; returns whether the key is new."""
+        """Add a record or replace the one of the same key; return whether the key is new."""
         known = self.records.get(record.key)
         if known is None or known.held_until != record.held_until:
             heappush(self.expiry_heap, (record.held_until, record.key))
@@ -113,13 +117,16 @@
         return known is None
 
     def has_expired(self, wall_now: int) -> bool:
-        """Whether the time of the earliest record, or of one that replaced it, is over."""
+        """Return whether the earliest entry of the expiry heap has expired.
+
+        That record may have been replaced since by one that expires later.
+        """
         return bool(self.expiry_heap) and self.expiry_heap[0][0] < wall_now
 
     def expire(self, wall_now: int) -> None:
-        """Drops records whose time is over.
+        """Drop expired records.
 
-        None while it is sealed, since others fetch its records by offset.
+        Do nothing while the partition is sealed, since other replicas fetch its records by offset.
         """
         while self.has_expired(wall_now) and not self.sealed:
             held_until, key = self.expiry_heap[0]
@@ -132,13 +139,13 @@
                 self.confirmed.discard(key)
 
     def records_in_bucket(self, bucket: int) -> list[ReservationRecord]:
-        """The records that are held until a time in that bucket."""
+        """Return the records that expire within a bucket."""
         return [
             record for record in self.records.values() if digest_bucket(record.held_until) == bucket
         ]
 
     def _toggle_digest(self, record: ReservationRecord) -> None:
-        """Adds a record to its bucket's digest, or takes it out."""
+        """Add a record to its bucket's digest, or remove it if it is included."""
         bucket = record.held_until >> DIGEST_BUCKET_BITS
         digest = int.from_bytes(blake2b(encoder.encode(record), digest_size=7).digest(), "big")
         total = self.digests.get(bucket, 0) ^ digest
--- a/cypresswalk/copies/primary.py
+++ b/cypresswalk/copies/primary.py
@@ -1,4 +1,4 @@
-"""The primary of a partition: grants keys and has the other replicas store each record."""
+"""The primary role of a replica: granting keys and replicating the records to the backups."""
 
 from cypresswalk.copies.messages import (
     CompareDigests,
@@ -20,24 +20,24 @@
     ReservationAnswer,
 )
 
-MAX_PENDING_RECORDS = 4_096  # per partition, not confirmed by all replicas
-MAX_PENDING_TOKENS = 64  # requests of one owner that wait for the same key
+MAX_PENDING_RECORDS = 4_096  # unconfirmed records per partition
+MAX_PENDING_TOKENS = 64  # requests of one owner that wait for the same key; more get no answer
 NO_TIME_LIMIT = 1 << 62
 
-NOT_PRIMARY = ReservationAnswer(RETRY, reason="not the primary of that part now")
-TOO_MANY_KEYS = ReservationAnswer(REFUSED, reason="too many ids are held there")
-NOT_THE_OWNER = ReservationAnswer(REFUSED, reason="not held here by that one")
+NOT_PRIMARY = ReservationAnswer(RETRY, reason="not the acting primary of the partition")
+TOO_MANY_KEYS = ReservationAnswer(REFUSED, reason="the primary holds too many keys")
+NOT_THE_OWNER = ReservationAnswer(REFUSED, reason="the key is not reserved by this owner")
 
 
 class Primary:
-    """What a replica does for partitions of which it is the primary."""
+    """The part of a replica that handles partitions of which it is the primary."""
 
     def __init__(self, state: ReplicaState):
-        """`state` is shared with the rest of the replica."""
+        """Use the `state` that the parts of the replica share."""
         self.state = state
         self.last_sequence = 0
 
-    # Requests of clients. `wall_now` is wall time, `now` the owner's clock, both in nanoseconds.
+    # Requests of clients. `wall_now` is the wall time and `now` the owner's clock, in nanoseconds.
 
     def reserve(
         self,
@@ -49,7 +49,10 @@
         token: object,
         now: int,
     ) -> None:
-        """Grants a key to the first owner that asks; the same owner gets the same answer again."""
+        """Grant a key to the first owner that requests it.
+
+        The same owner gets the same answer to a repeated request.
+        """
         partition = self.state.partition(number)
         if not self.state.is_acting_primary(partition):
             self.state.answer(token, NOT_PRIMARY)
@@ -66,7 +69,7 @@
             self.state.answer(token, TOO_MANY_KEYS)
         else:
             record = ReservationRecord(key, owner, held_until, PENDING)
-            self.record(number, partition, record, [token], now)
+            self.replicate_record(number, partition, record, [token], now)
 
     def _reserve_known(
         self,
@@ -77,7 +80,7 @@
         token: object,
         now: int,
     ) -> None:
-        """Answers for a key that has a record, or waits while it is being granted."""
+        """Answer a request for a key that has a record, once its grant is no longer pending."""
         pending = partition.pending.get(partition.pending_keys.get(known.key, -1))
         is_same_owner = known.owner == owner
         if pending is not None and pending.record.outcome == PENDING:
@@ -87,13 +90,15 @@
             elif len(pending.tokens) < MAX_PENDING_TOKENS:
                 pending.tokens.append(token)
         elif is_same_owner and known.outcome == PENDING and known.key not in partition.confirmed:
-            # This primary or the one before it may have died before all replicas had it.
-            self.record(number, partition, known, [token], now)
+            # This primary or its predecessor may have crashed before all replicas had the record.
+            self.replicate_record(number, partition, known, [token], now)
         else:
-            self.settle(partition, known, [token], is_same_owner)
+            self.answer_confirmed(partition, known, [token], is_same_owner)
 
-    def end(self, number: int, key: str, owner: str, outcome: str, token: object, now: int) -> None:
-        """Records an outcome, once; only UNKNOWN may become another."""
+    def end_reservation(
+        self, number: int, key: str, owner: str, outcome: str, token: object, now: int
+    ) -> None:
+        """Record an outcome; once recorded, only UNKNOWN may be replaced."""
         partition = self.state.partition(number)
         known = partition.records.get(key)
         if not self.state.is_acting_primary(partition):
@@ -104,11 +109,11 @@
             self.state.answer(token, ReservationAnswer(HELD, known.owner, known.outcome))
         else:
             record = ReservationRecord(key, owner, known.held_until, outcome)
-            self.record(number, partition, record, [token], now)
+            self.replicate_record(number, partition, record, [token], now)
 
     # Replication.
 
-    def record(
+    def replicate_record(
         self,
         number: int,
         partition: Partition,
@@ -116,28 +121,28 @@
         tokens: list[object],
         now: int,
     ) -> None:
-        """Stores a record here and at the others, then answers."""
+        """Store a record here, send it to the backups, and answer once all have confirmed it."""
         self.last_sequence += 1
         sequence = self.last_sequence
         self.state.put(partition, record)
         self.state.write(RecordStored(number, record))
         others = set(partition.replicas[1:])
         if not others:
-            self.settle(partition, record, tokens)
+            self.answer_confirmed(partition, record, tokens)
             return
         partition.pending[sequence] = PendingRecord(record, others, tokens, now)
         partition.pending_keys[record.key] = sequence
         for other in sorted(others):
             self.state.send(other, ReplicateRecord(number, partition.view, sequence, record))
 
-    def settle(
+    def answer_confirmed(
         self,
         partition: Partition,
         record: ReservationRecord,
         tokens: list[object],
         is_owner: bool = True,
     ) -> None:
-        """Answers requests for a key that all replicas have; grants it to its owner alone."""
+        """Answer requests for a key whose record all replicas have; grant it only to its owner."""
         if is_owner:
             partition.confirmed.add(record.key)
         is_granted = is_owner and record.outcome == PENDING
@@ -148,37 +153,41 @@
     def on_record_replicated(
         self, source: str, partition: Partition, message: RecordReplicated
     ) -> None:
-        """Notes a confirmation; with the last one the record is settled."""
+        """Note a replica's confirmation; answer the requests once all replicas have confirmed."""
         if message.view != partition.view or partition.sealed:
             return
         pending = partition.pending.get(message.sequence)
         if pending is None:
             return
-        pending.missing.discard(source)
-        if pending.missing:
+        pending.unconfirmed.discard(source)
+        if pending.unconfirmed:
             return
         del partition.pending[message.sequence]
         if partition.pending_keys.get(pending.record.key) == message.sequence:
             del partition.pending_keys[pending.record.key]
-        self.settle(partition, pending.record, pending.tokens)
+        self.answer_confirmed(partition, pending.record, pending.tokens)
 
     def resend_pending(self, number: int, sent_before: int = NO_TIME_LIMIT) -> set[str]:
-        """Sends what is not confirmed once more; returns the replicas that have not confirmed."""
+        """Resend unconfirmed records; return the replicas that have not confirmed them.
+
+        Only records that were first sent before `sent_before` are taken, in nanoseconds of the
+        owner's clock.
+        """
         partition = self.state.partition(number)
-        late: set[str] = set()
+        unconfirmed: set[str] = set()
         for sequence, pending in partition.pending.items():
             if pending.sent_at < sent_before:
-                late |= pending.missing
-                for other in sorted(pending.missing):
+                unconfirmed |= pending.unconfirmed
+                for other in sorted(pending.unconfirmed):
                     self.state.send(
                         other, ReplicateRecord(number, partition.view, sequence, pending.record)
                     )
-        return late
+        return unconfirmed
 
-    # Repair: a change of view can leave a record that was never granted at some replicas alone.
+    # Repair: after a view change, a record that was never granted may exist at only some replicas.
 
     def compare_digests(self, number: int) -> None:
-        """Has the other replicas compare their records with those of this one."""
+        """Ask the backups to compare their records with those of this replica."""
         partition = self.state.partition(number)
         if self.state.is_acting_primary(partition):
             for other in partition.replicas[1:]:
@@ -189,21 +198,23 @@
     def on_digests_differ(
         self, source: str, partition: Partition, message: DigestsDiffer, now: int
     ) -> None:
-        """Replicates what differs once more; a record that both have is this replica's."""
+        """Replicate the differing records again; where both have a record, this replica's wins."""
         if (
             message.view != partition.view
             or not self.state.is_acting_primary(partition)
             or source not in partition.replicas
         ):
             return
-        theirs = {record.key: record for record in message.records}
-        differing = [record for key, record in theirs.items() if key not in partition.records]
+        backup_records = {record.key: record for record in message.records}
+        differing = [
+            record for key, record in backup_records.items() if key not in partition.records
+        ]
         differing += [
             record
             for record in partition.records.values()
             if digest_bucket(record.held_until) == message.bucket
-            and theirs.get(record.key) != record
+            and backup_records.get(record.key) != record
         ]
         for record in differing[: MAX_PENDING_RECORDS - len(partition.pending)]:
             if record.key not in partition.pending_keys:
-                self.record(message.partition, partition, record, [], now)
+                self.replicate_record(message.partition, partition, record, [], now)
--- a/cypresswalk/copies/replica.py
+++ b/cypresswalk/copies/replica.py
@@ -1,21 +1,21 @@
-"""One balancer's replicas of all partitions that it holds. No I/O, no clock: time is handed in.
+"""One balancer's replicas of all its partitions. It does no I/O; times are passed in as arguments.
 
-A partition has a view: a number and its replicas, the first of them the primary. The primary stores
-a record, has every other replica store it, and grants the key once all have flushed it; so each
-replica alone knows every key that was ever granted. A view ends when one of its replicas is sealed:
-from then on nothing can be granted in it. The next view begins with replicas that are complete:
-they were replicas of the view before, or fetched everything from one that was sealed (Viewstamped
-Replication and Vertical Paxos; docs/design/copies.md).
+A partition has a view: a number and the replicas, the first of which is the primary. The primary
+stores a record, has every other replica store it, and grants the key once all have flushed it, so
+each single replica has every key that was ever granted. A view ends when one of its replicas is
+sealed: from then on nothing can be granted in it. The next view begins with complete replicas. They
+were replicas of the previous view or fetched all records from a sealed one (Viewstamped Replication
+and Vertical Paxos; docs/design/copies.md).
 
-The owner reports what happens and carries out `effects` in their order: a change is flushed before
-anything behind it is sent or answered.
+The owner passes in events and carries out `effects` in their order: a change is flushed before any
+later effect is sent or answered.
 
 Invariants:
-    C1: a key is granted to one owner, over all views.
-    C2: a grant is at all replicas of its view, flushed, before it is answered.
-    C3: messages of another view change nothing.
-    C4: a replica that is not complete answers nothing.
-    C5: what is held stays until its time.
+    C1: a key is granted to only one owner, over all views.
+    C2: a grant is flushed at all replicas of its view before it is answered.
+    C3: a message of another view changes nothing.
+    C4: an incomplete replica answers nothing.
+    C5: a record is kept until it expires.
 """
 
 from collections.abc import Sequence
@@ -44,54 +44,58 @@
 from cypresswalk.copies.replica_state import ReplicaState
 from cypresswalk.copies.view_changes import ViewChanges
 
-# Keys at one replica, 250 bytes each; beyond them a primary refuses, since none is dropped early.
+# Keys at one replica, 250 bytes each. A primary refuses further keys, since no record may be dropped
+# before it expires.
 MAX_RECORDS = 1_000_000
 
 
 class Replica:
-    """One member's partitions; `wall_now` is wall time, `now` the owner's clock, in nanoseconds."""
+    """The partitions of one member.
+
+    In all methods `wall_now` is the wall time and `now` the owner's clock, in nanoseconds.
+    """
 
     def __init__(self, member_id: str, max_records: int = MAX_RECORDS):
-        """A replica without any partition."""
+        """Create a replica without partitions."""
         self.state = ReplicaState(member_id, max_records)
         self.primary = Primary(self.state)
         self.backup = Backup(self.state)
         self.view_changes = ViewChanges(self.state)
 
-    # What is known.
+    # State.
 
     @property
     def member_id(self) -> str:
-        """The member whose replica this is."""
+        """Return the id of the member that has this replica."""
         return self.state.member_id
 
     @property
     def record_count(self) -> int:
-        """Keys held in all partitions."""
+        """Return the number of keys in all partitions."""
         return self.state.record_count
 
     @property
     def partitions(self) -> dict[int, Partition]:
-        """All partitions that were ever named here, by number."""
+        """Return all partitions that were ever referred to here, by number."""
         return self.state.partitions
 
     @property
     def effects(self) -> list[Effect]:
-        """What the owner has to do, in order; it removes what it has done."""
+        """Return the effects for the owner to carry out in order; it removes those it has done."""
         return self.state.effects
 
     def partition(self, number: int) -> Partition:
-        """The partition of that number, made where it is not known yet."""
+        """Return the partition with a number; create it if it does not exist yet."""
         return self.state.partition(number)
 
     def take_effects(self) -> list[Effect]:
-        """Removes and returns all effects."""
+        """Remove and return all effects."""
         effects = self.state.effects
         self.state.effects = []
         return effects
 
     def statuses(self) -> list[PartitionStatus]:
-        """What a new file begins with."""
+        """Return the state of each partition, to be stored at the start of a new file."""
         return [
             PartitionStatus(
                 number,
@@ -107,15 +111,15 @@
     # Views.
 
     def begin_view(self, number: int, view: int, replicas: tuple[str, ...]) -> None:
-        """A view is agreed."""
+        """Enter an agreed view."""
         self.view_changes.begin(number, view, replicas)
 
     def seal(self, number: int, view: int) -> bool:
-        """Ends a view here, if this replica has all of it; says whether it has."""
+        """Seal a view if this replica is complete in it; return whether it is."""
         return self.view_changes.seal(number, view)
 
     def fetch(self, number: int, view: int, source: str) -> None:
-        """Fetches all records for a view to come; without a source it begins empty."""
+        """Fetch all records for a later view; with an empty `source`, start without records."""
         self.view_changes.fetch(number, view, source)
 
     # Requests and messages.
@@ -130,19 +134,22 @@
         token: object,
         now: int = 0,
     ) -> None:
-        """A client asks for a key; `held_until` is wall time. Answered with `token`."""
+        """Handle a client's request for a key.
+
+        `held_until` is a wall time in nanoseconds; the answer is an effect with `token`.
+        """
         self.primary.reserve(wall_now, number, key, owner, held_until, token, now)
 
     def end_reservation(
         self, number: int, key: str, owner: str, outcome: str, token: object, now: int = 0
     ) -> None:
-        """A client reports an outcome. Answered with `token`."""
-        self.primary.end(number, key, owner, outcome, token, now)
+        """Handle a client's report of an outcome; the answer is an effect with `token`."""
+        self.primary.end_reservation(number, key, owner, outcome, token, now)
 
     def on_message(
         self, source: str, message: PartitionMessage, wall_now: int = 0, now: int = 0
     ) -> None:
-        """A message of another replica or of the leader; what does not fit its view is ignored."""
+        """Handle a message of a replica or of the leader; ignore one of an unexpected view."""
         partition = self.state.partition(message.partition)
         match message:
             case ReplicateRecord():
@@ -165,25 +172,25 @@
     # Time.
 
     def resend_pending(self, number: int, sent_before: int = NO_TIME_LIMIT) -> set[str]:
-        """Sends unconfirmed records once more; returns the replicas that have not confirmed."""
+        """Resend unconfirmed records; return the replicas that have not confirmed them."""
         return self.primary.resend_pending(number, sent_before)
 
     def compare_digests(self, number: int) -> None:
-        """Has the other replicas compare their records with those of this primary."""
+        """If this replica is the acting primary, ask the backups to compare their records."""
         self.primary.compare_digests(number)
 
     def expire(self, wall_now: int, partition: Partition) -> None:
-        """Drops records whose time is over."""
+        """Drop expired records of a partition."""
         self.state.expire(wall_now, partition)
 
-    # After a start.
+    # Restoring after a start.
 
     def put(self, partition: Partition, record: ReservationRecord) -> None:
-        """Adds or replaces a record, without any effect."""
+        """Add or replace a record without adding an effect."""
         self.state.put(partition, record)
 
     def restore(self, changes: Sequence[StoredChange | PartitionStatus]) -> None:
-        """Repeats what was written, in its order."""
+        """Apply stored changes, in the order in which they were written."""
         for change in changes:
             partition = self.state.partition(change.partition)
             match change:
@@ -196,7 +203,9 @@
                         partition, change.view, tuple(change.replicas), change.complete
                     )
                 case PartitionReceived():
-                    self.state.receive(partition, change.view, change.records, change.late)
+                    self.state.receive(
+                        partition, change.view, change.records, change.for_current_view
+                    )
                 case PartitionStatus():
                     partition.view = change.view
                     partition.replicas = tuple(change.replicas)
--- a/cypresswalk/copies/reservations.py
+++ b/cypresswalk/copies/reservations.py
@@ -1,15 +1,15 @@
-"""The words for a reservation's result and outcome, as they stand on the wire and on disk."""
+"""Results and outcomes of reservations; the values are used on the wire and on disk."""
 
 from typing import Final, NamedTuple
 
 # Results of a request for a key.
 GRANTED: Final = "granted"
-HELD: Final = "held"  # by an earlier reservation
-RETRY: Final = "again"  # not now, or not at this replica
-REFUSED: Final = "refused"  # nothing was granted
+HELD: Final = "held"  # the key has an earlier reservation
+RETRY: Final = "again"  # retry later, or at another replica
+REFUSED: Final = "refused"  # nothing is granted
 
 # Outcomes of a reservation.
-PENDING: Final = "out"  # nobody has reported the end yet
+PENDING: Final = "out"  # no end has been reported yet
 RAN: Final = "ran"
 NEVER_RAN: Final = "never"
 UNKNOWN: Final = "unknown"
@@ -20,9 +20,9 @@
 
     Attributes:
         result: one of GRANTED, HELD, RETRY and REFUSED.
-        owner: of the reservation that is granted or held.
-        outcome: of the reservation that is granted or held.
-        reason: for RETRY and REFUSED.
+        owner: the owner of the reservation that is granted or held.
+        outcome: the outcome of the reservation that is granted or held.
+        reason: why the result is RETRY or REFUSED.
     """
 
     result: str
--- a/cypresswalk/copies/status.py
+++ b/cypresswalk/copies/status.py
@@ -1,4 +1,4 @@
-"""What a member says of its own replicas, for an operator; the keys are part of the interface."""
+"""Status of a member's replicas for operators; its layout is part of the interface."""
 
 from typing import Any, NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class AgreedView(NamedTuple):
-    """A partition's view, as the group agreed on it."""
+    """The view of a partition that the fleet agreed on, the primary first in `replicas`."""
 
     view: int
     replicas: tuple[str, ...]
@@ -15,33 +15,36 @@
 NO_VIEW = AgreedView(0, ())
 
 
-def partition_statuses(replica: Replica, views: dict[int, AgreedView], soon: int) -> list[Any]:
-    """Return the status of each partition of which this member is to hold a replica.
+def partition_statuses(
+    replica: Replica, views: dict[int, AgreedView], current_bucket: int
+) -> list[Any]:
+    """Return the status of each partition of which this member should hold a replica.
 
     Args:
-        replica: this member's.
-        views: as agreed, by partition.
-        soon: the bucket up to which digests are left out; see `partition_status`.
+        replica: the replica of this member.
+        views: the agreed views, by partition.
+        current_bucket: the bucket up to which digests are left out; see `partition_status`.
     """
     return [
-        partition_status(replica, number, soon)
+        partition_status(replica, number, current_bucket)
         for number in sorted(views)
         if replica.member_id in views[number].replicas
     ]
 
 
-def partition_status(replica: Replica, number: int, soon: int) -> list[Any]:
-    """Return a partition's status as a list.
+def partition_status(replica: Replica, number: int, current_bucket: int) -> list[Any]:
+    """Return the status of a partition as a list.
 
-    Its number, its view, whether it is complete, whether it is sealed, how many records it has, how
-    many of them are pending, and the digests of its records by bucket. Records that end about now
-    are dropped at each replica by its own clock: only buckets after `soon` have to be alike.
+    The elements are the number, the view, whether it is complete, whether it is sealed, the number
+    of records, the number of pending records, and the digests of the records by bucket. Each
+    replica drops expired records by its own clock, so only the digests of buckets after
+    `current_bucket` have to be equal at all replicas.
     """
     partition = replica.partition(number)
-    sums = {
+    digests = {
         str(bucket): f"{digest:014x}"
         for bucket, digest in sorted(partition.digests.items())
-        if bucket > soon
+        if bucket > current_bucket
     }
     return [
         number,
@@ -50,5 +53,5 @@
         partition.sealed,
         len(partition.records),
         len(partition.pending),
-        sums,
+        digests,
     ]
--- a/cypresswalk/copies/view_changes.py
+++ b/cypresswalk/copies/view_changes.py
@@ -1,7 +1,7 @@
-"""Changes of a partition's view: sealing, fetching, beginning.
+"""Changes of a partition's view: sealing the old one, fetching records, beginning the new one.
 
-The leader seals one replica that has all of a view, has those of the next view fetch from it, and
-lets the next view be agreed once each has everything.
+The leader seals one complete replica of a view and has the replicas of the next view fetch their
+records from it. Once each of them has all records, the leader proposes the next view to the fleet.
 """
 
 from cypresswalk.copies.messages import (
@@ -23,22 +23,22 @@
 
 
 class ViewChanges:
-    """What a replica does when the replicas of a partition change."""
+    """The part of a replica that handles changes of a partition's view."""
 
     def __init__(self, state: ReplicaState):
-        """`state` is shared with the rest of the replica."""
+        """Use the `state` that the parts of the replica share."""
         self.state = state
 
     def begin(self, number: int, view: int, replicas: tuple[str, ...]) -> None:
-        """Enters a view that is agreed.
+        """Enter an agreed view.
 
-        This replica is complete in it if it was in the view just before, or has fetched everything
-        for this one; one that was away for a view is not.
+        This replica is complete in it if it was complete in the previous view, or has fetched all
+        records for this one. A replica that missed a view in between is not complete.
         """
         partition = self.state.partition(number)
         if view <= partition.view:
             return
-        self.state.abandon_pending(partition, "another view of its holders has begun")
+        self.state.abandon_pending(partition, "a new view of the partition has begun")
         member_id = self.state.member_id
         was_complete = (
             partition.complete and view == partition.view + 1 and member_id in partition.replicas
@@ -50,9 +50,9 @@
     # Sealing.
 
     def seal(self, number: int, view: int) -> bool:
-        """Ends a view at this replica, if it has all of it, and says whether it has.
+        """Seal a view if this replica is complete in it; return whether it is.
 
-        The change is to be flushed before anybody is told.
+        The owner must flush the change before it sends or answers anything.
         """
         partition = self.state.partition(number)
         if (
@@ -63,12 +63,12 @@
             return False
         if not partition.sealed:
             partition.sealed = True
-            self.state.abandon_pending(partition, "its holders change")
+            self.state.abandon_pending(partition, "the replicas of the partition are being changed")
             self.state.write(ViewSealed(number, view))
         return True
 
     def on_seal(self, source: str, partition: Partition, message: SealPartition) -> None:
-        """Seals and answers; a replica that is behind has nothing to say."""
+        """Seal the view and answer; ignore a request for any view but the current one."""
         if message.view == partition.view:
             complete = self.seal(message.partition, message.view)
             self.state.send(source, PartitionSealed(message.partition, message.view, complete))
@@ -76,16 +76,16 @@
     # Fetching.
 
     def fetch(self, number: int, view: int, source: str) -> None:
-        """Fetches all records for a view to come from a sealed replica of the one before.
+        """Fetch all records for a later view from a sealed replica of the previous one.
 
-        Without a source the partition begins empty: the leader knows that no replica has anything.
-        Asked again, it goes on where it was.
+        With an empty `source` the partition starts without records: the leader knows that no
+        replica has any. A repeated call resumes the transfer where it was.
         """
         partition = self.state.partition(number)
-        if self.has_all(partition, view):
+        if self.is_complete_for(partition, view):
             return
         if not source:
-            # Not for a view that has begun: this replica may have lost its disk since it was told.
+            # Not for a view that has begun: this replica may have lost its disk since the request.
             if view > partition.view:
                 self._receive(number, view, [])
             return
@@ -95,20 +95,20 @@
             partition.fetch = fetch
         self.state.send(source, FetchRecords(number, view, len(fetch.records)))
 
-    def has_all(self, partition: Partition, view: int) -> bool:
-        """Whether this replica could begin that view complete, or has."""
+    def is_complete_for(self, partition: Partition, view: int) -> bool:
+        """Return whether this replica is complete in a view, or will be once it begins."""
         return partition.fetched_view == view or (partition.complete and partition.view == view)
 
     def on_fetch_partition(
         self, source: str, partition: Partition, message: FetchPartition
     ) -> None:
-        """Fetches, and answers once it has everything."""
+        """Fetch the records; answer if this replica already has them all."""
         self.fetch(message.partition, message.view, message.source)
-        if self.has_all(partition, message.view):
+        if self.is_complete_for(partition, message.view):
             self.state.send(source, PartitionFetched(message.partition, message.view))
 
     def on_fetch_records(self, source: str, partition: Partition, message: FetchRecords) -> None:
-        """Sends records to a replica of the next view."""
+        """Send records to a replica of the next view."""
         if not partition.sealed or not partition.complete or message.view != partition.view + 1:
             return
         records = list(partition.records.values())
@@ -127,7 +127,7 @@
     def on_records_fetched(
         self, source: str, partition: Partition, message: RecordsFetched
     ) -> None:
-        """Takes the next records, and asks for more until all are here."""
+        """Add the received records, and request more until all have arrived."""
         fetch = partition.fetch
         if (
             fetch is None
@@ -146,17 +146,18 @@
             self._receive(message.partition, message.view, fetch.records)
 
     def _receive(self, number: int, view: int, records: list[ReservationRecord]) -> None:
-        """Takes all records for a view to come, or one in which this replica is not complete."""
+        """Accept all records for a later view, or for the current one if it is incomplete here."""
         partition = self.state.partition(number)
         is_replica = self.state.member_id in partition.replicas
-        late = view == partition.view and is_replica and not partition.complete
-        early = (
+        for_current_view = view == partition.view and is_replica and not partition.complete
+        for_later_view = (
             view > partition.view
             and partition.fetched_view < view
             and not (partition.complete and is_replica)
         )
-        if late or early:
-            self.state.receive(partition, view, records, late)
-            self.state.write(PartitionReceived(number, view, records, late))
-            # At once, not when the leader asks again: the partition grants nothing meanwhile.
-            self.state.tell_leader(PartitionFetched(number, view))
+        if for_current_view or for_later_view:
+            self.state.receive(partition, view, records, for_current_view)
+            self.state.write(PartitionReceived(number, view, records, for_current_view))
+            # Report at once, not when the leader asks again, since the partition grants nothing
+            # until then.
+            self.state.send_to_leader(PartitionFetched(number, view))
