--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -1,7 +1,8 @@
 """The thread that runs a replica and a reservation client on the real disk, clock and links.
 
-Events that come together are written and flushed together, before a message or an answer of them
-goes out. The thread that decides on flows puts its requests into a queue and never waits.
+Events that arrive together form a batch: all their changes are written and flushed before any
+message or answer that they cause is sent. The thread that decides on flows only puts its requests
+into a queue and never waits.
 """
 
 import logging
@@ -55,46 +56,47 @@
 MILLISECOND = 1_000_000  # in nanoseconds
 SECOND = 1_000_000_000
 TICK_INTERVAL = SECOND // 10
-RESEND_DELAY = 150 * MILLISECOND  # until an unconfirmed record is sent once more
-SLOW_DELAY = 700 * MILLISECOND  # until the leader hears of a replica that doesn't confirm
+RESEND_DELAY = 150 * MILLISECOND  # until an unconfirmed record is sent again
+# Until a replica that doesn't confirm, or a partition that stays sealed, is reported to the leader.
+REPORT_DELAY = 700 * MILLISECOND
 EXPIRY_INTERVAL = SECOND
-PING_INTERVAL = 2 * SECOND  # less than after what the links open a connection anew
+PING_INTERVAL = 2 * SECOND  # shorter than the silence after which links reopen a connection
 COMPARE_INTERVAL = 5 * SECOND  # between two comparisons of a partition's replicas
-DISK_RETRY_DELAY = SECOND  # until a folder that failed is read anew
-# Starts that may have ended between the agreed log's start and this one's.
+DISK_RETRY_DELAY = SECOND  # until a folder that failed is read again
+# Process starts that may have ended after the agreement log opened and before this log did.
 MAX_SKIPPED_STARTS = 3
-MAX_EVENTS_PER_TURN = 512  # taken before they are flushed
+MAX_EVENTS_PER_BATCH = 512  # whose changes are flushed together
 
-# Limits of a ReserveKey.
+# Limits of the fields of ReserveKey.
 MAX_KEY_CHARS = 64
 MAX_OWNER_CHARS = 200
 MAX_HOLD_NS = 1 << 56
 
 
 class Identity(NamedTuple):
-    """The member that this process is, and which start of it."""
+    """The member id of this process and the number of its start."""
 
     member: str
     boot: int
 
 
 class RequestToken(NamedTuple):
-    """Whom to answer, and which of its requests."""
+    """The receiver of an answer, and the id of its request."""
 
     receiver: str
     request_id: int
 
 
 class ReplicationThread:
-    """Keeps this balancer's replicas and asks for keys.
+    """The thread that runs this balancer's replicas and its reservation client.
 
     Attributes:
-        healthy: what the replica has in memory is what its disk has.
-        views: as agreed, by partition.
-        disk_error: why the disk failed last; empty once it works again.
-        counts: counters by name.
-        over: set when the thread is to end.
-        ended: set when it has.
+        healthy: whether the replica in memory matches its files on disk.
+        views: the agreed views, by partition.
+        disk_error: the text of the last disk error; empty once the disk works again.
+        counts: the counters by name.
+        stop_requested: an event that makes the thread end.
+        ended: an event that is set once the thread has ended.
     """
 
     def __init__(
@@ -103,28 +105,29 @@
         now: Callable[[], int],
         wall: Callable[[], int],
         send: Callable[[str, MessageBatch], None],
-        to_leader: Callable[[list[AnyMessage]], None],
-        on_healthy: Callable[[bool], None],
+        send_to_leader: Callable[[list[AnyMessage]], None],
+        on_health_changed: Callable[[bool], None],
         max_records: int = MAX_RECORDS,
     ):
-        """Nothing is read before an identity is put.
+        """Create the thread, which reads no files before an `IdentityAssigned` event.
 
         Args:
-            folder: of the member.
-            now: a clock that goes on while the machine sleeps, in nanoseconds.
-            wall: wall time in nanoseconds.
-            send: sends to a member; never waits.
-            to_leader: sends to the leader; never waits.
-            on_healthy: called when the replica begins to hold, and when its disk has failed.
-            max_records: beyond which keys are refused.
+            folder: the member's folder.
+            now: a clock that continues while the machine is suspended, in nanoseconds.
+            wall: a clock that returns the wall time, in nanoseconds.
+            send: a function that sends messages to a member without waiting.
+            send_to_leader: a function that sends messages to the leader without waiting.
+            on_health_changed: a callback with the new value of `healthy`, called when the replica
+                has read its files, and when its disk has failed.
+            max_records: the number of keys beyond which requests are refused.
         """
-        # Over 40 lines since it sets one attribute a line.
+        # Longer than 40 lines because it sets one attribute per line.
         self.folder = folder
         self.now = now
         self.wall = wall
         self.send = send
-        self.to_leader = to_leader
-        self.on_healthy = on_healthy
+        self.send_to_leader = send_to_leader
+        self.on_health_changed = on_health_changed
         self.max_records = max_records
         self.queue: SimpleQueue[Event] = SimpleQueue()
         self.log = RecordLog(folder)
@@ -133,7 +136,7 @@
         self.identity: Identity | None = None
         self.healthy = False
         self.views: dict[int, AgreedView] = {}
-        # By partition: since when it is sealed, and when its replicas are next compared.
+        # By partition: when it was sealed, and when its replicas are compared next.
         self.sealed_at: dict[int, int] = {}
         self.compare_at: dict[int, int] = {}
         self.tick_at = 0
@@ -142,38 +145,40 @@
         self.disk_retry_at = 0
         self.disk_error = ""
         self.counts: Counter[str] = Counter()
-        self.over = threading.Event()
+        self.stop_requested = threading.Event()
         self.ended = threading.Event()
 
-    # For any thread.
+    # Methods for any thread.
 
     def put(self, event: Event) -> None:
-        """Puts an event into the queue; never waits."""
+        """Put an event into the queue without waiting."""
         self.queue.put(event)
 
     def stop(self) -> None:
-        """Ends the thread soon; `ended` says when."""
-        self.over.set()
+        """Request the end of the thread; `ended` is set once it has ended."""
+        self.stop_requested.set()
         self.queue.put(StopRequested())
 
-    # The thread.
+    # Methods that run in the thread.
 
     def run(self) -> None:
-        """Serves until it is stopped."""
-        while not self.over.is_set():
+        """Process events until a stop is requested."""
+        while not self.stop_requested.is_set():
             wait = min(self.tick_at, self.client.due()) - self.now()
-            events = take_events(self.queue, wait, MAX_EVENTS_PER_TURN)
+            events = take_events(self.queue, wait, MAX_EVENTS_PER_BATCH)
             try:
-                self.turn(events)
+                self.process_events(events)
             except Exception:
-                # A record may be in memory that never came to the disk: all is read anew.
+                # A record in memory may not have reached the disk, so all files are read again.
                 log.error("event=copies_thread_failed", exc_info=True)
-                self._on_disk_failure(self.now(), OSError(0, "a fault in this program"))
-        self.client.refuse_all("this process hands over")
+                self._on_disk_failure(
+                    self.now(), OSError(0, "unhandled exception in the replication thread")
+                )
+        self.client.refuse_all("this process is stopping or handing over")
         self.ended.set()
 
-    def turn(self, events: list[Event]) -> None:
-        """Handles events and time, then carries out what follows."""
+    def process_events(self, events: list[Event]) -> None:
+        """Handle events and timers, then carry out the effects."""
         now = self.now()
         for event in events:
             self.on_event(now, event)
@@ -187,7 +192,7 @@
             self._on_disk_failure(now, error)
 
     def on_event(self, now: int, event: Event) -> None:
-        """Handles one event."""
+        """Handle one event."""
         match event:
             case MessagesReceived():
                 for message in event.messages:
@@ -217,7 +222,7 @@
             self.replica.begin_view(number, agreed.view, agreed.replicas)
 
     def on_message(self, now: int, source: str, message: AnyMessage) -> None:
-        """Handles a message of a member."""
+        """Handle a message from a member."""
         if isinstance(message, PartitionMessage):
             self._on_partition_message(now, source, message)
             return
@@ -251,7 +256,7 @@
             isinstance(message, FetchPartition)
             and message.view <= self._agreed_view(message.partition).view
         ):
-            # Of a view that is agreed already.
+            # This view is already agreed.
             self.counts["words_late"] += 1
         elif 0 <= message.partition < PARTITIONS:
             self.replica.on_message(source, message, self.wall(), now)
@@ -282,10 +287,10 @@
             now,
         )
 
-    # Time.
+    # Timers.
 
     def tick(self, now: int) -> None:
-        """Does what is due: retries, comparisons, reports to the leader, expiry."""
+        """Run due timers: retries, pings, comparisons, reports to the leader, expiry."""
         if self.identity is None:
             return
         if not self.healthy and now >= self.disk_retry_at:
@@ -300,19 +305,21 @@
         for number, agreed in self.views.items():
             reports += self._tick_partition(now, number, agreed)
         if reports:
-            self.to_leader(reports)
+            self.send_to_leader(reports)
         if now >= self.expire_at:
             self.expire_at = now + EXPIRY_INTERVAL
             self._expire(now)
 
     def _tick_partition(self, now: int, number: int, agreed: AgreedView) -> list[AnyMessage]:
-        """Resends and compares; returns what the leader is to hear of."""
+        """Resend and compare records of a partition; return the reports for the leader."""
         reports: list[AnyMessage] = []
         partition = self.replica.partition(number)
         if partition.pending:
-            late = self.replica.resend_pending(number, now - RESEND_DELAY)
-            if any(pending.sent_at < now - SLOW_DELAY for pending in partition.pending.values()):
-                reports += [ReplicaSlow(number, partition.view, member) for member in sorted(late)]
+            unconfirmed = self.replica.resend_pending(number, now - RESEND_DELAY)
+            if any(pending.sent_at < now - REPORT_DELAY for pending in partition.pending.values()):
+                reports += [
+                    ReplicaSlow(number, partition.view, member) for member in sorted(unconfirmed)
+                ]
         member_id = self.replica.member_id
         if (
             agreed.replicas[0] == member_id
@@ -322,13 +329,13 @@
             self.compare_at[number] = now + COMPARE_INTERVAL
             self.replica.compare_digests(number)
         if member_id in agreed.replicas and partition.view == agreed.view:
-            # A leader that began a change may lead no more: its successor goes on from these
-            # reports.
+            # The leader that began a view change may have been replaced; these reports let its
+            # successor continue.
             if not partition.complete:
                 reports.append(ReplicaSlow(number, agreed.view, member_id))
             elif not partition.sealed:
                 self.sealed_at.pop(number, None)
-            elif now - self.sealed_at.setdefault(number, now) > SLOW_DELAY:
+            elif now - self.sealed_at.setdefault(number, now) > REPORT_DELAY:
                 reports.append(PartitionSealed(number, agreed.view, True))
         return reports
 
@@ -337,14 +344,14 @@
         for partition in self.replica.partitions.values():
             self.replica.expire(wall_now, partition)
         try:
-            self.log.drop_expired(wall_now)
+            self.log.remove_expired_files(wall_now)
         except OSError as error:
             self._on_disk_failure(now, error)
 
-    # The disk.
+    # Disk.
 
     def _open_store(self, now: int, identity: Identity) -> None:
-        """Reads what the folder holds of this member, and begins a new file."""
+        """Restore the replica from this member's files, and begin a new file."""
         self.replica = Replica(identity.member, self.max_records)
         self.healthy = False
         self.disk_retry_at = now + DISK_RETRY_DELAY
@@ -361,10 +368,10 @@
         self.healthy = True
         for number, agreed in self.views.items():
             self.replica.begin_view(number, agreed.view, agreed.replicas)
-        self.on_healthy(True)
+        self.on_health_changed(True)
 
     def _restore(self, identity: Identity) -> None:
-        """Restores the replica from its files, or removes them where their data is lost."""
+        """Restore the replica from its files; if their data is lost, remove them."""
         member, boot = identity
         try:
             changes = self.log.load(
@@ -380,15 +387,15 @@
             self.log.clear()
 
     def _on_disk_failure(self, now: int, error: OSError) -> None:
-        """Drops what was being written, unsaid; all is read anew before anything else is sent."""
+        """Discard the replica and its effects; its files are read again before anything is sent."""
         self.healthy = False
         self.disk_retry_at = now + DISK_RETRY_DELAY
         self.replica = Replica(self.replica.member_id, self.max_records)
-        self.on_healthy(False)
+        self.on_health_changed(False)
         self._report_disk_error(error)
 
     def _report_disk_error(self, error: OSError) -> None:
-        """Logs an error, once while it stays the same."""
+        """Log an error, but not again while it stays the same."""
         text = error.strerror or describe(error)
         if text != self.disk_error:
             log.error("event=copies_disk_failed error=%s", text)
@@ -397,7 +404,7 @@
     # Effects.
 
     def _carry_out_effects(self, now: int) -> None:
-        """Writes, then sends and answers; messages to this member itself are handled at once."""
+        """Write the changes, then send; handle messages to this member itself at once."""
         member_id = self.identity.member if self.identity else ""
         while True:
             batches: defaultdict[str, list[AnyMessage]] = defaultdict(list)
@@ -406,7 +413,7 @@
             self.client.outgoing = []
             effects = self.replica.take_effects()
             self._write(effects)
-            self._add_messages(effects, batches)
+            self._dispatch_messages(effects, batches)
             local = batches.pop(member_id, [])
             for receiver, messages in batches.items():
                 self.counts["bundles"] += 1
@@ -415,8 +422,8 @@
                 return
             for message in local:
                 if isinstance(message, PartitionSealed | PartitionFetched):
-                    # It answers the leader, which is this member.
-                    self.to_leader([message])
+                    # An answer to the leader, which is this member.
+                    self.send_to_leader([message])
                 else:
                     self.on_message(now, member_id, message)
 
@@ -427,33 +434,33 @@
             self.counts["flushes"] += 1
             self.counts["written"] += len(changes)
 
-    def _add_messages(
+    def _dispatch_messages(
         self, effects: list[Effect], batches: defaultdict[str, list[AnyMessage]]
     ) -> None:
-        """Adds what effects send to the batches, by receiver."""
+        """Add the messages of effects to the batches by receiver, or send them directly."""
         for effect in effects:
             if isinstance(effect, SendMessage):
                 if isinstance(effect.message, RecordsFetched):
-                    # Long enough for a frame of its own.
+                    # Large enough for a frame of its own.
                     self.send(effect.receiver, MessageBatch([effect.message]))
                 else:
                     batches[effect.receiver].append(effect.message)
             elif isinstance(effect, AnswerRequest):
-                assert isinstance(effect.token, RequestToken)  # as `on_message` handed it in
+                assert isinstance(effect.token, RequestToken)  # `on_message` passes no other tokens
                 batches[effect.token.receiver].append(_result(effect.token, effect.answer))
             elif isinstance(effect, TellLeader):
-                self.to_leader([effect.message])
+                self.send_to_leader([effect.message])
 
     # Status.
 
     def status(self) -> dict[str, Any]:
-        """The replica's status, for an operator."""
-        soon = digest_bucket(self.wall())
+        """Return the status of the replica for operators."""
+        current_bucket = digest_bucket(self.wall())
         return {
             "sound": self.healthy,
             "trouble": self.disk_error,
-            "soon": soon,
-            "parts": partition_statuses(self.replica, self.views, soon),
+            "soon": current_bucket,
+            "parts": partition_statuses(self.replica, self.views, current_bucket),
             "waiting": self.client.pending_reservations,
             "ids": self.replica.record_count,
             "most": self.max_records,
--- a/cypresswalk/copies/events.py
+++ b/cypresswalk/copies/events.py
@@ -28,8 +28,8 @@
     Attributes:
         key: the idempotency key of the flow.
         hold_ns: the duration of the reservation, in nanoseconds.
-        deadline: the latest time at which `reply` is called, in nanoseconds of the thread's clock.
-        reply: a callback, called once with the answer and the name of the reservation's owner.
+        deadline: the time by which the request is answered, in nanoseconds of the thread's clock.
+        reply: a callback, called once with the answer and the owner name used in the request.
     """
 
     key: str
@@ -44,7 +44,7 @@
 
     Attributes:
         key: the idempotency key of the flow.
-        owner: the owner of the reservation.
+        owner: the owner name of the reservation.
         outcome: "ran", "never" or "unknown".
     """
 
--- a/cypresswalk/copies/messages.py
+++ b/cypresswalk/copies/messages.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-# Tolerated difference between the wall clocks of two machines, in nanoseconds. Every reservation
-# is extended by it.
+# Tolerated difference between the wall clocks of two machines, in nanoseconds; reservations are
+# extended by it.
 MAX_CLOCK_SKEW = 30_000_000_000
 
 
@@ -131,7 +131,7 @@
 
 
 class PartitionSealed(PartitionMessage, frozen=True, tag="Sealed"):
-    """Answer to SealPartition.
+    """Answer to SealPartition; also sent unasked while a partition stays sealed.
 
     If `complete` is true, the replica has all records of the view and has sealed it: nothing is
     granted in the view any more. Otherwise it lacks records and could not seal the view.
@@ -144,7 +144,7 @@
     """Request to a replica of the view to fetch all records from `source`.
 
     An empty `source` makes the replica start without records: the partition was never held, or its
-    records were given up.
+    records count as lost.
     """
 
     source: str
@@ -197,7 +197,7 @@
 
 
 class ViewBegun(msgspec.Struct, frozen=True, array_like=True, tag="Begun"):
-    """The begin of a view; `complete` says whether this replica has all its records."""
+    """The start of a view; `complete` says whether this replica has all its records."""
 
     partition: int
     view: int
--- a/cypresswalk/copies/partition.py
+++ b/cypresswalk/copies/partition.py
@@ -1,4 +1,4 @@
-"""The data of one partition at a replica: its records and its view."""
+"""The data of one partition, a fixed part of the keys, at a replica."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
--- a/cypresswalk/copies/replica.py
+++ b/cypresswalk/copies/replica.py
@@ -44,8 +44,8 @@
 from cypresswalk.copies.replica_state import ReplicaState
 from cypresswalk.copies.view_changes import ViewChanges
 
-# Keys at one replica, 250 bytes each. A primary refuses further keys, since no record may be dropped
-# before it expires.
+# Keys at one replica, 250 bytes each. A primary refuses further keys, since a record must not be
+# dropped before it expires.
 MAX_RECORDS = 1_000_000
 
 
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -1,12 +1,14 @@
-"""A replica's records on disk, in files `copies.N` of its member's folder. No I/O of its own.
+"""A replica's records on disk, in files `copies.N` of the member's folder. I/O uses `Folder`.
 
-A file holds a header and batches, as a chain of sealed records (storage/record_chain.py): a torn
-tail was never acknowledged and is cut off; any other damage means that what this replica had is
-lost. The header says who wrote the file, at which start, and in which state its partitions were. A
-file is removed once every key in it has been held for its time, so nothing is ever rewritten.
+A file contains a header and batches, as a chain of sealed records (storage/record_chain.py). A torn
+tail was never acknowledged and is cut off; after any other damage the replica's data counts as
+lost. The header names the member that wrote the file and the number of its process start, and
+contains the state of the partitions. A file is removed once all keys in it have expired, so nothing
+is ever rewritten.
 
-A folder whose newest file is of another member, or not of the start just before this one, was
-restored from a copy, or holds what a failed start left: what it has counts as lost.
+If the newest file of a folder is from another member, or not from one of the starts just before
+this one, the folder was restored from a copy or is left from a failed start, and its data counts as
+lost.
 """
 
 from collections.abc import Callable
@@ -32,22 +34,22 @@
 )
 
 FILE_PREFIX = "copies."
-NEW_FILE = "copies"
+NEW_FILE = "copies"  # the name of a file until its header is written
 VERSION = 1
 
-# Kinds of a record.
+# Kinds of records.
 HEAD = 1
 BATCH = 2
 
-SEGMENT_BYTES = 16 << 20  # after which a new file is begun
-MAX_FILE_BYTES = 1 << 30  # a whole partition that was fetched is one batch
+SEGMENT_BYTES = 16 << 20  # size after which a new file is begun
+MAX_FILE_BYTES = 1 << 30  # limit for reading; a fetched partition is one batch
 
 
 class FileHead(msgspec.Struct, frozen=True, array_like=True):
-    """The first record of a file.
+    """The header: the first record of a file.
 
-    `cut_file` names the file whose torn tail was cut off when this one was begun, and the byte; (0,
-    0) if none.
+    `cut_file` is the number of the file whose torn tail was cut off before this file was begun, and
+    the offset of the cut in bytes; (0, 0) if there was none.
     """
 
     version: int
@@ -62,7 +64,7 @@
 
 
 class FileContent(NamedTuple):
-    """What a file holds; `end` is the first byte after its sound records."""
+    """The content of a file; `end` is the offset of the first byte after its valid records."""
 
     head: FileHead
     changes: list[StoredChange]
@@ -71,30 +73,32 @@
 
 
 class RecordLog:
-    """A replica's changes on disk, in the order in which they happened.
+    """The log of a replica's changes on disk, in the order in which they happened.
 
-    Methods raise OSError where the disk fails; the owner then reads everything anew before it sends
-    anything.
+    Methods raise OSError if the disk fails; the owner must then read all files again before it
+    sends anything.
     """
 
     def __init__(self, folder: Folder):
-        """Nothing is read yet."""
+        """Create a log that has not read its files yet."""
         self.folder = folder
         self.broken = False
-        self.number = 0
-        self.key = b""
-        self.size = 0
+        self.file_number = 0
+        self.chain_key = b""
+        self.file_size = 0
         self.member = ""
         self.boot = 0
-        # By file: until when (wall time, nanoseconds) its latest key is held.
-        self.held_until: dict[int, int] = {}
-        # The file whose tail was found torn, and the byte.
+        # By file number: the wall time in nanoseconds at which the last key in the file expires.
+        self.expiry_times: dict[int, int] = {}
+        # The number of the file whose tail was found torn, and the offset of the cut in bytes.
         self.cut_file: tuple[int, int] = (0, 0)
 
-    def numbers(self) -> list[int]:
-        """Of all files, rising."""
-        prefix = len(FILE_PREFIX)
-        found = [name[prefix:] for name in self.folder.names() if name.startswith(FILE_PREFIX)]
+    def file_numbers(self) -> list[int]:
+        """Return the numbers of all files in ascending order."""
+        prefix_length = len(FILE_PREFIX)
+        found = [
+            name[prefix_length:] for name in self.folder.names() if name.startswith(FILE_PREFIX)
+        ]
         return sorted(int(text) for text in found if text.isdecimal())
 
     # Reading.
@@ -102,25 +106,26 @@
     def load(
         self, member: str, boots: tuple[int, ...], on_tail_cut: Callable[[str], None]
     ) -> list[StoredChange | PartitionStatus]:
-        """All changes, in order, after the states that the first file begins with.
+        """Read all files; return the states in the first file's header, then all changes in order.
 
         Args:
-            member: of whom the newest file must be.
-            boots: the starts of which the newest file may be.
-            on_tail_cut: called with a text where a torn tail is ignored.
+            member: the id of the member that must have written the newest file.
+            boots: the numbers of the process starts that may have written the newest file.
+            on_tail_cut: a callback, called with a description of each torn tail that is ignored.
 
         Raises:
-            DataLostError: the files are damaged, or not this member's latest.
+            DataLostError: the files are damaged, or are not the latest of this member.
             OSError: the folder can't be read.
         """
         changes: list[StoredChange | PartitionStatus] = []
-        numbers = self.numbers()
-        self.number = max(numbers, default=0)
-        self.held_until = {}
+        numbers = self.file_numbers()
+        self.file_number = max(numbers, default=0)
+        self.expiry_times = {}
         self.cut_file = (0, 0)
         for number in numbers:
             content = self._read(number)
-            # A torn tail stays in its file: the next file names it. Any other was whole once.
+            # A torn tail stays in its file, and the header of the next file refers to it. Without
+            # such a reference the tail was once intact, so data was lost.
             if self.cut_file != (0, 0) and content.head.cut_file != self.cut_file:
                 file_number, offset = self.cut_file
                 raise DataLostError(f"{FILE_PREFIX}{file_number}: damaged at byte {offset}")
@@ -130,7 +135,7 @@
             if not changes:
                 changes += content.head.partitions
             changes += content.changes
-            self.held_until[number] = max(map(_held_until, content.changes), default=0)
+            self.expiry_times[number] = max(map(_latest_expiry, content.changes), default=0)
             if content.torn_bytes:
                 on_tail_cut(
                     f"{FILE_PREFIX}{number}: {content.torn_bytes} bytes of a batch "
@@ -142,12 +147,12 @@
         name = f"{FILE_PREFIX}{number}"
         data = self.folder.read(name, MAX_FILE_BYTES)
         if data[: len(MAGIC)] != MAGIC:
-            raise DataLostError(f"{name}: no file of copies")
+            raise DataLostError(f"{name}: not a file of reservation records")
         reader = ChainReader(name, data, len(MAGIC), number)
         head: FileHead | None = None
         changes: list[StoredChange] = []
         try:
-            # A file gets its name once its head is flushed: only a batch may be torn.
+            # A file gets its name only once its header is flushed, so only a batch may be torn.
             while record := reader.next_record(may_be_torn=head is not None):
                 if head is None:
                     head = head_decoder.decode(record.body)
@@ -157,84 +162,84 @@
             raise DataLostError(str(error)) from error
         except msgspec.DecodeError as error:
             raise DataLostError(
-                f"{name}: what stands at byte {reader.record_offset} can't be read: {error}"
+                f"{name}: the record at byte {reader.record_offset} can't be decoded: {error}"
             ) from error
         if head is None:
-            raise DataLostError(f"{name}: it ends before its head")
+            raise DataLostError(f"{name}: the file ends before its header")
         return FileContent(head, changes, reader.end, len(data) - reader.end)
 
     # Writing.
 
     def clear(self) -> None:
-        """Removes all files, since what they hold counts as lost."""
+        """Remove all files, since their data counts as lost."""
         with broken_on_failure(self):
-            for number in self.numbers():
+            for number in self.file_numbers():
                 self.folder.remove(f"{FILE_PREFIX}{number}")
             self.folder.flush()
-            self.held_until = {}
+            self.expiry_times = {}
             self.cut_file = (0, 0)
 
     def begin(self, member: str, boot: int, partitions: list[PartitionStatus]) -> None:
-        """Begins a file, at each start and after each segment."""
-        number = self.number + 1
+        """Begin a new file, at each process start and when the last one is full."""
+        number = self.file_number + 1
         body = encode(FileHead(VERSION, member, boot, partitions, self.cut_file))
         data, key = seal_record(first_key(number), HEAD, body)
         with broken_on_failure(self):
             self.folder.write(NEW_FILE, MAGIC + data)
             self.folder.rename(NEW_FILE, f"{FILE_PREFIX}{number}")
             self.folder.flush()
-        self.number = number
-        self.key = key
-        self.size = len(data)
+        self.file_number = number
+        self.chain_key = key
+        self.file_size = len(data)
         self.member = member
         self.boot = boot
-        self.held_until[number] = 0
+        self.expiry_times[number] = 0
         self.cut_file = (0, 0)
 
     def write(
         self, changes: list[StoredChange], partitions: Callable[[], list[PartitionStatus]]
     ) -> None:
-        """Writes a batch; flushed when it returns.
+        """Write and flush a batch.
 
-        `partitions` is called where a new file begins.
+        `partitions` is called if a new file is begun, and returns the states for its header.
 
         Raises:
-            OSError: this or an earlier write failed.
+            OSError: this write or an earlier one failed.
         """
         require_unbroken(self)
-        data, key = seal_record(self.key, BATCH, encode(changes))
+        data, key = seal_record(self.chain_key, BATCH, encode(changes))
         with broken_on_failure(self):
-            self.folder.add(f"{FILE_PREFIX}{self.number}", data)
-        self.key = key
-        self.size += len(data)
-        latest = max(_held_until(change) for change in changes)
-        self.held_until[self.number] = max(self.held_until[self.number], latest)
-        if self.size > SEGMENT_BYTES:
+            self.folder.add(f"{FILE_PREFIX}{self.file_number}", data)
+        self.chain_key = key
+        self.file_size += len(data)
+        latest = max(_latest_expiry(change) for change in changes)
+        self.expiry_times[self.file_number] = max(self.expiry_times[self.file_number], latest)
+        if self.file_size > SEGMENT_BYTES:
             self.begin(self.member, self.boot, partitions())
 
-    def drop_expired(self, now: int) -> None:
-        """Removes older files, the oldest first, whose keys have all been held for their time.
+    def remove_expired_files(self, now: int) -> None:
+        """Remove old files, from the oldest up to the first with a key that has not expired.
 
         `now` is wall time in nanoseconds.
         """
-        for number in sorted(self.held_until):
-            if number == self.number or self.held_until[number] >= now:
+        for number in sorted(self.expiry_times):
+            if number == self.file_number or self.expiry_times[number] >= now:
                 return
             with broken_on_failure(self):
                 self.folder.remove(f"{FILE_PREFIX}{number}")
-            del self.held_until[number]
+            del self.expiry_times[number]
 
 
 def _check_owner(number: int, head: FileHead, member: str, boots: tuple[int, ...]) -> None:
     if head.member != member or head.boot not in boots:
         raise DataLostError(
-            f"{FILE_PREFIX}{number}: it is of {head.member}, start {head.boot}, "
-            f"not of {member}, start {boots[0]}"
+            f"{FILE_PREFIX}{number}: it belongs to {head.member}, start {head.boot}, "
+            f"not to {member}, start {boots[0]}"
         )
 
 
-def _held_until(change: StoredChange) -> int:
-    """Until when the change's keys are held; 0 if it has none."""
+def _latest_expiry(change: StoredChange) -> int:
+    """Return the wall time at which the last key of a change expires; 0 if it has no keys."""
     match change:
         case RecordStored(record=record):
             return record.held_until
--- a/tests/copies/replication_world.py
+++ b/tests/copies/replication_world.py
@@ -1,4 +1,4 @@
-"""Replicas of one partition under faults that are drawn by seed."""
+"""Simulation of the replicas of one partition, with random faults determined by a seed."""
 
 from random import Random
 
@@ -11,10 +11,10 @@
 PARTITION = 0
 KEYS = 40
 CLIENTS = 4
-# A reservation that outlasts each run.
+# Expiry time of reservations; no run reaches it.
 NEVER = 1 << 60
 
-# One number is drawn for each step; what it lies below decides what happens.
+# Each step draws a random number; the first of these limits that exceeds it selects the action.
 CRASH_BELOW = 0.003
 RESTART_BELOW = 0.04
 LOSE_DISK_BELOW = 0.042
@@ -32,21 +32,23 @@
 WRONG_LEADER_PROBABILITY = 0.2
 
 
-class ReplicationWorld:
-    """Some members with one partition, their disks and links, and whoever agrees on its views.
+class ReplicationSimulation:
+    """Members with replicas of one partition, their disks and links, and the agreed views.
 
-    It checks one rule: a key is granted to one client.
+    It checks one rule: a key is granted to only one client.
 
     Attributes:
-        replicas: By member; None while its process does not run.
-        disks: What each member has written.
-        messages: Sender, receiver and message of all that is under way.
-        views: Number and replicas of all views that were agreed.
-        granted: Who was granted a key.
+        replicas: The replica of each member; None while its process does not run.
+        disks: The changes that each member has written.
+        messages: Messages in transit: sender, receiver and content.
+        views: The number and the replicas of each agreed view.
+        next_members: The replicas of the next view during a view change; otherwise empty.
+        complete_in_next: Members that the leader believes to be complete for the next view.
+        granted: The client that was granted a key, by key.
     """
 
     def __init__(self, seed: int, replica_class: type[Replica] = Replica) -> None:
-        """Start the members, and agree on a first view."""
+        """Start the members and agree on the first view."""
         self.random = Random(seed)
         self.replica_class = replica_class
         self.members = [f"m{i}" for i in range(MEMBERS)]
@@ -63,30 +65,30 @@
         first = tuple(self.members[:REPLICAS])
         for name in first:
             self._running(name).fetch(PARTITION, 1, "")
-            self.carry_out(name)
-        self.agree(first)
+            self.carry_out_effects(name)
+        self.agree_on_view(first)
 
     @property
     def view(self) -> int:
-        """The number of the newest view."""
+        """Return the number of the newest view."""
         return self.views[-1][0] if self.views else 0
 
     def _running(self, name: str) -> Replica:
-        """The replica of a member whose process runs."""
+        """Return the replica of a member whose process runs."""
         replica = self.replicas[name]
         assert replica is not None, name
         return replica
 
-    def agree(self, members: tuple[str, ...]) -> None:
-        """Agree on the next view."""
+    def agree_on_view(self, members: tuple[str, ...]) -> None:
+        """Agree on these members as the replicas of the next view."""
         self.views.append((self.view + 1, members))
 
-    def carry_out(self, name: str, crash_after: int | None = None) -> None:
-        """Carry out a replica's effects in their order.
+    def carry_out_effects(self, name: str, crash_after: int | None = None) -> None:
+        """Carry out the effects of a replica in order.
 
         Args:
             name: The member.
-            crash_after: Number of effects after which its process dies; None if it does not.
+            crash_after: The number of effects after which its process crashes; None for no crash.
         """
         replica = self._running(name)
         while replica.effects:
@@ -105,7 +107,7 @@
                     assert owner == client, f"{key} granted to {owner} and {client}"
 
     def step(self) -> None:
-        """Let one random thing happen at one member."""
+        """Perform one random action at one member."""
         name = self.random.choice(self.members)
         draw = self.random.random()
         if draw < RESTART_BELOW:
@@ -124,16 +126,16 @@
             self.replicas[name] = None
 
     def _lose_disk(self, name: str) -> None:
-        """A member that lost its disk is another incarnation.
+        """Replace a member whose disk is lost by a new incarnation with an empty disk.
 
-        Under its old name it would be told that it held the partition, and believe it.
+        Under its old name it would be a replica of agreed views whose records it no longer has.
         """
         self.lost_disks += 1
-        reborn = f"{name.partition('.')[0]}.{self.lost_disks}"
-        self.members[self.members.index(name)] = reborn
+        replacement = f"{name.partition('.')[0]}.{self.lost_disks}"
+        self.members[self.members.index(name)] = replacement
         self.replicas[name] = None
-        self.replicas[reborn] = self.replica_class(reborn)
-        self.disks[reborn] = []
+        self.replicas[replacement] = self.replica_class(replacement)
+        self.disks[replacement] = []
 
     def _act(self, name: str, draw: float) -> None:
         replica = self._running(name)
@@ -155,10 +157,10 @@
             active = self._deliver_any(name)
         if active is not None:
             crashes = self.random.random() < CRASH_AMID_EFFECTS_PROBABILITY
-            self.carry_out(active, self.random.randrange(4) if crashes else None)
+            self.carry_out_effects(active, self.random.randrange(4) if crashes else None)
 
     def _begin_view(self, replica: Replica) -> None:
-        """Begin the newest view, or the one after the replica's own."""
+        """Let a replica begin the newest view, or the one after its own."""
         if self.random.random() < NEWEST_VIEW_PROBABILITY:
             view = self.views[-1]
         else:
@@ -166,11 +168,11 @@
         replica.begin_view(PARTITION, *view)
 
     def _deliver_any(self, name: str) -> str | None:
-        """Deliver one of the messages that are under way, in any order, perhaps twice.
+        """Deliver a random message, lose it, or deliver it and keep it for a second delivery.
 
         Returns:
-            Whose effects come next: its receiver's, those of `name` if the receiver does not run,
-            or nobody's if the message is lost.
+            The member whose effects to carry out next: the receiver, `name` if the receiver does
+            not run, or None if the message is lost.
         """
         sender, receiver, message = self.messages.pop(self.random.randrange(len(self.messages)))
         if self.random.random() < LOSS_PROBABILITY:
@@ -185,7 +187,10 @@
         return receiver
 
     def _is_complete_at_another(self, name: str) -> bool:
-        """Whether another replica of the newest view has all: only then a disk may be lost."""
+        """Return whether another replica is complete in the newest view.
+
+        Only then a disk may be lost.
+        """
         for other in self.views[-1][1]:
             replica = self.replicas[other]
             if other == name or replica is None:
@@ -198,8 +203,8 @@
     def _change_view(self) -> None:
         """Prepare the next view as the leader does.
 
-        A sealed replica of the newest view sends all to those of the next, and the next view is
-        agreed once each has it.
+        Incomplete replicas of the next view fetch all records from a sealed replica of the newest
+        view. The next view is agreed once all its replicas are complete.
         """
         if not self.next_members or not set(self.next_members) <= set(self.members):
             self.next_members = tuple(self.random.sample(self.members, REPLICAS))
@@ -208,18 +213,18 @@
         if source is None:
             self.next_members = ()
             return
-        self.carry_out(source)
+        self.carry_out_effects(source)
         for name in self.next_members:
             self._prepare(name, source)
-        # A leader that is wrong about who is complete does no harm: an incomplete replica knows it.
+        # A leader may be wrong about who is complete: an incomplete replica knows that it is.
         if len(self.complete_in_next) == REPLICAS or (
             self.complete_in_next and self.random.random() < WRONG_LEADER_PROBABILITY
         ):
-            self.agree(self.next_members)
+            self.agree_on_view(self.next_members)
             self.next_members = ()
 
     def _sealed_replica(self) -> str | None:
-        """A replica of the newest view that is sealed, or can be."""
+        """Return a sealed replica of the newest view; seal one if none is sealed."""
         for name in self.views[-1][1]:
             replica = self.replicas[name]
             if replica is None:
@@ -232,15 +237,17 @@
         return None
 
     def _prepare(self, name: str, source: str) -> None:
-        """Note that a member of the next view is complete, or let it fetch what it lacks."""
+        """Note that a member of the next view is complete, or let it fetch the records."""
         replica = self.replicas[name]
         if replica is None:
             return
         partition = replica.partition(PARTITION)
-        has_all = partition.view == self.view and partition.complete and name in self.views[-1][1]
-        if has_all or partition.fetched_view == self.view + 1:
+        is_complete = (
+            partition.view == self.view and partition.complete and name in self.views[-1][1]
+        )
+        if is_complete or partition.fetched_view == self.view + 1:
             self.complete_in_next.add(name)
             return
         self.complete_in_next.discard(name)
         replica.fetch(PARTITION, self.view + 1, source)
-        self.carry_out(name)
+        self.carry_out_effects(name)
--- a/tests/copies/test_partition_placement.py
+++ b/tests/copies/test_partition_placement.py
@@ -1,4 +1,4 @@
-"""Which members are chosen as replicas of a partition."""
+"""The choice of the members that hold replicas of a partition."""
 
 from cypresswalk.copies.placement import PARTITIONS, choose_replicas, partition_of
 
@@ -8,13 +8,13 @@
 KEYS = 6400
 
 
-def test_replicas_stand_in_different_zones():
+def test_replicas_are_in_different_zones():
     for partition in range(PARTITIONS):
         chosen = choose_replicas(partition, MEMBERS, REPLICAS)
         assert len({MEMBERS[name] for name in chosen}) == REPLICAS
 
 
-def test_replicas_stand_in_one_zone_if_there_is_no_other():
+def test_replicas_are_in_one_zone_if_there_is_no_other():
     chosen = choose_replicas(1, {"a": "z", "b": "z"}, REPLICAS)
     assert chosen in (("a", "b"), ("b", "a"))
 
--- a/tests/copies/test_record_log.py
+++ b/tests/copies/test_record_log.py
@@ -1,4 +1,4 @@
-"""The stored log of a replica: what is read back, torn batches, damage and expired files."""
+"""A replica's log on disk: reading it back, torn batches, damage and expired files."""
 
 from random import Random
 
@@ -24,19 +24,19 @@
 
 
 def record_stored(key: str) -> RecordStored:
-    """The change by which a pending reservation is stored."""
+    """Return the change that stores a pending reservation."""
     return RecordStored(PARTITION, ReservationRecord(key, "n1", 100, "out"))
 
 
 def reread(
     disk: SimulatedDisk, member: str = MEMBER, boot: int = BOOT
 ) -> list[StoredChange | PartitionStatus]:
-    """What another process reads from the disk."""
+    """Return the changes that a new process reads from the disk."""
     return RecordLog(disk).load(member, (boot,), lambda text: None)
 
 
 class StoredBatches:
-    """A log of two batches whose bytes a test may change."""
+    """A log of two batches whose bytes a test can change."""
 
     FILE = "copies.1"
     FIRST = (ViewBegun(PARTITION, 1, (MEMBER,), True), record_stored("x"))
@@ -53,13 +53,13 @@
         self.data = self.disk.files[self.FILE].data
 
     def replace(self, data: bytes) -> None:
-        """Give the file other bytes."""
+        """Replace the content of the file."""
         self.disk.damage(self.FILE, data)
 
 
 @pytest.fixture
 def batches() -> StoredBatches:
-    """A log of two batches."""
+    """Return a log of two batches."""
     return StoredBatches()
 
 
@@ -74,13 +74,13 @@
     assert set(partition.records) == {"x", "y"}
 
 
-def test_a_torn_batch_loses_nothing_of_those_before_it(batches):
+def test_torn_batch_does_not_affect_earlier_batches(batches):
     for end in range(batches.end_of_first, len(batches.data), 7):
         batches.replace(batches.data[:end])
         assert record_stored("x") in reread(batches.disk)
 
 
-def test_a_changed_byte_anywhere_counts_as_data_loss(batches):
+def test_changed_byte_anywhere_counts_as_data_loss(batches):
     data = batches.data
     for offset in range(len(data)):
         batches.replace(data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :])
@@ -89,13 +89,13 @@
 
 
 @pytest.mark.parametrize("member, boot", [("a#2", BOOT), (MEMBER, 2)])
-def test_the_log_of_another_incarnation_or_start_counts_as_data_loss(batches, member, boot):
-    with pytest.raises(DataLostError, match="not of a#"):
+def test_log_of_another_incarnation_or_start_counts_as_data_loss(batches, member, boot):
+    with pytest.raises(DataLostError, match="not to a#"):
         reread(batches.disk, member, boot)
 
 
 def write_expiring_records(log: RecordLog, replica: Replica, count: int) -> None:
-    """Reserve and write keys i1, i2, ..., each of which expires at its number."""
+    """Reserve keys i1, i2, ... and write their records; each expires at the time of its number."""
     log.begin(MEMBER, BOOT, [])
     for expiry in range(1, count + 1):
         replica.reserve(0, PARTITION, f"i{expiry}", "n1", expiry, None)
@@ -104,15 +104,15 @@
         log.write(changes, replica.statuses)
 
 
-def test_files_are_removed_once_all_in_them_has_expired(monkeypatch):
+def test_file_is_removed_once_all_its_keys_have_expired(monkeypatch):
     monkeypatch.setattr(store, "SEGMENT_BYTES", 200)
     disk = SimulatedDisk(Random(1))
     log, replica = RecordLog(disk), Replica(MEMBER)
     replica.fetch(PARTITION, 1, "")
     replica.begin_view(PARTITION, 1, (MEMBER,))
     write_expiring_records(log, replica, 40)
-    assert len(log.numbers()) > 5
-    log.drop_expired(30)
+    assert len(log.file_numbers()) > 5
+    log.remove_expired_files(30)
     restored = Replica(MEMBER)
     restored.restore(reread(disk))
     partition = restored.partition(PARTITION)
@@ -122,7 +122,7 @@
     assert partition.replicas == (MEMBER,)
 
 
-def test_a_log_takes_nothing_more_after_a_failed_write():
+def test_log_refuses_writes_after_a_failed_write():
     disk = SimulatedDisk(Random(1))
     log, replica = RecordLog(disk), Replica(MEMBER)
     log.begin(MEMBER, BOOT, [])
--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica, or a few, by hand: views, reservations and their outcomes."""
+"""One replica or a few, with messages delivered by the test: views, reservations, outcomes."""
 
 import pytest
 
@@ -9,12 +9,12 @@
 from cypresswalk.copies.reservations import ReservationAnswer
 
 PARTITION = 0
-# Wall time until which reservations are held, in nanoseconds, where they are not to expire.
+# Expiry time of reservations that must not expire in a test, as wall time in nanoseconds.
 NEVER = 1 << 50
 
 
 def replica_in_first_view(name: str, members: tuple[str, ...], **limits: int) -> Replica:
-    """A complete replica of a partition whose first view has begun."""
+    """Return a complete replica of a partition that is in its first view."""
     replica = Replica(name, **limits)
     replica.fetch(PARTITION, 1, "")
     replica.begin_view(PARTITION, 1, members)
@@ -23,12 +23,12 @@
 
 
 def answer(token: object, result: str, owner: str = "", outcome: str = "") -> AnswerRequest:
-    """The effect by which a request is answered."""
+    """Return the effect that answers a request."""
     return AnswerRequest(token, ReservationAnswer(result, owner, outcome))
 
 
 def message_to(receiver: str, effects: list[Effect]) -> PartitionMessage:
-    """The first message to a replica among some effects."""
+    """Return the first message to a replica among the effects."""
     sent = [effect for effect in effects if isinstance(effect, SendMessage)]
     message = next(effect.message for effect in sent if effect.receiver == receiver)
     assert isinstance(message, PartitionMessage)
@@ -36,12 +36,12 @@
 
 
 def results(effects: list[Effect]) -> list[str]:
-    """The results by which requests are answered."""
+    """Return the results of all answers among the effects."""
     return [effect.answer.result for effect in effects if isinstance(effect, AnswerRequest)]
 
 
 def test_replica_that_missed_a_view_is_not_complete_in_the_next():
-    """In the view that it missed others may have granted keys."""
+    """Other replicas may have granted keys in the view that this one missed."""
     replica = replica_in_first_view("b", ("a", "b"))
     replica.begin_view(PARTITION, 3, ("b", "a"))
     replica.effects.clear()
@@ -59,7 +59,7 @@
     assert not restored.seal(PARTITION, 3)
 
 
-def test_replica_that_lost_its_disk_grants_nothing_in_the_view_that_names_it():
+def test_replica_that_lost_its_disk_grants_nothing_in_a_view_that_includes_it():
     emptied = Replica("b")
     emptied.begin_view(PARTITION, 1, ("b", "a"))
     emptied.fetch(PARTITION, 1, "")
@@ -81,7 +81,7 @@
 
 
 def deliver_all(replicas: list[Replica]) -> None:
-    """Carry out what the replicas have to do, until they have nothing more."""
+    """Deliver the replicas' messages until none are left."""
     by_name = {replica.member_id: replica for replica in replicas}
     while any(replica.effects for replica in replicas):
         for replica in replicas:
@@ -93,9 +93,9 @@
 
 @pytest.fixture
 def diverged_replicas() -> list[Replica]:
-    """Replicas a, b and c in their second view; a and b have a record that c has not.
+    """Return replicas a, b and c in their second view; a and b have a record that c lacks.
 
-    Its primary was a, which never heard that b had it, so that nobody was granted the key.
+    Its primary a never received the confirmation of b, so the key was not granted.
     """
     replicas = [replica_in_first_view(name, ("a", "b", "c")) for name in "abc"]
     primary, backup, _ = replicas
@@ -107,7 +107,7 @@
     return replicas
 
 
-def test_record_that_some_replicas_had_before_a_view_change_comes_to_all(diverged_replicas):
+def test_record_of_some_replicas_is_replicated_to_all_after_a_view_change(diverged_replicas):
     primary = diverged_replicas[2]
     primary.compare_digests(PARTITION)
     deliver_all(diverged_replicas)
@@ -118,7 +118,7 @@
     assert primary.effects[-1] == answer("t2", "held", "n1", "out")
 
 
-def test_digests_are_the_same_when_records_are_replaced_and_go_with_them(diverged_replicas):
+def test_digests_are_unchanged_when_records_are_replaced_and_removed_with_them(diverged_replicas):
     replica = diverged_replicas[0]
     partition = replica.partition(PARTITION)
     before = dict(partition.digests)
@@ -131,15 +131,15 @@
 
 
 class ReplicaPair:
-    """A primary a and its backup b; messages are carried by hand."""
+    """A primary a and its backup b; the test delivers their messages."""
 
     def __init__(self) -> None:
-        """Start both in the first view."""
+        """Create both in the first view."""
         self.primary = replica_in_first_view("a", ("a", "b"))
         self.backup = replica_in_first_view("b", ("a", "b"))
 
     def replicate(self) -> None:
-        """Carry the primary's last message to the backup, and its answer back."""
+        """Deliver the primary's record to the backup, and the confirmation to the primary."""
         sent = message_to("b", self.primary.take_effects())
         self.backup.on_message("a", sent)
         write, reply = self.backup.take_effects()
@@ -150,11 +150,11 @@
 
 @pytest.fixture
 def pair() -> ReplicaPair:
-    """A primary and its backup."""
+    """Return a primary and its backup."""
     return ReplicaPair()
 
 
-def test_key_is_granted_to_the_first_once_the_backup_has_it(pair):
+def test_key_is_granted_to_the_first_owner_once_the_backup_has_the_record(pair):
     primary = pair.primary
     primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
     primary.reserve(0, PARTITION, "x", "n2", 10, "t2")
@@ -167,7 +167,7 @@
     assert primary.effects == [answer("t1", "granted", "n1", "out")]
 
 
-def test_client_that_asks_again_is_answered_once_the_backup_has_the_key(pair):
+def test_repeated_request_is_answered_once_the_backup_has_the_record(pair):
     primary = pair.primary
     primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
     effects_of_first = list(primary.effects)
@@ -180,7 +180,7 @@
     ]
 
 
-def test_outcome_is_taken_from_the_owner_alone_and_told_to_who_asks_later(pair):
+def test_outcome_is_accepted_only_from_the_owner_and_returned_to_later_requests(pair):
     primary = pair.primary
     primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
     pair.replicate()
--- a/tests/copies/test_replication_faults.py
+++ b/tests/copies/test_replication_faults.py
@@ -1,4 +1,4 @@
-"""Replicas under lost messages, crashes and lost disks: a key is granted to one client."""
+"""Random runs with lost messages, crashes and lost disks: a key is granted to only one client."""
 
 import pytest
 from replica_mutants import (
@@ -7,7 +7,7 @@
     AnswersBeforeWriting,
     TrustsEmptyReplica,
 )
-from replication_world import ReplicationWorld
+from replication_world import ReplicationSimulation
 
 from cypresswalk.copies.replica import Replica
 
@@ -15,19 +15,19 @@
 STEPS = 4000
 
 
-def play(seed: int, replica_class: type[Replica] = Replica) -> ReplicationWorld:
-    """Play one random run, in which each key must be granted to one client."""
-    world = ReplicationWorld(seed, replica_class)
+def run_simulation(seed: int, replica_class: type[Replica] = Replica) -> ReplicationSimulation:
+    """Simulate one random run, which checks that no key is granted to two clients."""
+    simulation = ReplicationSimulation(seed, replica_class)
     for _ in range(STEPS):
-        world.step()
-    return world
+        simulation.step()
+    return simulation
 
 
 def test_key_is_granted_to_one_client_over_crashes_lost_disks_and_view_changes():
-    worlds = [play(seed) for seed in range(SEEDS)]
-    # The runs show something: keys were granted, and views changed.
-    assert sum(len(world.granted) for world in worlds) > 300
-    assert sum(world.view for world in worlds) > 200
+    simulations = [run_simulation(seed) for seed in range(SEEDS)]
+    # The runs are meaningful only if keys were granted and views changed.
+    assert sum(len(simulation.granted) for simulation in simulations) > 300
+    assert sum(simulation.view for simulation in simulations) > 200
 
 
 @pytest.mark.parametrize(
@@ -40,9 +40,9 @@
     ],
 )
 def test_replica_mutant_is_detected(mutant, seeds):
-    """The same seeds find nothing in the replica as it is."""
+    """The same seeds find no fault in the real replica."""
     for seed in seeds:
-        play(seed)
+        run_simulation(seed)
     with pytest.raises(AssertionError, match="granted to"):
         for seed in seeds:
-            play(seed, mutant)
+            run_simulation(seed, mutant)
