--- a/cypresswalk/decisions/__init__.py
+++ b/cypresswalk/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""Every decision of the balancer, without I/O and without a clock of its own.
+"""All decisions of the balancer, without I/O and without a clock of their own.
 
-`balancer.Balancer` is what hosts call: it takes events and yields decisions. Each other module
-holds one rule with its state and its constants: health checks, outlier ejection, concurrency
-limits, slow start, admission, placement, retries, migration and gossip.
+Hosts call `balancer.Balancer`, which takes events and returns decisions. Every other module holds
+one rule with its state and constants: health checks, outlier ejection, concurrency limits, slow
+start, admission, placement, retries, migration and gossip.
 """
--- a/cypresswalk/decisions/admission.py
+++ b/cypresswalk/decisions/admission.py
@@ -1,97 +1,98 @@
-"""Admission: whether a server may be sent a flow at all, and whether a flow is let in at all."""
+"""Admission: whether a server may get a flow, and whether a flow is admitted at all."""
 
 import math
 
 from cypresswalk.decisions.hashing import Draws
-from cypresswalk.decisions.limits import ConcurrencyLimits, yield_rank
+from cypresswalk.decisions.limits import ConcurrencyLimits, eviction_rank
 from cypresswalk.decisions.load import is_overloaded
 from cypresswalk.decisions.outliers import MAX_FAILURES, OutlierDetection, is_outlier
 from cypresswalk.decisions.traffic import Traffic
 from cypresswalk.decisions.warm_up import WarmUp
 from cypresswalk.model import SECOND, Flow, Server
 
-MAX_PENDING_ATTEMPTS = 4  # per server: about one a core; more only wait there for each other
+MAX_PENDING_ATTEMPTS = 4  # per server: about one per core; more would only queue there
 ERROR_ALLOWANCE = MAX_FAILURES
-THROTTLE_TRIAL_INTERVAL = 3 * SECOND  # so seldom, hundreds of balancers overload nothing
+THROTTLE_TRIAL_INTERVAL = 3 * SECOND  # rare enough for hundreds of balancers together
 
 
 class Admission:
-    """Whether servers may be sent a flow."""
+    """The rules that decide whether a server may get a flow."""
 
     def __init__(self, limits: ConcurrencyLimits, outliers: OutlierDetection, warm_up: WarmUp):
-        """Read limits, ejections and warm-up where they are kept."""
+        """Keep the rules that hold the limits, the ejections and the warm-up state."""
         self._limits = limits
         self._outliers = outliers
         self._warm_up = warm_up
 
-    def has_capacity(self, now: int, server: Server, flow: Flow, at_home: bool) -> bool:
-        """Return whether the server may be sent the flow, however bad the others look.
+    def has_capacity(self, now: int, server: Server, flow: Flow, owns_slot: bool) -> bool:
+        """Return whether the server may get the flow, whatever the state of the other servers.
 
-        A server that warms up is sent only flows that its slow-start budget admitted, and has at
-        most one more attempt pending than it has answered.
+        A warming server gets only flows that its slow-start budget admitted, and may have at most
+        one pending attempt more than it has established.
 
         Args:
-            now: nanoseconds.
-            server: where the flow may go.
+            now: the current time in nanoseconds.
+            server: the server that the flow may go to.
             flow: the flow.
-            at_home: the server is the one at the key's slot.
+            owns_slot: whether the server owns the slot of the flow's key.
         """
         pending = len(server.pending_flows)
         if now < server.ejected_until or pending >= MAX_PENDING_ATTEMPTS:
             return False
         is_limited = server.concurrency_limit < math.inf
-        if is_limited and not self._limits.has_room(now, server, flow, at_home):
+        if is_limited and not self._limits.has_room(now, server, flow, owns_slot):
             return False
         if not self._warm_up.applies(now, server):
             return True
         return server in flow.slow_start_admitted and pending <= server.established_count
 
-    def is_preferred(self, now: int, server: Server, flow: Flow, at_home: bool) -> bool:
+    def is_preferred(self, now: int, server: Server, flow: Flow, owns_slot: bool) -> bool:
         """Return whether the flow should go to the server rather than to others.
 
-        An overloaded server keeps a part of its own keys, the same at all balancers: copies of
-        groups elsewhere cost. It is sent nobody else's.
+        An overloaded server still gets a part of the keys whose slots it owns, the same part at
+        all balancers, because copies of groups on other servers cost extra work. It gets no flows
+        of other keys.
         """
         outliers = self._outliers
-        if outliers.zone_failures and outliers.zone_is_passed_over(now, server):
+        if outliers.zone_failures and outliers.zone_is_skipped(now, server):
             return False
         if is_outlier(server) and outliers.awaits_trial(now, server):
             return False
         if not is_overloaded(now, server):
             return True
-        return at_home and yield_rank(server, flow) < 1 - server.load
+        return owns_slot and eviction_rank(server, flow) < 1 - server.load
 
 
 class ErrorThrottle:
-    """Turns flows away while errors are most of what comes back.
+    """Adaptive throttling: rejects flows while most attempts end in errors.
 
-    It protects what all servers rely on, as a store that each set-up asks, against clients that
-    come back at once: twice what is taken is let in ("adaptive throttling", Site Reliability
-    Engineering, chapter 21), and one trial flow now and then tells when it is over.
+    This protects a dependency that all servers share, such as a store that each set-up queries,
+    from clients that reconnect at once. As in Site Reliability Engineering, chapter 21, twice the
+    number of accepted flows is admitted. An occasional trial flow shows when the fault is over.
     """
 
     def __init__(self, traffic: Traffic, draws: Draws, now: int):
-        """Begin with a trial allowed at once."""
+        """Start with a trial allowed at once."""
         self._traffic = traffic
         self._draws = draws
         self._next_trial_at = now
 
-    def turns_away(self, now: int, flow: Flow) -> bool:
-        """Return whether the flow is turned away; without an attempt that counts as an error."""
+    def should_reject(self, now: int, flow: Flow) -> bool:
+        """Return whether to reject the flow; rejecting an unattempted flow counts as an error."""
         errors = self._traffic.errors.read(now) - ERROR_ALLOWANCE
         taken = self._traffic.established.read(now)
         if errors <= taken:
             return False
         if flow.last_outcome is not None:
-            turned_away = not flow.last_outcome.never_ran
+            rejected = not flow.last_outcome.never_ran
         else:
-            turned_away = now < self._next_trial_at and self._draws.draw() < (errors - taken) / (
+            rejected = now < self._next_trial_at and self._draws.draw() < (errors - taken) / (
                 errors + taken
             )
-        if turned_away:
+        if rejected:
             self._traffic.errors.add(now, not flow.attempts)
-        return turned_away
+        return rejected
 
     def on_attempt_started(self, now: int) -> None:
-        """A flow goes to a server: the next trial may wait."""
+        """Postpone the next trial, because a flow is being attempted."""
         self._next_trial_at = now + THROTTLE_TRIAL_INTERVAL
--- a/cypresswalk/decisions/balance.py
+++ b/cypresswalk/decisions/balance.py
@@ -1,17 +1,17 @@
-"""Balance between servers: how much each holds from here, beside the mean of the sound ones."""
+"""Balance between servers: each server's occupancy against the mean of the sound servers."""
 
 from cypresswalk.decisions.occupancy import occupancy, occupancy_with
 from cypresswalk.decisions.outliers import is_sound
 from cypresswalk.model import Flow, Server
 
-MAX_OVER_MEAN = 1.5  # nearer to the mean, groups are scattered for little balance
-MIN_PASS_OVER = 10  # connections: below that a few flows with a group each say nothing
+MAX_OVER_MEAN = 1.5  # a lower bound would scatter groups for little better balance
+MIN_OCCUPANCY_TO_BALANCE = 10  # connections; below it, a few flows with a group each dominate
 
 
 def mean_occupancy(now: int, servers: list[Server]) -> float:
-    """Return this balancer's connections for each unit of weight, on the sound servers among them.
+    """Return this balancer's connections per unit of weight on the sound ones of the servers.
 
-    Counting others, all sound ones could be over the mean and flows would land on a bad one.
+    If other servers counted, all sound ones could be over the mean and flows would go to a bad one.
     """
     sound = [server for server in servers if is_sound(now, server)]
     if not sound:
@@ -20,8 +20,8 @@
 
 
 def is_over_mean(now: int, server: Server, flow: Flow, servers: list[Server]) -> bool:
-    """Return whether the server would hold far more than the mean of `servers` with the flow."""
+    """Return whether the server, given the flow, would hold far more than the mean of `servers`."""
     relative = occupancy_with(server, flow) / server.weight
-    if relative * server.weight <= MIN_PASS_OVER:
+    if relative * server.weight <= MIN_OCCUPANCY_TO_BALANCE:
         return False
     return relative > MAX_OVER_MEAN * mean_occupancy(now, servers)
--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -1,13 +1,14 @@
-"""The decisions of one balancer, as its host calls them.
+"""The decisions of one balancer: the interface that its host calls.
 
-A host makes one Balancer from its settings, a seed and the time, reports what happens by the
-`on_...` methods, and then calls `next_decision` until that returns None, carrying out each decision
-at once. Events only update what is known; all deciding is done in `next_decision`. Times are whole
+A host creates one Balancer from its settings, a seed and the current time. It reports events by
+the `on_...` methods, then calls `next_decision` until that returns None and carries out each
+decision at once. Events only update state; `next_decision` makes all decisions. Times are whole
 nanoseconds of the host's clock.
 
-What a flow goes through stands in `_place`, from top to bottom: is there time and does one more
-attempt do no harm; wait for health checks of its places; is it let in; pick a server; queue where
-none has capacity; spend from the retry budget; start the attempt.
+`_place` lists the steps that a flow goes through, in order: check that there is time left and that
+one more attempt is safe; wait for health checks of the servers on its preference list; check that
+it is admitted; pick a server; queue the flow if no server has capacity; spend from the retry
+budget; start the attempt.
 """
 
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS, Admission, ErrorThrottle
@@ -61,30 +62,31 @@
     Subscribe,
 )
 
-MAX_SLEEP = 60 * SECOND  # nothing to do: any time will do
-# Names of the sums that a hand-over carries; the state folder keeps all but "borne".
+MAX_SLEEP = 60 * SECOND  # until the next wake-up when nothing is due; any value works
+# Names of the sums that a handover transfers; the state folder stores all of them but "borne".
 HANDED_OVER_SUMS = ("carried", "borne", "arrivals", "hints", "setup_time", "setups")
 
 
 class Balancer:
-    """Takes events, yields decisions.
+    """The state of one balancer, which takes events and returns decisions.
 
     Args:
-        settings: of the deployment.
-        seed: for all random draws.
-        now: nanoseconds.
+        settings: the deployment's settings.
+        seed: the seed of all random draws.
+        now: the current time in nanoseconds.
 
     Attributes:
-        settings: those in force; change them by `on_settings`.
-        servers, flows: all that the list has named and all that are held, by id, to read.
+        settings: the settings in force; change them by `on_settings`.
+        servers: all servers that the endpoint list has ever named, by id; read-only for hosts.
+        flows: all flows that this balancer holds, by id; read-only for hosts.
     """
 
     placement_type = Placement
     migration_type = Migration
 
     def __init__(self, settings: Settings, seed: int, now: int):
-        """Make the rules, each with the state of its own and those it reads."""
-        # Over 40 lines since it makes one part a line.
+        """Create the rules, each with its own state and the other rules that it reads."""
+        # Longer than 40 lines because each line creates one rule.
         self.settings = settings
         self.seed = seed
         self.servers: dict[int, Server] = {}
@@ -135,14 +137,14 @@
         self.list_polling = ListPolling(settings, self.draws, now)
 
         self._queue = FlowQueue()
-        self._silent: dict[Flow, None] = {}  # to be migrated: nothing comes back on them
+        self._silent_flows: dict[Flow, None] = {}  # to migrate: their servers don't respond
         self._next_wakeup_at = 0
 
     def sums(self) -> dict[str, DecayingSum]:
-        """Return the sums that a hand-over carries, by their names on the wire."""
+        """Return the sums that a handover transfers, by their names on the wire."""
         sums = (
             self.traffic.completed,
-            self.slow_start.held_when_warm,
+            self.slow_start.warm_occupancy,
             self.traffic.arrivals,
             self.gossip.sent,
             self.traffic.setup_time,
@@ -153,7 +155,7 @@
     # Events: the settings, the endpoint list, operators, other processes.
 
     def on_settings(self, now: int, settings: Settings) -> None:
-        """Other settings hold from now on; flows that are held go by those that they came under."""
+        """Apply new settings; flows that are held keep the service type they arrived with."""
         self.settings = settings
         for rule in (
             self.warm_up,
@@ -171,12 +173,12 @@
         self.reviews.next_at = now
 
     def on_endpoints(self, now: int, update: EndpointUpdate, entries: list[Server]) -> None:
-        """An update of the endpoint list came, or a call for it failed.
+        """Apply an update of the endpoint list, or record that a call for the list failed.
 
         Args:
-            now: nanoseconds.
-            update: what the entries are.
-            entries: servers as the list has them; an unknown one is kept as the server itself.
+            now: the current time in nanoseconds.
+            update: the kind of update: changed entries, a full or cached list, or a failed call.
+            entries: the servers as listed; the object of a new server is kept and updated later.
         """
         if update is EndpointUpdate.FAILED:
             self.list_polling.on_failed(now)
@@ -188,33 +190,39 @@
         self.reviews.next_at = now
 
     def remove_from_rotation(self, now: int, server: Server) -> None:
-        """An operator takes the server out until it is returned, whatever lists say."""
+        """Take a server out of rotation for an operator, whatever the list says of it."""
         if self._endpoints.remove_from_rotation(now, server):
             self.placement.stale = True
             self.reviews.request(now, server)
 
     def return_to_rotation(self, now: int, server: Server) -> None:
-        """An operator returns the server; it counts as just started, warm or not by its start."""
+        """Return a server to rotation for an operator.
+
+        The server counts as restarted; whether it warms up depends on its listed start time.
+        """
         if self._endpoints.return_to_rotation(now, server):
             self.placement.stale = True
             self.reviews.next_at = now
 
     def on_predecessor_lost(self, now: int) -> None:
-        """A balancer was lost in whose place this one comes: its budgets count as spent."""
+        """Count all budgets as spent, because the balancer that this one replaces was lost."""
         self.slow_start.on_predecessor_lost(now)
         self.assume_retry_budget_spent(now)
 
     def assume_retry_budget_spent(self, now: int) -> None:
-        """Another process, in whose place this one comes, made retries that are not known."""
+        """Count the retry budget as spent by the process that this one replaces.
+
+        How many retries that process made is unknown.
+        """
         self.retry_budget.assume_spent(now)
 
     def yield_budgets(self, now: int) -> None:
-        """Another process takes what is left of the slow-start and retry budgets."""
-        self.retry_budget.give_away(now)
-        self.slow_start.give_away(now)
+        """Spend the slow-start and retry budgets; another process uses what is left of them."""
+        self.retry_budget.spend_all(now)
+        self.slow_start.spend_all(now)
 
     def is_avoided(self, now: int, server: Server) -> bool:
-        """Return whether the server is in no pool, just said it is full, or is an outlier."""
+        """Return whether the server is in no pool, is ejected for a while, or is an outlier."""
         if not self.placement.is_placeable(server):
             return True
         return now < server.ejected_until or is_outlier(server)
@@ -222,7 +230,7 @@
     # Events: flows.
 
     def on_flow(self, now: int, flow: Flow) -> None:
-        """A flow came and wants a server."""
+        """Take a new flow that needs a server."""
         self._flow_table.add(flow)
         if not flow.returning:
             self.traffic.arrivals.add(now, 1)
@@ -230,16 +238,16 @@
         self._queue.add(flow)
 
     def on_flow_resumed(self, now: int, flow: Flow, server: Server) -> None:
-        """An established flow came that stands at that server already."""
+        """Take an established flow that is connected to the given server already."""
         self._flow_table.add(flow)
         flow.attempts.append(server)
         flow.established = True
         assign_established(flow, server)
 
     def on_established(self, now: int, flow: Flow, took: int) -> None:
-        """The flow's latest attempt came up, after so many nanoseconds."""
+        """Record that the flow's latest attempt succeeded after `took` nanoseconds."""
         server = flow.server
-        assert server is not None, "no attempt of the flow is out"
+        assert server is not None, "the flow has no attempt in progress"
         flow.established = True
         server.pending_flows.pop(flow, None)
         server.established_flows[flow] = None
@@ -252,17 +260,17 @@
         self.traffic.established.add(now, 1)
 
     def on_ended(self, now: int, flow: Flow, outcome: Outcome, final: bool, took: int) -> None:
-        """The flow's latest attempt, or its established connection, ended.
+        """Record that the flow's latest attempt, or its established connection, ended.
 
         Args:
-            now: nanoseconds.
+            now: the current time in nanoseconds.
             flow: the flow.
-            outcome: how it ended.
-            final: the flow has ended too; otherwise it is placed again.
+            outcome: the way in which it ended.
+            final: whether the flow has ended too; otherwise it is placed again.
             took: nanoseconds since the attempt started.
         """
         server = flow.server
-        assert server is not None, "no attempt of the flow is out"
+        assert server is not None, "the flow has no attempt in progress"
         self._unassign(flow)
         if flow.established:
             self._on_connection_ended(now, flow, server, outcome)
@@ -294,36 +302,40 @@
             flow.may_have_run_since = flow.attempt_sent_at
 
     def on_client_gone(self, now: int, flow: Flow) -> None:
-        """The client is gone; an attempt still out is forgotten, and its end tells nothing."""
+        """Forget the flow of a client that is gone, and an attempt in progress with it.
+
+        The outcome of that attempt says nothing about its server.
+        """
         self._forget(flow)
         if flow.server is not None:
             self._unassign(flow)
 
-    def on_silence(self, now: int, flow: Flow, alone: bool) -> None:
-        """The client speaks and nothing comes back from the server of an established flow.
+    def on_silence(self, now: int, flow: Flow, server_responds: bool) -> None:
+        """Migrate an established flow whose client sends but gets no response from the server.
 
         Args:
-            now: nanoseconds.
-            flow: the flow; it will migrate.
-            alone: the server answers others and is not blamed.
+            now: the current time in nanoseconds.
+            flow: the flow.
+            server_responds: whether the server responds on other flows; if not, this counts as a
+                failure of the server.
         """
-        if not alone:
+        if not server_responds:
             assert flow.server is not None, "the flow is not established"
             self.outliers.on_attempt_failed(now, flow.server, Outcome.RESET, 0)
-        self._silent[flow] = None
+        self._silent_flows[flow] = None
 
     # Events: health and load of servers, time.
 
     def on_health_check_result(
         self, now: int, server: Server, passed: bool, utilization: float | None
     ) -> None:
-        """A health check ended.
+        """Record the result of a health check.
 
         Args:
-            now: nanoseconds.
-            server: that was checked.
-            passed: whether it answered as it should.
-            utilization: the part of its capacity in use, where its answer reported that.
+            now: the current time in nanoseconds.
+            server: the server that was checked.
+            passed: whether the server answered as expected.
+            utilization: the fraction of its capacity in use, if its answer reported that.
         """
         self._queue.capacity_freed = True
         changed = record_result(server, passed)
@@ -335,29 +347,29 @@
         self.reviews.request(now, server)
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
-        """A message takes that many nanoseconds at the server."""
+        """Record the message delay of a server, in nanoseconds."""
         self.overload.on_message_delay(now, server, delay)
 
     def on_gossip(self, now: int, server: Server, load: float) -> None:
-        """Another balancer tells of a server's load."""
+        """Record a server's load as another balancer reported it."""
         self.overload.on_gossip(now, server, load)
 
     def on_wakeup(self, now: int) -> None:
-        """The time of the last ScheduleWakeup has come."""
+        """Record that the time of the last ScheduleWakeup has come."""
         self._next_wakeup_at = 0
 
     # Decisions.
 
     def next_decision(self, now: int) -> Decision | None:
-        """Return what to do next, or None when nothing is to be done until the next event.
+        """Return the next decision, or None when there is nothing to do until the next event.
 
-        In this order: migrate flows on which nothing comes back; send gossip; place the flows that
-        wait; check servers that flows wait for; ask for the endpoint list; check servers that are
-        due; migrate flows; schedule a wake-up.
+        The order is: migrate flows that get no response; send gossip; place queued flows; check
+        the servers whose results flows wait for; request the endpoint list; run the health checks
+        that are due; migrate flows; schedule a wake-up.
         """
         self._queue.release(now)
-        if self._silent:
-            flow, _ = self._silent.popitem()
+        if self._silent_flows:
+            flow, _ = self._silent_flows.popitem()
             self._unassign(flow)
             return Migrate(flow)
         if self.gossip.outbox:
@@ -389,7 +401,7 @@
         return None
 
     def _review(self, now: int) -> CheckHealth | Migrate | None:
-        """Return a health check that is due, or a flow that migrates."""
+        """Return a health check that is due, or the migration of a flow."""
         server = self.health_checks.next_due(now)
         if server is not None:
             return CheckHealth(server)
@@ -413,22 +425,22 @@
         self._next_wakeup_at = due
         return ScheduleWakeup(due - now)
 
-    # What a flow goes through.
+    # The steps of placing a flow.
 
     def _place(self, now: int, flow: Flow) -> StartAttempt | Reject | Abort | None:
-        """Return the flow's next attempt or its final answer; None queues it for a while."""
+        """Return the flow's next attempt or its final answer, or None to keep it queued."""
         if self._is_out_of_attempts(now, flow):
             return self._give_up(now, flow)
-        self.slow_start.observe(now)
+        self.slow_start.sample_occupancy(now)
         if not flow.await_checks_until:
             flow.await_checks_until = now + flow.service_type.setup_latency_objective // 10
-            self.slow_start.admit(now, flow, self.placement.homes)
+            self.slow_start.admit(now, flow, self.placement.slot_owners)
             self._request_checks(now, flow)
         if now < flow.await_checks_until and any(
             server.check_in_flight for server in flow.awaited_checks
         ):
             return None
-        if not self._is_let_in(now, flow):
+        if not self._is_admitted(now, flow):
             return self._give_up(now, flow)
         server = self.placement.pick(now, flow)
         if server is None:
@@ -443,29 +455,29 @@
         return not may_retry(now, flow)
 
     def _request_checks(self, now: int, flow: Flow) -> None:
-        """Check the flow's places first, where checks report load and the last is old."""
+        """Check the flow's preference list first, if checks report load and the last is old."""
         if self.settings.load_index < 0 or not self.settings.health_checks:
             return
-        for server in self.placement.nearest_places(flow.key):
+        for server in self.placement.preference_list(flow.key):
             if server.check_in_flight or now - server.load_at > FAST_INTERVAL:
                 flow.awaited_checks.append(server)
                 self.health_checks.request(server)
 
-    def _is_let_in(self, now: int, flow: Flow) -> bool:
-        """Return whether the flow is worth an attempt now.
+    def _is_admitted(self, now: int, flow: Flow) -> bool:
+        """Return whether the flow may be attempted now.
 
-        A client that comes back to places that all miss their objective would only be dropped
-        again.
+        A returning client would be dropped again if all servers on its preference list miss their
+        objective.
         """
         would_be_dropped = (
             flow.returning
             and flow.grouped
-            and self.placement.all_places_miss_objective(now, flow.key)
+            and self.placement.preference_list_misses_objective(now, flow.key)
         )
-        return not would_be_dropped and not self.error_throttle.turns_away(now, flow)
+        return not would_be_dropped and not self.error_throttle.should_reject(now, flow)
 
     def _may_queue(self, now: int, flow: Flow) -> bool:
-        """Return whether attempts under way may still make room in time."""
+        """Return whether attempts in progress may still free capacity in time."""
         if not flow.queued_until:
             longest = now + flow.service_type.setup_latency_objective // 2
             flow.queued_until = min(longest, flow.deadline)
@@ -484,16 +496,16 @@
         return StartAttempt(flow, server, attempt_timeout(now, flow, self.settings, self.traffic))
 
     def _give_up(self, now: int, flow: Flow) -> Reject | Abort:
-        """Return the flow's final answer, at once."""
+        """Forget the flow and return its final answer."""
         self._forget(flow)
         self.traffic.denied.add(now, 1)
         return final_answer(flow, self.settings)
 
     def _forget(self, flow: Flow) -> None:
-        self._silent.pop(flow, None)
+        self._silent_flows.pop(flow, None)
         self._flow_table.remove(flow)
 
     def _unassign(self, flow: Flow) -> None:
-        assert flow.server is not None, "the flow stands nowhere"
+        assert flow.server is not None, "the flow has no server"
         unassign(flow, flow.server)
         self._queue.capacity_freed = True
--- a/cypresswalk/decisions/endpoints.py
+++ b/cypresswalk/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers that the endpoint list has named, and those that operators took out of rotation."""
+"""Updates of the servers by the endpoint list and by operators."""
 
 import math
 
@@ -11,12 +11,13 @@
 
 
 class Endpoints:
-    """Applies updates of the list to the servers.
+    """The servers as the endpoint list and operators have set them.
 
     Args:
-        servers: all that the list has named, by id; this fills it. None is ever taken away.
-        health_checks: checks servers that are new or have started.
-        slow_start: holds a budget for each.
+        servers: all servers that the list has ever named, by id; this class adds to it and never
+            removes any.
+        health_checks: the schedule of checks, to which new and restarted servers are added.
+        slow_start: the slow-start budgets, of which each server has one.
     """
 
     def __init__(
@@ -25,18 +26,18 @@
         health_checks: HealthCheckSchedule,
         slow_start: SlowStart,
     ):
-        """Begin with the servers as they are."""
+        """Keep the servers and the rules that learn of changes."""
         self._servers = servers
         self._health_checks = health_checks
         self._slow_start = slow_start
 
     def update(self, now: int, update: EndpointUpdate, entries: list[Server]) -> None:
-        """Take over an update of the list.
+        """Apply an update of the list.
 
         Args:
-            now: nanoseconds.
-            update: what the entries are; of a whole list, whoever it does not name is gone.
-            entries: servers as the list has them; an unknown one is kept as the server itself.
+            now: the current time in nanoseconds.
+            update: the kind of update; servers that a full or cached list doesn't name are gone.
+            entries: the servers as listed; the object of a new server is kept and updated later.
         """
         for entry in entries:
             known = self._servers.get(entry.id)
@@ -55,7 +56,7 @@
         server.health = RISE - 1
         server.awaiting_first_pass = is_new
         server.recent_drops = DecayingSum(DROPS_TIME_CONSTANT, now)
-        self._slow_start.begin(now, server)
+        self._slow_start.add_server(now, server)
         self._health_checks.schedule_first(now, server)
 
     def _update_server(self, now: int, server: Server, entry: Server) -> None:
@@ -69,7 +70,7 @@
         server.state = entry.state
 
     def _restart(self, now: int, server: Server) -> None:
-        """Forget what was known of a server that has started anew."""
+        """Reset the state of a server that was restarted."""
         reset_health(server)
         self._health_checks.schedule_now(now, server)
         server.established_count = 0
@@ -80,7 +81,7 @@
         server.concurrency_limit = math.inf
 
     def remove_from_rotation(self, now: int, server: Server) -> bool:
-        """Take a server out by an operator's word; return whether that changes anything."""
+        """Take a server out of rotation; return False if it was out already."""
         if server.out_of_rotation:
             return False
         server.out_of_rotation = True
@@ -89,7 +90,7 @@
         return True
 
     def return_to_rotation(self, now: int, server: Server) -> bool:
-        """Return a server by an operator's word; return whether that changes anything."""
+        """Return a server to rotation; return False if it was in rotation already."""
         if not server.out_of_rotation:
             return False
         server.out_of_rotation = False
--- a/cypresswalk/decisions/flow_queue.py
+++ b/cypresswalk/decisions/flow_queue.py
@@ -1,4 +1,4 @@
-"""Flows that wait to be placed."""
+"""The queue of flows that wait to be placed."""
 
 from collections import deque
 
@@ -6,22 +6,23 @@
 
 
 class FlowQueue:
-    """Flows to place now, and those that wait for capacity or for health checks.
+    """Flows to place now, and flows that wait for capacity or for health checks.
 
     Attributes:
-        unplaced: flows to place, the first to go first.
-        waiting: could not be placed, in the order in which that was found.
-        capacity_freed: an end, establishment or check since may let waiting flows be placed.
+        unplaced: flows to place now, in order.
+        waiting: flows that could not be placed, in the order in which they were tried.
+        capacity_freed: whether an ended or established attempt or a health check since the last
+            release may allow waiting flows to be placed.
     """
 
     def __init__(self) -> None:
-        """Begin with no flow."""
+        """Start empty."""
         self.capacity_freed = False
         self.unplaced: deque[Flow] = deque()
         self.waiting: deque[Flow] = deque()
 
     def add(self, flow: Flow) -> None:
-        """Place that flow at the next chance."""
+        """Queue a flow to be placed at the next decision."""
         self.unplaced.append(flow)
 
     def wait(self, flow: Flow) -> None:
@@ -29,9 +30,10 @@
         self.waiting.append(flow)
 
     def release(self, now: int) -> None:
-        """Place waiting flows again, first of all, if capacity was freed or one of them is due.
+        """Move waiting flows to the front of `unplaced` if capacity was freed or one is due.
 
-        Any may be due first: flows that were attempted before wait for a shorter time.
+        All are examined, because the order of due times differs: flows that were attempted before
+        wait for a shorter time.
         """
         if self.waiting and (
             self.capacity_freed or any(now >= flow.next_due(now) for flow in self.waiting)
@@ -41,5 +43,5 @@
         self.capacity_freed = False
 
     def next_due(self, now: int) -> int:
-        """Return when the first waiting flow is due; there is one."""
+        """Return when the first waiting flow is due; at least one must be waiting."""
         return min([flow.next_due(now) for flow in self.waiting])
--- a/cypresswalk/decisions/flow_table.py
+++ b/cypresswalk/decisions/flow_table.py
@@ -1,4 +1,4 @@
-"""The flows that this balancer holds, and how many of each tenant and key there are."""
+"""The flows that this balancer holds, and how many there are of each tenant and key."""
 
 from collections import Counter
 
@@ -9,27 +9,27 @@
     """All flows from their arrival to their end."""
 
     def __init__(self) -> None:
-        """Begin with no flow."""
+        """Start empty."""
         self.by_id: dict[int, Flow] = {}
         self.by_tenant: Counter[int] = Counter()
         self.by_key: Counter[int] = Counter()
 
     def __len__(self) -> int:
-        """Return how many flows are held."""
+        """Return the number of flows."""
         return len(self.by_id)
 
     def __contains__(self, flow: Flow) -> bool:
-        """Return whether the flow is still held."""
+        """Return whether the flow is in the table."""
         return flow.id in self.by_id
 
     def add(self, flow: Flow) -> None:
-        """Hold a flow from now on."""
+        """Add a flow."""
         self.by_id[flow.id] = flow
         self.by_key[flow.key] += 1
         self.by_tenant[flow.tenant] += 1
 
     def remove(self, flow: Flow) -> None:
-        """Forget a flow; nothing happens if it is not held."""
+        """Remove a flow; do nothing if it is not in the table."""
         if self.by_id.pop(flow.id, None) is None:
             return
         self.by_tenant[flow.tenant] -= 1
@@ -39,21 +39,21 @@
 
 
 def assign_pending(flow: Flow, server: Server) -> None:
-    """Count the flow among those whose attempt is out at the server."""
+    """Add the flow to those with an attempt in progress at the server."""
     flow.server = server
     server.pending_flows[flow] = None
     _join_group(flow, server)
 
 
 def assign_established(flow: Flow, server: Server) -> None:
-    """Count the flow among those established at the server."""
+    """Add the flow to those established at the server."""
     flow.server = server
     server.established_flows[flow] = None
     _join_group(flow, server)
 
 
 def unassign(flow: Flow, server: Server) -> None:
-    """Count the flow at the server no longer; nothing happens if it was not counted there."""
+    """Remove the flow from the server; do nothing if it is not there."""
     if flow not in server.pending_flows and flow not in server.established_flows:
         return
     server.pending_flows.pop(flow, None)
--- a/cypresswalk/decisions/health.py
+++ b/cypresswalk/decisions/health.py
@@ -1,8 +1,9 @@
-"""Health checks: a rise/fall counter for each server, and when it is checked next.
+"""Health checks: a rise/fall counter for each server, and the schedule of checks.
 
-The counter is HAProxy's: a pass adds one, a failure takes one off, up is at least RISE. Checks come
-at intervals that depend on the counter, jittered. They go by a clock that runs with time where
-checks are cheap, and slower where the flows of this balancer could not pay for them.
+The counter works like HAProxy's: a pass adds one, a failure subtracts one, and a server is up from
+RISE on. The jittered interval between checks depends on the counter. The schedule uses its own
+clock, which runs at normal speed if checks are cheap, and slower if this balancer's flows can't pay
+for checks at that rate.
 """
 
 from heapq import heappop, heappush
@@ -15,17 +16,17 @@
 FALL = 3  # failures from full health to down
 MAX_HEALTH = RISE + FALL - 1
 HEALTHY_INTERVAL = 5 * SECOND
-FAST_INTERVAL = 1 * SECOND  # degraded or not checked yet
+FAST_INTERVAL = 1 * SECOND  # for degraded servers and those not checked yet
 DOWN_INTERVAL = 10 * SECOND
 JITTER = 0.1  # of an interval
 FIRST_CHECK_JITTER = 0.9
-MAX_POINTS_PER_FLOW = 0.01  # what checks may cost of a flow's worth
+MAX_POINTS_PER_FLOW = 0.01  # limit on the cost of checks per flow, as a fraction of its value
 
 
 def is_up(server: Server) -> bool:
-    """Return whether new flows may go to the server, by its counter, the list and operators.
+    """Return whether its counter, the list and operators allow new flows to the server.
 
-    A server that was never checked is up, but for one that has started lately.
+    A server that was never checked is up, unless it is new or restarted.
     """
     if server.state is not ServerState.READY:
         return False
@@ -35,7 +36,7 @@
 
 
 def reset_health(server: Server) -> None:
-    """Forget what was known of a server: it has started anew."""
+    """Reset the health of a server that was restarted."""
     server.health = RISE - 1
     server.checked = False
     server.awaiting_first_pass = True
@@ -43,7 +44,7 @@
 
 
 def record_result(server: Server, passed: bool) -> bool:
-    """Count a health check's result; return whether the server went up or down by it."""
+    """Record a health check's result and return whether the server went up or down by it."""
     was_up = is_up(server)
     server.check_in_flight = False
     if passed:
@@ -58,17 +59,17 @@
 
 
 class HealthCheckSchedule:
-    """When each server is checked.
+    """The schedule of health checks.
 
     Args:
-        settings: of the deployment.
-        servers: all that the list has named, by id; the schedule reads how many there are.
-        traffic: what this balancer's flows can pay.
-        draws: for the jitter.
-        now: nanoseconds.
+        settings: the deployment's settings.
+        servers: all servers that the list has ever named, by id; only their number is read.
+        traffic: the arrivals at this balancer, which pay for checks.
+        draws: the random numbers for the jitter.
+        now: the current time in nanoseconds.
 
     Attributes:
-        requested: servers to check right away for flows that wait; the last goes first.
+        requested: servers to check right away for waiting flows; the last one is checked first.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         draws: Draws,
         now: int,
     ):
-        """Begin with no server scheduled."""
+        """Start without scheduled checks."""
         self.settings = settings
         self._servers = servers
         self._traffic = traffic
@@ -91,7 +92,7 @@
         self.requested: list[Server] = []
 
     def slowdown(self, now: int) -> float:
-        """Return how many times slower than time the clock of checks runs, at least 1."""
+        """Return how many times slower than real time the schedule's clock runs, at least 1."""
         if not self.settings.health_check_price:
             return 1.0
         affordable = (
@@ -100,16 +101,16 @@
         return max(1.0, len(self._servers) / HEALTHY_INTERVAL / affordable)
 
     def clock(self, now: int) -> int:
-        """Return the clock of checks, brought up to now."""
+        """Advance the schedule's clock to now and return it, in nanoseconds."""
         self._clock += int((now - self._clock_read_at) / self.slowdown(now))
         self._clock_read_at = now
         return self._clock
 
     def schedule_first(self, now: int, server: Server) -> None:
-        """Check a server that was listed for the first time.
+        """Schedule the first check of a server.
 
-        A new one is of no use before: its check is spread over two seconds of time, and comes at
-        once where checks are cheap.
+        A new server gets no flows until a check passes. So its first check comes at a random moment
+        within two seconds of real time, and at once if checks are cheap.
         """
         slowdown = self.slowdown(now)
         spread = (1 - 1 / slowdown) / slowdown if server.awaiting_first_pass else 1.0
@@ -118,20 +119,20 @@
         self._schedule(server, clock + int(wait * spread))
 
     def schedule_now(self, now: int, server: Server) -> None:
-        """Check a server as soon as possible."""
+        """Schedule a check of a server as soon as possible."""
         self._schedule(server, self.clock(now))
 
     def bring_forward(self, now: int, server: Server) -> None:
-        """Check a server as soon as possible, unless its check is due already."""
+        """Schedule a check of a server as soon as possible, unless a check is due already."""
         if server.next_check_at > self.clock(now):
             self._schedule(server, self.clock(now))
 
     def schedule_next(self, now: int, server: Server) -> None:
-        """Schedule the check that follows a result that was recorded."""
+        """Schedule the check that follows a recorded result."""
         if server.health == MAX_HEALTH:
             interval = HEALTHY_INTERVAL
         elif server.health > 0 or server.failed_checks < FALL:
-            # A server that never failed before is not kept out for long by one lost check.
+            # One lost check must not keep out for long a server that never failed before.
             interval = FAST_INTERVAL
         else:
             interval = DOWN_INTERVAL
@@ -145,25 +146,25 @@
             heappush(self._heap, (clock, self._entries, server))
 
     def request(self, server: Server) -> None:
-        """Check a server right away for a flow that waits for it, unless a check is out."""
+        """Request an immediate check for a waiting flow, unless one is in progress."""
         if not server.check_in_flight:
             server.check_in_flight = True
             self.requested.append(server)
 
     def next_due(self, now: int) -> Server | None:
-        """Return a server whose check is due, counted as sent, or None."""
+        """Return a server whose check is due and mark it as sent, or return None."""
         clock = self.clock(now)
         while self._heap and self._heap[0][0] <= clock:
             due, _, server = heappop(self._heap)
-            # An entry is void once the check was put forward or is out.
-            void = due != server.next_check_at or server.check_in_flight
-            if not void and server.state is not ServerState.GONE:
+            # An entry is stale once the check was rescheduled or is in progress.
+            is_stale = due != server.next_check_at or server.check_in_flight
+            if not is_stale and server.state is not ServerState.GONE:
                 server.check_in_flight = True
                 return server
         return None
 
     def next_due_at(self, now: int) -> int | None:
-        """Return when the next check is due; call it after `next_due` at the same time."""
+        """Return when the next check is due, or None; call `next_due` first, with the same time."""
         if not self._heap:
             return None
         return now + 1 + int((self._heap[0][0] - self._clock) * self.slowdown(now))
--- a/cypresswalk/decisions/limits.py
+++ b/cypresswalk/decisions/limits.py
@@ -1,7 +1,7 @@
-"""Concurrency limits: how much this balancer lets a server hold once it was found to hold too much.
+"""Concurrency limits: how many connections this balancer allows on a server that was overloaded.
 
-A limit is cut by steps, as additive-increase limits are, from what stands or from the last limit,
-and grows again exponentially until it is forgotten.
+A limit is cut in multiplicative steps, as in AIMD, from the current occupancy or from the last
+limit. It grows back exponentially until it is dropped.
 """
 
 import math
@@ -13,62 +13,62 @@
 from cypresswalk.model import SECOND, Flow, Server
 
 CUT_FACTOR = 0.85
-MIN_CUT_INTERVAL = 1 * SECOND  # a step takes effect before the next is judged
-DRAIN_TIME = 4 * SECOND  # what stays after a cut leaves room to work the delay off in that
-MIN_KEPT_PART = 0.5  # a cut takes about half at most
-HOPELESS_DELAY = 12 * SECOND  # messages wait so long that all but one flow are cut
+MIN_CUT_INTERVAL = 1 * SECOND  # a step must take effect before the next one
+DRAIN_TIME = 4 * SECOND  # a cut frees enough capacity to work off the delay within this time
+MIN_KEPT_FRACTION = 0.5  # a cut removes about half at most
+EVACUATION_DELAY = 12 * SECOND  # from this message delay on, a cut may leave only one flow
 GROWTH_TIME_CONSTANT = 30 * SECOND
 FORGOTTEN_AFTER = 10 * GROWTH_TIME_CONSTANT
-COPY_HEADROOM = 0.75  # of the limit: the rest is for the groups that stand there already
-SAME_KEY_PART = 0.8  # of the rank; the rest lets a group too big for any one server be split
+COPY_HEADROOM = 0.75  # of the limit; the rest is for groups already on the server
+KEY_HASH_WEIGHT = 0.8  # of the rank; the rest splits groups too big for one server
 
 
-def yield_rank(server: Server, flow: Flow) -> float:
-    """Return from 0 to 1 how late a flow yields where only a part can stay on a server.
+def eviction_rank(server: Server, flow: Flow) -> float:
+    """Return the flow's rank from 0 to 1; flows of the highest rank leave the server first.
 
-    For one key it is mostly the same at all balancers: so they yield the same groups.
+    The rank depends mostly on the key, so that all balancers evict the same groups.
     """
     group = hash64(flow.key ^ server.id) & 0xFFFFFFFF
     own = hash64(flow.id ^ server.id) & 0xFFFFFFFF
-    return (SAME_KEY_PART * group + (1 - SAME_KEY_PART) * own) / 0xFFFFFFFF
+    return (KEY_HASH_WEIGHT * group + (1 - KEY_HASH_WEIGHT) * own) / 0xFFFFFFFF
 
 
-def fits(limit: float, server: Server, flow: Flow, without: float, with_it: float) -> bool:
-    """Return whether the flow may be among what the limit leaves.
+def fits(limit: float, server: Server, flow: Flow, held_without: float, held_with: float) -> bool:
+    """Return whether the limit allows the flow on the server.
 
-    Where one flow is more than the limit has left, the part is kept by its rank: hundreds of
-    balancers with a flow each keep in the sum as much as one that held them all.
+    If only a fraction of the flow fits, its rank decides. So hundreds of balancers with one flow
+    each keep as many in total as one balancer that held them all.
 
     Args:
-        limit: connections that the server may hold.
-        server: where the flow stands or is to go.
+        limit: the number of connections that the server may hold.
+        server: the server that has the flow or is to get it.
         flow: the flow.
-        without: the server's occupancy without the flow.
-        with_it: its occupancy with the flow.
+        held_without: the server's occupancy without the flow.
+        held_with: the server's occupancy with the flow.
     """
-    if with_it <= limit or without >= limit:
-        return with_it <= limit
-    return without + (with_it - without) * yield_rank(server, flow) <= limit
+    if held_with <= limit or held_without >= limit:
+        return held_with <= limit
+    return held_without + (held_with - held_without) * eviction_rank(server, flow) <= limit
 
 
 class ConcurrencyLimits:
-    """Finds and applies the limits of servers; flows over a new limit are put up for review."""
+    """The concurrency limits of servers; a server with a new limit is reviewed for migrations."""
 
     def __init__(self, warm_up: WarmUp, reviews: Reviews):
-        """Keep where flows over a limit are put up for review."""
+        """Keep the warm-up state and the servers to review."""
         self._warm_up = warm_up
         self._reviews = reviews
 
     def current(self, now: int, server: Server) -> float:
-        """Return the connections that the server may hold now; infinity where none was found."""
+        """Return how many connections the server may hold now; infinity if it has no limit."""
         if server.concurrency_limit == math.inf:
             return math.inf
         age = now - server.limit_cut_at
-        # Forgotten; the exponential would run out of range on a far clock.
+        # The limit is dropped; on a clock far from zero, the exponential would overflow.
         if age > FORGOTTEN_AFTER:
             return math.inf
         limit = server.concurrency_limit * math.exp(age / GROWTH_TIME_CONSTANT)
-        # What was too much while it warmed up is not for a warmer server.
+        # A limit found during warm-up grows with the server's capacity.
         if self._warm_up.applies(server.limit_cut_at, server):
             limit *= self._warm_up.fraction(now, server) / self._warm_up.fraction(
                 server.limit_cut_at, server
@@ -76,15 +76,15 @@
         return limit
 
     def cut(self, now: int, server: Server) -> None:
-        """Take one step down from what was too much.
+        """Lower the limit by one step.
 
-        While the delay falls the last step is at work: then it goes down from what stands.
-        Otherwise it goes down from the last limit, since with a flow or two here a step is a part
-        of a flow.
+        While the message delay falls, the last step is taking effect, and the new limit is computed
+        from the current occupancy. Otherwise it is computed from the last limit if that is lower,
+        because with one or two flows here a step is a fraction of a flow.
         """
         if now - server.limit_cut_at < MIN_CUT_INTERVAL:
             return
-        least = MIN_KEPT_PART if server.message_delay < HOPELESS_DELAY else 0.0
+        least = MIN_KEPT_FRACTION if server.message_delay < EVACUATION_DELAY else 0.0
         kept = max(1 - server.message_delay / DRAIN_TIME, least)
         held = occupancy(server)
         if server.message_delay >= server.delay_at_cut > 0:
@@ -93,31 +93,31 @@
         self.keep_at(now, server, max(CUT_FACTOR * kept * held, 1.0))
 
     def keep_at(self, now: int, server: Server, connections: float) -> None:
-        """Let the server hold no more than that, or its present limit if that is lower."""
+        """Set the server's limit to `connections`, unless its current limit is lower."""
         server.concurrency_limit = min(connections, self.current(now, server))
         server.limit_cut_at = now
         self._reviews.request(now, server)
 
-    def has_room(self, now: int, server: Server, flow: Flow, at_home: bool) -> bool:
-        """Return whether the limit lets the flow in.
+    def has_room(self, now: int, server: Server, flow: Flow, owns_slot: bool) -> bool:
+        """Return whether the limit allows one more flow.
 
-        A further copy of a group needs room to spare: near their limits servers would trade flows
-        for copies.
+        A group's first flow on a server that doesn't own the group's slot needs headroom. Otherwise
+        servers near their limits would hold fewer flows because of the work of extra group copies.
 
         Args:
-            now: nanoseconds.
-            server: where the flow may go.
+            now: the current time in nanoseconds.
+            server: the server that the flow may go to.
             flow: the flow.
-            at_home: the server is the one at the key's slot.
+            owns_slot: whether the server owns the slot of the flow's key.
         """
         limit = self.current(now, server)
         if limit == math.inf:
             return True
         held = occupancy(server)
         new_copy = flow.grouped and flow.key not in server.group_sizes
-        held_with_it = held + 1 + GROUP_WORK * new_copy
+        held_with = held + 1 + GROUP_WORK * new_copy
         if held >= limit:
             return False
-        if new_copy and not at_home and held_with_it > COPY_HEADROOM * limit:
+        if new_copy and not owns_slot and held_with > COPY_HEADROOM * limit:
             return False
-        return fits(limit, server, flow, held, held_with_it)
+        return fits(limit, server, flow, held, held_with)
--- a/cypresswalk/decisions/maglev.py
+++ b/cypresswalk/decisions/maglev.py
@@ -6,9 +6,9 @@
 from cypresswalk.decisions.hashing import hash64
 from cypresswalk.model import Server
 
-TABLE_SIZE = 1021  # prime; each of seventy servers gets 14 or 15 slots: even to 7%
-PLACES = 3  # servers of a group: its slot's and the next two of the table
-MAX_CACHED_WALKS = 256  # of 1021 slots: with two hundred servers half a megabyte
+TABLE_SIZE = 1021  # prime; each of seventy servers gets 14 or 15 slots, equal within 7%
+PREFERENCE_LIST_SIZE = 3  # servers for a group: the owner of its slot and the next two
+MAX_CACHED_WALKS = 256  # of 1021 slots; half a megabyte with two hundred servers
 
 Table = list[Server]
 
@@ -18,13 +18,13 @@
     return hash64(key) % TABLE_SIZE
 
 
-class _Turn:
-    """A server's permutation of the slots, and how far it has come."""
+class _Permutation:
+    """A server's permutation of the slots and the current position in it."""
 
     __slots__ = ("server", "slot", "skip", "share", "credit")
 
     def __init__(self, server: Server, top_weight: float):
-        """Derive offset and skip from two hashes of the id."""
+        """Derive offset and skip from the two halves of a hash of the id."""
         digest = hash64(server.id)
         self.server = server
         self.slot = (digest & (1 << 64) - 1) % TABLE_SIZE
@@ -34,38 +34,40 @@
 
 
 def build_table(servers: list[Server]) -> Table:
-    """Fill a table: each server in turn takes its next free slot, as often as its weight asks."""
+    """Build a table: servers take turns at their next free slot, as often as their weight says."""
     table: list[Server | None] = [None] * TABLE_SIZE
     top_weight = max(server.weight for server in servers)
-    turns = [_Turn(server, top_weight) for server in sorted(servers, key=lambda server: server.id)]
+    permutations = [
+        _Permutation(server, top_weight) for server in sorted(servers, key=lambda server: server.id)
+    ]
     free = TABLE_SIZE
     while True:
-        for turn in turns:
-            turn.credit += turn.share
-            if turn.credit < 1:
+        for permutation in permutations:
+            permutation.credit += permutation.share
+            if permutation.credit < 1:
                 continue
-            turn.credit -= 1
-            while table[turn.slot] is not None:
-                turn.slot = (turn.slot + turn.skip) % TABLE_SIZE
-            table[turn.slot] = turn.server
+            permutation.credit -= 1
+            while table[permutation.slot] is not None:
+                permutation.slot = (permutation.slot + permutation.skip) % TABLE_SIZE
+            table[permutation.slot] = permutation.server
             free -= 1
             if not free:
                 return [server for server in table if server is not None]
 
 
-class Walks:
-    """Orders of servers from a slot on, kept while the tables stay the same."""
+class WalkCache:
+    """The orders of servers from a slot on, cached until the tables change."""
 
     def __init__(self) -> None:
-        """Begin with no order known."""
+        """Start with an empty cache."""
         self._orders: dict[tuple[int, int], list[Server]] = {}
 
     def clear(self) -> None:
-        """Forget all; the tables have changed."""
+        """Clear the cache, because the tables have changed."""
         self._orders.clear()
 
     def from_key(self, table: Table, key: int) -> Iterator[Server]:
-        """Yield the servers in the order in which the table names them from the key's slot on."""
+        """Yield the servers in the order of their first slots from the key's slot on."""
         slot = slot_of(key)
         order = self._orders.get((id(table), slot))
         first: list[Server] = []
@@ -74,10 +76,10 @@
                 if server not in first:
                     first.append(server)
                     yield server
-                    if len(first) > PLACES:
+                    if len(first) > PREFERENCE_LIST_SIZE:
                         break
-            # Few walks go further. All are asked for again while no server admits anything: that
-            # order is made up once.
+            # Few walks go further than this. While no server admits anything, the same walks are
+            # repeated in full, so the complete order is computed once and cached.
             if len(self._orders) >= MAX_CACHED_WALKS:
                 self._orders.clear()
             order = list(dict.fromkeys(chain(table[slot:], table[:slot])))
--- a/cypresswalk/decisions/migration.py
+++ b/cypresswalk/decisions/migration.py
@@ -1,7 +1,7 @@
 """Migration: which established flows are sent to look for a new server, and when.
 
-Flows leave a server that is lost, that an operator took out, or that is over its limit; and flows
-in another zone come home once the near servers are easy.
+Flows leave a server that is lost, that an operator took out of rotation, or that is over its limit.
+Flows in another zone return to the balancer's zone once its servers have capacity.
 """
 
 import math
@@ -9,7 +9,7 @@
 from cypresswalk.decisions.flow_table import FlowTable
 from cypresswalk.decisions.hashing import Draws
 from cypresswalk.decisions.health import is_up
-from cypresswalk.decisions.limits import ConcurrencyLimits, fits, yield_rank
+from cypresswalk.decisions.limits import ConcurrencyLimits, eviction_rank, fits
 from cypresswalk.decisions.load import LOAD_VALID_FOR, is_overloaded
 from cypresswalk.decisions.occupancy import GROUP_WORK, occupancy
 from cypresswalk.decisions.outliers import MAX_FAILURES
@@ -18,16 +18,16 @@
 from cypresswalk.decisions.traffic import Traffic
 from cypresswalk.model import SECOND, Flow, Server, Settings
 
-LOST_SERVER_SPREAD = 2 * SECOND  # its flows come back over this time, not at once
-OUT_OF_ROTATION_SPREAD = 2 * SECOND  # its flows leave in that: it is about to be restarted
-OVER_LIMIT_INTERVAL = SECOND // 20  # what is over a limit goes within a second or two
-RETRY_INTERVAL = 1 * SECOND  # too few sound servers: look again
-HOME_SPREAD = 8 * SECOND  # a near server must have time to say that it has enough
-MIN_CROSSING_PER_MIGRATION = 3  # a migration costs its client a gap besides its price
+LOST_SERVER_SPREAD = 2 * SECOND  # its flows migrate over this time, not at once
+OUT_OF_ROTATION_SPREAD = 2 * SECOND  # its flows migrate in this time: it will soon be restarted
+OVER_LIMIT_INTERVAL = SECOND // 20  # flows over a limit leave within a second or two
+RETRY_INTERVAL = 1 * SECOND  # until the next try when too few servers are sound
+RETURN_SPREAD = 8 * SECOND  # gives servers of the own zone time to report that they are full
+MIN_CROSSING_PER_MIGRATION = 3  # a migration also interrupts the client, besides its price
 
 
 class Migration:
-    """Picks the flows that migrate and paces them."""
+    """The choice and the pace of flows that migrate."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         draws: Draws,
         now: int,
     ):
-        """Begin with no flow on its way home."""
+        """Start with no flow chosen to return to this zone."""
         self.settings = settings
         self._servers = servers
         self._flows = flows
@@ -49,7 +49,7 @@
         self._reviews = reviews
         self._draws = draws
         self._next_return_at = now
-        self._returning_from: Server | None = None  # whose next flow comes home
+        self._returning_from: Server | None = None  # its next flow returns to this zone
 
     def next_flow(self, now: int) -> Flow | None:
         """Return an established flow that migrates now, or None."""
@@ -64,20 +64,23 @@
         return None
 
     def next_due_at(self, now: int, latest: int) -> int:
-        """Return when to look again, at `latest` or before; call it after `next_flow` gave None."""
+        """Return when to call `next_flow` again, no later than `latest`.
+
+        Call it after `next_flow` returned None.
+        """
         due = latest
-        if self._returns_home():
+        if self._returns_flows():
             due = min(due, self._next_return_at)
         for server in self._reviews.servers:
             due = min(due, server.next_migration_at)
         return due
 
     def flow_to_migrate(self, now: int, server: Server) -> Flow | None:
-        """Return the flow that leaves the server now, if any; the next one leaves after a pause."""
+        """Return the flow that leaves the server now, or None; the next leaves after a pause."""
         if not self.settings.can_migrate or not server.established_flows:
             return None
         if self._is_lost(server):
-            if not self._can_do_without(now, server):
+            if not self._enough_servers_are_sound(now, server):
                 return None
             pause = int(LOST_SERVER_SPREAD / len(server.established_flows))
         elif server.out_of_rotation and any(is_up(other) for other in self._servers.values()):
@@ -85,7 +88,7 @@
             pause = max(left // len(server.established_flows), OVER_LIMIT_INTERVAL)
         elif occupancy(server) > self._limits.current(now, server):
             if self._first_to_leave_may_stay(now, server):
-                return None  # until a further cut
+                return None  # until the limit is cut again
             pause = OVER_LIMIT_INTERVAL
         elif server is self._returning_from:
             self._returning_from = None
@@ -101,8 +104,8 @@
             return True
         return not is_up(server) and server.failed_checks >= MAX_FAILURES
 
-    def _can_do_without(self, now: int, server: Server) -> bool:
-        """Return whether half of the servers that are up are sound; if not, look again later."""
+    def _enough_servers_are_sound(self, now: int, server: Server) -> bool:
+        """Return whether half of the servers that are up are sound; if not, schedule a retry."""
         up = [other for other in self._servers.values() if is_up(other)]
         sound = [
             other
@@ -124,9 +127,9 @@
     def first_to_leave(self, server: Server) -> Flow:
         """Return the established flow that leaves a server first.
 
-        Flows beyond their tenant's quota go before others, and the smallest group first, since a
-        group asks its own work wherever any of it stands; of equals the one that yields first
-        everywhere.
+        Flows of tenants over their quota go before others. Among those, flows of the smallest group
+        go first, because a group costs its own work on every server that has any of its flows. The
+        eviction rank, which is mostly the same at all balancers, breaks ties.
         """
         over_quota = self._tenants_over_quota()
         ranked = [
@@ -139,7 +142,7 @@
             for flow, rank in zip(server.established_flows, ranked, strict=True)
             if rank == first
         )
-        return max(candidates, key=lambda flow: yield_rank(server, flow))
+        return max(candidates, key=lambda flow: eviction_rank(server, flow))
 
     def _tenants_over_quota(self) -> set[int]:
         settings = self.settings
@@ -150,21 +153,21 @@
             if tenant < len(quotas) and count * settings.instances > quotas[tenant]
         }
 
-    # Flows that stand in another zone come home.
+    # Return of flows from other zones.
 
-    def _returns_home(self) -> bool:
+    def _returns_flows(self) -> bool:
         settings = self.settings
         return settings.zone_crossing_price >= max(
             MIN_CROSSING_PER_MIGRATION * settings.migration_price, MIN_CROSSING_PRICE
         )
 
     def _draw_return(self, now: int) -> None:
-        """Draw now and then whether, and from which server, one flow comes home.
+        """Draw from time to time whether a flow returns to this zone, and from which server.
 
-        No faster than new flows come: a fleet that comes home at once would overrun the near
-        servers.
+        Flows return no faster than new flows arrive. If the balancers of a whole fleet returned
+        theirs at once, they would overload the servers of the zone.
         """
-        if not self._returns_home() or now < self._next_return_at:
+        if not self._returns_flows() or now < self._next_return_at:
             return
         far = [
             server
@@ -172,15 +175,15 @@
             if server.zone != self.settings.zone
             for _ in server.established_flows
         ]
-        rate = min(len(far) / HOME_SPREAD, self._traffic.arrival_rate(now))
+        rate = min(len(far) / RETURN_SPREAD, self._traffic.arrival_rate(now))
         self._next_return_at = now + int(1 / max(rate, 1 / SECOND))
         self._returning_from = None
-        if self._draws.draw() < rate * SECOND and self._near_servers_are_easy(now):
+        if self._draws.draw() < rate * SECOND and self._near_servers_have_capacity(now):
             self._returning_from = far[self._draws.count % len(far)]
             self._reviews.servers[self._returning_from] = None
 
-    def _near_servers_are_easy(self, now: int) -> bool:
-        """Return whether no near server is overloaded, failing or limited."""
+    def _near_servers_have_capacity(self, now: int) -> bool:
+        """Return whether no server of this zone is overloaded, failing or limited."""
         near = [
             server
             for server in self._servers.values()
--- a/cypresswalk/decisions/outliers.py
+++ b/cypresswalk/decisions/outliers.py
@@ -1,8 +1,8 @@
-"""Outlier ejection: servers that pass health checks and still do not serve.
+"""Outlier ejection: servers that pass health checks but don't serve flows.
 
-A server whose attempts fail twice in a row is passed over, but for one flow now and then. So is
-another zone as a whole, once sound servers there, one after another, leave an attempt unanswered:
-then the way there is at fault and not they.
+A server whose attempts fail twice in a row gets no new flows except an occasional trial. The same
+holds for another zone as a whole once several sound servers there in a row leave an attempt
+unanswered, because then the network path to the zone is at fault, not the servers.
 """
 
 from dataclasses import dataclass
@@ -15,29 +15,29 @@
 from cypresswalk.decisions.traffic import Traffic
 from cypresswalk.model import SECOND, Outcome, Server, Settings
 
-MAX_FAILURES = 2  # one may be chance; the second ejects a server that passes health checks
+MAX_FAILURES = 2  # one failure may be chance; the second ejects the server
 TRIAL_INTERVAL = 2 * SECOND
-FULL_EJECTION = 1 * SECOND  # a queue of new connections empties in less
-MAX_ZONE_FAILURES = 3  # servers in a row, as FALL of the health counter
-SETTLED_AFTER = 2 * SECOND  # a flow dropped within this time of its attempt was among the newest
+FULL_EJECTION = 1 * SECOND  # a queue of new connections drains in less
+MAX_ZONE_FAILURES = 3  # servers in a row; as many as FALL of the health counter
+SETTLED_AFTER = 2 * SECOND  # a flow dropped within this time of its attempt counts as new
 UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET})
 
 
 @dataclass(slots=True)
 class ZoneFailures:
-    """Sound servers of another zone that left an attempt unanswered."""
+    """The sound servers of another zone that left an attempt unanswered."""
 
-    servers: int  # in a row
-    next_trial_at: int  # when one flow may try that zone again
+    servers: int  # number of servers in a row
+    next_trial_at: int  # time in nanoseconds from which one flow may try the zone again
 
 
 def is_outlier(server: Server) -> bool:
-    """Return whether new flows pass the server over but for a trial."""
+    """Return whether new flows must skip the server, except for trials."""
     return server.consecutive_failures >= MAX_FAILURES or server.consecutive_errors >= MAX_FAILURES
 
 
 def is_sound(now: int, server: Server) -> bool:
-    """Return whether the server is neither ejected nor overloaded; errors do not count."""
+    """Return whether the server is neither failing, ejected nor overloaded; ignore errors."""
     return (
         server.consecutive_failures < MAX_FAILURES
         and now >= server.ejected_until
@@ -46,7 +46,7 @@
 
 
 class OutlierDetection:
-    """Counts failures by server and by zone, and ejects."""
+    """The failure counts of servers and zones, by which they are ejected."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         traffic: Traffic,
         draws: Draws,
     ):
-        """Begin with no zone lost."""
+        """Start with no failures of zones."""
         self.settings = settings
         self._health_checks = health_checks
         self._gossip = gossip
@@ -70,25 +70,25 @@
         return now + self._draws.jittered(TRIAL_INTERVAL, JITTER)
 
     def on_established(self, now: int, server: Server, refused_by: Server | None) -> None:
-        """A server took a flow.
+        """Reset the failure counts of a server that accepted a flow.
 
         Args:
-            now: nanoseconds.
-            server: that took it.
-            refused_by: the server that answered the same flow with an error just before, if one
-                did.
-                Only then that error counts: a flow that no server takes speaks against none.
+            now: the current time in nanoseconds.
+            server: the server that accepted the flow.
+            refused_by: the server that answered the same flow with an error just before, or None.
+                Errors count only here, because an error that every server returns for a flow is no
+                evidence against any of them.
         """
         server.consecutive_failures = 0
         server.consecutive_errors = 0
         self.zone_failures.pop(server.zone, None)
         if refused_by is not None:
-            # What stands there may be served well: only new flows pass it over.
+            # Its established flows may be served well, so only new flows skip it.
             refused_by.consecutive_errors += 1
             refused_by.next_trial_at = self._next_trial(now)
 
     def on_attempt_failed(self, now: int, server: Server, outcome: Outcome, took: int) -> None:
-        """An attempt ended in no set-up, after so many nanoseconds."""
+        """Record that an attempt failed after `took` nanoseconds."""
         if outcome is Outcome.FULL:
             server.ejected_until = now + FULL_EJECTION
         elif outcome in UNANSWERED:
@@ -108,28 +108,30 @@
         self._gossip.offer(now, server, OBJECTIVE_MISSED)
 
     def on_new_flow_dropped(self, now: int, server: Server) -> None:
-        """A full server dropped a flow that it had just taken.
+        """Eject a full server that dropped a flow it had just accepted.
 
-        It is ejected for a while, since each drop makes room for the next flow, and the others are
-        told: the client comes back to another balancer.
+        Otherwise each drop would make room for the next flow. The other balancers are informed,
+        because the client returns to one of them.
         """
         server.ejected_until = self._next_trial(now)
         self._gossip.offer(now, server, OBJECTIVE_MISSED)
 
-    def zone_is_lost(self, server: Server) -> bool:
-        """Return whether the way to the server's zone is at fault."""
+    def zone_is_unreachable(self, server: Server) -> bool:
+        """Return whether the network path to the server's zone is considered broken."""
         failures = self.zone_failures.get(server.zone)
         return failures is not None and failures.servers >= MAX_ZONE_FAILURES
 
-    def zone_is_passed_over(self, now: int, server: Server) -> bool:
-        """Return whether the server's zone is lost and its next trial is not due."""
-        return self.zone_is_lost(server) and now < self.zone_failures[server.zone].next_trial_at
+    def zone_is_skipped(self, now: int, server: Server) -> bool:
+        """Return whether the server's zone is unreachable and its next trial is not due."""
+        return (
+            self.zone_is_unreachable(server) and now < self.zone_failures[server.zone].next_trial_at
+        )
 
     def on_attempt_started(self, now: int, server: Server) -> None:
-        """A flow goes to the server: in a lost zone that is the trial."""
-        if self.zone_is_lost(server):
+        """Postpone the zone's next trial if the server's zone is unreachable."""
+        if self.zone_is_unreachable(server):
             self.zone_failures[server.zone].next_trial_at = self._next_trial(now)
 
     def awaits_trial(self, now: int, server: Server) -> bool:
-        """Return whether no flow may try an outlier now."""
+        """Return whether the outlier's next trial is not due yet or is in progress."""
         return now < server.next_trial_at or bool(server.pending_flows)
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -1,4 +1,4 @@
-"""What follows from load that is told of a server: gossip, a limit, flows put up for review."""
+"""Reactions to the reported load of servers: gossip, concurrency limits and flow migration."""
 
 from cypresswalk.decisions.flow_table import FlowTable
 from cypresswalk.decisions.gossip import Gossip
@@ -15,20 +15,20 @@
 from cypresswalk.decisions.reviews import Reviews
 from cypresswalk.model import Server, Settings
 
-EASE_FACTOR = 0.97  # of what stands, each time that load above HIGH_LOAD is told
-MAX_SINGLE_DROPS = 1.5  # two within three seconds: a full server drops each one that is new
+GRADUAL_CUT_FACTOR = 0.97  # of the occupancy, at each report of a load of HIGH_LOAD or more
+MAX_SINGLE_DROPS = 1.5  # exceeded by two within three seconds; a full server drops each new flow
 
 
 class OverloadControl:
-    """Reacts to load, delays and drops of servers.
+    """The reactions to load, message delays and drops of servers.
 
     Args:
-        settings: of the deployment.
-        servers: all that the list has named, by id.
-        flows: all flows held.
+        settings: the deployment's settings.
+        servers: all servers that the list has ever named, by id.
+        flows: all flows that this balancer holds.
         limits: the servers' concurrency limits.
-        gossip: tells the other balancers.
-        reviews: servers whose flows may have to migrate.
+        gossip: the messages to the other balancers.
+        reviews: the servers whose flows may have to migrate.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         gossip: Gossip,
         reviews: Reviews,
     ):
-        """Begin with no load known."""
+        """Keep the rules and apply the settings."""
         self._servers = servers
         self._flows = flows
         self._limits = limits
@@ -49,40 +49,40 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go by other settings from now on."""
+        """Apply new settings."""
         self.settings = settings
         objectives = [kind.message_latency_objective for kind in settings.service_types]
         self._message_objective = min((span for span in objectives if span), default=0)
 
     def on_load(self, now: int, server: Server, load: float) -> None:
-        """Take over a server's own load, 1.0 at its objective."""
+        """Record a server's load, where 1.0 means messages at their objective, and react to it."""
         server.load = load
         server.load_at = now
         if load >= OVERLOADED:
-            # As many balancers learn it as have flows there.
-            tellers = len(self._flows) * self.settings.instances / len(self._servers)
-            self._gossip.offer(now, server, load, tellers)
+            # About as many balancers learn of the load as there are flows on the server.
+            informed_balancers = len(self._flows) * self.settings.instances / len(self._servers)
+            self._gossip.offer(now, server, load, informed_balancers)
         if load >= OBJECTIVE_MISSED:
             self._limits.cut(now, server)
         elif load >= OVERLOADED:
-            factor = EASE_FACTOR if load >= HIGH_LOAD else 1.0
+            factor = GRADUAL_CUT_FACTOR if load >= HIGH_LOAD else 1.0
             self._limits.keep_at(now, server, factor * occupancy(server))
         self._reviews.request(now, server)
 
     def on_utilization(self, now: int, server: Server, utilization: float) -> None:
-        """Take over the part of its capacity that a server reports as in use."""
+        """Record the fraction of its capacity that a server reports as in use."""
         self.on_load(now, server, load_from_utilization(utilization))
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
-        """Take over what a message takes at the server, in nanoseconds."""
+        """Record the message delay of a server, in nanoseconds."""
         server.message_delay = delay
         objective = self._message_objective
         self.on_load(now, server, delay / objective if objective else 0.0)
 
     def on_gossip(self, now: int, server: Server, load: float) -> None:
-        """Take over a load that another balancer tells.
+        """Record a load that another balancer reported.
 
-        It has the server passed over for a while and migrates nothing.
+        New flows then skip the server for a while, but nothing migrates.
         """
         server.gossiped_at = now
         if now - server.load_at > LOAD_VALID_FOR or load > server.load:
@@ -90,10 +90,10 @@
             server.load_at = now
 
     def record_drop(self, now: int, server: Server) -> bool:
-        """Count a flow that the server broke off; return whether it now counts as full.
+        """Record a flow that the server dropped and return whether the server counts as full.
 
-        It does where the server is overloaded or drops one flow after another. A network that
-        breaks a connection here and there says nothing about sound servers.
+        A server counts as full if it is overloaded or drops several flows in a short time. A single
+        connection may be broken by the network and says nothing about the server.
         """
         server.recent_drops.add(now, 1)
         return server.recent_drops.read(now) > MAX_SINGLE_DROPS or is_overloaded(now, server)
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -1,8 +1,9 @@
 """Placement: which server a flow goes to.
 
-The servers that are up stand in Maglev tables, one a pool, the nearest pool first. A flow walks a
-table from its key's slot and stops at the first server that will do. A group has three places, its
-slot's and the next two: copies of it elsewhere would ask the group's own work again.
+Each pool has a Maglev table of its servers that are up; the nearest pool comes first. A flow walks
+a table from its key's slot, whose server is called the slot's owner, and takes the first suitable
+server. A group is kept to a preference list of three servers, the slot's owner and the next two,
+because every further server would have to do the group's own work as well.
 """
 
 from collections.abc import Iterator
@@ -13,13 +14,19 @@
 from cypresswalk.decisions.balance import is_over_mean
 from cypresswalk.decisions.health import is_up
 from cypresswalk.decisions.load import misses_objective
-from cypresswalk.decisions.maglev import PLACES, Table, Walks, build_table, slot_of
+from cypresswalk.decisions.maglev import (
+    PREFERENCE_LIST_SIZE,
+    Table,
+    WalkCache,
+    build_table,
+    slot_of,
+)
 from cypresswalk.decisions.retries import in_idempotency_scope
 from cypresswalk.decisions.slow_start import SlowStart
 from cypresswalk.decisions.warm_up import WarmUp
 from cypresswalk.model import Flow, Server, ServerState, Settings
 
-MIN_CROSSING_PRICE = 0.03  # points: below it keeping groups whole across zones pays more
+MIN_CROSSING_PRICE = 0.03  # points; below it, keeping groups together across zones saves more
 
 
 @dataclass(slots=True)
@@ -31,14 +38,14 @@
 
 
 class Placement:
-    """Keeps the pools and picks servers from them.
+    """The pools of servers and the choice of a server from them.
 
     Args:
-        settings: of the deployment.
-        servers: all that the list has named, by id.
-        admission: which servers may be sent a flow.
-        warm_up: which servers warm up.
-        slow_start: fills servers that warm up, rather than that a flow is rejected.
+        settings: the deployment's settings.
+        servers: all servers that the list has ever named, by id.
+        admission: the rule that decides which servers may get a flow.
+        warm_up: the warm-up state of the servers.
+        slow_start: the rule that offers warming servers to flows that would be rejected.
     """
 
     def __init__(
@@ -49,22 +56,22 @@
         warm_up: WarmUp,
         slow_start: SlowStart,
     ):
-        """Begin with no pool; the first use builds them."""
+        """Start without pools; the first use builds them."""
         self.settings = settings
-        self.stale = True  # the servers, or which of them are up, may have changed
+        self.stale = True  # the list of servers, or which of them are up, may have changed
         self._servers = servers
         self._admission = admission
         self._warm_up = warm_up
         self._slow_start = slow_start
         self._pools: list[Pool] = []
         self._members: list[tuple[int, int, float]] = []
-        self._walks = Walks()
+        self._walk_cache = WalkCache()
 
     def pools(self) -> list[Pool]:
         """Return the pools, the nearest first.
 
-        Without a server that is up all listed ready ones serve: health checks that all time out
-        must never empty the table.
+        If no server is up, the pools hold all ready servers of the list: the table must not become
+        empty when all health checks time out.
         """
         if self.stale:
             self.stale = False
@@ -78,8 +85,7 @@
             if server.state is ServerState.READY and not server.out_of_rotation
         ]
         up = [server for server in ready if is_up(server)] or ready
-        # Lists come in parts and mostly repeat what is known: tables are built when they would
-        # differ.
+        # List updates mostly repeat known entries; rebuild the tables only if their servers change.
         members = [(server.id, server.zone, server.weight) for server in up]
         if members == self._members:
             return
@@ -91,44 +97,47 @@
                 [server for server in up if (server.zone == zone) is near] for near in (True, False)
             ]
         self._pools = [Pool(build_table(group), group) for group in groups if group]
-        self._walks.clear()
+        self._walk_cache.clear()
 
     def walk(self, pool: Pool, key: int) -> Iterator[Server]:
-        """Yield the pool's servers in the order of its table from the key's slot on."""
-        return self._walks.from_key(pool.table, key)
+        """Yield the pool's servers in the order of its table, starting at the key's slot."""
+        return self._walk_cache.from_key(pool.table, key)
 
-    def nearest_places(self, key: int) -> list[Server]:
-        """Return the key's places in the nearest pool."""
+    def preference_list(self, key: int) -> list[Server]:
+        """Return the first servers of the key's walk through the nearest pool."""
         return [
-            server for pool in self.pools()[:1] for server in islice(self.walk(pool, key), PLACES)
+            server
+            for pool in self.pools()[:1]
+            for server in islice(self.walk(pool, key), PREFERENCE_LIST_SIZE)
         ]
 
-    def all_places_miss_objective(self, now: int, key: int) -> bool:
-        """Return whether all places of a key miss their objective.
+    def preference_list_misses_objective(self, now: int, key: int) -> bool:
+        """Return whether all servers on the key's preference list miss their objective.
 
-        Where the nearest pool has fewer servers than places the next one's count.
+        If the nearest pool is smaller than the list, servers of the next pool complete it.
         """
         walked = chain.from_iterable(self.walk(pool, key) for pool in self.pools())
-        return all(misses_objective(now, server) for server in islice(walked, PLACES))
+        return all(misses_objective(now, server) for server in islice(walked, PREFERENCE_LIST_SIZE))
 
     def is_placeable(self, server: Server) -> bool:
-        """Return whether the server stands in any pool."""
+        """Return whether the server is in any pool."""
         return any(server in pool.servers for pool in self.pools())
 
-    def homes(self, key: int) -> list[Server]:
-        """Return the server at the key's slot, of each pool."""
+    def slot_owners(self, key: int) -> list[Server]:
+        """Return the server that owns the key's slot, for each pool."""
         return [pool.table[slot_of(key)] for pool in self.pools()]
 
     def pick(self, now: int, flow: Flow) -> Server | None:
-        """Return the server for the flow, or None where none has capacity.
+        """Return the server for the flow, or None if none has capacity.
 
-        A server that an operator has just returned to rotation comes first, since few keys are its
-        own while it warms up. Then, pool by pool: the key's slot, where its group stands from here,
-        and the servers after the slot.
+        A server that an operator has just returned to rotation comes first: while it warms up, it
+        is admitted so few flows that it might get none. The order in each pool is: the owner of the
+        key's slot, the servers that hold flows of the same group from here, and the servers after
+        the slot.
         """
-        owed = self._pick_owed(now, flow)
-        if owed is not None:
-            return owed
+        returned = self._pick_awaiting_first_flow(now, flow)
+        if returned is not None:
+            return returned
         last_resort = None
         for pool in self.pools():
             preferred, fallback = self._pick_from(now, flow, pool, last_resort is not None)
@@ -140,19 +149,19 @@
         walked = (server for pool in self.pools() for server in self.walk(pool, flow.key))
         return self._slow_start.fill(now, flow, walked)
 
-    def _pick_owed(self, now: int, flow: Flow) -> Server | None:
+    def _pick_awaiting_first_flow(self, now: int, flow: Flow) -> Server | None:
         for pool in self.pools():
             for server in pool.servers:
-                if server.owed_first_flow and self._may_take(now, server, flow, at_home=True):
+                if server.owed_first_flow and self._may_take(now, server, flow, owns_slot=True):
                     return server
         return None
 
-    def _may_take(self, now: int, server: Server, flow: Flow, at_home: bool) -> bool:
+    def _may_take(self, now: int, server: Server, flow: Flow, owns_slot: bool) -> bool:
         return (
             server not in flow.attempts
             and in_idempotency_scope(flow, server)
-            and self._admission.has_capacity(now, server, flow, at_home)
-            and self._admission.is_preferred(now, server, flow, at_home)
+            and self._admission.has_capacity(now, server, flow, owns_slot)
+            and self._admission.is_preferred(now, server, flow, owns_slot)
         )
 
     def _pick_from(
@@ -161,36 +170,42 @@
         """Pick from one pool.
 
         Returns:
-            The server that should take the flow, if any; and the first that has capacity for it. A
-            server over the mean is still sound: that alone is no reason to go to another pool.
+            The server that should take the flow, or None, and a fallback: the first server that has
+            capacity for it, or None. The former may be a server over the mean: it is still sound,
+            and being over the mean is no reason to go to another pool.
         """
-        home = pool.table[slot_of(flow.key)]
+        owner = pool.table[slot_of(flow.key)]
         over_mean: Server | None = None
         fallback: Server | None = None
-        group_stands = (
+        group_servers = (
             [server for server in pool.servers if flow.key in server.group_sizes]
             if flow.grouped
             else []
         )
-        candidates = chain([home], group_stands, self.walk(pool, flow.key))
+        candidates = chain([owner], group_servers, self.walk(pool, flow.key))
         admission = self._admission
-        for place, server in enumerate(candidates, -len(group_stands)):
-            if flow.grouped and place > PLACES and (over_mean or fallback or has_last_resort):
+        for place, server in enumerate(candidates, -len(group_servers)):
+            if (
+                flow.grouped
+                and place > PREFERENCE_LIST_SIZE
+                and (over_mean or fallback or has_last_resort)
+            ):
                 break
-            warms_up = self._warm_up.applies(now, server)
-            # Being over the mean alone sends nobody to a server that warms up.
-            if over_mean and warms_up:
+            is_warming = self._warm_up.applies(now, server)
+            # Don't choose a warming server only because another server is over the mean.
+            if over_mean and is_warming:
                 continue
-            at_home = server is home
+            owns_slot = server is owner
             if not in_idempotency_scope(flow, server):
                 continue
-            if not admission.has_capacity(now, server, flow, at_home):
+            if not admission.has_capacity(now, server, flow, owns_slot):
                 continue
-            if server not in flow.attempts and admission.is_preferred(now, server, flow, at_home):
+            if server not in flow.attempts and admission.is_preferred(now, server, flow, owns_slot):
                 if not is_over_mean(now, server, flow, pool.servers):
                     return server, fallback
                 over_mean = over_mean or server
-            # One that warms up is no last resort: it is overloaded, fails, or was tried.
-            if not warms_up:
+            # A warming server that gets here is overloaded, failing or was tried before, so it
+            # must not be the fallback.
+            if not is_warming:
                 fallback = fallback or server
         return over_mean, fallback
--- a/cypresswalk/decisions/retries.py
+++ b/cypresswalk/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether a flow may be attempted again, where, how long, and within which budget."""
+"""Retries: when and where a flow may be attempted again, with which timeout and budget."""
 
 import math
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 def may_retry(now: int, flow: Flow) -> bool:
-    """Return whether one more attempt does no harm: the flow can't run twice."""
+    """Return whether one more attempt is safe, because the flow can't take effect twice."""
     if flow.may_have_run_on is None or flow.service_type.effect is Effect.IDEMPOTENT:
         return True
     return (
@@ -21,7 +21,7 @@
 
 
 def in_idempotency_scope(flow: Flow, server: Server) -> bool:
-    """Return whether an attempt there does no harm, where `may_retry` allows one."""
+    """Return whether an attempt at this server is safe, provided that `may_retry` allows one."""
     ran_on = flow.may_have_run_on
     kind = flow.service_type
     if ran_on is None or kind.effect is Effect.IDEMPOTENT or kind.scope is Scope.ALL:
@@ -32,7 +32,7 @@
 
 
 def final_answer(flow: Flow, settings: Settings) -> Reject | Abort:
-    """Return the answer to a flow that is given up: a reject only where a retry does no harm."""
+    """Return the final answer to a failed flow: a reject only if the client may safely retry."""
     kind = flow.service_type
     harmless = (
         flow.may_have_run_on is None
@@ -47,45 +47,45 @@
 
 
 def attempt_timeout(now: int, flow: Flow, settings: Settings, traffic: Traffic) -> int:
-    """Return how long an attempt that starts now may stay out; 0 is up to the flow's deadline.
+    """Return the timeout in nanoseconds of an attempt that starts now; 0 for the flow's deadline.
 
-    That is half the set-up objective, so that a second attempt can still meet it, and longer where
-    set-ups are slow everywhere. The last attempt, and one that must not be repeated, has all the
-    time there is.
+    The timeout is half the set-up objective, so that a second attempt can still meet the objective,
+    or longer if set-ups are slow everywhere. The last attempt, and one that must not be repeated,
+    may take until the deadline.
     """
     is_last = len(flow.attempts) >= settings.max_attempts
     if is_last or flow.service_type.effect is not Effect.IDEMPOTENT:
         return 0
-    usual = traffic.usual_setup_time(now)
-    timeout = max(flow.service_type.setup_latency_objective // 2, int(3 * usual))
+    mean = traffic.mean_setup_time(now)
+    timeout = max(flow.service_type.setup_latency_objective // 2, int(3 * mean))
     return timeout if now + timeout < flow.deadline else 0
 
 
 @dataclass(slots=True)
 class _Counts:
-    """In the budget's window: flows taken, and attempts beyond their first."""
+    """The numbers of flows and retries in the budget's window."""
 
-    flows: SlidingWindowCounter
-    retries: SlidingWindowCounter
+    flows: SlidingWindowCounter  # flows that arrived
+    retries: SlidingWindowCounter  # attempts beyond the first of their flow
 
 
 class RetryBudget:
-    """Attempts beyond flows' first that the settings allow in any window.
+    """The number of retries that the settings allow in any window.
 
-    Without such a setting there is no limit.
+    There is no limit if the settings don't state one.
     """
 
     def __init__(self, settings: Settings, now: int):
-        """Begin the windows, if the settings state a budget."""
+        """Start counting, if the settings state a budget."""
         self.settings = settings
         self._counts: _Counts | None = None
         self.apply_settings(now, settings, started_before=False)
 
     def apply_settings(self, now: int, settings: Settings, started_before: bool) -> None:
-        """Go by other settings from now on.
+        """Apply new settings.
 
-        What went before is not known by a new window. Where this balancer has `started_before`, it
-        counts as spent.
+        The counts of a new window don't include earlier retries. So if this balancer has
+        `started_before`, the base of the budget counts as spent.
         """
         window_before = self.settings.retry_window
         self.settings = settings
@@ -100,12 +100,12 @@
                 self.assume_spent(now)
 
     def record_flow(self, now: int) -> None:
-        """Count a flow that came."""
+        """Count an arrived flow."""
         if self._counts is not None:
             self._counts.flows.add(now)
 
     def try_spend(self, now: int) -> bool:
-        """Count one more retry if the budget allows it; return whether it does."""
+        """Count one more retry if the budget allows it, and return whether it does."""
         counts = self._counts
         if counts is None:
             return True
@@ -119,11 +119,11 @@
         return True
 
     def assume_spent(self, now: int) -> None:
-        """Count the base as spent: another process did, in whose place this one comes."""
+        """Count the base of the budget as spent, as the process that this one replaces may have."""
         if self._counts is not None:
             self._counts.retries.add(now, math.ceil(self.settings.retry_budget_base))
 
-    def give_away(self, now: int) -> None:
-        """Spend all: another process takes what is left."""
+    def spend_all(self, now: int) -> None:
+        """Spend the whole budget; another process uses what is left of it."""
         if self._counts is not None:
             self._counts.retries.add(now, MORE_THAN_ANY_BUDGET)
--- a/cypresswalk/decisions/reviews.py
+++ b/cypresswalk/decisions/reviews.py
@@ -1,25 +1,25 @@
-"""Servers of which something was heard: flows there may have to migrate.
+"""The servers whose state has changed, so that their flows may have to migrate.
 
-Only these are looked at: walking all servers at each event would cost hundreds of balancers more
-than all else together.
+Only these are reviewed: examining all servers at each event would cost hundreds of balancers more
+than everything else together.
 """
 
 from cypresswalk.model import Server
 
 
 class Reviews:
-    """Servers to look at, in the order in which they were heard of, and when to look next.
+    """The servers to review, in the order of their requests, and the time of the next review.
 
     Args:
-        now: nanoseconds; the first look is due at once.
+        now: the current time in nanoseconds; the first review is due at once.
     """
 
     def __init__(self, now: int):
-        """Begin with nothing to review."""
+        """Start with no server to review."""
         self.servers: dict[Server, None] = {}
         self.next_at = now
 
     def request(self, now: int, server: Server) -> None:
-        """Look at that server at the next chance."""
+        """Request a review of the server at the next decision."""
         self.servers[server] = None
         self.next_at = now
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how many flows go to servers that warm up.
 
-A server that has started lately collapses under the sum of all balancers. So each balancer has a
-budget for it, and each flow that comes is admitted to it by a chance that is taken from the budget,
-used or not: the sum holds though all balancers see as many flows at once as this one does.
+A server that has just started would collapse under the flows of all balancers together. So each
+balancer has a budget for it. Each arriving flow is admitted to the server with a probability that
+is taken from the budget whether or not the flow goes there. So the budgets hold in total even if
+all balancers get as many flows at once as this one does.
 """
 
 import math
@@ -23,31 +24,29 @@
 from cypresswalk.measures import DecayingSum
 from cypresswalk.model import SECOND, Flow, Server, Settings
 
-MIN_FLOWS_PER_WINDOW = 1.0  # a budget of less than one flow can't be dealt
-OTHER_KEYS_PART = 0.33  # of a flow a window: for flows whose own servers are others
-MIN_TIME_SEEN = 0.05  # of a sum's time constant
-MORE_THAN_ANY_BUDGET = (
-    1e9  # flows; decays for longer than a process that gave its budget away still lives
-)
-HELD_TIME_CONSTANT = 10 * SECOND  # thrice the time in which a full server says so
-HELD_INTERVAL = 1 * SECOND
+MIN_FLOWS_PER_WINDOW = 1.0  # a budget below one flow can't be spent
+OTHER_KEYS_ALLOWANCE = 0.33  # flows per window, for flows of slots that other servers own
+MIN_FRACTION_SEEN = 0.05  # of a sum's steady value
+MORE_THAN_ANY_BUDGET = 1e9  # flows; takes longer to decay than a replaced process keeps running
+OCCUPANCY_TIME_CONSTANT = 10 * SECOND  # three times as long as a full server takes to report it
+OCCUPANCY_SAMPLE_INTERVAL = 1 * SECOND
 
 
 class SlowStart:
     """The budgets of this balancer for servers that warm up.
 
     Args:
-        settings: of the deployment.
-        servers: all that the list has named, by id.
-        flows: all flows held.
-        traffic: what comes and ends here.
+        settings: the deployment's settings.
+        servers: all servers that the list has ever named, by id.
+        flows: all flows that this balancer holds.
+        traffic: the arrivals and completions of this balancer.
         limits: the servers' concurrency limits.
-        warm_up: which servers warm up, and how far they are.
-        now: nanoseconds.
+        warm_up: the warm-up state of the servers.
+        now: the current time in nanoseconds.
 
     Attributes:
-        held_when_warm: what a warm server holds from here for each unit of weight, as a decaying
-            sum.
+        warm_occupancy: this balancer's connections on a warm server per unit of weight, as a
+            decaying sum.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         warm_up: WarmUp,
         now: int,
     ):
-        """Begin with nothing spent."""
+        """Start with unspent budgets."""
         self.settings = settings
         self._servers = servers
         self._flows = flows
@@ -68,121 +67,140 @@
         self._limits = limits
         self._warm_up = warm_up
         self._suspended_until = 0
-        self.held_when_warm = DecayingSum(30 * SECOND, now)
-        self._next_observation_at = now
+        self.warm_occupancy = DecayingSum(30 * SECOND, now)
+        self._next_sample_at = now
 
-    def begin(self, now: int, server: Server) -> None:
-        """Set up the sums of a server that was listed for the first time."""
+    def add_server(self, now: int, server: Server) -> None:
+        """Create the sums of a server that is listed for the first time."""
         time_constant = max(2 * self.settings.slow_start_window, 1)
         server.slow_start_spent = DecayingSum(time_constant, now)
         server.slow_start_fills = DecayingSum(time_constant, now)
 
     def on_predecessor_lost(self, now: int) -> None:
-        """Count all budgets as spent for a window: what another process spent is not known."""
+        """Count all budgets as spent for a window; what the predecessor spent is unknown."""
         self._suspended_until = now + self.settings.slow_start_window
 
-    def give_away(self, now: int) -> None:
-        """Spend all budgets: another process takes what is left."""
+    def spend_all(self, now: int) -> None:
+        """Spend all budgets; another process uses what is left of them."""
         for server in self._servers.values():
             server.slow_start_spent.add(now, MORE_THAN_ANY_BUDGET)
             server.owed_first_flow = False
 
-    # Flows that come.
+    # Arriving flows.
 
-    def admit(self, now: int, flow: Flow, homes: Callable[[int], list[Server]]) -> None:
-        """Draw which servers that warm up a flow may go to; `homes` gives those at a key's slot."""
-        warming = self._warming_up(now)
+    def admit(self, now: int, flow: Flow, slot_owners: Callable[[int], list[Server]]) -> None:
+        """Draw the warming servers that a flow may go to.
+
+        Args:
+            now: the current time in nanoseconds.
+            flow: the flow; the drawn servers are added to its `slow_start_admitted`.
+            slot_owners: a function that returns the owners of a key's slot, one for each pool.
+        """
+        warming = self._warming_servers(now)
         if not warming or now < self._suspended_until:
             return
-        own_servers = homes(flow.key)
-        usual = self._usual_flows_per_window(now)
+        owners = slot_owners(flow.key)
+        flows_per_window = self._flows_per_window(now)
         fleet_weight = sum(server.weight for server in self._servers.values() if is_up(server))
-        key_part = self._part_of_key(flow)
+        key_share = self._key_share(flow)
         for server in warming:
-            part = self._spend(now, server, usual)
+            allowance = self._draw_from_budget(now, server, flows_per_window)
             share = server.weight / max(fleet_weight, server.weight)
-            # Where their own servers are full all flows get here, not a share of them.
-            if server not in own_servers:
-                part *= max(share, OTHER_KEYS_PART / max(usual, MIN_FLOWS_PER_WINDOW))
-            is_owed = (
+            # If the owners of their slots are full, all their flows come here, not a share.
+            if server not in owners:
+                allowance *= max(
+                    share, OTHER_KEYS_ALLOWANCE / max(flows_per_window, MIN_FLOWS_PER_WINDOW)
+                )
+            is_first_flow = (
                 server.owed_first_flow and not server.established_count and not server.pending_flows
             )
-            # A key that makes up more of the flows here than the server of the fleet is let in
-            # less.
-            chance = 1.0 if is_owed else part * share / max(share, key_part)
-            if unit_interval(hash64(flow.id ^ server.id)) < chance:
+            # A key whose share of this balancer's flows exceeds the server's share of the fleet
+            # is admitted less often.
+            probability = 1.0 if is_first_flow else allowance * share / max(share, key_share)
+            if unit_interval(hash64(flow.id ^ server.id)) < probability:
                 flow.slow_start_admitted.append(server)
 
-    def _warming_up(self, now: int) -> list[Server]:
+    def _warming_servers(self, now: int) -> list[Server]:
         return [
             server
             for server in self._servers.values()
             if server.started_at and self._warm_up.applies(now, server) and is_up(server)
         ]
 
-    def _usual_flows_per_window(self, now: int) -> float:
-        """Return how many flows end well here in a window: this balancer's part of the capacity."""
+    def _flows_per_window(self, now: int) -> float:
+        """Return how many flows complete here per window: this balancer's share of the capacity."""
         completed = self._traffic.completed
-        seen = completed.part_seen(now, self._traffic.started_at)
+        fraction_seen = completed.part_seen(now, self._traffic.started_at)
         window = self.settings.slow_start_window
-        return completed.read(now) / max(seen, MIN_TIME_SEEN) * window / completed.time_constant
+        return (
+            completed.read(now)
+            / max(fraction_seen, MIN_FRACTION_SEEN)
+            * window
+            / completed.time_constant
+        )
 
-    def _part_of_key(self, flow: Flow) -> float:
-        """Return the part of the flows here that share the flow's key, without the flow itself."""
+    def _key_share(self, flow: Flow) -> float:
+        """Return the fraction of this balancer's flows that are others with the flow's key."""
         if not flow.grouped:
             return 0.0
         return (self._flows.by_key[flow.key] - 1) / len(self._flows)
 
-    def _spend(self, now: int, server: Server, usual: float) -> float:
-        """Take up to a flow from the budget for a server, whether or not it is used.
+    def _draw_from_budget(self, now: int, server: Server, flows_per_window: float) -> float:
+        """Take up to one flow from a server's budget, whether or not it is used; return how much.
 
-        With less than a flow a window at each of many balancers, a flow is the budget, and less of
-        it where many attempts are denied: then all are pressed.
+        Where less than one flow completes per window, as at each of many balancers, the budget is
+        computed for one flow. The returned amount then shrinks the more attempts are denied,
+        because all balancers are short of capacity at the same time.
         """
         budget = (
             self.settings.overload_factor
             * self._warm_up.fraction(now, server)
-            * max(usual, MIN_FLOWS_PER_WINDOW)
+            * max(flows_per_window, MIN_FLOWS_PER_WINDOW)
         )
-        part = min(max(budget - server.slow_start_spent.read(now), 0.0), 1.0)
-        server.slow_start_spent.add(now, part)
+        amount = min(max(budget - server.slow_start_spent.read(now), 0.0), 1.0)
+        server.slow_start_spent.add(now, amount)
         pressure = self._traffic.denied.read(now) / (self._traffic.established.read(now) + 1)
-        return part / (1 + pressure) if usual < MIN_FLOWS_PER_WINDOW else part
+        return amount / (1 + pressure) if flows_per_window < MIN_FLOWS_PER_WINDOW else amount
 
-    # Flows that would be given up.
+    # Flows that would be rejected.
 
-    def observe(self, now: int) -> None:
-        """Sample what a warm server holds from here, at most once a HELD_INTERVAL.
+    def sample_occupancy(self, now: int) -> None:
+        """Sample `warm_occupancy`, at most once per OCCUPANCY_SAMPLE_INTERVAL.
 
-        It rises over about 10 s, so that a surge counts little, and decays over 30 s: after a mass
-        restart there is no warm server to sample.
+        The value rises over about 10 s, so that a surge counts little. It decays over 30 s,
+        because after a mass restart there is no warm server to sample.
         """
-        if now < self._next_observation_at:
+        if now < self._next_sample_at:
             return
-        self._next_observation_at = now + HELD_INTERVAL
+        self._next_sample_at = now + OCCUPANCY_SAMPLE_INTERVAL
         warm = [
             server
             for server in self._servers.values()
             if is_up(server) and not self._warm_up.applies(now, server)
         ]
-        above = mean_occupancy(now, warm) - self.held_when_warm.read(now)
-        self.held_when_warm.add(now, max(above, 0.0) * HELD_INTERVAL / HELD_TIME_CONSTANT)
+        above = mean_occupancy(now, warm) - self.warm_occupancy.read(now)
+        self.warm_occupancy.add(
+            now, max(above, 0.0) * OCCUPANCY_SAMPLE_INTERVAL / OCCUPANCY_TIME_CONSTANT
+        )
 
     def fill(self, now: int, flow: Flow, candidates: Iterable[Server]) -> Server | None:
-        """Return a server that warms up for a flow that would be given up, or None.
+        """Return a warming server for a flow that would otherwise be rejected, or None.
 
-        It is one that holds less than its present part of what warm ones have held here: flows that
-        stand for minutes say little by how many end in a window, which the budget goes by.
+        The server holds less than its current share of what warm servers have held here. The
+        budget depends on how many flows complete per window, which says little about flows that
+        stay open for minutes.
         """
         if not self.settings.can_migrate or now < self._suspended_until:
             return None
         for server in candidates:
-            if self._may_fill(now, server, flow) and self._has_unfilled_part(now, server, flow):
+            if self._may_exceed_budget(now, server, flow) and self._is_below_warm_share(
+                now, server, flow
+            ):
                 server.slow_start_fills.add(now, 1)
                 return server
         return None
 
-    def _may_fill(self, now: int, server: Server, flow: Flow) -> bool:
+    def _may_exceed_budget(self, now: int, server: Server, flow: Flow) -> bool:
         most_pending = min(server.established_count, MAX_PENDING_ATTEMPTS - 1)
         return (
             self._warm_up.applies(now, server)
@@ -194,13 +212,14 @@
             and not is_overloaded(now, server)
         )
 
-    def _has_unfilled_part(self, now: int, server: Server, flow: Flow) -> bool:
-        part = self._warm_up.fraction(now, server) * self.held_when_warm.read(now) * server.weight
+    def _is_below_warm_share(self, now: int, server: Server, flow: Flow) -> bool:
+        target = self._warm_up.fraction(now, server) * self.warm_occupancy.read(now) * server.weight
         limit = self._limits.current(now, server)
-        # What it was found to hold, where flows from here stand there; that grows as it warms up.
+        # A limit says how much the server can hold, if it has flows from here; the limit grows
+        # as the server warms up.
         if server.established_flows and server.concurrency_limit < math.inf:
-            part = max(part, limit)
-        if occupancy_with(server, flow) > min(part, limit):
+            target = max(target, limit)
+        if occupancy_with(server, flow) > min(target, limit):
             return False
-        # Half of it in a window: a set-up asks work of its own.
-        return server.slow_start_fills.read(now) + 1 <= part / 2
+        # At most half of it per window, because each set-up costs work of its own.
+        return server.slow_start_fills.read(now) + 1 <= target / 2
--- a/cypresswalk/decisions/traffic.py
+++ b/cypresswalk/decisions/traffic.py
@@ -1,31 +1,31 @@
-"""What comes to this balancer and how it ends, as sums over the recent past."""
+"""Arrivals at this balancer and their results, as sums over the recent past."""
 
 from cypresswalk.measures import DecayingSum
 from cypresswalk.model import SECOND
 
-FLOWS_TIME_CONSTANT = 30 * SECOND  # a balancer among hundreds sees a few flows in it
-ATTEMPTS_TIME_CONSTANT = 10 * SECOND  # long against one set-up, short against a failure
+FLOWS_TIME_CONSTANT = 30 * SECOND  # in which a balancer among hundreds gets a few flows
+ATTEMPTS_TIME_CONSTANT = 10 * SECOND  # longer than a set-up, shorter than a failure lasts
 
 
 class Traffic:
-    """Arrivals, completions and attempts of this balancer.
+    """The arrivals, completions and attempts of this balancer.
 
     Args:
-        now: nanoseconds; when the balancer was started.
+        now: the start time of the balancer in nanoseconds.
 
     Attributes:
-        started_at: when it was started, or the process in whose place it came.
-        arrivals: flows that came for the first time.
-        completed: established flows that ended well.
-        setup_time: nanoseconds that attempts took, time-outs included.
-        setups: how many attempts `setup_time` is of.
-        denied: attempts that ended in no set-up, and flows given up.
-        errors: attempts answered with an error, and flows turned away because of errors.
-        established: attempts that came up.
+        started_at: the start time of the balancer, or of the process that it replaced.
+        arrivals: flows that arrived for the first time.
+        completed: established flows that ended successfully.
+        setup_time: the total duration of attempts in nanoseconds, including time-outs.
+        setups: the number of attempts in `setup_time`.
+        denied: failed attempts, and flows rejected or aborted by this balancer.
+        errors: attempts answered with an error, and flows rejected because of such errors.
+        established: successful attempts.
     """
 
     def __init__(self, now: int):
-        """Begin all sums at 0."""
+        """Start all sums at 0."""
         self.started_at = now
         self.arrivals = DecayingSum(FLOWS_TIME_CONSTANT, now)
         self.completed = DecayingSum(FLOWS_TIME_CONSTANT, now)
@@ -36,18 +36,18 @@
         self.established = DecayingSum(ATTEMPTS_TIME_CONSTANT, now)
 
     def recent_arrivals(self, now: int) -> float:
-        """Return flows in one time constant, one more than came: never none."""
+        """Return the arrivals in one time constant plus one, so that the result is never 0."""
         return self.arrivals.read(now) + 1
 
     def arrival_rate(self, now: int) -> float:
-        """Return flows for each nanosecond."""
+        """Return the arrivals per nanosecond."""
         return self.recent_arrivals(now) / self.arrivals.time_constant
 
     def record_setup(self, now: int, took: int) -> None:
-        """Count an attempt that took that many nanoseconds."""
+        """Record an attempt that took `took` nanoseconds."""
         self.setup_time.add(now, took)
         self.setups.add(now, 1)
 
-    def usual_setup_time(self, now: int) -> float:
-        """Return what an attempt takes here, in nanoseconds."""
+    def mean_setup_time(self, now: int) -> float:
+        """Return the mean duration of an attempt in nanoseconds."""
         return self.setup_time.read(now) / max(self.setups.read(now), 1.0)
--- a/cypresswalk/decisions/warm_up.py
+++ b/cypresswalk/decisions/warm_up.py
@@ -1,13 +1,13 @@
-"""Servers that warm up: those that have started lately have a part of their capacity."""
+"""Warm-up: a server that has started recently has only a fraction of its capacity."""
 
 from cypresswalk.model import Server, Settings
 
 
 class WarmUp:
-    """How far servers have warmed up, by the settings' span."""
+    """The warm-up state of servers, computed from their start times and the settings."""
 
     def __init__(self, settings: Settings):
-        """Go by the settings."""
+        """Keep the settings."""
         self.settings = settings
 
     def applies(self, now: int, server: Server) -> bool:
@@ -15,7 +15,10 @@
         return server.started_at > 0 and now - server.started_at < self.settings.warm_up_time
 
     def fraction(self, now: int, server: Server) -> float:
-        """Return the part of its capacity that the server is taken to have; it grows evenly."""
+        """Return the fraction of its capacity that the server is assumed to have.
+
+        The fraction grows linearly over the warm-up time.
+        """
         initial = self.settings.warm_up_initial_fraction
         whole = self.settings.warm_up_time
         age = min(max(now - server.started_at, 0), whole)
--- a/tests/decisions/fleet_model.py
+++ b/tests/decisions/fleet_model.py
@@ -142,14 +142,14 @@
             hot_key: that group's key.
             keeps_keys: clients that come again have the key that they had.
         """
-        self.chance = random.Random(f"ramp {seed}")
+        self.rng = random.Random(f"ramp {seed}")
         self.now = START
         self.size = balancers
         self.hot_fraction = hot_fraction
         self.hot_key = hot_key
         self.keeps_keys = keeps_keys
         self.servers = {7 + 13 * i: ModelServer(7 + 13 * i, CAPACITY) for i in range(servers)}
-        weights = [self.chance.uniform(1, 3.0) for _ in range(balancers)]
+        weights = [self.rng.uniform(1, 3.0) for _ in range(balancers)]
         self.rates = [rate * weight / sum(weights) for weight in weights]
         self.events: list[tuple[int, float, Callable[..., None], tuple]] = []
         self.last_flow_id = 0
@@ -163,11 +163,11 @@
 
     def schedule(self, at: int, event: Callable[..., None], *args: object) -> None:
         """Something happens at a time; what happens at the same time does so in random order."""
-        self.events.append((at, self.chance.random(), event, args))
+        self.events.append((at, self.rng.random(), event, args))
 
     def delay(self, shortest_ms: int, longest_ms: int) -> int:
         """A time some milliseconds from now."""
-        return self.now + self.chance.randrange(shortest_ms, longest_ms) * MILLISECOND
+        return self.now + self.rng.randrange(shortest_ms, longest_ms) * MILLISECOND
 
     def run(self, span: int) -> None:
         """Plays that much time."""
@@ -177,8 +177,8 @@
             for number, rate in enumerate(self.rates):
                 host = self.balancers[number]
                 host.pass_time(self.now - host.now)
-                self.carry_on(host)
-                if self.chance.random() < rate * TICK / SECOND:
+                self.process_decisions(host)
+                if self.rng.random() < rate * TICK / SECOND:
                     self.arrive(number)
             due = [event for event in self.events if event[0] <= self.now]
             self.events = [event for event in self.events if event[0] > self.now]
@@ -189,10 +189,10 @@
 
     def start_balancer(self, number: int) -> None:
         """A balancer starts, with what the list says."""
-        seed = number + self.chance.randrange(1 << 30)
+        seed = number + self.rng.randrange(1 << 30)
         listed = [self.entry(server) for server in self.servers.values()]
         self.balancers[number] = ModelBalancer(self.size, seed, self.now, listed)
-        self.carry_on(self.balancers[number])
+        self.process_decisions(self.balancers[number])
 
     def restart_balancer(self, number: int) -> None:
         """Killed: its flows' clients return, anywhere; it knows nothing but the list."""
@@ -207,7 +207,7 @@
         """Whether the balancer was not restarted since."""
         return host in self.balancers
 
-    def carry_on(self, host: ModelBalancer) -> None:
+    def process_decisions(self, host: ModelBalancer) -> None:
         """Takes up what the balancer has decided: it reaches servers and clients later."""
         for flow in host.unsent_attempts():
             self.attempt(host, flow)
@@ -239,16 +239,16 @@
         key = client.key or self.draw_key()
         flow = host.arrive(returning=returning, key=key, grouped=self.hot_fraction > 0)
         host.clients[flow.id] = Client(key if self.keeps_keys else None, client.returns)
-        self.carry_on(host)
+        self.process_decisions(host)
 
     def draw_key(self) -> int:
         """The key of a client that comes for the first time."""
-        is_hot = self.chance.random() < self.hot_fraction
-        return self.hot_key if is_hot else self.chance.randrange(1, 1 << 40)
+        is_hot = self.rng.random() < self.hot_fraction
+        return self.hot_key if is_hot else self.rng.randrange(1, 1 << 40)
 
     def return_client(self, client: Client, returning: bool) -> None:
         """A client comes again, to any balancer."""
-        number = self.chance.choices(range(self.size), self.rates)[0]
+        number = self.rng.choices(range(self.size), self.rates)[0]
         self.arrive(number, returning, client)
 
     # Servers.
@@ -276,23 +276,23 @@
         else:
             server.held += 1
             host.accept(flow)
-            lifetime = int(self.chance.expovariate(1 / MEAN_LIFETIME))
+            lifetime = int(self.rng.expovariate(1 / MEAN_LIFETIME))
             self.schedule(self.now + lifetime, self.end_flow, host, flow, server)
-        self.carry_on(host)
+        self.process_decisions(host)
 
     def end_flow(self, host: ModelBalancer, flow: Flow, server: ModelServer) -> None:
         """An established flow ends well."""
         if self.is_running(host) and flow.id in host.balancer.flows:
             server.held -= 1
             host.end(flow, Outcome.OK)
-            self.carry_on(host)
+            self.process_decisions(host)
 
     def answer_health_check(self, host: ModelBalancer, server: Server) -> None:
         """A health check ends."""
         if self.is_running(host):
             host.health_checks.append(server)
             host.answer_health_check(server, server.id in self.servers)
-            self.carry_on(host)
+            self.process_decisions(host)
 
     def replace_servers(self, idents: list[int]) -> None:
         """Servers restart under new ids; their flows break, and balancers hear of it one by one."""
@@ -303,8 +303,8 @@
             for host in self.balancers:
                 self.break_flows(host, ident)
                 gone = self.entry(old, ServerState.GONE)
-                at = self.now + self.chance.randrange(1500) * MILLISECOND
-                self.schedule(at, self.tell_of_replacement, host, new, gone)
+                at = self.now + self.rng.randrange(1500) * MILLISECOND
+                self.schedule(at, self.announce_replacement, host, new, gone)
 
     def break_flows(self, host: ModelBalancer, ident: int) -> None:
         """All flows that the balancer has at the server break; their clients return."""
@@ -315,7 +315,7 @@
                 host.end(flow, Outcome.RESET)
                 self.schedule(self.delay(50, 1500), self.return_client, self.returning(flow), True)
 
-    def tell_of_replacement(self, host: ModelBalancer, new: ModelServer, gone: Server) -> None:
+    def announce_replacement(self, host: ModelBalancer, new: ModelServer, gone: Server) -> None:
         """The list's update reaches a balancer."""
         host.update_endpoints(EndpointUpdate.DELTA, [self.entry(new), gone])
-        self.carry_on(host)
+        self.process_decisions(host)
--- a/tests/decisions/test_fleet_displaced_group.py
+++ b/tests/decisions/test_fleet_displaced_group.py
@@ -13,7 +13,7 @@
 HOT_FRACTION = 0.07  # of all flows: more than three times a server's share
 
 
-def home_of(key: int, idents: list[int]) -> int:
+def slot_owner(key: int, idents: list[int]) -> int:
     """The id of the server at the key's slot."""
     return build_table([Server(id=ident) for ident in idents])[slot_of(key)].id
 
@@ -22,11 +22,11 @@
     """A key whose next place is the server that comes for `replaced`, and its present home."""
     after = [1000 + replaced if ident == replaced else ident for ident in idents]
     for key in count(1):
-        home = home_of(key, after)
-        if home != home_of(key, idents) or home == 1000 + replaced:
+        owner = slot_owner(key, after)
+        if owner != slot_owner(key, idents) or owner == 1000 + replaced:
             continue
-        if home_of(key, [ident for ident in after if ident != home]) == 1000 + replaced:
-            return key, home
+        if slot_owner(key, [ident for ident in after if ident != owner]) == 1000 + replaced:
+            return key, owner
     raise AssertionError("every key was tried")
 
 
@@ -43,7 +43,7 @@
     """
     idents = [7 + 13 * i for i in range(SERVERS)]
     replaced = idents[len(idents) // 2]
-    key, home = displaced_key(idents, replaced)
+    key, owner = displaced_key(idents, replaced)
     fleet = Fleet(
         f"displaced {seed}",
         balancers=balancers,
@@ -63,7 +63,7 @@
                 if number % 10 < 7:
                     fleet.restart_balancer(number)
         fleet.run(before - after)
-    fleet.replace_servers([home])
+    fleet.replace_servers([owner])
     fleet.run(5 * SECOND)
     return fleet, fleet.servers[1000 + replaced]
 
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -54,38 +54,38 @@
 
     def __init__(self, seed: int, clients: int, store_capacity: int):
         """The clients are on their way."""
-        self.chance = Random(f"storm {seed}")
+        self.rng = Random(f"storm {seed}")
         self.store = Store(store_capacity)
         self.hosts = started_fleet(max_attempts=6)
         self.now = self.hosts[0].now
         # When each comes, and its number.
-        self.coming = sorted(
-            (self.now + self.chance.randrange(SECOND), number) for number in range(clients)
+        self.arrivals = sorted(
+            (self.now + self.rng.randrange(SECOND), number) for number in range(clients)
         )
         self.waiting: list[Client] = []
         self.established = 0
 
     def run(self, seconds: int) -> list[int]:
         """How many are in after each second."""
-        course = []
+        totals = []
         for _ in range(seconds):
             for _ in range(TICKS_PER_SECOND):
                 self.tick()
-            course.append(self.established)
-        return course
+            totals.append(self.established)
+        return totals
 
     def tick(self) -> None:
         """What happens in one tick."""
-        while self.coming and self.coming[0][0] <= self.now:
-            _, number = self.coming.pop(0)
-            host = self.chance.choice(self.hosts)
+        while self.arrivals and self.arrivals[0][0] <= self.now:
+            _, number = self.arrivals.pop(0)
+            host = self.rng.choice(self.hosts)
             self.waiting.append(Client(host, host.arrive(), number))
         for client in list(self.waiting):
             self.answer_attempt(client)
             if client.flow.id not in client.host.open:
                 self.waiting.remove(client)
-                self.take_answer(client)
-        self.coming.sort()
+                self.on_answer(client)
+        self.arrivals.sort()
         for host in self.hosts:
             host.pass_time(TICK)
         self.now += TICK
@@ -102,13 +102,13 @@
         else:
             host.end(flow, Outcome.ERROR)
 
-    def take_answer(self, client: Client) -> None:
+    def on_answer(self, client: Client) -> None:
         """The client is in, or returns."""
         if client.host.answers[client.flow.id] == "established":
             self.established += 1
             return
-        delay = int(RETURN_AFTER * SECOND * self.chance.uniform(0.7, 1.3))
-        self.coming.append((self.now + delay, client.number))
+        delay = int(RETURN_AFTER * SECOND * self.rng.uniform(0.7, 1.3))
+        self.arrivals.append((self.now + delay, client.number))
 
 
 def started_fleet(**changes) -> list[SimulatedHost]:
@@ -125,8 +125,8 @@
     # Seen on cardiff-live: a second's burst began it, attempts that timed out passed for accepted
     # ones, one flow in four went whatever came of it, and 100 attempts a second kept a store down
     # for 25 s that can answer some 30.
-    course = Storm(seed, clients=200, store_capacity=25).run(25)
-    assert course[-1] == 200, course
+    totals = Storm(seed, clients=200, store_capacity=25).run(25)
+    assert totals[-1] == 200, totals
 
 
 def establish_far_away(host: SimulatedHost, count: int) -> None:
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -117,11 +117,11 @@
     flow = host.arrive()
     assert flow.server is None
     assert len(host.health_checks) >= 3
-    home = host.balancer.placement.pools()[0].table[hash64(flow.key) % TABLE_SIZE]
+    owner = host.balancer.placement.pools()[0].table[hash64(flow.key) % TABLE_SIZE]
     for server in list(host.health_checks):
-        host.answer_health_check(server, True, 1.5 if server is home else 0.1)
+        host.answer_health_check(server, True, 1.5 if server is owner else 0.1)
     assert flow.server is not None
-    assert flow.server is not home
+    assert flow.server is not owner
     silent = host.arrive(key=flow.key + 1)
     host.pass_time(SECOND // 10)
     assert silent.server is not None, "an unanswered check queues no flow for long"
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -24,7 +24,7 @@
 
     def __init__(self, seed: int, base: int, ratio: float):
         """A balancer that may make `base` retries in a window, and `ratio` of its flows beside."""
-        self.chance = Random(f"{seed}/further")
+        self.rng = Random(f"{seed}/further")
         self.base = base
         self.ratio = ratio
         self.host = SimulatedHost(
@@ -38,25 +38,25 @@
 
     def step(self) -> None:
         """Flows arrive, and most attempts that are out end."""
-        for _ in range(self.chance.choice((0, 0, 1, 1, 2, 30))):
+        for _ in range(self.rng.choice((0, 0, 1, 1, 2, 30))):
             self.arrivals.append(self.host.now)
             self.host.arrive()
         for flow in list(self.host.open.values()):
-            if flow.server is not None and self.chance.random() < 0.8:
+            if flow.server is not None and self.rng.random() < 0.8:
                 self.end_attempt(flow)
 
     def end_attempt(self, flow: Flow) -> None:
         """The flow is accepted or its attempt fails."""
-        if self.chance.random() < 0.4:
+        if self.rng.random() < 0.4:
             self.host.accept(flow)
         else:
             outcomes = (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.RESET)
-            self.host.end(flow, self.chance.choice(outcomes))
+            self.host.end(flow, self.rng.choice(outcomes))
 
     def pass_time(self) -> None:
         """Some time passes."""
         spans = (SECOND // 1000, SECOND // 50, SECOND // 7, 5 * SECOND)
-        self.host.pass_time(self.chance.choice(spans))
+        self.host.pass_time(self.rng.choice(spans))
 
     def retries(self) -> list[int]:
         """Times of all retries."""
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -73,7 +73,7 @@
     assert sum(server.id == 99 for _, server in host.attempts) <= 1
 
 
-def host_with_overloaded_home(number: int, age: int) -> tuple[SimulatedHost, int]:
+def host_with_overloaded_owner(number: int, age: int) -> tuple[SimulatedHost, int]:
     """A host and a key whose home, 99, warms up; every server but 98, not admitted, is overloaded.
 
     Args:
@@ -89,7 +89,7 @@
     servers = host.balancer.servers
     servers[98].slow_start_spent.add(host.now, 99)
     placement = host.balancer.placement
-    places = {key: placement.nearest_places(key) for key in range(1, 1000)}
+    places = {key: placement.preference_list(key) for key in range(1, 1000)}
     key = next(
         key for key in places if places[key][0] is servers[99] and servers[98] in places[key]
     )
@@ -104,7 +104,7 @@
     # flows, one each, to the group's home that warmed up, and it fell over.
     attempted = []
     for number in range(20):
-        host, key = host_with_overloaded_home(number, age * SECOND)
+        host, key = host_with_overloaded_owner(number, age * SECOND)
         host.arrive(key=key, grouped=True, returning=True)
         attempted += [server.id for _, server in host.attempts]
     assert len(attempted) == 20  # a warm one, overloaded too, is a last resort
@@ -116,7 +116,7 @@
     # to four times, on a budget that had admitted it once.
     sent = 0
     for number in range(20):
-        host, key = host_with_overloaded_home(number, 9 * SECOND)
+        host, key = host_with_overloaded_owner(number, 9 * SECOND)
         warming = host.balancer.servers[99]
         warming.load = 0.0
         flow = host.arrive(key=key, grouped=True, returning=True)
@@ -214,7 +214,7 @@
     balancer.limits.keep_at(host.now, warming, 6.0)
     warming.slow_start_spent.add(host.now, 99)
     # With no flow of its own there this balancer has observed nothing.
-    assert balancer.slow_start.held_when_warm.read(host.now) < 1
+    assert balancer.slow_start.warm_occupancy.read(host.now) < 1
     assert server_to_fill(host) is None
     warming.slow_start_spent.total = 0.0
     fill(host, 1)
