--- a/tests/decisions/fleet_model.py
+++ b/tests/decisions/fleet_model.py
@@ -1,6 +1,7 @@
-"""A fleet of balancers that share nothing, over the decisions and without a bench.
+"""A seeded model of a fleet of balancers that share no state, over the decisions alone.
 
-Seeded. What reaches a server that warms up is held against its slow-start budget in every window.
+The model checks that the attempts that reach a warming server stay within its slow-start budget in
+every window.
 """
 
 import random
@@ -15,30 +16,30 @@
 from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, Server, ServerState
 
 MILLISECOND = SECOND // 1000
-TICK = 20 * MILLISECOND  # in which the model goes on; and how long a message is on its way
+TICK = 20 * MILLISECOND  # time step of the model, and the latency of a message
 MEAN_LIFETIME = 20 * SECOND  # of a flow
 SLOW_START_WINDOW = 2 * SECOND
 OVERLOAD_FACTOR = 3.0
 WARM_UP_TIME = 20 * SECOND
 INITIAL_FRACTION = 0.2
 CAPACITY = 40  # flows that a server can hold
-MAX_RETURNS = 8  # times that a rejected client comes again
+MAX_RETURNS = 8  # times that a rejected client reconnects
 HOT_KEY = 777
 
 
 @dataclass(frozen=True, slots=True)
 class Client:
-    """A client that comes, or comes again."""
+    """A client that connects or reconnects."""
 
-    key: int | None = None  # of its flow; None: drawn when it comes
-    returns: int = 0  # how often it was rejected
+    key: int | None = None  # key of its flow; None: drawn on arrival
+    returns: int = 0  # number of times that it was rejected
 
 
 class ModelServer:
-    """What a server can truly hold, which nobody tells."""
+    """A server with its real capacity, which balancers don't know."""
 
     def __init__(self, ident: int, capacity: int, started_at: int = 0):
-        """A server that holds nothing yet; one that started at 0 has warmed up."""
+        """Create an empty server; one that started at 0 has warmed up."""
         self.ident = ident
         self.capacity = capacity
         self.started_at = started_at
@@ -46,23 +47,26 @@
         self.attempts: deque[int] = deque()  # times, of the last window
 
     def warm_fraction(self, now: int) -> float:
-        """The part of its capacity that it has by now."""
+        """Return the fraction of its capacity that the server has now."""
         if not self.started_at:
             return 1.0
         age = min(now - self.started_at, WARM_UP_TIME)
         return INITIAL_FRACTION + (1 - INITIAL_FRACTION) * age / WARM_UP_TIME
 
     def is_full(self, now: int) -> bool:
-        """Whether it can hold no further flow."""
+        """Return whether the server can hold no more flows."""
         return self.held >= self.capacity * self.warm_fraction(now)
 
     def budget(self, now: int) -> float:
-        """Attempts that it may get in a window, by the flows that end in one when it is full."""
+        """Return the attempts that the server may get in a window.
+
+        The budget is based on the number of flows that end per window when the server is full.
+        """
         flows_per_window = self.capacity / (MEAN_LIFETIME / SLOW_START_WINDOW)
         return OVERLOAD_FACTOR * self.warm_fraction(now) * flows_per_window
 
     def on_attempt(self, now: int) -> None:
-        """Counts an attempt, which must be within the budget."""
+        """Count an attempt and assert that it is within the budget."""
         self.attempts.append(now)
         while self.attempts[0] <= now - SLOW_START_WINDOW:
             self.attempts.popleft()
@@ -74,8 +78,8 @@
     """One balancer of the fleet."""
 
     def __init__(self, fleet_size: int, seed: int, now: int, servers: list[Server]):
-        """A balancer that has just started and knows the servers from its list."""
-        self.migrated: list[tuple[Flow, int]] = []  # flows, and ids of their servers
+        """Create a balancer that has just started and knows the servers of its list."""
+        self.migrated: list[tuple[Flow, int]] = []  # flows and the ids of their servers
         super().__init__(
             0,
             instances=fleet_size,
@@ -87,18 +91,18 @@
         )
         self.now = now
         self.balancer = Balancer(self.balancer.settings, seed, now)
-        self.clients: dict[int, Client] = {}  # of the unanswered flows, by flow id
-        self.sent: set[tuple[int, int]] = set()  # attempts on their way: flow id and number
+        self.clients: dict[int, Client] = {}  # clients of unanswered flows, by flow id
+        self.sent: set[tuple[int, int]] = set()  # attempts in transit: flow id and attempt number
         self.update_endpoints(EndpointUpdate.CACHED, servers)
 
     def end(self, flow: Flow, outcome: Outcome) -> None:
-        """A flow ends; migrated ones are noted, since their clients return."""
+        """End a flow; record migrated ones, because their clients return."""
         if outcome is Outcome.CANCELLED:
             self.migrated.append((flow, flow.server.id))
         super().end(flow, outcome)
 
-    def unsent_attempts(self) -> list[Flow]:
-        """Flows whose latest attempt has not been taken up by the model yet."""
+    def take_new_attempts(self) -> list[Flow]:
+        """Return the flows whose latest attempt is new since the last call."""
         flows = []
         for flow in list(self.open.values()):
             is_out = flow.server is not None and self.history[flow.id][-1].outcome is None
@@ -108,8 +112,8 @@
                 flows.append(flow)
         return flows
 
-    def newly_rejected(self) -> list[Client]:
-        """The clients that were rejected since the last call."""
+    def take_rejected_clients(self) -> list[Client]:
+        """Return the clients that were rejected since the last call."""
         rejected = []
         for flow_id, answer in list(self.answers.items()):
             client = self.clients.pop(flow_id, None)
@@ -119,7 +123,7 @@
 
 
 class Fleet:
-    """Balancers, servers and clients in one model of time."""
+    """Balancers, servers and clients in simulated time."""
 
     def __init__(
         self,
@@ -131,16 +135,16 @@
         hot_key: int = HOT_KEY,
         keeps_keys: bool = False,
     ):
-        """A fleet that has just started.
+        """Create a fleet that has just started.
 
         Args:
-            seed: of all that is drawn.
-            balancers: how many, with shares of the traffic that differ by up to three.
-            servers: how many, all warm.
-            rate: new clients a second.
-            hot_fraction: the part of the flows that are of one group.
-            hot_key: that group's key.
-            keeps_keys: clients that come again have the key that they had.
+            seed: the seed of all random draws.
+            balancers: the number of balancers; their traffic differs by up to a factor of three.
+            servers: the number of servers, all warm.
+            rate: new clients per second.
+            hot_fraction: the fraction of flows that belong to one group.
+            hot_key: the key of that group.
+            keeps_keys: whether returning clients keep their keys.
         """
         self.rng = random.Random(f"ramp {seed}")
         self.now = START
@@ -162,15 +166,15 @@
     # Time.
 
     def schedule(self, at: int, event: Callable[..., None], *args: object) -> None:
-        """Something happens at a time; what happens at the same time does so in random order."""
+        """Schedule an event; events at the same time run in random order."""
         self.events.append((at, self.rng.random(), event, args))
 
     def delay(self, shortest_ms: int, longest_ms: int) -> int:
-        """A time some milliseconds from now."""
+        """Return a random time between two delays in milliseconds from now."""
         return self.now + self.rng.randrange(shortest_ms, longest_ms) * MILLISECOND
 
     def run(self, span: int) -> None:
-        """Plays that much time."""
+        """Advance the model by `span` nanoseconds."""
         end = self.now + span
         while self.now < end:
             self.now += TICK
@@ -188,30 +192,32 @@
     # Balancers.
 
     def start_balancer(self, number: int) -> None:
-        """A balancer starts, with what the list says."""
+        """Start a balancer that knows only the endpoint list."""
         seed = number + self.rng.randrange(1 << 30)
         listed = [self.entry(server) for server in self.servers.values()]
         self.balancers[number] = ModelBalancer(self.size, seed, self.now, listed)
         self.process_decisions(self.balancers[number])
 
     def restart_balancer(self, number: int) -> None:
-        """Killed: its flows' clients return, anywhere; it knows nothing but the list."""
+        """Kill and restart a balancer; the clients of its flows return to any balancer."""
         flows = self.balancers[number].balancer.flows.values()
         for flow in [flow for flow in flows if flow.established]:
             if flow.server.id in self.servers:
                 self.servers[flow.server.id].held -= 1
-            self.schedule(self.delay(50, 1500), self.return_client, self.returning(flow), True)
+            self.schedule(
+                self.delay(50, 1500), self.return_client, self.returning_client(flow), True
+            )
         self.start_balancer(number)
 
     def is_running(self, host: ModelBalancer) -> bool:
-        """Whether the balancer was not restarted since."""
+        """Return whether the balancer has not been restarted."""
         return host in self.balancers
 
     def process_decisions(self, host: ModelBalancer) -> None:
-        """Takes up what the balancer has decided: it reaches servers and clients later."""
-        for flow in host.unsent_attempts():
+        """Deliver the balancer's new decisions to servers and clients after a delay."""
+        for flow in host.take_new_attempts():
             self.attempt(host, flow)
-        for client in host.newly_rejected():
+        for client in host.take_rejected_clients():
             if client.returns < MAX_RETURNS:
                 again = Client(client.key, client.returns + 1)
                 self.schedule(self.delay(50, 300), self.return_client, again, False)
@@ -219,19 +225,21 @@
             flow, server_id = host.migrated.pop()
             if server_id in self.servers:
                 self.servers[server_id].held -= 1
-            self.schedule(self.delay(50, 1500), self.return_client, self.returning(flow), True)
+            self.schedule(
+                self.delay(50, 1500), self.return_client, self.returning_client(flow), True
+            )
         for server in list(host.health_checks):
             self.schedule(self.now + TICK, self.answer_health_check, host, server)
             host.health_checks.remove(server)
 
     # Clients.
 
-    def returning(self, flow: Flow) -> Client:
-        """The client of an established flow, which comes again."""
+    def returning_client(self, flow: Flow) -> Client:
+        """Return the client of an established flow, which reconnects."""
         return Client(flow.key if self.keeps_keys else None)
 
     def arrive(self, number: int, returning: bool = False, client: Client | None = None) -> None:
-        """A client comes to that balancer, a new one unless it is named."""
+        """Connect a client to a balancer; a new client unless one is given."""
         client = client or Client()
         host = self.balancers[number]
         self.last_flow_id += 1
@@ -242,23 +250,23 @@
         self.process_decisions(host)
 
     def draw_key(self) -> int:
-        """The key of a client that comes for the first time."""
+        """Return the key of a client that connects for the first time."""
         is_hot = self.rng.random() < self.hot_fraction
         return self.hot_key if is_hot else self.rng.randrange(1, 1 << 40)
 
     def return_client(self, client: Client, returning: bool) -> None:
-        """A client comes again, to any balancer."""
+        """Reconnect a client to a random balancer."""
         number = self.rng.choices(range(self.size), self.rates)[0]
         self.arrive(number, returning, client)
 
     # Servers.
 
     def entry(self, server: ModelServer, state: ServerState = ServerState.READY) -> Server:
-        """The server's entry in the list."""
+        """Return the server's entry in the list."""
         return Server(id=server.ident, started_at=server.started_at, state=state)
 
     def attempt(self, host: ModelBalancer, flow: Flow) -> None:
-        """An attempt reaches its server, which may be gone without the balancer's knowledge."""
+        """Deliver an attempt to its server, which may be gone without the balancer's knowledge."""
         server = self.servers.get(flow.server.id) or ModelServer(flow.server.id, 0)
         if server.started_at:
             self.attempts_at_warming_servers += 1
@@ -266,7 +274,7 @@
         self.schedule(self.now + TICK, self.answer_attempt, host, flow, server)
 
     def answer_attempt(self, host: ModelBalancer, flow: Flow, server: ModelServer) -> None:
-        """The server's answer reaches the balancer."""
+        """Deliver the server's answer to the balancer."""
         if not self.is_running(host) or flow.id not in host.open:
             return
         if server.ident not in self.servers:
@@ -281,21 +289,24 @@
         self.process_decisions(host)
 
     def end_flow(self, host: ModelBalancer, flow: Flow, server: ModelServer) -> None:
-        """An established flow ends well."""
+        """End an established flow successfully."""
         if self.is_running(host) and flow.id in host.balancer.flows:
             server.held -= 1
             host.end(flow, Outcome.OK)
             self.process_decisions(host)
 
     def answer_health_check(self, host: ModelBalancer, server: Server) -> None:
-        """A health check ends."""
+        """Answer a health check."""
         if self.is_running(host):
             host.health_checks.append(server)
             host.answer_health_check(server, server.id in self.servers)
             self.process_decisions(host)
 
     def replace_servers(self, idents: list[int]) -> None:
-        """Servers restart under new ids; their flows break, and balancers hear of it one by one."""
+        """Restart servers under new ids.
+
+        Their flows break at once; each balancer gets the update of the endpoint list later.
+        """
         for ident in idents:
             old = self.servers.pop(ident)
             new = ModelServer(1000 + ident, old.capacity, self.now)
@@ -307,15 +318,17 @@
                 self.schedule(at, self.announce_replacement, host, new, gone)
 
     def break_flows(self, host: ModelBalancer, ident: int) -> None:
-        """All flows that the balancer has at the server break; their clients return."""
+        """Break all flows that the balancer has at the server; their clients return."""
         flows = host.balancer.flows.values()
         at_server = [flow for flow in flows if flow.established and flow.server.id == ident]
         for flow in at_server:
-            if flow.id in host.balancer.flows:  # it was not migrated meanwhile
+            if flow.id in host.balancer.flows:  # it was not migrated in the meantime
                 host.end(flow, Outcome.RESET)
-                self.schedule(self.delay(50, 1500), self.return_client, self.returning(flow), True)
+                self.schedule(
+                    self.delay(50, 1500), self.return_client, self.returning_client(flow), True
+                )
 
     def announce_replacement(self, host: ModelBalancer, new: ModelServer, gone: Server) -> None:
-        """The list's update reaches a balancer."""
+        """Deliver the update of the endpoint list to a balancer."""
         host.update_endpoints(EndpointUpdate.DELTA, [self.entry(new), gone])
         self.process_decisions(host)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: who is let in, throttled, queued or rejected."""
+"""Admission: which flows are admitted, throttled, queued or rejected."""
 
 from decision_helpers import fill, settle
 from helpers import SimulatedHost, service
@@ -8,15 +8,15 @@
 
 
 def test_errors_from_all_servers_are_no_reason_to_retry_on_all():
-    # Seen with a store that all servers ask: each flow that had an error from one was attempted at
-    # five more, and its client came straight back. A hundred attempts for each flow kept the store
-    # down, and servers that warmed up failed beside it.
+    # Seen with a store that all servers query: a flow that got an error from one server was
+    # attempted at five more, and its client reconnected at once. A hundred attempts per flow kept
+    # the store down, and warming servers failed as well.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
     fill(host, 10)
 
     def answered(count):
-        """Has flows arrive whose attempts all get an error; how many attempts it took."""
+        """Answer all attempts of `count` new flows with errors; return the number of attempts."""
         before = len(host.attempts)
         for _ in range(count):
             flow = host.arrive()
@@ -26,11 +26,11 @@
         return len(host.attempts) - before
 
     answered(10)
-    assert answered(40) < 40  # of 240; one flow now and then tells whether it is over
+    assert answered(40) < 40  # of 240; an occasional trial flow shows whether the fault is over
     assert {host.answers[flow_id] for flow_id in range(12, host.last_id + 1)} == {"reject"}
     host.pass_time(20 * SECOND)
     accepted = 0
-    for _ in range(100):  # the store is up again
+    for _ in range(100):  # the store is available again
         flow = host.arrive()
         if flow.id in host.open:
             host.accept(flow)
@@ -42,7 +42,7 @@
 
 
 def test_third_error_with_nothing_established_throttles_and_two_do_not():
-    # One error would have a balancer that has just started reject clients.
+    # Otherwise one error would make a balancer that has just started reject clients.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
     flow = host.arrive()
@@ -54,7 +54,7 @@
 
 
 def test_timed_out_attempts_do_not_count_as_established_among_errors():
-    # Seen on cardiff-live: an overloaded store brings both, and each time-out let a retry go.
+    # Seen on cardiff-live: an overloaded store causes both, and each time-out admitted a retry.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
     for outcome in (Outcome.TIMEOUT, Outcome.ERROR):
@@ -71,7 +71,7 @@
 
 
 def test_while_all_are_errors_one_trial_flow_goes_in_any_four_seconds():
-    # Otherwise the end of the fault goes unnoticed: of many that are rejected none might go.
+    # Otherwise the end of the fault could go unnoticed, because every flow might be rejected.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
     for _ in range(10):
@@ -101,7 +101,7 @@
     assert established == 200
 
 
-def test_mass_return_is_set_up_a_few_at_a_time():
+def test_flows_that_arrive_at_once_are_set_up_a_few_at_a_time():
     host = SimulatedHost(2)
     settle(host)
     flows = [host.arrive() for _ in range(12)]
@@ -127,8 +127,8 @@
     assert late.id not in host.answers
 
 
-def test_returning_client_is_rejected_while_all_its_places_miss_their_objective():
-    # Seen after the loss of a zone: 60 attempts a flow, each dropped as soon as it was set up.
+def test_returning_client_is_rejected_while_its_preference_list_misses_its_objective():
+    # Seen after the loss of a zone: 60 attempts per flow, each dropped as soon as it was set up.
     host = SimulatedHost(6)
     settle(host)
     for server in host.balancer.servers.values():
@@ -138,8 +138,8 @@
 
 
 def test_returning_client_is_placed_when_only_a_small_near_pool_misses_its_objective():
-    # Otherwise it is rejected beside idle servers of the next zone: with one near server, "all its
-    # places" was that one. Servers 7 and 33 are in zone 0, 20 is in zone 1.
+    # With one near server, the preference list was that server alone, and the client was rejected
+    # although servers of the next zone were idle. Servers 7 and 33 are in zone 0, 20 is in zone 1.
     host = SimulatedHost(servers=3, zone_crossing_price=0.2)
     host.update_endpoints(EndpointUpdate.DELTA, [Server(id=33, zone=0, state=ServerState.GONE)])
     near = host.balancer.servers[7]
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -15,14 +15,14 @@
     assert not gone.established_flows
 
 
-def test_failed_list_call_is_repeated_with_backoff_within_the_poll_time():
+def test_failed_list_call_is_repeated_with_backoff_within_poll_within():
     host = SimulatedHost(1, list_polled=True)
-    asked = []
+    polls = []
     for _ in range(6):
-        asked.append(host.list_polls)
+        polls.append(host.list_polls)
         before = host.now
         host.update_endpoints(EndpointUpdate.FAILED, [])
-        while host.list_polls == asked[-1]:
+        while host.list_polls == polls[-1]:
             host.pass_time(SECOND // 10)
         assert host.now - before <= host.balancer.settings.poll_within
-    assert asked == [1, 2, 3, 4, 5, 6]
+    assert polls == [1, 2, 3, 4, 5, 6]
--- a/tests/decisions/test_fleet_displaced_group.py
+++ b/tests/decisions/test_fleet_displaced_group.py
@@ -1,4 +1,4 @@
-"""Many balancers, and one group whose server falls while the group's next server warms up."""
+"""Many balancers, and one group whose server fails while the group's next server warms up."""
 
 from itertools import count
 
@@ -14,12 +14,15 @@
 
 
 def slot_owner(key: int, idents: list[int]) -> int:
-    """The id of the server at the key's slot."""
+    """Return the id of the server that owns the key's slot."""
     return build_table([Server(id=ident) for ident in idents])[slot_of(key)].id
 
 
 def displaced_key(idents: list[int], replaced: int) -> tuple[int, int]:
-    """A key whose next place is the server that comes for `replaced`, and its present home."""
+    """Return a key and the owner of its slot.
+
+    The key's next server, once the owner has failed, is the one that replaces `replaced`.
+    """
     after = [1000 + replaced if ident == replaced else ident for ident in idents]
     for key in count(1):
         owner = slot_owner(key, after)
@@ -27,19 +30,22 @@
             continue
         if slot_owner(key, [ident for ident in after if ident != owner]) == 1000 + replaced:
             return key, owner
-    raise AssertionError("every key was tried")
+    raise AssertionError("no key has the replacing server as its next server")
 
 
 def run_displaced_group(
     seed: object, balancers: int, age: int, since_kill: int
 ) -> tuple[Fleet, ModelServer]:
-    """Seven in ten balancers are killed; later the hot group's server falls.
+    """Kill seven in ten balancers, and later the hot group's server.
 
     Args:
-        seed: of all that is drawn.
-        balancers: how many.
-        age: of the server that comes next for the group when the group's server falls, in ns.
-        since_kill: nanoseconds from the kill to that fall.
+        seed: the seed of all random draws.
+        balancers: the number of balancers.
+        age: age in nanoseconds of the group's next server when the group's server is killed.
+        since_kill: nanoseconds from the kill of the balancers to that of the group's server.
+
+    Returns:
+        The fleet and the group's next server.
     """
     idents = [7 + 13 * i for i in range(SERVERS)]
     replaced = idents[len(idents) // 2]
@@ -72,6 +78,6 @@
     "age, since_kill, seed", [(2, 8, 2), (5, 8, 0), (9, 3, 1), (14, 8, 0), (14, 8, 2)]
 )
 def test_group_whose_server_falls_keeps_its_next_server_within_its_budget(age, since_kill, seed):
-    # Found by the model: each of two hundred balancers may let one flow of a group in, and after a
-    # mass kill none can see that the group is a large one.
+    # Found by the model: each of two hundred balancers may admit one flow of a group, and after a
+    # mass kill none of them can see that the group is large.
     run_displaced_group(seed, BALANCERS, age * SECOND, since_kill * SECOND)
--- a/tests/decisions/test_fleet_ramp.py
+++ b/tests/decisions/test_fleet_ramp.py
@@ -1,4 +1,4 @@
-"""Balancers that share nothing, and warming servers under the sum of what all of them send."""
+"""Slow start of servers under the total traffic of many balancers that share no state."""
 
 import pytest
 from fleet_model import Fleet
@@ -7,7 +7,7 @@
 
 
 def run_mass_restart(seed: object, **options) -> Fleet:
-    """A fleet half of whose balancers and of whose servers restart at once."""
+    """Restart half of a fleet's balancers and servers at once and return the fleet."""
     fleet = Fleet(seed, **options)
     fleet.run(25 * SECOND)
     replaced = list(fleet.servers)[::2]
@@ -33,11 +33,11 @@
 def test_thirty_balancers_keep_warming_servers_within_their_budgets_through_a_mass_restart(
     seed, rate, hot_fraction
 ):
-    # Half of the servers warm up, half of the balancers know nothing, and all that was established
-    # there returns. Seen: a flow a window at least from each of many balancers, while all of them
-    # had more to place than was accepted, overloaded servers that warmed up.
+    # Half of the servers warm up, half of the balancers have no state, and all clients of their
+    # established flows return. Seen: warming servers were overloaded because each of many balancers
+    # sent at least one flow per window while all of them had more flows than servers accepted.
     fleet = run_mass_restart(seed, rate=rate, hot_fraction=hot_fraction)
-    # Six servers in twelve seconds: they are not idle either.
+    # The six warming servers must not be idle in the twelve seconds either.
     assert fleet.attempts_at_warming_servers >= 36
 
 
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -1,6 +1,6 @@
-"""Many balancers with a few flows each: what each does alone adds up.
+"""Many balancers with a few flows each: the total effect of their separate decisions.
 
-A seeded model over the decisions, without a bench and without sockets.
+The tests run a seeded model over the decisions alone, without sockets.
 """
 
 from collections import Counter, deque
@@ -20,19 +20,19 @@
 
 
 class Store:
-    """What every server asks before it accepts.
+    """A store that every server queries before it accepts a flow.
 
-    Beyond what it can answer in a second each that asks gets an error, and so do all until fewer
-    ask.
+    Requests beyond its capacity per second get an error, and count as well, so that all requests
+    get errors until their rate falls.
     """
 
     def __init__(self, capacity: int):
-        """A store that can answer so many requests a second."""
+        """Create a store that can answer `capacity` requests per second."""
         self.capacity = capacity
         self.requests: deque[int] = deque()  # times, of the last second
 
     def accepts(self, now: int) -> bool:
-        """Whether a request is answered."""
+        """Count a request and return whether it succeeds."""
         self.requests.append(now)
         while self.requests[0] <= now - SECOND:
             self.requests.popleft()
@@ -50,15 +50,15 @@
 
 
 class Storm:
-    """Clients that come within a second, and return until they are in."""
+    """Clients that connect within one second, and reconnect until they are established."""
 
     def __init__(self, seed: int, clients: int, store_capacity: int):
-        """The clients are on their way."""
+        """Create the store and the balancers, and schedule the clients' arrivals."""
         self.rng = Random(f"storm {seed}")
         self.store = Store(store_capacity)
         self.hosts = started_fleet(max_attempts=6)
         self.now = self.hosts[0].now
-        # When each comes, and its number.
+        # The time of each client's arrival, and its number.
         self.arrivals = sorted(
             (self.now + self.rng.randrange(SECOND), number) for number in range(clients)
         )
@@ -66,7 +66,7 @@
         self.established = 0
 
     def run(self, seconds: int) -> list[int]:
-        """How many are in after each second."""
+        """Run the model; return the number of established flows after each second."""
         totals = []
         for _ in range(seconds):
             for _ in range(TICKS_PER_SECOND):
@@ -75,7 +75,7 @@
         return totals
 
     def tick(self) -> None:
-        """What happens in one tick."""
+        """Advance the model by one tick."""
         while self.arrivals and self.arrivals[0][0] <= self.now:
             _, number = self.arrivals.pop(0)
             host = self.rng.choice(self.hosts)
@@ -91,7 +91,7 @@
         self.now += TICK
 
     def answer_attempt(self, client: Client) -> None:
-        """The server of a new attempt answers as the store does."""
+        """Answer a client's new attempt as the store answers its server."""
         host, flow = client.host, client.flow
         is_out = flow.id in host.open and flow.server is not None
         if not is_out or len(flow.attempts) <= client.attempts_seen:
@@ -103,7 +103,7 @@
             host.end(flow, Outcome.ERROR)
 
     def on_answer(self, client: Client) -> None:
-        """The client is in, or returns."""
+        """Count an established client; schedule the return of a rejected one."""
         if client.host.answers[client.flow.id] == "established":
             self.established += 1
             return
@@ -112,7 +112,7 @@
 
 
 def started_fleet(**changes) -> list[SimulatedHost]:
-    """Balancers of one fleet that have just started, each with its own seed."""
+    """Return the balancers of a fleet that has just started, each with its own seed."""
     hosts = [SimulatedHost(8, instances=BALANCERS, **changes) for _ in range(BALANCERS)]
     for number, host in enumerate(hosts):
         host.balancer.draws.seed = number
@@ -121,16 +121,16 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_store_that_was_asked_too_much_at_once_recovers_and_all_clients_get_in(seed):
-    # Seen on cardiff-live: a second's burst began it, attempts that timed out passed for accepted
-    # ones, one flow in four went whatever came of it, and 100 attempts a second kept a store down
-    # for 25 s that can answer some 30.
+def test_store_overloaded_by_a_burst_recovers_and_all_clients_are_established(seed):
+    # Seen on cardiff-live after a burst of one second: attempts that timed out counted as
+    # accepted, and one flow in four was attempted regardless of errors. So 100 attempts per second
+    # kept a store down for 25 s that can answer some 30 per second.
     totals = Storm(seed, clients=200, store_capacity=25).run(25)
     assert totals[-1] == 200, totals
 
 
 def establish_far_away(host: SimulatedHost, count: int) -> None:
-    """Establishes flows that are all at one server of the other zone."""
+    """Establish flows that are all at one server of the other zone."""
     servers = host.balancer.servers.values()
     far = next(server for server in servers if server.zone == 1)
     for _ in range(count):
@@ -143,13 +143,13 @@
 
 
 def flow_count(hosts: list[SimulatedHost]) -> int:
-    """Flows of all balancers."""
+    """Return the number of flows of all balancers."""
     return sum(len(host.balancer.flows) for host in hosts)
 
 
-def test_fleet_that_starts_at_once_returns_flows_to_their_zone_no_faster_than_new_ones_come():
-    # Seen too: a second after the start 32 balancers migrated all flows that were in other zones
-    # in the same 10 ms.
+def test_balancers_started_together_return_flows_to_their_zone_no_faster_than_new_ones_arrive():
+    # Seen: one second after the start, 32 balancers migrated all their flows in other zones within
+    # the same 10 ms.
     hosts = started_fleet(zone_crossing_price=0.2, migration_price=0.02)
     for host in hosts:
         establish_far_away(host, 5)
--- a/tests/decisions/test_flow_queue.py
+++ b/tests/decisions/test_flow_queue.py
@@ -5,12 +5,12 @@
 from cypresswalk.net.limits import MILLISECOND
 
 
-def test_queued_flow_whose_deadline_is_moved_up_is_answered_by_then():
-    # Not only when the flow is due anyway, which may be after the end of a stop.
+def test_queued_flow_is_answered_by_its_deadline_when_that_is_shortened():
+    # Its original due time may be after the end of a shutdown.
     host = SimulatedHost(1)
     flows = [host.arrive() for _ in range(5)]
     queued = [flow for flow in flows if flow.server is None]
-    assert len(queued) == 1  # four attempts are out; it waits for them
+    assert len(queued) == 1  # it waits for the four attempts in progress
     (flow,) = queued
     assert flow.id in host.open
     flow.deadline = host.now + 50 * MILLISECOND
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -6,7 +6,7 @@
 from cypresswalk.model import SECOND
 
 
-def test_overloaded_server_is_gossiped_and_passed_over_by_the_others():
+def test_overloaded_server_is_gossiped_and_skipped_by_the_other_balancers():
     host = SimulatedHost(3, gossip=True, instances=3)
     settle(host)
     fill(host, 9)
@@ -16,7 +16,7 @@
     assert [server for server, _ in host.gossip] == [overloaded]
     host.balancer.on_message_delay(host.now, overloaded, SECOND)
     host.carry_out_decisions()
-    assert len(host.gossip) == 1, "the same is not told again at once"
+    assert len(host.gossip) == 1, "the same load was reported again at once"
     other = SimulatedHost(3, gossip=True, instances=3)
     settle(other)
     other.balancer.on_gossip(other.now, other.balancer.servers[7], host.gossip[0][1])
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Health checks: the rise/fall counter and the pace of checks."""
+"""Health checks: the rise/fall counter and the rate of checks."""
 
 from decision_helpers import fill, settle
 from helpers import SimulatedHost
@@ -27,7 +27,7 @@
     assert [check(True) for _ in range(RISE)] == [False] * (RISE - 1) + [True]
 
 
-def test_first_check_settles_a_server_that_was_never_checked():
+def test_first_check_decides_whether_a_new_server_is_up():
     host = SimulatedHost(2)
     server = host.balancer.servers[7]
     assert is_up(server)
@@ -61,7 +61,7 @@
 
 
 def test_one_lost_check_is_repeated_soon_and_migrates_nothing():
-    # Otherwise a server that never failed before is out for three slow intervals.
+    # Otherwise a server that never failed before would be down for three slow intervals.
     host = SimulatedHost(2)
     server = host.balancer.servers[7]
     fill(host, 8)
@@ -79,8 +79,8 @@
     assert is_up(server)
 
 
-def test_checks_are_no_faster_than_own_flows_can_pay_for():
-    # Seen at full size: a hundred checks a flow cost up to 0.4 of all service.
+def test_checks_are_no_more_frequent_than_own_flows_can_pay_for():
+    # Seen at full size: a hundred checks per flow cost up to 0.4 of all service.
     for price, at_most in ((0.004, 15), (0.0, 2000)):
         host = SimulatedHost(40, health_check_price=price)
         sent = 0
@@ -93,21 +93,21 @@
         host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99, started_at=host.now)])
         host.pass_time(2 * SECOND)
         assert 99 in {server.id for server in host.health_checks}, (
-            "a new server is of no use before its first check"
+            "a new server was not checked within two seconds"
         )
 
 
-def test_returning_clients_pay_for_no_checks():
-    paces = []
+def test_returning_clients_do_not_increase_the_rate_of_checks():
+    slowdowns = []
     for again in (False, True):
         host = SimulatedHost(40, health_check_price=0.004)
         for _ in range(20):
             host.accept(host.arrive(returning=again))
-        paces.append(host.balancer.health_checks.slowdown(host.now))
-    assert paces[1] > 5 * paces[0]
+        slowdowns.append(host.balancer.health_checks.slowdown(host.now))
+    assert slowdowns[1] > 5 * slowdowns[0]
 
 
-def test_flow_waits_for_checks_of_its_places_where_checks_report_load():
+def test_flow_waits_for_checks_of_its_preference_list_where_checks_report_load():
     host = SimulatedHost(6, load_index=0, health_check_price=0.002)
     settle(host)
     host.pass_time(20 * SECOND)
@@ -124,4 +124,4 @@
     assert flow.server is not owner
     silent = host.arrive(key=flow.key + 1)
     host.pass_time(SECOND // 10)
-    assert silent.server is not None, "an unanswered check queues no flow for long"
+    assert silent.server is not None, "an unanswered check kept the flow queued"
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -1,4 +1,4 @@
-"""Concurrency limits and what is migrated because of them."""
+"""Concurrency limits and the migrations that they cause."""
 
 import pytest
 from decision_helpers import fill, settle
@@ -24,8 +24,8 @@
     assert sum(host.answers.get(flow.id) == "reject" for flow in flows) >= 6
 
 
-def test_single_broken_connections_limit_no_server():
-    # Otherwise healthy servers are limited, one after another, until all flows are rejected.
+def test_occasional_broken_connections_limit_no_server():
+    # Otherwise healthy servers would be limited one after another until all flows are rejected.
     host = SimulatedHost(2, gossip=True, instances=2)
     settle(host)
     fill(host, 20)
@@ -42,12 +42,12 @@
     host.balancer.on_message_delay(host.now, server, SECOND // 20)
     host.pass_time(3 * SECOND // 2)
     host.end(next(iter(server.established_flows)), Outcome.RESET)
-    # Once the server is loaded, the first one counts.
+    # At an overloaded server, the first broken connection counts.
     assert server.concurrency_limit < len(server.established_flows)
 
 
 def test_overloaded_server_loses_a_few_flows_before_its_messages_are_late():
-    # Otherwise a few servers stay near their limit for good while others are idle.
+    # Otherwise a few servers would stay near their limit while others are idle.
     host = SimulatedHost(3)
     settle(host)
     fill(host, 60)
@@ -65,28 +65,28 @@
     assert held_before - 6 < held_at(0.6) <= held_before - 1
 
 
-def test_balancers_with_a_flow_each_relieve_a_late_server_step_by_step():
-    # Seen with forty balancers of three flows: each cut its one flow there to the same part of a
-    # flow, second after second, and two thirds of all stayed. While the delay falls the last step
-    # is at work: no further one.
+def test_balancers_with_one_flow_each_relieve_a_slow_server_step_by_step():
+    # Seen with forty balancers of three flows: each repeatedly cut the limit for its one flow there
+    # to the same fraction of a flow, and two thirds of all flows stayed. While the delay falls,
+    # the last step is taking effect, and no further step is due.
     left = {0: 0, SECOND // 10: 0}
-    for falls in left:
+    for decrease in left:
         for number in range(40):
             host = SimulatedHost(8, instances=40)
             settle(host)
             host.last_id = 1_000_000 * number
-            while not (late := host.balancer.servers[7]).established_flows:
+            while not (slow := host.balancer.servers[7]).established_flows:
                 host.accept(host.arrive(key=10 * number + host.last_id, grouped=True))
             for second in range(8):
-                if late.established_flows:
-                    host.balancer.on_message_delay(host.now, late, SECOND - falls * second)
+                if slow.established_flows:
+                    host.balancer.on_message_delay(host.now, slow, SECOND - decrease * second)
                     host.carry_out_decisions()
                 host.pass_time(SECOND)
-            left[falls] += len(late.established_flows)
+            left[decrease] += len(slow.established_flows)
     assert left[0] <= 20 < 25 <= left[SECOND // 10]
 
 
-def test_server_with_a_hopeless_delay_is_left_at_once():
+def test_all_but_one_flow_leave_a_server_with_an_extreme_delay_at_once():
     host = SimulatedHost(3)
     settle(host)
     fill(host, 30)
@@ -97,7 +97,7 @@
     assert len(slow.established_flows) <= 1
 
 
-def test_group_counts_once_a_server_and_the_smallest_leaves_first():
+def test_group_counts_once_per_server_and_the_smallest_leaves_first():
     host = SimulatedHost(1)
     settle(host)
     flows = [
@@ -114,12 +114,12 @@
     assert occupancy(server) == 3 + GROUP_WORK
 
 
-def test_limit_is_forgotten_on_a_clock_far_from_zero():
+def test_limit_is_dropped_on_a_clock_far_from_zero():
     host = SimulatedHost(1)
     assert host.balancer.limits.current(START * 10_000, host.balancer.servers[7]) == float("inf")
 
 
-def test_limit_under_one_flow_keeps_its_part_and_all_balancers_yield_the_same_keys():
+def test_limit_below_one_flow_keeps_a_fraction_of_flows_and_all_balancers_evict_the_same_keys():
     kept = []
     for _ in range(2):
         host = SimulatedHost(1, instances=2)
@@ -143,8 +143,8 @@
 
 
 def test_limit_found_during_warm_up_grows_with_it():
-    # Otherwise a server holds for its whole warm-up the one group that it bore in its second
-    # second.
+    # Otherwise a server would be limited for its whole warm-up to the one group that it could hold
+    # within the first two seconds.
     host = SimulatedHost(servers=3)
     limits = host.balancer.limits
     warming_up, warm = list(host.balancer.servers.values())[:2]
@@ -154,8 +154,8 @@
     later = host.now + 10 * SECOND
     grown = limits.current(later, warm)
     assert 3 < grown < 5
-    # It has warmed up from 0.2 to 0.6 of what it can hold.
+    # It has warmed up from 0.2 to 0.6 of its capacity.
     assert limits.current(later, warming_up) == pytest.approx(3 * grown, rel=0.01)
-    # One that is found after the warm-up grows as any other.
+    # A limit found after the warm-up grows like any other.
     warming_up.limit_cut_at = warming_up.started_at + 30 * SECOND
     assert limits.current(warming_up.limit_cut_at + SECOND, warming_up) < 3.2
--- a/tests/decisions/test_maglev.py
+++ b/tests/decisions/test_maglev.py
@@ -5,7 +5,7 @@
 from cypresswalk.decisions.maglev import TABLE_SIZE, build_table
 
 
-def test_losing_a_server_remaps_few_other_keys_and_weights_count():
+def test_losing_a_server_remaps_few_other_slots_and_weights_count():
     servers = entries(10)
     before, after = build_table(servers), build_table(servers[1:])
     moved = sum(a is not b for a, b in zip(before, after, strict=True) if a is not servers[0])
@@ -15,7 +15,7 @@
     assert 2.5 < table.count(servers[0]) / table.count(servers[1]) < 3.5
 
 
-def test_instances_agree_on_a_key_whatever_their_seed():
+def test_instances_agree_on_the_server_of_a_key_whatever_their_seed():
     hosts = [SimulatedHost(6, instances=3) for _ in range(3)]
     for key in range(1, 40):
         flows = [host.arrive(key=key) for host in hosts]
--- a/tests/decisions/test_migration.py
+++ b/tests/decisions/test_migration.py
@@ -6,7 +6,7 @@
 from cypresswalk.model import SECOND, Outcome
 
 
-def test_flows_return_home_only_where_crossings_are_dear_and_near_servers_easy():
+def test_flows_return_to_own_zone_only_if_crossing_is_expensive_and_own_servers_have_capacity():
     for price, near_loaded, migrates in (
         (0.0, False, False),
         (0.2, False, True),
@@ -20,14 +20,14 @@
         if flow.server is near:
             near.established_flows.pop(flow)
             far.established_flows[flow], flow.server = None, far
-        for _ in range(180):  # flows return no faster than they come: one in half a minute
+        for _ in range(180):  # flows return no faster than they arrive: one in half a minute
             if near_loaded:
                 host.balancer.on_message_delay(host.now, near, SECOND // 20)
             host.pass_time(SECOND)
         assert (flow.id not in host.balancer.flows) is migrates
 
 
-def test_silent_flow_is_migrated_and_its_server_checked():
+def test_unresponsive_flow_is_migrated_and_its_server_checked():
     host = SimulatedHost(3)
     settle(host)
     flow = host.arrive()
@@ -40,7 +40,7 @@
     assert server in host.health_checks
 
 
-def test_silent_flow_that_ends_before_the_next_decision_is_not_migrated():
+def test_unresponsive_flow_that_ends_before_the_next_decision_is_not_migrated():
     host = SimulatedHost(3)
     flow = host.arrive()
     host.accept(flow)
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -21,7 +21,7 @@
     assert all(answer == "established" for answer in host.answers.values())
 
 
-def test_server_that_drops_new_flows_draws_no_others_at_once():
+def test_server_that_drops_new_flows_gets_no_others_at_once():
     host = SimulatedHost(2)
     settle(host)
     for _ in range(30):
@@ -30,7 +30,7 @@
             host.accept(flow)
             if flow.server.id == 7:
                 host.end(flow, Outcome.RESET)
-    # The first may be the network's; the second says that it is full.
+    # The network may have caused the first drop; after the second, the server counts as full.
     assert sum(server.id == 7 for _, server in host.attempts) == 2
 
 
@@ -53,8 +53,8 @@
     assert len(broken.established_flows) == held_before
 
 
-def test_flow_that_no_server_takes_ejects_none():
-    # Otherwise flows that get an error wherever they go would have every server ejected.
+def test_flow_that_no_server_accepts_ejects_none():
+    # Otherwise flows that get an error from every server would eject all of them.
     host = SimulatedHost(3)
     settle(host)
     for _ in range(9):
@@ -64,16 +64,16 @@
     assert not any(server.consecutive_errors for server in host.balancer.servers.values())
 
 
-def test_zone_whose_servers_fail_one_after_another_is_passed_over_but_for_trials():
-    # Seen on lagos-main: as the network between its data centres grew slow each of sixteen
-    # balancers lost two attempts at each of thirty servers there (498 of 890 in five seconds);
-    # those of its own zone answered all the while. Here six servers are in zone 0, its own, and six
-    # in zone 1.
+def test_zone_whose_servers_fail_one_after_another_is_skipped_except_for_trials():
+    # Seen on lagos-main when the network between its data centres became slow: each of sixteen
+    # balancers lost two attempts at each of thirty servers of the other zone (498 of 890 in five
+    # seconds), while the servers of its own zone answered. Here six servers are in zone 0, the
+    # balancer's own, and six in zone 1.
     host = SimulatedHost(servers=12, zone_crossing_price=0.0)
     settle(host)
 
-    def flows(span, step=SECOND // 20):
-        """How many attempts went to the other zone, where none is answered."""
+    def far_attempts(span, step=SECOND // 20):
+        """Send flows for `span` ns; return the number of attempts in the other, failing zone."""
         far = 0
         for _ in range(span // step):
             seen = len(host.attempts)
@@ -87,9 +87,11 @@
             host.pass_time(step)
         return far
 
-    assert flows(SECOND) <= 4  # three sound servers in a row, not two attempts at each of six
-    assert flows(10 * SECOND) <= 8  # a flow every two seconds or so
-    # One that answers ends it; in its own zone no such thing is judged.
+    assert (
+        far_attempts(SECOND) <= 4
+    )  # three sound servers in a row, not two attempts at each of six
+    assert far_attempts(10 * SECOND) <= 8  # about one trial flow every two seconds
+    # One answer ends the ejection of the zone; the balancer's own zone is never ejected.
     for _ in range(80):
         flow = host.arrive()
         if flow.server is not None:
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -14,8 +14,8 @@
     assert max(counts) <= 14
 
 
-def test_group_keeps_to_three_places_while_servers_are_overloaded_in_turn():
-    # Seen at full size: groups ended up on most servers, and each copy costs the group's own work.
+def test_group_stays_on_three_servers_while_servers_are_overloaded_in_turn():
+    # Seen at full size: groups were on most servers, and each copy costs the group's own work.
     host = SimulatedHost(12)
     settle(host)
     servers = list(host.balancer.servers.values())
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and their budget."""
+"""Retries and the retry budget."""
 
 from random import Random
 
@@ -18,12 +18,18 @@
 
 
 class RetryScenario:
-    """Seeded traffic with idle spells, bursts and failures, and a plain record of all of it."""
+    """Seeded traffic with idle periods, bursts and failures, and a record of all of it."""
 
     WINDOW = 2 * SECOND
 
     def __init__(self, seed: int, base: int, ratio: float):
-        """A balancer that may make `base` retries in a window, and `ratio` of its flows beside."""
+        """Create a balancer.
+
+        Args:
+            seed: the seed of all random draws.
+            base: the number of retries that the balancer may make in a window.
+            ratio: the number of further retries that it may make per flow of the window.
+        """
         self.rng = Random(f"{seed}/further")
         self.base = base
         self.ratio = ratio
@@ -37,7 +43,7 @@
         self.arrivals: list[int] = []  # times
 
     def step(self) -> None:
-        """Flows arrive, and most attempts that are out end."""
+        """Let flows arrive and end most attempts in progress."""
         for _ in range(self.rng.choice((0, 0, 1, 1, 2, 30))):
             self.arrivals.append(self.host.now)
             self.host.arrive()
@@ -46,7 +52,7 @@
                 self.end_attempt(flow)
 
     def end_attempt(self, flow: Flow) -> None:
-        """The flow is accepted or its attempt fails."""
+        """Accept the flow or fail its attempt."""
         if self.rng.random() < 0.4:
             self.host.accept(flow)
         else:
@@ -54,17 +60,17 @@
             self.host.end(flow, self.rng.choice(outcomes))
 
     def pass_time(self) -> None:
-        """Some time passes."""
+        """Let a random time pass."""
         spans = (SECOND // 1000, SECOND // 50, SECOND // 7, 5 * SECOND)
         self.host.pass_time(self.rng.choice(spans))
 
     def retries(self) -> list[int]:
-        """Times of all retries."""
+        """Return the times of all retries."""
         attempts_of_flows = self.host.history.values()
         return sorted(a.sent_at for attempts in attempts_of_flows for a in attempts[1:])
 
     def assert_budget_kept(self) -> None:
-        """In the window before each of the latest retries there were no more than the budget."""
+        """Assert that no window that ends at one of the latest retries exceeds the budget."""
         retries = self.retries()
         for at in retries[-40:]:
             recent = sum(at - self.WINDOW < retry <= at for retry in retries)
@@ -81,14 +87,14 @@
             scenario.step()
             scenario.assert_budget_kept()
             scenario.pass_time()
-        # The balancer's own memory does not grow.
+        # The balancer's own records don't grow.
         counts = scenario.host.balancer.retry_budget._counts
         assert len(counts.retries.counts) == len(counts.flows.counts) == 33
         retries += len(scenario.retries())
     assert retries > 20 if base or ratio else not retries
 
 
-def test_flow_denied_by_the_budget_is_answered_at_once_and_a_successor_has_spent_it():
+def test_flow_denied_by_the_budget_is_answered_at_once_and_a_successor_counts_it_as_spent():
     host = SimulatedHost(servers=4, retry_window=2 * SECOND, retry_budget_base=1)
     flows = [host.arrive() for _ in range(3)]
     for flow in flows:
@@ -104,7 +110,7 @@
     host.end(flow, Outcome.CONNECT_FAILED)
     assert host.answers[flow.id] == "reject"
     host.pass_time(3 * SECOND)
-    # With another window nothing is known by it.
+    # The counts of a new window don't include earlier retries, so the budget counts as spent.
     host.balancer.on_settings(host.now, settings(retry_window=SECOND, retry_budget_base=1))
     flow = host.arrive()
     host.end(flow, Outcome.CONNECT_FAILED)
--- a/tests/decisions/test_rotation.py
+++ b/tests/decisions/test_rotation.py
@@ -1,4 +1,4 @@
-"""Servers that operators take out of rotation and put back."""
+"""Servers that operators take out of rotation and return to it."""
 
 from helpers import SimulatedHost
 
@@ -20,8 +20,9 @@
     assert not server.established_flows
 
 
-def test_warming_server_that_returns_gets_a_first_flow_of_any_key_and_then_its_small_part():
-    # Few flows of a warming server's small part are of its own keys: it might get none.
+def test_warming_server_that_returns_gets_a_first_flow_of_any_key_and_then_few_more():
+    # A warming server is admitted few flows, and few of these have keys whose slots it owns.
+    # Without the first flow, it might get none.
     host = SimulatedHost(servers=8)
     server = next(iter(host.balancer.servers.values()))
     host.balancer.remove_from_rotation(host.now, server)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The decisions under seeded random events: the rules hold after every step, whatever happens."""
+"""The decisions under seeded random events: the rules must hold after every step."""
 
 from dataclasses import replace
 
@@ -22,15 +22,15 @@
     service(Effect.IDEMPOTENCY_KEY, scope) for scope in Scope
 ]
 SERVER_IDS = st.integers(0, 6).map(lambda i: 7 + 13 * i)
-INDEX = st.integers(0, 99)  # chooses one of some things, by the remainder
+INDEX = st.integers(0, 99)  # selects an item of a list, modulo its length
 
 
 class DecisionRules(RuleBasedStateMachine):
-    """All that may happen to a balancer, at random. Its host holds each decision to the rules."""
+    """Random events of a balancer whose host checks each decision against the rules."""
 
     @initialize(
         servers=st.integers(0, 5),
-        crossing_is_dear=st.booleans(),
+        crossing_is_expensive=st.booleans(),
         list_polled=st.booleans(),
         health_checks=st.booleans(),
         checks_report_load=st.booleans(),
@@ -40,18 +40,18 @@
     def start(
         self,
         servers,
-        crossing_is_dear,
+        crossing_is_expensive,
         list_polled,
         health_checks,
         checks_report_load,
         price,
         instances,
     ):
-        """A balancer with any settings."""
+        """Create a balancer with random settings."""
         self.host = SimulatedHost(
             servers,
             service_types=SERVICE_TYPES,
-            zone_crossing_price=0.1 if crossing_is_dear else 0.0,
+            zone_crossing_price=0.1 if crossing_is_expensive else 0.0,
             list_polled=list_polled,
             health_checks=health_checks,
             load_index=0 if checks_report_load else -1,
@@ -62,11 +62,11 @@
         )
 
     def established_flows(self) -> list[Flow]:
-        """All of them."""
+        """Return all established flows."""
         return [flow for flow in self.host.balancer.flows.values() if flow.established]
 
     def attempted_flows(self) -> list[Flow]:
-        """Flows whose attempt is out."""
+        """Return the flows with an attempt in progress."""
         return [flow for flow in self.host.open.values() if flow.server]
 
     @rule(
@@ -77,14 +77,14 @@
         returning=st.booleans(),
     )
     def arrive(self, kind, key, half_seconds, grouped, returning):
-        """A flow arrives."""
+        """Let a flow arrive."""
         timeout = half_seconds * SECOND // 2
         self.host.arrive(kind, key, timeout, grouped=grouped, returning=returning)
 
     @precondition(lambda self: self.attempted_flows())
     @rule(which=INDEX, outcome=st.sampled_from([*Outcome, *[None] * 8]))
     def end_attempt(self, which, outcome):
-        """A server accepts (None or OK), or an attempt fails."""
+        """Accept a flow (None or OK) or fail its attempt."""
         flows = self.attempted_flows()
         flow = flows[which % len(flows)]
         if outcome in (None, Outcome.OK):
@@ -97,14 +97,14 @@
         outcome=st.sampled_from([Outcome.OK, Outcome.RESET, Outcome.CANCELLED]),
     )
     def end_flow(self, which, outcome):
-        """An established flow ends."""
+        """End an established flow."""
         flows = self.established_flows()
         if flows:
             self.host.end(flows[which % len(flows)], outcome)
 
     @rule(which=INDEX)
     def leave(self, which):
-        """A client leaves before its answer."""
+        """Remove a client that leaves before its answer."""
         if self.host.open:
             ids = sorted(self.host.open)
             flow = self.host.open.pop(ids[which % len(ids)])
@@ -113,14 +113,14 @@
 
     @rule(which=INDEX, passed=st.booleans(), load=st.none() | st.floats(0, 3))
     def answer_health_check(self, which, passed, load):
-        """A health check ends."""
+        """Answer a health check."""
         checks = self.host.health_checks
         if checks:
             self.host.answer_health_check(checks[which % len(checks)], passed, load)
 
     @rule(which=INDEX)
     def fall_silent(self, which):
-        """Nothing comes back on an established flow, perhaps on it alone."""
+        """Report an established flow without responses; its server may respond on other flows."""
         flows = self.established_flows()
         if flows:
             flow = flows[which % len(flows)]
@@ -129,7 +129,7 @@
 
     @rule(server_id=SERVER_IDS, delay=st.integers(0, SECOND))
     def tell_delay(self, server_id, delay):
-        """A server's messages are late by so much."""
+        """Report the message delay of a server."""
         server = self.host.balancer.servers.get(server_id)
         if server is not None:
             self.host.balancer.on_message_delay(self.host.now, server, delay)
@@ -137,7 +137,7 @@
 
     @rule(server_id=SERVER_IDS, load=st.floats(0, 10))
     def gossip(self, server_id, load):
-        """Another balancer tells a server's load."""
+        """Receive a server's load from another balancer."""
         server = self.host.balancer.servers.get(server_id)
         if server is not None:
             self.host.balancer.on_gossip(self.host.now, server, load)
@@ -149,7 +149,7 @@
         listed=st.dictionaries(SERVER_IDS, st.sampled_from(list(ServerState)), max_size=6),
     )
     def update_endpoints(self, update, age, listed):
-        """The list says something else; servers stay where they are."""
+        """Update the endpoint list; known servers keep their zone and cell."""
         started_at = self.host.now - age * SECOND if age < 20 else 0
         servers = [
             Server(id=ident, zone=ident % 2, cell=ident % 3, started_at=started_at, state=state)
@@ -167,16 +167,16 @@
 
     @rule()
     def fail_list_poll(self):
-        """A call for the list fails."""
+        """Fail a call for the endpoint list."""
         self.host.update_endpoints(EndpointUpdate.FAILED, [])
 
     @rule(tenths=st.integers(0, 30))
     def wait(self, tenths):
-        """Time passes."""
+        """Let time pass."""
         self.host.pass_time(tenths * SECOND // 10)
 
     def teardown(self):
-        """In the end every flow has its answer."""
+        """Assert that every flow has its final answer in the end."""
         if hasattr(self, "host"):
             self.host.pass_time(5 * SECOND)
             assert not self.host.open, "a flow without a final answer"
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: servers that warm up."""
+"""Slow start of servers that warm up."""
 
 import pytest
 from decision_helpers import fill, fill_warming_up, pass_health_checks, settle
@@ -15,7 +15,7 @@
     hosts = [SimulatedHost(1, instances=instances) for _ in range(instances)]
     for host in hosts:
         settle(host)
-        for _ in range(120):  # one flow ends well every half second: 2 a second at each, 6 in all
+        for _ in range(120):  # one flow completes every half second: 2 per second at each, 6 in all
             fill(host, 1)
             host.pass_time(SECOND // 2)
             host.end(next(iter(host.balancer.servers[7].established_flows)), Outcome.OK)
@@ -36,14 +36,13 @@
         age = (first - now) / SECOND
         capacity = 6 * min(1.0, share + (1 - share) * age / warm)
         in_window = sum(first <= at < first + window * SECOND for at in sent)
-        # Shares of a budget are spent by chance: the bench's count, too, leaves a little for that.
+        # Budgets are spent at random, so the check leaves some tolerance, as the bench's does.
         assert_within_slow_start_budget(in_window, 1.25 * factor * capacity * window + 1)
 
 
 def test_many_balancers_with_few_flows_use_what_a_server_that_warms_up_can_take():
-    # Seen with forty balancers: each dealt from a part of the budget that came to nothing with
-    # three flows there, so six servers that had joined were idle while four old ones were
-    # overloaded.
+    # Seen with forty balancers: the budget of each was almost zero with three flows per balancer,
+    # so six servers that had joined were idle while four old ones were overloaded.
     taken = 0
     for number in range(40):
         host = SimulatedHost(9, instances=40)
@@ -60,8 +59,8 @@
 
 
 def test_server_that_warms_up_is_no_last_resort():
-    # Seen on a rolling release: with all others full, flows were sent past a warming server's spent
-    # budget.
+    # Seen on a rolling release: with all other servers full, flows were sent to a warming server
+    # whose budget was spent.
     host = SimulatedHost(2)
     settle(host)
     host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99, started_at=host.now)])
@@ -74,11 +73,13 @@
 
 
 def host_with_overloaded_owner(number: int, age: int) -> tuple[SimulatedHost, int]:
-    """A host and a key whose home, 99, warms up; every server but 98, not admitted, is overloaded.
+    """Return a host and a key whose slot belongs to server 99, which warms up.
+
+    Server 98 warms up too, with its budget spent. All other servers are overloaded, 99 included.
 
     Args:
-        number: of the host among the balancers of the fleet.
-        age: nanoseconds since 99 has started.
+        number: the host's number among the balancers of the fleet.
+        age: nanoseconds since the start of 98 and 99.
     """
     host = SimulatedHost(2, instances=20)
     settle(host)
@@ -100,20 +101,20 @@
 
 @pytest.mark.parametrize("age", [0, 2, 5, 9, 14, 19])
 def test_overloaded_server_that_warms_up_is_no_last_resort(age):
-    # Seen on herd+mass: balancers that had heard of its overload a second before sent a group's
-    # flows, one each, to the group's home that warmed up, and it fell over.
+    # Seen on herd+mass: balancers had learned a second before that the warming owner of a group's
+    # slot was overloaded, but sent it one flow each of the group, and it collapsed.
     attempted = []
     for number in range(20):
         host, key = host_with_overloaded_owner(number, age * SECOND)
         host.arrive(key=key, grouped=True, returning=True)
         attempted += [server.id for _, server in host.attempts]
-    assert len(attempted) == 20  # a warm one, overloaded too, is a last resort
+    assert len(attempted) == 20  # a warm server is a last resort though it is overloaded
     assert 99 not in attempted
 
 
 def test_flow_is_not_sent_to_a_server_that_warms_up_twice():
-    # Seen on herd+mass: a flow whose attempt at a warming server had timed out went there again, up
-    # to four times, on a budget that had admitted it once.
+    # Seen on herd+mass: a flow whose attempt at a warming server had timed out was sent there
+    # again, up to four times, although the budget had admitted it once.
     sent = 0
     for number in range(20):
         host, key = host_with_overloaded_owner(number, 9 * SECOND)
@@ -128,8 +129,8 @@
     assert sent > 0
 
 
-def test_server_that_warms_up_takes_what_none_else_would_within_its_budget():
-    # Otherwise flows are rejected while servers that are back are idle.
+def test_warming_server_takes_flows_that_no_other_server_accepts_within_its_budget():
+    # Otherwise flows would be rejected while restarted servers are idle.
     host = SimulatedHost(2)
     settle(host)
     for _ in range(40):
@@ -151,21 +152,24 @@
             host.accept(flows[-1])
         host.pass_time(SECOND // 10)
     table = host.balancer.placement.pools()[0].table
-    yielded = sum(table[hash64(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows)
-    assert yielded
+    from_other_slots = sum(
+        table[hash64(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows
+    )
+    assert from_other_slots
     assert len(new.established_flows) < 30
 
 
-def server_to_fill(host: SimulatedHost) -> Server | None:
-    """The server that warms up to which one more flow would go rather than be rejected."""
+def server_beyond_budget(host: SimulatedHost) -> Server | None:
+    """Return the warming server that would get one more flow instead of its rejection, or None."""
     service_type = host.balancer.settings.service_types[0]
     flow = Flow(9999, service_type, 5, host.now + SECOND)
     return fill_warming_up(host.balancer, host.now, flow)
 
 
 @pytest.mark.parametrize("load", [0.0, 0.9])
-def test_servers_that_warm_up_are_filled_to_their_part_instead_of_rejects_unless_overloaded(load):
-    # Otherwise warming servers are idle for ten seconds while each client that comes is rejected.
+def test_warming_server_gets_its_share_of_flows_instead_of_rejects_unless_overloaded(load):
+    # Otherwise warming servers would be idle for ten seconds while all arriving clients are
+    # rejected.
     host = SimulatedHost(servers=3)
     fill(host, 60)
     for _ in range(30):
@@ -188,19 +192,20 @@
         held.append(len(warming.established_flows))
         host.pass_time(SECOND)
     if load:
-        # The gossip is out of date by now: it is the load alone that keeps flows away.
-        assert server_to_fill(host) is warming
+        # The gossip is out of date by now, so only the load decides.
+        assert server_beyond_budget(host) is warming
         warming.slow_start_fills.total = 0.0
         host.balancer.on_gossip(host.now, warming, load)
-        assert server_to_fill(host) is None
+        assert server_beyond_budget(host) is None
     else:
         assert held[0] <= 3
-        assert 6 <= held[5] <= held[-1] <= 16  # a fifth of some 20 at first
+        assert 6 <= held[5] <= held[-1] <= 16  # at first a fifth of about 20
 
 
-def test_server_that_warms_up_is_filled_to_its_limit_when_no_warm_server_tells():
-    # Otherwise, with no warm server left, each holds one flow of each balancer, of limits of five
-    # to fourteen, for fifteen seconds, while a hundred clients a second are rejected.
+def test_warming_server_gets_flows_up_to_its_limit_when_there_is_no_warm_server():
+    # Otherwise, with no warm server left, each warming server would hold only one flow of each
+    # balancer for fifteen seconds, although its limits are five to fourteen, while a hundred
+    # clients per second are rejected.
     host = SimulatedHost(servers=3)
     balancer = host.balancer
     warming, *others = balancer.servers.values()
@@ -213,9 +218,9 @@
         balancer.remove_from_rotation(host.now, server)
     balancer.limits.keep_at(host.now, warming, 6.0)
     warming.slow_start_spent.add(host.now, 99)
-    # With no flow of its own there this balancer has observed nothing.
+    # Without own flows on the server, this balancer has no observation of its occupancy.
     assert balancer.slow_start.warm_occupancy.read(host.now) < 1
-    assert server_to_fill(host) is None
+    assert server_beyond_budget(host) is None
     warming.slow_start_spent.total = 0.0
     fill(host, 1)
     warming.slow_start_spent.add(host.now, 99)
@@ -230,13 +235,13 @@
     assert 2 < held[3] <= 5
     assert len(warming.established_flows) <= balancer.limits.current(host.now, warming)
     balancer.overload.on_load(host.now, warming, 0.9)
-    assert server_to_fill(host) is None
+    assert server_beyond_budget(host) is None
 
 
-def test_flows_of_other_keys_get_the_servers_share_of_the_budget_when_their_own_servers_are_full():
-    # Seen on lagos-main: after a mass restart all flows of three balancers walked on to one
-    # server three seconds old, each by a part of the budget meant for the flows of its own keys:
-    # 10.2 times what it could do, and it fell over.
+def test_flows_of_other_keys_get_a_share_of_the_budget_when_the_owners_of_their_slots_are_full():
+    # Seen on lagos-main: after a mass restart all flows of three balancers went on to one server
+    # three seconds old. Each was admitted with the probability meant for keys whose slots the
+    # server owns. The server got 10.2 times the load that it could serve, and collapsed.
     host = SimulatedHost(servers=6)
     settle(host)
     for _ in range(300):
@@ -250,7 +255,7 @@
     table = balancer.placement.pools()[0].table
     for server in rest:
         server.ejected_until = host.now + 60 * SECOND
-    usual = (
+    flows_per_window = (
         balancer.traffic.completed.read(host.now)
         / 0.5
         * balancer.settings.slow_start_window
@@ -258,12 +263,12 @@
     )
     sent = []
     for key in range(1000, 1400):
-        own = table[hash64(key) % TABLE_SIZE] is warming
+        owns_slot = table[hash64(key) % TABLE_SIZE] is warming
         flow = host.arrive(key=key)
         if flow.server is warming:
-            sent.append(own)
+            sent.append(owns_slot)
             host.accept(flow)
     budget = balancer.settings.overload_factor * 0.2
-    assert usual > 20
-    assert 0 < sent.count(False) <= budget * usual / 6 + 1
+    assert flows_per_window > 20
+    assert 0 < sent.count(False) <= budget * flows_per_window / 6 + 1
     assert sent.count(True) > 0
