--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -31,7 +31,7 @@
 from cypresswalk.decisions.limits import ConcurrencyLimits
 from cypresswalk.decisions.list_polling import ListPolling
 from cypresswalk.decisions.migration import Migration
-from cypresswalk.decisions.outliers import SETTLED_AFTER, OutlierDetection, is_outlier
+from cypresswalk.decisions.outliers import NEW_FLOW_PERIOD, OutlierDetection, is_outlier
 from cypresswalk.decisions.overload import OverloadControl
 from cypresswalk.decisions.placement import Placement
 from cypresswalk.decisions.retries import (
@@ -288,7 +288,7 @@
             self.traffic.completed.add(now, 1)
         elif outcome is Outcome.RESET and is_up(server) and self.overload.record_drop(now, server):
             self.limits.cut(now, server)
-            if now - flow.attempt_sent_at < SETTLED_AFTER:
+            if now - flow.attempt_sent_at < NEW_FLOW_PERIOD:
                 self.outliers.on_new_flow_dropped(now, server)
 
     def _on_attempt_ended(
--- a/cypresswalk/decisions/limits.py
+++ b/cypresswalk/decisions/limits.py
@@ -18,7 +18,7 @@
 MIN_KEPT_FRACTION = 0.5  # a cut removes about half at most
 EVACUATION_DELAY = 12 * SECOND  # from this message delay on, a cut may leave only one flow
 GROWTH_TIME_CONSTANT = 30 * SECOND
-FORGOTTEN_AFTER = 10 * GROWTH_TIME_CONSTANT
+MAX_LIMIT_AGE = 10 * GROWTH_TIME_CONSTANT
 COPY_HEADROOM = 0.75  # of the limit; the rest is for groups already on the server
 KEY_HASH_WEIGHT = 0.8  # of the rank; the rest splits groups too big for one server
 
@@ -65,7 +65,7 @@
             return math.inf
         age = now - server.limit_cut_at
         # The limit is dropped; on a clock far from zero, the exponential would overflow.
-        if age > FORGOTTEN_AFTER:
+        if age > MAX_LIMIT_AGE:
             return math.inf
         limit = server.concurrency_limit * math.exp(age / GROWTH_TIME_CONSTANT)
         # A limit found during warm-up grows with the server's capacity.
@@ -80,7 +80,7 @@
 
         While the message delay falls, the last step is taking effect, and the new limit is computed
         from the current occupancy. Otherwise it is computed from the last limit if that is lower,
-        because with one or two flows here a step is a fraction of a flow.
+        because a step is a fraction of a flow if this balancer has only one or two on the server.
         """
         if now - server.limit_cut_at < MIN_CUT_INTERVAL:
             return
--- a/cypresswalk/decisions/outliers.py
+++ b/cypresswalk/decisions/outliers.py
@@ -19,7 +19,7 @@
 TRIAL_INTERVAL = 2 * SECOND
 FULL_EJECTION = 1 * SECOND  # a queue of new connections drains in less
 MAX_ZONE_FAILURES = 3  # servers in a row; as many as FALL of the health counter
-SETTLED_AFTER = 2 * SECOND  # a flow dropped within this time of its attempt counts as new
+NEW_FLOW_PERIOD = 2 * SECOND  # a flow dropped within this time of its attempt counts as new
 UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET})
 
 
@@ -76,7 +76,7 @@
             now: the current time in nanoseconds.
             server: the server that accepted the flow.
             refused_by: the server that answered the same flow with an error just before, or None.
-                Errors count only here, because an error that every server returns for a flow is no
+                Only such errors count, because an error that every server returns for a flow is no
                 evidence against any of them.
         """
         server.consecutive_failures = 0
@@ -122,7 +122,7 @@
         return failures is not None and failures.servers >= MAX_ZONE_FAILURES
 
     def zone_is_skipped(self, now: int, server: Server) -> bool:
-        """Return whether the server's zone is unreachable and its next trial is not due."""
+        """Return whether the server's zone is unreachable and the zone's next trial is not due."""
         return (
             self.zone_is_unreachable(server) and now < self.zone_failures[server.zone].next_trial_at
         )
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -132,7 +132,7 @@
 
         A server that an operator has just returned to rotation comes first: while it warms up, it
         is admitted so few flows that it might get none. The order in each pool is: the owner of the
-        key's slot, the servers that hold flows of the same group from here, and the servers after
+        key's slot, the servers that hold flows of the same group, and the servers after
         the slot.
         """
         returned = self._pick_awaiting_first_flow(now, flow)
@@ -184,10 +184,10 @@
         )
         candidates = chain([owner], group_servers, self.walk(pool, flow.key))
         admission = self._admission
-        for place, server in enumerate(candidates, -len(group_servers)):
+        for position, server in enumerate(candidates, -len(group_servers)):
             if (
                 flow.grouped
-                and place > PREFERENCE_LIST_SIZE
+                and position > PREFERENCE_LIST_SIZE
                 and (over_mean or fallback or has_last_resort)
             ):
                 break
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -106,7 +106,8 @@
         for server in warming:
             allowance = self._draw_from_budget(now, server, flows_per_window)
             share = server.weight / max(fleet_weight, server.weight)
-            # If the owners of their slots are full, all their flows come here, not a share.
+            # If the owners of their slots are full, all their flows may go to this server, not only
+            # its share of them.
             if server not in owners:
                 allowance *= max(
                     share, OTHER_KEYS_ALLOWANCE / max(flows_per_window, MIN_FLOWS_PER_WINDOW)
@@ -128,7 +129,7 @@
         ]
 
     def _flows_per_window(self, now: int) -> float:
-        """Return how many flows complete here per window: this balancer's share of the capacity."""
+        """Return how many flows complete per window, which is this balancer's share of capacity."""
         completed = self._traffic.completed
         fraction_seen = completed.part_seen(now, self._traffic.started_at)
         window = self.settings.slow_start_window
@@ -186,8 +187,8 @@
     def fill(self, now: int, flow: Flow, candidates: Iterable[Server]) -> Server | None:
         """Return a warming server for a flow that would otherwise be rejected, or None.
 
-        The server holds less than its current share of what warm servers have held here. The
-        budget depends on how many flows complete per window, which says little about flows that
+        The server holds less than its current share of `warm_occupancy`. Unlike the budget, this
+        doesn't depend on how many flows complete per window, which says little about flows that
         stay open for minutes.
         """
         if not self.settings.can_migrate or now < self._suspended_until:
@@ -215,8 +216,8 @@
     def _is_below_warm_share(self, now: int, server: Server, flow: Flow) -> bool:
         target = self._warm_up.fraction(now, server) * self.warm_occupancy.read(now) * server.weight
         limit = self._limits.current(now, server)
-        # A limit says how much the server can hold, if it has flows from here; the limit grows
-        # as the server warms up.
+        # If the server has flows of this balancer, its limit says how much it can hold; the limit
+        # grows as the server warms up.
         if server.established_flows and server.concurrency_limit < math.inf:
             target = max(target, limit)
         if occupancy_with(server, flow) > min(target, limit):
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -15,7 +15,7 @@
     assert not gone.established_flows
 
 
-def test_failed_list_call_is_repeated_with_backoff_within_poll_within():
+def test_failed_list_call_is_repeated_with_backoff_within_the_poll_interval():
     host = SimulatedHost(1, list_polled=True)
     polls = []
     for _ in range(6):
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -122,6 +122,6 @@
         host.answer_health_check(server, True, 1.5 if server is owner else 0.1)
     assert flow.server is not None
     assert flow.server is not owner
-    silent = host.arrive(key=flow.key + 1)
+    unanswered = host.arrive(key=flow.key + 1)
     host.pass_time(SECOND // 10)
-    assert silent.server is not None, "an unanswered check kept the flow queued"
+    assert unanswered.server is not None, "an unanswered check kept the flow queued"
