--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -39,7 +39,7 @@
         self.waiting: dict[Session, None] = {}
         self.granted: dict[Flow, str] = {}
 
-    def ask(self, now: int, session: Session) -> None:
+    def request(self, now: int, session: Session) -> None:
         """Asks for the flow's reservation; the session is placed or rejected with the answer."""
         flow = flow_of(session)
         service_type = flow.service_type
@@ -63,7 +63,7 @@
 
         deadline = self.fleet.now() + timeout
         event = ReservationRequested(flow_key(flow), lifetime, deadline, reply)
-        self.fleet.copies.put(event)
+        self.fleet.replication.put(event)
 
     def on_answer(self, now: int, session: Session, answer: ReservationAnswer, by: str) -> None:
         """Places the flow if its key was reserved for it; else rejects it.
@@ -86,7 +86,7 @@
             elif (
                 core.lifecycle.answer_deadline is not None
                 and now >= core.lifecycle.answer_deadline
-                or not core.extensions.may_act()
+                or not core.extensions.may_place_flows()
             ):
                 core.end_session(now, session, core.retry_reply(flow))
             else:
@@ -109,7 +109,7 @@
         """Releases the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
         by = self.granted.pop(flow, None)
         if by is not None:
-            self.fleet.copies.put(ReservationEnded(flow_key(flow), by, how))
+            self.fleet.replication.put(ReservationEnded(flow_key(flow), by, how))
 
 
 def flow_of(session: Session) -> Flow:
