--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -216,7 +216,7 @@
         """
         self.retry_budget.assume_spent(now)
 
-    def yield_budgets(self, now: int) -> None:
+    def spend_all_budgets(self, now: int) -> None:
         """Spend the slow-start and retry budgets; another process uses what is left of them."""
         self.retry_budget.spend_all(now)
         self.slow_start.spend_all(now)
--- a/cypresswalk/decisions/limits.py
+++ b/cypresswalk/decisions/limits.py
@@ -90,9 +90,9 @@
         if server.message_delay >= server.delay_at_cut > 0:
             held = min(held, self.current(now, server))
         server.delay_at_cut = server.message_delay
-        self.keep_at(now, server, max(CUT_FACTOR * kept * held, 1.0))
+        self.lower_to(now, server, max(CUT_FACTOR * kept * held, 1.0))
 
-    def keep_at(self, now: int, server: Server, connections: float) -> None:
+    def lower_to(self, now: int, server: Server, connections: float) -> None:
         """Set the server's limit to `connections`, unless its current limit is lower."""
         server.concurrency_limit = min(connections, self.current(now, server))
         server.limit_cut_at = now
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -66,7 +66,7 @@
             self._limits.cut(now, server)
         elif load >= OVERLOADED:
             factor = GRADUAL_CUT_FACTOR if load >= HIGH_LOAD else 1.0
-            self._limits.keep_at(now, server, factor * occupancy(server))
+            self._limits.lower_to(now, server, factor * occupancy(server))
         self._reviews.request(now, server)
 
     def on_utilization(self, now: int, server: Server, utilization: float) -> None:
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -147,7 +147,7 @@
         if last_resort is not None:
             return last_resort
         walked = (server for pool in self.pools() for server in self.walk(pool, flow.key))
-        return self._slow_start.fill(now, flow, walked)
+        return self._slow_start.pick_beyond_budget(now, flow, walked)
 
     def _pick_awaiting_first_flow(self, now: int, flow: Flow) -> Server | None:
         for pool in self.pools():
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -184,7 +184,9 @@
             now, max(above, 0.0) * OCCUPANCY_SAMPLE_INTERVAL / OCCUPANCY_TIME_CONSTANT
         )
 
-    def fill(self, now: int, flow: Flow, candidates: Iterable[Server]) -> Server | None:
+    def pick_beyond_budget(
+        self, now: int, flow: Flow, candidates: Iterable[Server]
+    ) -> Server | None:
         """Return a warming server for a flow that would otherwise be rejected, or None.
 
         The server holds less than its current share of `warm_occupancy`. Unlike the budget, this
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -111,7 +111,7 @@
         """
         if self.peer is not None and not self.is_successor:
             self.send_state(now, self.peer)
-            self.core.balancer.yield_budgets(now)
+            self.core.balancer.spend_all_budgets(now)
             self.peer.send({"yours": True})
 
     def send_session_count(self) -> None:
--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -32,4 +32,4 @@
     """The server that warms up to which the flow would go rather than be rejected."""
     pools = balancer.placement.pools()
     walked = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
-    return balancer.slow_start.fill(now, flow, walked)
+    return balancer.slow_start.pick_beyond_budget(now, flow, walked)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -150,7 +150,7 @@
     warming_up, warm = list(host.balancer.servers.values())[:2]
     warming_up.started_at = host.now
     for server in (warming_up, warm):
-        limits.keep_at(host.now, server, 3.0)
+        limits.lower_to(host.now, server, 3.0)
     later = host.now + 10 * SECOND
     grown = limits.current(later, warm)
     assert 3 < grown < 5
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -143,7 +143,7 @@
     new = host.balancer.servers[99]
     settle(host, 1)
     for server in (host.balancer.servers[7], host.balancer.servers[20]):
-        host.balancer.limits.keep_at(host.now, server, 0.0)
+        host.balancer.limits.lower_to(host.now, server, 0.0)
     host.carry_out_decisions()
     flows = []
     for _ in range(30):
@@ -183,7 +183,7 @@
     held = []
     for _ in range(12):
         for server in others:
-            host.balancer.limits.keep_at(host.now, server, 1.0)
+            host.balancer.limits.lower_to(host.now, server, 1.0)
         host.balancer.on_gossip(host.now, warming, load)
         for _ in range(30):
             flow = host.arrive()
@@ -216,7 +216,7 @@
     warming.established_count = 5
     for server in others:
         balancer.remove_from_rotation(host.now, server)
-    balancer.limits.keep_at(host.now, warming, 6.0)
+    balancer.limits.lower_to(host.now, warming, 6.0)
     warming.slow_start_spent.add(host.now, 99)
     # Without own flows on the server, this balancer has no observation of its occupancy.
     assert balancer.slow_start.warm_occupancy.read(host.now) < 1
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -19,7 +19,7 @@
     assert predecessor.run_command("set-down", "s-0") == "OK"
     late = predecessor.server("s-1")
     predecessor.core.balancer.on_gossip(predecessor.now, late, 2.0)
-    predecessor.core.balancer.limits.keep_at(predecessor.now, late, 3.0)
+    predecessor.core.balancer.limits.lower_to(predecessor.now, late, 3.0)
     successor = HandoverProcess(predecessor)
     assert successor.run_command("check") == "ERR"  # it knows nothing yet
     successor.exchange_all()
