--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from cypresswalk.copies.client import ReservationClient
-from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, TellLeader, WriteChange
+from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, SendToLeader, WriteChange
 from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.events import (
     Event,
@@ -358,7 +358,7 @@
         self.log = RecordLog(self.folder)
         try:
             self._restore(identity)
-            self.log.begin(identity.member, identity.boot, self.replica.statuses())
+            self.log.begin_file(identity.member, identity.boot, self.replica.statuses())
         except OSError as error:
             self._report_disk_error(error)
             return
@@ -448,7 +448,7 @@
             elif isinstance(effect, AnswerRequest):
                 assert isinstance(effect.token, RequestToken)  # `on_message` passes no other tokens
                 batches[effect.token.receiver].append(_result(effect.token, effect.answer))
-            elif isinstance(effect, TellLeader):
+            elif isinstance(effect, SendToLeader):
                 self.send_to_leader([effect.message])
 
     # Status.
--- a/cypresswalk/copies/effects.py
+++ b/cypresswalk/copies/effects.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class TellLeader:
+class SendToLeader:
     """A message to send to the leader of the fleet."""
 
     message: AnyMessage
@@ -45,4 +45,4 @@
     answer: ReservationAnswer
 
 
-Effect: TypeAlias = WriteChange | SendMessage | TellLeader | AnswerRequest
+Effect: TypeAlias = WriteChange | SendMessage | SendToLeader | AnswerRequest
--- a/cypresswalk/copies/replica_state.py
+++ b/cypresswalk/copies/replica_state.py
@@ -4,8 +4,8 @@
     AnswerRequest,
     Effect,
     SendMessage,
+    SendToLeader,
     StoredChange,
-    TellLeader,
     WriteChange,
 )
 from cypresswalk.copies.messages import AnyMessage, ReservationRecord
@@ -98,7 +98,7 @@
 
     def send_to_leader(self, message: AnyMessage) -> None:
         """Add a message to the leader."""
-        self.effects.append(TellLeader(message))
+        self.effects.append(SendToLeader(message))
 
     def answer(self, token: object, answer: ReservationAnswer) -> None:
         """Add the answer to a request."""
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -179,7 +179,7 @@
             self.expiry_times = {}
             self.cut_file = (0, 0)
 
-    def begin(self, member: str, boot: int, partitions: list[PartitionStatus]) -> None:
+    def begin_file(self, member: str, boot: int, partitions: list[PartitionStatus]) -> None:
         """Begin a new file, at each process start and when the last one is full."""
         number = self.file_number + 1
         body = encode(FileHead(VERSION, member, boot, partitions, self.cut_file))
@@ -215,7 +215,7 @@
         latest = max(_latest_expiry(change) for change in changes)
         self.expiry_times[self.file_number] = max(self.expiry_times[self.file_number], latest)
         if self.file_size > SEGMENT_BYTES:
-            self.begin(self.member, self.boot, partitions())
+            self.begin_file(self.member, self.boot, partitions())
 
     def remove_expired_files(self, now: int) -> None:
         """Remove old files, from the oldest up to the first with a key that has not expired.
--- a/tests/copies/test_record_log.py
+++ b/tests/copies/test_record_log.py
@@ -46,7 +46,7 @@
         """Write both batches."""
         self.disk = SimulatedDisk(Random(1))
         log = RecordLog(self.disk)
-        log.begin(MEMBER, BOOT, [])
+        log.begin_file(MEMBER, BOOT, [])
         log.write(list(self.FIRST), list)
         self.end_of_first = len(self.disk.files[self.FILE].data)
         log.write(list(self.SECOND), list)
@@ -96,7 +96,7 @@
 
 def write_expiring_records(log: RecordLog, replica: Replica, count: int) -> None:
     """Reserve keys i1, i2, ... and write their records; each expires at the time of its number."""
-    log.begin(MEMBER, BOOT, [])
+    log.begin_file(MEMBER, BOOT, [])
     for expiry in range(1, count + 1):
         replica.reserve(0, PARTITION, f"i{expiry}", "n1", expiry, None)
         effects = replica.take_effects()
@@ -125,7 +125,7 @@
 def test_log_refuses_writes_after_a_failed_write():
     disk = SimulatedDisk(Random(1))
     log, replica = RecordLog(disk), Replica(MEMBER)
-    log.begin(MEMBER, BOOT, [])
+    log.begin_file(MEMBER, BOOT, [])
     disk.failing = True
     with pytest.raises(OSError):
         log.write([record_stored("z")], replica.statuses)
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cypresswalk.agreement.messages import Member
-from cypresswalk.copies.effects import AnswerRequest, SendMessage, TellLeader
+from cypresswalk.copies.effects import AnswerRequest, SendMessage, SendToLeader
 from cypresswalk.copies.messages import (
     AnyMessage,
     PartitionFetched,
@@ -86,7 +86,7 @@
         replica = self.replicas[member]
         while replica.effects:
             match replica.effects.pop(0):
-                case TellLeader(message):
+                case SendToLeader(message):
                     self.tell_leader(member, message)
                 case AnswerRequest(_, answer):
                     self.results.append(answer.result)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -212,7 +212,7 @@
     assert len(changes) == 14
     statuses = [change for change in changes if isinstance(change, PartitionStatus)]
     others = [change for change in changes if not isinstance(change, PartitionStatus)]
-    log.begin("n0#1", 5, statuses)
+    log.begin_file("n0#1", 5, statuses)
     log.write(others, lambda: statuses)
     assert folder.files == GoldenFolder("copies_after").files
 
