--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -67,7 +67,7 @@
 
         deadline = self.fleet.now() + timeout
         event = ReservationRequested(flow_key(flow), lifetime, deadline, reply)
-        self.fleet.copies.put(event)
+        self.fleet.replication.put(event)
 
     def on_answer(self, now: int, session: Session, answer: ReservationAnswer, owner: str) -> None:
         """Place the flow if its key was reserved for it; otherwise reject it.
