--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -107,7 +107,7 @@
             host: process that runs the member.
             own_settings: settings of its own file, proposed if the fleet has none yet.
             placement: placement of replicas of keys, if this balancer keeps any.
-            acts_on: version that the deciding thread acts on.
+            applied_version: version that the deciding thread acts on.
 
         Raises:
             msgspec.DecodeError: the persisted state can't be decoded.
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -113,7 +113,7 @@
         """End the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
         owner = self.granted.pop(flow, None)
         if owner is not None:
-            self.fleet.copies.put(ReservationEnded(flow_key(flow), owner, how))
+            self.fleet.replication.put(ReservationEnded(flow_key(flow), owner, how))
 
 
 def flow_of(session: Session) -> Flow:
