--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -15,7 +15,7 @@
 from cypresswalk.agreement.messages import Member, Members
 from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.fleet.leader_membership import MembershipDuty
-from cypresswalk.fleet.member_context import FRESH, SECOND, MemberContext
+from cypresswalk.fleet.member_context import MAX_MESSAGE_AGE, SECOND, MemberContext
 from cypresswalk.fleet.messages import DiscoveryRequest, DiscoveryResponse
 from cypresswalk.fleet.unavailability import name_of
 
@@ -108,7 +108,7 @@
         addresses = dict(config.seeds)
         for name in others:
             received = self.responses.get(name)
-            if received is None or now - received[0] > FRESH:
+            if received is None or now - received[0] > MAX_MESSAGE_AGE:
                 return
             response = received[1]
             if response.group or response.seed_digest != config.seed_digest:
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -134,14 +134,14 @@
             self.apply_settings(now, view.settings)
             self.settings_version = view.settings_version
             log.info(event("settings_agreed", version=view.settings_version))
-        self.rotation.follow(now, view.servers_out)
+        self.rotation.apply_agreed(now, view.servers_out)
         self.observations.report_servers = view.report_servers
         if view.list_version > self.list_version:
             self.list_version = view.list_version
             self.endpoints.apply_agreed_list(now, view.servers)
         self.version = view.version
         self.fleet.on_version_applied(view.version)
-        log.info(event("acting_on", version=view.version, out=len(self.rotation.agreed)))
+        log.info(event("acting_on", version=view.version, out=len(self.rotation.agreed_out)))
 
     def apply_settings(self, now: int, agreed: dict[str, Any]) -> None:
         """Apply agreed settings to the core."""
@@ -175,8 +175,8 @@
             "version": self.version,
             "settings_version": self.settings_version,
             "settings": self.settings,
-            "out": sorted(self.rotation.agreed),
-            "here": sorted(self.rotation.forced),
+            "out": sorted(self.rotation.agreed_out),
+            "here": sorted(self.rotation.forced_out),
             "list_version": self.list_version,
             "list": self.endpoints.list_for_successor(),
         }
@@ -206,6 +206,6 @@
         self.endpoints.agreed = agreed
         self.list_version = int(state["list_version"])
         self.version = version
-        self.rotation.inherit(now, out, forced)
+        self.rotation.take_over(now, out, forced)
         self.endpoints.refresh(now)
         self.fleet.inherit_lease(until, version)
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -50,7 +50,7 @@
 from cypresswalk.fleet.messages import PROTOCOL, Call, FlowCounts, Hello, ServerReport
 from cypresswalk.fleet.records import ListedServer
 from cypresswalk.fleet.replica_placement import ReplicaPlacement
-from cypresswalk.fleet.tool_calls import local_status, reject_call, reply_to, take_span
+from cypresswalk.fleet.tool_calls import local_status, pop_call_timeout, reject_call, reply_to
 from cypresswalk.fleet.transport import STACK_SIZE, Transport
 from cypresswalk.net.logs import describe
 from cypresswalk.net.threads import start_thread
@@ -484,7 +484,7 @@
             self.replication.put(StatusRequested(reply))
         else:
             args = dict(call.args)
-            timeout = int(take_span(args) * SECOND)
+            timeout = int(pop_call_timeout(args) * SECOND)
             member.call(now, call.name, args, reply, timeout)
 
     def _local_status(self, now: int, member: Member) -> dict[str, Any]:
--- a/cypresswalk/fleet/leader_availability.py
+++ b/cypresswalk/fleet/leader_availability.py
@@ -44,7 +44,7 @@
     def unavailable(self, now: int) -> dict[str, str]:
         """Return the balancers that are out, by name, each with the reason."""
         context, grants = self.context, self.grants
-        unreachable = {m.id for m in context.members if not context.hears(now, m.id)}
+        unreachable = {m.id for m in context.members if not context.heard_recently(now, m.id)}
         # Without leadership, the state of the members' leases is unknown.
         lapsed = {
             member for member in unreachable if grants is not None and grants.lapsed(now, member)
@@ -58,7 +58,7 @@
         grants = context.state.leave_grants
         release = context.state.release
         statuses = release.members if release is not None else {}
-        ended = self.tracker.next_ended(
+        ended = self.tracker.next_ended_grant(
             now,
             grants,
             changing={name for name in grants if statuses.get(name) == ChangeStatus.CHANGING},
--- a/cypresswalk/fleet/leader_membership.py
+++ b/cypresswalk/fleet/leader_membership.py
@@ -2,7 +2,7 @@
 
 from cypresswalk.agreement.messages import Member, Members
 from cypresswalk.fleet.commands import SetDesiredMembers
-from cypresswalk.fleet.member_context import FRESH, MemberContext
+from cypresswalk.fleet.member_context import MAX_MESSAGE_AGE, MemberContext
 from cypresswalk.fleet.messages import DiscoveryRequest
 from cypresswalk.fleet.unavailability import name_of
 
@@ -34,7 +34,7 @@
                 member.name == name
                 and peer is not None
                 and peer.acknowledged_round
-                and now - peer.heard_at < FRESH
+                and now - peer.heard_at < MAX_MESSAGE_AGE
             ):
                 return "a balancer with that name is still in contact with the leader"
         self._joining[name] = now, request
@@ -94,7 +94,11 @@
             for member in members
             if newest[member.name] is not member
             or member.name in state.departed
-            and (member.voter or member.id not in holders or not self.context.hears(now, member.id))
+            and (
+                member.voter
+                or member.id not in holders
+                or not self.context.heard_recently(now, member.id)
+            )
         ]
 
     def _take_joining(self, now: int, members: Members) -> list[Member]:
@@ -102,7 +106,8 @@
         return [
             Member(request.id, False, request.address, request.zone)
             for asked_at, request in joining.values()
-            if now - asked_at < FRESH and not any(member.id == request.id for member in members)
+            if now - asked_at < MAX_MESSAGE_AGE
+            and not any(member.id == request.id for member in members)
         ]
 
     def _member_to_promote(
@@ -142,7 +147,7 @@
         return (
             peer is not None
             and peer.matched_round is not None
-            and now - peer.heard_at < FRESH
+            and now - peer.heard_at < MAX_MESSAGE_AGE
             and peer.match_index >= node.commit_index - MAX_LAG
         )
 
--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -54,7 +54,7 @@
             halted=state.halted is not None,
             served=self.servers.observations.served,
             out=set(unavailable) - set(state.returning_servers),
-            held_slots=state.servers_out_for_release() | set(state.returning_servers),
+            counted_against_bound=state.servers_out_for_release() | set(state.returning_servers),
             boots={},
         )
 
@@ -73,7 +73,7 @@
                 if now - latest.received_at <= fresh
             },
             out=set(unavailable),
-            held_slots=set(state.leave_grants),
+            counted_against_bound=set(state.leave_grants),
             boots={name: latest.boot for name, latest in reports.items()},
         )
 
--- a/cypresswalk/fleet/leader_replicas.py
+++ b/cypresswalk/fleet/leader_replicas.py
@@ -39,7 +39,7 @@
             context.members,
             state.partitions,
             state.departed,
-            lambda member: context.hears(now, member),
+            lambda member: context.heard_recently(now, member),
             max_key_retention(state.settings),
         )
         for to, message in messages:
@@ -67,7 +67,7 @@
         header = self.context.command_header("renew", by)
         note = f"copies recreated empty: {partitions}"
         self.context.propose(now, AddNote(*header, note))
-        self.placement.renewed.update(partitions)
+        self.placement.may_begin_empty.update(partitions)
         return f"{len(partitions)} parts are recreated empty"
 
 
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-FRESH = 2 * SECOND  # older messages tell nothing about a member's present state
+MAX_MESSAGE_AGE = 2 * SECOND  # older messages tell nothing about a member's present state
 MAX_WARNINGS_REMEMBERED = 1000  # distinct warnings that are logged once each
 
 # Receiver and message. The receiver is a member's id, or an address, which contains a colon.
@@ -187,7 +187,7 @@
         node = self.raft
         return node.log.term_at(node.commit_index) == node.term
 
-    def hears(self, now: int, member_id: str) -> bool:
+    def heard_recently(self, now: int, member_id: str) -> bool:
         """Return whether this leader has received a message from that member recently.
 
         Voters get five times as many heartbeats, so the limit for them is half as long.
@@ -197,7 +197,9 @@
         peer = self.raft.peers.get(member_id)
         if peer is None:
             return False
-        return now - peer.heard_at < (FRESH // 2 if member_id in self.raft.voters else FRESH)
+        return now - peer.heard_at < (
+            MAX_MESSAGE_AGE // 2 if member_id in self.raft.voters else MAX_MESSAGE_AGE
+        )
 
     def send(self, to: str, message: AnyFrame | ReplicationMessage) -> None:
         """Queue a message to a member's id, or to an address, which contains a colon."""
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -52,8 +52,8 @@
         halted: whether a halt is in force.
         served: flow counts by name, of targets with a recent report.
         out: targets that are out, for whatever cause.
-        held_slots: targets that count against a bound because they have a leave grant or the
-            release keeps them out.
+        counted_against_bound: targets that have a leave grant or that the release keeps out, which
+            count against a bound.
         boots: number of starts by target, from its latest report.
     """
 
@@ -61,7 +61,7 @@
     halted: bool
     served: dict[str, ServedCounts]
     out: set[str]
-    held_slots: set[str]
+    counted_against_bound: set[str]
     boots: dict[str, int]
 
 
@@ -149,7 +149,7 @@
         returned = [
             name
             for name, status in members
-            if status == ChangeStatus.NEW and name in situation.held_slots
+            if status == ChangeStatus.NEW and name in situation.counted_against_bound
         ]
         self.returned_since = _track_since(self.returned_since, now, returned)
         for name, since in self.turn_since.items():
@@ -200,7 +200,7 @@
         if problem:
             return ReleaseAction(ReleaseStep.HALT, reason=problem)
         all_changed = all(release.members[name] == ChangeStatus.NEW for name in wave)
-        if all_changed and not set(wave) & (situation.out | situation.held_slots):
+        if all_changed and not set(wave) & (situation.out | situation.counted_against_bound):
             return self._observe_wave(now, release, wave)
         self.healthy_since = None
         candidates = [
@@ -258,7 +258,7 @@
         }
         for name in changed:
             if self.relapses.get(name, 0) >= MAX_RELAPSES:
-                return f"{name} was changed, came up and fell over, {MAX_RELAPSES} times"
+                return f"{name} was changed, became unhealthy again, {MAX_RELAPSES} times"
         return ""
 
     def _restarted_target_reason(self, situation: ReleaseSituation, changed: list[str]) -> str:
@@ -271,7 +271,7 @@
             else:
                 expected = self.boots.setdefault(name, boots.get(name, UNKNOWN_BOOT))
             if boots.get(name, 0) > expected:
-                return f"{name} was changed and then began anew by itself"
+                return f"{name} was changed and then restarted by itself"
         return ""
 
     def _observe_wave(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -114,7 +114,7 @@
         # Partitions without a reachable complete replica.
         self.unreachable: set[int] = set()
         # Partitions that an operator has allowed to begin empty.
-        self.renewed: set[int] = set()
+        self.may_begin_empty: set[int] = set()
         self._logged_lost: set[int] = set()
         self.reset(0)
 
@@ -132,7 +132,7 @@
         self.under_replicated: dict[int, int] = {}
         self.lost.clear()
         self.unreachable.clear()
-        self.renewed.clear()
+        self.may_begin_empty.clear()
 
     def on_capability(self, member: str, able: bool) -> None:
         """Note whether a member can hold replicas."""
@@ -319,7 +319,7 @@
     def _note_reachable(self, number: int) -> None:
         self.lost.pop(number, None)
         self.unreachable.discard(number)
-        self.renewed.discard(number)
+        self.may_begin_empty.discard(number)
         self._logged_lost.discard(number)
 
     def _change_without_replicas(self, run: _Run, partition: _Partition) -> PlacementChange | None:
@@ -330,7 +330,7 @@
         """
         number, view = partition.number, partition.view
         self.unreachable.add(number)
-        begins_empty = number in self.renewed
+        begins_empty = number in self.may_begin_empty
         if all(
             member not in run.zones or (number, view, member) in self.incomplete
             for member in partition.replicas
--- a/cypresswalk/fleet/rotation.py
+++ b/cypresswalk/fleet/rotation.py
@@ -10,42 +10,42 @@
     """Servers that the core must not use, by cause.
 
     Attributes:
-        agreed: ids of servers that are out by the fleet's agreement.
-        forced: ids of servers that an operator has forced out at this balancer alone.
+        agreed_out: ids of servers that are out by the fleet's agreement.
+        forced_out: ids of servers that an operator has forced out at this balancer alone.
     """
 
     def __init__(self, core: Core):
         """Start with all servers in rotation."""
         self.core = core
-        self.agreed: set[str] = set()
-        self.forced: set[str] = set()
+        self.agreed_out: set[str] = set()
+        self.forced_out: set[str] = set()
 
-    def follow(self, now: int, out: Iterable[str]) -> None:
+    def apply_agreed(self, now: int, out: Iterable[str]) -> None:
         """Apply a new agreed set of servers that are out."""
         wanted = set(out)
-        for server in sorted(wanted - self.agreed):
+        for server in sorted(wanted - self.agreed_out):
             self._disable(now, server)
-        for server in sorted(self.agreed - wanted):
-            if server not in self.forced:
+        for server in sorted(self.agreed_out - wanted):
+            if server not in self.forced_out:
                 self._enable(now, server)
-        self.agreed = wanted
+        self.agreed_out = wanted
 
-    def inherit(self, now: int, agreed: set[str], forced: set[str]) -> None:
+    def take_over(self, now: int, agreed_out: set[str], forced_out: set[str]) -> None:
         """Start from the sets that the predecessor process acted on."""
-        self.agreed = agreed
-        self.forced = forced
-        for server in sorted(agreed | forced):
+        self.agreed_out = agreed_out
+        self.forced_out = forced_out
+        for server in sorted(agreed_out | forced_out):
             self._disable(now, server)
 
     def remove(self, now: int, server: str) -> None:
         """Take out a server, as the fleet has agreed."""
-        self.agreed.add(server)
+        self.agreed_out.add(server)
         self._disable(now, server)
 
     def restore(self, now: int, server: str) -> None:
         """Return a server, as the fleet has agreed; one that is forced out here stays out."""
-        if server in self.agreed and server not in self.forced:
-            self.agreed.discard(server)
+        if server in self.agreed_out and server not in self.forced_out:
+            self.agreed_out.discard(server)
             self._enable(now, server)
 
     def force(self, now: int, command: AdminCommand) -> tuple[str | None, bool]:
@@ -58,10 +58,10 @@
         if error is not None:
             return error, False
         if command.name == "set-down-here":
-            self.forced.add(command.server)
+            self.forced_out.add(command.server)
             return None, True
-        self.forced.discard(command.server)
-        if command.server in self.agreed:
+        self.forced_out.discard(command.server)
+        if command.server in self.agreed_out:
             self._disable(now, command.server)
             return "out by the fleet still: `set-up` ends that", True
         return None, True
--- a/cypresswalk/fleet/shared_settings.py
+++ b/cypresswalk/fleet/shared_settings.py
@@ -76,7 +76,7 @@
     names = [kind["name"] for kind in params["serviceTypes"]]
     tenants = [tenant["name"] for tenant in params.get("tenants") or []]
     if not names or len(set(names)) != len(names) or len(set(tenants)) != len(tenants):
-        return "serviceTypes, tenants: none, or a name twice"
+        return "serviceTypes, tenants: none, or a duplicate name"
     if not all(isinstance(name, str) for name in (*names, *tenants)):
         return "serviceTypes, tenants: a name is not a string"
     if any(float(kind["giveUp"]) <= 0 for kind in params["serviceTypes"]):
@@ -89,5 +89,5 @@
     for part, name in START_ONLY_KEYS:
         current = (own.get(part) or {}).get(name)
         if (params.get(part) or {}).get(name) != current:
-            return f"{part}.{name}: takes effect at a start alone, so it stays {current!r} here"
+            return f"{part}.{name}: takes effect only at a start, so it stays {current!r} here"
     return ""
--- a/cypresswalk/fleet/tool_calls.py
+++ b/cypresswalk/fleet/tool_calls.py
@@ -33,7 +33,7 @@
             reply_to(event, call)(False, {"why": why})
 
 
-def take_span(args: dict[str, Any]) -> float:
+def pop_call_timeout(args: dict[str, Any]) -> float:
     """Remove the timeout from a call's arguments and return it in seconds, within its limits."""
     try:
         return min(
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -76,7 +76,7 @@
         now: int,
         members: Iterable[Member],
         departed: Collection[str],
-        unheard: Collection[str],
+        unreachable: Collection[str],
         lapsed: Collection[str],
     ) -> dict[str, str]:
         """Return the names of members that are out, with the reason.
@@ -85,7 +85,7 @@
             now: nanoseconds.
             members: all members; a later incarnation of a name overrides an earlier one.
             departed: names of members that have left the fleet.
-            unheard: ids of members without a recent message.
+            unreachable: ids of members without a recent message.
             lapsed: ids among them whose leases are over.
         """
         reasons: dict[str, str] = {}
@@ -93,7 +93,7 @@
             if member.name in departed:
                 continue
             ready, said_at = self.readiness.get(member.id, (None, 0))
-            if member.id in unheard:
+            if member.id in unreachable:
                 reasons[member.name] = LAPSED if member.id in lapsed else UNHEARD
             elif ready is None or now - said_at > self.max_contradiction:
                 reasons[member.name] = UNKNOWN
@@ -103,7 +103,7 @@
                 reasons.pop(member.name, None)
         return reasons
 
-    def next_ended(
+    def next_ended_grant(
         self,
         now: int,
         grants: dict[str, LeaveGrant],
--- a/tests/fleet/test_unavailability.py
+++ b/tests/fleet/test_unavailability.py
@@ -31,7 +31,7 @@
         """Return the balancer whose grant has ended, with that grant, or None."""
         now = at_s * SECOND
         unavailable = set(self.tracker.unavailable(now, MEMBERS, [], [], [])) - {"n0"}
-        return self.tracker.next_ended(
+        return self.tracker.next_ended_grant(
             now, {"n1": grant}, changing, waiting, unavailable, self.present
         )
 
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -61,7 +61,7 @@
     [
         ("aborts", "failed or rejected"),
         ("slow", "ms for a set-up"),
-        ("falls", "began anew by itself"),
+        ("falls", "restarted by itself"),
         ("never_ready", "ERR starting"),
     ],
 )
@@ -128,12 +128,12 @@
 
 def a_slot_is_freed_while_an_agent_works(patch):
     """A balancer that is ready is taken for in, though its agent is changing it."""
-    next_ended = UnavailabilityTracker.next_ended
+    next_ended_grant = UnavailabilityTracker.next_ended_grant
 
     def with_none_changing(self, now, grants, changing, waiting, unavailable, present):
-        return next_ended(self, now, grants, (), waiting, unavailable, present)
+        return next_ended_grant(self, now, grants, (), waiting, unavailable, present)
 
-    patch.setattr(UnavailabilityTracker, "next_ended", with_none_changing)
+    patch.setattr(UnavailabilityTracker, "next_ended_grant", with_none_changing)
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_server_releases.py
+++ b/tests/lab/test_server_releases.py
@@ -79,7 +79,7 @@
     "build, why",
     [
         ("aborts", "failed or rejected"),
-        ("falls", "came up and fell over"),
+        ("falls", "became unhealthy again"),
         ("never_ready", "v1 again: answers"),
     ],
 )
--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -192,7 +192,7 @@
             halted=self.is_halted,
             served=counts,
             out=set(unavailable),
-            held_slots=set(self.machine.state.leave_grants),
+            counted_against_bound=set(self.machine.state.leave_grants),
             boots={},
         )
         action = self.leader.next_action(self.now, situation)
