--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -1,4 +1,4 @@
-"""The leader's duty towards the release under way. No I/O, no clock."""
+"""The leader's duty to drive the current release. No I/O, no clock."""
 
 from cypresswalk.fleet.commands import (
     AnyCommand,
@@ -19,17 +19,17 @@
 
 
 class ReleaseDuty:
-    """Feeds `ReleaseControl` with what is known and proposes what it decides."""
+    """Passes the situation to `ReleaseControl` and proposes the commands that it decides on."""
 
     def __init__(self, context: MemberContext, balancers: BalancerDuty, servers: ServerDuty):
-        """Begin with nothing observed."""
+        """Begin without observations."""
         self.context = context
         self.balancers = balancers
         self.servers = servers
         self.control = ReleaseControl()
 
     def run(self, now: int) -> None:
-        """Take the next step; raises BusyError where too little is known or the log is busy."""
+        """Take the next step; raise BusyError if too little is known or the log is busy."""
         context = self.context
         release = context.state.release
         if release is None or not context.has_committed_in_term():
@@ -54,7 +54,7 @@
             halted=state.halted is not None,
             served=self.servers.observations.served,
             out=set(unavailable) - set(state.returning_servers),
-            held_slots=state.servers_out_for_release() | set(state.returning_servers),
+            counted_against_bound=state.servers_out_for_release() | set(state.returning_servers),
             boots={},
         )
 
@@ -62,19 +62,19 @@
         self, now: int, release: Release, unavailable: dict[str, str]
     ) -> ReleaseSituation:
         state = self.context.state
-        figures = self.balancers.figures
+        reports = self.balancers.reports
         fresh = self.context.config.max_contradiction
         return ReleaseSituation(
             release,
             halted=state.halted is not None,
             served={
                 name: latest.served
-                for name, latest in figures.items()
+                for name, latest in reports.items()
                 if now - latest.received_at <= fresh
             },
             out=set(unavailable),
-            held_slots=set(state.leave_grants),
-            boots={name: latest.boot for name, latest in figures.items()},
+            counted_against_bound=set(state.leave_grants),
+            boots={name: latest.boot for name, latest in reports.items()},
         )
 
     def _command(
