--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -32,4 +32,4 @@
     """Return the server that warms up to which the flow goes instead of being rejected."""
     pools = balancer.placement.pools()
     candidates = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
-    return balancer.slow_start.fill(now, flow, candidates)
+    return balancer.slow_start.pick_beyond_budget(now, flow, candidates)
