--- a/cypresswalk/benchlink/host.py
+++ b/cypresswalk/benchlink/host.py
@@ -40,7 +40,7 @@
     304: Outcome.CONNECT_FAILED,
     305: Outcome.RESET,
     306: Outcome.CANCELLED,
-    307: Outcome.MOOT,
+    307: Outcome.NOT_SENT,
 }
 U8, U16, U32, U64 = (struct.Struct("<" + c) for c in "BHIQ")
 INIT, SYNC = struct.Struct("<QI"), struct.Struct("<BQI")
--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -253,7 +253,7 @@
         server.established_flows[flow] = None
         self._queue.capacity_freed = True
         server.established_count += 1
-        server.owed_first_flow = False
+        server.first_flow_pending = False
         refused_by = flow.attempts[-2] if flow.last_outcome is Outcome.ERROR else None
         self.outliers.on_established(now, server, refused_by)
         self.traffic.record_setup(now, took)
@@ -296,7 +296,7 @@
     ) -> None:
         self.outliers.on_attempt_failed(now, server, outcome, took)
         self.traffic.errors.add(now, outcome is Outcome.ERROR)
-        self.traffic.denied.add(now, outcome is not Outcome.MOOT)
+        self.traffic.denied.add(now, outcome is not Outcome.NOT_SENT)
         if not outcome.never_ran and flow.may_have_run_on is None:
             flow.may_have_run_on = server
             flow.may_have_run_since = flow.attempt_sent_at
@@ -459,7 +459,7 @@
         if self.settings.load_index < 0 or not self.settings.health_checks:
             return
         for server in self.placement.preference_list(flow.key):
-            if server.check_in_flight or now - server.load_at > FAST_INTERVAL:
+            if server.check_in_flight or now - server.load_reported_at > FAST_INTERVAL:
                 flow.awaited_checks.append(server)
                 self.health_checks.request(server)
 
--- a/cypresswalk/decisions/endpoints.py
+++ b/cypresswalk/decisions/endpoints.py
@@ -86,7 +86,7 @@
             return False
         server.out_of_rotation = True
         server.out_of_rotation_since = now
-        server.owed_first_flow = False
+        server.first_flow_pending = False
         return True
 
     def return_to_rotation(self, now: int, server: Server) -> bool:
@@ -94,6 +94,6 @@
         if not server.out_of_rotation:
             return False
         server.out_of_rotation = False
-        server.owed_first_flow = True
+        server.first_flow_pending = True
         self._restart(now, server)
         return True
--- a/cypresswalk/decisions/list_polling.py
+++ b/cypresswalk/decisions/list_polling.py
@@ -27,7 +27,7 @@
         """Schedule another request after a failed call or a broken subscription."""
         self._failures += 1
         backoff = SECOND << min(self._failures - 1, MAX_BACKOFF_DOUBLINGS)
-        wait = min(backoff, self.settings.poll_within // 4)
+        wait = min(backoff, self.settings.max_list_retry_interval // 4)
         self.next_at = now + self._draws.jittered(wait, BACKOFF_JITTER)
 
     def on_answered(self) -> None:
--- a/cypresswalk/decisions/load.py
+++ b/cypresswalk/decisions/load.py
@@ -14,7 +14,7 @@
 
 def is_overloaded(now: int, server: Server) -> bool:
     """Return whether the server's last known load is recent and over the threshold."""
-    return server.load > OVERLOADED and now - server.load_at < LOAD_VALID_FOR
+    return server.load > OVERLOADED and now - server.load_reported_at < LOAD_VALID_FOR
 
 
 def misses_objective(now: int, server: Server) -> bool:
--- a/cypresswalk/decisions/migration.py
+++ b/cypresswalk/decisions/migration.py
@@ -190,7 +190,7 @@
             if server.zone == self.settings.zone and is_up(server)
         ]
         return bool(near) and all(
-            now - server.load_at > LOAD_VALID_FOR
+            now - server.load_reported_at > LOAD_VALID_FOR
             and server.consecutive_failures < MAX_FAILURES
             and self._limits.current(now, server) == math.inf
             for server in near
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -57,7 +57,7 @@
     def on_load(self, now: int, server: Server, load: float) -> None:
         """Record a server's load, where 1.0 means messages at their objective, and react to it."""
         server.load = load
-        server.load_at = now
+        server.load_reported_at = now
         if load >= OVERLOADED:
             # About as many balancers learn of the load as there are flows on the server.
             informed_balancers = len(self._flows) * self.settings.instances / len(self._servers)
@@ -85,9 +85,9 @@
         New flows then skip the server for a while, but nothing migrates.
         """
         server.gossiped_at = now
-        if now - server.load_at > LOAD_VALID_FOR or load > server.load:
+        if now - server.load_reported_at > LOAD_VALID_FOR or load > server.load:
             server.load = load
-            server.load_at = now
+            server.load_reported_at = now
 
     def record_drop(self, now: int, server: Server) -> bool:
         """Record a flow that the server dropped and return whether the server counts as full.
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -152,7 +152,7 @@
     def _pick_awaiting_first_flow(self, now: int, flow: Flow) -> Server | None:
         for pool in self.pools():
             for server in pool.servers:
-                if server.owed_first_flow and self._may_take(now, server, flow, owns_slot=True):
+                if server.first_flow_pending and self._may_take(now, server, flow, owns_slot=True):
                     return server
         return None
 
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -74,7 +74,7 @@
         """Create the sums of a server that is listed for the first time."""
         time_constant = max(2 * self.settings.slow_start_window, 1)
         server.slow_start_spent = DecayingSum(time_constant, now)
-        server.slow_start_fills = DecayingSum(time_constant, now)
+        server.slow_start_excess = DecayingSum(time_constant, now)
 
     def on_predecessor_lost(self, now: int) -> None:
         """Count all budgets as spent for a window; what the predecessor spent is unknown."""
@@ -84,7 +84,7 @@
         """Spend all budgets; another process uses what is left of them."""
         for server in self._servers.values():
             server.slow_start_spent.add(now, MORE_THAN_ANY_BUDGET)
-            server.owed_first_flow = False
+            server.first_flow_pending = False
 
     # Arriving flows.
 
@@ -113,7 +113,9 @@
                     share, OTHER_KEYS_ALLOWANCE / max(flows_per_window, MIN_FLOWS_PER_WINDOW)
                 )
             is_first_flow = (
-                server.owed_first_flow and not server.established_count and not server.pending_flows
+                server.first_flow_pending
+                and not server.established_count
+                and not server.pending_flows
             )
             # A key whose share of this balancer's flows exceeds the server's share of the fleet
             # is admitted less often.
@@ -131,7 +133,7 @@
     def _flows_per_window(self, now: int) -> float:
         """Return how many flows complete per window, which is this balancer's share of capacity."""
         completed = self._traffic.completed
-        fraction_seen = completed.part_seen(now, self._traffic.started_at)
+        fraction_seen = completed.accumulated_fraction(now, self._traffic.started_at)
         window = self.settings.slow_start_window
         return (
             completed.read(now)
@@ -199,7 +201,7 @@
             if self._may_exceed_budget(now, server, flow) and self._is_below_warm_share(
                 now, server, flow
             ):
-                server.slow_start_fills.add(now, 1)
+                server.slow_start_excess.add(now, 1)
                 return server
         return None
 
@@ -225,4 +227,4 @@
         if occupancy_with(server, flow) > min(target, limit):
             return False
         # At most half of it per window, because each set-up costs work of its own.
-        return server.slow_start_fills.read(now) + 1 <= target / 2
+        return server.slow_start_excess.read(now) + 1 <= target / 2
--- a/cypresswalk/hosting.py
+++ b/cypresswalk/hosting.py
@@ -81,7 +81,7 @@
         health_checks=limits["probes"],
         can_migrate=params["family"] == "conn",
         list_polled=params["discovery"] == "on_request",
-        poll_within=nanoseconds(rules["askWithin"], "askWithin"),
+        max_list_retry_interval=nanoseconds(rules["askWithin"], "askWithin"),
         warm_up_time=nanoseconds(rules["cold"], "cold"),
         warm_up_initial_fraction=rules["coldShare"],
         slow_start_window=nanoseconds(rules["fall"], "fall"),
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -97,4 +97,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(main(made=FaultyBalancer))
+    sys.exit(main(program_class=FaultyBalancer))
--- a/cypresswalk/measures.py
+++ b/cypresswalk/measures.py
@@ -34,7 +34,7 @@
         """Add an amount, which decays from now on."""
         self.total = self.read(now) + amount
 
-    def part_seen(self, now: int, since: int) -> float:
+    def accumulated_fraction(self, now: int, since: int) -> float:
         """Return the fraction, 0 to 1, of its final value that a sum started at `since` has.
 
         This assumes that amounts are added at a steady rate.
--- a/cypresswalk/model.py
+++ b/cypresswalk/model.py
@@ -60,7 +60,7 @@
     CONNECT_FAILED = ("connect failed", True)
     RESET = ("reset", False)
     CANCELLED = ("cancelled", False)
-    MOOT = ("moot", True)  # the balancer dropped the attempt before it sent anything
+    NOT_SENT = ("moot", True)  # the balancer dropped the attempt before it sent anything
 
     @property
     def never_ran(self) -> bool:
@@ -92,7 +92,7 @@
     health_checks: bool  # servers answer health checks
     can_migrate: bool  # the client of an established flow can be sent to look for a new server
     list_polled: bool  # the endpoint list is sent only on request
-    poll_within: int  # a failed request for the list is repeated within this time
+    max_list_retry_interval: int  # a failed request for the list is repeated within this time
     warm_up_time: int  # longest time from a server's start until it is warm
     warm_up_initial_fraction: float  # fraction of its capacity that a server has at its start
     slow_start_window: int  # in which too many new flows overload a server that warms up
@@ -138,7 +138,7 @@
     # Rotation: an operator can take a server out of rotation, whatever state the list gives.
     out_of_rotation: bool = False
     out_of_rotation_since: int = 0
-    owed_first_flow: bool = False  # back in rotation: gets the next flow that may go to it
+    first_flow_pending: bool = False  # back in rotation: gets the next flow that may go to it
 
     # Outlier ejection.
     consecutive_failures: int = 0  # attempts without an answer since one was last established
@@ -148,7 +148,7 @@
 
     # Load.
     load: float = 0.0  # last report; 1: messages take their objective, or all capacity is in use
-    load_at: int = 0  # time of that report
+    load_reported_at: int = 0  # time of that report
     message_delay: int = 0  # last report
     gossiped_at: int = 0  # when a balancer last sent the others its load
 
@@ -162,7 +162,7 @@
     established_count: int = 0  # attempts established since its start
     slow_start_spent: DecayingSum = field(init=False)  # used part of this balancer's budget
     # Flows sent to it beyond the budget, because they would have been rejected otherwise.
-    slow_start_fills: DecayingSum = field(init=False)
+    slow_start_excess: DecayingSum = field(init=False)
 
     # Migration.
     next_migration_at: int = 0
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -331,7 +331,7 @@
                 and is_leaving(attempt.server)
                 and self.drivers.cancel_unsent(attempt)
             ):
-                self.on_attempt_ended(now, attempt, Outcome.MOOT)
+                self.on_attempt_ended(now, attempt, Outcome.NOT_SENT)
 
     # End of a session.
 
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -50,7 +50,7 @@
     ServerField("failed", "failed_checks", FieldKind.COUNT),
     ServerField("answers", "established_count", FieldKind.COUNT),
     ServerField("trial_at", "next_trial_at", FieldKind.TIME),
-    ServerField("strain_at", "load_at", FieldKind.TIME),
+    ServerField("strain_at", "load_reported_at", FieldKind.TIME),
     ServerField("full_until", "ejected_until", FieldKind.TIME),
     ServerField("cut_at", "limit_cut_at", FieldKind.TIME),
     ServerField("told_at", "gossiped_at", FieldKind.TIME),
@@ -58,7 +58,7 @@
     ServerField("known", "checked", FieldKind.FLAG),
     ServerField("fresh", "awaiting_first_pass", FieldKind.FLAG),
     ServerField("barred", "out_of_rotation", FieldKind.FLAG),
-    ServerField("owed", "owed_first_flow", FieldKind.FLAG),
+    ServerField("owed", "first_flow_pending", FieldKind.FLAG),
     ServerField("strain", "load", FieldKind.AMOUNT),
     ServerField("limit", "concurrency_limit", FieldKind.AMOUNT),
     ServerField("cut_delay", "delay_at_cut", FieldKind.AMOUNT),
@@ -67,7 +67,7 @@
 # Decaying sums by their key on the wire: attributes of model.Server. Balancer.sums has its own.
 SERVER_SUMS = {
     "dealt": "slow_start_spent",
-    "filled": "slow_start_fills",
+    "filled": "slow_start_excess",
     "drops": "recent_drops",
 }
 # Set apart from the other figures: by the list, and whatever else is newer.
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -84,7 +84,7 @@
         """Run the attempt, and the relay if it is accepted, until the connection ends."""
         # Attempts that were dropped but still dial hold slots too, since they use descriptors.
         if not self.slots.acquire(timeout=self.limits.dial_timeout / SECOND):
-            self._report_end(Outcome.MOOT)
+            self._report_end(Outcome.NOT_SENT)
             return
         try:
             sock = self._dial()
@@ -148,7 +148,7 @@
             sock = dial(self.address, self.limits.dial_timeout)
         except OSError as error:
             self._report_end(
-                Outcome.MOOT if error.errno in LOCAL_SHORTAGE_ERRNOS else Outcome.CONNECT_FAILED
+                Outcome.NOT_SENT if error.errno in LOCAL_SHORTAGE_ERRNOS else Outcome.CONNECT_FAILED
             )
             return None
         self.attempt.delay_gauge.on_setup(self.inbox.clock() - began)
@@ -191,7 +191,7 @@
             else:
                 self.sent = True
         if late:
-            self._report_end(Outcome.MOOT)
+            self._report_end(Outcome.NOT_SENT)
             return False
         try:
             link.sock.sendall(self.open_line)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -450,7 +450,7 @@
 def main(
     policy: type[Balancer] = Balancer,
     core: Callable[..., Core] = Core,
-    made: type[Program] = Program,
+    program_class: type[Program] = Program,
 ) -> int:
     """Run the balancer until it exits; return an exit code if it cannot start.
 
@@ -466,7 +466,7 @@
         signal.signal(number, lambda *_: stop_signals.append(True))
     try:
         config = load(dict(os.environ))
-        program = build_program(config, policy, core, made)
+        program = build_program(config, policy, core, program_class)
     except (ConfigError, OSError) as error:
         print(f"cypresswalk: {error}", file=sys.stderr)
         return 1
--- a/cypresswalk/state/recovery.py
+++ b/cypresswalk/state/recovery.py
@@ -151,7 +151,7 @@
         server.next_trial_at = min(record.trial_at, self.now + SECOND)
         server.ejected_until = min(record.full_until, self.now + SECOND)
         server.load = record.strain
-        server.load_at = min(record.strain_at, self.now)
+        server.load_reported_at = min(record.strain_at, self.now)
         server.message_delay = record.delay
         server.concurrency_limit = record.limit
         server.limit_cut_at = min(record.cut_at, self.now)
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Collection
 from typing import Any
 
-from helpers import START, config_data, listed
+from helpers import START, config_data, endpoint_entry
 from hypothesis import settings as hypothesis_settings
 from rule_assertions import assert_answered_in_time, assert_first_answer, assert_takes_new_flows
 
@@ -128,7 +128,7 @@
         """Create a core that knows servers s-0, s-1 and so on; `changes` as for `config_data`."""
         self.now = START
         self.drivers = RecordingDrivers()
-        data = config_data([listed(f"s-{i}") for i in range(servers)], **changes)
+        data = config_data([endpoint_entry(f"s-{i}") for i in range(servers)], **changes)
         config = build({}, data)
         self.decoder = EndpointListDecoder(config.zones)
         self.core = Core(config, self.drivers, Counters(), self.now)
--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -22,13 +22,13 @@
     pass_health_checks(host)
 
 
-def fill(host: SimulatedHost, count: int, **flow: Any) -> None:
+def establish_flows(host: SimulatedHost, count: int, **flow: Any) -> None:
     """Establish `count` flows."""
     for _ in range(count):
         host.accept(host.arrive(**flow))
 
 
-def fill_warming_up(balancer: Balancer, now: int, flow: Flow) -> Server | None:
+def place_on_warming_server(balancer: Balancer, now: int, flow: Flow) -> Server | None:
     """Return the server that warms up to which the flow goes instead of being rejected."""
     pools = balancer.placement.pools()
     candidates = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,6 +1,6 @@
 """Admission: which flows are admitted, throttled, queued or rejected."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost, service
 
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS
@@ -13,7 +13,7 @@
     # the store down, and warming servers failed as well.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
-    fill(host, 10)
+    establish_flows(host, 10)
 
     def answered(count):
         """Answer all attempts of `count` new flows with errors; return the number of attempts."""
@@ -132,7 +132,7 @@
     host = SimulatedHost(6)
     settle(host)
     for server in host.balancer.servers.values():
-        server.load, server.load_at = 2.0, host.now
+        server.load, server.load_reported_at = 2.0, host.now
     flows = [host.arrive(key=key, grouped=True, returning=key % 2 == 0) for key in range(1, 9)]
     assert [host.answers.get(flow.id) for flow in flows] == [None, "reject"] * 4
 
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -1,6 +1,6 @@
 """The endpoint list."""
 
-from decision_helpers import fill
+from decision_helpers import establish_flows
 from helpers import SimulatedHost, entries
 
 from cypresswalk.model import SECOND, EndpointUpdate, ServerState
@@ -11,7 +11,7 @@
     host.update_endpoints(EndpointUpdate.FULL, entries(3)[:2])
     gone = host.balancer.servers[33]
     assert gone.state is ServerState.GONE
-    fill(host, 20)
+    establish_flows(host, 20)
     assert not gone.established_flows
 
 
@@ -24,5 +24,5 @@
         host.update_endpoints(EndpointUpdate.FAILED, [])
         while host.list_polls == polls[-1]:
             host.pass_time(SECOND // 10)
-        assert host.now - before <= host.balancer.settings.poll_within
+        assert host.now - before <= host.balancer.settings.max_list_retry_interval
     assert polls == [1, 2, 3, 4, 5, 6]
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -1,6 +1,6 @@
 """Gossip between balancers."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
 from cypresswalk.model import SECOND
@@ -9,7 +9,7 @@
 def test_overloaded_server_is_gossiped_and_skipped_by_the_other_balancers():
     host = SimulatedHost(3, gossip=True, instances=3)
     settle(host)
-    fill(host, 9)
+    establish_flows(host, 9)
     overloaded = host.balancer.servers[7]
     host.balancer.on_message_delay(host.now, overloaded, SECOND)
     host.carry_out_decisions()
@@ -20,7 +20,7 @@
     other = SimulatedHost(3, gossip=True, instances=3)
     settle(other)
     other.balancer.on_gossip(other.now, other.balancer.servers[7], host.gossip[0][1])
-    fill(other, 30)
+    establish_flows(other, 30)
     assert not other.balancer.servers[7].established_flows
     assert not other.gossip
 
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,6 +1,6 @@
 """Health checks: the rise/fall counter and the rate of checks."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
 from cypresswalk.decisions.hashing import hash64
@@ -41,11 +41,11 @@
     host = SimulatedHost(1)
     settle(host)
     host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99)])
-    fill(host, 12)
+    establish_flows(host, 12)
     new = host.balancer.servers[99]
     assert not new.established_flows
     host.answer_health_check(new, True)
-    fill(host, 12)
+    establish_flows(host, 12)
     assert is_up(new)
     assert new.established_flows
 
@@ -64,7 +64,7 @@
     # Otherwise a server that never failed before would be down for three slow intervals.
     host = SimulatedHost(2)
     server = host.balancer.servers[7]
-    fill(host, 8)
+    establish_flows(host, 8)
     while server not in host.health_checks:
         host.pass_time(SECOND // 10)
     held_before = len(server.established_flows)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -1,7 +1,7 @@
 """Concurrency limits and the migrations that they cause."""
 
 import pytest
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import START, SimulatedHost, service
 
 from cypresswalk.decisions.flow_table import unassign
@@ -13,7 +13,7 @@
 def test_congestion_is_relieved_by_migrating_and_rejecting_at_once():
     host = SimulatedHost(2)
     settle(host)
-    fill(host, 40)
+    establish_flows(host, 40)
     for server in host.balancer.servers.values():
         host.balancer.on_message_delay(host.now, server, SECOND)
     host.carry_out_decisions()
@@ -28,12 +28,12 @@
     # Otherwise healthy servers would be limited one after another until all flows are rejected.
     host = SimulatedHost(2, gossip=True, instances=2)
     settle(host)
-    fill(host, 20)
+    establish_flows(host, 20)
     for _ in range(6):
         for server in host.balancer.servers.values():
             host.end(next(iter(server.established_flows)), Outcome.RESET)
         host.pass_time(8 * SECOND)
-        fill(host, 2)
+        establish_flows(host, 2)
     assert all(
         server.concurrency_limit == float("inf") for server in host.balancer.servers.values()
     )
@@ -50,7 +50,7 @@
     # Otherwise a few servers would stay near their limit while others are idle.
     host = SimulatedHost(3)
     settle(host)
-    fill(host, 60)
+    establish_flows(host, 60)
     server = host.balancer.servers[7]
     held_before = len(server.established_flows)
 
@@ -89,7 +89,7 @@
 def test_all_but_one_flow_leave_a_server_with_an_extreme_delay_at_once():
     host = SimulatedHost(3)
     settle(host)
-    fill(host, 30)
+    establish_flows(host, 30)
     slow = max(host.balancer.servers.values(), key=lambda server: len(server.established_flows))
     host.balancer.on_message_delay(host.now, slow, 20 * SECOND)
     host.carry_out_decisions()
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,6 +1,6 @@
 """Outlier ejection."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
 from cypresswalk.model import SECOND, Outcome
@@ -37,7 +37,7 @@
 def test_server_that_answers_errors_gets_no_new_flows_and_keeps_established_ones():
     host = SimulatedHost(3)
     settle(host)
-    fill(host, 12)
+    establish_flows(host, 12)
     broken, held_before = host.balancer.servers[7], len(host.balancer.servers[7].established_flows)
     for _ in range(60):
         flow = host.arrive()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,7 +1,7 @@
 """Slow start of servers that warm up."""
 
 import pytest
-from decision_helpers import fill, fill_warming_up, pass_health_checks, settle
+from decision_helpers import establish_flows, pass_health_checks, place_on_warming_server, settle
 from helpers import SimulatedHost
 from rule_assertions import assert_within_slow_start_budget
 
@@ -16,7 +16,7 @@
     for host in hosts:
         settle(host)
         for _ in range(120):  # one flow completes every half second: 2 per second at each, 6 in all
-            fill(host, 1)
+            establish_flows(host, 1)
             host.pass_time(SECOND // 2)
             host.end(next(iter(host.balancer.servers[7].established_flows)), Outcome.OK)
     now = hosts[0].now
@@ -48,11 +48,11 @@
         host = SimulatedHost(9, instances=40)
         settle(host)
         host.last_id = 1_000_000 * number
-        fill(host, 3)
+        establish_flows(host, 3)
         host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99, started_at=host.now)])
         host.answer_health_check(host.balancer.servers[99], True)
         for _ in range(4):  # all established clients return, over six seconds
-            fill(host, 1, returning=True, grouped=True)
+            establish_flows(host, 1, returning=True, grouped=True)
             host.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in host.attempts)
     assert 4 <= taken <= 14  # a share would be 16
@@ -134,7 +134,7 @@
     host = SimulatedHost(2)
     settle(host)
     for _ in range(40):
-        fill(host, 1)
+        establish_flows(host, 1)
         flow = next(iter(host.balancer.servers[7].established_flows), None)
         if flow:
             host.end(flow, Outcome.OK)
@@ -163,7 +163,7 @@
     """Return the warming server that would get one more flow instead of its rejection, or None."""
     service_type = host.balancer.settings.service_types[0]
     flow = Flow(9999, service_type, 5, host.now + SECOND)
-    return fill_warming_up(host.balancer, host.now, flow)
+    return place_on_warming_server(host.balancer, host.now, flow)
 
 
 @pytest.mark.parametrize("load", [0.0, 0.9])
@@ -171,10 +171,10 @@
     # Otherwise warming servers would be idle for ten seconds while all arriving clients are
     # rejected.
     host = SimulatedHost(servers=3)
-    fill(host, 60)
+    establish_flows(host, 60)
     for _ in range(30):
         host.pass_time(SECOND)
-        fill(host, 1)
+        establish_flows(host, 1)
     warming, *others = host.balancer.servers.values()
     for flow in list(warming.established_flows):
         host.end(flow, Outcome.CANCELLED)
@@ -194,7 +194,7 @@
     if load:
         # The gossip is out of date by now, so only the load decides.
         assert server_beyond_budget(host) is warming
-        warming.slow_start_fills.total = 0.0
+        warming.slow_start_excess.total = 0.0
         host.balancer.on_gossip(host.now, warming, load)
         assert server_beyond_budget(host) is None
     else:
@@ -222,7 +222,7 @@
     assert balancer.slow_start.warm_occupancy.read(host.now) < 1
     assert server_beyond_budget(host) is None
     warming.slow_start_spent.total = 0.0
-    fill(host, 1)
+    establish_flows(host, 1)
     warming.slow_start_spent.add(host.now, 99)
     held = []
     for _ in range(40):
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -9,7 +9,7 @@
 
 import pytest
 from binding_helpers import BindingHarness, agreed_entry
-from helpers import PARAMS, listed
+from helpers import PARAMS, endpoint_entry
 
 from cypresswalk.fleet import driver
 from cypresswalk.fleet.messages import ServerReport
@@ -24,8 +24,10 @@
 
 
 def test_more_restrictive_of_both_lists_applies_and_the_own_list_lifts_no_restriction(tmp_path):
-    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
-    harness.update_own_list(5, listed("s-1"), listed("s-2"), listed("s-3"), reset=True)
+    harness = BindingHarness(tmp_path, endpoint_entry("s-1"), endpoint_entry("s-2"))
+    harness.update_own_list(
+        5, endpoint_entry("s-1"), endpoint_entry("s-2"), endpoint_entry("s-3"), reset=True
+    )
     assert [generation for generation, *_ in harness.reported_lists] == [5]
     assert len(harness.reported_lists[0][2]) == 3
     agreed = (agreed_entry("s-1"), agreed_entry("s-2", "draining"), agreed_entry("s-4"))
@@ -34,9 +36,9 @@
     assert harness.state("s-1") is ServerState.READY
     assert harness.state("s-2") is ServerState.DRAINING
     assert harness.state("s-3") is ServerState.GONE
-    harness.update_own_list(6, listed("s-1", lifecycle="terminating"))
+    harness.update_own_list(6, endpoint_entry("s-1", lifecycle="terminating"))
     assert harness.state("s-1") is ServerState.DRAINING  # the own list's restrictions apply at once
-    harness.update_own_list(7, listed("s-2"), listed("s-3"))
+    harness.update_own_list(7, endpoint_entry("s-2"), endpoint_entry("s-3"))
     assert harness.state("s-2") is ServerState.DRAINING
     assert harness.state("s-3") is ServerState.GONE
     agreed = (agreed_entry("s-1"), agreed_entry("s-2", since=9), agreed_entry("s-3"))
@@ -47,7 +49,7 @@
 
 
 def test_settings_change_while_flows_are_open_and_unusable_ones_are_not_applied(tmp_path):
-    harness = BindingHarness(tmp_path, listed("s-1"))
+    harness = BindingHarness(tmp_path, endpoint_entry("s-1"))
     first = harness.open("a1", "book")
     params = shared_part(copy.deepcopy(PARAMS))
     params["serviceTypes"] = [
@@ -93,7 +95,7 @@
 
 
 def test_without_a_lease_new_flows_are_rejected_and_accepted_ones_answered_at_once(tmp_path):
-    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
+    harness = BindingHarness(tmp_path, endpoint_entry("s-1"), endpoint_entry("s-2"))
     attempted = harness.open("b1")
     assert len(harness.drivers.attempts) == 1
     harness.holds_lease = False
@@ -112,7 +114,7 @@
 
 
 def test_server_out_of_rotation_at_one_balancer_stays_out_whatever_the_fleet_agrees(tmp_path):
-    harness = BindingHarness(tmp_path, listed("s-1"), listed("s-2"))
+    harness = BindingHarness(tmp_path, endpoint_entry("s-1"), endpoint_entry("s-2"))
     call = harness.call("set-down-here", "s-1")
     assert call.answers.get_nowait() == b"OK\r\n"
     assert harness.fleet_calls[0].name == "note"
@@ -164,7 +166,7 @@
 
 
 def test_drained_balancer_stays_drained_over_a_restart_until_its_drain_is_ended(tmp_path):
-    harness = BindingHarness(tmp_path, listed("s-1"))
+    harness = BindingHarness(tmp_path, endpoint_entry("s-1"))
     harness.apply_view(7, drained_balancers=("n0", "n2"))
     assert harness.core.lifecycle.drained
     assert not harness.core.lifecycle.ready
@@ -174,7 +176,7 @@
     harness.apply_view(8, drained_balancers=("n0",))  # a version older than the call
     assert not harness.core.lifecycle.drained
     assert harness.core.lifecycle.ready
-    other = BindingHarness(tmp_path, listed("s-1"))
+    other = BindingHarness(tmp_path, endpoint_entry("s-1"))
     other.apply_view(7, drained_balancers=("n2",))
     assert not other.core.lifecycle.drained
 
@@ -182,7 +184,7 @@
 def test_after_a_lost_balancer_slow_start_budgets_count_as_spent_for_their_window(tmp_path):
     def admitted(copies: dict | None) -> list[int]:
         """Return how many flows the warming server is assigned in its first and second window."""
-        harness = BindingHarness(tmp_path, listed("s-1"), copies=copies)
+        harness = BindingHarness(tmp_path, endpoint_entry("s-1"), copies=copies)
         server = harness.server("s-1")
         server.started_at = harness.now
         first = [harness.open(f"r{i}").flow for i in range(10)]
@@ -199,7 +201,10 @@
 
 def test_server_report_names_servers_that_fail_health_checks(tmp_path):
     harness = BindingHarness(
-        tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
+        tmp_path,
+        endpoint_entry("s-1"),
+        endpoint_entry("s-2"),
+        endpoint_entry("s-3", lifecycle="terminating"),
     )
     server = harness.server("s-1")
     assert harness.server_report() == ServerReport([], {}, {})
@@ -215,7 +220,10 @@
 
 def test_server_report_counts_the_outcomes_of_attempts(tmp_path):
     harness = BindingHarness(
-        tmp_path, listed("s-1"), listed("s-2"), listed("s-3", lifecycle="terminating")
+        tmp_path,
+        endpoint_entry("s-1"),
+        endpoint_entry("s-2"),
+        endpoint_entry("s-3", lifecycle="terminating"),
     )
     server = harness.server("s-1")
     harness.apply_view(1, report_servers=True)
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -4,7 +4,7 @@
 
 import pytest
 from binding_helpers import BindingHarness
-from helpers import listed
+from helpers import endpoint_entry
 
 from cypresswalk.copies.events import ReservationEnded, ReservationRequested
 from cypresswalk.copies.reservations import ReservationAnswer
@@ -20,7 +20,7 @@
 
     def __init__(self, folder: Path):
         """Start with one listed server."""
-        super().__init__(folder, listed("s-1"), copies={})
+        super().__init__(folder, endpoint_entry("s-1"), copies={})
         self.events: list[ReservationRequested | ReservationEnded] = []
         self.binding.fleet.replication.put = self.events.append
 
--- a/tests/handover_helpers.py
+++ b/tests/handover_helpers.py
@@ -106,7 +106,7 @@
         """Return whether messages wait in either direction."""
         return bool(self.channel.sent or self.channel.reverse.sent)
 
-    def state_is_on_its_way(self) -> bool:
+    def is_receiving_state(self) -> bool:
         """Return whether this process, a successor, has not yet read all of a state sent to it."""
         messages = (json.loads(text) for text in self.channel.reverse.sent)
         return self.handover.received is not None or any("state" in m for m in messages)
@@ -125,7 +125,7 @@
         return {server.id for server in servers if server.out_of_rotation}
 
 
-def upgraded(**changes: Any) -> tuple[HandoverProcess, HandoverProcess]:
+def start_upgraded_pair(**changes: Any) -> tuple[HandoverProcess, HandoverProcess]:
     """Return a process and its successor, which has read the whole state."""
     predecessor = HandoverProcess(**changes)
     successor = HandoverProcess(predecessor, **changes)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -61,7 +61,7 @@
         health_checks=True,
         can_migrate=True,
         list_polled=False,
-        poll_within=10 * SECOND,
+        max_list_retry_interval=10 * SECOND,
         warm_up_time=20 * SECOND,
         warm_up_initial_fraction=0.2,
         slow_start_window=2 * SECOND,
@@ -271,7 +271,7 @@
 """Settings of a configuration; service type `view` is idempotent, `book` is not."""
 
 
-def listed(
+def endpoint_entry(
     name: str, address: str = "127.0.0.1:9", lifecycle: str = "in_service", **changes: Any
 ) -> dict[str, Any]:
     """Return a server's entry of the endpoint list, in discovery's JSON format."""
@@ -306,7 +306,7 @@
     }
 
 
-def played(*args: Any, **options: Any):
+def play_with_retries(*args: Any, **options: Any):
     """Play a lab scenario; repeat it, up to three runs, if the machine was too slow."""
     from cypresswalk.lab.play import play_scenario  # some test environments lack the lab's packages
 
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import played
+from helpers import play_with_retries
 from mutant_balancer import Mutation
 
 from cypresswalk import toml
@@ -411,7 +411,7 @@
     """Play the experiment with a mutant in the balancer's place."""
     command = [sys.executable, str(Path(__file__).parent / "mutant_balancer.py"), mutation]
     variant = EXPERIMENT.variants[0]
-    result = played(EXPERIMENT, variant, 1, folder / mutation, command=command)
+    result = play_with_retries(EXPERIMENT, variant, 1, folder / mutation, command=command)
     result.events = []  # they need not come back from the process
     return result
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -10,7 +10,7 @@
 
 import psutil
 import pytest
-from helpers import played
+from helpers import play_with_retries
 from lab_helpers import run_lab, small_experiment
 from paths import ROOT
 from scenario_assertions import assert_all_rules_held
@@ -69,7 +69,7 @@
 
 def play(experiment: Experiment, seed: int, folder: Path) -> ScenarioResult:
     """Play the experiment's first variant, again if the machine itself was late."""
-    return played(experiment, experiment.variants[0], seed, folder)
+    return play_with_retries(experiment, experiment.variants[0], seed, folder)
 
 
 def count_of(result: ScenarioResult, kind: str) -> int:
--- a/tests/net/parsers/test_endpoint_list.py
+++ b/tests/net/parsers/test_endpoint_list.py
@@ -1,7 +1,7 @@
 """The endpoint list of discovery."""
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 
 from cypresswalk.model import SECOND, ServerState
 from cypresswalk.net.errors import ProtocolError
@@ -12,17 +12,17 @@
     malformed = [
         7,
         {},
-        listed("x", "nowhere"),
-        listed("x", "a.name:9"),
-        listed("x", lifecycle="asleep"),
-        listed("x", weight="much"),
-        listed("x", startedAtMs=float("nan")),
-        listed("x", zone=["a"]),
+        endpoint_entry("x", "nowhere"),
+        endpoint_entry("x", "a.name:9"),
+        endpoint_entry("x", lifecycle="asleep"),
+        endpoint_entry("x", weight="much"),
+        endpoint_entry("x", startedAtMs=float("nan")),
+        endpoint_entry("x", zone=["a"]),
     ]
     decoder = EndpointListDecoder({"a": 0, "b": 1})
     well_formed = [
-        listed("s-1", zone="b", startedAtMs=5000, lifecycle="terminating"),
-        listed("s-2", zone="elsewhere", cell="c7"),
+        endpoint_entry("s-1", zone="b", startedAtMs=5000, lifecycle="terminating"),
+        endpoint_entry("s-2", zone="elsewhere", cell="c7"),
     ]
     _, entries = decoder.decode(
         {"generation": 9, "reset": False, "instances": malformed + well_formed}
--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -2,7 +2,7 @@
 
 import pytest
 from core_helpers import UP, CoreHarness
-from helpers import listed
+from helpers import endpoint_entry
 
 from cypresswalk.model import SECOND, Outcome, ServerState
 
@@ -160,7 +160,7 @@
 
     def state_after(lifecycle: str, older: bool, **entry: object) -> ServerState:
         harness.update_endpoints(
-            listed("s-0", lifecycle=lifecycle, **entry), older=older, generation=9
+            endpoint_entry("s-0", lifecycle=lifecycle, **entry), older=older, generation=9
         )
         return harness.server("s-0").state
 
@@ -183,7 +183,7 @@
     harness = CoreHarness(servers=2)
 
     def state_after(lifecycle: str, older: bool) -> ServerState:
-        harness.update_endpoints(listed("s-0", lifecycle=lifecycle), older=older)
+        harness.update_endpoints(endpoint_entry("s-0", lifecycle=lifecycle), older=older)
         return harness.server("s-0").state
 
     state_after("terminating", False)
@@ -205,7 +205,7 @@
     if order == "drain first":
         harness.drivers.dialing.add(attempt)
     name = harness.decoder.names[attempt.server.id]
-    harness.update_endpoints(listed(name, lifecycle="terminating"))
+    harness.update_endpoints(endpoint_entry(name, lifecycle="terminating"))
     server_now = harness.drivers.pending[session].server
     if order == "drain first":
         assert server_now is not attempt.server
--- a/tests/net/test_core_rules.py
+++ b/tests/net/test_core_rules.py
@@ -1,7 +1,7 @@
 """Property tests of the core: its rules hold after each of many random events in any order."""
 
 from core_helpers import SEEDED, CoreHarness
-from helpers import listed
+from helpers import endpoint_entry
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
@@ -91,7 +91,7 @@
     )
     def update_endpoints(self, reset, states):
         """Change the endpoint list."""
-        entries = [listed(f"s-{i}", lifecycle=state) for i, state in enumerate(states)]
+        entries = [endpoint_entry(f"s-{i}", lifecycle=state) for i, state in enumerate(states)]
         self.harness.update_endpoints(*entries, reset=reset)
 
     @rule(tenths=st.integers(0, 12))
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 from core_helpers import DRIVER_LIMITS
-from helpers import config_data, listed
+from helpers import config_data, endpoint_entry
 from program_helpers import (
     END,
     LOOPBACK,
@@ -35,7 +35,7 @@
 
 HEARTBEAT_INTERVAL = 2 * SECOND  # of discovery
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-CUT_UPDATE = http_chunk(endpoint_update(listed("s-0"))[:-9])
+CUT_UPDATE = http_chunk(endpoint_update(endpoint_entry("s-0"))[:-9])
 HEARTBEAT = http_chunk(b"\n")
 
 
@@ -173,7 +173,7 @@
     def __init__(self, address: str, polled: bool = False):
         """The watch of discovery at an address; its core knows s-0 as in service."""
         self.inbox = Inbox(Clock())
-        data = config_data([listed("s-0")])
+        data = config_data([endpoint_entry("s-0")])
         config = build({}, data)
         self.core = Core(config, None, Counters(), self.inbox.clock())
         self.decoder = EndpointListDecoder(config.zones)
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("polled", [False, True])
 def test_drain_is_known_within_six_seconds_from_any_instant_of_any_failed_call(polled):
     """All kinds of failure at once, each from the instant in which a call has met it."""
-    drain = endpoint_update(listed("s-0", lifecycle="terminating"))
+    drain = endpoint_update(endpoint_entry("s-0", lifecycle="terminating"))
     discoveries = [failure(drain) for failure in FAILURES]
     harnesses = [WatchHarness(discovery.address, polled) for discovery in discoveries]
     for harness in harnesses:
@@ -276,7 +276,7 @@
 def test_drain_read_before_the_end_of_a_watch_counts_though_it_is_handled_after(order):
     # The drain had been read; that SIGHUP was handled before it must not drop it.
     harness = WatchHarness("127.0.0.1:9")
-    drain_and_new_server = [listed("s-0", lifecycle="terminating"), listed("s-7")]
+    drain_and_new_server = [endpoint_entry("s-0", lifecycle="terminating"), endpoint_entry("s-7")]
     assert harness.state() is ServerState.READY
     if order == "told first":
         harness.on_update(*drain_and_new_server)
@@ -287,5 +287,5 @@
         # A new server is the new address's to tell.
         assert server_number("s-7") not in harness.core.balancer.servers
     # Nor does an old address bring back what drains.
-    harness.on_update(listed("s-0"))
+    harness.on_update(endpoint_entry("s-0"))
     assert harness.state() is ServerState.DRAINING
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -4,8 +4,8 @@
 
 import pytest
 from core_helpers import CoreHarness, reply_of
-from handover_helpers import HandoverProcess, MessageChannel, upgraded
-from helpers import listed
+from handover_helpers import HandoverProcess, MessageChannel, start_upgraded_pair
+from helpers import endpoint_entry
 
 from cypresswalk.model import SECOND, ServerState
 from cypresswalk.net.lifecycle import Phase
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("caller", ["predecessor", "successor"])
 @pytest.mark.parametrize("stopped", [False, True])
 def test_call_while_both_run_holds_for_both_before_its_ok(caller, stopped):
-    predecessor, successor = upgraded()
+    predecessor, successor = start_upgraded_pair()
     called = predecessor if caller == "predecessor" else successor
     if stopped:
         predecessor.stop()
@@ -85,7 +85,7 @@
     successor.exchange_all()
     assert reply_of(unknown) == "ERR"
     # One that a single list names so far is known to both, and out of rotation at both.
-    predecessor.update_endpoints(listed("s-7"))
+    predecessor.update_endpoints(endpoint_entry("s-7"))
     known = called.call("set-down", "s-7")
     successor.exchange_all()
     assert reply_of(known) == "OK"
@@ -97,11 +97,11 @@
     """The predecessor sends its state to a new successor, and again as it hands over."""
     new_predecessor = HandoverProcess()
     new_successor = HandoverProcess(new_predecessor)
-    stopped_predecessor, taking_over = upgraded()
+    stopped_predecessor, taking_over = start_upgraded_pair()
     stopped_predecessor.stop()
     lost = []
     for successor, state in ((new_successor, "first state"), (taking_over, "state at the stop")):
-        assert successor.state_is_on_its_way()
+        assert successor.is_receiving_state()
         call = successor.call("set-down", "s-0")
         successor.exchange_all()
         assert reply_of(call) == "OK"
@@ -116,7 +116,7 @@
 
 
 def test_unconfirmed_call_gets_an_error_and_one_whose_peer_ends_an_ok():
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     unconfirmed = predecessor.call("set-down", "s-1")
     predecessor.pass_time(SECOND)
     assert reply_of(unconfirmed) == "ERR"
@@ -132,7 +132,7 @@
     # the predecessor's state, older than the call, put the server back into rotation.
     predecessor = HandoverProcess()
     successor = HandoverProcess(predecessor)
-    assert successor.state_is_on_its_way()
+    assert successor.is_receiving_state()
     command = (name, "s-0") if name == "set-down" else (name,)
     call = successor.call(*command)
     successor.pass_time(SECOND)
@@ -148,7 +148,7 @@
 
 def upgraded_at_the_second_try() -> tuple[HandoverProcess, HandoverProcess]:
     """A process and its successor; an earlier successor ended before it accepted clients."""
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     predecessor.lose_peer()
     successor = HandoverProcess(predecessor)
     successor.exchange_all()
@@ -165,7 +165,7 @@
 
 
 def test_predecessor_serves_on_if_its_successor_ends_before_it_accepts():
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     predecessor.lose_peer()
     assert predecessor.accepting
     assert predecessor.core.lifecycle.ready
@@ -252,8 +252,8 @@
 def test_later_of_the_two_lists_counts(successors_version, expected):
     predecessor = HandoverProcess()
     predecessor.update_endpoints(
-        listed("s-0", lifecycle="terminated"),
-        listed("s-1", lifecycle="terminating"),
+        endpoint_entry("s-0", lifecycle="terminated"),
+        endpoint_entry("s-1", lifecycle="terminating"),
         generation=5,
     )
     predecessor.process_drivers.list_version = 5
--- a/tests/net/test_operator_commands.py
+++ b/tests/net/test_operator_commands.py
@@ -3,7 +3,7 @@
 import json
 
 from core_helpers import CoreHarness
-from helpers import listed
+from helpers import endpoint_entry
 
 from cypresswalk.model import SECOND, Outcome
 from cypresswalk.net.lifecycle import Phase
@@ -37,7 +37,7 @@
     for state_of_server in ("in_service", "terminated", "in_service"):
         states = ["in_service", state_of_server, "in_service"]
         entries = [
-            listed(f"s-{i}", lifecycle=state, startedAtMs=7 * (state != "terminated"))
+            endpoint_entry(f"s-{i}", lifecycle=state, startedAtMs=7 * (state != "terminated"))
             for i, state in enumerate(states)
         ]
         harness.update_endpoints(*entries, reset=True)
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -13,7 +13,7 @@
 
 import pytest
 from core_helpers import DRIVER_LIMITS
-from helpers import START, config_data, listed
+from helpers import START, config_data, endpoint_entry
 from program_helpers import LOOPBACK, reset_on_close, wait_until
 
 from cypresswalk.model import SECOND, Outcome, Server
@@ -52,7 +52,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch):
         """Create an attempt for a client without starting it."""
         self.inbox = Inbox(Clock())
-        config = build({}, config_data([listed("s-0")]))
+        config = build({}, config_data([endpoint_entry("s-0")]))
         self.core = Core(config, None, Counters(), self.inbox.clock())
         accepted, self.client_socket = connected_pair()
         self.client = ClientConnection(accepted, self.core, self.inbox, DRIVER_LIMITS, {})
@@ -131,7 +131,7 @@
     harness.connection.limits = replace(DRIVER_LIMITS, dial_timeout=50 * MILLISECOND)
     assert harness.connection.slots.acquire(blocking=False)
     harness.start()
-    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
+    assert harness.reported() == [("on_attempt_ended", Outcome.NOT_SENT)]
     assert not harness.dialed.is_set()
 
 
@@ -194,7 +194,7 @@
     wait_until(lambda: harness.inbox.clock() > harness.attempt.send_deadline)
     harness.may_continue.set()
     assert harness.received_by_server() == b""
-    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
+    assert harness.reported() == [("on_attempt_ended", Outcome.NOT_SENT)]
     assert not harness.connection.cancel_unsent()
 
 
@@ -261,4 +261,4 @@
 
     monkeypatch.setattr(servers_module, "dial", dial_without_descriptors)
     harness.start()
-    assert harness.reported() == [("on_attempt_ended", Outcome.MOOT)]
+    assert harness.reported() == [("on_attempt_ended", Outcome.NOT_SENT)]
--- a/tests/program_helpers.py
+++ b/tests/program_helpers.py
@@ -15,7 +15,7 @@
 from threading import Thread
 from typing import Any, Self, TypeVar
 
-from helpers import config_data, listed
+from helpers import config_data, endpoint_entry
 from paths import ROOT
 
 T = TypeVar("T")
@@ -326,7 +326,7 @@
         self.port = free_port()
         self.discovery = discovery_server or DiscoveryServer()
         self.data = config_data(
-            [listed(f"s-{i}", server.address) for i, server in enumerate(servers)],
+            [endpoint_entry(f"s-{i}", server.address) for i, server in enumerate(servers)],
             f"{LOOPBACK}:{self.port}",
             self.discovery.address,
             **changes,
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -4,7 +4,7 @@
 import signal
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 from program_helpers import DiscoveryServer, ServerDouble, endpoint_update, wait_until
 
 
@@ -12,7 +12,7 @@
 def test_file_that_is_half_written_at_sighup_is_read_again(start_program, completed_by):
     drained, other = ServerDouble(), ServerDouble()
     program = start_program(drained, other)
-    drain = endpoint_update(listed("s-0", drained.address, "terminating"), generation=41)
+    drain = endpoint_update(endpoint_entry("s-0", drained.address, "terminating"), generation=41)
     new_discovery = DiscoveryServer(drain)
     complete = json.dumps(program.data | {"discovery": new_discovery.address})
     program.reload(complete[: len(complete) // 2])
--- a/tests/service/test_saturation.py
+++ b/tests/service/test_saturation.py
@@ -8,7 +8,7 @@
 from threading import Event
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 from program_helpers import (
     END,
     RESET,
@@ -43,7 +43,7 @@
 def test_endpoint_list_is_fetched_although_clients_hold_every_slot(start_program):
     """The watch breaks when established flows and silent clients hold all descriptors."""
     draining, other = ServerDouble(), ServerDouble()
-    drain = endpoint_update(listed("s-0", draining.address, "terminating"), generation=9)
+    drain = endpoint_update(endpoint_entry("s-0", draining.address, "terminating"), generation=9)
     discovery = LosingDiscovery(drain)
     program = start_program(
         draining,
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import listed
+from helpers import endpoint_entry
 from program_helpers import (
     END,
     PROGRAM,
@@ -106,7 +106,10 @@
 def test_watch_is_read_and_reopened_from_the_last_version(start_program):
     drained, other = ServerDouble(), ServerDouble()
     drain = endpoint_update(
-        7, listed("s-0", drained.address, "terminating"), listed("s-9", "nowhere"), generation=41
+        7,
+        endpoint_entry("s-0", drained.address, "terminating"),
+        endpoint_entry("s-9", "nowhere"),
+        generation=41,
     )
     program = start_program(drained, other, discovery_server=DiscoveryServer(drain, None))
     assert program.logged("event=list_failed")
@@ -133,9 +136,9 @@
 ):
     # The signal must not end the program, and the old address's updates must be ignored afterwards.
     drained, other = ServerDouble(), ServerDouble()
-    first = DiscoveryServer(endpoint_update(listed("s-0", drained.address), generation=900))
+    first = DiscoveryServer(endpoint_update(endpoint_entry("s-0", drained.address), generation=900))
     second = DiscoveryServer(
-        endpoint_update(listed("s-0", drained.address, "terminating"), generation=3)
+        endpoint_update(endpoint_entry("s-0", drained.address, "terminating"), generation=3)
     )
     program = start_program(drained, other, discovery_server=first, **settings)
     established = program.open("q0")
@@ -153,7 +156,7 @@
     assert second.paths[0].endswith("since=0")
     assert len(first.paths) == len(second.paths) == 1
     first.updates.append(
-        endpoint_update(listed("s-1", other.address, "terminated"), generation=901)
+        endpoint_update(endpoint_entry("s-1", other.address, "terminated"), generation=901)
     )
     established.send_line("M 1")
     assert established.read_line() == "M 1"
--- a/tests/service/test_state_restart.py
+++ b/tests/service/test_state_restart.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import config_data, listed
+from helpers import config_data, endpoint_entry
 from program_helpers import (
     PROGRAM,
     ROOT,
@@ -53,7 +53,7 @@
 def test_drain_from_the_list_still_holds_after_a_kill_and_restart(start_incarnation, state_folder):
     """Rule three over a restart: in the new process's configured list the server is still ready."""
     stays, drains = ServerDouble(), ServerDouble()
-    drain = endpoint_update(listed("s-1", drains.address, "terminating"))
+    drain = endpoint_update(endpoint_entry("s-1", drains.address, "terminating"))
     first = start_incarnation("one", stays, drains, discovery_server=DiscoveryServer(drain))
 
     def drain_is_persisted() -> bool:
--- a/tests/service/test_stop.py
+++ b/tests/service/test_stop.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from helpers import config_data, listed
+from helpers import config_data, endpoint_entry
 from program_helpers import (
     END,
     LOOPBACK,
@@ -44,7 +44,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         sys.stdin.read(1)
 
-sys.exit(program.main(made=SignalledProgram))
+sys.exit(program.main(program_class=SignalledProgram))
 """
 
 
@@ -55,7 +55,7 @@
         """Start the program; `changes` as for `config_data`."""
         self.address = (LOOPBACK, free_port())
         data = config_data(
-            [listed(f"s-{i}", server.address) for i, server in enumerate(servers)],
+            [endpoint_entry(f"s-{i}", server.address) for i, server in enumerate(servers)],
             f"{LOOPBACK}:{self.address[1]}",
             DiscoveryServer().address,
             **changes,
@@ -219,7 +219,7 @@
     server = ServerDouble()
     port = free_port()
     data = config_data(
-        [listed("s-0", server.address)], f"{LOOPBACK}:{port}", DiscoveryServer().address
+        [endpoint_entry("s-0", server.address)], f"{LOOPBACK}:{port}", DiscoveryServer().address
     )
     file = tmp_path / "config.json"
     file.write_text(json.dumps(data))
