--- a/cypresswalk/lab/cluster/checkers/__init__.py
+++ b/cypresswalk/lab/cluster/checkers/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers of a cluster's run: each reads what was recorded, and returns a line for each violation.
+"""Checkers of a cluster's run: each reads the recorded events and returns a line per violation.
 
-They import nothing of the test bed. All times are nanoseconds of one machine's monotonic clock.
+They do not depend on the testbed. All times are nanoseconds of one machine's monotonic clock.
 """
--- a/cypresswalk/lab/cluster/checkers/answers.py
+++ b/cypresswalk/lab/cluster/checkers/answers.py
@@ -1,4 +1,4 @@
-"""Whether each client got one answer in time."""
+"""Checker that each client got one answer in time."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -8,22 +8,22 @@
 
 NO_ANSWERS = ("end", "reset", "none")
 
-# By balancer: from when until when the test bed itself killed, froze or stopped it.
+# Begin and end of each span in which the testbed itself killed, froze or stopped a balancer.
 Disruptions: TypeAlias = Mapping[str, Sequence[tuple[int, int]]]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientFlow:
-    """A flow as its client saw it.
+    """A flow as observed by its client.
 
     Attributes:
-        id: of the flow.
-        effect: in the words of the experiment file, such as "once-only".
+        id: id of the flow.
+        effect: effect of a repeated request, as in the experiment file, such as "once-only".
         sent_at: when the client began to connect.
-        deadline: until when it waits.
+        deadline: when the client stops waiting.
         answer: the first word of the answer, or "refused", or one of NO_ANSWERS.
-        answered_at: when the answer, or its lack, was seen.
-        balancer: where the client connected.
+        answered_at: when the client got the answer, or noticed that there is none.
+        balancer: balancer that the client connected to.
     """
 
     id: str
@@ -38,7 +38,7 @@
 def missing_or_late_answers(
     flows: Iterable[ClientFlow], disruptions: Disruptions, slack: int
 ) -> list[str]:
-    """Hold flows against rule 1 as clients see it, but for those that a disruption excuses."""
+    """Check rule 1 from the clients' side, except for flows that a disruption excuses."""
     violations = []
     for flow in flows:
         if is_excused(flow, disruptions, slack):
@@ -53,7 +53,7 @@
 
 
 def is_excused(flow: ClientFlow, disruptions: Disruptions, slack: int) -> bool:
-    """Return whether its balancer was disrupted while it held the flow."""
+    """Return whether the flow's balancer was disrupted while it served the flow."""
     last = max(flow.deadline, flow.answered_at)
     return any(
         begin - slack <= last and flow.sent_at <= end + slack
--- a/cypresswalk/lab/cluster/checkers/contradiction.py
+++ b/cypresswalk/lab/cluster/checkers/contradiction.py
@@ -1,4 +1,4 @@
-"""For how long balancers acted on a version that contradicts an agreed one."""
+"""Checker of how long balancers acted on a version that contradicts an agreed one."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A server that was taken out of rotation for the whole fleet.
+    """The removal of a server from rotation in the whole fleet.
 
     Attributes:
-        server: its name.
+        server: name of the server.
         requested_at: when the call was made.
-        agreed_at: when its caller read that it was agreed.
-        settled_at: when it was said that no balancer sends there any more.
-        returned_at: when the server's return was asked for.
+        agreed_at: when the caller got the answer that it was agreed.
+        settled_at: when the fleet confirmed that no balancer sends to the server any more.
+        returned_at: when the server's return to rotation was requested.
     """
 
     server: str
@@ -28,7 +28,7 @@
 
 
 class Attempt(NamedTuple):
-    """A new connection at a server, and the balancer that made it."""
+    """A new connection to a server, and the balancer that opened it."""
 
     at: int
     server: str
@@ -36,7 +36,7 @@
 
 
 class ContradictionReport(NamedTuple):
-    """The longest time from an agreed removal to an attempt, nanoseconds; what came too late."""
+    """The longest time from an agreed removal to an attempt, nanoseconds, and the violations."""
 
     longest: int
     violations: list[str]
@@ -48,13 +48,13 @@
     max_contradiction: int,
     slack: int,
 ) -> ContradictionReport:
-    """Find attempts at servers that the fleet had agreed are out of rotation.
+    """Find attempts at servers after the fleet had agreed to take them out of rotation.
 
     Args:
-        removals: with the span that each lasted.
-        attempts: at all servers.
-        max_contradiction: nanoseconds after the agreement within which some are allowed.
-        slack: nanoseconds granted beyond each limit.
+        removals: all removals of servers.
+        attempts: connections to all servers.
+        max_contradiction: time after the agreement in which attempts are allowed, nanoseconds.
+        slack: tolerance added to each limit, nanoseconds.
     """
     longest = 0
     violations = []
@@ -66,19 +66,19 @@
             longest = max(longest, delay)
             sent = f"{balancer} sent to {server}"
             if delay > max_contradiction + slack:
-                violations.append(
-                    f"{sent} {delay / SECOND:.3f} s after all had agreed that it is out"
-                )
+                violations.append(f"{sent} {delay / SECOND:.3f} s after its removal was agreed")
             if at > removal.settled_at + slack:
                 late = (at - removal.settled_at) / SECOND
-                violations.append(f"{sent} {late:.3f} s after the yes for all balancers")
+                violations.append(
+                    f"{sent} {late:.3f} s after its removal was confirmed for all balancers"
+                )
     return ContradictionReport(longest, violations)
 
 
 def lost_removals(removals: Iterable[Removal], out_of_rotation: set[str]) -> list[str]:
-    """Find agreed removals that the fleet no longer knows of, though nobody ended them."""
+    """Find agreed removals that the fleet has lost although no return was requested."""
     return [
-        f"{removal.server} was taken out with a yes and is not out at the end"
+        f"{removal.server} was taken out with a confirmation but is not out at the end"
         for removal in removals
         if removal.returned_at == NEVER and removal.server not in out_of_rotation
     ]
--- a/cypresswalk/lab/cluster/checkers/four_rules.py
+++ b/cypresswalk/lab/cluster/checkers/four_rules.py
@@ -1,4 +1,4 @@
-"""The four rules of the lab, held over all balancers of a cluster together."""
+"""Checker of the lab's four rules over all balancers of a cluster together."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -9,11 +9,11 @@
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.rules import Rules
 
-ONCE_ONLY = "once-only"  # an effect, in the words of the experiment file
+ONCE_ONLY = "once-only"  # an effect, as in the experiment file
 
 
 class Execution(NamedTuple):
-    """A flow that ran at a server."""
+    """The execution of a flow by a server."""
 
     flow: str
     effect: str
@@ -27,16 +27,16 @@
     disruptions: Disruptions,
     slack: int,
 ) -> list[str]:
-    """Apply the lab's own checker.
+    """Apply the checker of single balancers to the events of all balancers.
 
-    Rules 1 and 2 hold flow by flow, 3 by what each balancer's own list told it, 4 over the sum of
-    all. A flow that a balancer held while the test bed froze or killed it counts as one whose
-    client left.
+    Rules 1 and 2 are checked for each flow, rule 3 by each balancer's own endpoint list, rule 4
+    over the sum of all. A flow whose balancer the testbed froze or killed meanwhile counts as one
+    whose client left.
     """
     lost = [flow for flow in flows if is_excused(flow, disruptions, slack)]
     lost_ids = {flow.id for flow in lost}
     events = [
-        _as_left(observation)
+        _as_client_left(observation)
         if observation.kind == "answer" and observation.flow in lost_ids
         else observation
         for observation in observations
@@ -45,14 +45,14 @@
     return [str(violation) for violation in check(events, rules)]
 
 
-def _as_left(answer: Observation) -> Observation:
+def _as_client_left(answer: Observation) -> Observation:
     return Observation(answer.at, "left", answer.flow, answer.subject, answer.fields)
 
 
 def repeated_executions(
     executions: Iterable[Execution | tuple[str, str, str]],
 ) -> list[str]:
-    """Hold what servers ran against rule 2: a once-only flow runs at one server once."""
+    """Check rule 2 from the servers' side: a once-only flow runs once, at one server."""
     servers_by_flow: dict[str, list[str]] = defaultdict(list)
     for flow, effect, server in executions:
         if effect == ONCE_ONLY:
--- a/cypresswalk/lab/cluster/checkers/linearizability.py
+++ b/cypresswalk/lab/cluster/checkers/linearizability.py
@@ -1,4 +1,4 @@
-"""Whether the calls on the agreed settings are linearizable."""
+"""Checker that the calls on the agreed settings are linearizable."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -9,22 +9,22 @@
 
 
 class CallOutcome(StrEnum):
-    """What the caller learned."""
+    """The outcome of a call as its caller knows it."""
 
     YES = "yes"
     NO = "no"
-    UNSURE = "unsure"  # it may have come into force, or may yet
+    UNSURE = "unsure"  # it may have taken effect, or may do so later
 
 
 class CallKind(StrEnum):
-    """A write or a read of the settings."""
+    """The kind of a call: a write or a read of the settings."""
 
     OFFER = "offer"
     SHOW = "show"
 
 
 class SettingsState(NamedTuple):
-    """A version of the settings and the value that stands in it."""
+    """A version of the settings and its value."""
 
     version: int
     value: int
@@ -35,13 +35,13 @@
     """One call on the settings.
 
     Attributes:
-        kind: a CallKind.
-        called_at: when it was made.
-        returned_at: when its answer was read.
-        outcome: a CallOutcome.
-        base_version: of an offer: the version that it replaces.
-        value: offered or shown.
-        version: made or shown; 0 where the answer did not say.
+        kind: the CallKind.
+        called_at: when the call was made.
+        returned_at: when the answer arrived.
+        outcome: the CallOutcome.
+        base_version: for an offer, the version that it replaces.
+        value: value offered or shown.
+        version: version created or shown; 0 if the answer did not contain it.
     """
 
     kind: str
@@ -56,14 +56,14 @@
 def linearizability_violation(
     calls: Iterable[SettingsCall], initial: tuple[int, int] | SettingsState
 ) -> str:
-    """Return why no order of the calls explains their answers, or nothing if one does.
+    """Return why the calls are not linearizable, or an empty string if they are.
 
-    The settings are a register with compare-and-set. An order is sought in which each call takes
-    effect at a moment between its call and its return and each answer is right: the algorithm of
-    Wing and Gong (JPDC 1993) with the memory of Lowe (2017), which visits a set of completed calls
-    with the state that they led to once.
+    The settings are a register with compare-and-set. The search looks for an order in which each
+    call takes effect between its call and its return and each answer is right. It is the algorithm
+    of Wing and Gong (JPDC 1993) with the memoization of Lowe (2017), which visits each pair of a
+    set of completed calls and a resulting state once.
     """
-    # A rejected offer binds nothing here: it may have met a pending one.
+    # A rejected offer gives no constraint: a pending offer may have caused the rejection.
     relevant = sorted(
         (call for call in calls if call.outcome != CallOutcome.NO),
         key=lambda call: call.called_at,
@@ -97,18 +97,18 @@
                 return ""
             most_placed = max(most_placed, (done & self.required).bit_count())
             for index in self._next_calls(done):
-                for following in self._states_after(self.calls[index], state):
-                    stack.append((done | 1 << index, following))
+                for next_state in self._states_after(self.calls[index], state):
+                    stack.append((done | 1 << index, next_state))
         return (
             f"no order of {len(self.calls)} calls explains the answers; "
             f"{most_placed} of {self.required.bit_count()} could be placed"
         )
 
     def _next_calls(self, done: int) -> Iterator[int]:
-        """Yield the calls that were made before any other one that is left had returned."""
-        left = [index for index in range(len(self.calls)) if not done >> index & 1]
-        first_end = min((self.ends[index] for index in left), default=NEVER)
-        for index in left:
+        """Yield the remaining calls that were made before any remaining call returned."""
+        remaining = [index for index in range(len(self.calls)) if not done >> index & 1]
+        first_end = min((self.ends[index] for index in remaining), default=NEVER)
+        for index in remaining:
             if self.calls[index].called_at > first_end:
                 return
             yield index
@@ -125,6 +125,6 @@
                     yield SettingsState(version, call.value)
 
     def _possible_versions(self, after: int) -> list[int]:
-        """Return the versions that an unsure offer may have made: the next known one decides."""
+        """Return the versions that an unsure offer may have created: later known ones, the next."""
         known = {call.version for call in self.calls} | {call.base_version for call in self.calls}
         return sorted({version for version in known if version > after} | {after + 1})
--- a/cypresswalk/lab/cluster/checkers/unavailability.py
+++ b/cypresswalk/lab/cluster/checkers/unavailability.py
@@ -1,4 +1,4 @@
-"""Whether more members were out at once than the bound allows."""
+"""Checker that no more members were out at once than the bound allows."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -6,19 +6,20 @@
 
 from cypresswalk.lab.units import SECOND
 
-# After so long whoever leads must know of a lost member: last report, an election, a read's age.
+# Time after which any leader must know of a lost member: age of its last report, an election and a
+# read's age.
 DETECTION_TIME = 8 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A span in which a balancer or server was out.
+    """A span in which a balancer or server was out or lost.
 
     Attributes:
-        name: of the member.
-        begin: nanoseconds.
-        end: nanoseconds.
-        cause: "changed" or "drained" by the program's own doing, or "lost".
+        name: name of the member.
+        begin: when it began, nanoseconds.
+        end: when it ended, nanoseconds.
+        cause: "changed" or "drained" if planned, or "lost".
     """
 
     name: str
@@ -28,7 +29,7 @@
 
 
 class Departure(NamedTuple):
-    """A member that was told to go out: when, who, and whether by a "release" or a "drain"."""
+    """A request to take a member out: time, member, and cause ("release" or "drain")."""
 
     at: int
     name: str
@@ -36,12 +37,12 @@
 
 
 class UnavailabilityReport(NamedTuple):
-    """How many were out at most, and what broke the bound.
+    """The most members out at once, and the violations of the bound.
 
     Attributes:
-        max_planned: by the program's own doing.
-        max_total: with those that were lost.
-        violations: a line for each.
+        max_planned: most members in planned outages at once.
+        max_total: most members out or lost at once.
+        violations: a line for each violation.
     """
 
     max_planned: int
@@ -57,16 +58,16 @@
     rollbacks: Sequence[int],
     slack: int,
 ) -> UnavailabilityReport:
-    """Hold outages against a bound on members out at once.
+    """Check outages against a bound on members out at once.
 
     Args:
-        planned: outages by the program's own doing.
-        lost: spans in which a member answered nobody.
-        departures: in order of time.
-        bound: how many may be out at once.
-        rollbacks: when each was asked for.
-        slack: nanoseconds by which an outage's end may be seen late, so that two that follow each
-            other seem to overlap.
+        planned: outages by releases and drains.
+        lost: spans in which a member answered no request, by a fault.
+        departures: requests to take members out, in order of time.
+        bound: number of members that may be out at once.
+        rollbacks: when each rollback was requested.
+        slack: delay with which an outage's end may be observed, nanoseconds; it can make
+            consecutive outages seem to overlap.
     """
     max_planned = max_total = 0
     violations = []
@@ -76,12 +77,12 @@
         max_total = max(max_total, len(out | _names_out(lost, at, slack)))
         if len(out) > bound:
             violations.append(
-                f"{', '.join(sorted(out))} are out at once by the program's doing, {bound} may be"
+                f"{', '.join(sorted(out))} are out at once by releases or drains, {bound} may be"
             )
     for departure in [Departure(*departure) for departure in departures]:
-        away = _known_lost(lost, departure, slack)
-        others = _departed_before(departure, departures, planned, slack) | away
-        if not away or _heals(departure, lost, rollbacks):
+        lost_others = _known_lost_others(lost, departure, slack)
+        others = _departed_before(departure, departures, planned, slack) | lost_others
+        if not lost_others or _rolls_back_lost_member(departure, lost, rollbacks):
             continue
         if len(others | {departure.name}) > bound:
             violations.append(
@@ -95,8 +96,8 @@
     return {outage.name for outage in outages if outage.begin <= at < outage.end - slack}
 
 
-def _known_lost(lost: Iterable[Outage], departure: Departure, slack: int) -> set[str]:
-    """Return others that were lost for so long that whoever leads must have known."""
+def _known_lost_others(lost: Iterable[Outage], departure: Departure, slack: int) -> set[str]:
+    """Return other members lost for so long that any leader must have known."""
     known = {
         outage.name
         for outage in lost
@@ -111,9 +112,9 @@
     planned: Sequence[Outage],
     slack: int,
 ) -> set[str]:
-    """Return others that had been told to go and are out still.
+    """Return other members that were asked to go out earlier and are still out.
 
-    Being changed without having been told to go is out to nobody; drained is.
+    A planned outage counts here only if a departure falls into it.
     """
     return {
         name
@@ -127,8 +128,10 @@
     }
 
 
-def _heals(departure: Departure, lost: Iterable[Outage], rollbacks: Iterable[int]) -> bool:
-    """Return whether a roll-back changes a member that was lost itself."""
+def _rolls_back_lost_member(
+    departure: Departure, lost: Iterable[Outage], rollbacks: Iterable[int]
+) -> bool:
+    """Return whether a rollback takes out a member that was itself lost."""
     return any(at < departure.at for at in rollbacks) and any(
         outage.name == departure.name
         and outage.begin < departure.at
--- a/cypresswalk/lab/cluster/plan.py
+++ b/cypresswalk/lab/cluster/plan.py
@@ -1,8 +1,8 @@
 """The plan of a cluster's run: its members, its load, and a timed list of faults and calls.
 
-Decoded from TOML by pydantic (see cypresswalk.toml). A field with an alias has the alias as its key
-in the file and in messages of errors; code uses the field's own name. Random plans:
-`random_plans.py`.
+Pydantic decodes plans from TOML (see cypresswalk.toml). For a field with an alias, the file and
+error messages use the alias, the code uses the field's own name. `random_plans.py` draws random
+plans.
 """
 
 from enum import StrEnum
@@ -12,32 +12,32 @@
 
 from cypresswalk import toml
 
-LEADER = "leader"  # in place of a balancer's name: whichever leads when the step begins
+LEADER = "leader"  # in place of a balancer's name: the leader when the step begins
 MAX_CLOCK_DRIFT = 0.02
 
 
 class Action(StrEnum):
-    """What a step does; the values stand in the file."""
+    """The action of a step; the values are those used in the plan file."""
 
     CUT = "cut"
     CUT_ONE_WAY = "cut_one_way"
     DELAY = "slow"  # a link
     GARBLE = "garble"
     ISOLATE = "isolate"
-    HEAL = "heal"  # ends all faults, disks and endpoint lists included, and starts what is down
-    KILL = "kill"  # a balancer's host: with an agent, that too
-    START = "start"  # a balancer's host that is down: its agent if it has one, else the balancer
+    HEAL = "heal"  # ends all faults, also of disks and endpoint lists, and starts what is down
+    KILL = "kill"  # a balancer's host, including its agent if it has one
+    START = "start"  # a balancer's host that is down: its agent if any, else the balancer
     STOP = "stop"
     FREEZE = "freeze"
-    RESUME_PROCESS = "thaw"  # a frozen one
-    WIPE = "wipe"  # the disk of a host that is killed and started again
+    RESUME_PROCESS = "thaw"  # ends a freeze
+    WIPE = "wipe"  # kills a host, wipes its disk and starts it again
     RESTORE_BACKUP = "put_back"
     BACK_UP = "copy"
     REMOVE_SERVER = "out"
     RETURN_SERVER = "back"
     OFFER_SETTINGS = "offer"
     SHOW_SETTINGS = "show"
-    REMOVE_SERVER_SETTLED = "server_down"  # and waits until no balancer sends there
+    REMOVE_SERVER_SETTLED = "server_down"  # removes, and waits until no balancer sends there
     LIST_LAGS = "lag"
     LIST_LIES = "lie"
     LIST_DRAINS_SERVER = "list_drain"
@@ -54,7 +54,7 @@
     UNPAUSE = "unpause"
     KILL_AGENT = "kill_agent"
     START_AGENT = "start_agent"  # the same as START; plans with agents only
-    KILL_BALANCER = "kill_balancer"  # alone: its agent starts it again
+    KILL_BALANCER = "kill_balancer"  # the balancer only; its agent starts it again
     DRAIN = "drain"
     UNDRAIN = "undrain"
     KILL_SERVER_AGENT = "kill_server_agent"
@@ -63,7 +63,7 @@
 
 
 class Build(StrEnum):
-    """A version of a program: sound, or bad in one way; the values stand in the file."""
+    """A version of a program, good or bad in one way; the values are those of the plan file."""
 
     GOOD = "good"
     REJECTS = "rejects"
@@ -116,17 +116,17 @@
     """One fault or call.
 
     Attributes:
-        at_s: seconds after the begin.
-        action: what is done.
-        balancer: which it is done to, or whom it is asked of; or LEADER.
-        peer: the other end of a link.
-        server: the number of a server.
-        duration_ms: of a freeze; the delay of a slow link.
-        build: of a release: what is made and rolled out.
-        hold_s: of a release: how long each wave is observed.
-        min_flows: of a release: flows each changed member must have answered.
-        shuffled: of a release: whether its members go in a random order.
-        after_replicas: begins once all replicas are at rest; later steps shift by that wait.
+        at_s: time from the begin of the run, seconds.
+        action: the fault or call.
+        balancer: name of the target or called balancer; or LEADER.
+        peer: name of the balancer at the other end of a link.
+        server: number of a server.
+        duration_ms: duration of a freeze, or delay of a slow link, milliseconds.
+        build: for a release, the build to roll out.
+        hold_s: for a release, how long each wave is observed, seconds.
+        min_flows: for a release, number of flows that each changed member must have answered.
+        shuffled: for a release, whether its members are changed in a random order.
+        after_replicas: whether to wait until replication is idle; later steps shift by the wait.
     """
 
     model_config = ConfigDict(populate_by_name=True)
@@ -144,7 +144,7 @@
     after_replicas: bool = Field(default=False, validation_alias="when_copies_whole")
 
     @model_validator(mode="after")
-    def _has_what_its_action_needs(self) -> "Step":
+    def _check_required_fields(self) -> "Step":
         if self.action not in ACTIONS_WITHOUT_BALANCER and not self.balancer:
             raise ValueError(f"{self.action} needs who")
         if self.action in LINK_ACTIONS and not self.peer:
@@ -153,26 +153,26 @@
 
 
 class Plan(toml.Table):
-    """A cluster and what it goes through.
+    """A cluster, its load, and its faults and calls.
 
     Attributes:
-        balancers: how many, named n0, n1 and so on.
-        voters: how many of them, the first ones, vote.
-        servers: how many, named s-0, s-1 and so on.
-        zones: over which balancers are spread.
-        duration_s: of load and steps.
-        max_contradiction_s: for which two balancers may act on contradicting versions.
-        flows_per_s: the load; 0 for none.
-        replicas: of each reserved key; 0 where keys are not replicated.
-        repeat_probability: of once-only flows: sent again under the same id, at once or later, at
-            any balancer.
-        seed: of all that is random.
-        balancer_agents: whether each balancer's host has an agent; releases are of balancers then.
-        max_unavailable_balancers: the bound on balancers out at once; 0 for none.
-        server_agents: whether each server's host has an agent; releases are of servers then.
-        max_unavailable_servers: the bound on servers out at once, with server agents.
-        clock_drift: by balancer: the part by which the fleet's clock there runs fast, 0.01 for 1%.
-        steps: in the order in which they are done.
+        balancers: number of balancers, named n0, n1 and so on.
+        voters: number of balancers that vote, the first ones.
+        servers: number of servers, named s-0, s-1 and so on.
+        zones: number of zones that the balancers are spread over.
+        duration_s: duration of load and steps, seconds.
+        max_contradiction_s: longest time for which balancers may act on contradicting versions.
+        flows_per_s: the load, new flows per second; 0 for none.
+        replicas: number of replicas of each reserved key; 0 for no replication.
+        repeat_probability: probability that a once-only flow is sent again under the same id, at
+            once or later, at any balancer.
+        seed: seed of all random draws.
+        balancer_agents: whether balancers' hosts have agents; releases then change balancers.
+        max_unavailable_balancers: bound on balancers out at once; 0 for no bound.
+        server_agents: whether servers' hosts have agents; releases then change servers.
+        max_unavailable_servers: bound on servers out at once, with server agents.
+        clock_drift: share by which a balancer's clock runs fast, by name; 0.01 for 1%.
+        steps: the steps, in the order of execution.
     """
 
     model_config = ConfigDict(populate_by_name=True)
@@ -195,7 +195,7 @@
     steps: list[Step] = Field(default=[], validation_alias="step")
 
     @model_validator(mode="after")
-    def _is_consistent(self) -> "Plan":
+    def _check_consistency(self) -> "Plan":
         if self.balancer_agents and self.server_agents:
             raise ValueError("agents, server_agents: one of them")
         if self.voters > self.balancers:
@@ -258,5 +258,5 @@
 
 
 def read_plan(path: str | Path) -> Plan:
-    """Read a plan from a file. Raises CommandError with a line for each wrong field."""
+    """Read a plan from a file. Raise CommandError with a line for each invalid field."""
     return toml.read(path, Plan)
--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -1,4 +1,4 @@
-"""Runs a release's agent in virtual time: carries its actions out at a simulated host."""
+"""Runner of a release agent in virtual time: executes its actions on a simulated host."""
 
 import copy
 from collections.abc import Callable, Collection
@@ -28,15 +28,15 @@
 
 CALL_SPAN = 4 * SECOND
 CALL_TIMEOUT = 5 * SECOND
-CALL_LATENCY = MILLISECOND  # so that no answer comes in the middle of the caller's own turn
+CALL_LATENCY = MILLISECOND  # so that no answer arrives while the call is still being made
 
 
 class AgentHost(Protocol):
-    """The host that an agent runs on.
+    """The interface of a host that its agent uses.
 
     Attributes:
-        name: of the member.
-        latest_pid: of the process that was started last.
+        name: name of the member or server on the host.
+        latest_pid: pid of the process started last.
     """
 
     name: str
@@ -44,76 +44,76 @@
 
     @property
     def frozen_until(self) -> int:
-        """Virtual time until which nothing runs there."""
+        """Return the virtual time until which the host is frozen."""
 
     @property
     def running_pids(self) -> Collection[int]:
-        """Of the processes that run."""
+        """Return the pids of the running processes."""
 
     def make_agent(self, state: AgentState) -> ChangeAgent:
-        """Returns an agent that goes on from a saved state."""
+        """Return an agent that continues from a saved state."""
 
     def clock(self) -> int:
-        """The host's clock, nanoseconds."""
+        """Return the time of the host's clock, nanoseconds."""
 
     def start_process(self, version: str, admin: str) -> int:
-        """Starts a process and returns its id."""
+        """Start a process and return its pid."""
 
     def end_process(self, pid: int) -> None:
-        """Kills a process."""
+        """Kill a process."""
 
-    def ask_to_leave(self, pid: int) -> None:
-        """Asks a process to leave."""
+    def request_shutdown(self, pid: int) -> None:
+        """Request a clean shutdown of a process."""
 
     def readiness_error(self, admin: str) -> str:
-        """Why the process at that address is not ready, or an empty string."""
+        """Return why the process at that address is not ready, or an empty string."""
 
     def contacts(self) -> list[Process]:
-        """The balancers that the agent calls, the first that answers."""
+        """Return the balancers to call, in the order in which the agent tries them."""
 
 
 class AgentRunner:
-    """The agent of one host, started and killed.
+    """Starts, runs and kills the agent of one host.
 
     Attributes:
         saved: the state that the agent saved last.
-        actions_until_crash: how many more actions are carried out until it dies; None for never.
+        actions_until_crash: number of actions executed before the agent crashes; None for never.
     """
 
-    def __init__(self, world: ReleaseWorld[Any], host: AgentHost):
-        """An agent that does not run yet."""
+    def __init__(self, simulation: ReleaseWorld[Any], host: AgentHost):
+        """Create a runner whose agent is not started yet."""
         self.saved = AgentState()
         self.actions_until_crash: int | None = None
-        self._world = world
+        self._simulation = simulation
         self._host = host
         self._agent: ChangeAgent | None = None
         self._work: Work[None] | None = None
-        self._incarnation = 0  # results for an earlier one are void
+        self._incarnation = 0  # results for an earlier one are ignored
 
     def start(self) -> None:
-        """Starts the agent, if it does not run, from its saved state."""
+        """Start the agent from its saved state, if it does not run."""
         if self._work is None:
             self._agent = self._host.make_agent(copy.copy(self.saved))
             self._work = self._agent.run()
             self._resume(self._incarnation, None)
 
     def kill(self) -> None:
-        """Kills the agent; processes go on running."""
+        """Kill the agent; the host's processes keep running."""
         self._incarnation += 1
         self._agent = None
         self._work = None
         self.actions_until_crash = None
-        self._world.check_bound()
+        self._simulation.check_bound()
 
     def _resume(self, incarnation: int, result: Any) -> None:
-        """Sends the result of the last action and carries out actions until one takes time."""
+        """Send the last action's result, and execute actions until one takes time."""
         while incarnation == self._incarnation and self._work is not None:
-            frozen_for = self._host.frozen_until - self._world.now
+            frozen_for = self._host.frozen_until - self._simulation.now
             if frozen_for > 0:
                 self._resume_later(frozen_for, result)
                 return
             if self._crashes_now():
-                self._world.count("agent died at a step")
+                self._simulation.count("agent died at a step")
                 self.kill()
                 return
             action = self._work.send(result)
@@ -123,11 +123,11 @@
             if isinstance(action, CallFleet):
                 self._call_fleet(action)
                 return
-            result = self._carry_out(action)
+            result = self._execute(action)
 
     def _resume_later(self, delay: int, result: Any) -> None:
         incarnation = self._incarnation
-        self._world.call_later(delay, lambda: self._resume(incarnation, result))
+        self._simulation.call_later(delay, lambda: self._resume(incarnation, result))
 
     def _crashes_now(self) -> bool:
         if self.actions_until_crash is None:
@@ -135,8 +135,8 @@
         self.actions_until_crash -= 1
         return self.actions_until_crash < 0
 
-    def _carry_out(self, action: Action) -> Any:
-        """Carries out an action that takes no time, and returns its result."""
+    def _execute(self, action: Action) -> Any:
+        """Execute an action that takes no virtual time, and return its result."""
         host = self._host
         match action:
             case SaveState():
@@ -149,21 +149,23 @@
             case IsRunning():
                 return action.pid in host.running_pids
             case EndProcess():
-                end: Callable[[int], None] = host.end_process if action.hard else host.ask_to_leave
+                end: Callable[[int], None] = (
+                    host.end_process if action.hard else host.request_shutdown
+                )
                 end(action.pid)
             case CheckReady():
                 return host.readiness_error(action.admin)
             case ReadClock():
                 return host.clock() / SECOND
             case DrawToken():
-                return self._world.next_ident("d")
+                return self._simulation.next_ident("d")
         return None
 
     def _save(self) -> None:
-        assert self._agent is not None  # it asks for it
-        self._world.note(f"{self._host.name} {self._agent.state}")
+        assert self._agent is not None  # the agent itself requests the save
+        self._simulation.note(f"{self._host.name} {self._agent.state}")
         self.saved = copy.copy(self._agent.state)
-        self._world.check_bound()
+        self._simulation.check_bound()
 
     # Calls.
 
@@ -172,29 +174,29 @@
         is_answered = False
 
         def reply(ok: bool, body: Any) -> None:
-            """Resumes the agent with the first answer, after a latency; ignores later answers."""
+            """Resume the agent with the first answer, after a latency; ignore later answers."""
             nonlocal is_answered
             if not is_answered:
                 is_answered = True
                 result = CallResult(ok, body)
-                self._world.call_later(CALL_LATENCY, lambda: self._resume(incarnation, result))
+                self._simulation.call_later(CALL_LATENCY, lambda: self._resume(incarnation, result))
 
-        self._world.call_later(CALL_TIMEOUT, lambda: reply(False, {"why": "no answer"}))
+        self._simulation.call_later(CALL_TIMEOUT, lambda: reply(False, {"why": "no answer"}))
         process = self._first_contact()
         if process is None:
-            reply(False, {"why": "nobody answers"})
+            reply(False, {"why": "no balancer answers"})
             return
         if call.name == "release_began":
-            self._world.count("began asked")
+            self._simulation.count("began asked")
         args = call.args
         if call.ident:
-            command = self._world.make_command(f"agent of {self._host.name}", args)
+            command = self._simulation.make_command(f"agent of {self._host.name}", args)
             args = command | {"ident": call.ident}
-        self._world.call(process, call.name, args, CALL_SPAN, reply)
+        self._simulation.call(process, call.name, args, CALL_SPAN, reply)
 
     def _first_contact(self) -> Process | None:
         for process in self._host.contacts():
-            is_cut = self._world.network.is_cut(self._host.name, process.name)
+            is_cut = self._simulation.network.is_cut(self._host.name, process.name)
             if process.member is not None and not process.is_frozen and not is_cut:
                 return process
         return None
--- a/cypresswalk/lab/cluster/simulation/balancer_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_hosts.py
@@ -1,4 +1,4 @@
-"""A balancer's host: two processes side by side while it is changed, one part in the fleet."""
+"""Simulated host of a balancer: during a change two processes, one of them the fleet member."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.balancer_agent import BalancerAgent
 
-ADMINS = ("a", "b")  # addresses of the two processes
+ADMINS = ("a", "b")  # admin addresses of the two processes
 BUILDS = {
     "good": Build(),
     "aborts": Build(failure_share=0.1),
@@ -28,18 +28,18 @@
     "falls": Build(crash_after_s=10.0),
     "never_ready": Build(becomes_ready=False),
 }
-SETUP_SPREAD = (0.5, 1.5)  # of a set-up's time
+SETUP_SPREAD = (0.5, 1.5)  # bounds of the random factor on a set-up time
 DRAIN_SPAN = SECOND * 7 // 10
 CALL_BACK_SPAN = 600 * SECOND
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What all balancers get.
+    """The load on all balancers.
 
     Attributes:
-        flows_per_s: at each balancer.
-        failure_share: of all flows, at whichever balancer.
+        flows_per_s: new flows per second at each balancer.
+        failure_share: additional share of failed flows, the same at all balancers.
     """
 
     flows_per_s: int
@@ -47,21 +47,23 @@
 
 
 class BalancerHost(Host):
-    """The host of one balancer.
+    """Host of one balancer.
 
     Attributes:
-        process: the part in the fleet, of one of the host's processes.
-        member_pid: of the process that has that part; 0 for none.
+        process: the fleet member, which one of the host's processes runs.
+        member_pid: pid of the process that runs the fleet member; 0 for none.
     """
 
     builds = BUILDS
     changing_steps = (AgentStep.STARTING_NEW, AgentStep.STOPPING_OLD)
     startup_time_s = (0.3, 1.5)
-    leave_time_s = (0.1, 6)
+    shutdown_time_s = (0.1, 6)
 
-    def __init__(self, world: ReleaseWorld[Any], process: Process, traffic: Traffic):
-        """The host of the balancer that has that part in the fleet."""
-        super().__init__(world, process.name, Random(f"{world.seed}/machine/{process.name}"))
+    def __init__(self, simulation: ReleaseWorld[Any], process: Process, traffic: Traffic):
+        """Create the host of the given fleet member."""
+        super().__init__(
+            simulation, process.name, Random(f"{simulation.seed}/machine/{process.name}")
+        )
         self.process = process
         self.member_pid = 0
         self._traffic = traffic
@@ -73,57 +75,61 @@
 
     @property
     def frozen_until(self) -> int:
-        """Virtual time until which nothing runs there."""
+        """Return the virtual time until which the host is frozen."""
         return self.process.frozen_until
 
     @property
-    def holds_slot(self) -> bool:
-        """Whether it was drained, or the process of the old version was asked to leave."""
-        is_leaving = any(process.is_leaving for process in self.running.values())
-        return self.removed or (self.is_being_changed and is_leaving)
+    def counts_against_bound(self) -> bool:
+        """Return whether it was drained, or an agent's change is shutting a process down."""
+        is_shutting_down = any(process.is_shutting_down for process in self.running.values())
+        return self.removed or (self.is_being_changed and is_shutting_down)
 
     def clock(self) -> int:
-        """The host's clock, nanoseconds."""
+        """Return the time of the host's clock, nanoseconds."""
         return self.process.clock()
 
     def make_agent(self, state: AgentState) -> BalancerAgent:
-        """Returns an agent that goes on from a saved state."""
+        """Return an agent that continues from a saved state."""
         return BalancerAgent(self.name, OLD_VERSION, ADMINS, state)
 
     def contacts(self) -> list[Process]:
-        """The balancer of this host first."""
-        others = [p for p in self.world.processes.values() if p is not self.process]
+        """Return all balancers, the one on this host first."""
+        others = [p for p in self.simulation.processes.values() if p is not self.process]
         return [self.process, *others]
 
-    # What it serves.
+    # Flows.
 
     def is_ready(self) -> bool:
-        """Whether flows that came now would be placed."""
+        """Return whether a new flow would be placed."""
         process = self.running.get(self.member_pid)
         fleet = self.process.fleet
         if process is None or fleet is None:
             return False
-        is_leaving = self.removed or process.is_leaving
-        return not is_leaving and fleet.may_act() and self.build_of(process.version).becomes_ready
+        is_shutting_down = self.removed or process.is_shutting_down
+        return (
+            not is_shutting_down
+            and fleet.may_act()
+            and self.build_of(process.version).becomes_ready
+        )
 
     def is_serving(self) -> bool:
-        """Whether it serves flows now."""
+        """Return whether the balancer serves flows now."""
         return self.is_ready() and not self.process.is_frozen
 
     def serving_version(self) -> str:
-        """The version of the process that has the part in the fleet."""
+        """Return the version of the process that runs the fleet member."""
         return self.running[self.member_pid].version
 
     def flow_counts(self) -> FlowCounts:
-        """What the process with the part in the fleet has served."""
+        """Return the flow counts of the process that runs the fleet member."""
         process = self.running.get(self.member_pid)
         if process is None:
             return 0, 0, 0, 0
         if self.is_ready():
-            span = self.world.now - process.counted_until
+            span = self.simulation.now - process.counted_until
             for _ in range(int(self._traffic.flows_per_s * span / SECOND)):
                 self._count_flow(process)
-        process.counted_until = self.world.now
+        process.counted_until = self.simulation.now
         return process.flows.as_counts()
 
     def _count_flow(self, process: HostProcess) -> None:
@@ -136,11 +142,11 @@
             process.flows.add_established(int(build.setup_ms * MILLISECOND * spread))
 
     def readiness_error(self, admin: str) -> str:
-        """What the process at that address answers to `check`, or an empty string."""
+        """Return the error that the process at that address answers to `check`, or ""."""
         process = next((p for p in self._answering() if p.admin == admin), None)
         if process is None:
             return "check: refused"
-        if process.is_leaving:
+        if process.is_shutting_down:
             return "ERR leaving, 4 servers to place flows on"
         if self.removed:
             return "ERR drained, 4 servers to place flows on"
@@ -149,38 +155,40 @@
         return "" if becomes_ready and fleet is not None and fleet.may_act() else "ERR starting"
 
     def _answering(self) -> Sequence[HostProcess]:
-        return [p for p in self.running.values() if p.ready_at <= self.world.now]
+        return [p for p in self.running.values() if p.ready_at <= self.simulation.now]
 
-    # Its processes.
+    # Processes.
 
     def recover(self) -> None:
-        """All faults are lifted: what runs there goes on, and its agent runs."""
+        """End all faults: end a freeze, and start the agent if it does not run."""
         self.process.thaw()
         super().recover()
-        self.world.schedule(self.process)
+        self.simulation.schedule(self.process)
 
     def on_started(self, process: HostProcess) -> None:
-        """A process was started; it takes the part in the fleet once it answers, if it is free."""
-        self.world.call_later(process.ready_at - self.world.now, lambda: self._answers(process))
+        """Let the process become the fleet member once it answers, if no other process is."""
+        self.simulation.call_later(
+            process.ready_at - self.simulation.now, lambda: self._on_answering(process)
+        )
 
-    def _answers(self, process: HostProcess) -> None:
+    def _on_answering(self, process: HostProcess) -> None:
         if process.pid in self.running and not self.member_pid:
             self._take_over(process)
 
     def _take_over(self, process: HostProcess) -> None:
         self.member_pid = process.pid
-        process.counted_until = self.world.now
+        process.counted_until = self.simulation.now
         self.process.start()
 
     def on_ended(self, process: HostProcess, planned: bool) -> None:
-        """A process has ended; another one takes its part in the fleet over."""
+        """Handle the end of a process; if it was the fleet member, another process takes over."""
         if process.pid == self.member_pid:
             self.member_pid = 0
             self._hand_over(planned)
-        self.world.check_bound()
+        self.simulation.check_bound()
 
     def _hand_over(self, planned: bool) -> None:
-        """After a planned end the successor inherits the lease, and the version acted on."""
+        """Let another process take over; after a planned end it inherits lease and version."""
         fleet = self.process.fleet
         lease_until = fleet.lease_until if fleet is not None else 0
         version = self.process.acts_on if fleet is not None else 0
@@ -195,36 +203,36 @@
         if planned and self.process.fleet is not None:
             self.process.acts_on = version
             self.process.fleet.inherit_lease(lease_until, version)
-            self.world.schedule(self.process)
+            self.simulation.schedule(self.process)
 
-    # Drains by call.
+    # Drains by operators' calls.
 
     def take_out(self) -> None:
-        """An operator drains the balancer, if it runs."""
-        if not self._is_callable() or self.removed:
+        """Drain the balancer by an operator's call, if it runs."""
+        if not self._accepts_calls() or self.removed:
             return
         asked_at = self.process.clock()
 
         def reply(ok: bool, body: Any) -> None:
-            """Marks the balancer as removed if the drain was granted in time and it is ready."""
+            """Mark the balancer as removed if the drain was granted in time and it is ready."""
             is_timely = self.process.clock() - asked_at <= LEAVE_WINDOW
             if ok and is_timely and self.is_ready():
-                self.world.on_going_out(self, Reason.DRAIN)
+                self.simulation.on_taken_out(self, Reason.DRAIN)
                 self.removed = True
-                self.world.check_bound()
+                self.simulation.check_bound()
 
         args = {"member": self.name, "why": DRAINED, "forced": False}
-        command = self.world.make_command(f"{self.name} (call)", args)
-        self.world.call(self.process, "go_out", command, DRAIN_SPAN, reply)
+        command = self.simulation.make_command(f"{self.name} (call)", args)
+        self.simulation.call(self.process, "go_out", command, DRAIN_SPAN, reply)
 
     def bring_back(self) -> None:
-        """An operator calls the balancer back, if it runs."""
-        if not self._is_callable() or not self.removed:
+        """End the balancer's drain by an operator's call, if it runs."""
+        if not self._accepts_calls() or not self.removed:
             return
         self.removed = False
         args = {"member": self.name, "why": DRAIN_ENDED, "forced": True}
-        command = self.world.make_command(f"{self.name} (call)", args)
-        self.world.call(self.process, "go_out", command, CALL_BACK_SPAN)
+        command = self.simulation.make_command(f"{self.name} (call)", args)
+        self.simulation.call(self.process, "go_out", command, CALL_BACK_SPAN)
 
-    def _is_callable(self) -> bool:
+    def _accepts_calls(self) -> bool:
         return self.process.member is not None and not self.process.is_frozen
--- a/cypresswalk/lab/cluster/simulation/balancer_releases.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -1,7 +1,7 @@
-"""Releases of balancers in virtual time.
+"""Simulated releases of balancers in virtual time.
 
-The fleet's own code and the agents' own, with simulated processes under them, among random faults
-and operators' calls. `release_world` has the rules that are checked after every step.
+The fleet's and the agents' production code runs with simulated processes, under random faults and
+operators' calls. `release_world` has the rules that are checked after every step.
 """
 
 from random import Random
@@ -25,9 +25,9 @@
 from cypresswalk.rollout.bounds import Bound
 from cypresswalk.rollout.release import MemberKind
 
-MAX_RELEASE_TIME = 600 * SECOND  # to its end, once all faults are lifted
-MAX_ACTIONS_UNTIL_CRASH = 12  # of an agent
-# How often each kind of fault or call is drawn.
+MAX_RELEASE_TIME = 600 * SECOND  # until it ends, once all faults are cleared
+MAX_ACTIONS_UNTIL_CRASH = 12  # bound on an agent's actions before an injected crash
+# Relative frequency of each kind of fault or call.
 WEIGHTS = {
     "cut": 5,
     "cut_one_way": 5,
@@ -59,10 +59,10 @@
 
 
 class BalancerReleases(ReleaseWorld[BalancerHost]):
-    """A fleet whose balancers a release changes.
+    """Simulated fleet in which a release changes the balancers.
 
     Attributes:
-        traffic: what all balancers get.
+        traffic: the load on all balancers.
     """
 
     kind = MemberKind.BALANCERS
@@ -83,7 +83,7 @@
         loss: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """A fleet that does not run yet; see ReleaseWorld."""
+        """Create a fleet that is not started yet; see ReleaseWorld."""
         count = voters + followers
         super().__init__(seed, voters, followers, zones, count, bound, build, loss, delay)
         self.traffic = Traffic(flows_per_s)
@@ -91,35 +91,35 @@
             self.hosts[name] = BalancerHost(self, process, self.traffic)
 
     def start(self) -> None:
-        """Starts all agents, which start the balancers."""
+        """Start all agents, which start the balancers."""
         for host in self.hosts.values():
             host.agent.start()
         self.observe_hosts()
 
     def is_bound_waived(self, host: BalancerHost, reason: Reason) -> bool:
-        """In a rollback one that was seen out a moment ago is healed by going out."""
+        """Return True if a rollback repairs a balancer that was not serving until recently."""
         if self.rollback_requested_at is None or reason is not Reason.RELEASE:
             return False
         since = host.serving_since
         return since is None or self.now - since < MAX_DETECTION_TIME
 
     def is_halt_binding(self, host: BalancerHost, reason: Reason) -> bool:
-        """A halt forbids drains, and releases but no rollbacks."""
+        """Return whether a halt forbids it: drains and releases, of a serving balancer only."""
         is_forbidden = reason is Reason.DRAIN or self.rollback_requested_at is None
         return is_forbidden and host.is_serving()
 
     def is_settled(self, state: FleetState) -> bool:
-        """Whether all balancers serve, and none may go out."""
+        """Return whether all balancers serve, and none has a grant to go out."""
         if state.leave_grants or (state.release is None and state.halted):
             return False
         return all(host.is_serving() and not host.is_being_changed for host in self.hosts.values())
 
     def running_versions(self) -> dict[str, str]:
-        """The version that serves at each host; all of them serve."""
+        """Return the version that serves at each host; all hosts must serve."""
         return {host.name: host.serving_version() for host in self.hosts.values()}
 
     def describe_leader(self) -> str:
-        """What the leader's release waits for, and whom it counts as out."""
+        """Describe what the leader's release waits for, and which balancers it counts as out."""
         leader = self.leader()
         if leader is None:
             return "no leader"
@@ -129,16 +129,16 @@
 
 
 class BalancerReleaseFaults:
-    """Faults and calls of a release of balancers."""
+    """Faults and operators' calls during a release of balancers."""
 
-    def __init__(self, world: BalancerReleases, random: Random):
-        """Injects into that world; `random` draws targets."""
-        self._world = world
+    def __init__(self, simulation: BalancerReleases, random: Random):
+        """Inject into the given simulation; `random` draws the targets."""
+        self._simulation = simulation
         self._random = random
-        self._names = sorted(world.hosts)
-        shared = ReleaseFaults(world, self._host, MAX_ACTIONS_UNTIL_CRASH)
+        self._names = sorted(simulation.hosts)
+        shared = ReleaseFaults(simulation, self._host, MAX_ACTIONS_UNTIL_CRASH)
         self._handlers: dict[str, Handler] = shared.handlers() | {
-            "kill": self._lose_host,
+            "kill": self._kill_host,
             "kill_process": self._kill_process,
             "kill_leader": self._kill_leader,
             "start": shared.start_agents,
@@ -147,21 +147,21 @@
         }
 
     def inject(self, kind: str) -> None:
-        """Injects a fault or makes a call of that kind."""
-        world = self._world
+        """Inject a fault or make a call of the given kind."""
+        simulation = self._simulation
         name, other_name = self._random.sample(self._names, 2)
         other = other_name if kind.startswith("cut") else ""
-        world.note(f"{kind} {name} {other}")
-        world.count(kind)
-        process = world.processes[name]
-        target = Target(process, world.processes[other_name], self._random.choice)
+        simulation.note(f"{kind} {name} {other}")
+        simulation.count(kind)
+        process = simulation.processes[name]
+        target = Target(process, simulation.processes[other_name], self._random.choice)
         self._handlers[kind](target)
 
     def _host(self, target: Target) -> BalancerHost:
-        return self._world.hosts[target.process.name]
+        return self._simulation.hosts[target.process.name]
 
-    def _lose_host(self, target: Target) -> None:
-        self._host(target).lose()
+    def _kill_host(self, target: Target) -> None:
+        self._host(target).kill_all()
 
     def _kill_process(self, target: Target) -> None:
         host = self._host(target)
@@ -169,9 +169,9 @@
             host.end_process(target.pick(sorted(host.running)))
 
     def _kill_leader(self, target: Target) -> None:
-        leader = self._world.leader()
+        leader = self._simulation.leader()
         if leader is not None:
-            host = self._world.hosts[leader.name]
+            host = self._simulation.hosts[leader.name]
             host.end_process(host.member_pid)
 
     def _drain(self, target: Target) -> None:
@@ -179,16 +179,16 @@
 
 
 def run_seed(seed: int, action_count: int = 60, build: str = "") -> Outcome:
-    """Runs a release by a seed; the same seed and arguments give the same outcome.
+    """Run a release by a seed; the same seed and arguments give the same outcome.
 
     Args:
-        seed: of all random draws.
-        action_count: how many faults and calls are drawn.
-        build: what the new version does; drawn if it is empty.
+        seed: seed of all random draws.
+        action_count: number of faults and calls.
+        build: name of the new version's build; drawn if empty.
     """
     random = Random(f"{seed}/release")
     build = build or random.choice(BUILDS)
-    world = BalancerReleases(
+    simulation = BalancerReleases(
         seed,
         3,
         random.choice(FOLLOWERS),
@@ -197,6 +197,6 @@
         loss=random.choice(LOSSES),
         delay=(MIN_DELAY, random.choice(MAX_DELAYS_MS) * MILLISECOND),
     )
-    faults = BalancerReleaseFaults(world, random)
-    run = ReleaseRun(world, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
-    return run.play(action_count)
+    faults = BalancerReleaseFaults(simulation, random)
+    release_run = ReleaseRun(simulation, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
+    return release_run.run(action_count)
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A folder in memory that crashes, fails and fills up as a disk does."""
+"""In-memory folder that simulates crashes, disk failures and a full disk."""
 
 import errno
 from random import Random
@@ -24,21 +24,21 @@
 
 
 class SimulatedDisk:
-    """One folder, as `storage.folder.Folder` has it.
+    """A folder with the interface of `storage.folder.Folder`.
 
-    What a call flushes is on disk when it returns; a name given by `rename` only after `flush`.
+    Written content is durable when the call returns; a rename is so only after `flush`.
 
     Attributes:
-        files: by name.
-        held: whether the folder's lock is held; never, as one process alone uses it.
-        operations_until_kill: how many more operations are carried out until the process dies in
-            the middle of one; None for never.
-        failing: every operation that writes fails.
-        full: every operation that writes finds no space.
+        files: the files by name.
+        held: the folder's lock; always None, since only one process uses the folder.
+        operations_until_kill: number of operations that succeed before the process is killed in
+            the middle of the next one; None for never.
+        failing: whether every writing operation fails.
+        full: whether every writing operation finds no space.
     """
 
     def __init__(self, random: Random):
-        """An empty folder; `random` draws what a crash leaves."""
+        """Create an empty folder; `random` draws what is left after a crash."""
         self.files: dict[str, StoredFile] = {}
         self.held = None
         self.operations_until_kill: int | None = None
@@ -48,28 +48,28 @@
         self._unflushed: list[UnflushedRename] = []
         self._last_inode = 1
 
-    # Operations of a process.
+    # Operations called by a process.
 
     def lock(self) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
     def unlock(self) -> None:
-        """Does nothing."""
+        """Do nothing."""
 
     def names(self) -> list[str]:
-        """The names of all files."""
+        """Return the names of all files."""
         return list(self.files)
 
     def read(self, name: str, max_bytes: int, /) -> bytes:
-        """At most so many bytes from the file's begin."""
+        """Return the first bytes of the file, `max_bytes` at most."""
         return self._file(name).data[:max_bytes]
 
     def inode(self, name: str) -> int:
-        """A number that stays the same while the file is the same."""
+        """Return the file's inode number, which changes when the file is replaced."""
         return self._file(name).inode
 
     def write(self, name: str, data: bytes) -> None:
-        """Creates or replaces the file; a crash leaves a begin of it."""
+        """Create or overwrite the file; if killed, only the first part is written."""
         dies = self._begin_operation()
         inode = self.files[name].inode if name in self.files else self._new_inode()
         if dies:
@@ -79,11 +79,11 @@
             raise ProcessKilledError
 
     def add(self, name: str, data: bytes) -> None:
-        """Appends to the file; a crash or a failure may leave a part of `data`."""
-        # A KeyError says that the folder is gone, which is an OSError of a real one.
+        """Append to the file; a crash or a failure may leave a part of `data`."""
+        # A KeyError means that the folder is gone; a real folder raises OSError.
         before, inode = self.files[name]
         if self.failing:
-            # What a failed flush covered may be there or not, or in part.
+            # After a failed flush the data may be on disk in full, in part or not at all.
             self.files[name] = StoredFile(before + self._torn(data, len(before)), inode)
         dies = self._begin_operation()
         if dies:
@@ -93,7 +93,7 @@
             raise ProcessKilledError
 
     def rename(self, name: str, to: str) -> None:
-        """Renames the file, in place of another of that name."""
+        """Rename the file; replace a file that has the new name."""
         dies = self._begin_operation()
         if dies and self._random.random() < 0.5:
             raise ProcessKilledError
@@ -103,21 +103,21 @@
             raise ProcessKilledError
 
     def flush(self) -> None:
-        """Flushes names that were created, renamed or removed."""
+        """Make created, renamed and removed names durable."""
         if self._begin_operation():
             raise ProcessKilledError
         self._unflushed.clear()
 
     def remove(self, name: str) -> None:
-        """Removes the file."""
+        """Remove the file."""
         if self._begin_operation():
             raise ProcessKilledError
         self.files.pop(name, None)
 
-    # What happens to the disk from outside.
+    # Faults, repairs and backups.
 
     def crash(self) -> None:
-        """The process or the power ends: unflushed renames may be undone, the last first."""
+        """Simulate a crash: undo some unflushed renames, the latest first."""
         while self._unflushed and self._random.random() < 0.5:
             rename = self._unflushed.pop()
             if rename.new_name in self.files:
@@ -129,20 +129,20 @@
         self.repair()
 
     def repair(self) -> None:
-        """Operations fail no more."""
+        """End failures and lack of space."""
         self.failing = False
         self.full = False
 
     def copy(self) -> dict[str, StoredFile]:
-        """A backup, for `restore`."""
+        """Return a backup for `restore`."""
         return dict(self.files)
 
     def restore(self, files: dict[str, StoredFile], *, with_inodes: bool) -> None:
-        """Puts a backup back.
+        """Replace all files with those of a backup.
 
         Args:
             files: the backup.
-            with_inodes: the whole disk is as it was; else each file is a new one.
+            with_inodes: whether inode numbers are restored too; else each file gets a new one.
         """
         if with_inodes:
             self.files = dict(files)
@@ -152,11 +152,11 @@
             }
 
     def damage(self, name: str, data: bytes) -> None:
-        """Gives the file another content; it stays the same file."""
+        """Replace the file's content; its inode number stays."""
         self.files[name] = StoredFile(data, self._file(name).inode)
 
     def wipe(self) -> None:
-        """All files are gone."""
+        """Delete all files."""
         self.files = {}
         self._unflushed = []
 
@@ -166,7 +166,7 @@
         return self.files[name]
 
     def _begin_operation(self) -> bool:
-        """Whether the process dies in this operation; raises OSError where the disk fails."""
+        """Return whether the process is killed in this operation; raise OSError on a disk fault."""
         if self.full:
             raise OSError(errno.ENOSPC, "no space left")
         if self.failing:
@@ -177,15 +177,15 @@
         return self.operations_until_kill < 0
 
     def _torn(self, data: bytes, offset: int) -> bytes:
-        """What is left of `data` at that offset: a begin of it, or all, some sectors zeros."""
+        """Return `data` as a torn write leaves it: truncated, or with some sectors zeroed."""
         if self._random.random() < 0.5:
             return data[: self._random.randrange(len(data) + 1)]
         first_border = SECTOR - offset % SECTOR
         borders = [0, *range(first_border, len(data), SECTOR), len(data)]
-        left = b""
+        written = b""
         for low, high in zip(borders, borders[1:], strict=False):
-            left += data[low:high] if self._random.random() < 0.5 else bytes(high - low)
-        return left
+            written += data[low:high] if self._random.random() < 0.5 else bytes(high - low)
+        return written
 
     def _new_inode(self) -> int:
         self._last_inode += 1
--- a/cypresswalk/lab/cluster/simulation/errors.py
+++ b/cypresswalk/lab/cluster/simulation/errors.py
@@ -1,9 +1,9 @@
-"""What ends a simulation, and what ends a simulated process."""
+"""Exceptions that end a simulation or a simulated process."""
 
 
 class ViolationError(Exception):
-    """A rule that the simulation checks does not hold."""
+    """A rule that the simulation checks was violated."""
 
 
 class ProcessKilledError(Exception):
-    """The process dies in the middle of a disk operation."""
+    """The simulated process is killed in the middle of a disk operation."""
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -1,7 +1,7 @@
-"""Searches the agreement for violations: a run by a schedule of faults and operators' calls.
+"""Explorer of the agreement: runs a schedule of faults and operators' calls to find violations.
 
-Invariants are checked after every step; at the end all faults are lifted, and the fleet must
-converge and have all that it promised.
+Invariants are checked after every step. At the end all faults are cleared, and the fleet must
+converge and still have all confirmed commands.
 """
 
 import logging
@@ -13,7 +13,7 @@
 from cypresswalk.lab.cluster.simulation.data_losses import DataLosses
 from cypresswalk.lab.cluster.simulation.disk import StoredFile
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
-from cypresswalk.lab.cluster.simulation.faults import Picker, Target, ValueT, WorldFaults
+from cypresswalk.lab.cluster.simulation.faults import CommonFaults, Picker, Target, ValueT
 from cypresswalk.lab.cluster.simulation.network import MIN_DELAY
 from cypresswalk.lab.cluster.simulation.operators import Operators
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, Process
@@ -26,9 +26,9 @@
 from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-STARTUP_TIME = 6 * SECOND  # after which the first fault is injected
-# Within which a fleet without faults must converge: leases, a dead voter's replacement, a disk
-# that is tried again.
+STARTUP_TIME = 6 * SECOND  # before the first fault
+# Time for a fleet without faults to converge: lease expiry, replacement of a dead voter and the
+# retry after a disk failure.
 RECOVERY_TIME = 40 * SECOND
 LINK_DELAYS_S = (0.3, 1, 2, 4)
 MAX_OPERATIONS_UNTIL_KILL = 6
@@ -41,17 +41,18 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run has shown.
+    """The results of a run.
 
     Attributes:
-        seed: of the run.
-        steps: how many there were.
-        states: fingerprints of those that were met.
-        situations: how often each was met.
-        longest_contradiction: for which a process acted on an older version, nanoseconds.
-        violation: which rule was broken, when and by which seed; or empty.
-        history: the last lines of it.
-        promise_count: how many commands were confirmed.
+        seed: seed of the run.
+        steps: number of simulation steps.
+        states: fingerprints of the states reached.
+        situations: how often each situation occurred.
+        longest_contradiction: longest time for which a process acted on an old version,
+            nanoseconds.
+        violation: the broken rule, with seed and time; or empty.
+        history: the last events, a line each.
+        confirmed_count: number of confirmed commands.
     """
 
     seed: int
@@ -61,20 +62,20 @@
     longest_contradiction: int = 0
     violation: str = ""
     history: list[str] = field(default_factory=list)
-    promise_count: int = 0
+    confirmed_count: int = 0
 
 
 class Explorer:
-    """Carries out a schedule in a world."""
+    """Executes a schedule of faults and calls in a simulation."""
 
-    def __init__(self, world: World):
-        """Has done nothing yet."""
-        self.world = world
-        self.operators = Operators(world)
-        self._data_losses = DataLosses(world)
+    def __init__(self, simulation: World):
+        """Create an explorer of the given simulation."""
+        self.simulation = simulation
+        self.operators = Operators(simulation)
+        self._data_losses = DataLosses(simulation)
         self._backups: dict[str, dict[str, StoredFile]] = {}
         self._handlers = (
-            WorldFaults(world, LINK_DELAYS_S).handlers()
+            CommonFaults(simulation, LINK_DELAYS_S).handlers()
             | self.operators.handlers()
             | {
                 "kill": lambda target: target.process.kill(),
@@ -85,18 +86,18 @@
                 "disk_fails": self._fail_disk,
                 "disk_full": self._fill_disk,
                 "disk_well": self._repair_disks,
-                "kill_writing": self._kill_in_a_write,
+                "kill_writing": self._kill_during_write,
                 "refuses": self._refuse_settings,
             }
         )
 
-    def carry_out(self, action: ScheduledAction) -> None:
-        """Injects the fault or makes the call."""
-        process = self.world.processes[action.process]
+    def execute(self, action: ScheduledAction) -> None:
+        """Inject the fault or make the call."""
+        process = self.simulation.processes[action.process]
         other = action.other if action.kind.startswith("cut") else ""
-        self.world.note(f"{action.kind} {action.process} {other}")
-        self.world.count(action.kind)
-        target = Target(process, self.world.processes[action.other], _picker(action.number))
+        self.simulation.note(f"{action.kind} {action.process} {other}")
+        self.simulation.count(action.kind)
+        target = Target(process, self.simulation.processes[action.other], _picker(action.number))
         self._handlers[action.kind](target)
 
     def _start(self, target: Target) -> None:
@@ -108,7 +109,7 @@
 
     # Disks.
 
-    def _kill_in_a_write(self, target: Target) -> None:
+    def _kill_during_write(self, target: Target) -> None:
         operations = target.pick(range(MAX_OPERATIONS_UNTIL_KILL))
         target.process.disk.operations_until_kill = operations
 
@@ -137,74 +138,78 @@
         target.process.disk.full = True
 
     def _repair_disks(self, target: Target) -> None:
-        for process in self.world.processes.values():
+        for process in self.simulation.processes.values():
             process.disk.repair()
 
     # The end.
 
     def finish(self) -> None:
-        """Lifts all faults; the fleet must converge and have all that it promised."""
-        self._lift_faults()
-        self.world.note("all faults lifted")
-        self.world.run(RECOVERY_TIME)
-        leader = self.world.leader()
+        """Clear all faults; the fleet must converge and still have all confirmed commands."""
+        self._clear_faults()
+        self.simulation.note("all faults cleared")
+        self.simulation.run(RECOVERY_TIME)
+        leader = self.simulation.leader()
         if leader is None:
-            states = describe_processes(self.world)
-            raise ViolationError(f"no leader though all faults were lifted: {states}")
+            states = describe_processes(self.simulation)
+            raise ViolationError(f"no leader although all faults were cleared: {states}")
         self._check_versions(leader)
         self._check_members(leader)
         results = leader.live_member.machine.results
-        for ident, promise in self.operators.promises.items():
+        for ident, command in self.operators.confirmed_commands.items():
             if ident not in results:
-                raise ViolationError(f"forgotten: {ident}, promised at version {promise.version}")
+                raise ViolationError(
+                    f"lost command: {ident}, confirmed at version {command.version}"
+                )
 
-    def _lift_faults(self) -> None:
-        world = self.world
-        world.network.heal()
-        world.network.stop_losses()
-        for process in world.processes.values():
+    def _clear_faults(self) -> None:
+        simulation = self.simulation
+        simulation.network.heal()
+        simulation.network.stop_losses()
+        for process in simulation.processes.values():
             process.disk.repair()
             process.disk.operations_until_kill = None
             process.thaw()
             process.unreadable_marks.clear()
             if process.fleet is None:
                 process.start()
-            world.schedule(process)
+            simulation.schedule(process)
 
     def _check_versions(self, leader: Process) -> None:
         newest = leader.live_member.state.version
-        for process in self.world.processes.values():
+        for process in self.simulation.processes.values():
             if not process.acts or process.acts_on != newest:
                 raise ViolationError(
-                    f"{process.name} does not act on version {newest} though all faults were "
-                    f"lifted: {describe_processes(self.world)}"
+                    f"{process.name} does not act on version {newest} although all faults "
+                    f"were cleared: {describe_processes(self.simulation)}"
                 )
 
     def _check_members(self, leader: Process) -> None:
         member = leader.live_member
         voters = sorted(m.name for m in member.members if m.voter)
-        is_complete = len(member.members) == len(self.world.processes)
+        is_complete = len(member.members) == len(self.simulation.processes)
         if voters != sorted(member.state.voters) or not is_complete:
-            raise ViolationError(f"members are not whole: {member.members}")
-        processes = self.world.processes.values()
+            raise ViolationError(
+                f"the members are incomplete or their voters wrong: {member.members}"
+            )
+        processes = self.simulation.processes.values()
         if len({process.fleet.group() for process in processes if process.fleet is not None}) != 1:
-            raise ViolationError("two groups")
+            raise ViolationError("the processes do not all belong to one group")
 
 
 def _picker(number: int) -> Picker:
-    """Picks always the same one of as many values."""
+    """Return a picker that uses a fixed number as the index."""
 
     def pick(values: Sequence[ValueT]) -> ValueT:
-        """Returns the value at the fixed number, modulo the count of values."""
+        """Return the value at the fixed number, modulo the count of values."""
         return values[number % len(values)]
 
     return pick
 
 
-def describe_processes(world: World) -> str:
-    """The state of each balancer, for people."""
+def describe_processes(simulation: World) -> str:
+    """Describe the state of each balancer, for error messages."""
     return "; ".join(
-        f"{process.name}: {_describe(process)}" for process in world.processes.values()
+        f"{process.name}: {_describe(process)}" for process in simulation.processes.values()
     )
 
 
@@ -227,42 +232,42 @@
     followers: int = 1,
     schedule: Schedule | None = None,
 ) -> Outcome:
-    """Runs a fleet by a seed; the same seed and arguments give the same outcome.
+    """Run a fleet by a seed; the same seed and arguments give the same outcome.
 
     Args:
-        seed: of all random draws.
-        action_count: how many faults and calls are drawn.
-        voters: how many balancers vote.
-        followers: how many more there are.
-        schedule: what is carried out in place of the drawn one.
+        seed: seed of all random draws.
+        action_count: number of faults and calls.
+        voters: number of balancers that vote.
+        followers: number of further balancers.
+        schedule: faults and calls to execute in place of drawn ones.
     """
     logging.getLogger("cypresswalk.fleet").setLevel(logging.CRITICAL)
-    world = _draw_world(seed, voters, followers)
+    simulation = _draw_simulation(seed, voters, followers)
     if schedule is None:
-        schedule = draw_schedule(seed, list(world.processes), action_count)
+        schedule = draw_schedule(seed, list(simulation.processes), action_count)
     outcome = Outcome(seed)
-    explorer = Explorer(world)
+    explorer = Explorer(simulation)
     try:
-        world.start()
-        world.run(STARTUP_TIME)
+        simulation.start()
+        simulation.run(STARTUP_TIME)
         for action in schedule:
-            explorer.carry_out(action)
-            world.run(action.pause)
-            outcome.states.add(world.fingerprint())
+            explorer.execute(action)
+            simulation.run(action.pause)
+            outcome.states.add(simulation.fingerprint())
         explorer.finish()
     except ViolationError as error:
-        outcome.violation = f"seed {seed}, at {world.now / SECOND:.3f} s: {error}"
-    outcome.steps = world.steps
-    outcome.situations = world.situations
-    outcome.longest_contradiction = world.invariants.longest_contradiction
-    outcome.history = world.history
-    outcome.promise_count = len(explorer.operators.promises)
+        outcome.violation = f"seed {seed}, at {simulation.now / SECOND:.3f} s: {error}"
+    outcome.steps = simulation.steps
+    outcome.situations = simulation.situations
+    outcome.longest_contradiction = simulation.invariants.longest_contradiction
+    outcome.history = simulation.history
+    outcome.confirmed_count = len(explorer.operators.confirmed_commands)
     return outcome
 
 
-def _draw_world(seed: int, voters: int, followers: int) -> World:
+def _draw_simulation(seed: int, voters: int, followers: int) -> World:
     random = Random(f"{seed}/shape")
-    world = World(
+    simulation = World(
         seed,
         voters,
         followers,
@@ -270,13 +275,13 @@
         duplication=random.choice(DUPLICATIONS),
         delay=(MIN_DELAY, random.choice(MAX_DELAYS_MS) * MILLISECOND),
     )
-    for process in world.processes.values():
+    for process in simulation.processes.values():
         process.clock_rate = random.uniform(*CLOCK_RATES)
-    return world
+    return simulation
 
 
 def reduce_seed(seed: int, schedule: Schedule) -> Schedule:
-    """Takes out of a schedule by which the seed fails all that it can fail without."""
+    """Remove from a failing schedule what is not needed for the seed to fail."""
     return reduce_schedule(
         schedule, lambda shorter: bool(run_seed(seed, schedule=shorter).violation)
     )
--- a/cypresswalk/lab/cluster/simulation/faults.py
+++ b/cypresswalk/lab/cluster/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults that every simulation injects, and how the draws of a run are spread over time."""
+"""Faults that all simulations inject, and the random pauses between them."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -18,20 +18,20 @@
 
 
 class Picker(Protocol):
-    """Picks one of several values, by a draw."""
+    """A function that picks one of several values by a random draw."""
 
     def __call__(self, values: Sequence[ValueT], /) -> ValueT:
-        """The value that is picked."""
+        """Return the picked value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What a fault or a call is aimed at.
+    """The target of a fault or a call.
 
     Attributes:
         process: a balancer.
         other: another balancer, for faults between two.
-        pick: picks one of several values.
+        pick: a function that picks one of several values.
     """
 
     process: Process
@@ -39,26 +39,26 @@
     pick: Picker
 
 
-Handler = Callable[[Target], None]  # injects one kind of fault, or makes one kind of call
+Handler = Callable[[Target], None]  # injects a fault or makes a call
 
 
 def draw_pause(random: Random) -> int:
-    """How long to wait until the next fault, nanoseconds."""
+    """Draw the time to wait until the next fault, nanoseconds."""
     pauses = [random.uniform(0, longest) for longest in MAX_PAUSES_S]
     return int(random.choice(pauses) * SECOND)
 
 
-class WorldFaults:
-    """Faults of links and of running balancers."""
+class CommonFaults:
+    """Faults of links and of running balancers, common to all simulations."""
 
-    def __init__(self, world: World, link_delays_s: Sequence[float]):
-        """Injects into that world; a slow link is slower by one of these delays."""
-        self._world = world
-        self._network = world.network
+    def __init__(self, simulation: World, link_delays_s: Sequence[float]):
+        """Inject into the simulation; a slow link gets one of the given extra delays."""
+        self._simulation = simulation
+        self._network = simulation.network
         self._link_delays_s = link_delays_s
 
     def handlers(self) -> dict[str, Handler]:
-        """The handlers by the kind of fault."""
+        """Return the handlers by the kind of fault."""
         return {
             "cut": self.cut,
             "cut_one_way": self.cut_one_way,
@@ -70,32 +70,32 @@
         }
 
     def cut(self, target: Target) -> None:
-        """Nothing passes between two balancers."""
+        """Cut the link between two balancers."""
         self._network.cut(target.process.name, target.other.name)
 
     def cut_one_way(self, target: Target) -> None:
-        """Nothing passes from one balancer to another."""
+        """Cut the link from one balancer to another, in this direction only."""
         self._network.cut_one_way(target.process.name, target.other.name)
 
     def isolate(self, target: Target) -> None:
-        """Nothing passes between one balancer and all others."""
-        self._network.isolate(target.process.name, self._world.processes)
+        """Cut all links of one balancer."""
+        self._network.isolate(target.process.name, self._simulation.processes)
 
     def slow_down(self, target: Target) -> None:
-        """All that passes from one balancer to another arrives late."""
+        """Add a delay to all messages from one balancer to another."""
         delay = int(target.pick(self._link_delays_s) * SECOND)
         self._network.slow_down(target.process.name, target.other.name, delay)
 
     def heal(self, target: Target) -> None:
-        """All links are well again."""
+        """Restore all links."""
         self._network.heal()
 
     def freeze(self, target: Target) -> None:
-        """A running balancer stops for a while and does not notice."""
+        """Suspend a running balancer for a while, as if by SIGSTOP."""
         if target.process.fleet is not None:
-            span = int(target.pick(FREEZE_TIMES_S) * SECOND)
-            self._world.freeze(target.process, span)
+            duration = int(target.pick(FREEZE_TIMES_S) * SECOND)
+            self._simulation.freeze(target.process, duration)
 
     def release_leadership(self, target: Target) -> None:
-        """A running balancer is asked to hand leadership over, if it has it."""
+        """Ask a running balancer to hand over leadership, if it leads."""
         target.process.turn([LeadershipReleased()])
--- a/cypresswalk/lab/cluster/simulation/fingerprint.py
+++ b/cypresswalk/lab/cluster/simulation/fingerprint.py
@@ -1,4 +1,4 @@
-"""Which states a simulation has met, without times and terms: how much of them a search covers."""
+"""Fingerprints of a simulation's states, without times, to measure a search's coverage."""
 
 import hashlib
 from collections.abc import Collection
@@ -11,10 +11,10 @@
 
 
 def fingerprint(processes: Collection[Process], network: Network) -> bytes:
-    """A digest of the state of each process and of the links that are cut."""
+    """Return a digest of each process's state and of the cut links; terms count relatively."""
     highest_term = max((node.term for node in map(_node, processes) if node is not None), default=0)
-    shapes = [_process_shape(process, highest_term) for process in processes]
-    text = repr((shapes, sorted(network.cuts)))
+    summaries = [_summarize_process(process, highest_term) for process in processes]
+    text = repr((summaries, sorted(network.cuts)))
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_SIZE).digest()
 
 
@@ -22,12 +22,12 @@
     return process.member.node if process.member is not None else None
 
 
-def _process_shape(process: Process, highest_term: int) -> tuple[object, ...]:
+def _summarize_process(process: Process, highest_term: int) -> tuple[object, ...]:
     node = _node(process)
     return (
         process.fleet is None,
         process.member is None,
-        _node_shape(node, highest_term) if node is not None else None,
+        _summarize_node(node, highest_term) if node is not None else None,
         process.acts,
         process.acts_on,
         process.is_frozen,
@@ -35,7 +35,7 @@
     )
 
 
-def _node_shape(node: Node, highest_term: int) -> tuple[object, ...]:
+def _summarize_node(node: Node, highest_term: int) -> tuple[object, ...]:
     return (
         node.role.value,
         node.term - highest_term,
--- a/cypresswalk/lab/cluster/simulation/invariants.py
+++ b/cypresswalk/lab/cluster/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""What the agreement promises, checked against all that was seen before.
+"""Invariants of the agreement, checked against everything that was observed before.
 
 The names of the rules are those of `docs/design/agreement.md`.
 """
@@ -14,28 +14,28 @@
 
 
 class Invariants:
-    """Remembers what may never change once it was seen.
+    """Records observed facts that must never change, and checks them.
 
     Attributes:
-        newest_version: of the agreed state, that came into force last.
-        active_at: by version, when it came into force, virtual time.
-        longest_contradiction: for how long a process acted on a version that was not the newest
-            any more, nanoseconds.
+        newest_version: the latest version of the agreed state.
+        active_at: virtual time at which each version came into force, by version, nanoseconds.
+        longest_contradiction: longest time for which a process acted on a version that was no
+            longer the newest, nanoseconds.
     """
 
     def __init__(self, max_contradiction: int):
-        """Nothing was seen yet; two may contradict each other for so many nanoseconds."""
+        """Start without observations; `max_contradiction` is in nanoseconds."""
         self.newest_version = 0
         self.active_at: dict[int, int] = {0: 0}
         self.longest_contradiction = 0
         self._max_contradiction = max_contradiction
-        self._leaders: dict[int, str] = {}  # member's id by term
-        self._votes: dict[tuple[str, int], str] = {}  # by member's id and term
-        self._delivered: dict[str, int] = {}  # the last index by member's id
+        self._leaders: dict[int, str] = {}  # member id by term
+        self._votes: dict[tuple[str, int], str] = {}  # by member id and term
+        self._delivered: dict[str, int] = {}  # last index by member id
         self._entries: dict[tuple[str, int], Entry] = {}  # by group and index
 
     def check(self, processes: Collection[Process], now: int) -> None:
-        """Looks at all processes; raises ViolationError."""
+        """Check all processes; raise ViolationError if an invariant is broken."""
         for process in processes:
             member = process.member
             if member is not None and member.node is not None:
--- a/cypresswalk/lab/cluster/simulation/network.py
+++ b/cypresswalk/lab/cluster/simulation/network.py
@@ -1,4 +1,4 @@
-"""Messages between processes: harder than TCP, they are lost, doubled and overtake each other."""
+"""Simulated network: unlike TCP, it may lose, duplicate and reorder messages."""
 
 from collections.abc import Iterable
 from heapq import heappop, heappush
@@ -13,13 +13,13 @@
 
 
 class InFlight(NamedTuple):
-    """A message on its way; the first two fields give the order of arrival.
+    """A message in flight; the first two fields give the order of arrival.
 
     Attributes:
-        arrives_at: virtual time, nanoseconds.
-        sequence: counts messages, so that two that arrive at once keep their order.
+        arrives_at: virtual time of arrival, nanoseconds.
+        sequence: number of the message; two that arrive at once keep their order.
         target: name of the receiver.
-        hello: of the sender's connection.
+        hello: greeting of the sender's connection.
         data: the encoded frame.
     """
 
@@ -31,16 +31,16 @@
 
 
 class Network:
-    """One-way links between all processes.
+    """One-way links between all processes, with faults.
 
     Attributes:
-        cuts: pairs of names; nothing passes from the first to the second.
-        extra_delays: by such a pair, how much later messages arrive, nanoseconds.
+        cuts: pairs of sender and receiver names; messages between them are dropped.
+        extra_delays: additional delay by such a pair, nanoseconds.
         loss: the share of messages that are lost.
-        duplication: the share that is sent twice.
-        delay: bounds of the time that a message takes, nanoseconds.
-        message_count: of all that were sent.
-        byte_count: their size.
+        duplication: the share of messages that are sent twice.
+        delay: bounds of a message's delay, nanoseconds.
+        message_count: number of messages sent.
+        byte_count: total size of messages sent, bytes.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         duplication: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """Links without faults between the processes of those names."""
+        """Create links between the named processes, none of them cut or slow."""
         self.cuts: set[tuple[str, str]] = set()
         self.extra_delays: dict[tuple[str, str], int] = {}
         self.loss = loss
@@ -67,7 +67,7 @@
     # Messages.
 
     def send(self, now: int, source: str, address: str, hello: Hello, frame: AnyFrame) -> None:
-        """Sends a frame to whoever has that address."""
+        """Send a frame to the process with that address."""
         data = encode(frame)
         self.message_count += 1
         self.byte_count += len(data)
@@ -84,43 +84,43 @@
                 heappush(self._in_flight, message)
 
     def next_arrival(self) -> int | None:
-        """When the next message arrives, or None."""
+        """Return when the next message arrives, nanoseconds; None if there is none."""
         return self._in_flight[0].arrives_at if self._in_flight else None
 
     def take_next(self) -> InFlight:
-        """Takes the message that arrives next."""
+        """Remove and return the message that arrives next."""
         return heappop(self._in_flight)
 
     # Faults.
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing passes from one to the other."""
+        """Return whether the link from one process to the other is cut."""
         return (source, target) in self.cuts
 
     def cut(self, one: str, other: str) -> None:
-        """Nothing passes between these two."""
+        """Cut the link between two processes, in both directions."""
         self.cuts |= {(one, other), (other, one)}
 
     def cut_one_way(self, source: str, target: str) -> None:
-        """Nothing passes from one to the other."""
+        """Cut the link from one process to the other."""
         self.cuts.add((source, target))
 
     def isolate(self, name: str, names: Iterable[str]) -> None:
-        """Nothing passes between one and all those others."""
+        """Cut the links between one process and the other named ones."""
         for other in names:
             if other != name:
                 self.cut(name, other)
 
     def slow_down(self, source: str, target: str, delay: int) -> None:
-        """All that passes from one to the other arrives later by so many nanoseconds."""
+        """Delay all messages from one process to the other by so many more nanoseconds."""
         self.extra_delays[source, target] = delay
 
     def heal(self) -> None:
-        """Ends cuts and extra delays."""
+        """End all cuts and extra delays."""
         self.cuts.clear()
         self.extra_delays.clear()
 
     def stop_losses(self) -> None:
-        """No message is lost or doubled any more."""
+        """Stop losing and duplicating messages."""
         self.loss = 0.0
         self.duplication = 0.0
--- a/cypresswalk/lab/cluster/simulation/operators.py
+++ b/cypresswalk/lab/cluster/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls of the explorer, and whether the fleet's answers are true.
+"""Operators' calls made by the explorer, and checks of the fleet's answers.
 
 The names of the rules are those of `docs/design/agreement.md`.
 """
@@ -18,24 +18,28 @@
 MARK_COUNT = 50  # of different settings
 
 
-class Promise(NamedTuple):
-    """A command that was confirmed, and the version that its answer named."""
+class ConfirmedCommand(NamedTuple):
+    """A confirmed command, and the version of the agreed state given in the answer."""
 
     call: str
     version: int
 
 
 class Operators:
-    """Calls the fleet as operators do, and checks its answers."""
+    """Calls the fleet as operators do, and checks its answers.
 
-    def __init__(self, world: World):
-        """Has called nothing yet."""
-        self.promises: dict[str, Promise] = {}  # by ident
-        self._world = world
+    Attributes:
+        confirmed_commands: the commands that were confirmed, by ident.
+    """
+
+    def __init__(self, simulation: World):
+        """Start without calls."""
+        self.confirmed_commands: dict[str, ConfirmedCommand] = {}
+        self._simulation = simulation
         self._ident_count = 0
 
     def handlers(self) -> dict[str, Handler]:
-        """The handlers by the kind of call."""
+        """Return the handlers by the kind of call."""
         return {
             "out": self._remove_server,
             "back": self._return_server,
@@ -57,45 +61,47 @@
         self._command(target.process, "offer", {"base": base, "settings": settings})
 
     def _command(self, process: Process, name: str, args: dict[str, Any]) -> None:
-        """Gives a command, and remembers it once it was confirmed."""
+        """Send a command, and record it once it is confirmed."""
         self._ident_count += 1
         ident = f"{name}:{self._ident_count}"
 
         def reply(ok: bool, body: Any) -> None:
-            """Counts the answer, and records a promise if the command was confirmed."""
-            self._world.count(f"{name}: {'yes' if ok else 'no'}")
+            """Count the answer, and record the command if it was confirmed."""
+            self._simulation.count(f"{name}: {'yes' if ok else 'no'}")
             if ok:
-                self.promises[ident] = Promise(name, body.get("version", 0))
+                self.confirmed_commands[ident] = ConfirmedCommand(name, body.get("version", 0))
 
-        common = {"ident": ident, "by": "explorer", "at": self._world.now // MILLISECOND}
-        self._world.call(process, name, common | args, CALL_SPAN, reply)
+        common = {"ident": ident, "by": "explorer", "at": self._simulation.now // MILLISECOND}
+        self._simulation.call(process, name, common | args, CALL_SPAN, reply)
 
     def _show(self, target: Target) -> None:
-        """Asks for the agreed state; it must have all that was confirmed before."""
-        floor = max((promise.version for promise in self.promises.values()), default=0)
+        """Read the agreed state; it must include all commands confirmed before the call."""
+        min_version = max(
+            (command.version for command in self.confirmed_commands.values()), default=0
+        )
 
         def reply(ok: bool, body: Any) -> None:
-            """Raises a violation if the shown version is older than one promised before."""
-            if ok and body["version"] < floor:
+            """Raise a violation if the version read is older than a confirmed one."""
+            if ok and body["version"] < min_version:
                 raise ViolationError(
                     f"A7: version {body['version']} was shown, "
-                    f"{floor} had been promised before it was asked for"
+                    f"{min_version} had been confirmed before the call"
                 )
 
-        self._world.call(target.process, "show", {}, CALL_SPAN, reply)
+        self._simulation.call(target.process, "show", {}, CALL_SPAN, reply)
 
     def _query_settled(self, target: Target) -> None:
-        """Asks whether all act on the newest version; a yes must be true."""
-        version = self._world.invariants.newest_version
+        """Ask whether all balancers act on the newest version, and check a positive answer."""
+        version = self._simulation.invariants.newest_version
         args = {"version": version, "span": SETTLED_SPAN_S}
         reply: Reply = partial(self._check_settled, version)
-        self._world.call(target.process, "settled", args, SETTLED_SPAN_S * SECOND, reply)
+        self._simulation.call(target.process, "settled", args, SETTLED_SPAN_S * SECOND, reply)
 
     def _check_settled(self, version: int, ok: bool, body: Any) -> None:
-        self._world.count(f"settled: {'yes' if ok else 'no'}")
-        processes = self._world.processes.values()
+        self._simulation.count(f"settled: {'yes' if ok else 'no'}")
+        processes = self._simulation.processes.values()
         behind = [p.name for p in processes if p.acts and p.acts_on < version]
         if ok and behind:
             raise ViolationError(
-                f"L3: told that all act on {version} or not at all, {', '.join(behind)} act on less"
+                f"L3: answered that nobody acts on less than {version}, but {', '.join(behind)} do"
             )
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -1,4 +1,4 @@
-"""A balancer's process: the fleet's own code on a simulated clock, network and disk."""
+"""Simulated process of a balancer: the fleet's code with simulated clock, network and disk."""
 
 from collections.abc import Callable
 from random import Random
@@ -19,19 +19,19 @@
 
 EPOCH = 1_800_000_000 * SECOND  # the wall clock of all processes when virtual time begins
 MAX_CLOCK_BASE = 10**15  # nanoseconds
-CLOCK_RATES = (0.99, 1.01)  # bounds, as the fleet allows for
-DISK_RETRY_DELAY = SECOND  # after a disk has failed
+CLOCK_RATES = (0.99, 1.01)  # bounds; the fleet tolerates this drift
+DISK_RETRY_DELAY = SECOND  # from a disk failure to the member's restart
 NEVER = 1 << 62  # later than any moment of virtual time
 
 
 class Environment(Protocol):
-    """What a process needs of the world.
+    """The part of the simulation that a process uses.
 
     Attributes:
-        seed: of the run.
-        now: virtual time, nanoseconds.
-        random: the world's.
-        own_settings: that a balancer offers where the fleet has none.
+        seed: seed of the run.
+        now: current virtual time, nanoseconds.
+        random: the simulation's source of random draws.
+        own_settings: settings that a balancer offers if the fleet has none.
     """
 
     seed: int
@@ -40,20 +40,20 @@
     own_settings: dict[str, Any]
 
     def send(self, source: str, address: str, hello: Hello, frame: AnyFrame) -> None:
-        """Sends a frame to whoever has that address."""
+        """Send a frame to the process with that address."""
 
     def schedule(self, process: "Process") -> None:
-        """Runs the process when it is due."""
+        """Schedule the process for its due time."""
 
     def count(self, situation: str) -> None:
-        """Counts what was met."""
+        """Count an occurrence of a situation."""
 
 
 class SimulatedTransport(Transport):
-    """Sends through the simulated network in place of sockets; checks a Hello as the real one."""
+    """Transport over the simulated network; checks a Hello as the real transport does."""
 
     def __init__(self, environment: Environment, fleet: FleetThread):
-        """Connections of that fleet thread."""
+        """Create the transport of a fleet thread."""
         super().__init__(
             ("127.0.0.1", 0),
             fleet.table.fleet,
@@ -66,62 +66,62 @@
         self._source = fleet.table.name
 
     def start(self) -> None:
-        """Listens nowhere."""
+        """Do nothing but report that the transport listens."""
         self.listening = True
 
     def end(self) -> None:
-        """Has nothing to end."""
+        """Do nothing."""
 
     def send(self, address: tuple[str, int], to: str, frame: AnyFrame) -> None:
-        """Sends a frame to the member `to` at that address."""
+        """Send a frame to the member `to` at that address."""
         host, port = address
         self._environment.send(self._source, f"{host}:{port}", self.hello(to), frame)
 
 
 class SimulatedFleetThread(FleetThread):
-    """Runs no thread: `Process` calls what the thread would call."""
+    """Fleet thread without a thread: `Process` calls its methods in the thread's place."""
 
     def __init__(self, environment: Environment, process: "Process"):
-        """The fleet's part of one start of that process."""
+        """Create the fleet thread for one start of the process."""
         self.process = process
-        self._environment = environment  # `make_transport` needs it already
+        self._environment = environment  # used by `make_transport` during super().__init__
         super().__init__(
             process.table,
             process.settings_objection,
             environment.own_settings,
-            process.act_on,
+            process.apply_view,
             lambda: None,
             process.clock,
         )
-        self.folder.disk = process.disk  # type: ignore[assignment]  # a Folder, as DiskFolder is
+        self.folder.disk = process.disk  # type: ignore[assignment]  # implements Folder, as DiskFolder does
         self.random = Random(f"{environment.seed}/{process.name}/{process.starts}")
         self.start_nonce = self.random.getrandbits(63)
         self.wall = lambda: EPOCH + environment.now
 
     def make_transport(self) -> Transport:
-        """Return the connections to other members."""
+        """Return the transport to other members."""
         return SimulatedTransport(self._environment, self)
 
 
 class Process:
-    """One balancer: what survives its end, and its fleet thread while it runs.
+    """A balancer's process: its persistent state, and its fleet thread while it runs.
 
     Attributes:
-        table: of its operator's file.
-        name: the balancer's.
+        table: fleet settings from the operator's file.
+        name: name of the balancer.
         disk: its folder.
-        fleet: None while it does not run.
-        starts: how often it was started.
-        frozen_until: virtual time until which it does not run, nanoseconds.
-        clock_rate: how fast its clock is; 1.0 for as fast as virtual time.
-        last_member_id: whose its folder was when it last ran.
-        acts_on: the version of the agreed state that it acts on.
-        unreadable_marks: settings with such a mark are not readable to it.
-        on_start: called with each new fleet thread, before it begins.
+        fleet: its fleet thread; None while the process does not run.
+        starts: number of starts.
+        frozen_until: virtual time until which it is suspended, nanoseconds.
+        clock_rate: speed of its clock relative to virtual time.
+        last_member_id: id of the member that it ran last.
+        acts_on: version of the agreed state that it acts on.
+        unreadable_marks: settings with one of these marks cannot be read by this balancer.
+        on_start: function that gets each new fleet thread before the thread starts.
     """
 
     def __init__(self, environment: Environment, table: FleetTable):
-        """A process that does not run yet."""
+        """Create a process that is not started yet."""
         self.table = table
         self.name = table.name
         self.disk = SimulatedDisk(Random(f"{environment.seed}/disk/{table.name}"))
@@ -135,41 +135,41 @@
         self.on_start: Callable[[SimulatedFleetThread], None] = lambda fleet: None
         self._environment = environment
         self._clock_base = environment.random.randrange(MAX_CLOCK_BASE)
-        self._deferred: list[Event] = []  # that came while it was frozen
-        self._retry_at = 0  # when a member whose disk has failed begins anew
+        self._deferred: list[Event] = []  # received while frozen
+        self._retry_at = 0  # when the member restarts after a disk failure
 
     @property
     def member(self) -> Member | None:
-        """Its member of the fleet; None while it does not run, or its disk has failed."""
+        """Return its fleet member; None while it does not run or after a disk failure."""
         return self.fleet.member if self.fleet is not None else None
 
     @property
     def live_member(self) -> Member:
-        """Its member of the fleet, which runs."""
+        """Return its fleet member, which must run."""
         member = self.member
         assert member is not None, f"{self.name} runs no member"
         return member
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it does not run for a while, and does not notice."""
+        """Return whether the process is suspended."""
         return self._environment.now < self.frozen_until
 
     @property
     def acts(self) -> bool:
-        """Whether it runs and may act on the version that it has."""
+        """Return whether it runs and may act on its version of the agreed state."""
         return self.fleet is not None and not self.is_frozen and self.fleet.may_act()
 
     def clock(self) -> int:
-        """Its own clock, nanoseconds."""
+        """Return the time of its own clock, nanoseconds."""
         return self._clock_base + int(self._environment.now * self.clock_rate)
 
     def settings_objection(self, settings: dict[str, Any]) -> str:
-        """Why it could not act on those settings, or an empty string."""
+        """Return why it cannot act on the settings, or an empty string."""
         return "it can't be read here" if settings.get("mark") in self.unreadable_marks else ""
 
-    def act_on(self, view: AppliedView) -> None:
-        """Its deciding thread acts on a view; that takes no time here."""
+    def apply_view(self, view: AppliedView) -> None:
+        """Apply a view as the balancer's deciding thread does; takes no virtual time."""
         if self.fleet is not None and view.version > self.acts_on:
             self.acts_on = view.version
             self.fleet.queue.put(VersionApplied(view.version))
@@ -178,7 +178,7 @@
     # Starts and ends.
 
     def start(self) -> None:
-        """Starts it; its folder is read."""
+        """Start the process, which reads its folder."""
         self.starts += 1
         self.acts_on = 0
         self.fleet = SimulatedFleetThread(self._environment, self)
@@ -188,18 +188,18 @@
         self._environment.schedule(self)
 
     def kill(self) -> None:
-        """Ends it and crashes its disk."""
+        """Kill the process and simulate a crash of its disk."""
         self.end()
         self.disk.crash()
 
     def end(self) -> None:
-        """Ends it as planned: what was written stays."""
+        """Stop the process cleanly; all written data stays."""
         self._remember_member()
         self.fleet = None
         self._deferred = []
 
     def _stop_member(self) -> None:
-        """As the fleet's thread does where its disk fails: it begins anew after a while."""
+        """Stop the member after a disk failure and schedule a restart, as the real thread does."""
         self._environment.count("disk failed")
         self._remember_member()
         if self.fleet is not None:
@@ -211,26 +211,26 @@
             self.last_member_id = self.member.id
 
     def thaw(self) -> None:
-        """Lets it go on, if it is frozen; it is to be scheduled anew."""
+        """End a freeze; the caller must reschedule the process."""
         self.frozen_until = min(self.frozen_until, self._environment.now)
 
-    # Turns.
+    # Events.
 
     def receive(self, event: Event) -> None:
-        """Handles an event now, or after it was frozen."""
+        """Handle an event now, or at the end of a freeze."""
         if self.is_frozen:
             self._deferred.append(event)
         else:
             self.turn([event])
 
     def wake_up(self) -> None:
-        """Handles what came while it was frozen, and what is due."""
+        """Handle the events received while frozen, and whatever is due."""
         deferred = self._deferred
         self._deferred = []
         self.turn(deferred)
 
     def turn(self, events: list[Event]) -> None:
-        """Handles events, those posted to its thread, and what time brings."""
+        """Handle the given events, queued events and expired timers."""
         if self.fleet is None:
             return
         if self.fleet.member is not None:
@@ -242,7 +242,7 @@
         self._environment.schedule(self)
 
     def _run(self, function: Callable[..., None], *args: object) -> None:
-        """Calls the fleet's code, and ends what it can't go on with."""
+        """Call the fleet's code; stop the member or the process on errors that end it."""
         try:
             function(*args)
         except ProcessKilledError:
@@ -254,7 +254,7 @@
             raise ViolationError(f"{self.name}: {error}") from None
 
     def due(self) -> int:
-        """When it has something to do, in virtual time; NEVER while it does not run."""
+        """Return the virtual time of its next event; NEVER while it does not run."""
         if self.fleet is None:
             return NEVER
         now = self._environment.now
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -1,4 +1,4 @@
-"""Plays a release among random faults, and brings it to its end once all are lifted."""
+"""Runs a release under random faults, then without faults until it ends."""
 
 import logging
 from collections import Counter
@@ -20,28 +20,28 @@
 from cypresswalk.rollout.release import Phase, Release
 
 STARTUP_TIME = 8 * SECOND  # after which the release begins
-FINISH_INTERVAL = 2 * SECOND  # between two looks at a release that is to come to its end
-ROLL_BACK_AFTER_SHARE = 0.25  # of its time, after which the release of a bad build is rolled back
+FINISH_INTERVAL = 2 * SECOND  # between two checks whether the release has ended
+ROLL_BACK_AFTER_SHARE = 0.25  # of the time allowed to end; then a bad build is rolled back
 LOGGERS = ("cypresswalk.fleet", "cypresswalk.rollout")
 NEVER_BEGUN = "never begun"
-# Drawn for each run, as the longest time that a message takes.
+# Longest delays of a message; one is drawn for each run.
 MAX_DELAYS_MS = (2, 20, 100)
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run has shown.
+    """The results of a run.
 
     Attributes:
-        seed: of the run.
-        violation: which rule was broken, when and by which seed; or empty.
-        situations: how often each was met.
-        history: the last lines of it.
-        steps: how many there were.
-        duration: of the release, virtual time, nanoseconds.
-        went_out: how many members went out.
-        most_out: how many were out at once.
-        end: the release's phase; or NEVER_BEGUN.
+        seed: seed of the run.
+        violation: the broken rule, with seed and time; or empty.
+        situations: how often each situation occurred.
+        history: the last events, a line each.
+        steps: number of simulation steps.
+        duration: duration of the release in virtual time, nanoseconds.
+        went_out: how many times a member went out.
+        most_out: most members that were out at once.
+        end: phase in which the release ended; or NEVER_BEGUN.
     """
 
     seed: int
@@ -56,120 +56,128 @@
 
 
 def is_over(release: Release | None) -> bool:
-    """Whether there is no release, or it has ended."""
+    """Return whether there is no release, or it has ended."""
     return release is None or release.phase in (Phase.DONE, Phase.ROLLED_BACK)
 
 
 class ReleaseRun:
-    """One release, in a world that it begins."""
+    """Runs one release in a simulation, and starts the simulation."""
 
     def __init__(
         self,
-        world: ReleaseWorld[Any],
+        simulation: ReleaseWorld[Any],
         random: Random,
         inject: Callable[[str], None],
         weights: Mapping[str, float],
         max_release_time: int,
     ):
-        """Draws the balancers' clocks.
+        """Draw the rates of the balancers' clocks.
 
         Args:
-            world: that does not run yet.
-            random: draws faults and pauses.
-            inject: injects a fault or makes a call of a kind.
-            weights: how often each kind is drawn.
-            max_release_time: to its end, once all faults are lifted, nanoseconds.
+            simulation: the simulation, not started yet.
+            random: source of the draws of faults and pauses.
+            inject: function that injects a fault or makes a call of a given kind.
+            weights: relative frequency of each kind.
+            max_release_time: time for the release to end once all faults are cleared, nanoseconds.
         """
         for logger in LOGGERS:
             logging.getLogger(logger).setLevel(logging.CRITICAL)
-        self._world = world
+        self._simulation = simulation
         self._random = random
         self._inject = inject
         self._weights = weights
         self._max_release_time = max_release_time
-        for process in world.processes.values():
+        for process in simulation.processes.values():
             process.clock_rate = random.uniform(*CLOCK_RATES)
 
-    def play(self, action_count: int) -> Outcome:
-        """Plays so many faults and calls, and what follows."""
-        world = self._world
-        outcome = Outcome(world.seed)
+    def run(self, action_count: int) -> Outcome:
+        """Run a release with the given number of faults and calls, and finish it without faults."""
+        simulation = self._simulation
+        outcome = Outcome(simulation.seed)
         try:
-            world.start()
-            world.run(STARTUP_TIME)
-            began_at = world.now
-            world.begin_release(self._random)
+            simulation.start()
+            simulation.run(STARTUP_TIME)
+            began_at = simulation.now
+            simulation.begin_release(self._random)
             for _ in range(action_count):
                 self._inject(self._draw_kind())
-                world.run(draw_pause(self._random))
+                simulation.run(draw_pause(self._random))
             outcome.end = self._finish()
-            outcome.duration = world.now - began_at
+            outcome.duration = simulation.now - began_at
         except ViolationError as error:
             outcome.violation = (
-                f"seed {world.seed} ({world.build}, {len(world.hosts)} {world.kind}, "
-                f"{world.max_out} may be out), at {world.now / SECOND:.3f} s: {error}"
+                f"seed {simulation.seed} ({simulation.build}, "
+                f"{len(simulation.hosts)} {simulation.kind}, "
+                f"{simulation.max_unavailable} may be out), "
+                f"at {simulation.now / SECOND:.3f} s: {error}"
             )
-        outcome.situations = world.situations
-        outcome.history = world.history
-        outcome.steps = world.steps
-        outcome.went_out = world.went_out
-        outcome.most_out = world.most_out
+        outcome.situations = simulation.situations
+        outcome.history = simulation.history
+        outcome.steps = simulation.steps
+        outcome.went_out = simulation.went_out
+        outcome.most_out = simulation.most_out
         return outcome
 
     def _draw_kind(self) -> str:
         return self._random.choices(list(self._weights), list(self._weights.values()))[0]
 
     def _finish(self) -> str:
-        """Lifts all faults, and resumes or rolls back as an operator would until the release ends.
+        """Clear all faults, and resume or roll back as an operator would until the release ends.
 
         Returns:
-            How the release has ended: done, or rolled back. Nobody is out then.
+            The phase in which the release has ended, done or rolled back; no member is out then.
 
         Raises:
-            ViolationError: it does not end, or versions run that it did not mean (rule E).
+            ViolationError: the release does not end, or a host runs the wrong version (rule E).
         """
-        world = self._world
-        world.lift_faults()
-        end = world.now + self._max_release_time
+        simulation = self._simulation
+        simulation.clear_faults()
+        end = simulation.now + self._max_release_time
         state: FleetState | None = None
-        while world.now < end:
-            world.run(FINISH_INTERVAL)
-            for host in world.hosts.values():
+        while simulation.now < end:
+            simulation.run(FINISH_INTERVAL)
+            for host in simulation.hosts.values():
                 if host.removed:
                     host.bring_back()
-            state = world.agreed_state()
+            state = simulation.agreed_state()
             if state is None:
                 continue
-            world.return_removed(state)
-            if is_over(state.release) and world.is_settled(state):
+            simulation.return_removed(state)
+            if is_over(state.release) and simulation.is_settled(state):
                 return self._check_versions(state.release)
-            self._operate(state, end)
-        raise ViolationError(f"E: no end: {self._describe(state)}")
+            self._act_as_operator(state, end)
+        raise ViolationError(f"E: the release does not end: {self._describe(state)}")
 
     def _check_versions(self, release: Release | None) -> str:
-        wanted = NEW_VERSION if release is not None and release.phase == Phase.DONE else OLD_VERSION
+        expected = (
+            NEW_VERSION if release is not None and release.phase == Phase.DONE else OLD_VERSION
+        )
         phase = release.phase if release is not None else NEVER_BEGUN
-        versions = self._world.running_versions()
-        if set(versions.values()) != {wanted}:
-            raise ViolationError(f"E: the release is {phase}, and these run: {versions}")
+        versions = self._simulation.running_versions()
+        if set(versions.values()) != {expected}:
+            raise ViolationError(
+                f"E: the release is {phase}, but the running versions are {versions}"
+            )
         return phase
 
-    def _operate(self, state: FleetState, end: int) -> None:
-        """Resumes or rolls back a release that stands still, as an operator would."""
-        world = self._world
-        is_good = world.build == "good"
+    def _act_as_operator(self, state: FleetState, end: int) -> None:
+        """Resume or roll back a release that makes no progress, as an operator would."""
+        simulation = self._simulation
+        is_good = simulation.build == "good"
         release = state.release
         if release is not None and release.phase == Phase.PAUSED:
-            world.set_paused(False)
+            simulation.set_paused(False)
         elif release is not None and release.phase == Phase.RUNNING and not is_good:
-            is_late = world.now > end - int(self._max_release_time * (1 - ROLL_BACK_AFTER_SHARE))
+            is_late = simulation.now > end - int(
+                self._max_release_time * (1 - ROLL_BACK_AFTER_SHARE)
+            )
             if state.halted or is_late:
-                world.roll_back()
+                simulation.roll_back()
         if state.halted and (is_good or is_over(release)):
-            world.resume()
+            simulation.resume()
 
     def _describe(self, state: FleetState | None) -> str:
-        world = self._world
+        simulation = self._simulation
         agreed = "nothing agreed"
         if state is not None:
             agreed = (
@@ -179,6 +187,6 @@
         hosts = "; ".join(
             f"{host.name} {host.agent.saved} {sorted(host.running)} "
             f"serves {host.is_serving()} removed {host.removed}"
-            for host in world.hosts.values()
+            for host in simulation.hosts.values()
         )
-        return f"{agreed}; {world.describe_leader()}; {hosts}"
+        return f"{agreed}; {simulation.describe_leader()}; {hosts}"
--- a/cypresswalk/lab/cluster/simulation/release_world.py
+++ b/cypresswalk/lab/cluster/simulation/release_world.py
@@ -1,10 +1,12 @@
-"""A fleet whose members are changed by a release: hosts, operators and the rules that must hold.
+"""Simulated fleet whose members a release changes: hosts, operators' calls and checked rules.
 
-- B1: no more members are out by the program's own doing than the bound allows, whatever else is
-  lost.
-- B2: none goes out while those that were lost, for as long as anybody could know, take the last
-  slot.
-- H: none goes out later than 2 s after a halt was confirmed.
+A member is out if it does not serve because a release or an operator's call took it out, and lost
+if it does not serve for any other reason.
+
+- B1: no more members are out than the bound allows, however many are lost.
+- B2: no member is taken out if the members already out and those lost for longer than
+  MAX_DETECTION_TIME use up the bound.
+- H: no member is taken out later than 2 s after a halt was confirmed.
 """
 
 from abc import ABC, abstractmethod
@@ -26,15 +28,15 @@
 OLD_VERSION = "v1"
 NEW_VERSION = "v2"
 RELEASE_NAME = "r1"
-# After which whoever leads must know that a member was lost: when it was heard last, a link's
-# delay, a read's age.
+# Time after which any leader must know that a member is lost: the age of its last report, a link's
+# delay and a read's age.
 MAX_DETECTION_TIME = 8 * SECOND
 CALL_SPAN = 6 * SECOND
 BEGIN_SPAN = 20 * SECOND
 
 
 class Reason(StrEnum):
-    """Why a member goes out."""
+    """Why a member is taken out."""
 
     RELEASE = "release"
     DRAIN = "drain"  # of a balancer, by an operator's call
@@ -42,11 +44,11 @@
 
 
 class ObservedHost(Protocol):
-    """What the rules see of a host.
+    """The interface of a host that the rules use.
 
     Attributes:
-        name: of the member that runs there.
-        unavailable_since: virtual time since which it serves nobody, by no call; or None.
+        name: name of the member on the host.
+        unavailable_since: virtual time since which it has been lost; or None.
     """
 
     name: str
@@ -54,42 +56,42 @@
 
     @property
     def is_out(self) -> bool:
-        """Whether it is out by the program's own doing, or may be at any moment."""
+        """Return whether the member is out, or may be at any moment."""
 
     @property
-    def holds_slot(self) -> bool:
-        """Whether it has gone out by the program's own doing."""
+    def counts_against_bound(self) -> bool:
+        """Return whether the member is out, and so counts against the bound."""
 
     def is_serving(self) -> bool:
-        """Whether it serves flows now."""
+        """Return whether the member serves flows now."""
 
     def observe(self) -> None:
-        """Notes whether it serves."""
+        """Record whether the member serves."""
 
     def recover(self) -> None:
-        """All faults are lifted: its agent runs, and goes on running."""
+        """End all faults: cancel a pending crash of the agent, and start it if it does not run."""
 
 
 HostT = TypeVar("HostT", bound=ObservedHost)
 
 
 class ReleaseWorld(World, ABC, Generic[HostT]):
-    """A fleet with hosts that a release changes.
+    """Simulated fleet with hosts whose members a release changes.
 
     Attributes:
-        hosts: by the name of their member.
-        build: what the new version does; a key of the kind's builds.
-        max_out: how many members may be out at once.
-        pid_count: of all processes that were started.
-        rollback_requested_at: when a rollback was asked for; or None.
-        most_out: how many were out at once.
-        went_out: how many went out in all.
+        hosts: the hosts, by the name of their member.
+        build: behaviour of the new version; a key of the hosts' builds.
+        max_unavailable: bound on members out at once.
+        pid_count: number of processes started, and the latest pid.
+        rollback_requested_at: virtual time of the last request for a rollback; or None.
+        most_out: most members that were out at once.
+        went_out: how many times a member was taken out.
     """
 
-    kind: MemberKind  # of the members
-    observation_interval: int  # nanoseconds between two looks at the hosts
-    min_flows: int  # of the release's plan
-    change_timeout_s: float  # of the release's plan
+    kind: MemberKind  # what the release changes: balancers or servers
+    observation_interval: int  # nanoseconds between two observations of the hosts
+    min_flows: int  # in the release's plan
+    change_timeout_s: float  # in the release's plan
 
     def __init__(
         self,
@@ -103,18 +105,18 @@
         loss: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """A fleet that does not run yet, without hosts.
+        """Create a fleet without hosts that is not started yet.
 
         Args:
-            seed: of all random draws.
-            voters: how many balancers vote.
-            followers: how many more balancers there are.
-            zones: over which the balancers are spread.
-            member_count: how many members of this kind there are.
-            bound: how many of them may be out at once.
-            build: what the new version does.
+            seed: seed of all random draws.
+            voters: number of balancers that vote.
+            followers: number of further balancers.
+            zones: number of zones that the balancers are spread over.
+            member_count: number of members of the kind that the release changes.
+            bound: bound on those out at once.
+            build: behaviour of the new version.
             loss: share of messages that are lost.
-            delay: bounds of the time that a message takes.
+            delay: bounds of a message's delay.
         """
         super().__init__(seed, voters, followers, loss=loss, delay=delay, zones=zones)
         self.own_settings = {"mark": 0, "bounds": {self.kind.value: {"all": bound}}}
@@ -123,98 +125,98 @@
         self.rollback_requested_at: int | None = None
         self.most_out = 0
         self.went_out = 0
-        self.hosts: dict[str, HostT] = {}  # made by the subclass
-        self.max_out = max_unavailable(bound, member_count)
+        self.hosts: dict[str, HostT] = {}  # filled by the subclass
+        self.max_unavailable = max_unavailable(bound, member_count)
         self._ident_count = 0
-        self._halted_since: int | None = None  # of the first halt that nobody has ended
+        self._halted_since: int | None = None  # confirmation of the earliest halt in force
         self._resumed_at = -1
 
     # What differs between balancers and servers.
 
     @abstractmethod
     def is_bound_waived(self, host: HostT, reason: Reason) -> bool:
-        """Whether a member may go out though B2 would forbid it."""
+        """Return whether a member may be taken out although B2 would forbid it."""
 
     @abstractmethod
     def is_halt_binding(self, host: HostT, reason: Reason) -> bool:
-        """Whether a halt forbids that this member goes out."""
+        """Return whether a halt forbids taking this member out."""
 
     @abstractmethod
     def is_settled(self, state: FleetState) -> bool:
-        """Whether all members are in, and none is being changed."""
+        """Return whether no member is out or being changed."""
 
     @abstractmethod
     def running_versions(self) -> dict[str, str]:
-        """The version that serves at each host."""
+        """Return the version that serves at each host."""
 
     @abstractmethod
     def describe_leader(self) -> str:
-        """What the leader's release waits for, for people."""
+        """Describe what the leader's release waits for."""
 
     def return_removed(self, state: FleetState) -> None:
-        """Brings members back that are out by a call whose answer was lost."""
+        """Bring back members that are out by a call whose answer was lost."""
 
     def recover_processes(self) -> None:
-        """Starts balancers that no agent starts."""
+        """Start balancers that no agent starts."""
 
     def after_observation(self) -> None:
-        """Called after each look at the hosts."""
+        """Run after each observation of the hosts; a hook for subclasses."""
 
     def on_stopping(self, host: HostT) -> None:
-        """The agent asks the process of the old version to leave; may raise ViolationError."""
-        self.on_going_out(host, Reason.RELEASE)
+        """Check the rules when an agent requests a process's shutdown; raise ViolationError."""
+        self.on_taken_out(host, Reason.RELEASE)
 
     def on_process_ended(self, host: HostT) -> None:
-        """A process of that host has ended."""
+        """Run when a process of the host has ended; a hook for subclasses."""
 
     # Time.
 
     def observe_hosts(self) -> None:
-        """Looks at all hosts, now and at each interval."""
+        """Observe all hosts now and at each interval."""
         for host in self.hosts.values():
             host.observe()
         self.after_observation()
         self.call_later(self.observation_interval, self.observe_hosts)
 
-    def lift_faults(self) -> None:
-        """Ends all faults."""
+    def clear_faults(self) -> None:
+        """End all faults."""
         self.network.heal()
         self.network.stop_losses()
         self.recover_processes()
         for host in self.hosts.values():
             host.recover()
-        self.note("all faults lifted")
+        self.note("all faults cleared")
 
     # Rules.
 
     def check_bound(self) -> None:
-        """Checks B1; called where a host's state has changed. Raises ViolationError."""
+        """Check B1 after a change of a host's state; raise ViolationError."""
         out = [host.name for host in self.hosts.values() if host.is_out]
         self.most_out = max(self.most_out, len(out))
-        if len(out) > self.max_out:
+        if len(out) > self.max_unavailable:
             names = ", ".join(out)
             raise ViolationError(
-                f"B1: {names} are out by the program's doing, {self.max_out} may be"
+                f"B1: {names} are out by a release or a call, {self.max_unavailable} may be"
             )
 
-    def on_going_out(self, host: HostT, reason: Reason) -> None:
-        """Checks all rules as a member goes out; raises ViolationError."""
+    def on_taken_out(self, host: HostT, reason: Reason) -> None:
+        """Check all rules when a member is taken out; raise ViolationError."""
         self.check_bound()
         self.went_out += 1
         self.count(f"goes out: {reason}")
         self.note(f"{host.name} goes out: {reason}")
         if not self.is_bound_waived(host, reason):
-            self._check_slots(host, reason)
+            self._check_bound_with_lost(host, reason)
         if self._halted_since is not None and self.is_halt_binding(host, reason):
             self._check_halt(host, reason, self._halted_since)
 
-    def _check_slots(self, host: HostT, reason: Reason) -> None:
-        out = {other.name for other in self.hosts.values() if other.holds_slot}
+    def _check_bound_with_lost(self, host: HostT, reason: Reason) -> None:
+        out = {other.name for other in self.hosts.values() if other.counts_against_bound}
         lost = {other.name for other in self.hosts.values() if self._is_known_lost(other)}
-        if len(out | lost | {host.name}) > self.max_out:
+        if len(out | lost | {host.name}) > self.max_unavailable:
             raise ViolationError(
                 f"B2: {host.name} goes out ({reason}), {', '.join(sorted(out))} are out "
-                f"and {', '.join(sorted(lost))} lost; {self.max_out} may be"
+                f"and {', '.join(sorted(lost))} lost; {self.max_unavailable} may be"
             )
 
     def _is_known_lost(self, host: HostT) -> bool:
@@ -227,18 +229,18 @@
         late = self.now - halted_since
         if late > MAX_HALT_DELAY:
             raise ViolationError(
-                f"H: {host.name} goes out ({reason}) {late / SECOND:.1f} s after a yes to a halt"
+                f"H: {host.name} goes out ({reason}) {late / SECOND:.1f} s after a confirmed halt"
             )
 
     # Calls.
 
     def next_ident(self, prefix: str) -> str:
-        """A text that nobody else has."""
+        """Return a unique id with that prefix."""
         self._ident_count += 1
         return f"{prefix}{self._ident_count}"
 
     def make_command(self, by: str, args: dict[str, Any]) -> dict[str, Any]:
-        """The arguments of a command, with what all commands have."""
+        """Return the arguments of a command, including those common to all commands."""
         return {"ident": self.next_ident("c"), "by": by, "at": self.now // MILLISECOND} | args
 
     def operator_call(
@@ -248,14 +250,14 @@
         reply: Reply = ignore_reply,
         span: int = CALL_SPAN,
     ) -> None:
-        """An operator calls any balancer that runs; no answer where none does."""
+        """Call any running balancer as an operator; if none runs, there is no answer."""
         running = [process for process in self.live() if not process.is_frozen]
         if running:
             process = self.random.choice(running)
             self.call(process, name, self.make_command("explorer", args), span, reply)
 
     def begin_release(self, random: Random) -> None:
-        """Begins a release of all members, in three waves that are drawn."""
+        """Begin a release of all members, in up to three random waves."""
         plan = msgspec.to_builtins(self._draw_plan(random))
         self.operator_call("release_begin", {"plan": plan}, span=BEGIN_SPAN)
 
@@ -280,15 +282,15 @@
         )
 
     def set_paused(self, paused: bool) -> None:
-        """Pauses the release, or lets it go on."""
+        """Pause or unpause the release."""
         self.operator_call("release_pause", {"release": RELEASE_NAME, "on": paused})
 
     def halt(self) -> None:
-        """Halts the fleet; from its confirmation on H holds."""
+        """Halt the fleet; rule H applies from the confirmation on."""
         asked_at = self.now
 
         def reply(ok: bool, body: Any) -> None:
-            """Records when the halt was confirmed, unless a resume came after it was asked for."""
+            """Record when the halt was confirmed, unless a resume came after the request."""
             if ok and asked_at > self._resumed_at and self._halted_since is None:
                 self._halted_since = self.now
             self.note(f"halt: {ok} {body}")
@@ -296,12 +298,12 @@
         self.operator_call("halt", {"why": "by hand"}, reply)
 
     def resume(self) -> None:
-        """Ends all halts that the fleet has agreed on."""
+        """End all halts that the fleet has agreed on."""
 
         def reply(ok: bool, body: Any) -> None:
-            """Forgets the confirmed halt, and asks to end the halts that the answer lists."""
+            """Forget the confirmed halt, and request the end of the halts in the answer."""
             if ok:
-                # Nobody knows from now on whether halts that were asked for before are in force.
+                # From now on it is unknown whether halts requested earlier are in force.
                 self._halted_since = None
                 self._resumed_at = self.now
                 self.operator_call("resume", {"halts": body["halts"]})
@@ -309,11 +311,11 @@
         self.operator_call("release", {}, reply)
 
     def roll_back(self) -> None:
-        """Asks for a rollback to the old version."""
+        """Request a rollback to the old version."""
         self.rollback_requested_at = self.now
         self.operator_call("release_back", {"release": RELEASE_NAME})
 
     def agreed_state(self) -> FleetState | None:
-        """The state that the leader has; None where nobody leads."""
+        """Return the leader's agreed state; None if there is no leader."""
         leader = self.leader()
         return leader.live_member.state if leader is not None else None
--- a/cypresswalk/lab/cluster/simulation/schedule.py
+++ b/cypresswalk/lab/cluster/simulation/schedule.py
@@ -1,4 +1,4 @@
-"""What a run of the explorer injects and calls, drawn before it begins."""
+"""Schedule of an explorer run: faults and calls drawn before the run."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 from cypresswalk.lab.cluster.simulation.faults import draw_pause
 
-# How often each kind of fault or call is drawn.
+# Relative frequency of each kind of fault or call.
 WEIGHTS = {
     "cut": 6,
     "cut_one_way": 6,
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledAction:
-    """A fault or a call.
+    """A scheduled fault or call.
 
     Attributes:
         kind: a key of WEIGHTS.
-        process: name of the balancer that it is aimed at.
-        other: name of another balancer.
-        number: drawn; from it come delays, servers and settings.
-        pause: until the next one, nanoseconds.
+        process: name of the target balancer.
+        other: name of the other balancer, for faults between two.
+        number: random number that determines delays, servers and settings.
+        pause: time until the next action, nanoseconds.
     """
 
     kind: str
@@ -57,7 +57,7 @@
 
 
 def draw_schedule(seed: int, names: list[str], length: int) -> Schedule:
-    """Draws so many faults and calls for the balancers of those names."""
+    """Draw `length` faults and calls for the named balancers."""
     random = Random(f"{seed}/plan")
     return [_draw_action(random, names) for _ in range(length)]
 
@@ -70,11 +70,11 @@
 
 
 def reduce_schedule(schedule: Schedule, fails: Callable[[Schedule], bool]) -> Schedule:
-    """Takes out all that a run can fail without, in steps that halve.
+    """Minimize a failing schedule by removing parts of halving size.
 
     Args:
-        schedule: of a run that fails.
-        fails: whether a run by another schedule fails.
+        schedule: schedule of a run that fails.
+        fails: function that returns whether a run by the given schedule fails.
     """
     size = max(len(schedule) // 2, 1)
     while True:
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -1,4 +1,4 @@
-"""A server's host: one process at a time, without a part in the fleet."""
+"""Simulated host of a server: one process at a time, not a member of the fleet."""
 
 from random import Random
 from typing import Any
@@ -17,92 +17,92 @@
     "falls": Build(crash_after_s=6.0),
     "never_ready": Build(becomes_ready=False),
 }
-OUT_BEFORE = "out since"  # so begins the answer where an earlier call took the server out
+ALREADY_OUT_PREFIX = "out since"  # of the answer if an earlier call took the server out
 
 
 class ServerHost(Host):
-    """The host of one server."""
+    """Host of one server."""
 
     builds = BUILDS
     changing_steps = (AgentStep.DRAINING, AgentStep.REPLACING, AgentStep.RESTORING)
     startup_time_s = (0.1, 1.0)
-    leave_time_s = (0.1, 3)
+    shutdown_time_s = (0.1, 3)
 
-    def __init__(self, world: ReleaseWorld[Any], name: str):
-        """The host of the server of that name."""
-        super().__init__(world, name, Random(f"{world.seed}/server/{name}"))
+    def __init__(self, simulation: ReleaseWorld[Any], name: str):
+        """Create the host of the named server."""
+        super().__init__(simulation, name, Random(f"{simulation.seed}/server/{name}"))
         self._clock_base = self.random.randrange(MAX_CLOCK_BASE)
         self._clock_rate = self.random.uniform(*CLOCK_RATES)
-        self._brought_back_at = -1  # by an operator's call, virtual time
+        self._brought_back_at = -1  # virtual time of the last operator's call `back`
 
     @property
     def frozen_until(self) -> int:
-        """Servers are never frozen."""
+        """Return 0: servers are never frozen."""
         return 0
 
     @property
-    def holds_slot(self) -> bool:
-        """Whether it is out by the program's own doing."""
+    def counts_against_bound(self) -> bool:
+        """Return whether the server is out by a release or a call."""
         return self.is_out
 
     def clock(self) -> int:
-        """The host's clock, nanoseconds."""
-        return self._clock_base + int(self.world.now * self._clock_rate)
+        """Return the time of the host's clock, nanoseconds."""
+        return self._clock_base + int(self.simulation.now * self._clock_rate)
 
     def make_agent(self, state: AgentState) -> ServerAgent:
-        """Returns an agent that goes on from a saved state."""
+        """Return an agent that continues from a saved state."""
         return ServerAgent(self.name, OLD_VERSION, ADMINS, state)
 
     def contacts(self) -> list[Process]:
-        """All balancers."""
-        return list(self.world.processes.values())
+        """Return all balancers."""
+        return list(self.simulation.processes.values())
 
     def is_serving(self) -> bool:
-        """Whether the server answers."""
-        return any(self._answers(process) for process in self.running.values())
+        """Return whether the server answers."""
+        return any(self._is_answering(process) for process in self.running.values())
 
-    def _answers(self, process: HostProcess) -> bool:
-        has_begun = process.ready_at <= self.world.now and not process.is_leaving
-        return has_begun and self.build_of(process.version).becomes_ready
+    def _is_answering(self, process: HostProcess) -> bool:
+        is_up = process.ready_at <= self.simulation.now and not process.is_shutting_down
+        return is_up and self.build_of(process.version).becomes_ready
 
     def running_version(self) -> str:
-        """The version of its process, or an empty string."""
+        """Return the version of the running process, or an empty string."""
         return next((process.version for process in self.running.values()), "")
 
     def readiness_error(self, admin: str) -> str:
-        """Why the server does not answer, or an empty string."""
+        """Return an error if the server does not answer, or an empty string."""
         return "" if self.is_serving() else "check: refused"
 
     def on_started(self, process: HostProcess) -> None:
-        """A process was started; there may be one alone."""
+        """Raise ViolationError if two processes run."""
         if len(self.running) > 1:
-            raise ViolationError(f"{self.name} runs twice")
+            raise ViolationError(f"{self.name} runs two processes")
 
     def on_ended(self, process: HostProcess, planned: bool) -> None:
-        """A process has ended, and all flows there."""
-        self.world.on_process_ended(self)
+        """Report the end of the process, with which all its flows end."""
+        self.simulation.on_process_ended(self)
 
-    # By an operator's call.
+    # Operators' calls.
 
     def take_out(self) -> None:
-        """An operator takes the server out of rotation."""
+        """Take the server out of rotation by an operator's call."""
         if self.removed:
             return
-        asked_at = self.world.now
+        asked_at = self.simulation.now
 
         def reply(ok: bool, body: Any) -> None:
-            """Marks the server as removed if confirmed and not brought back since the call."""
-            self.world.note(f"out {self.name}: {ok} {body}")
-            # A rollback that was asked for meanwhile may have brought it in again.
+            """Mark the server as removed if confirmed and not brought back since the call."""
+            self.simulation.note(f"out {self.name}: {ok} {body}")
+            # A rollback requested meanwhile may have returned it to rotation.
             if ok and self._brought_back_at < asked_at:
                 self.removed = True
-                if not body["why"].startswith(OUT_BEFORE):
-                    self.world.on_going_out(self, Reason.OPERATOR)
+                if not body["why"].startswith(ALREADY_OUT_PREFIX):
+                    self.simulation.on_taken_out(self, Reason.OPERATOR)
 
-        self.world.operator_call("out", {"server": self.name}, reply)
+        self.simulation.operator_call("out", {"server": self.name}, reply)
 
     def bring_back(self) -> None:
-        """An operator returns the server to rotation."""
-        self._brought_back_at = self.world.now
+        """Return the server to rotation by an operator's call."""
+        self._brought_back_at = self.simulation.now
         self.removed = False
-        self.world.operator_call("back", {"server": self.name})
+        self.simulation.operator_call("back", {"server": self.name})
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -1,10 +1,11 @@
-"""Releases of servers in virtual time.
+"""Simulated releases of servers in virtual time.
 
-The fleet's own code and the agents' own, with simulated servers, and balancers that send flows,
-check health and move flows. Beside the rules of `release_world`:
+The fleet's and the agents' production code runs with simulated servers, and with balancers that
+check servers' health, send them flows and drain them. Rules, in addition to those of
+`release_world`:
 
-- S: no server is told to leave while a balancer may send it flows or has flows there, and none that
-  is being changed is sent one.
+- S: no server is shut down while a balancer may send it flows or has flows open there, and no
+  flow is sent to a server that is being changed.
 """
 
 from random import Random
@@ -28,10 +29,10 @@
 from cypresswalk.rollout.release import MemberKind
 
 ZONES = 2
-MAX_RELEASE_TIME = 900 * SECOND  # to its end, once all faults are lifted
-MAX_ACTIONS_UNTIL_CRASH = 16  # of an agent
-RETURN_SERVER = "in"  # the kind, as the history notes and counts it
-# How often each kind of fault or call is drawn.
+MAX_RELEASE_TIME = 900 * SECOND  # until it ends, once all faults are cleared
+MAX_ACTIONS_UNTIL_CRASH = 16  # bound on an agent's actions before an injected crash
+RETURN_SERVER = "in"  # name of the call in the history and in counts
+# Relative frequency of each kind of fault or call.
 WEIGHTS = {
     "cut": 5,
     "cut_one_way": 4,
@@ -55,7 +56,7 @@
     RETURN_SERVER: 6,
     "hand_over": 4,
 }
-AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # as the history notes
+AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # for the history
 # Drawn for each run.
 BUILDS = ("good", "good", "good", "aborts", "falls", "never_ready")
 SERVER_COUNTS = (2, 4, 6)
@@ -65,11 +66,11 @@
 
 
 class ServerReleases(ReleaseWorld[ServerHost]):
-    """A fleet whose servers a release changes.
+    """Simulated fleet in which a release changes the servers.
 
     Attributes:
-        balancers: what each does with the servers, by name.
-        drains: how flows leave servers that are out.
+        balancers: the balancers' health checks and flows, by name of the balancer.
+        drains: how fast open flows leave servers that are out.
     """
 
     kind = MemberKind.SERVERS
@@ -89,7 +90,7 @@
         loss: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """A fleet that does not run yet, with so many servers; see ReleaseWorld."""
+        """Create a fleet with the given number of servers, not started yet; see ReleaseWorld."""
         super().__init__(seed, voters, followers, ZONES, servers, bound, build, loss, delay)
         self.drains = Drains()
         for name in (f"s{i}" for i in range(servers)):
@@ -100,24 +101,24 @@
         }
 
     def start(self) -> None:
-        """Starts all agents, which start the servers, and all balancers."""
+        """Start all agents, which start the servers, and all balancers."""
         for host in self.hosts.values():
             host.agent.start()
         super().start()
         self.call_later(self.observation_interval, self.observe_hosts)
 
     def after_observation(self) -> None:
-        """Lets each balancer look at the servers."""
+        """Let each balancer check the servers and send flows."""
         for balancer in self.balancers.values():
-            balancer.turn()
+            balancer.step()
 
     def on_process_ended(self, host: ServerHost) -> None:
-        """All flows at that server have ended."""
+        """End all flows at the server."""
         for balancer in self.balancers.values():
             balancer.open_flows[host.name] = 0
 
     def on_stopping(self, host: ServerHost) -> None:
-        """Checks all rules as a server is told to leave; raises ViolationError."""
+        """Check all rules when a server is asked to shut down; raise ViolationError."""
         super().on_stopping(host)
         for balancer in self.balancers.values():
             if balancer.process.acts:
@@ -126,25 +127,25 @@
     def _check_balancer(self, balancer: ServingBalancer, host: ServerHost) -> None:
         name = balancer.process.name
         if host.name not in balancer.out:
-            raise ViolationError(f"S: {host.name} is told to leave, and {name} may send to it")
-        # One that acts again only since a moment ago had no lease when it was asked.
-        acts_for_long = self.now - balancer.idle_at > MAX_HALT_DELAY
+            raise ViolationError(f"S: {host.name} is asked to shut down, but {name} may send to it")
+        # A balancer that resumed only just now had no lease when the fleet asked for open flows.
+        acts_for_long = self.now - balancer.last_inactive_at > MAX_HALT_DELAY
         open_flows = balancer.open_flows.get(host.name)
         if acts_for_long and open_flows:
             raise ViolationError(
-                f"S: {host.name} is told to leave, and {name} has {open_flows} flows there"
+                f"S: {host.name} is asked to shut down, but {name} has {open_flows} flows there"
             )
 
     def is_bound_waived(self, host: ServerHost, reason: Reason) -> bool:
-        """In a rollback servers that are lost may be among those to be changed."""
+        """Return True in a rollback, which may have to change servers that are lost."""
         return self.rollback_requested_at is not None
 
     def is_halt_binding(self, host: ServerHost, reason: Reason) -> bool:
-        """A halt forbids a release but no rollback, and no call by an operator."""
+        """Return whether a halt forbids it: releases, but no rollbacks or operators' calls."""
         return reason is Reason.RELEASE and self.rollback_requested_at is None
 
     def recover_processes(self) -> None:
-        """Starts balancers that do not run."""
+        """Start balancers that do not run, and end freezes."""
         for process in self.processes.values():
             process.thaw()
             if process.fleet is None:
@@ -152,12 +153,12 @@
             self.schedule(process)
 
     def return_removed(self, state: FleetState) -> None:
-        """Brings servers back whose removal was confirmed late, or to nobody."""
+        """Bring back servers whose removal was confirmed late or whose caller got no answer."""
         for name in state.removed_servers:
             self.hosts[name].bring_back()
 
     def is_settled(self, state: FleetState) -> bool:
-        """Whether all servers answer, and all balancers send to them."""
+        """Return whether all servers answer, and all balancers send to them."""
         if state.halted or state.removed_servers or state.returning_servers:
             return False
         if any(balancer.out for balancer in self.balancers.values()):
@@ -165,11 +166,11 @@
         return all(host.is_serving() and not host.is_being_changed for host in self.hosts.values())
 
     def running_versions(self) -> dict[str, str]:
-        """The version that runs at each host."""
+        """Return the version that runs at each host."""
         return {host.name: host.running_version() for host in self.hosts.values()}
 
     def describe_leader(self) -> str:
-        """What the leader's release waits for, and which servers it counts as unhealthy."""
+        """Describe what the leader's release waits for, and which servers count as unhealthy."""
         leader = self.leader()
         if leader is None:
             return "no leader"
@@ -179,57 +180,57 @@
 
 
 class ServerReleaseFaults:
-    """Faults and calls of a release of servers."""
+    """Faults and operators' calls during a release of servers."""
 
-    def __init__(self, world: ServerReleases, random: Random):
-        """Injects into that world; `random` draws targets."""
-        self._world = world
+    def __init__(self, simulation: ServerReleases, random: Random):
+        """Inject into the given simulation; `random` draws the targets."""
+        self._simulation = simulation
         self._random = random
-        self._names = sorted(world.hosts)
-        self._host = world.hosts[self._names[0]]  # that the present fault is aimed at
-        shared = ReleaseFaults(world, lambda target: self._host, MAX_ACTIONS_UNTIL_CRASH)
+        self._names = sorted(simulation.hosts)
+        self._host = simulation.hosts[self._names[0]]  # target of the current fault
+        shared = ReleaseFaults(simulation, lambda target: self._host, MAX_ACTIONS_UNTIL_CRASH)
         self._handlers: dict[str, Handler] = shared.handlers() | {
             "kill": self._kill_balancer,
             "start": self._start_balancers,
-            "lose_server": lambda target: self._host.lose(),
+            "lose_server": lambda target: self._host.kill_all(),
             "server_falls": lambda target: self._host.end_process(self._host.latest_pid),
             "out": lambda target: self._host.take_out(),
             RETURN_SERVER: shared.bring_back,
         }
 
     def inject(self, kind: str) -> None:
-        """Injects a fault or makes a call of that kind."""
-        world = self._world
-        process, other = self._random.sample(list(world.processes.values()), 2)
-        self._host = world.hosts[self._random.choice(self._names)]
-        world.note(f"{kind} {process.name if kind in AIMED_AT_BALANCERS else self._host.name}")
-        world.count(kind)
+        """Inject a fault or make a call of the given kind."""
+        simulation = self._simulation
+        process, other = self._random.sample(list(simulation.processes.values()), 2)
+        self._host = simulation.hosts[self._random.choice(self._names)]
+        simulation.note(f"{kind} {process.name if kind in AIMED_AT_BALANCERS else self._host.name}")
+        simulation.count(kind)
         self._handlers[kind](Target(process, other, self._random.choice))
 
     def _kill_balancer(self, target: Target) -> None:
-        """Kills a balancer, unless half of them are down already."""
-        processes = self._world.processes.values()
+        """Kill a balancer, unless half of them are down already."""
+        processes = self._simulation.processes.values()
         down = sum(process.fleet is None for process in processes)
         if down < len(processes) // 2:
             target.process.kill()
 
     def _start_balancers(self, target: Target) -> None:
-        for process in self._world.processes.values():
+        for process in self._simulation.processes.values():
             if process.fleet is None:
                 process.start()
 
 
 def run_seed(seed: int, action_count: int = 60, build: str = "") -> Outcome:
-    """Runs a release by a seed; the same seed and arguments give the same outcome.
+    """Run a release by a seed; the same seed and arguments give the same outcome.
 
     Args:
-        seed: of all random draws.
-        action_count: how many faults and calls are drawn.
-        build: what the new version does; drawn if it is empty.
+        seed: seed of all random draws.
+        action_count: number of faults and calls.
+        build: name of the new version's build; drawn if empty.
     """
     random = Random(f"{seed}/servings")
     build = build or random.choice(BUILDS)
-    world = ServerReleases(
+    simulation = ServerReleases(
         seed,
         random.choice(SERVER_COUNTS),
         random.choice(BOUNDS),
@@ -238,6 +239,6 @@
         loss=random.choice(LOSSES),
         delay=(MIN_DELAY, random.choice(MAX_DELAYS_MS) * MILLISECOND),
     )
-    faults = ServerReleaseFaults(world, random)
-    run = ReleaseRun(world, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
-    return run.play(action_count)
+    faults = ServerReleaseFaults(simulation, random)
+    release_run = ReleaseRun(simulation, random, faults.inject, WEIGHTS, MAX_RELEASE_TIME)
+    return release_run.run(action_count)
--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -1,4 +1,4 @@
-"""What a balancer does with servers: checks their health, sends them flows, moves flows away."""
+"""Simulated traffic of a balancer: health checks of servers, new flows, and drains."""
 
 import hashlib
 from collections.abc import Mapping
@@ -17,56 +17,56 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.model import ServerState
 
-HEALTH_CHECK_SHARE = 0.2  # of the looks at a server
-FLOWS_PER_TURN = 2  # at each server
-MAX_OPEN_FLOWS = 20  # at each server
-DRAIN_TIME_S = (0.1, 2)  # bounds
-SLOW_DRAIN_TIME_S = (2, 20)  # bounds
+HEALTH_CHECK_SHARE = 0.2  # of the steps, for each server
+FLOWS_PER_TURN = 2  # new flows at each server in each step
+MAX_OPEN_FLOWS = 20  # at each server, of one balancer
+DRAIN_TIME_S = (0.1, 2)  # bounds of a drain's duration
+SLOW_DRAIN_TIME_S = (2, 20)  # bounds of a slow drain's duration
 LIST_DIGEST_SIZE = 16  # bytes
 
 
 @dataclass(slots=True)
 class Drains:
-    """How flows leave servers that are out.
+    """How fast open flows leave servers that are out of rotation.
 
     Attributes:
-        slow_share: of drains at one balancer that take long, as nobody can take the flows over.
+        slow_share: share of slow drains, in which no other server can take over the flows.
     """
 
     slow_share: float = 0.1
 
 
 class ServingBalancer:
-    """The deciding thread of one balancer.
+    """The part of a balancer that checks servers and sends them flows.
 
     Attributes:
-        process: its part in the fleet.
-        out: servers that it sends no flow to, by its view.
-        open_flows: that it has at each server.
-        idle_at: virtual time when it last could not act.
+        process: the balancer's process.
+        out: servers out of rotation in its view of the agreed state; it sends them no flows.
+        open_flows: number of its open flows, by server.
+        last_inactive_at: virtual time of the last step in which it could not act.
     """
 
     def __init__(
-        self, world: World, process: Process, servers: Mapping[str, ServerHost], drains: Drains
+        self, simulation: World, process: Process, servers: Mapping[str, ServerHost], drains: Drains
     ):
-        """The deciding thread of that balancer, which sends flows to those servers."""
+        """Attach to the balancer's process, and send flows to the given servers."""
         self.process = process
         self.out: set[str] = set()
         self.open_flows: dict[str, int] = {}
-        self.idle_at = 0
-        self._world = world
+        self.last_inactive_at = 0
+        self._simulation = simulation
         self._servers = servers
         self._drains = drains
-        self._random = Random(f"{world.seed}/sender/{process.name}")
-        self._is_watching = False  # reports what each server answers
-        # By its own health checks; a server that is not there was not checked since its return.
+        self._random = Random(f"{simulation.seed}/sender/{process.name}")
+        self._is_watching = False  # whether to report flow counts of each server
+        # By its own health checks; a server without an entry was not checked since its return.
         self._ready: dict[str, bool] = {}
         self._served: dict[str, FlowCounter] = {}
         self._drained_at: dict[str, int] = {}
         process.on_start = self._connect
 
     def _connect(self, fleet: SimulatedFleetThread) -> None:
-        """The process has started: nothing is known from before."""
+        """Reset all state for a new start of the process."""
         self.out = set()
         self.open_flows = {}
         self._is_watching = False
@@ -87,12 +87,14 @@
         for name in out - self.out:
             is_slow = self._random.random() < self._drains.slow_share
             bounds_s = SLOW_DRAIN_TIME_S if is_slow else DRAIN_TIME_S
-            self._drained_at[name] = self._world.now + int(self._random.uniform(*bounds_s) * SECOND)
+            self._drained_at[name] = self._simulation.now + int(
+                self._random.uniform(*bounds_s) * SECOND
+            )
         for name in self.out - out:
             self._ready.pop(name, None)
         self.out = out
         self._is_watching = view.report_servers
-        self.process.act_on(view)
+        self.process.apply_view(view)
 
     def _report(self) -> ServerReport:
         unhealthy = [name for name in sorted(self._servers) if not self._ready.get(name, False)]
@@ -104,17 +106,17 @@
         flow_counts = {name: flows.as_counts() for name, flows in sorted(self._served.items())}
         return ServerReport(unhealthy, open_flows, flow_counts if self._is_watching else {})
 
-    def turn(self) -> None:
-        """Looks at each server; raises ViolationError where it sends to one being changed."""
+    def step(self) -> None:
+        """Check servers and send flows; raise ViolationError for a flow to one being changed."""
         if not self.process.acts:
-            self.idle_at = self._world.now
+            self.last_inactive_at = self._simulation.now
         if self.process.fleet is None or self.process.is_frozen:
             return
         for name, server in self._servers.items():
             if self._random.random() < HEALTH_CHECK_SHARE:
                 self._ready[name] = server.is_serving()
             if name in self.out:
-                if self._world.now >= self._drained_at.get(name, 0):
+                if self._simulation.now >= self._drained_at.get(name, 0):
                     self.open_flows[name] = 0
             elif self.process.acts and self._ready.get(name, False):
                 self._send_flows(server)
@@ -123,7 +125,7 @@
         name = server.name
         if server.is_being_changed:
             raise ViolationError(
-                f"S: {self.process.name} sends to {name}, which is being changed "
+                f"S: {self.process.name} sends flows to {name}, which is being changed "
                 f"({server.agent.saved.step})"
             )
         is_up = server.is_serving()
--- a/cypresswalk/lab/cluster/simulation/timers.py
+++ b/cypresswalk/lab/cluster/simulation/timers.py
@@ -1,4 +1,4 @@
-"""Functions that are called at a moment of virtual time."""
+"""Queue of functions to call at given virtual times."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -6,7 +6,7 @@
 
 
 class Timer(NamedTuple):
-    """A call that is due; the first two fields give the order."""
+    """A scheduled call; the first two fields give the order."""
 
     at: int
     sequence: int
@@ -14,22 +14,22 @@
 
 
 class Timers:
-    """Calls functions in the order of their times; those of one moment as they were added."""
+    """Queue of scheduled functions, ordered by time and then by the order of adding."""
 
     def __init__(self) -> None:
-        """Nothing is due."""
+        """Start with an empty queue."""
         self._timers: list[Timer] = []
         self._sequence = 0
 
     def add(self, at: int, function: Callable[[], None]) -> None:
-        """Calls the function at that virtual time, nanoseconds."""
+        """Schedule the function at that virtual time, nanoseconds."""
         self._sequence += 1
         heappush(self._timers, Timer(at, self._sequence, function))
 
     def next_due(self) -> int | None:
-        """When the next function is due, or None."""
+        """Return when the next function is due, nanoseconds; None if there is none."""
         return self._timers[0].at if self._timers else None
 
     def take_next(self) -> Callable[[], None]:
-        """Takes the function that is due next."""
+        """Remove and return the function that is due next."""
         return heappop(self._timers).function
--- a/cypresswalk/lab/cluster/simulation/wake_ups.py
+++ b/cypresswalk/lab/cluster/simulation/wake_ups.py
@@ -1,4 +1,4 @@
-"""When each process is to be run next."""
+"""Queue of the times at which processes run next."""
 
 from heapq import heappop, heappush
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class WakeUp(NamedTuple):
-    """A process that is looked at; the first two fields give the order."""
+    """A scheduled run of a process; the first two fields give the order."""
 
     at: int
     sequence: int
@@ -15,30 +15,31 @@
 
 
 class WakeUps:
-    """Each process is scheduled anew after each of its turns.
+    """Queue of processes by the time at which they are due.
 
-    A process that becomes due later in the meantime is found out when its entry comes up.
+    A process is rescheduled each time it has run. If its due time moves later meanwhile, this is
+    noticed when its entry reaches the head of the queue.
     """
 
     def __init__(self) -> None:
-        """Nothing is scheduled."""
+        """Start with an empty queue."""
         self._entries: list[WakeUp] = []
         self._scheduled: dict[str, int] = {}  # the earliest entry of each process, by name
         self._sequence = 0
 
     def schedule(self, process: Process, at: int | None = None) -> None:
-        """Looks at the process by then, or when it is due."""
+        """Schedule the process at that time, or at its own due time."""
         if at is None:
             at = process.due()
         scheduled = self._scheduled.get(process.name)
         if scheduled is not None and scheduled <= at:
-            return  # that look comes first, and schedules the next one
+            return  # the earlier entry will reschedule the process
         self._scheduled[process.name] = at
         self._sequence += 1
         heappush(self._entries, WakeUp(at, self._sequence, process))
 
     def next_due(self, now: int) -> int:
-        """When the next process is due, nanoseconds; `take_next` returns it."""
+        """Return when the next process, which `take_next` returns, is due; nanoseconds."""
         while self._entries:
             at, _, process = self._entries[0]
             due = process.due()
@@ -52,7 +53,7 @@
         return NEVER
 
     def take_next(self) -> Process:
-        """Takes the process that is due next."""
+        """Remove and return the process that is due next."""
         process = heappop(self._entries).process
         self._scheduled.pop(process.name, None)
         return process
--- a/cypresswalk/lab/cluster/simulation/world.py
+++ b/cypresswalk/lab/cluster/simulation/world.py
@@ -1,4 +1,4 @@
-"""All balancers of a fleet, what connects them, and virtual time."""
+"""Simulation of a fleet: its balancers, its network and virtual time."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -24,35 +24,35 @@
 from cypresswalk.lab.units import SECOND
 from cypresswalk.operator import FleetTable
 
-Reply = Callable[[bool, Any], None]  # whether a call was carried out, and the body of its answer
+Reply = Callable[[bool, Any], None]  # gets whether the call succeeded, and the answer's body
 
 FIRST_PORT = 1000
 MAX_HISTORY_LINES = 4000
-DROPPED_HISTORY_LINES = 1000  # at once, the oldest
-# More steps than these mean that the fleet goes on without time passing.
-MAX_STEPS_PER_SECOND = 400  # of each process
+DROPPED_HISTORY_LINES = 1000  # the oldest, dropped together
+# A run with more steps counts as a livelock: events without progress of virtual time.
+MAX_STEPS_PER_SECOND = 400  # per process
 MAX_STEPS_AT_ONCE = 50_000
 
 
 def ignore_reply(ok: bool, body: Any) -> None:
-    """Ignores the answer to a call."""
+    """Ignore the answer to a call."""
 
 
 class World:
-    """A fleet in virtual time. Times are nanoseconds.
+    """A simulated fleet in virtual time. Times are nanoseconds.
 
     Attributes:
-        seed: of the run; all random draws come from it.
-        random: the world's own draws.
-        now: virtual time.
-        own_settings: that a balancer offers where the fleet has none.
-        addresses: of the balancers, by name.
-        processes: the balancers, by name.
-        network: what connects them.
-        invariants: what is checked after every step.
-        steps: how many turns, arrivals and timers there were.
-        situations: how often each situation was met.
-        history: what was noted last, a line each.
+        seed: seed of all random draws.
+        random: the simulation's own source of random draws.
+        now: current virtual time.
+        own_settings: settings that a balancer offers if the fleet has none.
+        addresses: addresses of the balancers, by name.
+        processes: the balancers' processes, by name.
+        network: the links between them.
+        invariants: the invariants, checked after every step.
+        steps: number of steps: process runs, message arrivals and timers.
+        situations: how often each situation occurred.
+        history: the last noted events, a line each.
     """
 
     def __init__(
@@ -66,19 +66,20 @@
         delay: tuple[int, int] = DEFAULT_DELAY,
         zones: int = 0,
     ):
-        """A fleet that does not run yet.
+        """Create a fleet whose balancers are not started yet.
 
         Args:
-            seed: of all random draws.
-            voters: how many balancers vote.
-            followers: how many more there are.
-            max_contradiction_s: for how long two may act on contradicting versions.
+            seed: seed of all random draws.
+            voters: number of balancers that vote.
+            followers: number of further balancers.
+            max_contradiction_s: longest time for which two balancers may act on contradicting
+                versions, seconds.
             loss: share of messages that are lost.
             duplication: share of messages that are sent twice.
-            delay: bounds of the time that a message takes.
-            zones: over which the balancers are spread; 0 for none.
+            delay: bounds of a message's delay.
+            zones: number of zones that the balancers are spread over; 0 for none.
         """
-        # Over 40 lines with what its many arguments mean.
+        # Longer than 40 lines because it documents many arguments.
         self.seed = seed
         self.random = Random(f"{seed}/world")
         self.now = 0
@@ -112,39 +113,39 @@
             zone=zone,
         )
 
-    # What was seen.
+    # Observations.
 
     def count(self, situation: str) -> None:
-        """Counts a situation that was met."""
+        """Count an occurrence of a situation."""
         self.situations[situation] += 1
 
     def note(self, text: str) -> None:
-        """Adds a line to the history."""
+        """Add a line to the history."""
         self.history.append(f"{self.now / SECOND:9.3f} {text}")
         if len(self.history) > MAX_HISTORY_LINES:
             del self.history[:DROPPED_HISTORY_LINES]
 
     def check(self) -> None:
-        """Checks the invariants; raises ViolationError."""
+        """Check the invariants; raise ViolationError if one is broken."""
         self.invariants.check(self.processes.values(), self.now)
 
     def fingerprint(self) -> bytes:
-        """A digest of the state that the fleet is in."""
+        """Return a digest of the fleet's state."""
         return fingerprint(self.processes.values(), self.network)
 
     # Balancers.
 
     def start(self) -> None:
-        """Starts all balancers."""
+        """Start all balancers."""
         for process in self.processes.values():
             process.start()
 
     def live(self) -> list[Process]:
-        """The balancers whose fleet part runs."""
+        """Return the processes whose fleet member runs."""
         return [process for process in self.processes.values() if process.member is not None]
 
     def leader(self) -> Process | None:
-        """The leader of the highest term."""
+        """Return the leader of the highest term, or None."""
         leaders = {}
         for process in self.live():
             node = process.live_member.node
@@ -152,9 +153,9 @@
                 leaders[process] = node.term
         return max(leaders, key=lambda process: leaders[process], default=None)
 
-    def freeze(self, process: Process, span: int) -> None:
-        """Stops a process for a while; it does not notice."""
-        process.frozen_until = self.now + span
+    def freeze(self, process: Process, duration: int) -> None:
+        """Suspend a process for the given time, as if by SIGSTOP."""
+        process.frozen_until = self.now + duration
         self.schedule(process)
 
     def call(
@@ -162,27 +163,27 @@
         process: Process,
         name: str,
         args: dict[str, Any],
-        span: int,
+        timeout: int,
         reply: Reply = ignore_reply,
     ) -> None:
-        """Calls the fleet at a balancer, as a tool of the operators does.
+        """Call the fleet at a balancer, as operators' tools do.
 
         Args:
-            process: that is called.
-            name: of the call.
-            args: of the call.
-            span: within which it is to be answered.
-            reply: is called with the answer.
+            process: the called balancer.
+            name: name of the call.
+            args: arguments of the call.
+            timeout: time within which it must be answered.
+            reply: function that gets the answer.
         """
         if process.member is None:
-            reply(False, {"why": "it does not run"})
+            reply(False, {"why": "the balancer does not run"})
         else:
-            process.turn([CallRequested(name, args, reply, span / SECOND)])
+            process.turn([CallRequested(name, args, reply, timeout / SECOND)])
 
     # Messages.
 
     def send(self, source: str, address: str, hello: Hello, frame: AnyFrame) -> None:
-        """Sends a frame to whoever has that address."""
+        """Send a frame to the process with that address."""
         self.network.send(self.now, source, address, hello, frame)
 
     def _deliver(self, message: InFlight) -> None:
@@ -201,7 +202,7 @@
             target.receive(FrameReceived(hello, frame))
 
     def _report_rejection(self, target: Process, hello: Hello, rejection: HelloRejected) -> None:
-        """Tells the sender, unless it has ended since, that its disk was set back."""
+        """Report to the sender that its disk is an old copy, unless it has restarted since."""
         name = self._names_by_address.get(hello.address)
         if rejection.code != "put-back" or name is None:
             return
@@ -217,25 +218,25 @@
     # Time.
 
     def schedule(self, process: Process) -> None:
-        """Runs the process when it is due."""
+        """Schedule the process for its due time."""
         self._wake_ups.schedule(process)
 
     def call_later(self, delay: int, function: Callable[[], None]) -> None:
-        """Calls a function after so many nanoseconds."""
+        """Call a function after a delay, nanoseconds."""
         self._timers.add(self.now + delay, function)
 
-    def run(self, span: int, check: bool = True) -> None:
-        """Lets that much virtual time pass.
+    def run(self, duration: int, check: bool = True) -> None:
+        """Run the fleet for the given virtual time.
 
         Args:
-            span: nanoseconds.
-            check: the invariants after every step.
+            duration: virtual time, nanoseconds.
+            check: whether to check the invariants after every step.
 
         Raises:
-            ViolationError: an invariant does not hold, or the fleet goes on without end.
+            ViolationError: an invariant is broken, or events never stop while time stands still.
         """
         started_at = self.now
-        end = started_at + span
+        end = started_at + duration
         first_step = self.steps
         while self._step(end):
             self.steps += 1
@@ -244,11 +245,11 @@
             seconds = (self.now - started_at) / SECOND
             max_steps = MAX_STEPS_PER_SECOND * seconds * len(self.processes) + MAX_STEPS_AT_ONCE
             if self.steps - first_step > max_steps:
-                raise ViolationError("no end: the fleet goes on without time passing")
+                raise ViolationError("livelock: events go on while virtual time hardly advances")
         self.now = end
 
     def _step(self, end: int) -> bool:
-        """Does what is due next; False if that is after `end`."""
+        """Process the next event; return False if it is due after `end`."""
         wake_up_at = self._wake_ups.next_due(self.now)
         arrival_at = _or_never(self.network.next_arrival())
         timer_at = _or_never(self._timers.next_due())
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -1,4 +1,4 @@
-"""Releases and drains of a whole fleet of balancers in virtual time, and what an agent does."""
+"""Tests of simulated releases and drains of a fleet of balancers, and of the balancer's agent."""
 
 import json
 import os
@@ -23,24 +23,24 @@
 from cypresswalk.rollout.balancer_agent import BalancerAgent
 from cypresswalk.rollout.release import Phase
 
-HISTORY_LINES = 60  # shown of a run that broke a rule
+HISTORY_LINES = 60  # shown for a run that broke a rule
 
 
-def run_until_over(world: BalancerReleases, max_seconds: int = 200) -> FleetState:
-    """Begins a release and lets it run until it is done, rolled back or halted."""
-    world.start()
-    world.run(8 * SECOND)
-    world.begin_release(Random(1))
+def run_until_over(simulation: BalancerReleases, max_seconds: int = 200) -> FleetState:
+    """Begin a release and run it until it is done, rolled back or halted."""
+    simulation.start()
+    simulation.run(8 * SECOND)
+    simulation.begin_release(Random(1))
     for _ in range(max_seconds):
-        world.run(SECOND)
-        agreed = world.agreed_state()
+        simulation.run(SECOND)
+        agreed = simulation.agreed_state()
         if agreed is not None and is_over(agreed):
             return agreed
-    raise AssertionError(world.history[-30:])
+    raise AssertionError(simulation.history[-30:])
 
 
 def is_over(agreed: FleetState) -> bool:
-    """Whether the release has ended, or is halted."""
+    """Return whether the release has ended or is halted."""
     if agreed.halted:
         return True
     release = agreed.release
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("first", range(0, 12, 6))
 def test_under_random_faults_bounds_and_halts_hold_and_the_release_can_always_end(first):
-    """Rules B1, B2, H and E, by seed."""
+    """Rules B1, B2, H and E hold for each seed."""
     for seed in range(first, first + 6):
         outcome = run_seed(seed)
         history = "\n".join(outcome.history[-HISTORY_LINES:])
@@ -66,7 +66,7 @@
     ],
 )
 def test_a_bad_build_is_halted_in_the_first_wave(build, why):
-    """The halt names what was bad, and one member at most was changed."""
+    """The halt gives the reason, and at most one member was changed."""
     for seed in range(3):
         agreed = run_until_over(BalancerReleases(seed, 3, 3, 2, build))
         assert agreed.halted, seed
@@ -77,7 +77,7 @@
 
 
 def test_good_builds_are_never_halted():
-    """The release comes to its end, whatever the bound."""
+    """The release completes, whatever the bound."""
     for seed in range(6):
         agreed = run_until_over(BalancerReleases(seed, 3, 3, 1 + seed % 3))
         assert agreed.release.phase == Phase.DONE, (seed, agreed.release)
@@ -85,19 +85,19 @@
 
 
 def test_a_fleet_of_one_is_changed_if_the_bound_allows_one_to_be_out():
-    """A bound that allows nobody stops the release."""
-    world = BalancerReleases(1, 1, 0, {"share": 0.5, "least": 1})
-    assert run_until_over(world).release.phase == Phase.DONE
-    assert world.hosts["n0"].agent.saved.version == NEW_VERSION
-    world = BalancerReleases(1, 1, 0, {"share": 0.5})  # half of one is none
+    """A bound of zero stops the release."""
+    simulation = BalancerReleases(1, 1, 0, {"share": 0.5, "least": 1})
+    assert run_until_over(simulation).release.phase == Phase.DONE
+    assert simulation.hosts["n0"].agent.saved.version == NEW_VERSION
+    simulation = BalancerReleases(1, 1, 0, {"share": 0.5})  # half of one is none
     with pytest.raises(AssertionError):
-        run_until_over(world, 30)
-    assert world.hosts["n0"].agent.saved.version == OLD_VERSION
-    assert "1 are out" not in world.agreed_state().history[-1].what
+        run_until_over(simulation, 30)
+    assert simulation.hosts["n0"].agent.saved.version == OLD_VERSION
+    assert "1 are out" not in simulation.agreed_state().history[-1].what
 
 
-def unheard_members_count_as_ready(patch):
-    """A new leader counts those it has not heard as ready."""
+def members_without_a_report_count_as_ready(patch):
+    """Break a rule: a new leader counts members without a report as ready."""
 
     def unavailable(self, now, members, departed, unheard, lapsed):
         return {
@@ -109,8 +109,8 @@
     patch.setattr(UnavailabilityTracker, "unavailable", unavailable)
 
 
-def slots_are_freed_by_any_report(patch):
-    """A report that was on its way for long frees the slot of who has gone out since."""
+def grants_are_ended_by_any_report(patch):
+    """Break a rule: a delayed report ends the grant of a member that has gone out since."""
 
     def on_readiness(self, now, member, ready, last_lease):
         self.readiness[member] = ready, now
@@ -122,12 +122,12 @@
 
 
 def the_fleet_is_not_asked_before_the_old_process_is_stopped(patch):
-    """An agent that has slept for long goes on with what was agreed before."""
+    """Break a rule: an agent that was suspended for long acts on an outdated grant."""
     patch.setattr(BalancerAgent, "confirm_stop", lambda self: iter(()))
 
 
-def a_slot_is_freed_while_an_agent_works(patch):
-    """A balancer that is ready is taken for in, though its agent is changing it."""
+def a_grant_is_ended_while_an_agent_works(patch):
+    """Break a rule: a ready balancer counts as in service although its agent is changing it."""
     next_ended_grant = UnavailabilityTracker.next_ended_grant
 
     def with_none_changing(self, now, grants, changing, waiting, unavailable, present):
@@ -137,22 +137,22 @@
 
 
 @pytest.mark.parametrize(
-    "mistake, seed",
+    "break_rule, seed",
     [
-        (unheard_members_count_as_ready, 3),
-        (slots_are_freed_by_any_report, 21),
-        (a_slot_is_freed_while_an_agent_works, 19),
+        (members_without_a_report_count_as_ready, 3),
+        (grants_are_ended_by_any_report, 21),
+        (a_grant_is_ended_while_an_agent_works, 19),
         (the_fleet_is_not_asked_before_the_old_process_is_stopped, 0),
     ],
 )
-def test_a_deliberately_broken_rule_is_detected(mistake, seed, monkeypatch):
-    """Else runs without a violation would show nothing; each seed finds its mistake."""
-    mistake(monkeypatch)
+def test_a_deliberately_broken_rule_is_detected(break_rule, seed, monkeypatch):
+    """Show that the checks can fail: each seed finds its broken rule."""
+    break_rule(monkeypatch)
     assert run_seed(seed).violation
 
 
 def test_the_same_seed_gives_the_same_run_whatever_the_hash_seed():
-    """The order of sets has no influence."""
+    """The order of sets must not influence a run."""
     code = (
         "from cypresswalk.lab.cluster.simulation.balancer_releases import run_seed;"
         "o = run_seed(6, action_count=30);"
@@ -173,12 +173,12 @@
 
 
 def running_agent() -> BalancerAgent:
-    """An agent that was started anew beside the process that it started before."""
+    """Return a restarted agent whose process from before still runs."""
     return BalancerAgent("n0", OLD_VERSION, ("a", "b"), AgentState(OLD_VERSION, 7, "a"))
 
 
 def drive(agent: BalancerAgent, results: dict[type, Any]) -> Iterator[actions.Action]:
-    """Yields the agent's actions; each gets the result of its type, as it is then, or None."""
+    """Yield the agent's actions; each gets the current result for its type, or None."""
     work = agent.run()
     action = work.send(None)
     while True:
@@ -187,10 +187,10 @@
 
 
 def test_an_agent_changes_nothing_while_its_balancer_is_starting():
-    """Else two processes listen, and the one without a part in the fleet rejects flows."""
+    """Otherwise two processes listen, and the one that is no fleet member rejects flows."""
 
     def fleet_calls(readiness_error: str, asked_at: float) -> list[str]:
-        """The calls until the agent waits, or starts a change, `asked_at` s after its start."""
+        """Return the calls until the agent waits or begins a change, asked at a given time."""
         calls = []
         turn = {"status": "out", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
         results = {
@@ -210,12 +210,12 @@
 
     assert fleet_calls("ERR starting", 1.0) == ["turn"]
     assert fleet_calls("", 1.0) == ["turn", "release_began"]
-    # One that crashes at each start must find the way back.
+    # A balancer that crashes at each start must still be able to change its version.
     assert fleet_calls("ERR starting", 30.0) == ["turn", "release_began"]
 
 
-def test_an_agent_that_died_before_it_wrote_an_agreed_change_down_reports_it_as_failed():
-    """Nothing was done, and what the fleet holds for begun has to end; the release halts by it."""
+def test_an_agent_that_died_before_it_saved_an_agreed_change_reports_it_as_failed():
+    """The fleet counts the change as begun; the report ends it and halts the release."""
     turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
     results = {
         actions.IsRunning: True,
@@ -236,10 +236,10 @@
 
 
 def test_an_idle_agent_polls_every_two_seconds_and_at_each_step_during_a_release():
-    """Each call costs who leads a round of the voters."""
+    """Each call costs the leader a round trip to the voters."""
 
     def count_calls(status: str) -> int:
-        """How often the agent calls the fleet in ten seconds."""
+        """Return how often the agent calls the fleet in ten seconds."""
         now = 0.0
         count = 0
         results = {
@@ -255,14 +255,14 @@
                 results[actions.ReadClock] = now
             if now >= 10:
                 return count
-        raise AssertionError("an agent never ends")
+        raise AssertionError("the agent ended")
 
     assert count_calls("") == 5
     assert count_calls("old") == 20
 
 
 def test_the_agents_state_file_is_read_and_written_byte_for_byte(tmp_path):
-    """Keys are those of earlier versions of the agent; a damaged file is refused."""
+    """The keys are those of earlier versions of the agent; a damaged file is rejected."""
     before = (
         '{"version": "v1", "pid": 7, "admin": "127.0.0.1:9", "to": "v2", "young": 8, '
         '"step": "beside", "why": "slow", "change": "d1", "failed": true}'
--- a/tests/lab/test_cluster_checkers.py
+++ b/tests/lab/test_cluster_checkers.py
@@ -1,4 +1,4 @@
-"""The checkers of the cluster lab, held against histories that are wrong."""
+"""Tests of the cluster lab's checkers on correct and incorrect histories."""
 
 from cypresswalk.lab.cluster.checkers.answers import ClientFlow, missing_or_late_answers
 from cypresswalk.lab.cluster.checkers.contradiction import Removal, contradictions, lost_removals
@@ -20,11 +20,11 @@
 
 
 def show(called_at: int, returned_at: int, value: int, version: int) -> SettingsCall:
-    """A call that read the settings."""
+    """Return a call that read the settings."""
     return SettingsCall(CallKind.SHOW, called_at, returned_at, CallOutcome.YES, 0, value, version)
 
 
-def test_settings_read_while_an_offer_is_under_way_may_be_old_or_new():
+def test_settings_read_during_an_offer_may_be_old_or_new():
     calls = [OFFER, show(5, 20, 77, 2), show(1, 4, 0, 1)]
     assert not linearizability_violation(calls, FIRST_VERSION)
 
@@ -43,7 +43,7 @@
     assert not linearizability_violation([UNSURE_OFFER, show(30, 40, 0, 1)], FIRST_VERSION)
 
 
-# Server s0 is out from 10 s on, for all balancers from 20 s on.
+# The removal of server s0 is agreed at 10 s and settled at all balancers at 20 s.
 SERVER_OUT = [Removal("s0", 0, 10 * SECOND, 20 * SECOND)]
 
 
@@ -61,7 +61,7 @@
     assert len(violations) == 1
 
 
-def test_a_removed_server_that_is_back_by_itself_is_a_violation():
+def test_a_removed_server_that_is_back_without_a_request_is_a_violation():
     assert lost_removals(SERVER_OUT, set())
     assert not lost_removals(SERVER_OUT, {"s0"})
 
@@ -92,7 +92,7 @@
 def test_more_out_at_once_than_the_bound_is_a_violation():
     assert check_unavailability([OUT_N0, OUT_N1], [], [], 2, [], 0) == (2, 2, [])
     violations = check_unavailability([OUT_N0, OUT_N1], [], [], 1, [], 0)[2]
-    assert violations == ["n0, n1 are out at once by the program's doing, 1 may be"]
+    assert violations == ["n0, n1 are out at once by releases or drains, 1 may be"]
 
 
 def test_going_out_beside_a_lost_balancer_beyond_the_bound_is_a_violation():
@@ -118,7 +118,7 @@
     asked_and_agreed = [(15 * SECOND, 16 * SECOND)]
     assert check_halts(N1_GOES_OUT, asked_and_agreed, [], [], 2 * SECOND) == (2 * SECOND, [])
     violations = check_halts(N1_GOES_OUT, HALT, [], [], 2 * SECOND)[1]
-    assert violations == ["n1 went out (release) 3.00 s after a yes to a halt"]
+    assert violations == ["n1 went out (release) 3.00 s after a confirmed halt"]
 
 
 def test_going_out_after_a_resume_or_in_a_rollback_is_no_violation():
--- a/tests/lab/test_cluster_plan.py
+++ b/tests/lab/test_cluster_plan.py
@@ -1,4 +1,4 @@
-"""Plans of the cluster lab."""
+"""Tests of the validation of the cluster lab's plans."""
 
 import pytest
 
@@ -29,6 +29,6 @@
 def test_invalid_steps_are_rejected(tmp_path, text, message):
     file = tmp_path / "plan.toml"
     file.write_text(text)
-    with pytest.raises(CommandError) as refusal:
+    with pytest.raises(CommandError) as raised:
         read_plan(str(file))
-    assert message in str(refusal.value)
+    assert message in str(raised.value)
