--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -58,10 +58,10 @@
         self._servers = servers
         self._drains = drains
         self._random = Random(f"{simulation.seed}/sender/{process.name}")
-        self._is_watching = False  # whether to report flow counts of each server
+        self._reports_flow_counts = False
         # By its own health checks; a server without an entry was not checked since its return.
         self._ready: dict[str, bool] = {}
-        self._served: dict[str, FlowCounter] = {}
+        self._flow_counters: dict[str, FlowCounter] = {}
         self._drained_at: dict[str, int] = {}
         process.on_start = self._connect
 
@@ -69,8 +69,8 @@
         """Reset all state for a new start of the process."""
         self.out = set()
         self.open_flows = {}
-        self._is_watching = False
-        self._served = {}
+        self._reports_flow_counts = False
+        self._flow_counters = {}
         self._ready = dict.fromkeys(self._servers, True)
         fleet.on_view = self._on_view
         fleet.server_report_provider = self._report
@@ -93,7 +93,7 @@
         for name in self.out - out:
             self._ready.pop(name, None)
         self.out = out
-        self._is_watching = view.report_servers
+        self._reports_flow_counts = view.report_servers
         self.process.apply_view(view)
 
     def _report(self) -> ServerReport:
@@ -103,8 +103,10 @@
             for name, count in sorted(self.open_flows.items())
             if count and name in self.out
         }
-        flow_counts = {name: flows.as_counts() for name, flows in sorted(self._served.items())}
-        return ServerReport(unhealthy, open_flows, flow_counts if self._is_watching else {})
+        flow_counts = {
+            name: flows.as_counts() for name, flows in sorted(self._flow_counters.items())
+        }
+        return ServerReport(unhealthy, open_flows, flow_counts if self._reports_flow_counts else {})
 
     def step(self) -> None:
         """Check servers and send flows; raise ViolationError for a flow to one being changed."""
@@ -131,7 +133,7 @@
         is_up = server.is_serving()
         build = server.build_of(server.running_version())
         failure_share = build.failure_share if is_up else 1.0
-        flows = self._served.setdefault(name, FlowCounter())
+        flows = self._flow_counters.setdefault(name, FlowCounter())
         for _ in range(FLOWS_PER_TURN):
             if self._random.random() < failure_share + BASE_FAILURE_SHARE:
                 flows.failed += 1
