--- a/cypresswalk/lab/cluster/simulation/balancer_releases.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -104,7 +104,7 @@
         return since is None or self.now - since < MAX_DETECTION_TIME
 
     def is_halt_binding(self, host: BalancerHost, reason: Reason) -> bool:
-        """Return whether a halt forbids it: drains and releases of serving balancers, no rollback."""
+        """Return whether a halt forbids it: drains and releases, no rollbacks, if it serves."""
         is_forbidden = reason is Reason.DRAIN or self.rollback_requested_at is None
         return is_forbidden and host.is_serving()
 
