--- a/cypresswalk/agreement/__init__.py
+++ b/cypresswalk/agreement/__init__.py
@@ -1,10 +1,10 @@
-"""A replicated log for a few voters and any number of non-voting members: Raft without I/O.
+"""Raft without I/O: a replicated log for a few voters and any number of non-voting members.
 
-It follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC
-2014) and Ongaro's dissertation (2014), whose sections the modules name. Clock and random numbers
-are handed in.
+The implementation follows Ongaro and Ousterhout, "In Search of an Understandable Consensus
+Algorithm" (USENIX ATC 2014) and Ongaro's dissertation (2014); the modules cite their sections. The
+caller passes in the time and the random number generator.
 
-`node.Node` receives messages and time and returns, as a `ready.Ready`, what its owner must write,
-send and apply; `store.Store` defines how that is laid out on disk. The design is described in
-docs/design/agreement.md.
+`node.Node` receives messages and the time and returns, as a `ready.Ready`, what its owner must
+write, send and apply. `store.Store` defines the layout on disk. docs/design/agreement.md describes
+the design.
 """
--- a/cypresswalk/agreement/election.py
+++ b/cypresswalk/agreement/election.py
@@ -6,16 +6,16 @@
 
 
 class Election:
-    """Asks for votes and grants them."""
+    """Requests for votes, and the member's answers to those of other candidates."""
 
     def __init__(self, state: MemberState, leader: Leader):
-        """`leader` takes over when an election is won."""
+        """Start without votes; `leader` is called when an election is won."""
         self.state = state
         self.leader = leader
         self.votes: dict[str, bool] = {}
 
     def tick(self, now: int) -> None:
-        """Starts an election if no leader was heard for long enough."""
+        """Start an election if there was no message from a leader for the election timeout."""
         if now < self.state.due_at:
             return
         self.state.reset_election_timer(now)
@@ -23,9 +23,10 @@
             self.start_pre_vote(now)
 
     def start_pre_vote(self, now: int) -> None:
-        """Asks first whether an election could be won (dissertation, 9.6).
+        """Ask the voters whether they would elect this member (dissertation, 9.6).
 
-        A member that was cut off so raises no term, and disturbs no leader when it comes back.
+        A member that was partitioned off thus doesn't raise its term, and doesn't depose the leader
+        when it is reachable again.
         """
         state = self.state
         state.role = Role.PRE_CANDIDATE
@@ -38,11 +39,11 @@
             self.campaign(now)
 
     def campaign(self, now: int, leadership_transfer: bool = False) -> None:
-        """Becomes a candidate of the next term."""
+        """Become a candidate in the next term."""
         state = self.state
         state.become(state.term + 1, Role.CANDIDATE)
         state.reset_election_timer(now)
-        # Its own vote counts once it is flushed.
+        # This member's own vote counts once it is flushed.
         self.votes = {}
         state.vote_for(state.id)
         self.request_votes(
@@ -56,13 +57,13 @@
         )
 
     def request_votes(self, request: RequestVote) -> None:
-        """Sends to all other voters."""
+        """Send the request to all other voters."""
         for voter in self.state.voters:
             if voter != self.state.id:
                 self.state.send(voter, request)
 
     def on_request_vote(self, now: int, source: str, request: RequestVote) -> None:
-        """Answers a candidate, or ignores it while a leader is heard."""
+        """Answer a candidate, or ignore it while there is a leader."""
         state = self.state
         has_leader = self._has_leader(now)
         is_up_to_date = (request.last_log_term, request.last_log_index) >= (
@@ -86,7 +87,10 @@
         state.send(source, RequestVoteResponse(state.term, granted, False))
 
     def _has_leader(self, now: int) -> bool:
-        """Whether a leader is heard, so that no other may depose it (dissertation, 4.2.3)."""
+        """Return whether a leader has sent something within the election timeout.
+
+        Candidates must not depose such a leader (dissertation, 4.2.3).
+        """
         state = self.state
         if state.role is Role.LEADER:
             return True
@@ -97,7 +101,7 @@
         )
 
     def on_pre_vote_response(self, now: int, source: str, response: RequestVoteResponse) -> None:
-        """Counts a pre-vote, or learns of a later term."""
+        """Count a granted pre-vote, or adopt the later term of a rejected one."""
         state = self.state
         if response.granted:
             if state.role is Role.PRE_CANDIDATE and response.term == state.term + 1:
@@ -106,16 +110,16 @@
             state.follow(now, response.term)
 
     def on_vote_response(self, now: int, source: str, response: RequestVoteResponse) -> None:
-        """Counts a vote of this term."""
+        """Count a response of this term."""
         if self.state.role is Role.CANDIDATE and response.term == self.state.term:
             self.count_vote(now, source, response.granted)
 
     def on_own_vote_persisted(self, now: int) -> None:
-        """Counts the candidate's vote for itself."""
+        """Count the candidate's vote for itself."""
         self.count_vote(now, self.state.id, True)
 
     def count_vote(self, now: int, source: str, granted: bool) -> None:
-        """Goes on to the vote, or to leadership, once a majority of the voters has granted."""
+        """Count a response; with a majority, start the election or become the leader."""
         self.votes[source] = granted
         voters = self.state.voters
         if sum(self.votes.get(voter, False) for voter in voters) < majority(len(voters)):
--- a/cypresswalk/agreement/errors.py
+++ b/cypresswalk/agreement/errors.py
@@ -1,21 +1,21 @@
-"""Errors of this package."""
+"""Exceptions of this package."""
 
 
 class AgreementError(Exception):
-    """Base of all errors of this package; the text says what is wrong."""
+    """Base class of all exceptions of this package."""
 
 
 class BusyError(AgreementError):
-    """This member can't take the request now; it may be made again, perhaps of another member."""
+    """This member can't accept the request now; the caller may retry, perhaps at another member."""
 
 
 class LogDivergedError(AgreementError):
-    """The log contradicts what is committed: this member must not go on."""
+    """The log conflicts with a committed entry: this member must not continue."""
 
 
 class DamagedLogError(AgreementError):
-    """Acknowledged entries may be lost: the member must join anew as another incarnation."""
+    """Acknowledged entries may be lost: the member must rejoin under a new incarnation."""
 
 
 class ForeignFileError(AgreementError):
-    """The file belongs to another member, fleet or program version, and must not be replaced."""
+    """The file belongs to another member, fleet or program version and must not be overwritten."""
--- a/cypresswalk/agreement/follower.py
+++ b/cypresswalk/agreement/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication (Raft, 5.3 and 7)."""
+"""Replication at a follower (Raft, 5.3 and 7)."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,13 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that is being received from the leader of `term`."""
+    """A snapshot that is being received.
+
+    Attributes:
+        index: index of the last entry that the snapshot covers.
+        term: term of the leader that sends it.
+        data: bytes received so far.
+    """
 
     index: int
     term: int
@@ -24,15 +30,15 @@
 
 
 class Follower:
-    """Takes what the leader sends into the log."""
+    """Handler of the leader's appends and snapshot chunks."""
 
     def __init__(self, state: MemberState):
-        """`state` is shared with the rest of the node."""
+        """Use `state`, which is shared with the rest of the node."""
         self.state = state
         self.incoming: IncomingSnapshot | None = None
 
     def on_append_entries(self, now: int, source: str, request: AppendEntries) -> None:
-        """Appends entries where the logs match, else names the index to try next.
+        """Append the entries if the logs match, otherwise answer with the index to try next.
 
         Raises:
             LogDivergedError: a committed entry would be overwritten, or there are two leaders in
@@ -45,7 +51,7 @@
         prev_log_index = request.prev_log_index
         entries = request.entries
         if prev_log_index < log.snapshot.index:
-            # What the snapshot holds is committed, and so matches.
+            # Entries that the snapshot covers are committed, so they match.
             entries = entries[log.snapshot.index - prev_log_index :]
             prev_log_index = log.snapshot.index
         elif log.term_at(prev_log_index) != request.prev_log_term:
@@ -57,7 +63,7 @@
         self._respond(source, True, last, request.round)
 
     def _append(self, prev_log_index: int, entries: tuple[Entry, ...], leader_term: int) -> None:
-        """Appends what is new; an entry of another term goes, with all after it."""
+        """Append new entries; remove a conflicting entry and all that follow it first."""
         state = self.state
         for index, entry in enumerate(entries, prev_log_index + 1):
             known_term = state.log.term_at(index)
@@ -66,8 +72,8 @@
             if known_term is not None:
                 if index <= state.commit_index:
                     raise LogDivergedError(
-                        f"entry {index} of term {known_term} is agreed, "
-                        f"the leader of term {leader_term} has {entry.term}"
+                        f"entry {index} of term {known_term} is committed, "
+                        f"but the leader of term {leader_term} has it with term {entry.term}"
                     )
                 self._truncate_from(index)
             state.log.append(entry)
@@ -81,7 +87,10 @@
             state.durable_index = index - 1
 
     def _next_index_hint(self, prev_log_index: int) -> int:
-        """Goes back over the whole term that conflicts, not entry by entry (Raft, 5.3)."""
+        """Return the index at which the leader should compare the logs next (Raft, 5.3).
+
+        It skips the whole conflicting term instead of a single entry.
+        """
         state = self.state
         index = min(prev_log_index - 1, state.log.last_index)
         conflicting_term = state.log.term_at(prev_log_index)
@@ -93,7 +102,7 @@
     def on_install_snapshot_chunk(
         self, now: int, source: str, request: InstallSnapshotChunk
     ) -> None:
-        """Gathers the chunks of a snapshot and installs it with the last.
+        """Collect the chunks of a snapshot and install it after the last one.
 
         Raises:
             LogDivergedError: there are two leaders in one term.
@@ -126,7 +135,10 @@
         )
 
     def _incoming_data(self, request: InstallSnapshotChunk) -> bytearray:
-        """What was received so far of this snapshot; another leader's may have other bytes."""
+        """Return the bytes received so far of this snapshot.
+
+        Those from another leader are discarded, because its snapshot may have different bytes.
+        """
         incoming = self.incoming
         if (
             incoming is None
@@ -148,7 +160,7 @@
         state.snapshot_to_restore = snapshot
 
     def _accept_leader(self, now: int, source: str, term: int) -> bool:
-        """Follows the sender, unless its term has passed."""
+        """Follow the sender and return True, or return False if its term is outdated."""
         state = self.state
         if term < state.term:
             return False
--- a/cypresswalk/agreement/leader.py
+++ b/cypresswalk/agreement/leader.py
@@ -1,7 +1,7 @@
 """The leader: commitment, check-quorum, reads, proposals, membership and leadership transfer.
 
-Sections of Raft (2014): 5.3 and 5.4.2 for commitment, 8 for reads; of the dissertation: 3.10 for
-leadership transfer, 4 for membership, 6.2 for check-quorum, 6.4 for read index.
+Sections of Raft (2014): 5.3 and 5.4.2 for commitment, 8 for reads. Sections of the dissertation:
+3.10 for leadership transfer, 4 for membership, 6.2 for check-quorum, 6.4 for read index.
 """
 
 from collections.abc import Callable
@@ -30,26 +30,26 @@
 from cypresswalk.agreement.ready import ConfirmedRead
 from cypresswalk.agreement.replication import Replication
 
-# Limit of pending reads, as a multiple of the limit of uncommitted entries.
+# Maximum number of pending reads, as a multiple of the maximum number of uncommitted entries.
 PENDING_READS_PER_ENTRY = 16
 
 
 class Leader:
-    """What a member does while it leads; between terms of leadership it has no state."""
+    """Behaviour of a member while it is the leader; the state is in `MemberState.leadership`."""
 
     def __init__(self, state: MemberState):
-        """`state.leadership` exists while this member leads."""
+        """Use `state`, whose `leadership` is set while this member is the leader."""
         self.state = state
         self.replication = Replication(state)
 
     @property
     def _leadership(self) -> Leadership:
-        # Callers have checked that this member leads.
+        # Callers have checked that this member is the leader.
         assert self.state.leadership is not None
         return self.state.leadership
 
     def _has_quorum(self, agrees: Callable[[Progress], bool]) -> bool:
-        """Whether a majority of the voters, this member included, agrees."""
+        """Return whether `agrees` holds for a majority of the voters; this member counts as one."""
         peers = self._leadership.peers
         voters = self.state.voters
         agreeing = sum(
@@ -57,10 +57,13 @@
         )
         return agreeing >= majority(len(voters))
 
-    # Terms of leadership.
+    # Start and end of leadership.
 
     def on_elected(self, now: int) -> None:
-        """Begins to lead with an entry of its own term, which commits the earlier (Raft, 5.4.2)."""
+        """Become the leader and append an entry of the new term.
+
+        Once it is committed, so are all entries of earlier terms (Raft, 5.4.2).
+        """
         state = self.state
         state.role = Role.LEADER
         state.leader = state.id
@@ -76,7 +79,7 @@
         self.replication.broadcast(now, state.leadership.peers)
 
     def tick(self, now: int) -> None:
-        """Sends heartbeats, or steps down where no quorum is heard (dissertation, 6.2)."""
+        """Send heartbeats, or step down if no quorum has responded lately (dissertation, 6.2)."""
         state = self.state
         timeout = state.timing.election_timeout
         if not self._has_quorum(lambda peer: now - peer.heard_at < timeout):
@@ -93,19 +96,19 @@
     # Responses.
 
     def on_append_response(self, now: int, source: str, response: AppendEntriesResponse) -> None:
-        """Notes what the member has, and goes on with it."""
-        peer = self._heard_peer(now, source, response.term, response.round)
+        """Record how far the member's log matches, and send it more."""
+        peer = self._record_response(now, source, response.term, response.round)
         if peer is None:
             return
         if response.success:
-            self._note_match(peer, response.index)
+            self._record_match(peer, response.index)
             self.advance_commit_index(now)
         elif peer.matched_round is None:
             peer.next_index = max(min(response.index + 1, peer.next_index - 1), 0)
             peer.in_flight_index = 0
         elif response.round >= peer.matched_round:
             self.state.send(source, DataLossDetected(self.state.term))
-        # A commit may have ended this leadership.
+        # This member has stepped down if the commit removed its vote.
         leadership = self.state.leadership
         if leadership is None:
             return
@@ -117,8 +120,8 @@
     def on_snapshot_response(
         self, now: int, source: str, response: InstallSnapshotChunkResponse
     ) -> None:
-        """Goes on with the snapshot."""
-        peer = self._heard_peer(now, source, response.term, response.round)
+        """Send the next chunk of the snapshot."""
+        peer = self._record_response(now, source, response.term, response.round)
         if peer is None:
             return
         transfer = peer.snapshot_transfer
@@ -128,8 +131,8 @@
             self.replication.send_append(now, source, peer)
         self._confirm_reads()
 
-    def _heard_peer(self, now: int, source: str, term: int, round_: int) -> Progress | None:
-        """The member that answers, noted as heard; None if the response is for another term."""
+    def _record_response(self, now: int, source: str, term: int, round_: int) -> Progress | None:
+        """Record a response and return the sender's progress; None for another term or sender."""
         leadership = self.state.leadership
         if leadership is None or term != self.state.term:
             return None
@@ -139,7 +142,7 @@
             peer.acknowledged_round = max(peer.acknowledged_round, round_)
         return peer
 
-    def _note_match(self, peer: Progress, index: int) -> None:
+    def _record_match(self, peer: Progress, index: int) -> None:
         peer.match_index = max(peer.match_index, index)
         transfer = peer.snapshot_transfer
         if transfer is not None and peer.match_index >= transfer.snapshot.index:
@@ -153,7 +156,10 @@
     # Commitment and reads.
 
     def advance_commit_index(self, now: int) -> None:
-        """Commits what a majority of the voters has flushed, if of this term (Raft, 5.4.2)."""
+        """Commit the entries that a majority of the voters has flushed.
+
+        The last of them must be of the current term (Raft, 5.4.2).
+        """
         state = self.state
         voters = state.voters
         if not voters:
@@ -175,7 +181,7 @@
         return peers[voter].match_index if voter in peers else 0
 
     def _step_down_as_removed(self, now: int, peers: dict[str, Progress]) -> None:
-        """The change that took this member's vote is committed (dissertation, 4.2.2)."""
+        """Step down after the change that removed this member's vote is committed (4.2.2)."""
         state = self.state
         successor = self._most_complete(
             [voter for voter in state.voters if voter != state.id and voter in peers]
@@ -191,25 +197,25 @@
             self.state.ready.reads.append(ConfirmedRead(read.token, read.index))
 
     def _has_answered(self, round_: int) -> bool:
-        """Whether a quorum followed this leader when that round was sent, or later."""
+        """Return whether a quorum followed this leader when that round or a later one was sent."""
         return self._has_quorum(lambda peer: peer.acknowledged_round >= round_)
 
-    # Requests of the owner.
+    # Requests from the owner.
 
     def _require_leadership(self) -> Leadership:
         leadership = self.state.leadership
         if leadership is None:
             raise BusyError("not the leader")
         if leadership.transfer is not None:
-            raise BusyError("leadership is being handed over")
+            raise BusyError("a leadership transfer is in progress")
         return leadership
 
     def _require_commit_in_term(self) -> None:
         if not self.state.has_committed_in_term:
-            raise BusyError("this leader has nothing agreed yet")
+            raise BusyError("this leader has not committed an entry of its term yet")
 
     def propose(self, now: int, data: bytes) -> tuple[int, int]:
-        """Appends a command; see `Node.propose`."""
+        """Append a command; see `Node.propose`."""
         leadership = self._require_leadership()
         state = self.state
         timing = state.timing
@@ -219,19 +225,19 @@
             len(uncommitted) >= timing.max_uncommitted_entries
             or uncommitted_bytes + len(data) > timing.max_uncommitted_bytes
         ):
-            raise BusyError("too much waits to be agreed")
+            raise BusyError("too many uncommitted entries or bytes")
         index = state.log.append(Entry(state.term, ENTRY_COMMAND, data))
         self.replication.broadcast(now, leadership.peers)
         return index, state.term
 
     def change_membership(self, now: int, members: Members) -> tuple[int, int]:
-        """Appends another set of members; see `Node.change_membership`."""
+        """Append a new set of members; see `Node.change_membership`."""
         leadership = self._require_leadership()
         state = self.state
         changes = state.log.membership_changes
         if changes and changes[-1][0] > state.commit_index:
-            raise BusyError("another change of members is on its way")
-        # Two leaders could else change members side by side, each with a majority of its own
+            raise BusyError("another membership change is not committed yet")
+        # Otherwise two leaders could change the members concurrently, each with a separate majority
         # (Ongaro, "Bug in single-server membership changes", 2015).
         self._require_commit_in_term()
         self._check_members(members)
@@ -239,7 +245,7 @@
         peers = leadership.peers
         member_ids = {member.id for member in members}
         for peer_id in [peer_id for peer_id in peers if peer_id not in member_ids]:
-            # A last append lets it learn of its removal where it can be reached.
+            # The last append informs the member of its removal, if it is reachable.
             self.replication.send_append(now, peer_id, peers.pop(peer_id), heartbeat=True)
         for member in members:
             if member.id != state.id and member.id not in peers:
@@ -252,18 +258,20 @@
         new = {member.id for member in members if member.voter}
         ids = {member.id for member in members}
         if len(old ^ new) > 1 or not new or len(ids) != len(members):
-            raise ValueError("one voter at a time, and at least one stays")
+            raise ValueError(
+                "at most one voter may change, at least one must stay, and ids must be unique"
+            )
 
     def read_index(self, now: int, token: object) -> None:
-        """Queues a read; see `Node.read_index`."""
+        """Queue a read; see `Node.read_index`."""
         leadership = self._require_leadership()
         state = self.state
         self._require_commit_in_term()
         reads = leadership.pending_reads
         if len(reads) >= PENDING_READS_PER_ENTRY * state.timing.max_uncommitted_entries:
-            raise BusyError("too many reads wait")
-        # Reads of one moment share a round: the heartbeats that are due now go out with the owner's
-        # next tick.
+            raise BusyError("too many pending reads")
+        # The heartbeats that become due here are sent with the owner's next tick. Reads requested
+        # until then share a round.
         reads.append(PendingRead(token, state.round + 1, state.commit_index))
         for voter in state.voters:
             peer = leadership.peers.get(voter)
@@ -272,7 +280,7 @@
         self._confirm_reads()
 
     def transfer_leadership(self, now: int) -> str | None:
-        """Chooses a successor; see `Node.transfer_leadership`."""
+        """Choose a successor; see `Node.transfer_leadership`."""
         leadership = self._require_leadership()
         state = self.state
         peers = leadership.peers
@@ -292,7 +300,7 @@
         return successor
 
     def _continue_transfer(self, now: int, source: str, peer: Progress) -> None:
-        """Lets the successor start its election once it has the whole log."""
+        """Let the successor start its election once it has the whole log."""
         state = self.state
         transfer = self._leadership.transfer
         if transfer is None or transfer.target != source:
@@ -302,6 +310,6 @@
             transfer.until = now + state.timing.election_timeout
 
     def _most_complete(self, voters: list[str]) -> str | None:
-        """The one whose log is known to match furthest; of several the last by id."""
+        """Return the voter with the highest match index; among equals, the last by id."""
         peers = self._leadership.peers
         return max(voters, key=lambda voter: (peers[voter].match_index, voter), default=None)
--- a/cypresswalk/agreement/leadership.py
+++ b/cypresswalk/agreement/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader knows, from its election until it steps down."""
+"""The state that a member keeps only while it is the leader."""
 
 from dataclasses import dataclass, field
 
@@ -7,14 +7,33 @@
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """A snapshot on its way to a member, and the number of its bytes that the member has."""
+    """A snapshot that is being sent to a member.
+
+    Attributes:
+        snapshot: the snapshot that is sent.
+        offset: number of bytes of its data that the member has received.
+    """
 
     snapshot: Snapshot
     offset: int
 
 
 class Progress:
-    """Replication to one other member; times in nanoseconds."""
+    """The state of replication to one other member.
+
+    Attributes:
+        match_index: last index up to which the member's log is known to match; 0 if none is known.
+        next_index: index of the next entry to send.
+        in_flight_index: last index of the append or snapshot that is not acknowledged yet, or 0.
+            Only one is in flight at a time, which limits what a slow member is sent.
+        sent_at: time of the latest append with entries, or snapshot chunk, in nanoseconds.
+        heard_at: time of the latest response, or of this object's creation, in nanoseconds.
+        acknowledged_round: latest round that the member has answered.
+        matched_round: first round sent after the logs were found to match; None before. A
+            rejection in this round or a later one means that the member has lost entries.
+        heartbeat_due_at: time at which the next heartbeat is due, in nanoseconds.
+        snapshot_transfer: snapshot that is being sent, if any.
+    """
 
     __slots__ = (
         "match_index",
@@ -29,18 +48,13 @@
     )
 
     def __init__(self, next_index: int, now: int):
-        """Nothing is known to match yet."""
+        """Start with no entry known to match."""
         self.match_index = 0
         self.next_index = next_index
-        # Last index of the append or snapshot that is not answered yet, or 0; one at a time limits
-        # what a slow member is sent.
         self.in_flight_index = 0
         self.sent_at = now
         self.heard_at = now
-        # The latest round that was answered.
         self.acknowledged_round = 0
-        # First round sent after the logs were found to match; a refusal from it on means lost
-        # entries.
         self.matched_round: int | None = None
         self.heartbeat_due_at = now
         self.snapshot_transfer: SnapshotTransfer | None = None
@@ -48,7 +62,13 @@
 
 @dataclass(slots=True)
 class LeadershipTransfer:
-    """A transfer that has begun (dissertation, 3.10): no proposals are taken until `until`."""
+    """A leadership transfer in progress (dissertation, 3.10).
+
+    Attributes:
+        target: id of the member that is to become the leader.
+        until: time in nanoseconds until which proposals are rejected; the transfer then counts as
+            failed.
+    """
 
     target: str
     until: int
@@ -56,7 +76,13 @@
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits until a quorum has answered `round` or a later one."""
+    """A read that is confirmed once a quorum has answered `round` or a later round.
+
+    Attributes:
+        token: the owner's identification of the read.
+        round: round of appends that a quorum has to answer.
+        index: commit index at the time of the request.
+    """
 
     token: object
     round: int
@@ -65,7 +91,13 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """The state of a leader; it ends with its term."""
+    """The leader's state; it is discarded when the member steps down.
+
+    Attributes:
+        peers: replication to each other member, by member id.
+        pending_reads: unconfirmed reads, oldest first.
+        transfer: leadership transfer in progress, if any.
+    """
 
     peers: dict[str, Progress]
     pending_reads: list[PendingRead] = field(default_factory=list)
--- a/cypresswalk/agreement/messages.py
+++ b/cypresswalk/agreement/messages.py
@@ -1,26 +1,30 @@
-"""Messages between the members of a group, and the entries of their log.
+"""Messages between the members of a group, and the entries of the replicated log.
 
-The forms on the wire and on disk are MessagePack arrays; a `tag` is the message's name there.
+On the wire and on disk they are MessagePack arrays. A `tag` is the message's name there.
 """
 
 from typing import TypeAlias
 
 import msgspec
 
-# Kinds of an entry.
+# Values of `Entry.kind`.
 ENTRY_NOOP = 0
 ENTRY_COMMAND = 1
 ENTRY_MEMBERSHIP = 2
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages. Unknown trailing fields of a later version are ignored."""
+    """Base class of all messages; unknown trailing fields of a later version are ignored."""
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
     """One member of the group.
 
-    `id` is "name#incarnation": a member that lost its disk comes back as another incarnation.
+    Attributes:
+        id: "name#incarnation"; a member that has lost its disk returns as another incarnation.
+        voter: whether the member votes in elections and counts towards a quorum.
+        address: network address, or an empty string.
+        zone: zone of the member, or an empty string.
     """
 
     id: str
@@ -30,7 +34,7 @@
 
     @property
     def name(self) -> str:
-        """The part of the id that all incarnations share."""
+        """Return the part of the id that is the same for all incarnations."""
         return self.id.partition("#")[0]
 
 
@@ -38,7 +42,13 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; `kind` is one of the ENTRY_ constants."""
+    """One entry of the log.
+
+    Attributes:
+        term: term in which a leader appended the entry.
+        kind: one of the ENTRY_ constants.
+        data: the command, the encoded members, or nothing, depending on `kind`.
+    """
 
     term: int
     kind: int
@@ -46,16 +56,16 @@
 
 
 class RequestVote(Message, frozen=True, tag="Vote"):
-    """Asks for a vote (Raft, 5.2).
+    """Request for a vote (Raft, 5.2).
 
     Attributes:
-        term: the candidate's term.
-        last_log_index: of the candidate's last entry.
-        last_log_term: of the candidate's last entry.
-        pre_vote: asks whether a vote would be granted, without beginning the term (dissertation,
-            9.6).
-        leadership_transfer: the leader asked for this election, so it is no reason to refuse
-            (4.2.3).
+        term: the candidate's term; for a pre-vote, the term that it would start.
+        last_log_index: index of the candidate's last entry.
+        last_log_term: term of the candidate's last entry.
+        pre_vote: whether this only asks if a vote would be granted, without starting the term
+            (dissertation, 9.6).
+        leadership_transfer: whether the current leader requested this election; receivers then
+            consider it although they have a leader (dissertation, 4.2.3).
     """
 
     term: int
@@ -66,7 +76,13 @@
 
 
 class RequestVoteResponse(Message, frozen=True, tag="VoteAnswer"):
-    """Answers RequestVote; a granted pre-vote carries the term that was asked for."""
+    """Response to RequestVote.
+
+    Attributes:
+        term: the responder's term, or the requested term if a pre-vote is granted.
+        granted: whether the vote is granted.
+        pre_vote: whether the request was a pre-vote.
+    """
 
     term: int
     granted: bool
@@ -74,10 +90,16 @@
 
 
 class AppendEntries(Message, frozen=True, tag="Append"):
-    """Entries after `prev_log_index`, or none as a heartbeat (Raft, 5.3).
+    """Entries to append, or a heartbeat if there are none (Raft, 5.3).
 
-    The response repeats `round`, which proves that the receiver still followed when that round was
-    sent.
+    Attributes:
+        term: the leader's term.
+        prev_log_index: index of the entry before `entries`.
+        prev_log_term: term of the entry before `entries`.
+        entries: entries to append.
+        leader_commit: the leader's commit index.
+        round: number of this append. The response repeats it, which proves that the receiver still
+            followed this leader when the round was sent.
     """
 
     term: int
@@ -89,10 +111,14 @@
 
 
 class AppendEntriesResponse(Message, frozen=True, tag="AppendAnswer"):
-    """Answers AppendEntries.
+    """Response to AppendEntries, and to a snapshot chunk that is installed or rejected.
 
-    `index` is the last one at which the logs are known to match, or, without success, the one to
-    try next.
+    Attributes:
+        term: the responder's term.
+        success: whether the logs match up to `index`.
+        index: last index at which the logs are known to match; without success, the index at which
+            the leader should compare the logs next.
+        round: round of the request.
     """
 
     term: int
@@ -102,9 +128,17 @@
 
 
 class InstallSnapshotChunk(Message, frozen=True, tag="Piece"):
-    """A part of a snapshot, sent in order; the one with `last` installs it (Raft, 7).
+    """A part of a snapshot; the parts are sent in order (Raft, 7).
 
-    `offset` counts bytes of the snapshot's data.
+    Attributes:
+        term: the leader's term.
+        snapshot_index: index of the last entry that the snapshot covers.
+        snapshot_term: term of that entry.
+        members: members of the group at that index.
+        offset: position of `data` in the snapshot's data, in bytes.
+        data: bytes of the snapshot's data.
+        last: whether this is the last chunk; the receiver then installs the snapshot.
+        round: number of this message, as in AppendEntries.
     """
 
     term: int
@@ -118,7 +152,14 @@
 
 
 class InstallSnapshotChunkResponse(Message, frozen=True, tag="PieceAnswer"):
-    """Answers InstallSnapshotChunk; `offset` is the number of bytes that the receiver has."""
+    """Response to InstallSnapshotChunk, until the snapshot is complete.
+
+    Attributes:
+        term: the responder's term.
+        snapshot_index: index of the snapshot that is being received.
+        offset: number of bytes of its data that the responder has received.
+        round: round of the request.
+    """
 
     term: int
     snapshot_index: int
@@ -127,13 +168,16 @@
 
 
 class TimeoutNow(Message, frozen=True, tag="TakeOver"):
-    """Leadership transfer (dissertation, 3.10): the receiver starts an election at once."""
+    """Request to start an election at once, for a leadership transfer (dissertation, 3.10)."""
 
     term: int
 
 
 class DataLossDetected(Message, frozen=True, tag="Disowned"):
-    """The receiver lacks what it acknowledged, as after its folder was restored from a copy."""
+    """Notice to a member that it lacks entries that it has acknowledged.
+
+    A cause is a folder that was restored from an older copy.
+    """
 
     term: int
 
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -1,19 +1,19 @@
 """One member of the group, without I/O.
 
-The owner reports what happens with `step`, `tick`, `propose`, `change_membership`, `read_index`,
-`transfer_leadership` and `compact`. After each it calls `take_ready` until that returns None, and
-for each `Ready` writes and flushes, calls `on_persisted`, sends the messages and applies what is
-committed. One thread alone calls a node. Times are nanoseconds of a clock that goes on while the
-machine sleeps.
+The owner calls `step`, `tick`, `propose`, `change_membership`, `read_index`, `transfer_leadership`
+and `compact`. After each call it calls `take_ready` until that returns None. For each `Ready` it
+writes and flushes, calls `on_persisted`, sends the messages and applies the committed entries. Only
+one thread may call a node. Times are in nanoseconds, from a clock that also advances while the
+machine is suspended.
 
 Invariants (docs/design/agreement.md):
-    A1: one leader a term.
-    A2: logs that match at an index and term match before it.
-    A3: what is committed stays.
-    A4: no message relies on what is not flushed.
+    A1: there is at most one leader in a term.
+    A2: two logs that have an entry with the same index and term are identical up to it.
+    A3: a committed entry is never removed or changed.
+    A4: no message relies on data that is not flushed.
     A5: no member votes twice in a term.
-    A6: voters change one at a time, never two changes at once.
-    A7: a read returns nothing older than what was committed when it was asked for.
+    A6: a membership change adds or removes at most one voter; changes never overlap.
+    A7: a read returns no state older than what was committed when the read was requested.
 """
 
 from random import Random
@@ -41,95 +41,98 @@
 
 
 class Node:
-    """One member: hands messages and time to its parts and gathers their work."""
+    """One member: dispatches messages and time to its parts and collects their work."""
 
     def __init__(
         self, member_id: str, persisted: PersistentState, timing: Timing, random: Random, now: int
     ):
-        """A follower with what stands on disk; `random` spreads the elections."""
+        """Start as a follower with the state read from disk.
+
+        `random` randomizes the election timeout, so that members don't start elections at once.
+        """
         self.state = MemberState(member_id, persisted, timing, random, now)
         self._leader = Leader(self.state)
         self._election = Election(self.state, self._leader)
         self._follower = Follower(self.state)
 
-    # What is known.
+    # State.
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Return the current term."""
         return self.state.term
 
     @property
     def role(self) -> Role:
-        """The role in this term."""
+        """Return the role in this term."""
         return self.state.role
 
     @property
     def leader(self) -> str:
-        """The leader's id, or an empty string while none is known."""
+        """Return the leader's id, or an empty string while none is known."""
         return self.state.leader
 
     @property
     def leader_heard_at(self) -> int | None:
-        """When a leader was last heard; None if never."""
+        """Return the time of the last message from a leader; None if there was none."""
         return self.state.leader_heard_at
 
     @property
     def log(self) -> Log:
-        """The log, to be read."""
+        """Return the log; callers must not change it."""
         return self.state.log
 
     @property
     def commit_index(self) -> int:
-        """Index of the last committed entry."""
+        """Return the index of the last entry known to be committed."""
         return self.state.commit_index
 
     @property
     def voters(self) -> list[str]:
-        """Ids of the members that vote."""
+        """Return the ids of the members that vote."""
         return self.state.voters
 
     @property
     def peers(self) -> dict[str, Progress]:
-        """At the leader, replication to each other member by id; empty elsewhere."""
+        """Return the replication progress of each other member by id; empty if not leader."""
         leadership = self.state.leadership
         return leadership.peers if leadership is not None else {}
 
     @property
     def is_receiving_snapshot(self) -> bool:
-        """Whether a part of a snapshot has come."""
+        """Return whether a part of a snapshot has been received."""
         return self._follower.incoming is not None
 
     def is_voter(self) -> bool:
-        """Whether this member votes."""
+        """Return whether this member votes."""
         return self.state.is_voter
 
     def majority(self, voters: int) -> int:
-        """The smallest number that is more than half of `voters`."""
+        """Return the smallest number that is more than half of `voters`."""
         return majority(voters)
 
     def due(self) -> int:
-        """When `tick` is to be called at the latest."""
+        """Return the latest time at which `tick` has to be called."""
         state = self.state
         if state.leadership is None:
             return state.due_at
         heartbeats = [peer.heartbeat_due_at for peer in state.leadership.peers.values()]
         return min([state.due_at, *heartbeats])
 
-    # What happens.
+    # Events.
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
+        """Handle timeouts and heartbeats that are due."""
         if self.state.role is Role.LEADER:
             self._leader.tick(now)
         else:
             self._election.tick(now)
 
     def step(self, now: int, source: str, message: AnyMessage) -> None:
-        """A message has come from the member `source`.
+        """Handle a message from the member `source`.
 
         Raises:
-            LogDivergedError: this member must not go on.
+            LogDivergedError: this member must not continue.
         """
         match message:
             case RequestVote():
@@ -155,7 +158,7 @@
         | InstallSnapshotChunk
         | InstallSnapshotChunkResponse,
     ) -> None:
-        """Handles the other messages; a later term ends this member's (Raft, 5.1)."""
+        """Handle a message; become a follower first if its term is later (Raft, 5.1)."""
         if message.term > self.state.term:
             is_from_leader = isinstance(message, AppendEntries | InstallSnapshotChunk)
             self.state.follow(now, message.term, source if is_from_leader else "")
@@ -171,76 +174,81 @@
             case InstallSnapshotChunkResponse():
                 self._leader.on_snapshot_response(now, source, message)
 
-    # What the owner asks for.
+    # Requests from the owner.
 
     def propose(self, now: int, data: bytes) -> tuple[int, int]:
-        """Proposes a command; returns its index and term.
+        """Propose a command and return the index and term of its entry.
 
-        It is committed once an entry with that index and term is among the committed ones.
+        The command is committed once an entry with this index and term is committed.
 
         Raises:
-            BusyError: this member doesn't lead, or too much is uncommitted.
+            BusyError: this member isn't the leader, or there are too many uncommitted entries or
+                bytes.
         """
         return self._leader.propose(now, data)
 
     def change_membership(self, now: int, members: Members) -> tuple[int, int]:
-        """Proposes other members: at most one voter more or less (dissertation, 4.1).
+        """Propose a new set of members, with at most one voter more or less (dissertation, 4.1).
+
+        Returns:
+            Index and term of the entry.
 
         Raises:
-            BusyError: this member doesn't lead, or another change is not committed yet.
-            ValueError: more than one voter would change, none would stay, or an id is there twice.
+            BusyError: this member isn't the leader, or another change is not committed yet.
+            ValueError: more than one voter would change, no voter would be left, or an id occurs
+                twice.
         """
         return self._leader.change_membership(now, members)
 
     def read_index(self, now: int, token: object) -> None:
-        """Asks for a linearizable read (dissertation, 6.4).
+        """Request a linearizable read (dissertation, 6.4).
 
-        `token` comes back among `Ready.reads` once a quorum has confirmed that this member led
-        after the call.
+        `token` is returned in `Ready.reads` once a quorum has confirmed that this member was still
+        the leader after the call.
 
         Raises:
-            BusyError: this member doesn't lead, has committed nothing in its term, or too many
-                reads wait.
+            BusyError: this member isn't the leader, has not committed an entry of its term, or has
+                too many pending reads.
         """
         self._leader.read_index(now, token)
 
     def transfer_leadership(self, now: int) -> str | None:
-        """Hands leadership to the voter whose log is most complete (dissertation, 3.10).
+        """Start a leadership transfer to the most up-to-date voter (dissertation, 3.10).
 
         Returns:
-            The successor's id, or None if no other voter is heard.
+            The successor's id, or None if no other voter has responded lately.
 
         Raises:
-            BusyError: this member doesn't lead, or a transfer is under way.
+            BusyError: this member isn't the leader, or a transfer is in progress.
         """
         return self._leader.transfer_leadership(now)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replaces the entries up to `index` by the owner's state at that point (Raft, 7).
+        """Replace the entries up to `index` by a snapshot of the owner's state there (Raft, 7).
 
-        Nothing is done unless the entry there was delivered and is not compacted yet.
+        Do nothing unless the entry at `index` was delivered to the owner and is not compacted yet.
         """
         state = self.state
         if not state.log.snapshot.index < index <= state.delivered_index:
             return
         term = state.log.term_at(index)
-        # Delivered entries after the snapshot are in the log.
+        # The log contains all delivered entries after the snapshot.
         assert term is not None
         snapshot = Snapshot(index, term, state.log.members_at(index), data)
         state.log.restore(snapshot)
         state.ready.snapshot = snapshot
 
-    # What the owner does about it.
+    # Work for the owner.
 
     def take_ready(self) -> Ready | None:
-        """The work that has gathered, or None."""
+        """Return the pending work, or None if there is none."""
         state = self.state
         ready = state.ready
         if state.vote_changed:
             ready.vote = Vote(state.term, state.voted_for)
         start = state.durable_index + 1
         if ready.snapshot is not None:
-            # A snapshot begins a new file, which holds the vote and all entries.
+            # A snapshot is written to a new file, which needs the vote and all entries after it.
             ready.vote = Vote(state.term, state.voted_for)
             ready.truncate_from = None
             start = state.log.first_index
@@ -260,7 +268,7 @@
         return ready
 
     def on_persisted(self, now: int, ready: Ready) -> None:
-        """All that `ready` says to write is flushed."""
+        """Handle the completion of all writes of `ready`; they are flushed."""
         state = self.state
         if ready.entries:
             state.durable_index = ready.entries[-1][0]
--- a/cypresswalk/agreement/ready.py
+++ b/cypresswalk/agreement/ready.py
@@ -1,4 +1,4 @@
-"""What stands on disk for a member, and what its owner must do next."""
+"""The state that a member keeps on disk, and the pending work for its owner."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple, TypeAlias
@@ -10,14 +10,24 @@
 
 
 class Vote(NamedTuple):
-    """The current term and the member voted for in it, or an empty string."""
+    """A member's vote.
+
+    Attributes:
+        term: the member's current term.
+        candidate: id of the member voted for in this term, or an empty string.
+    """
 
     term: int
     candidate: str
 
 
 class ConfirmedRead(NamedTuple):
-    """A read that may be answered once the entry at `commit_index` is applied."""
+    """A read that the owner may answer once it has applied the entry at `commit_index`.
+
+    Attributes:
+        token: the owner's identification of the read.
+        commit_index: index of the last entry that the answer has to include.
+    """
 
     token: object
     commit_index: int
@@ -25,7 +35,14 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What stands on disk for one member."""
+    """The state of one member on disk.
+
+    Attributes:
+        snapshot: the latest snapshot.
+        entries: entries after the snapshot.
+        term: current term.
+        voted_for: id of the member voted for in this term, or an empty string.
+    """
 
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
@@ -38,15 +55,16 @@
     """Work for the owner, in this order: write and flush, `Node.on_persisted`, send, apply.
 
     Attributes:
-        vote: to be written.
-        snapshot: to be written, with all that follows it, in a new file.
-        truncate_from: the index from which on no entry of the log stays on disk.
-        entries: to be written.
-        messages: to be sent, each with its receiver's id.
-        restore: a state to begin from, before `committed` is applied.
-        committed: to be applied.
-        reads: to be answered after the index of each is applied.
-        data_loss: the leader found that this member lost acknowledged entries; the rest is void.
+        vote: term and vote to write.
+        snapshot: snapshot to write to a new file, followed by `entries`.
+        truncate_from: index from which on to remove the entries on disk.
+        entries: entries to write, with their indexes.
+        messages: messages to send, each with its receiver's id.
+        restore: snapshot to restore the owner's state from, before `committed` is applied.
+        committed: entries to apply, with their indexes.
+        reads: reads to answer, each after the entry at its index is applied.
+        data_loss: whether the leader found that this member has lost acknowledged entries; the
+            other fields must then be ignored.
     """
 
     vote: Vote | None = None
@@ -61,7 +79,7 @@
 
     @property
     def must_write(self) -> bool:
-        """Whether anything has to be flushed."""
+        """Return whether there is anything to write."""
         return (
             self.vote is not None
             or self.snapshot is not None
@@ -71,7 +89,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Return whether there is no work at all."""
         return not (
             self.must_write
             or self.messages
--- a/cypresswalk/agreement/replication.py
+++ b/cypresswalk/agreement/replication.py
@@ -1,4 +1,4 @@
-"""The leader's sending side: appends, heartbeats and snapshot chunks (Raft, 5.3 and 7)."""
+"""Sending of appends, heartbeats and snapshot chunks by the leader (Raft, 5.3 and 7)."""
 
 from cypresswalk.agreement.leadership import Progress, SnapshotTransfer
 from cypresswalk.agreement.member_state import MemberState
@@ -6,19 +6,19 @@
 
 
 class Replication:
-    """Sends each member what it lacks, one append or chunk at a time."""
+    """Sender of missing entries or snapshot chunks to each member, one message at a time."""
 
     def __init__(self, state: MemberState):
-        """`state` is shared with the rest of the node."""
+        """Use `state`, which is shared with the rest of the node."""
         self.state = state
 
     def broadcast(self, now: int, peers: dict[str, Progress]) -> None:
-        """Sends to each member that lacks entries and has nothing in flight."""
+        """Send to each member that lacks entries and has nothing in flight."""
         for peer_id, peer in peers.items():
             self.send_append(now, peer_id, peer)
 
     def send_append(self, now: int, peer_id: str, peer: Progress, heartbeat: bool = False) -> None:
-        """Sends entries or a snapshot chunk; as a heartbeat also where there is nothing to send."""
+        """Send entries or a snapshot chunk; a heartbeat also goes out without any."""
         state = self.state
         may_send_data = (
             not peer.in_flight_index or now - peer.sent_at >= state.timing.resend_timeout
@@ -39,7 +39,7 @@
         entries = self._take_entries(now, peer) if may_send_data else []
         prev_log_index = peer.next_index - 1
         prev_log_term = state.log.term_at(prev_log_index)
-        # The next index lies between the first index and one beyond the last.
+        # `next_index` is between the log's first index and its last index plus one.
         assert prev_log_term is not None
         state.send(
             peer_id,
@@ -54,7 +54,7 @@
         )
 
     def _take_entries(self, now: int, peer: Progress) -> list[Entry]:
-        """The entries from the next index on, within the limits; they count as in flight."""
+        """Return entries from `next_index` on, within the limits, and mark them as in flight."""
         state = self.state
         if peer.next_index > state.log.last_index:
             return []
--- a/tests/agreement/test_raft_node.py
+++ b/tests/agreement/test_raft_node.py
@@ -23,7 +23,7 @@
     node.state.durable_index = NEVER_DURABLE
     for _ in range(8):
         node.propose(0, b"x")
-    with pytest.raises(BusyError, match="too much"):
+    with pytest.raises(BusyError, match="too many uncommitted"):
         node.propose(0, b"x")
 
 
@@ -103,6 +103,6 @@
 def test_commitment_by_count_alone_is_detected(monkeypatch):
     index = replicate_entry_of_older_term(FiveNodes()).index
     agreement_mutants.older_terms_are_committed_by_count(monkeypatch)
-    message = f"entry {index} of term 1 is agreed, the leader of term"
+    message = f"entry {index} of term 1 is committed, but the leader of term"
     with pytest.raises(LogDivergedError, match=message):
         replicate_entry_of_older_term(FiveNodes())
