--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -1,14 +1,16 @@
-"""In which order a member's log is written and read, on any folder. No I/O of its own.
-
-One file, `log.N`, holds a chain of sealed records (storage/record_chain.py). A record is added and
-flushed before any message that relies on it; a new snapshot writes file N+1 (as `next`, flushed,
-renamed, folder flushed) and removes N. A torn tail was never acknowledged and is cut off; any other
-damage ends this incarnation; a file of a newer form, of another member or fleet is left alone.
-
-`witness` names the file's inode, written before the file gets its name: a folder restored from a
-copy has other inodes, or an older witness than its file, and is found before anything is sent. A
-whole disk that was set back is found by the other members: by the leader when an acknowledged
-append is refused, by everyone from `boot`, which counts this member's starts.
+"""Storage of a member's log in a folder. The module does no I/O itself.
+
+One file, `log.N`, holds a chain of sealed records (storage/record_chain.py). A record is appended
+and flushed before any message that relies on it is sent. A new snapshot is written to file N+1,
+which is created as `next`, flushed and renamed; then the folder is flushed and file N is removed. A
+torn tail was never acknowledged and is cut off. Any other damage ends this incarnation. A file of a
+newer format, of another member or of another fleet is left unchanged.
+
+The file `witness` contains the inode of the log file and is written before the log file gets its
+final name. A folder restored from a copy has other inodes, or a witness that is older than its log
+file, and is therefore detected before anything is sent. A whole disk that was reset to an earlier
+state is detected by the other members: by the leader when an acknowledged append is rejected, and
+by all members from `boot`, the number of this member's starts.
 """
 
 import struct
@@ -37,12 +39,12 @@
 LOST_PREFIX = "lost."
 VERSION = 1
 HEADER = MAGIC + struct.pack("<H", VERSION)
-# Bytes of a file: many times a snapshot and the entries that are kept beside it.
+# Many times the size of a snapshot and the entries that are kept after it.
 MAX_FILE_BYTES = 256 << 20
 MAX_WITNESS_BYTES = 4096
 DIGEST_BYTES = 16
 
-# Kinds of a record.
+# Kinds of records.
 IDENTITY = 1
 SNAPSHOT = 2
 VOTE = 3
@@ -51,7 +53,14 @@
 
 
 class LogIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Whose file it is; `boot` counts the member's starts."""
+    """The owner of a log file.
+
+    Attributes:
+        fleet: name of the fleet.
+        group: id of the group.
+        member: id of the member, "name#incarnation".
+        boot: number of the member's starts.
+    """
 
     fleet: str
     group: str
@@ -60,7 +69,12 @@
 
 
 class InodeWitness(msgspec.Struct, frozen=True, array_like=True):
-    """The files that this member wrote itself, as number and inode."""
+    """The content of the file `witness`.
+
+    Attributes:
+        member: id of the member.
+        files: number and inode of each log file that this member has written itself.
+    """
 
     member: str
     files: list[tuple[int, int]]
@@ -77,10 +91,15 @@
 
 
 class RecordReplay:
-    """Builds the identity and the state from a file's records."""
+    """Reconstruction of the identity and the state from a file's records.
+
+    Attributes:
+        identity: identity found in the file, if any yet.
+        state: state after the records so far; None before the snapshot.
+    """
 
     def __init__(self, file: str, fleet: str, name: str):
-        """`fleet` and `name` are what the file must belong to."""
+        """Start without records; the file has to belong to the member `name` of `fleet`."""
         self.file = file
         self.fleet = fleet
         self.name = name
@@ -88,17 +107,17 @@
         self.state: PersistentState | None = None
 
     def apply(self, kind: int, body: bytes) -> None:
-        """Applies the next record.
+        """Apply the next record.
 
         Raises:
-            DamagedLogError: it can't be decoded, or is not in its place.
-            ForeignFileError: the file is of another member or fleet.
+            DamagedLogError: the record can't be decoded or is out of sequence.
+            ForeignFileError: the file belongs to another member or fleet.
         """
         try:
             value = RECORD_DECODERS[kind].decode(body)
         except (KeyError, msgspec.DecodeError) as error:
             raise DamagedLogError(
-                f"{self.file}: a record of kind {kind} can't be read: {error}"
+                f"{self.file}: a record of kind {kind} can't be decoded: {error}"
             ) from error
         if kind == IDENTITY:
             self._check_owner(value)
@@ -106,7 +125,7 @@
         elif kind == SNAPSHOT:
             self.state = PersistentState(value)
         elif self.state is None:
-            raise DamagedLogError(f"{self.file}: it does not begin with a snapshot")
+            raise DamagedLogError(f"{self.file}: a record precedes the snapshot")
         elif kind == VOTE:
             self.state.term, self.state.voted_for = value
         elif kind == TRUNCATE:
@@ -117,32 +136,40 @@
     def _check_owner(self, identity: LogIdentity) -> None:
         name = identity.member.partition("#")[0]
         if identity.fleet != self.fleet or name != self.name:
-            raise ForeignFileError(f"{self.file}: it is of {name!r} in fleet {identity.fleet!r}")
+            raise ForeignFileError(
+                f"{self.file}: it belongs to {name!r} in fleet {identity.fleet!r}"
+            )
 
     def _append(self, state: PersistentState, indexed_entry: IndexedEntry) -> None:
         index, entry = indexed_entry
         if index != state.snapshot.index + len(state.entries) + 1:
-            raise DamagedLogError(f"{self.file}: entry {index} out of its place")
+            raise DamagedLogError(f"{self.file}: entry {index} is out of sequence")
         state.entries.append(entry)
 
 
 class Store:
     """One member's log on disk.
 
-    Methods raise OSError where the disk fails; after a failed write nothing may be written, and the
-    owner ends this member until its next start.
+    Methods raise OSError if the disk fails. After a failed write the store accepts no more writes,
+    and the owner stops this member until its next start.
+
+    Attributes:
+        file_number: highest number of a log file so far; the next file gets the number after it.
+        key: key of the next record.
+        broken: whether a write has failed or is in progress.
+        identity: identity in the latest log file; None before one is read or written.
     """
 
     def __init__(self, folder: Folder):
-        """Nothing is read yet."""
+        """Start without reading anything."""
         self.folder = folder
-        self.number = 0
+        self.file_number = 0
         self.key = b""
         self.broken = False
         self.identity: LogIdentity | None = None
 
     def _file_numbers(self) -> list[int]:
-        """Of all log files, the latest first."""
+        """Return the numbers of all log files, latest first."""
         prefix = len(FILE_PREFIX)
         found = [name[prefix:] for name in self.folder.names() if name.startswith(FILE_PREFIX)]
         return sorted((int(text) for text in found if text.isdecimal()), reverse=True)
@@ -152,25 +179,25 @@
     def load(
         self, fleet: str, name: str, on_tail_cut: Callable[[str], None]
     ) -> PersistentState | None:
-        """The state on disk; None where there is none.
+        """Return the state on disk; None if there is no log file.
 
         Args:
-            fleet: to which the file must belong.
-            name: of the member, to which the file must belong.
-            on_tail_cut: called with a text where a torn tail is ignored.
+            fleet: fleet that the file has to belong to.
+            name: name of the member that the file has to belong to.
+            on_tail_cut: called with a text if a torn tail is ignored.
 
         Raises:
-            DamagedLogError: what was acknowledged may be lost.
-            ForeignFileError: the file must be left alone.
+            DamagedLogError: acknowledged entries may be lost.
+            ForeignFileError: the file must be left unchanged.
             OSError: the folder can't be read.
         """
         numbers = self._file_numbers()
         if not numbers:
             return None
-        # The latest got its name after it was flushed, so it is whole; an older one must never take
-        # its place.
-        self.number = numbers[0]
-        file = f"{FILE_PREFIX}{self.number}"
+        # The latest file was renamed after it was flushed, so it is complete. An older one must
+        # never be used instead.
+        self.file_number = numbers[0]
+        file = f"{FILE_PREFIX}{self.file_number}"
         data = self.folder.read(file, MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
             raise ForeignFileError(f"{file}: over {MAX_FILE_BYTES} bytes")
@@ -178,42 +205,43 @@
         self.check_witness(file, identity)
         if end < len(data):
             on_tail_cut(
-                f"{file}: {len(data) - end} bytes of a record that was never acknowledged "
-                "are cut off"
+                f"{file}: cut off {len(data) - end} bytes of a record that was never acknowledged"
             )
         return state
 
     def _decode(
         self, file: str, data: bytes, fleet: str, name: str
     ) -> tuple[LogIdentity, PersistentState, int]:
-        """Identity, state and the number of sound bytes."""
+        """Return identity, state and the number of intact bytes."""
         self._check_header(file, data)
-        reader = ChainReader(file, data, len(HEADER), self.number)
+        reader = ChainReader(file, data, len(HEADER), self.file_number)
         replay = RecordReplay(file, fleet, name)
         try:
-            # A file gets its name once its snapshot is flushed: only what was added later may be
+            # A file is renamed after its snapshot is flushed, so only records appended later may be
             # torn.
             while record := reader.next_record(may_be_torn=replay.state is not None):
                 replay.apply(record.kind, record.body)
         except ChainDamagedError as error:
             raise DamagedLogError(str(error)) from error
         if replay.identity is None or replay.state is None:
-            raise DamagedLogError(f"{file}: it ends before its snapshot")
+            raise DamagedLogError(f"{file}: it has no identity or no snapshot")
         self.identity = replay.identity
         self.key = reader.key
         return replay.identity, replay.state, reader.end
 
     def _check_header(self, file: str, data: bytes) -> None:
         if data[: len(MAGIC)] != MAGIC:
-            raise DamagedLogError(f"{file}: no log")
+            raise DamagedLogError(f"{file}: not a log file")
         if len(data) < len(HEADER):
             return
         (version,) = struct.unpack_from("<H", data, len(MAGIC))
         if version > VERSION:
-            raise ForeignFileError(f"{file}: version {version}, this program reads up to {VERSION}")
+            raise ForeignFileError(
+                f"{file}: version {version}, this program supports up to {VERSION}"
+            )
 
     def check_witness(self, file: str, identity: LogIdentity) -> None:
-        """Raises DamagedLogError where this is not the file that was written here."""
+        """Raise DamagedLogError unless the witness lists the file as written by this member."""
         try:
             data = self.folder.read(WITNESS_FILE, MAX_WITNESS_BYTES)
             body = data[DIGEST_BYTES:]
@@ -222,12 +250,12 @@
             raise DamagedLogError(f"{WITNESS_FILE}: {error}") from error
         if data[:DIGEST_BYTES] != _digest(body):
             raise DamagedLogError(f"{WITNESS_FILE}: the checksum is wrong")
-        place = (self.number, self.folder.inode(file))
-        if witness.member != identity.member or place not in witness.files:
-            raise DamagedLogError(f"{file}: it was put back from a copy")
+        written_file = (self.file_number, self.folder.inode(file))
+        if witness.member != identity.member or written_file not in witness.files:
+            raise DamagedLogError(f"{file}: it was restored from a copy")
 
     def set_aside(self) -> None:
-        """Renames the files, so that a person may look at them; removes those set aside before."""
+        """Rename the log files for inspection by a person; remove those set aside earlier."""
         names = self.folder.names()
         for name in names:
             if name.startswith(LOST_PREFIX):
@@ -236,16 +264,19 @@
             self.folder.rename(f"{FILE_PREFIX}{number}", f"{LOST_PREFIX}{number}")
         self.folder.flush()
         suffixes = [name[len(LOST_PREFIX) :] for name in names]
-        self.number = max([self.number, *(int(text) for text in suffixes if text.isdecimal())])
+        self.file_number = max(
+            [self.file_number, *(int(text) for text in suffixes if text.isdecimal())]
+        )
         self.identity = None
         self.broken = False
 
     # Writing.
 
     def begin(self, identity: LogIdentity, state: PersistentState) -> None:
-        """Writes a new file.
+        """Write a new file.
 
-        Done at each start: a torn tail goes, and `boot` is flushed before anything is sent.
+        This happens at each start. It drops a torn tail, and `boot` is flushed before anything is
+        sent.
         """
         self.identity = identity
         self._write_file(
@@ -256,14 +287,14 @@
         )
 
     def write(self, ready: Ready) -> None:
-        """Writes what `ready` names; flushed when it returns.
+        """Write and flush the vote, snapshot, truncation and entries of `ready`.
 
         Raises:
             OSError: this or an earlier write failed.
         """
         require_unbroken(self)
         if ready.snapshot is not None:
-            # With a snapshot there is always a vote, and `begin` comes before.
+            # A snapshot always comes with a vote, and `begin` is called first.
             assert ready.vote is not None
             assert self.identity is not None
             self._write_file(self.identity, ready.snapshot, ready.vote, ready.entries)
@@ -277,7 +308,7 @@
         if records:
             data, key = _seal_records(records, self.key)
             with broken_on_failure(self):
-                self.folder.add(f"{FILE_PREFIX}{self.number}", data)
+                self.folder.add(f"{FILE_PREFIX}{self.file_number}", data)
                 self.key = key
 
     def _write_file(
@@ -287,8 +318,8 @@
         vote: Vote,
         entries: list[IndexedEntry],
     ) -> None:
-        """Writes the next file and its witness, then removes older files."""
-        number = self.number + 1
+        """Write the next file and the witness, then remove older files."""
+        number = self.file_number + 1
         records: list[tuple[int, object]] = [
             (IDENTITY, identity),
             (SNAPSHOT, snapshot),
@@ -301,17 +332,17 @@
             self._write_witness(identity, number)
             self.folder.rename(NEXT_FILE, f"{FILE_PREFIX}{number}")
             self.folder.flush()
-            self.number = number
+            self.file_number = number
             self.key = key
             for old in self._file_numbers():
                 if old < number:
                     self.folder.remove(f"{FILE_PREFIX}{old}")
 
     def _write_witness(self, identity: LogIdentity, number: int) -> None:
-        """Names the new file and the one before it, so that either may be found after a crash."""
+        """List the new file and the one before it; after a crash either may be the latest."""
         files = [(number, self.folder.inode(NEXT_FILE))]
-        if self.number in self._file_numbers():
-            files.append((self.number, self.folder.inode(f"{FILE_PREFIX}{self.number}")))
+        if self.file_number in self._file_numbers():
+            files.append((self.file_number, self.folder.inode(f"{FILE_PREFIX}{self.file_number}")))
         body = encode(InodeWitness(identity.member, files))
         new_witness = f"{WITNESS_FILE}.{NEXT_FILE}"
         self.folder.write(new_witness, _digest(body) + body)
@@ -320,7 +351,7 @@
 
 
 def _seal_records(records: list[tuple[int, object]], key: bytes) -> tuple[bytes, bytes]:
-    """The bytes of records that follow `key`, and the key of the one after them."""
+    """Return the encoded records, of which the first has `key`, and the key after the last."""
     parts = []
     for kind, value in records:
         data, key = seal_record(key, kind, encode(value))
--- a/cypresswalk/storage/folder.py
+++ b/cypresswalk/storage/folder.py
@@ -1,4 +1,4 @@
-"""The folder that a store writes to, and what becomes of a store when a write fails."""
+"""The interface of the folder that a store writes to, and handling of failed writes."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -6,60 +6,64 @@
 
 
 class Folder(Protocol):
-    """The files of one folder. Each call raises OSError where it fails."""
+    """The files of one folder; each method raises OSError if it fails."""
 
     def names(self) -> list[str]:
-        """The names of all files."""
+        """Return the names of all files."""
         ...
 
     def read(self, name: str, max_bytes: int, /) -> bytes:
-        """At most so many bytes from the file's begin."""
+        """Return at most `max_bytes` bytes from the start of the file."""
         ...
 
     def write(self, name: str, data: bytes) -> None:
-        """Creates or replaces the file; flushed."""
+        """Create or replace the file, and flush it."""
         ...
 
     def add(self, name: str, data: bytes) -> None:
-        """Appends to the file; flushed."""
+        """Append to the file, and flush it."""
         ...
 
     def inode(self, name: str) -> int:
-        """A number that stays the same while the file is the same."""
+        """Return the inode number, which stays the same as long as the file exists."""
         ...
 
     def rename(self, name: str, to: str) -> None:
-        """Renames the file, in place of another of that name."""
+        """Rename the file to `to`, and replace a file of that name."""
         ...
 
     def flush(self) -> None:
-        """Flushes the folder itself: names that were created, renamed or removed."""
+        """Flush the folder itself: names that were created, renamed or removed."""
         ...
 
     def remove(self, name: str) -> None:
-        """Removes the file."""
+        """Remove the file."""
         ...
 
 
-class Breakable(Protocol):
-    """A store that takes no more writes once one has failed."""
+class FailStopStore(Protocol):
+    """A store that accepts no more writes once one has failed.
+
+    Attributes:
+        broken: whether a write has failed or is in progress.
+    """
 
     broken: bool
 
 
 @contextmanager
-def broken_on_failure(store: Breakable) -> Iterator[None]:
-    """Leaves the store broken if the block raises.
+def broken_on_failure(store: FailStopStore) -> Iterator[None]:
+    """Mark the store as broken if the block raises.
 
-    What was being written may or may not be on disk, and a later flush that succeeds proves nothing
-    (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
+    The data of a failed write may or may not be on disk, and a later successful flush doesn't prove
+    that it is (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
     """
     store.broken = True
     yield
     store.broken = False
 
 
-def require_unbroken(store: Breakable) -> None:
-    """Raises OSError if an earlier write of the store failed."""
+def require_unbroken(store: FailStopStore) -> None:
+    """Raise OSError if an earlier write of the store has failed."""
     if store.broken:
         raise OSError(5, "an earlier write failed")
--- a/cypresswalk/storage/record_chain.py
+++ b/cypresswalk/storage/record_chain.py
@@ -1,12 +1,12 @@
-"""Records that follow each other in a file, each sealed with the seal of the one before.
+"""Chains of records in a file; each record has a seal, a hash keyed by the preceding seal.
 
     u32 length of the body | u8 kind | u32 CRC of these two | BLAKE2b-128 seal | body
 
-The seal covers length, kind and body and is keyed by the seal before it; the first is keyed by the
-file's number. Numbers are little-endian.
+The seal covers length, kind and body. Its key is the seal of the preceding record; the key of the
+first record is derived from the file's number. Numbers are little-endian.
 
-A reader tells a torn tail from damage, as in Alagappan et al., "Protocol-Aware Recovery for
-Consensus-Based Storage" (FAST 2018): a last record that is cut short, or has sectors that were
+A reader distinguishes a torn tail from damage, as in Alagappan et al., "Protocol-Aware Recovery for
+Consensus-Based Storage" (FAST 2018): a last record that is truncated, or has sectors that were
 never written, was never acknowledged.
 """
 
@@ -19,26 +19,32 @@
 KEY_VERSION = 1
 HEADER = struct.Struct("<IBI16s")
 LENGTH_AND_KIND = struct.Struct("<IB")
-SECTOR = 512  # bytes that a disk writes whole or not at all
+SECTOR = 512  # bytes; a disk writes a sector completely or not at all
 
 
 class ChainDamagedError(Exception):
-    """A record that was whole once is not any more.
+    """A corrupt record, as opposed to a torn tail.
 
     Attributes:
-        file: its name.
-        offset: of the record, in bytes.
+        file: name of the file.
+        offset: offset of the record in the file, in bytes.
     """
 
     def __init__(self, file: str, offset: int):
-        """Names the file and the record's offset in bytes."""
+        """Create the error for the record at `offset` of `file`."""
         super().__init__(f"{file}: damaged at byte {offset}")
         self.file = file
         self.offset = offset
 
 
 class Record(NamedTuple):
-    """A record that was read; its seal is the key of the next one."""
+    """A record that was read.
+
+    Attributes:
+        kind: kind of the record, defined by the store.
+        body: encoded content.
+        seal: seal of the record, and key of the next one.
+    """
 
     kind: int
     body: bytes
@@ -46,18 +52,18 @@
 
 
 def first_key(file_number: int) -> bytes:
-    """The key of a file's first record."""
+    """Return the key of a file's first record."""
     return blake2b(b"%s%d/%d" % (MAGIC, KEY_VERSION, file_number), digest_size=16).digest()
 
 
 def seal_record(key: bytes, kind: int, body: bytes) -> tuple[bytes, bytes]:
-    """The record's bytes and its seal, the key of the next one."""
+    """Return the record's bytes and its seal, which is the key of the next record."""
     seal = _seal(key, kind, body)
     return HEADER.pack(len(body), kind, _header_crc(len(body), kind), seal) + body, seal
 
 
 def record_at(data: bytes, offset: int, key: bytes) -> Record | None:
-    """The record at that offset, or None if it is not whole."""
+    """Return the record at `offset`, or None if it is truncated or corrupt."""
     if offset + HEADER.size > len(data):
         return None
     length, kind, crc, seal = HEADER.unpack_from(data, offset)
@@ -69,16 +75,19 @@
 
 
 class ChainReader:
-    """Reads the records of one file, one after the other.
+    """Sequential reader of the records of one file.
 
     Attributes:
-        record_offset: of the latest record, in bytes.
-        end: of the latest record, in bytes; what follows at the end of reading is a torn tail.
-        key: of the next record.
+        file: name of the file.
+        data: bytes of the file.
+        record_offset: offset of the latest record, in bytes.
+        end: offset of the end of the latest record, in bytes. After the last record, any bytes from
+            there on are a torn tail.
+        key: key of the next record.
     """
 
     def __init__(self, file: str, data: bytes, offset: int, file_number: int):
-        """The first record stands at `offset`; `file` is named in errors."""
+        """Start before the first record, at `offset`; errors contain the name `file`."""
         self.file = file
         self.data = data
         self.record_offset = offset
@@ -86,7 +95,11 @@
         self.key = first_key(file_number)
 
     def next_record(self, *, may_be_torn: bool) -> Record | None:
-        """The next record; None at the end, or, if it may be torn, before a torn tail.
+        """Return the next record; None at the end of the file or before a torn tail.
+
+        Args:
+            may_be_torn: whether the next record may be a torn tail; otherwise an incomplete record
+                counts as damage.
 
         Raises:
             ChainDamagedError: the next record is damaged.
@@ -114,18 +127,20 @@
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
-    """Whether a crash cut the record short, or left a sector of it unwritten."""
+    """Return whether the record is truncated, or has a sector that was never written."""
     if offset + HEADER.size > len(data):
         return True
     length, kind, crc, _ = HEADER.unpack_from(data, offset)
-    # Without its CRC a damaged length would let an acknowledged record pass for the begin of a
+    # Without the CRC, an acknowledged record with a damaged length could pass for the start of a
     # longer one.
-    is_cut_short = crc == _header_crc(length, kind) and offset + HEADER.size + length > len(data)
-    return is_cut_short or _has_unwritten_sector(data, offset)
+    is_truncated = crc == _header_crc(length, kind) and offset + HEADER.size + length > len(data)
+    return is_truncated or _has_unwritten_sector(data, offset)
 
 
 def _has_unwritten_sector(data: bytes, offset: int) -> bool:
-    """Whether a sector from there to the file's end reads as zeros."""
+    """Return whether a sector between `offset` and the end of the file is all zeros."""
     next_sector = offset - offset % SECTOR + SECTOR
-    borders = [offset, *range(next_sector, len(data), SECTOR), len(data)]
-    return any(not any(data[low:high]) for low, high in zip(borders, borders[1:], strict=False))
+    boundaries = [offset, *range(next_sector, len(data), SECTOR), len(data)]
+    return any(
+        not any(data[low:high]) for low, high in zip(boundaries, boundaries[1:], strict=False)
+    )
