--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time, its links and its operators, and Raft nodes without a host."""
+"""Helpers for a simulated fleet with operators' calls, and for Raft nodes without a host."""
 
 from collections.abc import Callable
 from itertools import count
@@ -17,35 +17,35 @@
 from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
-# Within which a fleet that starts has a leader, and leases at all members.
+# Time in which a starting fleet elects a leader and all members get leases.
 STARTUP_TIME = 8 * SECOND
 CALL_TIMEOUT = 6 * SECOND
 
-# Operators' calls that change the replicated state: they carry an id, the caller and a time.
+# Operators' calls that change the replicated state; they need an id, the caller and a time.
 CALL_NUMBERS = count()
 CHANGING_CALLS = ("out", "back", "offer", "replace")
 
-# Whether a message from one node may reach another.
+# Returns whether a message from one node may reach another: source, target, message.
 MessageFilter = Callable[[str, str, Message], bool]
 
 
 class PendingCall:
-    """An operator's call and its answer, once that has come."""
+    """An operator's call, and its answer once it has arrived."""
 
     def __init__(self) -> None:
         """Start without an answer."""
         self.answers: list[tuple[bool, Any]] = []
 
     def on_answer(self, accepted: bool, body: Any) -> None:
-        """Take the member's answer."""
+        """Record the member's answer."""
         self.answers.append((accepted, body))
 
     @property
     def answer(self) -> tuple[bool, Any]:
-        """Whether it was accepted, and the body of the one answer.
+        """Return whether the call was accepted, and the body of its only answer.
 
         Raises:
-            LookupError: there is none, or more than one.
+            LookupError: there is no answer, or more than one.
         """
         if len(self.answers) != 1:
             raise LookupError(f"{len(self.answers)} answers: {self.answers}")
@@ -53,126 +53,126 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether the member said yes."""
+        """Return whether the member accepted the call."""
         return self.answer[0]
 
     @property
     def body(self) -> Any:
-        """What the member said with it."""
+        """Return the body of the answer."""
         return self.answer[1]
 
 
-def started_world(seed: int, voters: int = 3, followers: int = 0) -> World:
-    """A fleet that has a leader, and leases at all members."""
-    world = World(seed, voters, followers)
-    world.start()
-    world.run(STARTUP_TIME)
-    assert world.leader() is not None
-    assert all_act(world)
-    return world
+def start_simulation(seed: int, voters: int = 3, followers: int = 0) -> World:
+    """Start a simulated fleet, and run it until it has a leader and all members have leases."""
+    simulation = World(seed, voters, followers)
+    simulation.start()
+    simulation.run(STARTUP_TIME)
+    assert simulation.leader() is not None
+    assert all_have_leases(simulation)
+    return simulation
 
 
-def all_act(world: World) -> bool:
-    """Whether every member has a lease and acts on what it knows."""
-    return all(process.acts for process in world.processes.values())
+def all_have_leases(simulation: World) -> bool:
+    """Return whether every member has a lease, and so may act on its state."""
+    return all(process.acts for process in simulation.processes.values())
 
 
-def any_acts(world: World) -> bool:
-    """Whether some member has a lease."""
-    return any(process.acts for process in world.processes.values())
+def any_has_lease(simulation: World) -> bool:
+    """Return whether any member has a lease."""
+    return any(process.acts for process in simulation.processes.values())
 
 
-def other_processes(world: World, process: Process) -> list[Process]:
-    """All members but one."""
-    return [other for other in world.processes.values() if other is not process]
+def other_processes(simulation: World, process: Process) -> list[Process]:
+    """Return all members except `process`."""
+    return [other for other in simulation.processes.values() if other is not process]
 
 
-def leader_of(world: World) -> Process:
-    """The member that leads.
+def leader_of(simulation: World) -> Process:
+    """Return the leader.
 
     Raises:
-        LookupError: nobody does; no AssertionError, by which a mutant would count as detected.
+        LookupError: there is no leader. An AssertionError would count as detection of a mutant.
     """
-    leader = world.leader()
+    leader = simulation.leader()
     if leader is None:
-        raise LookupError("nobody leads")
+        raise LookupError("there is no leader")
     return leader
 
 
 def member_of(process: Process) -> Member:
-    """What a process is in its group.
+    """Return the group member that a process runs.
 
     Raises:
-        LookupError: it does not run.
+        LookupError: the process is not running.
     """
     if process.fleet is None or process.fleet.member is None:
-        raise LookupError(f"{process.name} does not run")
+        raise LookupError(f"{process.name} is not running")
     return process.fleet.member
 
 
 def node_of(process: Process) -> Node:
-    """The Raft node of a process.
+    """Return the Raft node of a process.
 
     Raises:
-        LookupError: it does not run, or has no part in the group yet.
+        LookupError: the process is not running, or is not a member of the group yet.
     """
     node = member_of(process).node
     if node is None:
-        raise LookupError(f"{process.name} is no member yet")
+        raise LookupError(f"{process.name} is not a member yet")
     return node
 
 
 def removed_servers(process: Process) -> set[str]:
-    """Servers that are out of rotation, as one member knows it."""
+    """Return the servers that are out of rotation in the state of one member."""
     return set(member_of(process).state.removed_servers)
 
 
-def isolate(world: World, process: Process) -> None:
-    """Nothing arrives at one member, nor from it."""
-    world.network.isolate(process.name, world.processes)
+def isolate(simulation: World, process: Process) -> None:
+    """Cut one member off from all others, in both directions."""
+    simulation.network.isolate(process.name, simulation.processes)
 
 
-def call(world: World, process: Process, name: str, **arguments: Any) -> PendingCall:
-    """Make an operator's call at one member; the answer comes as time passes."""
+def call(simulation: World, process: Process, name: str, **arguments: Any) -> PendingCall:
+    """Make an operator's call at one member; the answer arrives as virtual time passes."""
     pending = PendingCall()
     if name in CHANGING_CALLS:
         caller = {"ident": f"{name}/{next(CALL_NUMBERS)}", "by": "test", "at": 0}
         arguments = caller | arguments
-    world.call(process, name, arguments, CALL_TIMEOUT, pending.on_answer)
+    simulation.call(process, name, arguments, CALL_TIMEOUT, pending.on_answer)
     return pending
 
 
 def initial_state(members: tuple[GroupMember, ...]) -> PersistentState:
-    """What a member of a new group has stored."""
+    """Return the stored state of a member of a new group."""
     return PersistentState(Snapshot(0, 0, members, b""))
 
 
 def elected_single_node() -> Node:
-    """The one member of its group, which has elected itself and written what that takes."""
+    """Return the only member of a group, after it has elected itself and flushed its writes."""
     members = (GroupMember("a#1", True),)
     timing = Timing(max_uncommitted_entries=8)
     node = Node("a#1", initial_state(members), timing, Random(1), 0)
     node.tick(node.due())
-    while (work := node.take_ready()) is not None:
-        node.on_persisted(0, work)
+    while (ready := node.take_ready()) is not None:
+        node.on_persisted(0, ready)
     return node
 
 
 def deliver_all(source: str, target: str, message: Message) -> bool:
-    """The filter that loses nothing."""
+    """Let all messages pass."""
     return True
 
 
 class FiveNodes:
-    """Nodes a to e without a host; messages are carried by hand.
+    """Nodes a to e without a host; the test delivers their messages.
 
-    For cases that take more luck than random runs have.
+    This is for cases that random runs are unlikely to reach.
     """
 
     NAMES = "abcde"
 
     def __init__(self) -> None:
-        """Start five followers, which write at once and are sent one entry at a time."""
+        """Start five followers that flush at once and receive one entry per append."""
         members = tuple(GroupMember(name, True) for name in self.NAMES)
         timing = Timing(max_append_entries=1)
         self.nodes = {
@@ -180,29 +180,29 @@
         }
         self.now = 0
 
-    def pump(self, names: str, delivers: MessageFilter = deliver_all) -> None:
-        """Carry messages among the named nodes until none has anything to do."""
+    def run_until_idle(self, names: str, may_deliver: MessageFilter = deliver_all) -> None:
+        """Deliver messages among the named nodes until none has pending work."""
         busy = True
         while busy:
-            busy = any([self._step(name, names, delivers) for name in names])
+            busy = any([self._step(name, names, may_deliver) for name in names])
 
-    def _step(self, name: str, names: str, delivers: MessageFilter) -> bool:
-        work = self.nodes[name].take_ready()
-        if work is None:
+    def _step(self, name: str, names: str, may_deliver: MessageFilter) -> bool:
+        ready = self.nodes[name].take_ready()
+        if ready is None:
             return False
-        self.nodes[name].on_persisted(self.now, work)
-        for target, message in work.messages:
-            if target in names and delivers(name, target, message):
+        self.nodes[name].on_persisted(self.now, ready)
+        for target, message in ready.messages:
+            if target in names and may_deliver(name, target, message):
                 self.nodes[target].step(self.now, name, message)
         return True
 
-    def elect(self, name: str, names: str, delivers: MessageFilter = deliver_all) -> None:
-        """Let one node's election timer run out, again and again, until it leads."""
+    def elect(self, name: str, names: str, may_deliver: MessageFilter = deliver_all) -> None:
+        """Expire one node's election timer repeatedly until it is the leader."""
         for _ in range(6):
             self.now += 10 * SECOND
             self.nodes[name].state.due_at = self.now
             self.nodes[name].tick(self.now)
-            self.pump(names, delivers)
+            self.run_until_idle(names, may_deliver)
             if self.nodes[name].role is Role.LEADER:
                 return
         raise AssertionError(f"{name} was not elected")
--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -1,6 +1,6 @@
-"""Deliberately broken versions of the agreement, for the explorer to detect.
+"""Deliberately broken versions of the consensus code, which the tests have to detect.
 
-Each function takes one guard out of the program.
+Each function removes one safeguard from the program.
 """
 
 import pytest
@@ -19,23 +19,23 @@
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.lab.cluster.simulation.process import SimulatedFleetThread
 
-# Term and index that no log goes beyond.
+# Larger than the last term and index of any log.
 LONGEST_LOG = 1 << 60
 
 
 def votes_are_not_flushed(patch: pytest.MonkeyPatch) -> None:
-    """A vote is not written with the other work, unless a snapshot is."""
+    """Don't write votes, except together with a snapshot."""
     write = Store.write
 
-    def write_without_vote(self: Store, work: Ready) -> None:
-        work.vote = work.vote if work.snapshot is not None else None
-        write(self, work)
+    def write_without_vote(self: Store, ready: Ready) -> None:
+        ready.vote = ready.vote if ready.snapshot is not None else None
+        write(self, ready)
 
     patch.setattr(Store, "write", write_without_vote)
 
 
 def messages_are_sent_before_the_flush(patch: pytest.MonkeyPatch) -> None:
-    """Messages are sent before what they acknowledge is written."""
+    """Send messages before the entries that they acknowledge are written."""
     carry_out = FleetThread.carry_out
 
     def carry_out_messages_first(self: FleetThread, member: Member) -> None:
@@ -59,7 +59,7 @@
 
 
 def lease_runs_from_its_grant(patch: pytest.MonkeyPatch) -> None:
-    """A lease runs from when the grant arrives, not from when it was requested."""
+    """Let a lease start when the grant arrives, not when it was requested."""
 
     def on_grant(self: LeaseClient, now: int, grant: LeaseGrant) -> None:
         if grant.number in self.lease.outstanding:
@@ -69,17 +69,17 @@
     patch.setattr(LeaseClient, "on_grant", on_grant)
 
 
-def leases_lapse_early(patch: pytest.MonkeyPatch) -> None:
-    """The leader counts a lease as lapsed after a quarter of its span."""
+def leases_expire_early(patch: pytest.MonkeyPatch) -> None:
+    """Let the leader count a lease as expired after a quarter of its duration."""
 
-    def lapsed_early(self: LeaseGrants, now: int, member: str) -> bool:
+    def expired_early(self: LeaseGrants, now: int, member: str) -> bool:
         return now >= self.granted_at.get(member, 0) + self.span // 4
 
-    patch.setattr(LeaseGrants, "lapsed", lapsed_early)
+    patch.setattr(LeaseGrants, "lapsed", expired_early)
 
 
 def lost_voter_keeps_its_incarnation(patch: pytest.MonkeyPatch) -> None:
-    """A voter that lost its folder votes again under its old incarnation."""
+    """Let a voter that lost its folder vote again under its old incarnation."""
 
     def begin_under_old_name(self: SimulatedFleetThread) -> None:
         self.boot = self.process.starts
@@ -90,7 +90,7 @@
 
 
 def votes_of_non_voters_are_counted(patch: pytest.MonkeyPatch) -> None:
-    """Votes of non-voting and removed members count."""
+    """Count the votes of non-voting and removed members."""
 
     def count_vote(self: Election, now: int, source: str, granted: bool) -> None:
         state = self.state
@@ -111,22 +111,22 @@
 
 
 def failed_flushes_are_ignored(patch: pytest.MonkeyPatch) -> None:
-    """A store goes on after a failed write."""
+    """Let a store continue after a failed write."""
     write = Store.write
 
-    def write_and_go_on(self: Store, work: Ready) -> None:
+    def write_and_continue(self: Store, ready: Ready) -> None:
         try:
-            write(self, work)
+            write(self, ready)
         except OSError:
             self.broken = False
 
-    patch.setattr(Store, "write", write_and_go_on)
+    patch.setattr(Store, "write", write_and_continue)
 
 
 def restored_folders_are_trusted(patch: pytest.MonkeyPatch) -> None:
-    """A member with a restored folder is not detected, neither by itself nor by the others.
+    """Disable the detection of a restored folder, at the member itself and at the others.
 
-    Either guard alone detects it.
+    Each of the two safeguards is sufficient alone, so both are removed.
     """
     patch.setattr(Store, "check_witness", lambda self, file, identity: None)
     rejection_of = Transport.rejection_of
@@ -141,7 +141,7 @@
 
 
 def logs_are_not_compared(patch: pytest.MonkeyPatch) -> None:
-    """A vote goes to whoever asks first, however short its log."""
+    """Grant the vote to the first candidate, even if its log is out of date."""
     on_request_vote = Election.on_request_vote
 
     def vote_for_any_log(self: Election, now: int, source: str, request: RequestVote) -> None:
@@ -154,7 +154,7 @@
 
 
 def older_terms_are_committed_by_count(patch: pytest.MonkeyPatch) -> None:
-    """An older term's entry is committed once most voters hold it."""
+    """Commit an entry of an older term once a majority of the voters has it."""
     advance_commit_index = Leader.advance_commit_index
 
     def advance_by_count(self: Leader, now: int) -> None:
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -1,11 +1,11 @@
-"""Single hard cases of the fleet's agreement in virtual time."""
+"""Consensus of a simulated fleet in particular fault scenarios."""
 
 import agreement_mutants
 import pytest
 from agreement_helpers import (
     PendingCall,
-    all_act,
-    any_acts,
+    all_have_leases,
+    any_has_lease,
     call,
     isolate,
     leader_of,
@@ -13,7 +13,7 @@
     node_of,
     other_processes,
     removed_servers,
-    started_world,
+    start_simulation,
 )
 
 from cypresswalk.fleet.events import LeadershipReleased
@@ -22,131 +22,133 @@
 from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
-# More entries than a leader keeps before it writes a snapshot.
+# More entries than a leader keeps before it takes a snapshot.
 SNAPSHOT_ENTRIES = 700
 
 
-def play_delayed_grant_then_cut(seed: int) -> None:
-    """Cut a follower off while a late grant is on its way, and change the settings meanwhile.
+def run_delayed_grant_then_cut(seed: int) -> None:
+    """Cut a follower off while a delayed lease grant is in flight, and commit a change meanwhile.
 
-    Grants take three seconds; a newer version comes into force after the cut.
+    Messages to the follower take three seconds. The new version takes effect after the cut.
     """
-    world = started_world(seed)
-    leader = leader_of(world)
-    holder = other_processes(world, leader)[0]
-    world.network.slow_down(leader.name, holder.name, 3 * SECOND)
-    world.run(10 * SECOND)
+    simulation = start_simulation(seed)
+    leader = leader_of(simulation)
+    holder = other_processes(simulation, leader)[0]
+    simulation.network.slow_down(leader.name, holder.name, 3 * SECOND)
+    simulation.run(10 * SECOND)
     assert holder.acts
-    isolate(world, holder)
-    removal = call(world, leader, "out", server="s0")
-    world.run(12 * SECOND)
+    isolate(simulation, holder)
+    removal = call(simulation, leader, "out", server="s0")
+    simulation.run(12 * SECOND)
     assert removal.accepted
     assert not holder.acts
 
 
 def test_lease_runs_from_when_it_was_requested(monkeypatch):
     for seed in range(3):
-        play_delayed_grant_then_cut(seed)
+        run_delayed_grant_then_cut(seed)
     agreement_mutants.lease_runs_from_its_grant(monkeypatch)
     with pytest.raises(ViolationError, match="^L: "):
         for seed in range(3):
-            play_delayed_grant_then_cut(seed)
+            run_delayed_grant_then_cut(seed)
 
 
-def play_restored_folder(seed: int) -> None:
-    """Bring one of two that hold a committed change back with an older folder.
+def run_restored_folder(seed: int) -> None:
+    """Restore an older folder at one of the two members that have a committed change.
 
-    The other of the two is down then, and the third has never heard of the change.
+    The other one of them is down then, and the third member has never received the change.
     """
-    world = started_world(seed)
-    leader = leader_of(world)
-    restored, unaware = other_processes(world, leader)
+    simulation = start_simulation(seed)
+    leader = leader_of(simulation)
+    restored, unaware = other_processes(simulation, leader)
     restored.kill()
     backup = restored.disk.copy()
     restored.start()
-    world.run(4 * SECOND)
-    world.network.cut(unaware.name, leader.name)
-    world.network.cut(unaware.name, restored.name)
-    removal = call(world, leader, "out", server="s0")
-    world.run(SECOND)
+    simulation.run(4 * SECOND)
+    simulation.network.cut(unaware.name, leader.name)
+    simulation.network.cut(unaware.name, restored.name)
+    removal = call(simulation, leader, "out", server="s0")
+    simulation.run(SECOND)
     assert removal.accepted
     leader.kill()
     restored.kill()
     restored.disk.restore(backup, with_inodes=False)
     restored.start()
-    world.network.heal()
-    world.run(15 * SECOND)
+    simulation.network.heal()
+    simulation.run(15 * SECOND)
     leader.start()
-    world.run(40 * SECOND)
-    assert "s0" in removed_servers(leader_of(world))
-    assert all_act(world)
-    assert len(member_of(leader_of(world)).members) == 3
+    simulation.run(40 * SECOND)
+    assert "s0" in removed_servers(leader_of(simulation))
+    assert all_have_leases(simulation)
+    assert len(member_of(leader_of(simulation)).members) == 3
 
 
 def test_member_with_a_restored_folder_is_a_new_incarnation(monkeypatch):
-    play_restored_folder(1)
+    run_restored_folder(1)
     agreement_mutants.restored_folders_are_trusted(monkeypatch)
     with pytest.raises((ViolationError, AssertionError)):
-        play_restored_folder(1)
+        run_restored_folder(1)
 
 
 def test_restored_disk_is_detected_by_members_that_saw_later_starts():
-    world = started_world(3)
-    leader = leader_of(world)
-    restored = other_processes(world, leader)[0]
+    simulation = start_simulation(3)
+    leader = leader_of(simulation)
+    restored = other_processes(simulation, leader)[0]
     id_before = member_of(restored).id
     restored.kill()
     backup = restored.disk.copy()
     for _ in range(2):
         restored.start()
-        world.run(3 * SECOND)
+        simulation.run(3 * SECOND)
         restored.kill()
     restored.disk.restore(backup, with_inodes=True)
     restored.start()
-    world.run(20 * SECOND)
+    simulation.run(20 * SECOND)
     assert member_of(restored).id != id_before
     assert restored.acts
-    names = [member.name for member in member_of(leader_of(world)).members]
+    names = [member.name for member in member_of(leader_of(simulation)).members]
     assert names.count(restored.name) == 1
 
 
-def new_leader(world: World, old: Process) -> Process:
-    """The leader of the newest term besides a frozen one."""
+def new_leader(simulation: World, old: Process) -> Process:
+    """Return the leader of the latest term, other than `old`."""
     leaders = [
-        process for process in world.live() if process is not old and member_of(process).is_leader
+        process
+        for process in simulation.live()
+        if process is not old and member_of(process).is_leader
     ]
     return max(leaders, key=lambda process: node_of(process).term)
 
 
 def test_frozen_leader_acts_on_nothing_when_it_wakes():
-    world = started_world(4)
-    frozen = leader_of(world)
-    world.freeze(frozen, 60 * SECOND)
-    world.run(5 * SECOND)
-    leader = new_leader(world, frozen)
-    removal = call(world, leader, "out", server="s1")
-    world.run(20 * SECOND)
+    simulation = start_simulation(4)
+    frozen = leader_of(simulation)
+    simulation.freeze(frozen, 60 * SECOND)
+    simulation.run(5 * SECOND)
+    leader = new_leader(simulation, frozen)
+    removal = call(simulation, leader, "out", server="s1")
+    simulation.run(20 * SECOND)
     assert removal.accepted
-    world.now = frozen.frozen_until
+    simulation.now = frozen.frozen_until
     assert frozen.fleet is not None
-    assert not frozen.fleet.may_act()  # at once, before it has heard anything
-    later_removal = call(world, frozen, "out", server="s2")
-    world.run(10 * SECOND)
+    assert not frozen.fleet.may_act()  # at once, before it has received any message
+    later_removal = call(simulation, frozen, "out", server="s2")
+    simulation.run(10 * SECOND)
     assert later_removal.accepted
     assert frozen.acts
     assert {"s1", "s2"} <= removed_servers(leader)
 
 
 def test_loss_of_most_disks_stops_the_fleet():
-    """One disk is wiped, one is restored from a backup, and the third member is down."""
-    world = started_world(5)
-    wiped, restored, down = world.processes.values()
+    """Wipe one disk, restore another from a backup, and keep the third member down."""
+    simulation = start_simulation(5)
+    wiped, restored, down = simulation.processes.values()
     restored.kill()
     backup = restored.disk.copy()
     restored.start()
-    world.run(3 * SECOND)
-    removal = call(world, leader_of(world), "out", server="s0")
-    world.run(SECOND)
+    simulation.run(3 * SECOND)
+    removal = call(simulation, leader_of(simulation), "out", server="s0")
+    simulation.run(SECOND)
     assert removal.accepted
     for process in (wiped, restored, down):
         process.kill()
@@ -154,75 +156,75 @@
     restored.disk.restore(backup, with_inodes=False)
     wiped.start()
     restored.start()
-    world.run(30 * SECOND)
-    assert world.leader() is None
+    simulation.run(30 * SECOND)
+    assert simulation.leader() is None
     assert not wiped.acts
     assert not restored.acts
     down.start()
-    world.run(30 * SECOND)
-    assert world.leader() is None
-    assert not any_acts(world)
+    simulation.run(30 * SECOND)
+    assert simulation.leader() is None
+    assert not any_has_lease(simulation)
 
 
 def test_members_with_different_seed_members_bootstrap_nothing():
-    world = World(6)
-    seed_members = {name: world.addresses[name] for name in ("n0", "n1")}
-    process = world.processes["n1"]
+    simulation = World(6)
+    seed_members = {name: simulation.addresses[name] for name in ("n0", "n1")}
+    process = simulation.processes["n1"]
     process.table = process.table.model_copy(update={"first": seed_members})
-    world.start()
-    world.run(20 * SECOND)
-    assert world.leader() is None
-    assert not any_acts(world)
+    simulation.start()
+    simulation.run(20 * SECOND)
+    assert simulation.leader() is None
+    assert not any_has_lease(simulation)
 
 
 def test_fleet_recovers_when_all_members_restart_at_once():
-    world = started_world(7, followers=3)
-    removal = call(world, leader_of(world), "out", server="s0")
-    world.run(SECOND)
+    simulation = start_simulation(7, followers=3)
+    removal = call(simulation, leader_of(simulation), "out", server="s0")
+    simulation.run(SECOND)
     assert removal.accepted
-    for process in world.processes.values():
+    for process in simulation.processes.values():
         process.kill()
-    world.run(SECOND)
-    world.start()
-    world.run(8 * SECOND)
-    assert all_act(world)
-    assert all("s0" in removed_servers(process) for process in world.processes.values())
+    simulation.run(SECOND)
+    simulation.start()
+    simulation.run(8 * SECOND)
+    assert all_have_leases(simulation)
+    assert all("s0" in removed_servers(process) for process in simulation.processes.values())
 
 
-def propose_settings(world: World, name: str, base: int, mark: int) -> PendingCall:
-    """Propose settings at one member, made from the version `base`."""
-    return call(world, world.processes[name], "offer", base=base, settings={"mark": mark})
+def propose_settings(simulation: World, name: str, base: int, mark: int) -> PendingCall:
+    """Propose settings at one member, based on the version `base`."""
+    return call(simulation, simulation.processes[name], "offer", base=base, settings={"mark": mark})
 
 
 def test_settings_that_one_member_cannot_read_are_rejected_with_its_reason():
-    world = started_world(8, followers=1)
-    world.processes["n3"].unreadable_marks.add(9)
-    base = member_of(leader_of(world)).state.settings_version
-    unreadable = propose_settings(world, "n1", base, 9)
-    concurrent = propose_settings(world, "n2", base, 3)
-    world.run(5 * SECOND)
+    simulation = start_simulation(8, followers=1)
+    simulation.processes["n3"].unreadable_marks.add(9)
+    base = member_of(leader_of(simulation)).state.settings_version
+    unreadable = propose_settings(simulation, "n1", base, 9)
+    concurrent = propose_settings(simulation, "n2", base, 3)
+    simulation.run(5 * SECOND)
     assert unreadable.answer == (False, {"why": "n3: it can't be read here", "version": base})
     assert not concurrent.accepted
     assert "held" in concurrent.body["why"]
-    readable = propose_settings(world, "n2", base, 3)
-    world.run(5 * SECOND)
+    readable = propose_settings(simulation, "n2", base, 3)
+    simulation.run(5 * SECOND)
     assert readable.accepted
-    in_force = [member_of(process).state.settings for process in world.processes.values()]
+    in_force = [member_of(process).state.settings for process in simulation.processes.values()]
     assert in_force == [{"mark": 3}] * 4
-    stale = propose_settings(world, "n2", base, 4)
-    world.run(5 * SECOND)
+    stale = propose_settings(simulation, "n2", base, 4)
+    simulation.run(5 * SECOND)
     assert not stale.accepted
     assert "stale" in stale.body["why"]
 
 
 def test_isolated_member_says_whether_a_call_may_have_taken_effect():
-    world = started_world(9)
-    isolated = other_processes(world, leader_of(world))[0]
-    isolate(world, isolated)
-    early = call(world, isolated, "out", server="s0")
-    world.run(5 * SECOND)
-    late = call(world, isolated, "out", server="s1")
-    world.run(7 * SECOND)
+    simulation = start_simulation(9)
+    isolated = other_processes(simulation, leader_of(simulation))[0]
+    isolate(simulation, isolated)
+    early = call(simulation, isolated, "out", server="s0")
+    simulation.run(5 * SECOND)
+    late = call(simulation, isolated, "out", server="s1")
+    simulation.run(7 * SECOND)
     assert early.body["unsure"]
     assert "may or may not" in early.body["why"]
     assert not late.body["unsure"]
@@ -230,49 +232,51 @@
 
 
 def test_replaced_voter_leaves_and_lagging_non_voter_gets_a_snapshot():
-    world = started_world(10, voters=3, followers=2)
-    voters = [world.processes[name] for name in ("n0", "n1", "n2")]
-    replaced = next(process for process in voters if process is not leader_of(world))
-    lagging = world.processes["n4"]
+    simulation = start_simulation(10, voters=3, followers=2)
+    voters = [simulation.processes[name] for name in ("n0", "n1", "n2")]
+    replaced = next(process for process in voters if process is not leader_of(simulation))
+    lagging = simulation.processes["n4"]
     replaced.kill()
     lagging.kill()
-    replacement = call(world, leader_of(world), "replace", member=replaced.name, other="n3")
+    replacement = call(
+        simulation, leader_of(simulation), "replace", member=replaced.name, other="n3"
+    )
     for number in range(SNAPSHOT_ENTRIES):
-        call(world, leader_of(world), "out" if number % 2 == 0 else "back", server="s0")
-        world.run(SECOND // 50, check=number % 50 == 0)
-    world.run(10 * SECOND)
-    is_voter = {member.name: member.voter for member in member_of(leader_of(world)).members}
+        call(simulation, leader_of(simulation), "out" if number % 2 == 0 else "back", server="s0")
+        simulation.run(SECOND // 50, check=number % 50 == 0)
+    simulation.run(10 * SECOND)
+    is_voter = {member.name: member.voter for member in member_of(leader_of(simulation)).members}
     assert replacement.accepted
     assert replaced.name not in is_voter
     assert is_voter["n3"]
     assert sum(is_voter.values()) == 3
-    assert node_of(leader_of(world)).log.snapshot.index > 500
+    assert node_of(leader_of(simulation)).log.snapshot.index > 500
     lagging.start()
     replaced.start()
-    world.run(10 * SECOND)
+    simulation.run(10 * SECOND)
     assert lagging.acts
-    assert lagging.acts_on == leader_of(world).acts_on
+    assert lagging.acts_on == leader_of(simulation).acts_on
     assert not replaced.acts
-    assert replaced.name not in {member.name for member in member_of(leader_of(world)).members}
+    assert replaced.name not in {member.name for member in member_of(leader_of(simulation)).members}
 
 
 def test_planned_stop_transfers_leadership():
-    world = started_world(11)
-    leader, term = leader_of(world), node_of(leader_of(world)).term
+    simulation = start_simulation(11)
+    leader, term = leader_of(simulation), node_of(leader_of(simulation)).term
     leader.turn([LeadershipReleased()])
-    world.run(SECOND // 2)
-    assert leader_of(world) is not leader
-    assert node_of(leader_of(world)).term == term + 1
+    simulation.run(SECOND // 2)
+    assert leader_of(simulation) is not leader
+    assert node_of(leader_of(simulation)).term == term + 1
 
 
 def test_two_hundred_members_agree():
-    world = World(12, voters=5, followers=195)
-    world.start()
-    world.run(15 * SECOND, check=False)
-    world.check()
-    assert len(member_of(leader_of(world)).members) == 200
-    assert all_act(world)
-    removal = call(world, world.processes["n150"], "out", server="s0")
-    world.run(2 * SECOND, check=False)
+    simulation = World(12, voters=5, followers=195)
+    simulation.start()
+    simulation.run(15 * SECOND, check=False)
+    simulation.check()
+    assert len(member_of(leader_of(simulation)).members) == 200
+    assert all_have_leases(simulation)
+    removal = call(simulation, simulation.processes["n150"], "out", server="s0")
+    simulation.run(2 * SECOND, check=False)
     assert removal.accepted
-    assert all("s0" in removed_servers(process) for process in world.processes.values())
+    assert all("s0" in removed_servers(process) for process in simulation.processes.values())
--- a/tests/agreement/test_agreement_faults.py
+++ b/tests/agreement/test_agreement_faults.py
@@ -1,6 +1,6 @@
-"""The fleet's agreement in virtual time under random faults.
+"""Consensus of a simulated fleet under random faults.
 
-No seed breaks an invariant, and deliberately broken programs are detected.
+No seed violates an invariant, and deliberately broken versions of the program are detected.
 """
 
 import os
@@ -16,9 +16,10 @@
 from cypresswalk.model import SECOND
 
 SEEDS = 24
-SEEDS_OF_A_TEST = 6
+SEEDS_PER_TEST = 6
+# How long two members may act on contradicting versions.
 MAX_CONTRADICTION = 5 * SECOND
-# Steps of the history that a failure shows.
+# Number of history lines that a failure prints.
 SHOWN_STEPS = 60
 
 PRINT_RUN = """
@@ -28,9 +29,9 @@
 """
 
 
-@pytest.mark.parametrize("first", range(0, SEEDS, SEEDS_OF_A_TEST))
+@pytest.mark.parametrize("first", range(0, SEEDS, SEEDS_PER_TEST))
 def test_random_faults_break_no_invariant_and_the_fleet_recovers(first):
-    for seed in range(first, first + SEEDS_OF_A_TEST):
+    for seed in range(first, first + SEEDS_PER_TEST):
         outcome = run_seed(seed, followers=seed % 3)
         assert not outcome.violation, "\n".join(
             [outcome.violation, *outcome.history[-SHOWN_STEPS:]]
@@ -44,7 +45,7 @@
     [
         (agreement_mutants.votes_are_not_flushed, [8, 11]),
         (agreement_mutants.messages_are_sent_before_the_flush, [13]),
-        (agreement_mutants.leases_lapse_early, [18, 25]),
+        (agreement_mutants.leases_expire_early, [18, 25]),
         (agreement_mutants.lost_voter_keeps_its_incarnation, [14, 48]),
         (agreement_mutants.votes_of_non_voters_are_counted, [0, 8]),
         (agreement_mutants.failed_flushes_are_ignored, [1, 8]),
@@ -52,7 +53,7 @@
     ],
 )
 def test_agreement_mutant_is_detected(mutate, seeds, monkeypatch):
-    """The same seeds find nothing in the program as it is."""
+    """The same seeds find no violation in the unmodified program."""
     assert not any(run_seed(seed).violation for seed in seeds)
     mutate(monkeypatch)
     assert any(run_seed(seed).violation for seed in seeds)
--- a/tests/agreement/test_agreement_store.py
+++ b/tests/agreement/test_agreement_store.py
@@ -1,4 +1,4 @@
-"""The stored log of the agreement: crashes, torn tails, damage and foreign files."""
+"""The Raft log on disk: crashes, torn tails, damage and foreign files."""
 
 import struct
 from dataclasses import dataclass
@@ -15,40 +15,45 @@
 from cypresswalk.lab.cluster.simulation.errors import ProcessKilledError
 
 MEMBERS = (Member("a#1", True),)
-# The snapshot that a new log begins with.
+# Snapshot at the start of a new log.
 FIRST_SNAPSHOT = Snapshot(4, 2, MEMBERS, b"state")
 ENTRY_BYTES = 700
 
 
 def new_store(disk: SimulatedDisk) -> Store:
-    """A store that has begun the log of a member in term 2."""
+    """Return a store that has started the log of a member in term 2."""
     store = Store(disk)
     store.begin(LogIdentity("f", "g", "a#1", 1), PersistentState(FIRST_SNAPSHOT, [], 2, "a#1"))
     return store
 
 
 def reread(disk: SimulatedDisk, fleet: str = "f", name: str = "a") -> PersistentState:
-    """What another process reads from the disk."""
+    """Return the state that another process loads from the disk."""
     state = Store(disk).load(fleet, name, lambda text: None)
     assert state is not None
     return state
 
 
 def entry(index: int) -> Entry:
-    """An entry that tells its index in each byte."""
+    """Return an entry whose bytes all equal its index."""
     return Entry(2, ENTRY_COMMAND, bytes([index]) * ENTRY_BYTES)
 
 
 @dataclass
 class Acknowledged:
-    """What a store has said is durable."""
+    """The latest entry and term that a store has reported as durable.
+
+    Attributes:
+        index: index of the latest entry.
+        term: latest term.
+    """
 
     index: int = FIRST_SNAPSHOT.index
     term: int = 2
 
 
 def write_until_killed(store: Store) -> Acknowledged:
-    """Write entries, a vote and a snapshot, until all is written or the process dies."""
+    """Write entries, a vote and a snapshot, until all are written or the process is killed."""
     acknowledged = Acknowledged()
     try:
         for index in range(5, 12):
@@ -81,7 +86,7 @@
 
 
 class StoredLog:
-    """A written log whose bytes a test may change."""
+    """A log on disk whose bytes a test can replace."""
 
     FILE = "log.1"
 
@@ -94,13 +99,13 @@
         self.data = self.disk.files[self.FILE].data
 
     def replace(self, data: bytes) -> None:
-        """Give the file other bytes."""
+        """Replace the bytes of the file."""
         self.disk.damage(self.FILE, data)
 
 
 @pytest.fixture
 def stored_log() -> StoredLog:
-    """A log of four entries."""
+    """Return a log of four entries."""
     return StoredLog()
 
 
--- a/tests/agreement/test_raft_node.py
+++ b/tests/agreement/test_raft_node.py
@@ -14,7 +14,7 @@
 from cypresswalk.agreement.timing import Timing
 from cypresswalk.model import SECOND
 
-# An index beyond all entries: as if nothing were ever written.
+# Durable index after all entries, so that no entry is handed out for writing or committed.
 NEVER_DURABLE = 1 << 40
 
 
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class OlderEntry:
-    """What became of an entry that a leader of an older term left at most voters.
+    """The outcome for an entry of an older term that a majority of the voters has.
 
     Attributes:
-        index: Its index in the log.
-        commit_index: The index up to which its sender held entries for committed.
-        survived: Whether the next leader kept it.
+        index: index of the entry.
+        commit_index: commit index of the leader that replicated it.
+        survived: whether the next leader kept it.
     """
 
     index: int
@@ -59,38 +59,38 @@
     survived: bool
 
 
-def replicate_entry_of_older_term(five: FiveNodes) -> OlderEntry:
-    """Play figure 8 of the Raft paper.
+def replicate_entry_of_older_term(group: FiveNodes) -> OlderEntry:
+    """Run the scenario of figure 8 of the Raft paper.
 
-    A leader replicates an entry of an older term to most voters, without one of its own term;
-    another leader overwrites it all the same.
+    A leader replicates an entry of an older term to a majority of the voters, but none of its own
+    term. Another leader then overwrites the entry.
     """
 
     def without_entries(source: str, target: str, message: Message) -> bool:
         return not isinstance(message, AppendEntries)
 
-    five.elect("a", "abcde")
-    index, _ = five.nodes["a"].propose(five.now, b"x")
-    five.pump("ab")
-    five.elect("e", "cde", without_entries)
-    own_term = five.nodes["a"].term + 2
+    group.elect("a", "abcde")
+    index, _ = group.nodes["a"].propose(group.now, b"x")
+    group.run_until_idle("ab")
+    group.elect("e", "cde", without_entries)
+    own_term = group.nodes["a"].term + 2
 
     def without_own_entries(source: str, target: str, message: Message) -> bool:
         if not isinstance(message, AppendEntries):
             return True
         return all(entry.term < own_term for entry in message.entries)
 
-    five.elect("a", "abc", without_own_entries)
+    group.elect("a", "abc", without_own_entries)
     for _ in range(8):
-        five.now += SECOND // 5
-        five.nodes["a"].tick(five.now)
-        five.pump("abc", without_own_entries)
-    assert five.nodes["a"].role is Role.LEADER
-    assert five.nodes["c"].log.term_at(index) == 1
-    commit_index = five.nodes["a"].commit_index
-    five.elect("e", "bcde")
-    five.pump("bcde")
-    survived = five.nodes["e"].log.term_at(index) == five.nodes["a"].log.term_at(index)
+        group.now += SECOND // 5
+        group.nodes["a"].tick(group.now)
+        group.run_until_idle("abc", without_own_entries)
+    assert group.nodes["a"].role is Role.LEADER
+    assert group.nodes["c"].log.term_at(index) == 1
+    commit_index = group.nodes["a"].commit_index
+    group.elect("e", "bcde")
+    group.run_until_idle("bcde")
+    survived = group.nodes["e"].log.term_at(index) == group.nodes["a"].log.term_at(index)
     return OlderEntry(index, commit_index, survived)
 
 
--- a/tests/storage/test_record_chain.py
+++ b/tests/storage/test_record_chain.py
@@ -1,4 +1,4 @@
-"""Chains of sealed records: what is read back, what counts as a torn tail, and what as damage."""
+"""Chains of sealed records: reading, torn tails and damage."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 FILE_HEAD = b"head"
 FILE_NUMBER = 7
 BODIES = (b"one", b"two" * 400, b"three")
-# Kind and body of each record, as they are read back.
+# Kind and body of each record.
 RECORDS = list(enumerate(BODIES, start=1))
 SECOND_RECORD = len(FILE_HEAD) + HEADER.size + len(BODIES[0])
 THIRD_RECORD = SECOND_RECORD + HEADER.size + len(BODIES[1])
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def chain() -> bytes:
-    """A file of three sealed records."""
+    """Return the bytes of a file with three sealed records."""
     data, key = FILE_HEAD, first_key(FILE_NUMBER)
     for kind, body in RECORDS:
         record, key = seal_record(key, kind, body)
@@ -31,7 +31,7 @@
 
 
 def read(data: bytes, number: int = FILE_NUMBER) -> tuple[list[tuple[int, bytes]], int]:
-    """The records, of which the first must be whole, and the end of the last."""
+    """Return the records and the offset after the last; the first must not be torn."""
     reader = ChainReader("log.7", data, len(FILE_HEAD), number)
     found: list[tuple[int, bytes]] = []
     while record := reader.next_record(may_be_torn=bool(found)):
@@ -74,7 +74,7 @@
 
 
 class BreakableStore:
-    """A store that only knows whether a write has failed."""
+    """A store with nothing but the mark for a failed write."""
 
     broken = False
 
