--- a/cypresswalk/agreement/follower.py
+++ b/cypresswalk/agreement/follower.py
@@ -63,7 +63,7 @@
         self._respond(source, True, last, request.round)
 
     def _append(self, prev_log_index: int, entries: tuple[Entry, ...], leader_term: int) -> None:
-        """Append new entries; remove a conflicting entry and all that follow it first."""
+        """Append new entries, after removing a conflicting entry and all that follow it."""
         state = self.state
         for index, entry in enumerate(entries, prev_log_index + 1):
             known_term = state.log.term_at(index)
--- a/cypresswalk/agreement/leader.py
+++ b/cypresswalk/agreement/leader.py
@@ -79,7 +79,10 @@
         self.replication.broadcast(now, state.leadership.peers)
 
     def tick(self, now: int) -> None:
-        """Send heartbeats, or step down if no quorum has responded lately (dissertation, 6.2)."""
+        """Send heartbeats that are due.
+
+        Step down if no quorum has responded within the election timeout (dissertation, 6.2).
+        """
         state = self.state
         timeout = state.timing.election_timeout
         if not self._has_quorum(lambda peer: now - peer.heard_at < timeout):
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -41,7 +41,7 @@
 
 
 class Node:
-    """One member: dispatches messages and time to its parts and collects their work."""
+    """One member of the group; it dispatches messages to its parts and collects their work."""
 
     def __init__(
         self, member_id: str, persisted: PersistentState, timing: Timing, random: Random, now: int
@@ -216,7 +216,8 @@
         """Start a leadership transfer to the most up-to-date voter (dissertation, 3.10).
 
         Returns:
-            The successor's id, or None if no other voter has responded lately.
+            The successor's id, or None if no other voter has responded within the
+            election timeout.
 
         Raises:
             BusyError: this member isn't the leader, or a transfer is in progress.
