--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -1,19 +1,20 @@
-"""Hand-over between two processes of one balancer: who serves, and what one tells the other.
+"""Handover between two processes of one balancer: which one serves, and what they exchange.
 
-Knows no socket. The predecessor serves until it is told to stop; then it tells the successor all
-that it knows and that new clients are the successor's, and goes on answering what it has taken.
-Both wait at one listening socket, which the predecessor passes on: no client waits where nobody
-listens (as in Facebook's Socket Takeover, "Zero Downtime Release", SIGCOMM 2020). An operator's
-command holds for both before its OK. Whichever of the two ends, the other serves.
+This module does no I/O. The predecessor serves until it is stopped. It then sends the successor its
+whole state, asks it to accept new clients, and goes on serving the clients that it has accepted.
+Both accept from one listening socket, whose descriptor the predecessor passes on, so that no client
+waits at a socket from which no process accepts (as in Facebook's Socket Takeover, "Zero Downtime
+Release", SIGCOMM 2020). An operator's command takes effect in both before its OK is sent. If either
+process ends, the other one serves.
 
     successor: hello
     predecessor: welcome (with the sockets), state, servers ..., ids ..., end
     either: call N        the other: done N
-    predecessor, told to stop: state ... end, yours, then held N as that changes
+    predecessor, when stopped: state ... end, yours, then held N whenever that changes
     successor: mine
 
-Messages are JSON objects of one key that names them. An unknown one, and an unknown field, is
-passed over; an unknown version is refused, and means a plain start.
+A message is a JSON object with one key, the message's name. Unknown messages and unknown fields are
+ignored. An unknown version is refused, and the new process then starts without a predecessor.
 """
 
 from dataclasses import dataclass
@@ -28,42 +29,42 @@
 
 
 class PeerChannel(Protocol):
-    """The connection to the other process. None of its calls waits."""
+    """The connection to the other process. None of its methods blocks."""
 
     def send(self, message: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
-        """Sends a message, with descriptors of sockets."""
+        """Send a message, with descriptors of sockets."""
 
     def close(self) -> None:
-        """Ends the connection once all has been sent."""
+        """End the connection once all messages have been sent."""
 
 
 class Drivers(ListSource, Protocol):
-    """What a hand-over asks of the sockets."""
+    """The operations on this process's sockets that a handover needs."""
 
     def accept(self) -> None:
-        """Accepts clients from now on."""
+        """Start accepting clients."""
 
     def stop_accepting(self) -> None:
-        """Leaves new clients to the other process."""
+        """Stop accepting clients; the other process accepts them."""
 
     def listening_sockets(self) -> tuple[int, ...]:
-        """Descriptors for the other process."""
+        """Return the descriptors to pass to the other process."""
 
 
 @dataclass(slots=True)
 class UnconfirmedCommand:
-    """A command that the other process has not confirmed."""
+    """An operator's command that the other process has not confirmed."""
 
     command: AdminCommand
-    reason: str | None  # why it did not take effect here
-    replied: bool = False  # the operator has been told that it is not confirmed
+    reason: str | None  # why it did not take effect here; None if it did
+    replied: bool = False  # the operator already has the reply that it is not confirmed
 
 
 class Handover:
-    """One of the two processes; the core's own thread alone calls it."""
+    """This process's side of a handover. Used only in the deciding thread."""
 
     def __init__(self, core: Core, drivers: Drivers, predecessor: PeerChannel | None = None):
-        """With a `predecessor` this process waits until that hands over."""
+        """Create this process's side; with a `predecessor` it waits for that one to hand over."""
         self.core = core
         self.drivers = drivers
         self.peer = predecessor
@@ -72,22 +73,22 @@
             core.lifecycle.phase = Phase.STARTING
             core.lifecycle.update_readiness()
         self.received: StateReceiver | None = None
-        self.state_received = False  # a whole state has been read
-        self.replaced = False  # the other accepts clients in this process's place
-        self.peer_sessions = 0  # that the other still holds, of what both may hold
+        self.state_received = False  # a complete state has been received
+        self.replaced = False  # the other process accepts clients instead of this one
+        self.peer_sessions = 0  # held by the other process; they count toward the common limit
         self.reported_sessions = -1
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}
-        self.last_command = 0
+        self.last_command_number = 0
 
     @property
     def connected(self) -> bool:
-        """Whether another process stands beside this one."""
+        """Whether another process of this balancer is connected."""
         return self.peer is not None
 
     # The predecessor.
 
     def on_hello(self, now: int, peer: PeerChannel) -> None:
-        """Another process wants to stand beside this one: one at a time, never two in wait."""
+        """Accept the process as the successor, or refuse it if there are two processes already."""
         if self.peer is not None or self.is_successor:
             peer.send({"refused": "another process stands beside this one"})
             peer.close()
@@ -100,14 +101,14 @@
             self.hand_over(now)
 
     def send_state(self, now: int, peer: PeerChannel) -> None:
-        """Sends all that this process knows."""
+        """Send this process's whole state."""
         for message in state_messages(now, self.core, self.drivers):
             peer.send(message)
 
     def hand_over(self, now: int) -> None:
-        """Has the successor accept clients, with what is left of budgets.
+        """Have the successor accept clients, and leave it the rest of the budgets.
 
-        This process accepts until the successor has said that it does.
+        This process goes on accepting until the successor confirms that it accepts.
         """
         if self.peer is not None and not self.is_successor:
             self.send_state(now, self.peer)
@@ -115,16 +116,16 @@
             self.peer.send({"yours": True})
 
     def send_session_count(self) -> None:
-        """Tells the successor how many sessions this process holds, if that has changed."""
+        """Send the successor the number of this process's sessions, if that has changed."""
         count = len(self.core.sessions)
         if self.replaced and self.peer is not None and self.reported_sessions != count:
             self.reported_sessions = count
             self.peer.send({"held": count})
 
-    # Both.
+    # Both processes.
 
     def on_message(self, now: int, peer: PeerChannel, message: dict[str, Any]) -> None:
-        """The other process has sent a message."""
+        """Handle a message of the other process."""
         if peer is not self.peer:
             return
         match message:
@@ -165,24 +166,24 @@
         self.state_received = True
 
     def _repeat_unconfirmed_commands(self, now: int) -> None:
-        """Applies again what operators asked for here since the predecessor wrote its state.
+        """Apply the unconfirmed commands again, since the received state has undone them.
 
-        It confirms a command after that state, on the same connection: what is not confirmed yet
-        is newer, and the state has just undone it.
+        The predecessor confirms a command after the state, on the same connection. A command that
+        is not confirmed yet is therefore newer than the state.
         """
         for entry in self.unconfirmed.values():
             if entry.reason is None:
                 self.core.commands.apply(now, entry.command, forwarded=True, known=True)
 
     def _on_replaced(self) -> None:
-        """The successor accepts clients."""
+        """Stop accepting clients, since the successor accepts them now."""
         self.replaced = True
         self.drivers.stop_accepting()
         self.core.lifecycle.update_readiness()
         self.send_session_count()
 
     def on_disconnected(self, now: int, peer: PeerChannel) -> None:
-        """The other process or the connection to it has ended: this one serves."""
+        """Have this process serve, since the other one or the connection to it has ended."""
         if peer is not self.peer:
             return
         self.peer = None
@@ -205,28 +206,34 @@
     # Operators' commands.
 
     def forward(self, now: int, command: AdminCommand, reason: str | None) -> bool:
-        """Passes a command on, with why it did not take effect here.
+        """Send a command to the other process; return whether the reply waits for its confirmation.
 
-        Returns whether the reply waits for the other process.
+        Args:
+            now: the time, nanoseconds.
+            command: the command, already applied here.
+            reason: why it did not take effect here; None if it did.
         """
         if self.peer is None:
             return False
-        self.last_command += 1
-        self.unconfirmed[self.last_command] = UnconfirmedCommand(command, reason)
+        self.last_command_number += 1
+        self.unconfirmed[self.last_command_number] = UnconfirmedCommand(command, reason)
         self.peer.send(
             {
-                "call": self.last_command,
+                "call": self.last_command_number,
                 "name": command.name,
                 "server": command.server,
                 "known": reason is None,
             }
         )
         due = now + self.core.limits.handover_confirm_timeout
-        self.core.timers.schedule(due, self._on_confirmation_late, self.last_command)
+        self.core.timers.schedule(due, self._on_confirmation_late, self.last_command_number)
         return True
 
     def _on_confirmed(self, now: int, number: int, peer_reason: str | None) -> None:
-        """Replies to the caller. A server that one of the two lists names is known to both."""
+        """Reply to the operator, now that the other process has applied the command or has ended.
+
+        A server that only the other process's list names is accepted here too.
+        """
         entry = self.unconfirmed.pop(number)
         reason = entry.reason
         if reason is not None and peer_reason is None and self.peer is not None:
@@ -235,9 +242,9 @@
             self.core.commands.reply(entry.command, reason if reason is not None else peer_reason)
 
     def _on_confirmation_late(self, now: int, number: int) -> None:
-        """Replies without the confirmation.
+        """Reply that the other process has not confirmed the command in time.
 
-        The command stays noted: a state that the other wrote before it may still come.
+        The command is kept: a state that the other process wrote before it may still arrive.
         """
         entry = self.unconfirmed.get(number)
         if entry is not None:
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket between two processes of this balancer, by which descriptors pass too."""
+"""The Unix socket that connects two processes of one balancer and carries descriptors as well."""
 
 import fcntl
 import json
@@ -27,29 +27,29 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PATH_BYTES = 100  # a Unix socket's path may have 107
-MAX_DESCRIPTORS = 4  # read with one message
-BACKLOG = 4  # processes that wait to be accepted
+MAX_PATH_BYTES = 100  # the system allows a Unix socket's path 107
+MAX_DESCRIPTORS = 4  # received in one read
+BACKLOG = 4  # processes waiting to be accepted
 
 
 class HandoverError(Exception):
-    """The process that serves here does not hand over.
+    """The process that serves at this address does not hand over.
 
     Attributes:
-        retry: it may do so later, when no other process stands beside it.
+        retry: whether it may hand over later, once no other process is connected to it.
     """
 
     def __init__(self, reason: object, retry: bool):
-        """`reason` is logged."""
+        """Create the error; `reason` is logged."""
         super().__init__(reason)
         self.retry = retry
 
 
 class Channel:
-    """One connection between two processes. Sending never waits: a thread of its own writes."""
+    """A connection between the two processes. A separate thread writes, so `send` never blocks."""
 
     def __init__(self, sock: socket.socket, inbox: Inbox, limits: Limits):
-        """`sock` is connected."""
+        """Create a channel over a connected socket."""
         self.sock = sock
         self.inbox = inbox
         self.limits = limits
@@ -57,24 +57,24 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, timeval(limits.write_timeout))
         self.lines = LineParser(limits.max_list_bytes)
         self.outgoing: SimpleQueue[tuple[bytes, tuple[int, ...]] | None] = SimpleQueue()
-        self.descriptors: list[int] = []  # received; the reader's to close
+        self.descriptors: list[int] = []  # received; whoever reads the message closes them
 
     def send(self, message: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
-        """Sends a message, with descriptors of sockets."""
+        """Send a message, with descriptors of sockets."""
         data = json.dumps(message, separators=(",", ":")).encode() + b"\n"
         self.outgoing.put((data, descriptors))
 
     def close(self) -> None:
-        """Ends the connection once all has been sent."""
+        """End the connection once all messages have been sent."""
         self.outgoing.put(None)
 
     def start(self, handover: Handover) -> None:
-        """Has messages and the end of the connection posted to the deciding thread."""
+        """Start posting messages and the end of the connection to the deciding thread."""
         start_thread(self._write)
         start_thread(lambda: self._read(handover))
 
     def _write(self) -> None:
-        """The writing thread; ends when the connection does."""
+        """Run the writing thread, which ends with the connection."""
         try:
             while (item := self.outgoing.get()) is not None:
                 data, descriptors = item
@@ -84,15 +84,15 @@
                 self.sock.sendall(data)
         except OSError as error:
             log.warning(event("handover_connection_lost", error=error))
-        with suppress(OSError):  # the other side was first
+        with suppress(OSError):  # the other side may have closed the connection already
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def read_message(self) -> dict[str, Any] | None:
-        """The next message, or None at the end.
+        """Return the next message, or None at the end of the connection.
 
         Raises:
             OSError: the connection broke.
-            ProtocolError: what came is no message.
+            ProtocolError: a line is not a message.
         """
         while (line := self.lines.next_line()) is None:
             data, descriptors, _, _ = socket.recv_fds(
@@ -105,13 +105,13 @@
         try:
             message = json.loads(line)
         except (ValueError, RecursionError):
-            raise ProtocolError("not JSON") from None
+            raise ProtocolError("a message is not JSON") from None
         if not isinstance(message, dict):
-            raise ProtocolError("no object")
+            raise ProtocolError("a message is not a JSON object")
         return message
 
     def _read(self, handover: Handover) -> None:
-        """The reading thread; ends when the connection does."""
+        """Run the reading thread, which ends with the connection."""
         try:
             while (message := self.read_message()) is not None:
                 self.inbox.post_urgent(handover.on_message, self, message)
@@ -123,42 +123,42 @@
 
 
 class HandoverSocket:
-    """The socket at which the process that serves waits for its successor."""
+    """The Unix socket by which a new process finds the one that serves and connects to it."""
 
     def __init__(
         self, folder: str | None, name: str, listen: Address, inbox: Inbox, limits: Limits
     ):
-        """`folder` is shared by both processes; without one there is no hand-over."""
+        """Create the socket object; without a `folder`, shared by both, there is no handover."""
         self.inbox = inbox
         self.limits = limits
         self.name = f"{name} {listen[0]}:{listen[1]}"
         self.folder = folder or ""
-        self.file = f"cypresswalk-{stable_hash(self.name):x}"
+        self.file_name = f"cypresswalk-{stable_hash(self.name):x}"
         self.sock: socket.socket | None = None
-        self.listening = Lock()
-        # A lock file's descriptor, held until a successor can find this process.
+        self.listen_lock = Lock()
+        # Descriptor of a lock file, held until a successor can find this process.
         self.start_lock: int | None = None
 
     @contextmanager
-    def path(self, file: str) -> Iterator[str]:
-        """The file's path, by a descriptor of the folder where it would be too long."""
-        whole = os.path.join(self.folder, file)
-        if len(whole.encode()) <= MAX_PATH_BYTES:
-            yield whole
+    def path(self, file_name: str) -> Iterator[str]:
+        """Yield the file's path, or one by a descriptor of the folder if that is too long."""
+        full_path = os.path.join(self.folder, file_name)
+        if len(full_path.encode()) <= MAX_PATH_BYTES:
+            yield full_path
             return
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            yield f"/proc/self/fd/{folder}/{file}"
+            yield f"/proc/self/fd/{folder}/{file_name}"
         finally:
             os.close(folder)
 
     # The successor.
 
     def find_predecessor(self) -> Channel | None:
-        """The process that serves here, if there is one that hands over, its welcome read.
+        """Return a connection to the predecessor after its welcome, or None if there is none.
 
-        Tried for as long as another stands beside it; whatever else is in the way is logged, and
-        means a plain start.
+        Retry for up to the bind timeout while the predecessor is connected to another process. Any
+        other failure is logged, and this process then starts without a predecessor.
         """
         if not self.folder:
             return None
@@ -167,7 +167,7 @@
         while True:
             try:
                 sock = self._connect()
-                return None if sock is None else self._greet_predecessor(sock)
+                return None if sock is None else self._handshake_as_successor(sock)
             except HandoverError as error:
                 if not error.retry or self.inbox.clock() > deadline:
                     log.warning(event("handover_unavailable", error=error))
@@ -175,22 +175,22 @@
             time.sleep(self.limits.min_list_retry_pause / SECOND)
 
     def _connect(self) -> socket.socket | None:
-        """None where nobody listens. Raises HandoverError."""
+        """Connect to the predecessor; return None if no process listens. Raises HandoverError."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.settimeout(self.limits.bind_timeout / SECOND)
-            with self.path(self.file) as path:
+            with self.path(self.file_name) as path:
                 sock.connect(path)
         except (FileNotFoundError, ConnectionRefusedError):
-            sock.close()  # nobody is there, or a process that was killed
+            sock.close()  # there is no process, or only the socket file of a killed one
             return None
         except OSError as error:
             sock.close()
             raise HandoverError(error, retry=False) from error
         return sock
 
-    def _greet_predecessor(self, sock: socket.socket) -> Channel:
-        """Sends hello and reads the welcome. Raises HandoverError."""
+    def _handshake_as_successor(self, sock: socket.socket) -> Channel:
+        """Send hello and read the welcome. Raises HandoverError."""
         channel = Channel(sock, self.inbox, self.limits)
         sock.settimeout(self.limits.bind_timeout / SECOND)
         try:
@@ -199,7 +199,7 @@
             welcome = channel.read_message() or {}
             if welcome.get("welcome") == VERSION and channel.descriptors:
                 sock.settimeout(None)
-                # Whoever starts now is refused by the process that both have found.
+                # A process that starts now finds the same predecessor, which refuses it.
                 self._release_start_lock()
                 return channel
             reason = welcome.get("refused", "no welcome")
@@ -214,15 +214,15 @@
         raise failure
 
     def _take_start_lock(self, deadline: int) -> None:
-        """Has one process at a time look for another.
+        """Take the lock by which only one process at a time looks for a predecessor.
 
-        Of two that start in the same moment neither would find the other, both would listen, and
-        the first to end would take the place of the other's socket along. The kernel releases the
-        lock of a process that dies.
+        Without it, two processes that start at the same moment would not find each other. Both
+        would listen at the same path, and once one of them ended no third process could find the
+        other. The kernel releases the lock of a process that dies.
         """
         try:
             lock = os.open(
-                os.path.join(self.folder, self.file + ".turn"),
+                os.path.join(self.folder, self.file_name + ".turn"),
                 os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC,
                 0o600,
             )
@@ -249,8 +249,8 @@
     # The predecessor.
 
     def wait_for_successor(self, handover: Handover) -> None:
-        """From now on another process finds this one."""
-        with self.listening:
+        """Listen for a successor, unless this process does so already."""
+        with self.listen_lock:
             if not self.folder or self.sock is not None:
                 return
             try:
@@ -259,15 +259,17 @@
                 self._release_start_lock()
 
     def _listen(self, handover: Handover) -> None:
-        file = f"{self.file}.{os.getpid()}"
+        own_name = f"{self.file_name}.{os.getpid()}"
         sock = self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            with self.path(file) as path:
+            with self.path(own_name) as path:
                 sock.bind(path)
-                os.chmod(path, 0o600)  # whoever speaks here is handed the clients
+                os.chmod(path, 0o600)  # a process that connects gets the clients
             sock.listen(BACKLOG)
-            # In one step over what an earlier process left: there is never a moment without a name.
-            os.rename(os.path.join(self.folder, file), os.path.join(self.folder, self.file))
+            # Renaming replaces an earlier process's file in one step: the path always exists.
+            os.rename(
+                os.path.join(self.folder, own_name), os.path.join(self.folder, self.file_name)
+            )
         except OSError as error:
             log.warning(event("handover_disabled", error=error))
             sock.close()
@@ -275,11 +277,11 @@
         start_thread(lambda: self._accept_successors(sock, handover))
 
     def _accept_successors(self, listener: socket.socket, handover: Handover) -> None:
-        """The accepting thread; ends with the process."""
+        """Run the accepting thread, which ends with the process."""
         retry_pause = self.limits.accept_retry_pause / SECOND
         for sock in accept_connections(listener, retry_pause, self._on_accept_failed):
             try:
-                self._greet_successor(Channel(sock, self.inbox, self.limits), handover)
+                self._handshake_as_predecessor(Channel(sock, self.inbox, self.limits), handover)
             except (OSError, ProtocolError, RuntimeError) as error:
                 log.warning(event("handover_hello_refused", error=error))
                 sock.close()
@@ -287,8 +289,8 @@
     def _on_accept_failed(self, error: OSError) -> None:
         log.warning(event("handover_accept_failed", error=error))
 
-    def _greet_successor(self, channel: Channel, handover: Handover) -> None:
-        """Reads its hello. Raises OSError, ProtocolError, or RuntimeError without threads."""
+    def _handshake_as_predecessor(self, channel: Channel, handover: Handover) -> None:
+        """Read the hello. Raises OSError, ProtocolError, or RuntimeError if no thread can start."""
         channel.sock.settimeout(self.limits.min_list_retry_pause / SECOND)
         hello = (channel.read_message() or {}).get("hello")
         channel.sock.settimeout(None)
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -1,8 +1,8 @@
-"""What a process hands over: read from the core, written to JSON, read back, put into a core.
+"""The state that a process hands over: encoding to JSON, decoding, and applying it to a core.
 
-Times are nanoseconds of the predecessor's clock, whose `now` goes with them. The tables below map
-each key on the wire to the attribute that it stands for; a key stays what it is when an attribute
-is renamed.
+Times are nanoseconds of the predecessor's clock, and the state includes that clock's `now`. The
+tables below map each key on the wire to an attribute; a key does not change when its attribute is
+renamed.
 """
 
 import math
@@ -19,25 +19,25 @@
 from cypresswalk.net.errors import ConfigError, ProtocolError
 from cypresswalk.net.parsers.endpoint_list import server_number
 
-SERVERS_PER_MESSAGE = 200  # well under the longest line
+SERVERS_PER_MESSAGE = 200  # keeps a message well under the limit of a line
 IDS_PER_MESSAGE = 2000
 
 
 class FieldKind(Enum):
-    """How a server's figure is checked and read back."""
+    """The type of a server's field, which decides how it is checked and decoded."""
 
-    COUNT = "count"  # whole, from 0 on
-    TIME = "time"  # of the predecessor's clock; 0: never
+    COUNT = "count"  # an integer, at least 0
+    TIME = "time"  # by the predecessor's clock; 0 for never
     FLAG = "flag"
-    AMOUNT = "amount"  # from 0 on, perhaps infinite
+    AMOUNT = "amount"  # a number, at least 0, possibly infinite
 
 
 @dataclass(frozen=True, slots=True)
 class ServerField:
-    """One figure of a server."""
+    """A field of a server that is handed over."""
 
-    key: str  # on the wire
-    attribute: str  # of model.Server
+    key: str  # name on the wire
+    attribute: str  # name in model.Server
     kind: FieldKind
 
 
@@ -64,60 +64,62 @@
     ServerField("cut_delay", "delay_at_cut", FieldKind.AMOUNT),
     ServerField("delay", "message_delay", FieldKind.AMOUNT),
 )
-# Decaying sums by their key on the wire: attributes of model.Server. Balancer.sums has its own.
+# A server's decaying sums: attributes of model.Server by their key on the wire. The sums of the
+# balancer as a whole are in Balancer.sums.
 SERVER_SUMS = {
     "dealt": "slow_start_spent",
     "filled": "slow_start_fills",
     "drops": "recent_drops",
 }
-# Set apart from the other figures: by the list, and whatever else is newer.
-APPLIED_APART = ("since", "barred", "barred_at")
+# Fields with rules of their own: the endpoint list sets `since`, and whether a server is out of
+# rotation is taken over even if the server has started again since.
+APPLIED_SEPARATELY = ("since", "barred", "barred_at")
 
 
 class ListSource(Protocol):
-    """Where this process has its endpoint list from."""
+    """The source of this process's endpoint list."""
 
     def list_position(self) -> tuple[str, int]:
-        """The list's address, and the version that was read last."""
+        """Return the list's address and the version that was read last."""
 
     def server_names(self) -> dict[int, str]:
-        """Names by number; more may be put in."""
+        """Return the servers' names by number; the caller may add names to the dict."""
 
 
 @dataclass(slots=True)
 class DecayingSumState:
-    """A decaying sum and when it was that."""
+    """The total of a decaying sum at one time."""
 
     total: float
-    at: int
+    at: int  # nanoseconds of the predecessor's clock
 
 
 @dataclass(slots=True)
 class ReceivedServer:
     """A server as the predecessor knows it."""
 
-    server: Server  # as listed
+    server: Server  # its entry in the endpoint list
     address: Address
     name: str
-    figures: dict[str, int | float | bool]  # by key
-    sums: dict[str, DecayingSumState]  # by key
+    values: dict[str, int | float | bool]  # by `ServerField.key`
+    sums: dict[str, DecayingSumState]  # by key of `SERVER_SUMS`
 
 
 @dataclass(slots=True)
 class PredecessorState:
-    """All that the predecessor knows, checked."""
+    """The predecessor's decoded and checked state."""
 
-    now: int
+    now: int  # nanoseconds of the predecessor's clock
     list_address: str
     list_version: int
     started: int
     servers: list[ReceivedServer]
     flow_ids: list[int]
-    sums: dict[str, DecayingSumState]  # by key
+    sums: dict[str, DecayingSumState]  # by key of `Balancer.sums`
 
 
 def state_messages(now: int, core: Core, source: ListSource) -> Iterator[dict[str, Any]]:
-    """All that this process knows, as messages in their order."""
+    """Yield the messages that make up this process's state, in order."""
     balancer = core.balancer
     list_address, version = source.list_position()
     fleet = core.extensions.fleet
@@ -147,12 +149,12 @@
 
 
 def encode_sum(decaying: DecayingSum) -> list[float]:
-    """Its total, and when it was that."""
+    """Return a decaying sum's total and the time of its last update."""
     return [decaying.total, decaying.updated_at]
 
 
 def encode_server(server: Server, core: Core, source: ListSource) -> dict[str, Any]:
-    """A server's figures, then what the list says of it."""
+    """Return a server's fields and sums, followed by its entry in the endpoint list."""
     encoded = {field.key: getattr(server, field.attribute) for field in SERVER_FIELDS}
     for key, attribute in SERVER_SUMS.items():
         encoded[key] = encode_sum(getattr(server, attribute))
@@ -167,24 +169,24 @@
 
 
 class StateReceiver:
-    """Collects what comes between `state` and `end`; nothing counts before all is there."""
+    """Collects the messages from `state` to `end`, to be decoded once all have arrived."""
 
     def __init__(self, state: dict[str, Any]):
-        """`state` is the first message's content."""
+        """Create a receiver; `state` is the content of the first message."""
         self.state = state
         self.servers: list[Any] = []
         self.ids: list[Any] = []
 
     def add(self, message: dict[str, Any]) -> None:
-        """Takes a message with servers or ids."""
+        """Add a message with servers or ids."""
         self.servers += message.get("servers", [])
         self.ids += message.get("ids", [])
 
     def decode(self) -> PredecessorState:
-        """All of it.
+        """Return the whole state.
 
         Raises:
-            ProtocolError: something in it is malformed.
+            ProtocolError: a part of it is malformed.
         """
         try:
             sums = self.state["sums"]
@@ -205,20 +207,20 @@
             OverflowError,
             ConfigError,
         ) as error:
-            message = f"what the other process told: {type(error).__name__} {error}"
+            message = f"malformed state of the predecessor: {type(error).__name__} {error}"
             raise ProtocolError(message) from None
 
 
 def decode_sum(encoded: list[Any]) -> DecayingSumState:
-    """Raises ValueError where the total is no number from 0 on."""
+    """Decode a decaying sum. Raises ValueError if the total is negative, infinite or NaN."""
     total, at = encoded
     if not 0 <= total < math.inf:
-        raise ValueError(f"a sum of {total}")
+        raise ValueError(f"a decaying sum of {total}")
     return DecayingSumState(float(total), int(at))
 
 
-def decode_figure(kind: FieldKind, value: Any) -> int | float | bool:
-    """Raises ValueError or TypeError for what is no such figure."""
+def decode_value(kind: FieldKind, value: Any) -> int | float | bool:
+    """Decode a field's value. Raises ValueError or TypeError if it is not of that kind."""
     match kind:
         case FieldKind.FLAG:
             return value is True
@@ -229,7 +231,7 @@
 
 
 def decode_server(encoded: dict[str, Any]) -> ReceivedServer:
-    """Raises KeyError, TypeError, ValueError or ConfigError where something in it is malformed."""
+    """Decode a server. Raises KeyError, TypeError, ValueError or ConfigError if it is malformed."""
     server = Server(
         id=server_number(encoded["name"]),
         zone=int(encoded["zone"]),
@@ -238,28 +240,28 @@
         started_at=int(encoded["since"]),
         state=ServerState(encoded["state"]),
     )
-    figures = {
-        field.key: decode_figure(field.kind, encoded[field.key])
+    values = {
+        field.key: decode_value(field.kind, encoded[field.key])
         for field in SERVER_FIELDS
         if field.key in encoded
     }
     amounts = [
-        figures.get(field.key, 0)
+        values.get(field.key, 0)
         for field in SERVER_FIELDS
         if field.kind in (FieldKind.COUNT, FieldKind.AMOUNT)
     ]
-    if min(amounts) < 0 or math.isnan(figures.get("limit", 0)) or not 0 < server.weight < math.inf:
-        raise ValueError(f"{encoded['name']}: a figure out of its range")
+    if min(amounts) < 0 or math.isnan(values.get("limit", 0)) or not 0 < server.weight < math.inf:
+        raise ValueError(f"{encoded['name']}: a value is out of its range")
     sums = {key: decode_sum(encoded[key]) for key in SERVER_SUMS if key in encoded}
-    where = parse_address(encoded["address"], "address")
-    return ReceivedServer(server, where, encoded["name"], figures, sums)
+    address = parse_address(encoded["address"], "address")
+    return ReceivedServer(server, address, encoded["name"], values, sums)
 
 
 def apply_state(now: int, core: Core, source: ListSource, state: PredecessorState) -> None:
-    """Puts what the predecessor knows into a core that places nothing yet.
+    """Apply the predecessor's state to a core that does not place flows yet.
 
-    Its figures override an older list; a server that started later, or a newer version of the list,
-    overrides them.
+    The state overrides an older endpoint list. A later start of a server or a newer version of the
+    list overrides the state.
     """
     balancer = core.balancer
     offset = now - state.now  # between the two clocks
@@ -278,41 +280,41 @@
 
 
 def apply_endpoints(now: int, core: Core, source: ListSource, state: PredecessorState) -> None:
-    """Names, addresses, and the entries that this process's own list does not know better."""
+    """Take over names, addresses, and the entries for which this process has no newer ones."""
     known = core.balancer.servers
     names = source.server_names()
     list_address, version = source.list_position()
-    newer_here = list_address == state.list_address and version > state.list_version
+    own_is_newer = list_address == state.list_address and version > state.list_version
     for received in state.servers:
         names[received.server.id] = received.name
         core.endpoints.addresses.setdefault(received.server.id, received.address)
     accepted = []
     for received in state.servers:
-        here = known.get(received.server.id)
-        if here is None or (here.started_at <= received.server.started_at and not newer_here):
+        own = known.get(received.server.id)
+        if own is None or (own.started_at <= received.server.started_at and not own_is_newer):
             accepted.append(received.server)
     core.balancer.on_endpoints(now, EndpointUpdate.DELTA, accepted)
 
 
-def apply_server(now: int, offset: int, here: Server, received: ReceivedServer) -> None:
-    """Takes the predecessor's figures of a server, unless it has started again since."""
-    figures = received.figures
-    # Out of rotation by an operator is a fact whatever else is newer.
-    here.out_of_rotation = bool(figures.get("barred", False))
-    here.out_of_rotation_since = int(figures.get("barred_at", 0)) + offset
-    if here.started_at != received.server.started_at:
+def apply_server(now: int, offset: int, own: Server, received: ReceivedServer) -> None:
+    """Apply the predecessor's values of a server, unless the server has started again since."""
+    values = received.values
+    # An operator's command holds even if this process knows a newer start of the server.
+    own.out_of_rotation = bool(values.get("barred", False))
+    own.out_of_rotation_since = int(values.get("barred_at", 0)) + offset
+    if own.started_at != received.server.started_at:
         return
     for field in SERVER_FIELDS:
-        if field.key in figures and field.key not in APPLIED_APART:
-            value = figures[field.key]
+        if field.key in values and field.key not in APPLIED_SEPARATELY:
+            value = values[field.key]
             if field.kind is FieldKind.TIME and value:
                 value += offset
-            setattr(here, field.attribute, value)
+            setattr(own, field.attribute, value)
     for key, decaying in received.sums.items():
-        apply_sum(now, offset, getattr(here, SERVER_SUMS[key]), decaying)
+        apply_sum(now, offset, getattr(own, SERVER_SUMS[key]), decaying)
 
 
-def apply_sum(now: int, offset: int, here: DecayingSum, received: DecayingSumState) -> None:
-    """Takes the predecessor's sum in place of this process's own."""
-    here.total = received.total
-    here.updated_at = min(received.at + offset, now)
+def apply_sum(now: int, offset: int, own: DecayingSum, received: DecayingSumState) -> None:
+    """Replace this process's own sum by the predecessor's."""
+    own.total = received.total
+    own.updated_at = min(received.at + offset, now)
