--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -10,33 +10,35 @@
 from cypresswalk.net.errors import ConfigError
 from cypresswalk.net.limits import Limits
 
-Address = tuple[str, int]  # an IPv4 address in figures, and a port
+Address = tuple[str, int]  # a numeric IPv4 address and a port
 MAX_PORT = 65535
 
 
 @dataclass(slots=True)
 class Config:
-    """What the balancer is told at its start.
+    """The balancer's configuration at startup.
 
     Attributes:
-        path: The file it was read from.
-        name: The balancer's own name.
-        listen: Where clients connect.
-        discovery: Where the endpoint list is followed.
-        seed: Of the balancer's random draws.
-        known: The endpoint list to start with.
-        settings: For the decisions.
+        path: Path of the configuration file.
+        name: Name of this balancer.
+        listen: Address at which clients connect.
+        discovery: Address of discovery, which sends the endpoint list.
+        seed: Seed of the balancer's random numbers.
+        known: Endpoint list that is used until discovery sends one.
+        settings: Settings of the decisions.
         limits: Sizes, counts and times.
-        zones: The settings' zones by name.
-        service_types: By name, their place in the settings.
-        tenants: By name, their place in the settings.
+        zones: Index of each zone in the settings, by name.
+        service_types: Index of each service type in the settings, by name.
+        tenants: Index of each tenant in the settings, by name.
         groups: Whether `g` names a group of clients that share work, not a single client.
         reports_load: Whether servers' LOAD lines report a connection's load.
         reports_delay: Whether servers' LOAD lines report how long a message takes.
-        load_fields: Of the load reports in answers to health checks; empty if there are none.
-        gossip_listen: Where other balancers' gossip arrives; None without gossip.
-        gossip_target: Where gossip is sent; None without gossip.
-        admin_address: Where operators connect; without it all that they may ask for is off.
+        load_fields: Field names of the load reports in answers to health checks; empty if answers
+            carry none.
+        gossip_listen: Address at which gossip is received; None without gossip.
+        gossip_target: Address to which gossip is sent; None without gossip.
+        admin_address: Address at which operators connect; None turns off all that operators may ask
+            for.
     """
 
     path: str
@@ -60,10 +62,10 @@
 
 
 def parse_address(text: object, field: str) -> Address:
-    """Returns an address written as IPv4 address, colon and port.
+    """Parse an address written as IPv4 address, colon and port.
 
     Raises:
-        ConfigError: It is not of that form; `field` says where it stands.
+        ConfigError: It is not of that form; the error names `field`.
     """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
@@ -76,7 +78,7 @@
 
 
 def read_file(path: str) -> dict:
-    """Returns the configuration file's object.
+    """Return the configuration file's object.
 
     Raises:
         ConfigError: It cannot be read or is not a JSON object.
@@ -92,9 +94,9 @@
 
 
 def read_discovery_address(path: str) -> Address:
-    """Returns discovery's address, the one field that may change while the balancer runs.
+    """Return discovery's address, the only field that may change while the balancer runs.
 
-    The environment variable holds the address at the start still, so the file alone counts.
+    The environment variable is ignored here, since it still holds the address at startup.
 
     Raises:
         ConfigError: The file or the field cannot be used.
@@ -103,7 +105,7 @@
 
 
 def load(environment: dict[str, str]) -> Config:
-    """Returns the configuration that the environment variables name.
+    """Return the configuration from the environment variables and the file that they name.
 
     Raises:
         ConfigError: Something is missing or malformed.
@@ -121,7 +123,7 @@
 
 
 def build(environment: dict[str, str], data: dict) -> Config:
-    """Returns the configuration from the variables and the file's object.
+    """Build the configuration from the environment variables and the file's object.
 
     Raises:
         ConfigError: An address is malformed.
@@ -175,7 +177,7 @@
         longest_connect_timeout=max(
             (nanoseconds(t["giveUp"], "giveUp") for t in params["serviceTypes"]), default=SECOND
         ),
-        # A third of the smallest objective is no overload yet.
+        # A delay of up to a third of the smallest objective does not count as overload.
         min_reported_delay=min(objectives, default=SECOND) // 3,
         operated=operated,
     )
--- a/cypresswalk/net/discovery.py
+++ b/cypresswalk/net/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list at discovery."""
+"""The thread that follows the endpoint list at discovery."""
 
 import logging
 import random
@@ -18,27 +18,27 @@
 from cypresswalk.net.parsers.http import ResponseParser, encode_get_request
 from cypresswalk.net.parsers.json_stream import HEARTBEAT, JsonStreamParser
 
-MIN_JITTER = 0.7  # of a pause
-MAX_JITTER = 1.3
+MIN_JITTER = 0.7  # factor of a pause
+MAX_JITTER = 1.3  # likewise
 HTTP_OK = 200
 log = logging.getLogger(__name__)
 
 
 class EndpointWatch:
-    """Follows the endpoint list at one address.
+    """Follows the endpoint list at one address of discovery.
 
-    Where the list is pushed it is followed for good, with a growing pause after each failure. Where
-    it comes on request the decisions say when to begin. A failed call is repeated after a pause of
-    `min_list_retry_pause` to `max_list_retry_pause`, with jitter: together with its timeouts within
-    `list_update_budget`. Once another address has taken its place, only those of its
-    updates count that have servers drain or go.
+    A list that discovery pushes is followed without end, with a growing pause after each failure. A
+    list that is polled is requested when the decisions ask for it. A failed call is repeated after
+    a pause of `min_list_retry_pause` to `max_list_retry_pause`, with jitter, so that the pause and
+    the call's timeouts together stay within `list_update_budget`. After another address has
+    replaced this one, only updates by which a server drains or is gone are still applied.
 
     Attributes:
-        address: Of discovery.
-        decoder: Of the lists at that address.
-        polled: Whether the decisions say when to ask for the list.
-        min_version: What the address before this one had reached; a list below it is an older one.
-        ended: Set by the deciding thread once another address has taken its place.
+        address: Address of discovery.
+        decoder: Decoder of the lists at that address.
+        polled: Whether the list is requested only when the decisions ask for it.
+        min_version: Version reached at the previous address; a list with a lower one is older.
+        ended: Whether another address has replaced this one; set by the deciding thread.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
         polled: bool,
         min_version: int = 0,
     ):
-        """Creates a watch; `run` follows the list.
+        """Create a watch; `run` follows the list.
 
         Args:
-            address: Of discovery.
-            decoder: Of the lists at that address.
-            core: Is told of updates and failures.
-            inbox: Of the deciding thread.
+            address: Address of discovery.
+            decoder: Decoder of the lists at that address.
+            core: Receiver of updates and failures.
+            inbox: Event queue of the deciding thread.
             limits: Sizes and times.
-            polled: Whether the decisions say when to ask for the list.
-            min_version: What the address before this one had reached.
+            polled: Whether the list is requested only when the decisions ask for it.
+            min_version: Version reached at the previous address.
         """
         self.address = address
         self.decoder = decoder
@@ -72,27 +72,27 @@
         self.ended = False
         self._update_requested = Event()
         self._random = random.Random(core.balancer.seed)
-        self._received = False  # whether the latest connection has brought anything complete
-        self._deadline = 0  # when the connection counts as broken unless more has arrived
+        self._received = False  # whether the latest connection delivered a complete value
+        self._deadline = 0  # when the connection fails unless a complete value arrives
         self._sock_lock = Lock()
         self._sock: socket.socket | None = None
 
     def run(self) -> None:
-        """Follows the list until the watch ends; runs in a thread of its own."""
+        """Follow the list until the watch ends; runs in a separate thread."""
         pause = self.limits.min_list_retry_pause
         retry = False
         while not self.ended:
             if self.polled and not retry:
                 self._update_requested.wait()
             self._update_requested.clear()
-            silent = self._follow_logged()
+            timed_out = self._follow_logged()
             self.inbox.post(self.on_failure)
             if self._received:
                 pause = self.limits.min_list_retry_pause
             else:
                 pause = min(2 * pause, self.limits.max_list_retry_pause)
-            if silent and self._received:
-                # The silence has used up most of the time in which a change must be known.
+            if timed_out and self._received:
+                # The silence has used up most of the time within which a change must be applied.
                 wait = 0
             else:
                 wait = self.limits.max_list_retry_pause if self.polled else pause
@@ -101,7 +101,7 @@
             )
 
     def _follow_logged(self) -> bool:
-        """Follows the list up to a failure; returns whether that was silence."""
+        """Follow the list until a failure and log it; return whether it was a timeout."""
         try:
             if not self.ended:
                 self._follow()
@@ -113,8 +113,8 @@
 
     def _follow(self) -> None:
         self._received = False
-        # One time limit for connecting, the request and the first object together: a call that
-        # began just before discovery went away or came back must not use up several.
+        # Connecting, the request and the first object share one time limit: a call that begins just
+        # before discovery becomes unreachable or reachable again must not use up several limits.
         self._deadline = self.inbox.clock() + self.limits.list_call_timeout
         host, port = self.address
         path = f"/registry/instances?follow=1&since={self.decoder.version}"
@@ -132,7 +132,7 @@
                     self._sock = None
 
     def _remaining_seconds(self) -> float:
-        """Time up to the deadline; at least so much that what has arrived is read."""
+        """Return the time until the deadline, but enough to read data that has arrived already."""
         return max(self._deadline - self.inbox.clock(), MILLISECOND) / SECOND
 
     def _read(self, sock: socket.socket) -> None:
@@ -147,7 +147,7 @@
             if response.status not in (None, HTTP_OK):
                 raise ProtocolError(f"HTTP status {response.status}")
             while (value := values.next_value()) is not None:
-                # Complete values alone count: bytes may trickle in and never make one.
+                # Only a complete value extends the deadline: trickling bytes may never form one.
                 self._received = True
                 self._deadline = self.inbox.clock() + self.limits.list_silence_timeout
                 if value is not HEARTBEAT:
@@ -155,18 +155,24 @@
                     older = self.decoder.version < self.min_version
                     self.inbox.post(self.on_update, update, entries, older)
             if self.inbox.clock() > self._deadline:
-                raise TimeoutError("no word in time")
-        raise ProtocolError("the watch was ended")
+                raise TimeoutError("no complete value in time")
+        raise ProtocolError("discovery ended the response")
 
-    # By the deciding thread.
+    # Called in the deciding thread.
 
     def on_update(
         self, now: int, update: EndpointUpdate, entries: list[tuple[Server, Address]], older: bool
     ) -> None:
-        """Passes an update on to the core.
+        """Pass an update on to the core.
 
-        After the watch has ended, which may be after the update was read, only servers that drain
-        or go are passed on: the rest is for the new address to say.
+        If the watch has ended since the update was read, only entries by which a server drains or
+        is gone are passed on; for all others the new address decides.
+
+        Args:
+            now: The time, nanoseconds.
+            update: The kind of update.
+            entries: Servers and their addresses.
+            older: Whether the list's version is below the one reached at the previous address.
         """
         if self.ended:
             update = EndpointUpdate.DELTA
@@ -175,23 +181,23 @@
             self.core.on_endpoints(now, update, entries, older)
 
     def on_failure(self, now: int) -> None:
-        """Tells the core that the list could not be followed."""
+        """Report to the core that following the list has failed."""
         if not self.ended:
             self.core.on_endpoints_failed(now)
 
     def request_update(self) -> None:
-        """Begins a call now rather than at the end of a pause; a connected watch stays so."""
+        """Call discovery now, without the rest of a pause; a connected watch stays connected."""
         self._update_requested.set()
 
     def end(self) -> None:
-        """Ends the watch: another address has taken its place.
+        """End the watch, since another address has replaced this one.
 
-        From now on neither its updates nor its failure pass for the new address's.
+        Updates and failures of this watch are then no longer taken for the new address's.
         """
         with self._sock_lock:
             self.ended = True
             if self._sock is not None:
-                # The other side may have ended it before.
+                # Discovery may have closed the connection already.
                 with suppress(OSError):
                     self._sock.shutdown(socket.SHUT_RDWR)
         self._update_requested.set()
--- a/cypresswalk/net/endpoints.py
+++ b/cypresswalk/net/endpoints.py
@@ -1,4 +1,4 @@
-"""Addresses of the endpoint list, and servers that an older list may not bring back yet."""
+"""Servers' addresses, and entries of an older endpoint list that are not applied yet."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class WithheldEndpoint(NamedTuple):
-    """An entry of an older list that is acted on from `until` on (nanoseconds)."""
+    """An entry of an older list that is not applied before the time `until` (nanoseconds)."""
 
     until: int
     server: Server
@@ -20,7 +20,7 @@
 
 
 class EndpointBook:
-    """Addresses of servers, and entries withheld from the decisions for a while."""
+    """The addresses of servers, and the entries that are withheld from the decisions for a time."""
 
     def __init__(
         self,
@@ -29,39 +29,40 @@
         timers: Timers,
         on_endpoints: Callable[[int, EndpointUpdate, list[Endpoint]], None],
     ):
-        """`on_endpoints` is called with each entry whose time has come."""
+        """Create an empty table; `on_endpoints` gets each withheld entry at its time."""
         self.balancer = balancer
         self.limits = limits
         self.timers = timers
         self.on_endpoints = on_endpoints
-        self.addresses: dict[int, Address] = {}  # by the server's number
-        self.withheld: dict[int, WithheldEndpoint] = {}  # likewise
+        self.addresses: dict[int, Address] = {}  # by server number
+        self.withheld: dict[int, WithheldEndpoint] = {}  # by server number
 
     def accept(self, entries: list[Endpoint]) -> list[Server]:
-        """Takes the addresses of entries that are acted on now, and returns their servers."""
+        """Store the addresses of entries that are applied now, and return their servers."""
         for server, address in entries:
             self.withheld.pop(server.id, None)
             self.addresses[server.id] = address
         return [server for server, _ in entries]
 
     def withhold_returning(self, now: int, entries: list[Endpoint]) -> list[Endpoint]:
-        """The entries of an older list that may be acted on now; the others wait.
+        """Return the entries of an older list that may be applied now, and withhold the others.
 
-        An older list may bring back, without a start since, a server that drains or is gone. That
-        waits until the list's address has caught up: of two addresses the newer may know less.
+        An older list may put a server back into service that drains or is gone and has not been
+        started again. Such an entry is withheld until the list's address has had time to catch up,
+        since a new address of discovery may be behind the previous one.
         """
         accepted = []
         for server, address in entries:
-            if self.brings_back(server):
+            if self.returns_to_service(server):
                 until = now + self.limits.list_convergence_time
                 self.withheld[server.id] = WithheldEndpoint(until, server, address)
-                self.timers.schedule(until, self.release, server.id)
+                self.timers.schedule(until, self.apply_withheld, server.id)
             else:
                 accepted.append((server, address))
         return accepted
 
-    def brings_back(self, server: Server) -> bool:
-        """Whether the entry has a server in service that was not, without a start since."""
+    def returns_to_service(self, server: Server) -> bool:
+        """Return whether the entry puts a server back into service that has not been restarted."""
         known = self.balancer.servers.get(server.id)
         return (
             known is not None
@@ -70,14 +71,14 @@
             and server.started_at <= known.started_at
         )
 
-    def release(self, now: int, number: int) -> None:
-        """The time of a withheld entry has come, unless it was withheld anew since."""
+    def apply_withheld(self, now: int, number: int) -> None:
+        """Apply a withheld entry, unless it was replaced or withheld until a later time."""
         if number in self.withheld and self.withheld[number].until <= now:
             entry = self.withheld.pop(number)
             self.on_endpoints(now, EndpointUpdate.DELTA, [(entry.server, entry.address)])
 
     def withdrawals(self, entries: list[Endpoint]) -> list[Endpoint]:
-        """The entries by which a server drains or goes, unless it has started again since."""
+        """Return the entries by which a server drains or is gone, unless it was restarted later."""
         known = self.balancer.servers
         return [
             (server, address)
@@ -88,7 +89,7 @@
         ]
 
     def count_placeable(self) -> int:
-        """How many servers may get flows: listed as ready, and not taken out by an operator."""
+        """Return the number of servers that may get flows: ready and not out of rotation."""
         return sum(
             server.state is ServerState.READY and not server.out_of_rotation
             for server in self.balancer.servers.values()
--- a/cypresswalk/net/gossip.py
+++ b/cypresswalk/net/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between balancers: datagrams about overloaded servers."""
+"""The socket for gossip between balancers: datagrams about overloaded servers."""
 
 import logging
 import socket
@@ -15,11 +15,12 @@
 
 
 class GossipSocket:
-    """Sends this balancer's gossip and receives that of the others.
+    """Sends this balancer's gossip and receives that of other balancers.
 
     Attributes:
         sock: The datagram socket.
-        receiving: Cleared where another process receives in this one's place; `run` ends then.
+        receiving: Whether this process receives gossip; `run` ends once it is cleared, which is
+            done when another process of this balancer receives instead.
     """
 
     def __init__(
@@ -32,16 +33,16 @@
         shared: bool = False,
         sock: socket.socket | None = None,
     ):
-        """Binds the socket.
+        """Bind the socket.
 
         Args:
-            listen: Where gossip arrives.
-            target: Where gossip is sent; None to send none.
-            core: Is told of gossip that arrives.
-            inbox: Of the deciding thread.
+            listen: Address at which gossip is received.
+            target: Address to which gossip is sent; None to send none.
+            core: Receiver of the gossip that arrives.
+            inbox: Event queue of the deciding thread.
             limits: Sizes and times.
-            shared: Another process may hold the same address.
-            sock: The bound socket that the other process passed on, if it did.
+            shared: Whether another process may bind the same address.
+            sock: The bound socket that the other process passed on, if any.
 
         Raises:
             OSError: The address cannot be bound.
@@ -59,7 +60,7 @@
             self.sock.bind(listen)
 
     def send(self, message: bytes) -> None:
-        """Sends a message if the system takes it at once; a failure is logged."""
+        """Send a message if the system accepts it at once; log a failure."""
         if self.target is None:
             return
         try:
@@ -68,14 +69,14 @@
             log.warning(event("gossip_not_sent", error=error))
 
     def run(self) -> None:
-        """Receives gossip until `receiving` is cleared; runs in a thread of its own."""
+        """Receive gossip until `receiving` is cleared; runs in a separate thread."""
         while self.receiving:
             try:
                 message, _ = self.sock.recvfrom(self.limits.max_gossip_bytes)
             except TimeoutError:
                 continue
             except OSError as error:
-                # Such as the network's reply to a datagram for a balancer that is down.
+                # For example the network's reply to a datagram for a balancer that is down.
                 log.debug(event("gossip_receive_failed", error=error))
                 time.sleep(self.limits.accept_retry_pause / SECOND)
                 continue
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -1,4 +1,4 @@
-"""Connections that stood at a server before this balancer started, and go back to that server."""
+"""Resumed flows: established at a server before this balancer started, and returned to it."""
 
 from typing import Protocol
 
@@ -12,19 +12,19 @@
 
 
 class RequestHandler(Protocol):
-    """What resuming asks of the core."""
+    """The core's methods that resuming a flow needs."""
 
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
     ) -> None:
-        """Connects the session to the server."""
+        """Connect the session to the server."""
 
     def on_resume_failed(self, now: int, session: Session) -> None:
-        """The session did not come up at its server in time."""
+        """Handle a session that was not established at its server in time."""
 
 
 class Resumption:
-    """Retries each resumed connection at its server: many come at once, and some fail."""
+    """Connects resumed sessions to their servers; retries, as many arrive at once and some fail."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         extensions: Extensions,
         requests: RequestHandler,
     ):
-        """`requests` is the core."""
+        """Create it; `requests` is the core."""
         self.balancer = balancer
         self.limits = limits
         self.timers = timers
@@ -42,19 +42,19 @@
         self.requests = requests
 
     def begin(self, now: int, session: Session) -> None:
-        """Takes a session whose first line names its server by `at=`."""
-        self.timers.schedule(now + self.limits.first_line_timeout, self.on_list_due, session)
+        """Start resuming a session whose first line names its server by `at=`."""
+        self.timers.schedule(now + self.limits.first_line_timeout, self.fail_if_unlisted, session)
         self.timers.schedule(
             now + self.limits.resume_timeout, self.requests.on_resume_failed, session
         )
         self.attempt(now, session)
 
     def retry_later(self, now: int, session: Session) -> None:
-        """Schedules another attempt."""
+        """Schedule another attempt."""
         self.timers.schedule(now + self.limits.resume_retry_interval, self.attempt, session)
 
     def attempt(self, now: int, session: Session) -> None:
-        """Connects the session to its server, if that may get connections now."""
+        """Connect the session to its server, or retry later if the server may not get flows now."""
         if session.finished or session.attempt is not None:
             return
         server = self.balancer.servers.get(server_number(session.request.values["at"]))
@@ -68,7 +68,7 @@
             return
         self.requests.start_attempt(now, session, server, 0, now + self.limits.resume_timeout)
 
-    def on_list_due(self, now: int, session: Session) -> None:
-        """The list would have named the server by now: a name that is made up fails here."""
+    def fail_if_unlisted(self, now: int, session: Session) -> None:
+        """Fail a session whose server the endpoint list has not named: the name may be made up."""
         if server_number(session.request.values["at"]) not in self.balancer.servers:
             self.requests.on_resume_failed(now, session)
