--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -1,7 +1,7 @@
-"""Listens where operators call, gives each caller little time and memory, and writes the reply.
+"""The listener for operators: reads one command per connection and writes the reply.
 
-Each caller has a thread, as clients have: the reply is the deciding thread's, asked for ahead of
-all other events.
+Each caller is served in a separate thread, as clients are, with bounds on its time and memory. The
+deciding thread executes the command and replies, ahead of all other events.
 """
 
 import logging
@@ -24,28 +24,28 @@
 
 
 class AdminListener:
-    """The operators' listening socket, and the callers that hold a descriptor."""
+    """The operators' listening socket, and the callers that are connected."""
 
     def __init__(self, address: Address, core: Core, inbox: Inbox, limits: Limits):
-        """Listens at the address.
+        """Listen at the address.
 
         Raises:
-            OSError: nobody may listen there.
+            OSError: this process cannot listen there.
         """
         self.core = core
         self.inbox = inbox
         self.limits = limits
         self.sock = socket.create_server(address, backlog=limits.accept_backlog)
-        self._lock = Lock()  # for the two below
-        self._without_line: dict[Connection, None] = {}  # no whole line yet, the oldest first
-        self._callers = 0
+        self._lock = Lock()  # guards the two below
+        self._awaiting_line: dict[Connection, None] = {}  # callers without a whole line, by age
+        self._callers = 0  # number of connected callers
 
     def run(self) -> None:
-        """Accepts callers; the thread's own, never returns."""
+        """Accept callers; runs in a separate thread and never returns."""
         retry_pause = self.limits.accept_retry_pause / SECOND
         for sock in accept_connections(self.sock, retry_pause, self._on_accept_failed):
             self._admit(sock)
-            self._make_room()
+            self._evict_oldest()
 
     def _on_accept_failed(self, error: OSError) -> None:
         log.warning(event("calls_accept_failed", error=error))
@@ -55,22 +55,22 @@
             caller = Connection(sock, self.limits)
             with self._lock:
                 self._callers += 1
-                self._without_line[caller] = None
+                self._awaiting_line[caller] = None
             start_thread(lambda: self._serve(caller))
         except (OSError, RuntimeError) as error:
             log.error(event("caller_not_served", error=error))
             sock.close()
 
-    def _make_room(self) -> None:
-        """Ends the oldest caller without a whole line where there is no room for all."""
+    def _evict_oldest(self) -> None:
+        """End the oldest caller without a whole line if there are too many callers."""
         with self._lock:
-            late = None
+            evicted = None
             if self._callers > self.limits.max_admin_connections:
-                late = next(iter(self._without_line), None)
-            if late is not None:
-                del self._without_line[late]
-        if late is not None:
-            late.shutdown(socket.SHUT_RD)
+                evicted = next(iter(self._awaiting_line), None)
+            if evicted is not None:
+                del self._awaiting_line[evicted]
+        if evicted is not None:
+            evicted.shutdown(socket.SHUT_RD)
 
     def _serve(self, caller: Connection) -> None:
         try:
@@ -78,17 +78,17 @@
             if reply:
                 caller.send_nowait(reply)
                 caller.shutdown(socket.SHUT_WR)
-                self._drain(caller)
+                self._discard_input(caller)
         except OSError:
-            pass  # the caller is gone
+            pass  # the caller has closed the connection
         finally:
             with self._lock:
-                self._without_line.pop(caller, None)
+                self._awaiting_line.pop(caller, None)
                 self._callers -= 1
             caller.close()
 
     def _reply(self, caller: Connection) -> bytes:
-        """Return the reply; nothing for a caller that left without a word."""
+        """Return the reply; empty if the caller disconnected without sending anything."""
         try:
             command = self._read_command(caller)
         except ProtocolError as error:
@@ -97,24 +97,24 @@
         if command is None:
             return b""
         with self._lock:
-            self._without_line.pop(caller, None)
+            self._awaiting_line.pop(caller, None)
         self.inbox.post_urgent(self.core.commands.on_command, command)
-        reply = command.wait(self.limits.admin_call_timeout)
+        reply = command.wait_for_reply(self.limits.admin_call_timeout)
         if reply is None:
             self.core.counters.add("calls_late")
             return error_reply("busy; nothing was done")
         return reply
 
     def _read_command(self, caller: Connection) -> AdminCommand | None:
-        """Return the command, or None where the caller left without a word.
+        """Return the command, or None if the caller disconnected without sending anything.
 
         Raises:
-            ProtocolError: no whole line in time, or none that is a command.
+            ProtocolError: no whole line arrived in time, or it is not a command.
             OSError: the connection broke.
         """
         parser = AdminCommandParser(self.limits.max_line_bytes)
         deadline = self.inbox.clock() + self.limits.admin_line_timeout
-        has_spoken = False
+        has_sent = False
         while True:
             caller.set_read_timeout(max(deadline - self.inbox.clock(), MILLISECOND))
             try:
@@ -122,16 +122,19 @@
             except BlockingIOError:
                 raise ProtocolError("no whole line in time") from None
             if not data:
-                if not has_spoken:
+                if not has_sent:
                     return None
-                raise ProtocolError("the line has no end")
-            has_spoken = True
+                raise ProtocolError("incomplete line")
+            has_sent = True
             command = parser.feed(data)
             if command is not None:
                 return command
 
-    def _drain(self, caller: Connection) -> None:
-        """Read what still comes: closing with something unread would reset the reply away."""
+    def _discard_input(self, caller: Connection) -> None:
+        """Read and discard further input.
+
+        Closing a connection with unread input resets it, and the caller could lose the reply.
+        """
         deadline = self.inbox.clock() + self.limits.idle_grace
         left = self.limits.max_drained_bytes
         while left > 0 and (wait := deadline - self.inbox.clock()) > 0:
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -1,4 +1,4 @@
-"""Carries out what operators ask at the admin address."""
+"""Executes the commands that operators send to the admin address."""
 
 import logging
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class OperatorCommands:
-    """Runs commands in the deciding thread. An OK is sent once the command holds."""
+    """Executes commands in the deciding thread. OK is sent once a command has taken effect."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         counters: Counters,
         cancel_unsent_attempts: Callable[[int, Callable[[Server], bool]], None],
     ):
-        """`cancel_unsent_attempts` has attempts that sent nothing yet go to other servers."""
+        """Create it; `cancel_unsent_attempts` moves attempts that sent nothing to other servers."""
         self.balancer = balancer
         self.endpoints = endpoints
         self.lifecycle = lifecycle
@@ -42,8 +42,8 @@
         self.cancel_unsent_attempts = cancel_unsent_attempts
 
     def on_command(self, now: int, command: AdminCommand) -> None:
-        """A command has come. One that its caller has given up has no effect."""
-        if not command.begin():
+        """Execute a command, unless its caller has given up waiting."""
+        if not command.claim():
             return
         self.counters.add("calls_" + command.name.replace("-", "_"))
         if command.name == "vars":
@@ -55,7 +55,7 @@
         self.run(now, command)
 
     def run(self, now: int, command: AdminCommand) -> None:
-        """Applies a command here and at the process beside this one, and replies."""
+        """Apply a command here and in the other process of an upgrade, and reply."""
         reason = self.apply(now, command)
         handover = self.extensions.handover
         if (
@@ -66,7 +66,7 @@
             self.reply(command, reason)
 
     def reply(self, command: AdminCommand, reason: str | None) -> None:
-        """OK, or the reason why not."""
+        """Send the reply: OK, or the reason why the command did not take effect."""
         if command.name != "check":
             log.info(
                 event("call", call=command.name, server=command.server, refused=reason or "no")
@@ -76,19 +76,19 @@
     def apply(
         self, now: int, command: AdminCommand, forwarded: bool = False, known: bool = False
     ) -> str | None:
-        """Has a command take effect here; returns why it did not, or None.
+        """Apply a command in this process; return why it did not take effect, or None if it did.
 
         Args:
-            now: the time.
-            command: its name and server.
-            forwarded: it was sent to the process beside this one, which replies for both.
-            known: the other process's list names the server.
+            now: the time, nanoseconds.
+            command: the command's name and server.
+            forwarded: whether the other process received the command and replies for both.
+            known: whether the other process's endpoint list names the server.
         """
         match command.name:
             case "check":
                 return self._check()
             case "set-down-here" | "set-up-here" | "drain-on-here" if self.extensions.fleet is None:
-                return "balancers agree on nothing here; set-down and set-up are this one's alone"
+                return "not in a fleet: set-down and set-up affect this balancer only"
             case "drain-on" | "drain-on-here" | "drain-off":
                 return self._set_drained(now, command.name != "drain-off", forwarded)
             case "set-down" | "set-down-here":
@@ -98,7 +98,7 @@
         return None
 
     def _check(self) -> str | None:
-        """Why a flow that came now would not be placed."""
+        """Return why a flow that arrives now would not be placed, or None if it would."""
         lifecycle, handover = self.lifecycle, self.extensions.handover
         informed = (
             lifecycle.phase is Phase.STARTING
@@ -131,7 +131,7 @@
         if number not in self.balancer.servers:
             if not known:
                 return "no list has named that server"
-            # The other process knows it already; until this one's list names it, it is gone.
+            # The other process knows the server. Until this one's list names it, it counts as gone.
             gone = Server(id=number, state=ServerState.GONE)
             self.balancer.on_endpoints(now, EndpointUpdate.DELTA, [gone])
         server = self.balancer.servers[number]
--- a/cypresswalk/net/parsers/__init__.py
+++ b/cypresswalk/net/parsers/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers of what arrives over sockets: state machines that are fed bytes and do no I/O."""
+"""Parsers of data received from sockets: state machines that take bytes and do no I/O."""
--- a/cypresswalk/net/parsers/admin_commands.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: one line in, one command or one error out. Knows no socket."""
+"""Parser of operators' commands: turns one line into one command or one error, without I/O."""
 
 from dataclasses import dataclass, field
 from queue import Empty, SimpleQueue
@@ -8,81 +8,85 @@
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.parsers.lines import NAME, LineParser
 
-PLAIN = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
-# Those that end in "-here" are for balancers that agree.
-WITH_ID = frozenset((b"set-down", b"set-up", b"set-down-here", b"set-up-here"))
+COMMANDS_WITHOUT_ID = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
+# A command that ends in "-here" affects one balancer of a fleet.
+COMMANDS_WITH_ID = frozenset((b"set-down", b"set-up", b"set-down-here", b"set-up-here"))
 
 
 @dataclass(slots=True)
 class AdminCommand:
-    """A command and its one reply.
+    """A command and its only reply.
 
-    The deciding thread replies; or the caller's own thread has waited enough, and then the command
-    has no effect.
+    The deciding thread executes the command and replies. If it has not begun by the end of the time
+    that the caller's thread waits, the command is cancelled and has no effect.
     """
 
     name: str
-    server: str = ""  # the id as the list has it, where the command names one
-    begun: Lock = field(default_factory=Lock)  # taken for good by the side that decides about it
+    server: str = ""  # the id as in the endpoint list, if the command takes one
+    # Acquired once and never released: by the thread that executes or cancels the command.
+    claim_lock: Lock = field(default_factory=Lock)
     answers: SimpleQueue[bytes] = field(default_factory=SimpleQueue)
 
-    def begin(self) -> bool:
-        """Whether it may take effect still. The deciding thread asks before it acts."""
-        return self.begun.acquire(blocking=False)
+    def claim(self) -> bool:
+        """Claim the command, to execute or cancel it; return False if it is claimed already."""
+        return self.claim_lock.acquire(blocking=False)
 
-    def wait(self, span: int) -> bytes | None:
-        """The reply; None if the command was not begun within `span` ns, and now never will be."""
+    def wait_for_reply(self, timeout: int) -> bytes | None:
+        """Return the reply, or cancel the command and return None if it has not begun in time.
+
+        Args:
+            timeout: nanoseconds to wait for the command to begin, and again for its reply.
+        """
         try:
-            return self.answers.get(timeout=span / SECOND)
+            return self.answers.get(timeout=timeout / SECOND)
         except Empty:
-            if self.begin():
+            if self.claim():
                 return None
         try:
-            return self.answers.get(timeout=span / SECOND)
+            return self.answers.get(timeout=timeout / SECOND)
         except Empty:
             return b"ERR a fault; see the log\r\n"
 
 
 class AdminCommandParser:
-    """Is fed the bytes of one caller."""
+    """Parses the bytes that one caller sends."""
 
-    def __init__(self, longest: int):
-        """`longest`: bytes of a line."""
-        self.lines = LineParser(longest)
+    def __init__(self, max_line_bytes: int):
+        """Create a parser that accepts a line up to this length."""
+        self.lines = LineParser(max_line_bytes)
 
     def feed(self, data: bytes) -> AdminCommand | None:
-        """The command once its line is complete.
+        """Return the command once its line is complete, and None before.
 
         Raises:
-            ProtocolError: it is no command, or more came behind it: then half of what was meant
-                would
-                be done. The message is for the caller.
+            ProtocolError: it is not a command, or data follows the line; executing the line alone
+                could do half of what the caller meant. The message is sent to the caller.
         """
         self.lines.feed(data)
         line = self.lines.next_line()
         if line is None:
             return None
         if len(self.lines.buffer):
-            raise ProtocolError("one line to a connection")
+            raise ProtocolError("one command per connection")
         words = line.split()
         if not words:
-            raise ProtocolError("no call")
-        if words[0] in PLAIN:
+            raise ProtocolError("empty command")
+        if words[0] in COMMANDS_WITHOUT_ID:
             if len(words) > 1:
-                raise ProtocolError(f"{words[0].decode()} stands alone")
+                raise ProtocolError(f"{words[0].decode()} takes no argument")
             return AdminCommand(words[0].decode())
-        if words[0] in WITH_ID:
+        if words[0] in COMMANDS_WITH_ID:
             if len(words) != 2:
                 raise ProtocolError(f"{words[0].decode()} takes one id")
             ident = words[1].decode("ascii", "replace")
             if not NAME.fullmatch(ident):
-                raise ProtocolError("that is no id of a server")
+                raise ProtocolError("not a valid server id")
             return AdminCommand(words[0].decode(), ident)
         raise ProtocolError(
-            "no such call; there are check, vars, set-down ID, set-up ID, drain-on and drain-off"
+            "unknown command; expected check, vars, set-down ID, set-up ID, drain-on and drain-off"
         )
 
 
 def error_reply(reason: str) -> bytes:
-    """The reply that refuses a command."""
+    """Return the reply to a command that is refused."""
     return b"ERR " + reason.encode() + b"\r\n"
--- a/cypresswalk/net/parsers/endpoint_list.py
+++ b/cypresswalk/net/parsers/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Decodes the endpoint list that discovery sends."""
+"""The decoder of the endpoint list that discovery sends."""
 
 import logging
 import reprlib
@@ -17,17 +17,17 @@
     "terminated": ServerState.GONE,
 }
 UNKNOWN_ZONE = -1
-SERVER_NUMBER_BYTES = 4  # as gossip carries it
+SERVER_NUMBER_BYTES = 4  # width of the number in gossip
 log = logging.getLogger(__name__)
 
 
 def stable_hash(text: str, width_bytes: int = 8) -> int:
-    """Returns a number for the text that is the same at all balancers and after every restart."""
+    """Return a hash of the text that is the same in all balancers and after every restart."""
     return int.from_bytes(blake2b(text.encode(), digest_size=width_bytes).digest(), "little")
 
 
 def server_number(ident: str) -> int:
-    """Returns the number that stands for a server's id within the balancer and in gossip."""
+    """Return the number that identifies a server within the balancer and in gossip."""
     return stable_hash(ident, SERVER_NUMBER_BYTES)
 
 
@@ -35,16 +35,16 @@
     """Decodes the lists of one address of discovery.
 
     Attributes:
-        zones: The settings' zones by name.
-        version: Of the last list, to go on from.
+        zones: Index of each zone in the settings, by name.
+        version: Version of the last list, from which discovery is asked to continue.
         names: Servers' ids by number, shared by the decoders of all addresses.
     """
 
     def __init__(self, zones: dict[str, int], names: dict[int, str] | None = None):
-        """Creates a decoder that has seen no list.
+        """Create a decoder that has seen no list.
 
         Args:
-            zones: The settings' zones by name.
+            zones: Index of each zone in the settings, by name.
             names: Servers' ids by number that another decoder has collected.
         """
         self.zones = zones
@@ -52,14 +52,14 @@
         self.names: dict[int, str] = {} if names is None else names
 
     def for_other_address(self) -> "EndpointListDecoder":
-        """Returns a decoder for another address, whose versions are unrelated to this one's."""
+        """Return a decoder for another address, whose versions are unrelated to this one's."""
         return EndpointListDecoder(self.zones, self.names)
 
     def decode(self, data: object) -> tuple[EndpointUpdate, list[tuple[Server, Address]]]:
-        """Returns the kind of update and its servers; a malformed entry is logged and left out.
+        """Return the kind of update and its servers; log and skip malformed entries.
 
         Raises:
-            ProtocolError: It is not an endpoint list.
+            ProtocolError: The data is not an endpoint list.
         """
         instances = data.get("instances") if isinstance(data, dict) else None
         if not isinstance(data, dict) or not isinstance(instances, list):
@@ -80,8 +80,8 @@
         state = STATES[item["lifecycle"]]
         number = server_number(ident)
         if self.names.setdefault(number, ident) != ident:
-            raise ValueError(f"its number is that of {self.names[number]}")
-        zone: Any = item.get("zone")  # whatever JSON holds; one that is not listed is unknown
+            raise ValueError(f"its hash is that of {self.names[number]}")
+        zone: Any = item.get("zone")  # of any JSON type; one that is not in the settings is unknown
         cell = item.get("cell") or 0
         server = Server(
             id=number,
--- a/cypresswalk/net/parsers/http.py
+++ b/cypresswalk/net/parsers/http.py
@@ -1,4 +1,4 @@
-"""The part of HTTP/1.1 that following the endpoint list needs: one GET and its response."""
+"""The part of HTTP/1.1 that is needed to follow the endpoint list: a GET and its response."""
 
 from enum import Enum, auto
 
@@ -22,31 +22,31 @@
 
 
 class ResponseParser:
-    """Parses one response, chunked or not, and returns the bytes of its body.
+    """Parses one response, chunked or not, into the bytes of its body.
 
     Attributes:
-        status: The status code, None until the status line has arrived.
+        status: Status code; None until the status line has arrived.
     """
 
     def __init__(self, max_line_bytes: int):
-        """Creates a parser that accepts header and chunk-size lines up to this length."""
+        """Create a parser that accepts header and chunk-size lines up to this length."""
         self.status: int | None = None
         self._buffer = Buffer()
         self._max_line_bytes = max_line_bytes
         self._state = ParseState.HEADERS
-        self._remaining = 0  # bytes of the body or chunk that are to come, or UNTIL_CLOSE
+        self._remaining = 0  # bytes of the body or chunk still to come, or UNTIL_CLOSE
         self._chunked = False
 
     @property
     def complete(self) -> bool:
-        """Whether the end of the body has arrived."""
+        """Whether the whole body has arrived."""
         return self._state is ParseState.COMPLETE
 
     def feed(self, data: bytes) -> bytes:
-        """Adds bytes that arrived and returns those of the body among them.
+        """Add received bytes and return those that belong to the body.
 
         Raises:
-            ProtocolError: They are not an HTTP/1.1 response.
+            ProtocolError: The bytes are not an HTTP/1.1 response.
         """
         self._buffer.add(data)
         body: list[bytes] = []
@@ -55,7 +55,7 @@
         return b"".join(body)
 
     def _advance(self, body: list[bytes]) -> bool:
-        """Handles the next line or piece of the body; False when more bytes are needed."""
+        """Handle the next line or piece of the body; return False if more bytes are needed."""
         if self._state is ParseState.COMPLETE:
             return False
         if self._state in (ParseState.CHUNK, ParseState.BODY):
@@ -63,13 +63,13 @@
         index = self._buffer.find(b"\r\n")
         if index < 0:
             if len(self._buffer) > self._max_line_bytes:
-                raise ProtocolError("an HTTP line without end")
+                raise ProtocolError("an HTTP line is too long")
             return False
         self._handle_line(self._buffer.take(index + 2)[:-2])
         return True
 
     def _take_body(self, body: list[bytes]) -> bool:
-        """Takes what has arrived of the body or chunk; False if more of it is to come."""
+        """Take the available bytes of the body or chunk; return False if more are to come."""
         count = len(self._buffer)
         if self._remaining != UNTIL_CLOSE:
             count = min(self._remaining, count)
@@ -79,8 +79,8 @@
                 self._remaining -= count
         if self._remaining:
             return False
-        chunk = self._state is ParseState.CHUNK
-        self._state = ParseState.CHUNK_END if chunk else ParseState.COMPLETE
+        is_chunk = self._state is ParseState.CHUNK
+        self._state = ParseState.CHUNK_END if is_chunk else ParseState.COMPLETE
         return True
 
     def _handle_line(self, line: bytes) -> None:
@@ -91,7 +91,7 @@
             self._state = ParseState.CHUNK if self._remaining else ParseState.TRAILERS
         elif self._state is ParseState.CHUNK_END:
             if line:
-                raise ProtocolError("a chunk longer than its size")
+                raise ProtocolError("a chunk is longer than its size")
             self._state = ParseState.CHUNK_SIZE
         elif not line:
             self._state = ParseState.COMPLETE
@@ -100,7 +100,7 @@
         if self.status is None:
             words = line.split(b" ", 2)
             if len(words) < 2 or not words[0].startswith(b"HTTP/1."):
-                raise ProtocolError(f"no HTTP answer: {line[:MAX_QUOTED]!r}")
+                raise ProtocolError(f"not an HTTP response: {line[:MAX_QUOTED]!r}")
             self.status = parse_number(words[1], 10)
             self._remaining = UNTIL_CLOSE
         elif line:
@@ -118,20 +118,20 @@
 
 
 def parse_number(text: bytes, base: int) -> int:
-    """Returns the number in that base.
+    """Return the number that the text gives in that base.
 
     Raises:
-        ProtocolError: It is not a number from 0 on.
+        ProtocolError: The text is not a number of at least 0.
     """
     try:
         value = int(text, base)
     except ValueError:
         value = -1
     if value < 0:
-        raise ProtocolError(f"{text[:20]!r} where a number belongs")
+        raise ProtocolError(f"{text[:20]!r} instead of a number")
     return value
 
 
 def encode_get_request(host: str, path: str) -> bytes:
-    """Returns a GET request for JSON."""
+    """Return a GET request for JSON."""
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode()
--- a/cypresswalk/net/parsers/json_stream.py
+++ b/cypresswalk/net/parsers/json_stream.py
@@ -1,4 +1,4 @@
-"""A stream of JSON objects, one after another, as discovery writes them."""
+"""The parser of the stream of JSON objects that discovery sends."""
 
 import json
 import re
@@ -7,52 +7,53 @@
 from cypresswalk.net.errors import MessageTooLongError, ProtocolError
 from cypresswalk.net.parsers.buffer import Buffer
 
-MAX_DEPTH = 32  # levels of nesting: an endpoint list has four, and decoding takes stack for each
+MAX_DEPTH = 32  # levels of nesting; an endpoint list has four, and decoding uses stack for each
 MAX_QUOTED = 60  # bytes of malformed input that an error quotes
-BLANKS = b" \t\r\n"
+WHITESPACE = b" \t\r\n"
 LINE_END = ord("\n")
 OBJECT_START = ord("{")
-STRUCTURE = re.compile(rb'["{}\[\]]')  # what counts outside a string
-STRING_END_OR_ESCAPE = re.compile(rb'["\\]')  # what counts inside one
+STRUCTURE = re.compile(rb'["{}\[\]]')  # the tokens that matter outside a string
+STRING_END_OR_ESCAPE = re.compile(rb'["\\]')  # the tokens that matter inside one
 
 HEARTBEAT: Final = object()
-"""An empty line, which discovery sends while nothing changes."""
+"""Stands for an empty line, which discovery sends while the list does not change."""
 
 
 class JsonStreamParser:
     """Splits a stream into objects and empty lines.
 
-    An object may come in pieces, indented over several lines, or several on one line.
+    An object may arrive in pieces or be indented over several lines. One line may hold several
+    objects.
 
     Attributes:
-        buffer: What was fed and is not returned yet.
+        buffer: Received bytes that are not returned yet.
         max_bytes: Length limit of one object.
     """
 
     def __init__(self, max_bytes: int):
-        """Creates a parser of objects of at most `max_bytes`."""
+        """Create a parser of objects of at most `max_bytes`."""
         self.buffer = Buffer()
         self.max_bytes = max_bytes
-        self._scanned = 0  # pending bytes of the object in progress whose structure is known
-        self._depth = 0  # its open brackets
+        self._scanned = 0  # bytes of the incomplete object that are scanned already
+        self._depth = 0  # number of its open brackets
         self._in_string = False
-        self._line_has_text = False  # the current line of the stream is not empty
+        self._line_has_text = False  # whether the current line of the stream is not empty
 
     def feed(self, data: bytes) -> None:
-        """Adds bytes that arrived."""
+        """Add received bytes."""
         self.buffer.add(data)
 
     def next_value(self) -> object | None:
-        """Returns the next object as a dict, or HEARTBEAT; None until more has arrived.
+        """Return the next object as a dict, or HEARTBEAT; None if more bytes are needed.
 
         Raises:
-            ProtocolError: What arrived is not a JSON object, or is nested too deep.
+            ProtocolError: The data is not a JSON object, or is nested too deeply.
             MessageTooLongError: An object exceeds the limit.
         """
         if not self._depth:
             data = self.buffer.data
             index = self.buffer.start
-            while index < len(data) and data[index] in BLANKS:
+            while index < len(data) and data[index] in WHITESPACE:
                 index += 1
                 if data[index - 1] == LINE_END:
                     ends_text = self._line_has_text
@@ -68,7 +69,7 @@
         return self._scan()
 
     def _decode_line(self) -> object | None:
-        """Decodes the usual form, one object a line, without a look at each bracket."""
+        """Decode the usual form, one object per line, without scanning for brackets."""
         end = self.buffer.find(b"\n")
         if not 0 <= end <= self.max_bytes:
             return None
@@ -77,7 +78,7 @@
         try:
             value = json.loads(data[start : start + end])
         except (ValueError, RecursionError):
-            # Not exactly one object: the scan by brackets finds out where it ends.
+            # Not exactly one object: scanning the brackets finds where the object ends.
             return None
         if not isinstance(value, dict):
             return None
@@ -86,11 +87,11 @@
         return value
 
     def _scan(self) -> object | None:
-        """Looks for the bracket that closes the object; None until it has arrived."""
+        """Scan for the bracket that closes the object; return None if it has not arrived."""
         data = self.buffer.data
         start = self.buffer.start
         if data[start] != OBJECT_START:
-            raise ProtocolError(f"no object: {bytes(data[start : start + MAX_QUOTED])!r}")
+            raise ProtocolError(f"not a JSON object: {bytes(data[start : start + MAX_QUOTED])!r}")
         index = start + self._scanned
         while found := (STRING_END_OR_ESCAPE if self._in_string else STRUCTURE).search(data, index):
             index = found.end()
@@ -98,7 +99,7 @@
             if token == b'"':
                 self._in_string = not self._in_string
             elif token == b"\\":
-                # The escaped character is still to come: the scan goes on from the backslash.
+                # The escaped character has not arrived: the next scan starts at the backslash.
                 if index == len(data):
                     index -= 1
                     break
@@ -106,7 +107,7 @@
             else:
                 self._depth += 1 if token in b"{[" else -1
                 if self._depth > MAX_DEPTH:
-                    raise ProtocolError("nested beyond reason")
+                    raise ProtocolError("nested too deeply")
                 if not self._depth:
                     return self._decode(index - start)
         else:
--- a/cypresswalk/net/parsers/lines.py
+++ b/cypresswalk/net/parsers/lines.py
@@ -1,4 +1,4 @@
-"""The lines that clients and servers send, and the request that opens a flow."""
+"""The parser of lines that clients and servers send, and of the request that opens a flow."""
 
 import re
 from dataclasses import dataclass
@@ -13,25 +13,25 @@
     """Splits a stream into lines: one by one, or all complete ones at once.
 
     Attributes:
-        buffer: What was fed and is not returned yet.
+        buffer: Received bytes that are not returned yet.
         max_bytes: Length limit of one line, its end included.
-        scanned: Pending bytes that are known to hold no line end.
+        scanned: Number of pending bytes that are known to contain no line end.
     """
 
     __slots__ = ("buffer", "max_bytes", "scanned")
 
     def __init__(self, max_bytes: int):
-        """Creates a parser of lines of at most `max_bytes`."""
+        """Create a parser of lines of at most `max_bytes`."""
         self.buffer = Buffer()
         self.max_bytes = max_bytes
         self.scanned = 0
 
     def feed(self, data: bytes) -> None:
-        """Adds bytes that arrived."""
+        """Add received bytes."""
         self.buffer.add(data)
 
     def next_line(self) -> bytes | None:
-        """Returns the next line without its end, or None until it is complete.
+        """Return the next line without its end, or None if it is not complete.
 
         Raises:
             MessageTooLongError: The line exceeds the limit.
@@ -46,10 +46,10 @@
         return self.buffer.take(index + 1).rstrip(b"\r\n")
 
     def take_complete_lines(self) -> bytes:
-        """Returns all complete lines as they arrived, empty if there are none.
+        """Return all complete lines with their ends, empty if there are none.
 
         Raises:
-            MessageTooLongError: What follows them exceeds the limit of a line.
+            MessageTooLongError: The incomplete line after them exceeds the limit.
         """
         end = self.buffer.rfind(b"\n") + 1
         self._check_length(len(self.buffer) - end)
@@ -65,9 +65,9 @@
     """A client's OPEN line, which asks for a flow.
 
     Attributes:
-        ident: The flow's id.
-        key: The client's or group's key.
-        values: The line's list of names and values, in its order.
+        ident: Id of the flow.
+        key: Key of the client or group.
+        values: The line's parameters by name, in the order of the line.
     """
 
     ident: str
@@ -75,10 +75,10 @@
     values: dict[str, str]
 
     def encode(self, wait_ms: int) -> bytes:
-        """Returns the line for a server, unchanged but for `d`.
+        """Return the line for a server, unchanged except for `d`.
 
         Args:
-            wait_ms: What `d` tells the server: how many milliseconds this balancer will wait.
+            wait_ms: New value of `d`: milliseconds for which this balancer waits for the server.
         """
         values = self.values | {"d": str(wait_ms)} if "d" in self.values else self.values
         pairs = ",".join(f"{name}={value}" for name, value in values.items())
@@ -86,7 +86,7 @@
 
 
 NAME = re.compile(r"[0-9A-Za-z._:-]{1,64}")
-# Printable characters but for blank and comma, which separate words and values.
+# Printable characters except space and comma, which separate words and parameters.
 VALUE = re.compile(r"[!-+.-~-]+")
 NUMBER = re.compile(r"[0-9]{1,12}([.][0-9]{1,12})?")
 FLAG = re.compile(r"[01]")
@@ -94,25 +94,25 @@
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
-    """Parses a client's first line strictly, since its content is forwarded to servers.
+    """Parse a client's first line strictly, since its content is forwarded to servers.
 
     Args:
         line: The line without its end.
 
     Raises:
-        ProtocolError: It is not a well-formed OPEN line.
+        ProtocolError: The line is not a well-formed OPEN line.
     """
     try:
         words = line.decode("ascii").split(" ")
     except UnicodeDecodeError as error:
-        raise ProtocolError("a first line that is not ASCII") from error
+        raise ProtocolError("the first line is not ASCII") from error
     if (
         len(words) not in (3, 4)
         or words[0] != "OPEN"
         or not NAME.fullmatch(words[1])
         or not NAME.fullmatch(words[2])
     ):
-        raise ProtocolError(f"a first line that is no OPEN: {line[:MAX_QUOTED]!r}")
+        raise ProtocolError(f"the first line is not OPEN: {line[:MAX_QUOTED]!r}")
     values: dict[str, str] = {}
     for pair in words[3].split(",") if len(words) == 4 else []:
         name, _, value = pair.partition("=")
@@ -121,6 +121,6 @@
             or not NAME.fullmatch(name)
             or not VALUE_FORMATS.get(name, VALUE).fullmatch(value)
         ):
-            raise ProtocolError(f"a first line with {pair[:MAX_QUOTED]!r} in its list")
+            raise ProtocolError(f"the first line has {pair[:MAX_QUOTED]!r} among its parameters")
         values[name] = value
     return OpenRequest(words[1], words[2], values)
--- a/cypresswalk/net/parsers/load_reports.py
+++ b/cypresswalk/net/parsers/load_reports.py
@@ -1,4 +1,4 @@
-"""Load and delay that servers report: LOAD lines of connections, and answers to health checks."""
+"""Parsers of servers' reports of load and delay: LOAD lines and answers to health checks."""
 
 import math
 from threading import Lock
@@ -7,8 +7,8 @@
 from cypresswalk.hosting import nanoseconds
 from cypresswalk.net.limits import MILLISECOND, Limits
 
-# A number so many times below every connection's first load is a delay: the smallest of a few
-# dozen loads is seldom undercut by as much, and a growing delay begins there.
+# A number less than every connection's first load divided by this is a delay: a load is seldom so
+# far below the smallest of a few dozen loads, and a delay that grows starts below it.
 DELAY_BELOW_FIRST_LOADS = 2
 
 
@@ -16,9 +16,9 @@
     """One LOAD line of a connection.
 
     Attributes:
-        at: When it was read, in nanoseconds.
-        number: The number it carries.
-        is_delay: Whether that was taken for a delay.
+        at: Time at which the line was read, nanoseconds.
+        number: Number in the line.
+        is_delay: Whether the number was classified as a delay.
     """
 
     at: int
@@ -27,53 +27,55 @@
 
 
 class LoadReportHistory:
-    """The LOAD lines that one connection has carried lately."""
+    """The recent LOAD lines of one connection."""
 
-    __slots__ = ("first", "recent")
+    __slots__ = ("expects_first", "recent")
 
     def __init__(self) -> None:
-        """Creates the history of a connection that has not carried any."""
-        self.first = True  # the next line is the connection's first
+        """Create the history of a connection without LOAD lines."""
+        self.expects_first = True  # whether the next line is the connection's first
         self.recent: list[RecentReport] = []
 
 
 class LoadReportParser:
-    """Tells the delays among the numbers of LOAD lines.
-
-    Such a line reports a connection's load, in microseconds of work a second, at its beginning and
-    whenever that changes; or the milliseconds that a message takes at the server, once a second on
-    one connection while that is long and once more when it is not. The settings say which of the
-    two are reported. Where both are, nothing marks the line. It is a delay if it is far below any
-    connection's first load; or if it comes a second after another one on the same connection, and
-    either that was a delay or this is at most a second longer, as a backlog can grow. Nothing above
-    the longest attempt timeout is a delay.
+    """Distinguishes delays from loads in LOAD lines.
+
+    A LOAD line reports one of two things. A load is the connection's work in microseconds per
+    second, reported at its beginning and whenever it changes. A delay is the time in milliseconds
+    that a message takes at the server, reported once a second on one connection while it is long
+    and once more when it no longer is. The settings say which of the two servers report. If they
+    report both, the lines do not say which one it is, and a number is classified as a delay in two
+    cases: it is far below the first load of any connection; or it arrives a second after another
+    report on the same connection, and either that one was a delay or the number exceeds it by at
+    most a second, since a backlog cannot grow faster. In the second case a number above the longest
+    attempt timeout is no delay.
 
     Attributes:
         delays: Whether servers report delays.
     """
 
     def __init__(self, loads: bool, delays: bool, limits: Limits):
-        """Creates a parser that all connections share.
+        """Create a parser that all connections share.
 
         Args:
             loads: Whether servers report loads.
             delays: Whether servers report delays.
-            limits: Interval, jitter and longest time of delay reports.
+            limits: Limits with the interval, jitter and longest delay of delay reports.
         """
         self.delays = delays
         self._loads = loads
         self._interval = limits.delay_report_interval
         self._jitter = limits.delay_report_jitter
         self._longest_delay = limits.longest_connect_timeout
-        self._smallest_first_load = math.inf  # of any connection
-        self._lock = Lock()  # each server connection has a thread that parses
+        self._smallest_first_load = math.inf  # over all connections
+        self._lock = Lock()  # each server connection has a thread that calls the parser
 
     def parse_delay(self, history: LoadReportHistory, now: int, line: bytes) -> int | None:
-        """Returns the delay in nanoseconds that a line reports, None if it reports none.
+        """Return the delay in nanoseconds that a line reports, or None if it reports none.
 
         Args:
-            history: The connection's earlier LOAD lines; this one is added.
-            now: When the line was read.
+            history: The connection's recent LOAD lines; this one is added.
+            now: Time at which the line was read, nanoseconds.
             line: The line without its end.
         """
         number = parse_load_line(line)
@@ -84,15 +86,15 @@
         return nanoseconds(number, "LOAD")
 
     def _is_delay(self, history: LoadReportHistory, now: int, number: float) -> bool:
-        if history.first:
-            history.first = False
+        if history.expects_first:
+            history.expects_first = False
             with self._lock:
                 self._smallest_first_load = min(self._smallest_first_load, number or math.inf)
             return False
-        least_before = number - self._interval / MILLISECOND
+        min_previous = number - self._interval / MILLISECOND
         follows_delay = any(
             abs(now - report.at - self._interval) <= self._jitter
-            and (report.is_delay or least_before <= report.number)
+            and (report.is_delay or min_previous <= report.number)
             for report in history.recent
         )
         possible = number <= self._longest_delay / MILLISECOND
@@ -110,7 +112,7 @@
 
 
 def parse_load_line(line: bytes) -> float | None:
-    """Returns the number of a line `LOAD X`; None for any other line."""
+    """Return the number X of a line `LOAD X`; None for any other line."""
     word, _, number = line.partition(b" ")
     try:
         value = float(number) if word == b"LOAD" else math.nan
@@ -120,14 +122,14 @@
 
 
 def parse_load_fields(text: str, fields: list[str]) -> list[float]:
-    """Returns the load report of a health check's answer in the order of the settings' fields.
+    """Return the load report in a health check's answer, in the order of the settings' fields.
 
     Args:
-        text: Such as `qps=3.1,x0=0.5`, or the numbers alone in the order of the fields.
-        fields: The names of the settings.
+        text: The report, such as `qps=3.1,x0=0.5`, or only the numbers in the order of the fields.
+        fields: The names of the fields in the settings.
 
     Returns:
-        One number a field; empty where one is missing or malformed.
+        One number per field; empty if one is missing or malformed.
     """
     named = [word.rpartition("=")[::2] for word in text.replace(",", " ").split()]
     if all(name for name, _ in named):
--- a/tests/net/test_operator_commands.py
+++ b/tests/net/test_operator_commands.py
@@ -22,7 +22,7 @@
 def test_call_that_its_caller_gave_up_has_no_effect():
     harness = CoreHarness()
     call = AdminCommand("drain-on")
-    assert call.wait(1) is None
+    assert call.wait_for_reply(1) is None
     harness.deliver(harness.core.commands.on_command, call)
     assert harness.core.lifecycle.ready
     assert call.answers.empty()
