--- a/tests/net/parsers/test_admin_commands.py
+++ b/tests/net/parsers/test_admin_commands.py
@@ -1,9 +1,9 @@
-"""Operators' calls, as they arrive."""
+"""Parsing of operators' commands."""
 
 import pytest
 from core_helpers import SEEDED
 from hypothesis import given
-from parser_helpers import CUTS, pieces
+from parser_helpers import PIECE_SIZES, pieces
 
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.parsers.admin_commands import AdminCommandParser
@@ -11,10 +11,10 @@
 MAX_LINE = 4096
 
 
-def parse(data: bytes, cuts=(MAX_LINE,)) -> tuple[str, str] | None:
-    """The call's name and server; None if it is not whole."""
+def parse(data: bytes, sizes=(MAX_LINE,)) -> tuple[str, str] | None:
+    """Return the command's name and server; None if its line is incomplete."""
     parser = AdminCommandParser(MAX_LINE)
-    for piece in pieces(data, cuts):
+    for piece in pieces(data, sizes):
         command = parser.feed(piece)
         if command is not None:
             return command.name, command.server
@@ -22,11 +22,11 @@
 
 
 @SEEDED
-@given(CUTS)
-def test_call_is_read_alike_however_it_is_cut(cuts):
-    assert parse(b"set-down s-1\r\n", cuts) == ("set-down", "s-1")
-    assert parse(b"drain-on\n", cuts) == ("drain-on", "")
-    assert parse(b"check", cuts) is None
+@given(PIECE_SIZES)
+def test_command_is_parsed_the_same_from_pieces_of_any_size(sizes):
+    assert parse(b"set-down s-1\r\n", sizes) == ("set-down", "s-1")
+    assert parse(b"drain-on\n", sizes) == ("drain-on", "")
+    assert parse(b"check", sizes) is None
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
         b"drain-on s-1",
     ],
 )
-def test_malformed_call_is_refused_with_a_reason(line):
+def test_malformed_command_is_refused_with_a_reason(line):
     with pytest.raises(ProtocolError) as refused:
         parse(line + b"\r\n")
     assert str(refused.value)
--- a/tests/net/parsers/test_buffer.py
+++ b/tests/net/parsers/test_buffer.py
@@ -9,14 +9,14 @@
 
 @SEEDED
 @given(st.lists(st.binary(max_size=20), max_size=20), st.lists(st.integers(0, 30), max_size=40))
-def test_buffer_returns_what_was_added_and_keeps_little_of_what_was_taken(added, taken):
+def test_buffer_returns_added_bytes_in_order_and_frees_consumed_ones(added, take_counts):
     buffer = Buffer()
-    whole = b"".join(added)
-    out = b""
-    counts = taken + [0] * len(added)
-    for more, count in zip(added, counts, strict=False):
-        buffer.add(more)
-        out += buffer.take(min(count, len(buffer)))
+    data = b"".join(added)
+    received = b""
+    counts = take_counts + [0] * len(added)
+    for piece, count in zip(added, counts, strict=False):
+        buffer.add(piece)
+        received += buffer.take(min(count, len(buffer)))
         assert len(buffer.data) <= 2 * len(buffer) + 1
-    assert whole.startswith(out)
-    assert out + buffer.take(len(buffer)) == whole
+    assert data.startswith(received)
+    assert received + buffer.take(len(buffer)) == data
--- a/tests/net/parsers/test_endpoint_list.py
+++ b/tests/net/parsers/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of discovery."""
+"""Decoding of the endpoint list."""
 
 import pytest
 from helpers import listed
@@ -8,7 +8,7 @@
 from cypresswalk.net.parsers.endpoint_list import EndpointListDecoder, server_number
 
 
-def test_malformed_entries_are_left_out_and_server_numbers_are_hashes_of_their_ids():
+def test_malformed_entries_are_skipped_and_server_numbers_are_hashes_of_ids():
     malformed = [
         7,
         {},
--- a/tests/net/parsers/test_http.py
+++ b/tests/net/parsers/test_http.py
@@ -1,9 +1,9 @@
-"""HTTP responses."""
+"""Parsing of HTTP responses."""
 
 import pytest
 from core_helpers import SEEDED
 from hypothesis import given
-from parser_helpers import CUTS, pieces
+from parser_helpers import PIECE_SIZES, pieces
 
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.parsers.http import ResponseParser
@@ -13,8 +13,8 @@
 
 
 @SEEDED
-@given(CUTS)
-def test_http_bodies_come_out_complete_however_they_are_cut(cuts):
+@given(PIECE_SIZES)
+def test_http_body_is_parsed_completely_from_pieces_of_any_size(sizes):
     for data, body, complete in [
         (
             CHUNKED + b"3\r\nabc\r\nA;x=1\r\n0123456789\r\n0\r\nT: x\r\n\r\n",
@@ -27,7 +27,7 @@
         (HEAD + b"\r\nup to the end", b"up to the end", False),
     ]:
         response = ResponseParser(100)
-        assert b"".join(response.feed(piece) for piece in pieces(data, cuts)) == body
+        assert b"".join(response.feed(piece) for piece in pieces(data, sizes)) == body
         assert response.complete is complete
         assert response.status == 200
 
--- a/tests/net/parsers/test_json_stream.py
+++ b/tests/net/parsers/test_json_stream.py
@@ -1,4 +1,4 @@
-"""A stream of JSON objects."""
+"""Parsing of a stream of JSON objects."""
 
 import json
 
@@ -6,7 +6,7 @@
 from core_helpers import SEEDED
 from hypothesis import given
 from hypothesis import strategies as st
-from parser_helpers import CUTS, pieces
+from parser_helpers import PIECE_SIZES, pieces
 
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.parsers.json_stream import HEARTBEAT, JsonStreamParser
@@ -31,28 +31,28 @@
         ),
         max_size=6,
     ),
-    CUTS,
+    PIECE_SIZES,
 )
-def test_json_objects_come_out_complete_however_they_are_indented_joined_or_cut(told, cuts):
-    # A list on several lines must not be taken for a broken one, which would be asked for again
-    # without end.
-    data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in told)
+def test_json_objects_are_parsed_with_any_indentation_line_ends_and_pieces(sent, sizes):
+    # If an endpoint list on several lines were refused, the balancer would request it again and
+    # again.
+    data = b"".join(json.dumps(value, indent=indent).encode() + end for value, indent, end in sent)
     parser = JsonStreamParser(100_000)
-    got = []
-    for piece in pieces(data, cuts):
+    received = []
+    for piece in pieces(data, sizes):
         parser.feed(piece)
         while (value := parser.next_value()) is not None:
-            got.append(value)
-    assert [value for value in got if value is not HEARTBEAT] == [value for value, *_ in told]
-    if all(b"\n" in end for *_, end in told):
-        assert got.count(HEARTBEAT) == sum(end.count(b"\n") - 1 for *_, end in told)
+            received.append(value)
+    assert [value for value in received if value is not HEARTBEAT] == [value for value, *_ in sent]
+    if all(b"\n" in end for *_, end in sent):
+        assert received.count(HEARTBEAT) == sum(end.count(b"\n") - 1 for *_, end in sent)
 
 
 @pytest.mark.parametrize(
     "data",
     [b"[" * 100_000, b'{"a":' * 100, b"[1]", b"nothing", b'{"a":}', b'{"a":"' + b"x" * 999, b"}"],
 )
-def test_what_is_no_json_object_is_refused_and_not_kept(data):
+def test_data_that_is_no_json_object_is_refused_and_not_buffered(data):
     parser = JsonStreamParser(900)
     with pytest.raises(ProtocolError):
         for at in range(0, len(data), 90):
--- a/tests/net/parsers/test_load_reports.py
+++ b/tests/net/parsers/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports and delays that servers tell."""
+"""Parsing of the loads and delays that servers report."""
 
 from core_helpers import LIMITS
 
@@ -28,17 +28,20 @@
         delay = parser.parse_delay(history, now_ms * SECOND // 1000, b"LOAD %d" % number)
         return delay and delay // 1_000_000
 
-    assert [read(first, 0, 9000), read(other, 0, 400)] == [None, None]  # as they begin: loads
-    assert [read(first, 700, 300), read(first, 2500, 0)] == [None, None]  # changes of the load
-    assert [read(first, 3000, 90), read(first, 3996, 700)] == [90, 700]  # a pile begins and grows
-    assert [read(first, 4500, 500), read(first, 5000, 1900)] == [None, 1900]  # a load in between
-    assert [read(first, 6000, 3), read(first, 7000, 8000)] == [
-        3,
-        None,
-    ]  # over; no flow waits for 8 s
+    # The first number of a connection is a load.
+    assert [read(first, 0, 9000), read(other, 0, 400)] == [None, None]
+    # Changes of the load.
+    assert [read(first, 700, 300), read(first, 2500, 0)] == [None, None]
+    # A backlog begins and grows.
+    assert [read(first, 3000, 90), read(first, 3996, 700)] == [90, 700]
+    # A load between two delays.
+    assert [read(first, 4500, 500), read(first, 5000, 1900)] == [None, 1900]
+    # The backlog is gone. No flow waits for 8 s, so that number is a load.
+    assert [read(first, 6000, 3), read(first, 7000, 8000)] == [3, None]
     reports = [(5000, 900), (5996, 950), (7010, 990)]
     assert [read(other, *report) for report in reports] == [None, 950, None]
-    reports = [(8000, 300), (9000, 1400)]  # no pile grows that fast
+    # No backlog grows that fast.
+    reports = [(8000, 300), (9000, 1400)]
     assert [read(other, *report) for report in reports] == [None, None]
 
 
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration, and the limits that follow from it."""
+"""The configuration, and the limits that are derived from it."""
 
 import json
 
@@ -11,7 +11,7 @@
 from cypresswalk.net.limits import Limits
 
 
-def test_unusable_configuration_is_refused_with_what_is_wrong(tmp_path):
+def test_unusable_configuration_is_refused_with_the_reason(tmp_path):
     file = tmp_path / "config.json"
     for text, message in [
         ("{", "PROXY_CONFIG"),
@@ -29,7 +29,7 @@
 
 
 def limits_of(sockets: int, memory_mb: int) -> Limits:
-    """Limits of a balancer that may use so many descriptors and so much memory."""
+    """Return the limits of a balancer with this number of descriptors and this much memory."""
     return Limits(
         max_sockets=sockets,
         max_memory=memory_mb << 20,
@@ -40,9 +40,10 @@
 
 
 @pytest.mark.parametrize("sockets", [256, 588, 1024])
-def test_limits_leave_descriptors_for_all_that_may_be_open_at_once(sockets):
+def test_limits_leave_descriptors_for_everything_that_may_be_open_at_once(sockets):
     limits = limits_of(sockets, memory_mb=192)
-    # A third is for clients of flows and as much for their servers, what is left for the rest.
+    # A third of the descriptors is for clients' connections, a third for connections to servers,
+    # and the rest for everything else.
     assert limits.max_flows >= sockets // 3
     usual = 2 * limits.max_flows + limits.max_unopened_clients + limits.max_idle_health_checks
     assert usual + 10 <= sockets
@@ -51,7 +52,7 @@
 
 
 def test_flows_are_rejected_before_the_memory_is_used_up():
-    # The process would be killed.
+    # Otherwise the system would kill the process.
     limits = limits_of(1024, memory_mb=32)
     assert limits.max_flows * limits.flow_memory + limits.program_memory <= limits.max_memory
     assert limits.max_flows > 150
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list's watch: calls that fail in any way, and updates that cross the watch's end."""
+"""The watch of the endpoint list: failed calls, and updates that are read as the watch ends."""
 
 import json
 import socket
@@ -34,43 +34,43 @@
 pytestmark = pytest.mark.usefixtures("end_watches")
 
 HEARTBEAT_INTERVAL = 2 * SECOND  # of discovery
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-CUT_UPDATE = http_chunk(endpoint_update(listed("s-0"))[:-9])
+HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+PARTIAL_UPDATE = http_chunk(endpoint_update(listed("s-0"))[:-9])
 HEARTBEAT = http_chunk(b"\n")
 
 
 class FaultyDiscovery(ListeningServer):
-    """Discovery that fails each call in one way until it is well; then it tells its update."""
+    """Discovery that fails each call in one way until it recovers, and then sends its update."""
 
     def __init__(self, update: bytes):
-        """Listens at once; subclasses say in `fail` what a call meets."""
+        """Start listening; subclasses define in `fail` how a call fails."""
         self.update = update
-        self.failing = Event()  # a call has met the failure
-        self.well = Event()
+        self.failing = Event()  # set once a call has run into the failure
+        self.recovered = Event()
         self.listen()
 
     def serve(self, client: LineConnection) -> None:
-        """Answers one call."""
-        if self.well.is_set():
+        """Answer one call."""
+        if self.recovered.is_set():
             client.read_line()
-            client.sock.sendall(HEAD + http_chunk(self.update))
+            client.sock.sendall(HEADERS + http_chunk(self.update))
             return
         self.fail(client)
         self.failing.set()
 
     def fail(self, client: LineConnection) -> None:
-        """What a call meets. Sets `failing` itself if the call hangs."""
+        """Fail the call. Set `failing` here if the call hangs."""
         raise NotImplementedError
 
     def send_and_hang(self, client: LineConnection, data: bytes) -> None:
-        """Sends the data, then nothing for as long as the watch waits."""
+        """Send the data, then nothing for as long as the watch waits."""
         client.sock.sendall(data)
         self.failing.set()
         while client.read_line() not in (END, RESET):
             pass
 
     def send_and_trickle(self, client: LineConnection, data: bytes) -> None:
-        """Sends the data, then bytes all the time that make no object and no heartbeat."""
+        """Send the data, then continuously bytes that form neither an object nor a heartbeat."""
         client.sock.sendall(data)
         self.failing.set()
         with suppress(OSError):
@@ -80,43 +80,43 @@
 
 
 class SilentDiscovery(FaultyDiscovery):
-    """Sends nothing at all."""
+    """Sends nothing."""
 
     def fail(self, client: LineConnection) -> None:
-        """Hangs."""
+        """Hang without a response."""
         self.send_and_hang(client, b"")
 
 
-class HeadOnlyDiscovery(FaultyDiscovery):
-    """Sends the head of its response."""
+class HeadersOnlyDiscovery(FaultyDiscovery):
+    """Sends only the headers of its response."""
 
     def fail(self, client: LineConnection) -> None:
-        """Hangs after the head."""
-        self.send_and_hang(client, HEAD)
+        """Hang after the headers."""
+        self.send_and_hang(client, HEADERS)
 
 
 class TricklingDiscovery(FaultyDiscovery):
-    """Sends blanks and nothing that counts."""
+    """Sends spaces, which are no complete value."""
 
     def fail(self, client: LineConnection) -> None:
-        """Trickles after the head."""
-        self.send_and_trickle(client, HEAD)
+        """Trickle after the headers."""
+        self.send_and_trickle(client, HEADERS)
 
 
-class CutUpdateDiscovery(FaultyDiscovery):
+class PartialUpdateDiscovery(FaultyDiscovery):
     """Sends half an update."""
 
     def fail(self, client: LineConnection) -> None:
-        """Hangs in the middle of an update."""
-        self.send_and_hang(client, HEAD + CUT_UPDATE)
+        """Hang in the middle of an update."""
+        self.send_and_hang(client, HEADERS + PARTIAL_UPDATE)
 
 
-class BrokenOffDiscovery(FaultyDiscovery):
-    """Sends half an update and ends."""
+class PartialUpdateThenCloseDiscovery(FaultyDiscovery):
+    """Sends half an update and closes the connection."""
 
     def fail(self, client: LineConnection) -> None:
-        """Breaks off in the middle of an update."""
-        client.sock.sendall(HEAD + CUT_UPDATE)
+        """Close the connection in the middle of an update."""
+        client.sock.sendall(HEADERS + PARTIAL_UPDATE)
         client.close()
 
 
@@ -124,16 +124,16 @@
     """Resets the connection."""
 
     def fail(self, client: LineConnection) -> None:
-        """Resets before the response."""
+        """Reset the connection before the response."""
         reset_on_close(client.sock)
         client.close()
 
 
 class ErrorDiscovery(FaultyDiscovery):
-    """Answers with an error."""
+    """Answers with an HTTP error."""
 
     def fail(self, client: LineConnection) -> None:
-        """Answers 503."""
+        """Answer with status 503."""
         client.sock.sendall(b"HTTP/1.1 503 Away\r\nContent-Length: 0\r\n\r\n")
         client.close()
 
@@ -142,24 +142,24 @@
     """Sends a heartbeat, then nothing."""
 
     def fail(self, client: LineConnection) -> None:
-        """Hangs after a heartbeat."""
-        self.send_and_hang(client, HEAD + HEARTBEAT)
+        """Hang after a heartbeat."""
+        self.send_and_hang(client, HEADERS + HEARTBEAT)
 
 
 class HeartbeatThenTricklingDiscovery(FaultyDiscovery):
-    """Sends a heartbeat, then blanks."""
+    """Sends a heartbeat, then spaces."""
 
     def fail(self, client: LineConnection) -> None:
-        """Trickles after a heartbeat."""
-        self.send_and_trickle(client, HEAD + HEARTBEAT)
+        """Trickle after a heartbeat."""
+        self.send_and_trickle(client, HEADERS + HEARTBEAT)
 
 
 FAILURES = [
     SilentDiscovery,
-    HeadOnlyDiscovery,
+    HeadersOnlyDiscovery,
     TricklingDiscovery,
-    CutUpdateDiscovery,
-    BrokenOffDiscovery,
+    PartialUpdateDiscovery,
+    PartialUpdateThenCloseDiscovery,
     ResettingDiscovery,
     ErrorDiscovery,
     HeartbeatThenSilentDiscovery,
@@ -168,10 +168,10 @@
 
 
 class WatchHarness:
-    """A watch with a core and no program: what it posts waits in the inbox."""
+    """A watch and a core without a program: posted events stay in the inbox until processed."""
 
     def __init__(self, address: str, polled: bool = False):
-        """The watch of discovery at an address; its core knows s-0 as in service."""
+        """Create a watch of discovery at an address, and a core that knows s-0 as in service."""
         self.inbox = Inbox(Clock())
         data = config_data([listed("s-0")])
         config = build({}, data)
@@ -188,30 +188,30 @@
         )
 
     def start(self) -> None:
-        """Has the watch call discovery."""
+        """Start the watch's thread, which calls discovery."""
         Thread(target=self.watch.run, daemon=True).start()
 
     def process_events(self) -> None:
-        """Carries out what was posted, as the deciding thread does."""
+        """Process the posted events, as the deciding thread does."""
         while self.inbox.queue.qsize():
             at, call, args = self.inbox.queue.get()
             call(at, *args)
 
     def state(self, name: str = "s-0") -> ServerState:
-        """The server's state, once all that was posted is carried out."""
+        """Process the posted events and return the server's state."""
         self.process_events()
         return self.core.balancer.servers[server_number(name)].state
 
     def on_update(self, *entries: dict) -> None:
-        """Carries out an update that the watch has posted before."""
+        """Process an update as if the watch had posted it before."""
         update = self.decoder.decode(json.loads(endpoint_update(*entries)))
         self.watch.on_update(self.inbox.clock(), *update, False)
 
 
 def test_update_budget_covers_silence_and_any_failed_call():
-    # A watch that falls silent right after its heartbeat is noticed, and a call at once tells; so
-    # is a change told after a call that was begun just before discovery was back, the longest pause
-    # after it included.
+    # First case: discovery stops sending right after a heartbeat. After the silence timeout one call
+    # without a pause gets the change. Second case: a call begins just before discovery is reachable
+    # again. That call's timeout, the longest pause and one more call must fit.
     assert (
         DRIVER_LIMITS.list_silence_timeout + DRIVER_LIMITS.list_call_timeout
         <= DRIVER_LIMITS.list_update_budget
@@ -222,8 +222,8 @@
 
 
 @pytest.mark.parametrize("polled", [False, True])
-def test_drain_is_known_within_six_seconds_from_any_instant_of_any_failed_call(polled):
-    """All kinds of failure at once, each from the instant in which a call has met it."""
+def test_drain_is_applied_within_six_seconds_of_recovery_from_any_failed_call(polled):
+    """Run all kinds of failure at once; measure each from the time at which a call has failed."""
     drain = endpoint_update(listed("s-0", lifecycle="terminating"))
     discoveries = [failure(drain) for failure in FAILURES]
     harnesses = [WatchHarness(discovery.address, polled) for discovery in discoveries]
@@ -233,24 +233,24 @@
     pending = []
     for discovery, harness in zip(discoveries, harnesses, strict=True):
         assert discovery.failing.wait(5)
-        discovery.well.set()  # from now on discovery has the drain and can be reached
+        discovery.recovered.set()  # discovery now answers, and its list has the drain
         pending.append((time.monotonic(), discovery, harness))
     while pending:
         for entry in list(pending):
             began, discovery, harness = entry
             took = time.monotonic() - began
-            assert took < 6, f"{type(discovery).__name__}: not told after {took:.1f} s"
+            assert took < 6, f"{type(discovery).__name__}: drain not applied after {took:.1f} s"
             if harness.state() is ServerState.DRAINING:
                 pending.remove(entry)
         time.sleep(0.02)
 
 
-def test_call_whose_connection_never_comes_up_fails_in_time_for_another():
-    """Discovery's machine accepts no connection: the call has one limit for all its phases."""
+def test_call_that_cannot_connect_fails_in_time_for_a_retry():
+    """If discovery accepts no connection, connecting uses up the one time limit of the call."""
     full = socket.socket()
     full.bind((LOOPBACK, 0))
     full.listen(0)
-    # All that its backlog has room for, and more: the next connection hangs.
+    # These fill the backlog, so that the next connection hangs.
     waiting = [socket.socket() for _ in range(4)]
     for sock in waiting:
         sock.setblocking(False)
@@ -272,20 +272,20 @@
         sock.close()
 
 
-@pytest.mark.parametrize("order", ["told first", "ended first"])
-def test_drain_read_before_the_end_of_a_watch_counts_though_it_is_handled_after(order):
-    # The drain had been read; that SIGHUP was handled before it must not drop it.
+@pytest.mark.parametrize("order", ["update first", "end first"])
+def test_drain_read_before_a_watch_ends_is_applied_even_if_handled_later(order):
+    # A drain that was read must not be lost because SIGHUP ended the watch before it was handled.
     harness = WatchHarness("127.0.0.1:9")
     drain_and_new_server = [listed("s-0", lifecycle="terminating"), listed("s-7")]
     assert harness.state() is ServerState.READY
-    if order == "told first":
+    if order == "update first":
         harness.on_update(*drain_and_new_server)
         harness.watch.end()
     else:
         harness.watch.end()
         harness.on_update(*drain_and_new_server)
-        # A new server is the new address's to tell.
+        # Only the new address may add a server.
         assert server_number("s-7") not in harness.core.balancer.servers
-    # Nor does an old address bring back what drains.
+    # The old address cannot put a draining server back into service either.
     harness.on_update(listed("s-0"))
     assert harness.state() is ServerState.DRAINING
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""The hand-over between two processes of one balancer, played step by step."""
+"""The handover between two processes of one balancer, step by step."""
 
 import json
 
@@ -13,32 +13,32 @@
 ERROR = b"ERR\r\n"
 
 
-def test_predecessor_serves_until_its_stop_and_then_the_successor_with_all_that_it_knew():
+def test_predecessor_serves_until_stopped_and_then_the_successor_with_its_state():
     predecessor = HandoverProcess()
     predecessor.establish(6)
     assert predecessor.run_command("set-down", "s-0") == "OK"
-    late = predecessor.server("s-1")
-    predecessor.core.balancer.on_gossip(predecessor.now, late, 2.0)
-    predecessor.core.balancer.limits.keep_at(predecessor.now, late, 3.0)
+    overloaded = predecessor.server("s-1")
+    predecessor.core.balancer.on_gossip(predecessor.now, overloaded, 2.0)
+    predecessor.core.balancer.limits.keep_at(predecessor.now, overloaded, 3.0)
     successor = HandoverProcess(predecessor)
-    assert successor.run_command("check") == "ERR"  # it knows nothing yet
+    assert successor.run_command("check") == "ERR"  # it has no state yet
     successor.exchange_all()
     assert successor.run_command("check") == predecessor.run_command("check") == "OK"
     assert predecessor.accepting
     assert not successor.accepting
-    assert not successor.core.lifecycle.ready  # the clients are still the predecessor's
+    assert not successor.core.lifecycle.ready  # clients still connect to the predecessor
     predecessor.stop()
-    assert predecessor.accepting  # until the successor has said that it accepts
+    assert predecessor.accepting  # until the successor confirms that it accepts
     successor.exchange_all()
     assert not predecessor.accepting
     assert successor.accepting
     assert successor.core.lifecycle.ready
-    assert predecessor.core.lifecycle.ready  # its address is served, whoever answers
+    assert predecessor.core.lifecycle.ready  # the common address is served by the successor
     assert successor.server("s-0").out_of_rotation
     assert successor.server("s-1").load == 2
-    assert successor.server("s-1").concurrency_limit == late.concurrency_limit == 3
-    again = successor.open(3)  # an id that the predecessor has served
-    assert successor.drivers.answers[again] == ERROR
+    assert successor.server("s-1").concurrency_limit == overloaded.concurrency_limit == 3
+    repeated = successor.open(3)  # an id of a flow that the predecessor served
+    assert successor.drivers.answers[repeated] == ERROR
     used = [attempt.server for attempt in successor.establish(9, first=20)]
     assert successor.server("s-0") not in used
     predecessor.pass_time(2 * SECOND)
@@ -46,7 +46,7 @@
     assert len(predecessor.drivers.migrated) == 6
 
 
-def test_both_together_hold_no_more_sessions_than_one_may():
+def test_both_processes_together_hold_no_more_sessions_than_the_limit_of_one():
     predecessor = HandoverProcess(sockets=64)
     max_flows = predecessor.core.limits.max_flows
     predecessor.establish(max_flows)
@@ -56,11 +56,11 @@
     successor.exchange_all()
     held = len(predecessor.core.sessions)
     assert len(successor.establish(40, first=100)) == max_flows - held < max_flows
-    for turn in range(20):
+    for step in range(20):
         predecessor.pass_time(SECOND // 10)
         successor.pass_time(SECOND // 10)
         successor.exchange_all()
-        successor.establish(3, first=1000 + 3 * turn)
+        successor.establish(3, first=1000 + 3 * step)
         assert len(predecessor.core.sessions) + len(successor.core.sessions) <= max_flows
     assert predecessor.core.lifecycle.stopped
     assert len(successor.core.sessions) == max_flows
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("caller", ["predecessor", "successor"])
 @pytest.mark.parametrize("stopped", [False, True])
-def test_call_while_both_run_holds_for_both_before_its_ok(caller, stopped):
+def test_command_while_both_run_takes_effect_in_both_before_its_ok(caller, stopped):
     predecessor, successor = upgraded()
     called = predecessor if caller == "predecessor" else successor
     if stopped:
@@ -84,7 +84,7 @@
     unknown = called.call("set-down", "s-9")
     successor.exchange_all()
     assert reply_of(unknown) == "ERR"
-    # One that a single list names so far is known to both, and out of rotation at both.
+    # A server that only one process's list names so far is taken out of rotation in both.
     predecessor.update_endpoints(listed("s-7"))
     known = called.call("set-down", "s-7")
     successor.exchange_all()
@@ -93,14 +93,14 @@
     assert successor.server("s-7").out_of_rotation
 
 
-def test_call_at_the_successor_while_a_state_is_on_its_way_holds_for_both():
-    """The predecessor sends its state to a new successor, and again as it hands over."""
+def test_command_at_the_successor_while_a_state_is_in_transit_takes_effect_in_both():
+    """The predecessor sends its state when the successor connects, and again when it hands over."""
     new_predecessor = HandoverProcess()
     new_successor = HandoverProcess(new_predecessor)
     stopped_predecessor, taking_over = upgraded()
     stopped_predecessor.stop()
     lost = []
-    for successor, state in ((new_successor, "first state"), (taking_over, "state at the stop")):
+    for successor, state in ((new_successor, "first state"), (taking_over, "state at handover")):
         assert successor.state_is_on_its_way()
         call = successor.call("set-down", "s-0")
         successor.exchange_all()
@@ -115,28 +115,28 @@
     assert reply_of(call) == "OK"
 
 
-def test_unconfirmed_call_gets_an_error_and_one_whose_peer_ends_an_ok():
+def test_unconfirmed_command_gets_err_after_a_timeout_and_ok_when_the_peer_ends():
     predecessor, _ = upgraded()
     unconfirmed = predecessor.call("set-down", "s-1")
     predecessor.pass_time(SECOND)
     assert reply_of(unconfirmed) == "ERR"
-    alone = predecessor.call("set-up", "s-1")
+    pending = predecessor.call("set-up", "s-1")
     predecessor.lose_peer()
-    assert reply_of(alone) == "OK"
+    assert reply_of(pending) == "OK"
     assert predecessor.accepting
 
 
 @pytest.mark.parametrize("name", ["set-down", "drain-on"])
-def test_call_that_is_confirmed_late_is_not_undone_by_a_state_that_was_on_its_way(name):
-    # Found by reading: after half a second the call was answered as done here and forgotten, and
-    # the predecessor's state, older than the call, put the server back into rotation.
+def test_command_that_is_confirmed_late_is_not_undone_by_a_state_in_transit(name):
+    # Half a second after a command the operator is told that it is not confirmed. The process must
+    # still keep it: the predecessor's state, written before the command, would otherwise undo it.
     predecessor = HandoverProcess()
     successor = HandoverProcess(predecessor)
     assert successor.state_is_on_its_way()
     command = (name, "s-0") if name == "set-down" else (name,)
     call = successor.call(*command)
     successor.pass_time(SECOND)
-    assert reply_of(call) == "ERR"  # done here, not confirmed there
+    assert reply_of(call) == "ERR"  # applied here, not confirmed by the predecessor
     successor.exchange_all()
     assert reply_of(call) is None  # no second reply
     for process in (predecessor, successor):
@@ -146,8 +146,8 @@
             assert process.core.lifecycle.drained
 
 
-def upgraded_at_the_second_try() -> tuple[HandoverProcess, HandoverProcess]:
-    """A process and its successor; an earlier successor ended before it accepted clients."""
+def upgraded_at_second_attempt() -> tuple[HandoverProcess, HandoverProcess]:
+    """Return a process and its second successor; the first ended before it accepted clients."""
     predecessor, _ = upgraded()
     predecessor.lose_peer()
     successor = HandoverProcess(predecessor)
@@ -156,32 +156,32 @@
 
 
 def successor_of_a_killed_process() -> HandoverProcess:
-    """A process without s-2, whose predecessor was killed before it was told to stop."""
-    predecessor, successor = upgraded_at_the_second_try()
+    """Return a successor with s-2 out of rotation whose predecessor was killed before its stop."""
+    predecessor, successor = upgraded_at_second_attempt()
     predecessor.call("set-down", "s-2")
     successor.exchange_all()
     successor.lose_peer()
     return successor
 
 
-def test_predecessor_serves_on_if_its_successor_ends_before_it_accepts():
+def test_predecessor_keeps_serving_if_its_successor_ends_before_it_accepts():
     predecessor, _ = upgraded()
     predecessor.lose_peer()
     assert predecessor.accepting
     assert predecessor.core.lifecycle.ready
 
 
-def test_successor_serves_with_all_that_it_confirmed_if_its_predecessor_is_killed():
-    predecessor, successor = upgraded_at_the_second_try()
+def test_successor_serves_with_its_confirmed_commands_if_its_predecessor_is_killed():
+    predecessor, successor = upgraded_at_second_attempt()
     assert predecessor.run_command("set-down", "s-2") is None
     successor.exchange_all()
-    successor.lose_peer()  # the predecessor was not told to stop
+    successor.lose_peer()  # the predecessor was not stopped before
     assert successor.accepting
     assert successor.core.lifecycle.ready
     assert successor.server("s-2").out_of_rotation
 
 
-def test_second_upgrade_right_after_the_first_hands_on_what_it_knew():
+def test_second_upgrade_right_after_the_first_hands_over_the_state():
     second = successor_of_a_killed_process()
     third = HandoverProcess(second)
     third.exchange_all()
@@ -194,7 +194,7 @@
     third.exchange_all()
     second.stop()
     third.exchange_all()
-    second.lose_peer()  # it accepts for as long as it lives
+    second.lose_peer()  # only a live successor accepts in its place
     assert second.accepting
 
 
@@ -208,7 +208,7 @@
         assert third.closed
 
 
-def test_process_drained_by_an_operator_stays_drained_over_an_upgrade():
+def test_process_drained_by_an_operator_stays_drained_after_an_upgrade():
     predecessor = HandoverProcess()
     predecessor.call("drain-on")
     successor = HandoverProcess(predecessor)
@@ -222,7 +222,7 @@
     assert successor.core.lifecycle.ready
 
 
-def test_predecessor_keeps_nothing_of_a_slow_start_budget():
+def test_predecessor_keeps_no_slow_start_budget_after_the_handover():
     predecessor = HandoverProcess()
     warming_up = predecessor.server("s-0")
     warming_up.started_at = predecessor.now
@@ -237,19 +237,19 @@
 
 
 def states(process: CoreHarness) -> tuple[ServerState, ServerState]:
-    """States of the first two servers."""
+    """Return the states of s-0 and s-1."""
     return process.server("s-0").state, process.server("s-1").state
 
 
 @pytest.mark.parametrize(
-    "successors_version, expected",
+    "successor_version, expected",
     [
         (4, (ServerState.GONE, ServerState.DRAINING)),
         (6, (ServerState.READY, ServerState.READY)),
     ],
-    ids=["older list", "later list"],
+    ids=["older list", "newer list"],
 )
-def test_later_of_the_two_lists_counts(successors_version, expected):
+def test_newer_of_the_two_endpoint_lists_is_used(successor_version, expected):
     predecessor = HandoverProcess()
     predecessor.update_endpoints(
         listed("s-0", lifecycle="terminated"),
@@ -258,6 +258,6 @@
     )
     predecessor.process_drivers.list_version = 5
     successor = HandoverProcess(predecessor)
-    successor.process_drivers.list_version = successors_version
+    successor.process_drivers.list_version = successor_version
     successor.exchange_all()
     assert states(successor) == expected
--- a/tests/net/test_handover_rules.py
+++ b/tests/net/test_handover_rules.py
@@ -1,4 +1,4 @@
-"""Two processes of one balancer under seeded random events: the rules hold over both together."""
+"""The rules, checked over two processes of one balancer together, under seeded random events."""
 
 from core_helpers import SEEDED
 from handover_helpers import HandoverProcess
@@ -10,49 +10,49 @@
 from cypresswalk.net.parsers.endpoint_list import server_number
 
 SOCKETS = 140  # of each process
-MAX_SESSIONS = 60  # that the machine opens at a process
-INDEX = st.integers(0, 99)  # chooses one of some things, by the remainder
+MAX_SESSIONS = 60  # opened by this test at a process
+INDEX = st.integers(0, 99)  # selects an element of a list, modulo its length
 
 
 class HandoverRules(RuleBasedStateMachine):
-    """Any order of events at both processes, with messages that are late by any number."""
+    """Events at both processes in any order, with any number of messages still in transit."""
 
     @initialize()
     def start(self):
-        """One process serves."""
+        """Start one process, which serves."""
         self.first = HandoverProcess(sockets=SOCKETS)
         self.second: HandoverProcess | None = None
         self.flow_count = 0
-        self.out_of_rotation: set[int] = set()  # as operators were told
+        self.out_of_rotation: set[int] = set()  # according to the replies to operators
 
     def running(self) -> list[HandoverProcess]:
-        """The processes that have not stopped."""
+        """Return the processes that have not stopped."""
         started = [process for process in (self.first, self.second) if process is not None]
         return [process for process in started if not process.core.lifecycle.stopped]
 
     @rule()
     def upgrade(self):
-        """The second process starts."""
+        """Start the second process."""
         if self.second is None:
             self.second = HandoverProcess(self.first, sockets=SOCKETS)
 
     @precondition(lambda self: self.second)
-    @rule(most=st.integers(1, 9), to_first=st.booleans())
-    def deliver(self, most, to_first):
-        """Some messages arrive."""
+    @rule(count=st.integers(1, 9), to_first=st.booleans())
+    def deliver(self, count, to_first):
+        """Deliver up to `count` messages in one direction."""
         channel = self.second.channel if to_first else self.second.channel.reverse
-        channel.deliver(most)
+        channel.deliver(count)
 
     @precondition(lambda self: self.second)
     @rule()
     def stop(self):
-        """The first process is stopped, as an operator does: once the second is ready."""
+        """Stop the first process if the second is ready, as an operator does."""
         if self.second.run_command("check") == "OK":
             self.first.stop()
 
     @rule(kind=st.sampled_from(["view", "book"]))
     def open(self, kind):
-        """A client opens a flow at a process that accepts clients."""
+        """Open a flow at a process that accepts clients."""
         for process in self.running():
             if process.accepting and len(process.core.sessions) < MAX_SESSIONS:
                 self.flow_count += 1
@@ -64,7 +64,7 @@
         outcome=st.sampled_from([None, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED]),
     )
     def end_attempt(self, which, outcome):
-        """An attempt of each process is accepted (None) or fails."""
+        """Have one attempt of each process be established (None) or fail."""
         for process in self.running():
             attempts = list(process.drivers.pending.values())
             if not attempts:
@@ -78,7 +78,7 @@
 
     @rule(down=st.booleans(), server=st.integers(0, 2), which=st.integers(0, 1))
     def call(self, down, server, which):
-        """An operator takes a server out of rotation, or puts it back, at one of the processes."""
+        """Have an operator take a server out of rotation or put it back, at one process."""
         running = self.running()
         process = running[which % len(running)]
         command = process.call("set-down" if down else "set-up", f"s-{server}")
@@ -91,27 +91,29 @@
 
     @rule(tenths=st.integers(0, 10))
     def wait(self, tenths):
-        """Time passes."""
+        """Let time pass."""
         for process in self.running():
             process.pass_time(tenths * SECOND // 10)
 
-    def knows_the_state(self, process: HandoverProcess) -> bool:
-        """Whether the process is the first, or has read the first one's whole state."""
+    def has_state(self, process: HandoverProcess) -> bool:
+        """Return whether the process is the first one or has received its whole state."""
         return process is self.first or process.handover.state_received
 
     @rule()
     def check(self):
-        """What operators were told holds; all are answered in time; one process accepts clients."""
+        """Check that commands hold, flows are answered in time, and one process accepts clients."""
         for process in self.running():
-            if self.knows_the_state(process):
+            if self.has_state(process):
                 assert process.out_of_rotation() == self.out_of_rotation
             process.assert_all_answered_in_time()
         if self.second is not None and not self.second.has_messages():
             accepting = [process.accepting for process in self.running()]
-            assert accepting.count(True) == 1, "not one process accepts clients"
+            assert accepting.count(True) == 1, (
+                "the number of processes that accept clients is not one"
+            )
 
     def teardown(self):
-        """In the end all messages arrive, and an upgrade that was begun is completed."""
+        """Deliver all messages, complete an upgrade that was begun, and check once more."""
         if hasattr(self, "first"):
             if self.second is not None:
                 self.second.exchange_all()
--- a/tests/net/test_handover_state.py
+++ b/tests/net/test_handover_state.py
@@ -1,4 +1,4 @@
-"""What a process hands over: nothing of a malformed state is believed."""
+"""Decoding of the state that a process hands over: a malformed state is refused as a whole."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def decode(messages: dict[str, Any]) -> PredecessorState:
-    """What a successor reads in the messages."""
+    """Return the state that a successor decodes from the messages."""
     receiver = StateReceiver(messages["state"])
     receiver.add({"servers": messages["servers"]})
     receiver.add({"ids": messages["ids"]})
@@ -20,22 +20,22 @@
 
 @pytest.fixture
 def messages() -> dict[str, Any]:
-    """All messages of a process that serves three servers, by name."""
+    """Return all messages of the state of a process with three servers, by name."""
     process = HandoverProcess()
     process.establish(3)
-    together: dict[str, Any] = {}
+    merged: dict[str, Any] = {}
     for message in state_messages(process.now, process.core, process.process_drivers):
-        together |= message
-    return together
+        merged |= message
+    return merged
 
 
-def test_unknown_fields_of_a_later_version_are_passed_over(messages):
+def test_unknown_fields_of_a_later_version_are_ignored(messages):
     messages["servers"][0]["a later field"] = 1
     assert len(decode(messages).servers) == 3
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda m: m["state"].pop("now"),
         lambda m: m["state"].update(version="x"),
@@ -50,8 +50,8 @@
         lambda m: m["servers"][0].pop("name"),
     ],
 )
-def test_state_that_is_malformed_anywhere_is_refused(messages, spoil: Callable[[Any], object]):
+def test_state_that_is_malformed_anywhere_is_refused(messages, corrupt: Callable[[Any], object]):
     assert len(decode(messages).servers) == 3
-    spoil(messages)
+    corrupt(messages)
     with pytest.raises(ProtocolError):
         decode(messages)
--- a/tests/net/test_operator_commands.py
+++ b/tests/net/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' calls at the core: servers out of rotation, drains, metrics."""
+"""Operators' commands at the core: servers out of rotation, drains, metrics."""
 
 import json
 
@@ -13,22 +13,22 @@
 
 
 def pass_health_checks(harness: CoreHarness) -> None:
-    """Every health check that is out passes."""
+    """Let every outstanding health check pass."""
     for server in list(harness.drivers.health_checks):
         harness.drivers.health_checks.remove(server)
         harness.deliver(harness.core.on_health_check_result, server, True, [])
 
 
-def test_call_that_its_caller_gave_up_has_no_effect():
+def test_command_that_its_caller_gave_up_has_no_effect():
     harness = CoreHarness()
-    call = AdminCommand("drain-on")
-    assert call.wait_for_reply(1) is None
-    harness.deliver(harness.core.commands.on_command, call)
+    command = AdminCommand("drain-on")
+    assert command.wait_for_reply(1) is None
+    harness.deliver(harness.core.commands.on_command, command)
     assert harness.core.lifecycle.ready
-    assert call.answers.empty()
+    assert command.answers.empty()
 
 
-def test_server_out_of_rotation_gets_nothing_whatever_the_list_says_until_it_returns():
+def test_server_out_of_rotation_gets_no_flows_until_it_returns_whatever_the_list_says():
     harness = CoreHarness(servers=3)
     server = harness.server("s-1")
     assert harness.run_command("set-down", "s-9") == "ERR"
@@ -47,12 +47,14 @@
         harness.pass_time(SECOND)
     assert harness.run_command("set-up", "s-1") == "OK"
     harness.pass_time(SECOND // 10)
-    assert server in harness.drivers.health_checks  # at once, not when its turn comes
+    assert (
+        server in harness.drivers.health_checks
+    )  # at once, without waiting for the next regular check
     harness.deliver(harness.core.on_health_check_result, server, True, [])
     assert harness.establish(1, first=100)[0].server is server
 
 
-def test_with_all_servers_out_of_rotation_flows_are_rejected_and_it_is_not_ready():
+def test_balancer_with_all_servers_out_of_rotation_rejects_flows_and_is_not_ready():
     harness = CoreHarness(servers=2)
     assert {harness.run_command("set-down", f"s-{i}") for i in range(2)} == {"OK"}
     assert harness.run_command("check") == "ERR"
@@ -62,8 +64,8 @@
     assert harness.run_command("check") == "OK"
 
 
-def test_attempt_that_still_dials_is_recalled_and_its_flow_goes_elsewhere():
-    # Otherwise a first line would go out after the operator's OK.
+def test_attempt_that_is_still_connecting_is_cancelled_and_its_flow_goes_elsewhere():
+    # Otherwise the server would get a first line after the operator's OK.
     harness = CoreHarness(servers=3)
     sessions = [harness.open(number) for number in range(6)]
     attempts = [harness.drivers.pending[session] for session in sessions]
@@ -78,7 +80,7 @@
     assert not server.consecutive_failures
 
 
-def test_drained_process_migrates_all_well_before_four_seconds_and_serves_again_when_called():
+def test_drained_process_migrates_all_well_within_four_seconds_and_serves_after_drain_off():
     harness = CoreHarness()
     harness.establish(10)
     assert harness.run_command("drain-on") == "OK"
@@ -86,9 +88,11 @@
     assert harness.run_command("check") == "ERR"
     harness.pass_time(SECOND * 3 // 10)
     assert not harness.drivers.migrated
-    # The edge load balancer has not heard that it is not ready.
+    # The edge load balancer does not know yet that the process is not ready.
     assert harness.establish(1, first=10)
-    assert harness.run_command("drain-on") == "OK"  # again, and it ends no later for that
+    assert (
+        harness.run_command("drain-on") == "OK"
+    )  # repeated, which does not delay the end of the drain
     harness.pass_time(SECOND * 6 // 10)
     assert 0 < len(harness.drivers.migrated) < 9
     harness.pass_time(SECOND * 22 // 10)
@@ -103,7 +107,7 @@
     assert len(harness.drivers.migrated) == 11
 
 
-def test_drain_taken_back_in_the_middle_migrates_no_more_and_a_stop_overrides_a_drain():
+def test_drain_ended_midway_migrates_no_more_and_a_stop_overrides_a_drain():
     harness = CoreHarness()
     harness.establish(10)
     harness.run_command("drain-on")
@@ -121,7 +125,7 @@
     assert harness.core.lifecycle.stopped
 
 
-def test_each_connection_counts_once_under_its_end_and_types_without_any_count_zero():
+def test_each_connection_is_counted_once_by_outcome_and_unused_types_count_zero():
     harness = CoreHarness(servers=2)
     attempts = harness.establish(3)
     harness.deliver(harness.core.on_attempt_ended, attempts[0], Outcome.OK)
--- a/tests/parser_helpers.py
+++ b/tests/parser_helpers.py
@@ -1,16 +1,16 @@
-"""What tests of parsers share: data that arrives in pieces of any size."""
+"""Helpers for parser tests: data that arrives in pieces of any size."""
 
 from collections.abc import Iterator, Sequence
 
 from hypothesis import strategies as st
 
-CUTS = st.lists(st.integers(1, 9), min_size=1, max_size=60)  # sizes of pieces
+PIECE_SIZES = st.lists(st.integers(1, 9), min_size=1, max_size=60)  # bytes
 
 
-def pieces(data: bytes, cuts: Sequence[int]) -> Iterator[bytes]:
-    """The data as it may arrive: in pieces of these sizes, over and over."""
+def pieces(data: bytes, sizes: Sequence[int]) -> Iterator[bytes]:
+    """Yield the data in pieces of these sizes, repeating the sizes as needed."""
     at = 0
     while at < len(data):
-        for cut in cuts:
-            yield data[at : at + cut]
-            at += cut
+        for size in sizes:
+            yield data[at : at + size]
+            at += size
