--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -37,8 +37,8 @@
             carry none.
         gossip_listen: Address at which gossip is received; None without gossip.
         gossip_target: Address to which gossip is sent; None without gossip.
-        admin_address: Address at which operators connect; None turns off all that operators may ask
-            for.
+        admin_address: Address at which operators connect; None disables everything that operators
+            may ask for.
     """
 
     path: str
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -149,7 +149,7 @@
 
 
 def encode_sum(decaying: DecayingSum) -> list[float]:
-    """Return a decaying sum's total and the time of its last update."""
+    """Return a decaying sum's total and the time of its last update, nanoseconds."""
     return [decaying.total, decaying.updated_at]
 
 
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -32,7 +32,10 @@
         counters: Counters,
         cancel_unsent_attempts: Callable[[int, Callable[[Server], bool]], None],
     ):
-        """Create it; `cancel_unsent_attempts` moves attempts that sent nothing to other servers."""
+        """Create the executor of commands.
+
+        `cancel_unsent_attempts` moves attempts that have sent nothing yet to other servers.
+        """
         self.balancer = balancer
         self.endpoints = endpoints
         self.lifecycle = lifecycle
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -34,7 +34,7 @@
         extensions: Extensions,
         requests: RequestHandler,
     ):
-        """Create it; `requests` is the core."""
+        """Create the handler of resumed sessions; `requests` is the core."""
         self.balancer = balancer
         self.limits = limits
         self.timers = timers
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -209,9 +209,9 @@
 
 
 def test_update_budget_covers_silence_and_any_failed_call():
-    # First case: discovery stops sending right after a heartbeat. After the silence timeout one call
-    # without a pause gets the change. Second case: a call begins just before discovery is reachable
-    # again. That call's timeout, the longest pause and one more call must fit.
+    # First case: discovery stops sending right after a heartbeat. After the silence timeout, one
+    # call without a pause gets the change. Second case: a call begins just before discovery is
+    # reachable again. That call's timeout, the longest pause and one more call must fit.
     assert (
         DRIVER_LIMITS.list_silence_timeout + DRIVER_LIMITS.list_call_timeout
         <= DRIVER_LIMITS.list_update_budget
--- a/tests/net/test_operator_commands.py
+++ b/tests/net/test_operator_commands.py
@@ -47,9 +47,7 @@
         harness.pass_time(SECOND)
     assert harness.run_command("set-up", "s-1") == "OK"
     harness.pass_time(SECOND // 10)
-    assert (
-        server in harness.drivers.health_checks
-    )  # at once, without waiting for the next regular check
+    assert server in harness.drivers.health_checks  # without waiting for the next regular check
     harness.deliver(harness.core.on_health_check_result, server, True, [])
     assert harness.establish(1, first=100)[0].server is server
 
