--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -37,7 +37,8 @@
         self.limits = limits
         self.sock = socket.create_server(address, backlog=limits.accept_backlog)
         self._lock = Lock()  # guards the two below
-        self._awaiting_line: dict[Connection, None] = {}  # callers without a whole line, by age
+        # Callers without a complete line, the oldest first.
+        self._awaiting_line: dict[Connection, None] = {}
         self._callers = 0  # number of connected callers
 
     def run(self) -> None:
@@ -62,7 +63,7 @@
             sock.close()
 
     def _evict_oldest(self) -> None:
-        """End the oldest caller without a whole line if there are too many callers."""
+        """End the oldest caller without a complete line if there are too many callers."""
         with self._lock:
             evicted = None
             if self._callers > self.limits.max_admin_connections:
@@ -109,7 +110,7 @@
         """Return the command, or None if the caller disconnected without sending anything.
 
         Raises:
-            ProtocolError: no whole line arrived in time, or it is not a command.
+            ProtocolError: no complete line arrived in time, or it is not a command.
             OSError: the connection broke.
         """
         parser = AdminCommandParser(self.limits.max_line_bytes)
--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -127,7 +127,7 @@
 
     Raises:
         ConfigError: An address is malformed.
-        SettingsError: The settings lack something or hold something malformed.
+        SettingsError: The settings lack a field or have a malformed one.
         KeyError: A field is missing.
         TypeError, ValueError, AttributeError: A field is malformed.
     """
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -1,7 +1,7 @@
 """Handover between two processes of one balancer: which one serves, and what they exchange.
 
 This module does no I/O. The predecessor serves until it is stopped. It then sends the successor its
-whole state, asks it to accept new clients, and goes on serving the clients that it has accepted.
+whole state, asks it to accept new clients, and keeps serving the clients that it has accepted.
 Both accept from one listening socket, whose descriptor the predecessor passes on, so that no client
 waits at a socket from which no process accepts (as in Facebook's Socket Takeover, "Zero Downtime
 Release", SIGCOMM 2020). An operator's command takes effect in both before its OK is sent. If either
@@ -108,7 +108,7 @@
     def hand_over(self, now: int) -> None:
         """Have the successor accept clients, and leave it the rest of the budgets.
 
-        This process goes on accepting until the successor confirms that it accepts.
+        This process keeps accepting until the successor confirms that it accepts.
         """
         if self.peer is not None and not self.is_successor:
             self.send_state(now, self.peer)
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -299,7 +299,7 @@
 def apply_server(now: int, offset: int, own: Server, received: ReceivedServer) -> None:
     """Apply the predecessor's values of a server, unless the server has started again since."""
     values = received.values
-    # An operator's command holds even if this process knows a newer start of the server.
+    # An operator's command applies even if the server has started again since.
     own.out_of_rotation = bool(values.get("barred", False))
     own.out_of_rotation_since = int(values.get("barred_at", 0)) + offset
     if own.started_at != received.server.started_at:
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -119,8 +119,8 @@
     def _set_drained(self, now: int, drained: bool, forwarded: bool) -> str | None:
         lifecycle = self.lifecycle
         if lifecycle.phase is Phase.LEAVING:
-            holds = forwarded or self.extensions.has_other_process()
-            return None if holds else "this process is leaving"
+            applied = forwarded or self.extensions.has_other_process()
+            return None if applied else "this process is leaving"
         if lifecycle.phase is Phase.STARTING:
             lifecycle.drained = drained
         elif drained:
--- a/cypresswalk/net/parsers/http.py
+++ b/cypresswalk/net/parsers/http.py
@@ -10,7 +10,7 @@
 
 
 class ParseState(Enum):
-    """What the next bytes of a response belong to."""
+    """The part of a response to which the next bytes belong."""
 
     HEADERS = auto()
     CHUNK_SIZE = auto()
