--- a/cypresswalk/rollout/__init__.py
+++ b/cypresswalk/rollout/__init__.py
@@ -1,8 +1,9 @@
-"""Rolling releases: how many members may be unavailable at once, and how versions are changed.
+"""Rolling releases: limits on unavailable members, and version changes wave by wave.
 
-`bounds` says how many balancers and servers may be out at once, `release` how far a release is,
-`evidence` whether changed members serve as well as the others, `plan` reads the file a release
-starts from. `balancer_agent` and `server_agent` decide what the agent on a machine does
-(`change_agent` holds what they share, `actions` what they ask for); `agent_host` carries that out
-and is the only module here with I/O.
+`bounds` computes how many balancers and servers may be out at once, `release` tracks the progress
+of a release, `evidence` compares changed members with the others, and `plan` reads the file that
+describes a release. `balancer_agent` and `server_agent` contain the logic of the agent on each
+machine (`change_agent` is their base class, `actions` defines the actions that they yield).
+`agent_host` executes these actions and is the only module here with I/O apart from `plan`, which
+reads a file.
 """
--- a/cypresswalk/rollout/actions.py
+++ b/cypresswalk/rollout/actions.py
@@ -1,7 +1,7 @@
-"""What an agent asks its host to do, and what it gets as a result.
+"""Actions that an agent asks its host to execute, and their results.
 
-An agent is a generator: it yields one of these actions and is sent the result. `agent_host` carries
-actions out on a real machine, `lab/cluster/simulation/agent_runner.py` in virtual time.
+An agent is a generator: it yields one of these actions and is sent the result. `agent_host`
+executes actions on a real machine, `lab/cluster/simulation/agent_runner.py` in virtual time.
 """
 
 from collections.abc import Generator
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveState:
-    """Writes the agent's state to disk and flushes it. Result: None."""
+    """Write the agent's state to disk and flush it. Result: None."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartProcess:
-    """Starts a process of a version, to be called at `admin`. Result: StartResult."""
+    """Start a process of a version that listens at the address `admin`. Result: StartResult."""
 
     version: str
     admin: str
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class FindStartedProcess:
-    """Looks for the process started last. Result: its id if it runs and is not `known`, else 0."""
+    """Find the process started last. Result: its id if it runs and is not `known`, else 0."""
 
     known: int
 
 
 @dataclass(frozen=True, slots=True)
 class IsRunning:
-    """Result: whether that process runs, a bool."""
+    """Check a process. Result: whether it runs, a bool."""
 
     pid: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndProcess:
-    """Kills a process if `hard`, else asks it to leave. Result: None."""
+    """Kill a process if `hard`, else ask it to shut down. Result: None."""
 
     pid: int
     hard: bool
@@ -46,19 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckReady:
-    """Calls the process at an address. Result: why it is not ready, or an empty string."""
+    """Call the process at an address. Result: why it is not ready, or an empty string."""
 
     admin: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallFleet:
-    """Calls any balancer of the fleet. Result: CallResult.
+    """Call any balancer of the fleet. Result: CallResult.
 
     Attributes:
-        name: of the call.
-        args: its arguments.
-        ident: of a command, which is carried out once however often it is sent; empty for a query.
+        name: name of the call.
+        args: arguments of the call.
+        ident: id of a command, which takes effect once however often it is sent; empty for a query.
     """
 
     name: str
@@ -68,30 +68,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawToken:
-    """Result: a text that nobody else has."""
+    """Generate a token. Result: a unique string."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sleep:
-    """Waits. Result: None."""
+    """Wait. Result: None."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class ReadClock:
-    """Result: seconds, a float, on a clock that goes on while the machine sleeps."""
+    """Read a clock that also advances while the machine sleeps. Result: seconds, a float."""
 
 
 class StartResult(NamedTuple):
-    """A new process's id and an empty string, or 0 and why it was not started."""
+    """The id of a new process and an empty string, or 0 and why it was not started."""
 
     pid: int
     error: str
 
 
 class CallResult(NamedTuple):
-    """Whether a call was carried out, and the body of its answer."""
+    """Whether a call succeeded, and the body of its answer."""
 
     ok: bool
     body: Any
--- a/cypresswalk/rollout/agent_host.py
+++ b/cypresswalk/rollout/agent_host.py
@@ -1,6 +1,6 @@
-"""Carries out on a real machine what an agent asks for: processes, its file, calls.
+"""Executes an agent's actions on a real machine: processes, the state file, calls to the fleet.
 
-A version is a folder that is there already; nothing is fetched.
+A version is a folder that already exists on the machine; nothing is downloaded.
 """
 
 import json
@@ -37,20 +37,20 @@
 
 log = logging.getLogger(__name__)
 STATE_FILE = "agent.json"
-STARTED_FILE = "started"  # the id of the process started last
+STARTED_FILE = "started"  # holds the id of the process started last
 OUTPUT_FILE = "balancer.log"
-CHECK_TIMEOUT = 1  # seconds, to connect and for each read
+CHECK_TIMEOUT = 1  # seconds, for connecting and for each read
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessCheck:
-    """The line that is sent to a process, and the answer of one that is ready."""
+    """The request line of a readiness check, and the answer of a ready process."""
 
     request: bytes
     expected: str
 
     def error(self, address: str) -> str:
-        """Why the process at HOST:PORT is not ready, or an empty string."""
+        """Return why the process at HOST:PORT is not ready, or an empty string."""
         host, _, port = address.rpartition(":")
         try:
             with socket.create_connection((host, int(port)), timeout=CHECK_TIMEOUT) as sock:
@@ -69,15 +69,18 @@
 
 
 class StateFile:
-    """The file in which an agent's state stands."""
+    """The file that holds an agent's state."""
 
     def __init__(self, folder: Path):
-        """Makes the folder if it is not there. Raises OSError."""
+        """Create the folder if it does not exist. Raise OSError if that fails."""
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / STATE_FILE
 
     def load(self) -> AgentState:
-        """The state saved last, or a new one. Raises CommandError if the file can't be read."""
+        """Return the state saved last, or a new one.
+
+        Raise CommandError if the file can't be read.
+        """
         try:
             return AgentState.from_json(json.loads(self.path.read_text()))
         except FileNotFoundError:
@@ -86,7 +89,7 @@
             raise CommandError(f"{self.path}: {error}") from error
 
     def save(self, state: AgentState) -> None:
-        """Replaces the file in one step, flushed to disk. Raises OSError."""
+        """Replace the file atomically, flushed to disk. Raise OSError if that fails."""
         temporary = self.path.with_name(STATE_FILE + ".next")
         with open(temporary, "w") as file:
             json.dump(state.to_json(), file)
@@ -96,15 +99,15 @@
 
 
 class VersionProcesses:
-    """Starts processes of versions and tells which of them run."""
+    """Starts and stops the processes of one member and checks whether they run."""
 
     def __init__(self, root: Path, folder: Path, command: list[str]):
-        """Prepares to start processes.
+        """Start no process yet.
 
         Args:
-            root: where versions are, a folder each.
-            folder: where the processes' output and the id of the last one are written.
-            command: what is run in a version's folder, with this process's environment.
+            root: the folder that contains a folder for each version.
+            folder: the folder for the processes' output and the id of the one started last.
+            command: the command to run in a version's folder, with this process's environment.
         """
         self.root = root
         self.folder = folder
@@ -112,14 +115,17 @@
         self.children: dict[int, subprocess.Popen[bytes]] = {}
 
     def start(self, version: str, admin: str) -> int:
-        """Starts a version that is to be called at `admin`; its process id. Raises OSError."""
+        """Start a version with the admin address `admin` and return its process id.
+
+        Raise OSError if that fails.
+        """
         tree = (self.root / version).resolve(strict=True)
         with (
             open(self.folder / OUTPUT_FILE, "ab") as out,
             open(self.folder / STARTED_FILE, "wb", buffering=0) as started,
         ):
-            # The child writes its id before it runs the command: an agent that dies before it knows
-            # the id finds it there, and no second process is started.
+            # The child writes its id before it runs the command. If the agent dies before it has
+            # saved the id, the next agent finds it there and starts no second process.
             child = subprocess.Popen(
                 self.command,
                 cwd=tree,
@@ -135,33 +141,34 @@
         return child.pid
 
     def find_started(self, known: int) -> int:
-        """The id of the process started last, if it runs and is not `known`; else 0."""
+        """Return the id of the process started last if it runs and is not `known`, else 0."""
         try:
             pid = int((self.folder / STARTED_FILE).read_text() or 0)
         except (OSError, ValueError):
             return 0
-        return pid if pid != known and self.runs(pid) else 0
+        return pid if pid != known and self.is_running(pid) else 0
 
-    def runs(self, pid: int) -> bool:
-        """Whether a process runs that this agent, or one before it, has started."""
+    def is_running(self, pid: int) -> bool:
+        """Return whether the process runs and was started by this agent or an earlier one."""
         child = self.children.get(pid)
         if child is not None:
             return child.poll() is None
-        # An earlier agent's. The id may be another program's by now: its command line tells.
+        # Started by an earlier agent. Another program may have the id by now, so the command line
+        # is compared.
         try:
             command_line = Path(f"/proc/{pid}/cmdline")
             return pid > 0 and self.command[-1].encode() in command_line.read_bytes()
         except OSError:
             return False
 
-    def end(self, pid: int, hard: bool) -> None:
-        """Kills a process if `hard`, else asks it to leave; nothing if it does not run."""
-        if self.runs(pid):
+    def stop(self, pid: int, hard: bool) -> None:
+        """Kill a process if `hard`, else ask it to shut down; do nothing if it does not run."""
+        if self.is_running(pid):
             os.kill(pid, signal.SIGKILL if hard else signal.SIGTERM)
 
 
 class AgentHost:
-    """Runs one agent until it is told to stop."""
+    """Runs one agent until `stopped` is set."""
 
     def __init__(
         self,
@@ -171,14 +178,15 @@
         check: ReadinessCheck,
         call_fleet: Callable[[CallFleet], CallResult],
     ):
-        """Takes an agent and what it needs.
+        """Prepare to run an agent.
 
         Args:
-            agent: goes on from the state that it was given.
-            state_file: where that is saved.
-            processes: of its member.
-            check: what its member's processes answer.
-            call_fleet: calls any balancer of the fleet; raises nothing where that fails.
+            agent: the agent, already restored from its saved state.
+            state_file: the file in which its state is saved.
+            processes: the processes of its member.
+            check: the readiness check of its member's processes.
+            call_fleet: a function that calls any balancer of the fleet; a failed call returns a
+                result with the reason instead of raising.
         """
         self.agent = agent
         self.state_file = state_file
@@ -188,17 +196,20 @@
         self.stopped = False
 
     def run(self) -> None:
-        """Carries out one action after the other until `stopped` is set. Raises OSError."""
+        """Execute one action after the other until `stopped` is set.
+
+        Raise OSError if the state can't be saved.
+        """
         work = self.agent.run()
         result = None
         while not self.stopped:
-            result = self.carry_out(work.send(result))
+            result = self.execute(work.send(result))
 
-    def carry_out(self, action: Action) -> Any:
-        """Carries out an action; its result as the action's class states it."""
+    def execute(self, action: Action) -> Any:
+        """Execute an action and return the result that its class documents."""
         match action:
             case StartProcess() | FindStartedProcess() | IsRunning() | EndProcess():
-                return self.carry_out_on_process(action)
+                return self.execute_on_process(action)
             case SaveState():
                 self.state_file.save(self.agent.state)
             case CheckReady(admin=admin):
@@ -215,10 +226,10 @@
                 assert_never(action)
         return None
 
-    def carry_out_on_process(
+    def execute_on_process(
         self, action: StartProcess | FindStartedProcess | IsRunning | EndProcess
     ) -> Any:
-        """Carries out an action on the member's processes."""
+        """Execute an action on the member's processes and return its result."""
         match action:
             case StartProcess(version=version, admin=admin):
                 try:
@@ -228,7 +239,7 @@
             case FindStartedProcess(known=known):
                 return self.processes.find_started(known)
             case IsRunning(pid=pid):
-                return self.processes.runs(pid)
+                return self.processes.is_running(pid)
             case EndProcess(pid=pid, hard=hard):
-                self.processes.end(pid, hard)
+                self.processes.stop(pid, hard)
         return None
--- a/cypresswalk/rollout/agent_state.py
+++ b/cypresswalk/rollout/agent_state.py
@@ -1,4 +1,4 @@
-"""What an agent is doing, as it stands in `agent.json`, and what the fleet says of its turn."""
+"""An agent's state, as saved in `agent.json`, and the fleet's answer about its member's turn."""
 
 from dataclasses import dataclass, fields
 from enum import StrEnum
@@ -16,38 +16,44 @@
 
 
 class AgentStep(StrEnum):
-    """The step an agent is at; the values stand in `agent.json`."""
+    """The step an agent is at; the values are written to `agent.json`."""
 
     IDLE = ""
-    REPORTING = "told"  # the change is over, the fleet is told
-    # Of a balancer's agent.
-    STARTING_NEW = "beside"  # beside the old process
+    REPORTING = "told"  # the change is over and is being reported to the fleet
+    # Steps of a balancer's agent.
+    STARTING_NEW = "beside"  # while the old process still runs
     STOPPING_OLD = "leaving"
-    # Of a server's agent.
+    # Steps of a server's agent.
     DRAINING = "emptying"
     REPLACING = "starting"
     RESTORING = "undoing"
 
     @classmethod
     def _missing_(cls, value: object) -> "AgentStep":
-        """A step of another version of the agent counts as IDLE: what runs is kept running."""
+        """Treat an unknown step, written by another agent version, as IDLE.
+
+        The agent then keeps the current version running.
+        """
         return cls.IDLE
 
 
 @dataclass(slots=True)
 class AgentState:
-    """What an agent runs and is doing; saved before it is done, so that a new agent goes on.
+    """What an agent runs and which step it is at.
+
+    Saved before each step is taken, so that a restarted agent can continue.
 
     Attributes:
-        version: that runs as process `pid`, is called at `admin`.
-        pid: 0 where none runs.
-        admin: HOST:PORT.
-        target_version: what it is being changed to; empty while it is not changed.
-        new_pid: the process of that version, 0 where there is none yet.
-        step: where the change is.
-        reason: why the change failed, empty while nothing has.
-        change_id: identifies the change to the fleet.
-        failed: neither version of a server answers.
+        version: the version that runs.
+        pid: id of its process, 0 if none runs.
+        admin: HOST:PORT of its process.
+        target_version: the version that the member is being changed to; empty if there is no change
+            under way.
+        new_pid: id of the process of `target_version`, 0 if there is none yet.
+        step: the current step of the change.
+        reason: why the change failed; empty if it has not failed.
+        change_id: id of the change, sent to the fleet.
+        failed: whether neither version of a server answers.
     """
 
     version: str = ""
@@ -61,13 +67,16 @@
     failed: bool = False
 
     def to_json(self) -> dict[str, Any]:
-        """The object that stands in `agent.json`."""
+        """Return the JSON object that is written to `agent.json`."""
         names = (field.name for field in fields(self))
         return {FILE_KEYS.get(name, name): getattr(self, name) for name in names}
 
     @classmethod
     def from_json(cls, data: dict[str, Any]) -> "AgentState":
-        """Reads the object of `agent.json`; what it lacks has its default. Raises TypeError."""
+        """Read the JSON object of `agent.json`; missing keys get their defaults.
+
+        Raise TypeError for an unknown key.
+        """
         names = {key: name for name, key in FILE_KEYS.items()}
         state = cls(**{names.get(key, key): value for key, value in data.items()})
         state.step = AgentStep(state.step)
@@ -76,19 +85,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """What the fleet answers an agent that asks whether its member is to be changed.
+    """The fleet's answer to an agent that asks whether its member is to be changed.
 
     Attributes:
-        status: a ChangeStatus, or empty where no release names the member.
-        phase: of the release.
+        status: the member's ChangeStatus; empty if no release names the member.
+        phase: phase of the release.
         from_version: the version before the release.
         to_version: the version of the release.
-        halted: a person, or the release itself, has halted the fleet.
-        bound_objection: why the member may not go out now, since others were lost meanwhile, or
-            empty.
-        settled: of a server, whether every balancer acts on its being out.
-        open_flows: of a server, flows that are there still; None if not all balancers have said.
-        drain_timeout_s: of a server, within which they must have left it, seconds.
+        halted: whether an operator, or the release itself, has halted the fleet.
+        bound_objection: why the bounds do not allow the member to go out now, because others were
+            lost meanwhile; empty if they allow it.
+        removal_applied: for a server, whether every balancer has applied its removal from rotation.
+        open_flows: for a server, its remaining flows; None until all balancers have reported.
+        drain_timeout_s: for a server, seconds within which its flows must have ended.
     """
 
     status: str
@@ -97,13 +106,13 @@
     to_version: str = ""
     halted: bool = False
     bound_objection: str = ""
-    settled: bool = False
+    removal_applied: bool = False
     open_flows: int | None = None
     drain_timeout_s: float = 0.0
 
     @classmethod
     def from_body(cls, body: dict[str, Any]) -> "Turn":
-        """Reads the body of the answer to the fleet's call `turn`."""
+        """Read the body of the answer to the fleet's call `turn`."""
         return cls(
             status=body["status"],
             phase=body.get("phase", ""),
@@ -111,19 +120,19 @@
             to_version=body.get("to", ""),
             halted=body.get("halted", False),
             bound_objection=body.get("crowded", ""),
-            settled=body.get("settled", False),
+            removal_applied=body.get("settled", False),
             open_flows=body.get("standing"),
             drain_timeout_s=body.get("empty_s", 0.0),
         )
 
     @property
-    def target(self) -> str:
-        """The version that the agent is to run."""
+    def target_version(self) -> str:
+        """The version that the agent should run."""
         return self.from_version if self.rolling_back else self.to_version
 
     @property
     def rolling_back(self) -> bool:
-        """Whether the release is on its way back."""
+        """Whether the release is being rolled back."""
         return self.phase == Phase.ROLLING_BACK
 
     @property
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -1,12 +1,13 @@
-"""What the agent of a balancer does: the new process is started beside the old one.
+"""The agent of a balancer, which starts the new process while the old one still serves.
 
-The steps, and what ends them early:
+The steps of a change:
 
-    a release names this balancer -> its start is agreed -> a second process beside the first
-    -> that is ready for STEADY_TIME -> the fleet still wants it -> SIGTERM to the first -> the
-    first has ended and the second is still ready -> the new version is reported
+    a release names this balancer -> the fleet agrees to the start -> a second process is started
+    -> it stays ready for STEADY_TIME -> the fleet confirms the change -> SIGTERM to the first
+    process -> the first has ended and the second is still ready -> the new version is reported
 
-    anything else -> the second is killed, the first stays -> the old version is reported, and why
+    on any failure before SIGTERM -> the second process is killed, the first keeps running -> the
+    old version and the reason are reported
 """
 
 import logging
@@ -23,29 +24,35 @@
 from cypresswalk.rollout.change_agent import READY_TIMEOUT, ChangeAgent
 
 log = logging.getLogger(__name__)
-LEAVING_ANSWER = f"ERR {Phase.LEAVING.value}"  # of a balancer that was asked to leave
+SHUTTING_DOWN_ANSWER = f"ERR {Phase.LEAVING.value}"  # of a balancer that is shutting down
 
 
 class BalancerAgent(ChangeAgent):
-    """Runs a balancer; while it is changed, two processes of it stand side by side."""
+    """Runs a balancer; during a change, its old and new process run at the same time."""
 
     first_step = AgentStep.STARTING_NEW
 
-    def __init__(self, member: str, first: str, admins: tuple[str, str], state: AgentState):
-        """Makes an agent; `admins` are the addresses of the two processes."""
-        super().__init__(member, first, admins, state)
+    def __init__(
+        self, member: str, initial_version: str, admin_addresses: tuple[str, str], state: AgentState
+    ):
+        """Create an agent; `admin_addresses` are the addresses of the two processes."""
+        super().__init__(member, initial_version, admin_addresses, state)
         self.steps[AgentStep.STARTING_NEW] = self.start_new
         self.steps[AgentStep.STOPPING_OLD] = self.stop_old
 
     def other_admin(self) -> str:
-        """The address that the running process does not have."""
-        return self.admins[1] if self.state.admin == self.admins[0] else self.admins[0]
+        """Return the admin address that the running process does not use."""
+        return (
+            self.admin_addresses[1]
+            if self.state.admin == self.admin_addresses[0]
+            else self.admin_addresses[0]
+        )
 
     def must_wait(self, turn: Turn) -> Work[bool]:
-        """Waits for a process that was started a moment ago.
+        """Return whether the current process was started recently and is not ready yet.
 
-        A second process beside one that is not listening yet would not find it: both would listen,
-        and the one without a part in the fleet would reject what came to it.
+        A second process could not find one that is not listening yet: both would listen, and the
+        one that is not a member of the fleet would reject its flows.
         """
         if not (yield IsRunning(self.state.pid)):
             return False
@@ -57,7 +64,7 @@
         return now - self.started_at < READY_TIMEOUT
 
     def start_new(self) -> Work[None]:
-        """Starts the new process beside the old one and waits until it is ready."""
+        """Start the new process while the old one runs, and wait until it is ready."""
         state = self.state
         error = ""
         if not (yield IsRunning(state.new_pid)):
@@ -67,20 +74,21 @@
         if error:
             yield from self.give_up(error)
         else:
-            yield from self.enter(AgentStep.STOPPING_OLD)
+            yield from self.enter_step(AgentStep.STOPPING_OLD)
 
     def give_up(self, reason: str) -> Work[None]:
-        """Kills the new process; the old one goes on running."""
+        """Kill the new process and keep the old one running."""
         yield EndProcess(self.state.new_pid, True)
-        yield from self.enter(AgentStep.REPORTING, reason)
+        yield from self.enter_step(AgentStep.REPORTING, reason)
 
     def stop_old(self) -> Work[None]:
-        """Asks the old process to leave, unless it was asked already, and waits for its end."""
+        """Ask the old process to shut down, unless it already was, and wait until it has ended."""
         state = self.state
         if (yield IsRunning(state.pid)):
             answer: str = yield CheckReady(state.admin)
-            if not answer.startswith(LEAVING_ANSWER):
-                # The agent, or its machine, may have slept for long since the change was agreed.
+            if not answer.startswith(SHUTTING_DOWN_ANSWER):
+                # The agent or its machine may have been suspended for long since the change was
+                # agreed.
                 reason = yield from self.confirm_stop()
                 if reason:
                     yield from self.give_up(reason)
@@ -93,9 +101,9 @@
         state.version = state.target_version
         state.pid = state.new_pid
         state.admin = admin
-        yield from self.enter(AgentStep.REPORTING, error)
+        yield from self.enter_step(AgentStep.REPORTING, error)
 
     def running_version(self) -> str:
-        """The version that serves; empty if the new one replaced the old one and is not ready."""
+        """Return the version that serves; empty if the new one has replaced it but is not ready."""
         failed = self.state.reason and self.state.version == self.state.target_version
         return "" if failed else self.state.version
--- a/cypresswalk/rollout/bounds.py
+++ b/cypresswalk/rollout/bounds.py
@@ -1,10 +1,15 @@
-"""How many balancers or servers may be unavailable at once, as the agreed settings state it.
+"""The bounds on how many balancers or servers may be unavailable at once.
+
+The fleet agrees on them as the settings' table `bounds`:
 
     "bounds": {"balancers": {"all": 2, "zone": {"share": 0.34, "least": 1}},
                "servers": {"all": {"share": 0.25}}}
 
-A bound is a number, or a share of the members in its scope, rounded down, with a least number where
-one is stated. Where no bound stands nothing is limited.
+A bound is a number, or a share of the members in its scope, rounded down and at least `least` if
+that is given. A scope without a bound is not limited.
+
+Replicas compute the texts of this module while they apply a command, so two versions must produce
+the same text.
 """
 
 from collections.abc import Collection, Mapping
@@ -13,12 +18,17 @@
 
 KINDS = ("balancers", "servers")
 ALL, ZONE = SCOPES = ("all", "zone")
-MAX_NAMES_LISTED = 8  # members named in a violation's text
-ROUNDING_SLACK = 1e-9  # so that 0.3 of 10 is 3 whatever the float product says
+MAX_NAMES_LISTED = 8  # in a violation's text
+ROUNDING_SLACK = 1e-9  # so that 0.3 of 10 is 3 despite floating-point errors
 
 
 class ShareBound(TypedDict):
-    """A bound stated as a part of the members."""
+    """A bound given as a share of the members.
+
+    Attributes:
+        share: the share of the members in the scope, above 0.0 and at most 1.0.
+        least: the lowest number that the bound may come to.
+    """
 
     share: float
     least: NotRequired[int]
@@ -32,10 +42,10 @@
     """A bound that one more unavailable member would exceed.
 
     Attributes:
-        unavailable: why each member that is out already is out, by name, sorted.
-        total: how many members the scope has.
-        limit: how many of them may be out.
-        zone: the zone of the scope, or None where the scope is all members.
+        unavailable: reasons of the members that are already out, by name, sorted.
+        total: number of members in the scope.
+        limit: number of them that may be out.
+        zone: zone of the scope, or None if the scope is all members.
     """
 
     unavailable: Mapping[str, str]
@@ -44,7 +54,7 @@
     zone: str | None
 
     def __str__(self) -> str:
-        """The text for operators."""
+        """Return the text for operators."""
         where = "" if self.zone is None else f" of zone {self.zone}"
         named = list(self.unavailable.items())[:MAX_NAMES_LISTED]
         listed = ", ".join(f"{name} ({reason})" for name, reason in named)
@@ -57,7 +67,7 @@
 
 
 def objection(bounds: object) -> str:
-    """All errors in a `bounds` table in one line, or an empty string."""
+    """Return all errors in a `bounds` table in one line, or an empty string."""
     if not isinstance(bounds, dict):
         return "bounds: no table"
     errors = [
@@ -70,7 +80,7 @@
 
 
 def scope_errors(kind: str, scopes: object) -> list[str]:
-    """A line for each error in the bounds of balancers or of servers."""
+    """Return a line for each error in the bounds of balancers or of servers."""
     if not isinstance(scopes, dict):
         return [f"bounds.{kind}: no table"]
     unknown = [
@@ -86,7 +96,7 @@
 
 
 def bound_error(bound: object) -> str:
-    """What is wrong with one bound, or an empty string."""
+    """Return what is wrong with one bound, or an empty string."""
     if isinstance(bound, dict):
         return share_error(bound)
     if isinstance(bound, bool) or not isinstance(bound, int) or bound < 1:
@@ -95,7 +105,7 @@
 
 
 def share_error(bound: dict[str, object]) -> str:
-    """What is wrong with a bound stated as a share, or an empty string."""
+    """Return what is wrong with a bound given as a share, or an empty string."""
     share = bound.get("share")
     if (
         set(bound) - {"share", "least"}
@@ -111,7 +121,7 @@
 
 
 def max_unavailable(bound: Bound, total: int) -> int:
-    """How many of `total` members may be out at once."""
+    """Return how many of `total` members may be out at once."""
     if isinstance(bound, dict):
         return max(int(bound["share"] * total + ROUNDING_SLACK), bound.get("least", 0))
     return bound
@@ -125,20 +135,20 @@
     candidate: str,
     heals: bool = False,
 ) -> BoundViolation | None:
-    """The first bound that would be exceeded if `candidate` went out, or None.
+    """Return the first bound that would be exceeded if `candidate` went out, or None.
 
-    Whether the candidate was granted a turn before makes no difference: others may have been lost
-    since.
+    An earlier grant to the candidate makes no difference, since others may have been lost since.
 
     Args:
         scopes: the bounds, by scope (`all`, `zone`).
         zones: the zone of every member, by name.
-        granted: members that may be out by a grant, each with the reason.
-        observed: members that are out for any other cause, each with the reason.
+        granted: reasons of the members that may be out by a grant, by name.
+        observed: reasons of the members that are out for any other cause, by name.
         candidate: the member that is to go out.
-        heals: going out is what repairs the candidate, which is out by itself. Then only grants
-            count: it may come back just before it goes, so it takes a place that can be granted,
-            and none from members that are out by themselves.
+        heals: whether taking out the candidate repairs it, since it is out without a grant. Then
+            only grants count against the bound: the candidate may come back just before it is
+            taken out, so it needs a grant of its own, but other members without a grant do not
+            block its repair.
     """
     candidate_zone = zones.get(candidate, "")
     unavailable = granted if heals else {**observed, **granted}
@@ -166,6 +176,6 @@
     candidate: str,
     heals: bool = False,
 ) -> str:
-    """`find_violation` as the text that is agreed and shown, or an empty string."""
+    """Return the text of `find_violation`'s result, or an empty string."""
     violation = find_violation(scopes, zones, granted, observed, candidate, heals)
     return "" if violation is None else str(violation)
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -1,10 +1,10 @@
-"""What the agents of balancers and of servers share. No I/O, no clock.
+"""Base class of the agents of balancers and of servers. No I/O, no clock.
 
 An agent is a generator that yields actions and is sent their results (`actions`). It keeps one
-version running. Once a release grants its member a turn, it tells the fleet that the change starts,
-makes the change in the steps of its kind, and reports what runs. Each step is saved before it is
-taken, so that an agent that is started anew goes on where the last one stopped; processes do not
-end with their agent.
+version running. Once a release grants its member a turn, it asks the fleet to agree that the change
+starts, makes the change in the steps of its subclass, and reports the version that runs. Each step
+is saved before it is taken, so that a restarted agent continues where the last one stopped. Member
+processes keep running when their agent ends.
 """
 
 import logging
@@ -29,14 +29,15 @@
 
 log = logging.getLogger(__name__)
 # All in seconds.
-STEP_INTERVAL = 0.5  # between two looks at the release
-IDLE_POLL_INTERVAL = 2.0  # while no release names the member: each query costs the leader a round
-CHECK_INTERVAL = 0.05  # between two looks at a process
-READY_TIMEOUT = 20.0  # within which a new process must be ready, and the fleet be asked
+STEP_INTERVAL = 0.5  # between two steps, each of which may query the release
+# Between two queries while no release names the member: each costs the leader a round of messages.
+IDLE_POLL_INTERVAL = 2.0
+CHECK_INTERVAL = 0.05  # between two checks of a process
+READY_TIMEOUT = 20.0  # for a new process to become ready, and for the fleet to confirm a stop
 STEADY_TIME = 1.0  # for which a new process must stay ready
-STOP_TIMEOUT = 15.0  # within which an old process must have ended
-MAX_GRANT_AGE = 2.0  # within which what was agreed is begun, or not at all
-RESTART_DELAY = 2.0  # before a process that ended by itself is started again
+STOP_TIMEOUT = 15.0  # for an old process to end
+MAX_GRANT_AGE = 2.0  # the fleet's agreement is used within this time after the request, or not
+RESTART_DELAY = 2.0  # before a process that ended by itself is restarted
 
 
 class ChangeAgent:
@@ -44,74 +45,76 @@
 
     Attributes:
         member: name of the balancer, or id of the server.
-        state: what the agent is doing; the host saves it on SaveState.
+        state: the agent's state; the host saves it on SaveState.
     """
 
-    first_step: AgentStep  # of a change
+    first_step: AgentStep  # the first step of a change
 
-    def __init__(self, member: str, first: str, admins: tuple[str, str], state: AgentState):
-        """Makes an agent that goes on from a saved state.
+    def __init__(
+        self, member: str, initial_version: str, admin_addresses: tuple[str, str], state: AgentState
+    ):
+        """Create an agent that continues from a saved state.
 
         Args:
             member: name of the balancer, or id of the server.
-            first: the version to run if it has run none yet.
-            admins: HOST:PORT at which a process is called, one for each of two side by side.
-            state: as it was saved last.
+            initial_version: the version to run if the agent has run none yet.
+            admin_addresses: HOST:PORT of each of the two processes that may run at the same time.
+            state: the state saved last.
         """
         self.member = member
-        self.first = first
-        self.admins = admins
+        self.initial_version = initial_version
+        self.admin_addresses = admin_addresses
         self.state = state
         self.started_at: float | None = None
-        self.ask_at = 0.0
+        self.next_query_at = 0.0
         self.steps: dict[AgentStep, Callable[[], Work[None]]] = {AgentStep.REPORTING: self.report}
 
-    # What differs between balancers and servers.
+    # Overridden for balancers and servers.
 
     def must_wait(self, turn: Turn) -> Work[bool]:
-        """Whether the change may not start yet though its turn is granted."""
+        """Return whether the change must wait although the member's turn is granted."""
         raise NotImplementedError
 
     def stop_objection(self, turn: Turn) -> str:
-        """Why the old process may not be stopped yet, beside what holds for all; or empty."""
+        """Return a further reason not to stop the old process yet, or an empty string."""
         return ""
 
     def running_version(self) -> str:
-        """The version that serves, or an empty string."""
+        """Return the version that serves, or an empty string."""
         raise NotImplementedError
 
-    # What is shared.
+    # Common to both.
 
     def run(self) -> Work[None]:
-        """The agent's work, without end."""
+        """Run the agent forever."""
         while True:
             yield from self.steps.get(self.state.step, self.idle)()
             yield Sleep(STEP_INTERVAL)
 
-    def enter(self, step: AgentStep, reason: str = "") -> Work[None]:
-        """Goes to a step and saves that."""
+    def enter_step(self, step: AgentStep, reason: str = "") -> Work[None]:
+        """Set the current step and save the state."""
         self.state.step = step
         self.state.reason = reason
         yield SaveState()
 
     def idle(self) -> Work[None]:
-        """Keeps the version running, and looks for a turn also where it ends at every start."""
+        """Keep the version running and check for a turn, even if the process keeps ending."""
         yield from self.keep_running()
         yield from self.look_for_turn()
 
     def keep_running(self) -> Work[None]:
-        """Starts the version again where its process has ended."""
+        """Restart the version if its process has ended."""
         state = self.state
         if self.started_at is None:
-            # An agent that was started anew knows of no earlier start of the process.
+            # A restarted agent does not know when the process was started.
             self.started_at = yield ReadClock()
         if (yield IsRunning(state.pid)):
             return
         if state.pid:
             log.warning("event=ended_by_itself version=%s pid=%d", state.version, state.pid)
             yield Sleep(RESTART_DELAY)
-        state.version = state.version or self.first
-        state.admin = state.admin or self.admins[0]
+        state.version = state.version or self.initial_version
+        state.admin = state.admin or self.admin_addresses[0]
         state.pid = yield FindStartedProcess(0)
         self.started_at = yield ReadClock()
         if not state.pid:
@@ -121,33 +124,34 @@
         yield SaveState()
 
     def query_turn(self) -> Work[Turn | None]:
-        """Asks the fleet for the member's turn; None if that can't be had."""
+        """Query the fleet for the member's turn; return None if the call fails."""
         result: CallResult = yield CallFleet("turn", {"member": self.member})
         ok, body = result
         return Turn.from_body(body) if ok else None
 
-    def granted_turn(self) -> Work[Turn | None]:
-        """The member's turn if it was granted; not asked for more often than needed."""
+    def query_granted_turn(self) -> Work[Turn | None]:
+        """Return the member's turn if it was granted; limit how often the fleet is queried."""
         now: float = yield ReadClock()
-        if now < self.ask_at:
+        if now < self.next_query_at:
             return None
         turn = yield from self.query_turn()
         idle = turn is not None and not turn.status
-        self.ask_at = now + (IDLE_POLL_INTERVAL if idle else 0.0)
+        self.next_query_at = now + (IDLE_POLL_INTERVAL if idle else 0.0)
         if turn is None or turn.status not in (ChangeStatus.CHANGING, ChangeStatus.TURN_GRANTED):
             return None
         return turn
 
     def look_for_turn(self) -> Work[None]:
-        """Starts the change if it is the member's turn."""
-        turn = yield from self.granted_turn()
+        """Start the change if it is the member's turn."""
+        turn = yield from self.query_granted_turn()
         if turn is None:
             return
         state = self.state
         state.change_id = yield DrawToken()
         if turn.changing:
-            # Agreed, and lost between the fleet's yes and the agent's disk: nothing was done.
-            yield from self.enter(AgentStep.REPORTING, "its agent began anew")
+            # The fleet agreed to the change, but the agent died before it saved that, so nothing
+            # was changed.
+            yield from self.enter_step(AgentStep.REPORTING, "its agent began anew")
             return
         if state.version not in (turn.from_version, turn.to_version):
             log.error(
@@ -158,32 +162,35 @@
             )
             return
         if not (yield from self.must_wait(turn)):
-            yield from self.start_change(turn.target)
+            yield from self.start_change(turn.target_version)
 
     def start_change(self, target: str) -> Work[None]:
-        """Starts the change to a version if the fleet agrees in time."""
+        """Start the change to a version if the fleet agrees in time."""
         state = self.state
         asked_at: float = yield ReadClock()
         args = {"member": self.member, "to": target}
         result: CallResult = yield CallFleet("release_began", args, state.change_id)
         ok, _ = result
         if not ok:
-            return  # if it was agreed all the same, the next turn says that it is changing
+            return  # if it was agreed nevertheless, the next turn has the status CHANGING
         state.target_version = target
         state.new_pid = 0
         state.failed = False
         answered_at: float = yield ReadClock()
         if answered_at - asked_at > MAX_GRANT_AGE:
-            yield from self.enter(AgentStep.REPORTING, "the yes came too late to be used")
+            yield from self.enter_step(
+                AgentStep.REPORTING, "the agreement to the start came too late to be used"
+            )
         elif state.version == target:
-            yield from self.enter(AgentStep.REPORTING)
+            yield from self.enter_step(AgentStep.REPORTING)
         else:
-            yield from self.enter(self.first_step)
+            yield from self.enter_step(self.first_step)
 
     def start_new_process(self, version: str, admin: str) -> Work[str]:
-        """Starts the new process, unless an agent before did; why it can't be, or an empty string.
+        """Start the new process; return why that failed, or an empty string.
 
-        That agent may have died before it saved the process's number.
+        An earlier agent may have started it and died before it saved the process id; then that
+        process is used.
         """
         state = self.state
         error = ""
@@ -194,14 +201,14 @@
         return error
 
     def wait_until_ended(self, pid: int) -> Work[None]:
-        """Waits until a process that was told to leave has ended; kills it after STOP_TIMEOUT."""
+        """Wait until a process asked to shut down has ended; kill it after STOP_TIMEOUT."""
         deadline: float = (yield ReadClock()) + STOP_TIMEOUT
         while (yield IsRunning(pid)) and (yield ReadClock()) < deadline:
             yield Sleep(CHECK_INTERVAL)
         yield EndProcess(pid, True)
 
     def wait_until_ready(self, admin: str, pid: int) -> Work[str]:
-        """Waits for a process to be ready for STEADY_TIME; why it was not, or an empty string."""
+        """Wait until a process has been ready for STEADY_TIME; return why it was not, or empty."""
         deadline: float = (yield ReadClock()) + READY_TIMEOUT
         ready_since: float | None = None
         error = "never ready"
@@ -216,35 +223,36 @@
         return error or "not ready for long enough"
 
     def confirm_stop(self) -> Work[str]:
-        """Asks the fleet again before the old process is stopped.
+        """Ask the fleet again before the old process is stopped.
+
+        If other members were lost meanwhile, wait for them, since they may come back.
 
         Returns:
-            An empty string if the fleet said within MAX_GRANT_AGE that the change is still to be
-            made; else why not. Members that were lost meanwhile are waited for: they may come back.
+            An empty string if the fleet confirmed the change within MAX_GRANT_AGE, else why not.
         """
         deadline: float = (yield ReadClock()) + READY_TIMEOUT
-        error = "the fleet could not be asked whether to go on"
+        error = "the fleet did not answer whether to continue the change"
         while (asked_at := (yield ReadClock())) < deadline:
             turn = yield from self.query_turn()
             if turn is not None and (yield ReadClock()) - asked_at <= MAX_GRANT_AGE:
-                if self.turned(turn):
-                    return "the release has turned"
+                if self.is_withdrawn(turn):
+                    return "the release no longer wants this change"
                 if turn.halted and not turn.rolling_back:
-                    return "halted before the one that runs was told to leave"
+                    return "halted before the old process was asked to shut down"
                 error = turn.bound_objection or self.stop_objection(turn)
                 if not error:
                     return ""
             yield Sleep(STEP_INTERVAL)
         return error
 
-    def turned(self, turn: Turn) -> bool:
-        """Whether the fleet does not want the change under way any more."""
-        return not turn.changing or turn.target != self.state.target_version
+    def is_withdrawn(self, turn: Turn) -> bool:
+        """Return whether the fleet no longer wants the change under way."""
+        return not turn.changing or turn.target_version != self.state.target_version
 
     def report(self) -> Work[None]:
-        """Tells the fleet which version runs; taken again until the fleet has it."""
+        """Report the running version to the fleet; the step is repeated until that succeeds."""
         state = self.state
-        # One id for all tries, so that a late one does not end the next change.
+        # All attempts have one command id, so that a late one does not end the next change.
         result: CallResult = yield CallFleet(
             "release_came",
             {"name": self.member, "runs": self.running_version(), "why": state.reason},
@@ -258,4 +266,4 @@
         state.target_version = ""
         state.new_pid = 0
         state.change_id = ""
-        yield from self.enter(AgentStep.IDLE)
+        yield from self.enter_step(AgentStep.IDLE)
--- a/cypresswalk/rollout/evidence.py
+++ b/cypresswalk/rollout/evidence.py
@@ -1,9 +1,10 @@
-"""Whether changed members serve as well as the others did at the same time. No I/O, no clock.
+"""Compares changed members with the others over the same time. No I/O, no clock.
 
-A member reports how many flows it has answered since its process began, every second or so. The
-growth between two observations is added to what the member was at the time, so that a changed
-member is compared with what the others answered since it was changed: a server lost for a moment
-affects all alike and must not count against those that have only been there since.
+Each member reports about every second how many flows it has answered since its process started.
+The growth between two observations is added to the sums of the member's status at that time, so
+that a changed member is compared with what the others answered since its change. For example, a
+server that is lost for a moment affects all members alike; with sums over different times it would
+count against those that were changed just before.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,22 +16,25 @@
 
 SECOND = 1_000_000_000
 NANOSECONDS_PER_MS = 1e6
-CONFIDENCE = 3.0  # standard errors by which a share must be worse, so that a burst halts no release
-MIN_FLOWS = 30  # below this nothing is said to be bad
-# Counts arrive a second or two apart: over less time a loss at all members looks like one at a few.
+# A failure share counts as bad if it is worse by more than this many standard errors, so that a
+# short burst of failures does not halt a release.
+MIN_STANDARD_ERRORS = 3.0
+MIN_FLOWS = 30  # a member is not judged bad on fewer flows
+# Counts of members arrive a second or two apart. Over a shorter window, failures at all members may
+# look like failures at only a few.
 MIN_WINDOW = 5 * SECOND  # nanoseconds
 MAX_REASONS = 5  # listed in one text
 
 
 @dataclass(frozen=True, slots=True)
 class ServedCounts:
-    """What a process has answered since it began.
+    """Counts of the flows that a process has answered since it started.
 
     Attributes:
         established: flows that were set up.
         rejected: flows that were rejected.
         failed: flows that failed.
-        setup_ns: sum of set-up times, nanoseconds.
+        setup_ns: sum of the set-up times of established flows, nanoseconds.
     """
 
     established: int = 0
@@ -39,7 +43,7 @@
     setup_ns: int = 0
 
     def growth_since(self, before: "ServedCounts") -> "ServedCounts":
-        """What was added; a process that was restarted counts from zero."""
+        """Return the increase since `before`; a restarted process has counted from zero."""
         restarted = (
             self.established < before.established
             or self.failed < before.failed
@@ -48,7 +52,7 @@
         return self if restarted else self - before
 
     def __sub__(self, other: "ServedCounts") -> "ServedCounts":
-        """The difference, count by count."""
+        """Return the difference of each count."""
         return ServedCounts(
             self.established - other.established,
             self.rejected - other.rejected,
@@ -57,7 +61,7 @@
         )
 
     def __add__(self, other: "ServedCounts") -> "ServedCounts":
-        """The sum, count by count."""
+        """Return the sum of each count."""
         return ServedCounts(
             self.established + other.established,
             self.rejected + other.rejected,
@@ -67,22 +71,22 @@
 
     @property
     def flows(self) -> int:
-        """All flows that were answered."""
+        """All answered flows."""
         return self.established + self.rejected + self.failed
 
     @property
     def failure_share(self) -> float:
-        """The part of flows that failed or were rejected, 0.0 to 1.0."""
+        """Share of answered flows that failed or were rejected, 0.0 to 1.0."""
         return (self.rejected + self.failed) / self.flows if self.flows else 0.0
 
     @property
     def mean_setup_ns(self) -> float:
-        """Mean set-up time, nanoseconds; only where some were established."""
+        """Mean set-up time, nanoseconds; only valid if some flows were established."""
         return self.setup_ns / self.established
 
 
 class Verdict(StrEnum):
-    """What the evidence says of one changed member."""
+    """The result of comparing one changed member with the others."""
 
     GOOD = "good"
     BAD = "bad"
@@ -97,10 +101,10 @@
 
 
 def assess(plan: Plan, name: str, own: ServedCounts, others: ServedCounts) -> Assessment:
-    """Compares what one changed member served with what the others served meanwhile.
+    """Compare what one changed member served with what the others served meanwhile.
 
-    Where nobody is left to compare with, as in a fleet of one, `others` is empty and the member is
-    held against no failures at all.
+    If there are no others to compare with, as in a fleet of one, `others` is empty and the member
+    is compared with a failure share of zero.
     """
     failure = failure_reason(plan, name, own, others)
     if failure:
@@ -108,7 +112,7 @@
     if own.flows < plan.min_flows:
         return Assessment(Verdict.UNKNOWN, f"{name} answered {own.flows} flows of {plan.min_flows}")
     if own.failure_share > others.failure_share + plan.max_excess_failure_share:
-        # Worse than allowed, but not surely so: the wave must not pass on it either.
+        # Worse than allowed, but perhaps by chance; the wave must not pass on this either.
         return Assessment(
             Verdict.UNKNOWN,
             f"{name} failed or rejected {own.failure_share:.1%} of {own.flows} flows, "
@@ -118,7 +122,7 @@
 
 
 def failure_reason(plan: Plan, name: str, own: ServedCounts, others: ServedCounts) -> str:
-    """Why a changed member is surely worse than the others, or an empty string."""
+    """Return why a changed member is certainly worse than the others, or an empty string."""
     if own.flows < MIN_FLOWS or others.flows < MIN_FLOWS:
         return ""
     max_share = others.failure_share + plan.max_excess_failure_share + sampling_error(own, others)
@@ -140,48 +144,48 @@
 
 
 def sampling_error(own: ServedCounts, others: ServedCounts) -> float:
-    """The difference of two failure shares that chance may cause (CONFIDENCE standard errors)."""
+    """Return the difference of two failure shares that may be due to chance."""
     variance = max(
         others.failure_share * (1 - others.failure_share),
         own.failure_share * (1 - own.failure_share),
     )
-    return CONFIDENCE * (variance * (1 / own.flows + 1 / others.flows)) ** 0.5
+    return MIN_STANDARD_ERRORS * (variance * (1 / own.flows + 1 / others.flows)) ** 0.5
 
 
 @dataclass(slots=True)
-class Window:
-    """What one changed member, and the others, served since it was first seen changed.
+class ObservationWindow:
+    """The counts of one changed member, and the sums of the others when it was changed.
 
     Attributes:
-        since: when that was, nanoseconds.
-        unchanged_before: what the unchanged members had answered by then.
-        passed_before: what members of passed waves had answered by then.
-        own: what the member itself has answered since.
-        own_as_passed: the part of `own` that is counted in `Evidence.passed`.
+        since: time when the member was first seen changed, nanoseconds.
+        unchanged_before: `Evidence.unchanged` at that time.
+        passed_before: `Evidence.passed` at that time.
+        own: flows that the member itself has answered since then.
+        own_in_passed: the part of `own` that is also included in `Evidence.passed`.
     """
 
     since: int
     unchanged_before: ServedCounts
     passed_before: ServedCounts
     own: ServedCounts = ServedCounts()
-    own_as_passed: ServedCounts = ServedCounts()
+    own_in_passed: ServedCounts = ServedCounts()
 
 
 @dataclass(slots=True)
 class Evidence:
-    """Sums of what members served, by whether they were changed.
+    """Sums of the flows that members answered, by whether they were changed.
 
     Attributes:
-        latest: the counts each member reported last, by name.
-        unchanged: what members of the old version have answered.
-        passed: what members of waves that have passed have answered.
-        windows: what is known of each changed member, by name.
+        latest: the counts that each member reported last, by name.
+        unchanged: flows answered by members with the old version.
+        passed: flows answered by members of waves that have passed.
+        windows: the observation window of each changed member, by name.
     """
 
     latest: dict[str, ServedCounts] = field(default_factory=dict)
     unchanged: ServedCounts = ServedCounts()
     passed: ServedCounts = ServedCounts()
-    windows: dict[str, Window] = field(default_factory=dict)
+    windows: dict[str, ObservationWindow] = field(default_factory=dict)
 
     def observe(
         self,
@@ -190,13 +194,13 @@
         wave: Collection[str],
         served: Mapping[str, ServedCounts],
     ) -> None:
-        """Adds what has grown since the last observation.
+        """Add the increase of all counts since the last observation.
 
         Args:
-            now: nanoseconds.
+            now: current time, nanoseconds.
             members: the status of each member of the release; others count as unchanged.
-            wave: names in the wave under way.
-            served: the counts of those heard lately, by name.
+            wave: names of the members in the current wave.
+            served: the counts of the members that have reported recently, by name.
         """
         self.windows = {
             name: window
@@ -212,38 +216,38 @@
             if status == ChangeStatus.OLD:
                 self.unchanged += growth
             elif status == ChangeStatus.NEW:
-                self.add_changed(now, name, growth, in_wave=name in wave)
+                self.add_to_window(now, name, growth, in_wave=name in wave)
 
-    def add_changed(self, now: int, name: str, growth: ServedCounts, in_wave: bool) -> None:
-        """Adds what a changed member has answered to its window."""
+    def add_to_window(self, now: int, name: str, growth: ServedCounts, in_wave: bool) -> None:
+        """Add what a changed member has answered to its window."""
         window = self.windows.get(name)
         if window is None:
-            # What has grown by now may be its old process's.
-            self.windows[name] = Window(now, self.unchanged, self.passed)
+            # This increase may still come from the old process, so it is not counted.
+            self.windows[name] = ObservationWindow(now, self.unchanged, self.passed)
             return
         window.own += growth
         if not in_wave:
             self.passed += growth
-            window.own_as_passed += growth
+            window.own_in_passed += growth
 
-    def baseline(self, window: Window) -> ServedCounts:
-        """What a changed member is compared with.
+    def baseline(self, window: ObservationWindow) -> ServedCounts:
+        """Return the counts that a changed member is compared with.
 
-        The unchanged members within its own time; where they served little beside it, as in the
-        last wave, members of passed waves too; where nobody served, the unchanged ones before its
-        time.
+        These are the counts of the unchanged members since the member's change. If they served much
+        less than the member, as in the last wave, members of passed waves are included. If all of
+        these served too few flows, all counts of unchanged members are used, including those from
+        before the change.
         """
         unchanged = self.unchanged - window.unchanged_before
-        passed = self.passed - window.passed_before - window.own_as_passed
+        passed = self.passed - window.passed_before - window.own_in_passed
         if 2 * unchanged.flows < window.own.flows:
             unchanged += passed
         return unchanged if unchanged.flows >= MIN_FLOWS else self.unchanged
 
     def first_failure(self, plan: Plan, now: int) -> str:
-        """Why the first bad member is bad, or an empty string.
+        """Return why the first bad member is bad, or an empty string.
 
-        Each member is judged by itself, so that one bad machine is not outweighed by many good
-        ones.
+        Each member is judged separately, so that many good machines can't hide one bad one.
         """
         for name, window in self.windows.items():
             if now - window.since >= MIN_WINDOW:
@@ -253,12 +257,12 @@
         return ""
 
     def missing(self, plan: Plan, names: Collection[str]) -> str:
-        """Why the members named are not all known to be good, or an empty string."""
+        """Return why some of the named members are not known to be good, or an empty string."""
         reasons = []
         for name in names:
             window = self.windows.get(name)
             if window is None:
-                reasons.append(f"{name}: not heard")
+                reasons.append(f"{name}: no report yet")
                 continue
             assessment = assess(plan, name, window.own, self.baseline(window))
             if assessment.verdict is not Verdict.GOOD:
--- a/cypresswalk/rollout/plan.py
+++ b/cypresswalk/rollout/plan.py
@@ -1,4 +1,4 @@
-"""The file a release is started from: waves named, or derived from zones."""
+"""Release plans read from files, with waves listed or derived from zones."""
 
 from typing import Literal
 
@@ -9,21 +9,21 @@
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import release
 
-VERSION_PATTERN = r"^[A-Za-z0-9._-]+$"  # a folder's name
+VERSION_PATTERN = r"^[A-Za-z0-9._-]+$"  # a version is the name of a folder
 
 
 class PlanFile(toml.Table):
-    """A release's file; its keys are the attributes' names.
+    """The file of a release plan; its keys are the attributes' names.
 
-    `release.Plan` describes those that it has too (`since` is its `from_version`, `to` its
-    `to_version`, `flows` its `min_flows`, `patience` its `max_hold_periods`, `worse` its
-    `max_excess_failure_share`, `slower` its `max_setup_ratio`, `change_s` its `change_timeout_s`,
-    `empty_s` its `drain_timeout_s`).
+    `release.Plan` documents most attributes under the same name, some under another: `since` is
+    its `from_version`, `to` its `to_version`, `flows` its `min_flows`, `patience` its
+    `max_hold_periods`, `worse` its `max_excess_failure_share`, `slower` its `max_setup_ratio`,
+    `change_s` its `change_timeout_s`, `empty_s` its `drain_timeout_s`.
 
     Attributes:
-        zones: the order of zones where no waves are named; zones not named come last.
-        canary: members of the first wave.
-        grow: by what factor each further wave is larger.
+        zones: the order of zones if no waves are listed; zones not listed come last.
+        canary: number of members in the first wave.
+        grow: factor by which each wave is larger than the one before.
     """
 
     name: str = Field(min_length=1, max_length=63)
@@ -44,17 +44,17 @@
 
     @model_validator(mode="after")
     def check_waves_or_zones(self) -> "PlanFile":
-        """Raises ValueError where both waves and zones are named."""
+        """Raise ValueError if both waves and zones are given."""
         if self.waves is not None and self.zones:
             raise ValueError("waves, zones: one of them")
         return self
 
 
 def waves_by_zone(file: PlanFile, zones: dict[str, str]) -> list[list[str]]:
-    """Waves that grow, zone by zone, none of them in two zones.
+    """Return growing waves, zone by zone; no wave spans two zones.
 
     Args:
-        file: its `zones`, `canary` and `grow` count.
+        file: the plan file, of which `zones`, `canary` and `grow` are used.
         zones: the zone of each member, by name.
     """
     order = file.zones + sorted(set(zones.values()) - set(file.zones))
@@ -70,15 +70,15 @@
 
 
 def read_plan(path: str, members: dict[str, str], servers: dict[str, str]) -> list:
-    """Reads a plan in the form in which the fleet takes it.
+    """Read a plan file and return the plan's fields as a list, as the fleet's call expects it.
 
     Args:
-        path: the file.
+        path: path of the file.
         members: the zone of each balancer, by name.
         servers: the zone of each listed server, by name.
 
     Raises:
-        CommandError: with a line for each error.
+        CommandError: the file has errors; the text has a line for each.
     """
     file = toml.read(path, PlanFile)
     zones = servers if file.kind == release.MemberKind.SERVERS else members
@@ -96,7 +96,7 @@
         kind=file.kind,
         drain_timeout_s=file.empty_s,
     )
-    errors = release.objection(plan, sorted(zones))
+    errors = release.plan_errors(plan, sorted(zones))
     errors += [
         f"zones: there is no zone {zone!r}" for zone in file.zones if zone not in zones.values()
     ]
--- a/cypresswalk/rollout/release.py
+++ b/cypresswalk/rollout/release.py
@@ -1,15 +1,16 @@
-"""A release as the fleet has agreed on it: which members change in which wave, and how far each is.
+"""The replicated state of a release: which members change in which wave, and how far each is.
 
-Members are balancers or servers. No I/O, no clock: a state machine over entries of the agreed log,
-so that whoever leads next carries on where the last leader stopped.
+Members are balancers or servers. No I/O, no clock: this is a part of the state machine that applies
+the replicated log, so that the next leader continues where the last one stopped. Replicas compute
+the texts of this module while they apply a command, so two versions must produce the same text.
 
     old -> out (its turn is granted) -> changing (its agent has started) -> new, or failed
     rolling back: new, failed -> out -> changing -> old
 
-Invariants (numbered as in docs/design/rollout.md): R7 an agent starts only what is agreed, not yet
-started and not halted; R8 a wave starts once all of the one before are new and have been observed
-for long enough; R9 a halt lets nothing start but rolling back; R10 from every state there is a way
-to the end, or back.
+Invariants (numbered as in docs/design/rollout.md): R7 an agent starts only a change that is agreed,
+not yet started and not halted; R8 a wave starts once all members of the previous wave are new and
+have been observed for long enough; R9 during a halt nothing starts except a rollback; R10 every
+state allows the release to be completed or rolled back.
 """
 
 from collections.abc import Collection, Sequence
@@ -18,11 +19,11 @@
 
 import msgspec
 
-MAX_NAMES_LISTED = 20  # known members named in an objection
+MAX_NAMES_LISTED = 20  # known members listed in an error
 
 
 class Phase(StrEnum):
-    """How far a release as a whole is."""
+    """The phase of a release as a whole."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -32,7 +33,7 @@
 
 
 class ChangeStatus(StrEnum):
-    """How far one member of a release is."""
+    """The progress of one member of a release."""
 
     OLD = "old"
     TURN_GRANTED = "out"
@@ -42,7 +43,7 @@
 
 
 class MemberKind(StrEnum):
-    """What a release changes."""
+    """The kind of members that a release changes."""
 
     BALANCERS = "balancers"
     SERVERS = "servers"
@@ -52,22 +53,24 @@
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True):
-    """What a release is to do; agreed once and never changed.
+    """The plan of a release; agreed once and never changed.
 
     Attributes:
-        name: the release's name.
-        from_version: the version that runs, as agents know it.
-        to_version: the version it is changed to.
+        name: name of the release.
+        from_version: the version that runs before the release, as agents know it.
+        to_version: the version that members are changed to.
         waves: names of members, a list for each wave.
-        hold_s: how long each wave is observed before the next one starts, seconds.
-        min_flows: flows each changed member must have answered in that time.
-        max_hold_periods: how many `hold_s` may pass without enough flows until it halts.
-        max_excess_failure_share: by how much the share of flows that a changed member fails or
-            rejects may exceed the others'.
-        max_setup_ratio: by what factor its mean set-up time may exceed the others'.
-        change_timeout_s: within which an agent must have changed its member, seconds.
-        kind: a MemberKind; another text is objected to.
-        drain_timeout_s: within which a server's flows must have left it, seconds.
+        hold_s: seconds for which each wave is observed before the next one starts.
+        min_flows: flows that each changed member must have answered before its wave passes.
+        max_hold_periods: multiple of `hold_s` after which a wave without enough evidence halts the
+            release.
+        max_excess_failure_share: the most by which a changed member's share of failed and rejected
+            flows may exceed the others', 0.0 to 1.0.
+        max_setup_ratio: largest allowed ratio of a changed member's mean set-up time to that of
+            the others.
+        change_timeout_s: seconds within which an agent must have changed its member.
+        kind: a MemberKind; any other text is an error in the plan.
+        drain_timeout_s: seconds within which the flows of a server must have ended.
     """
 
     name: str
@@ -85,19 +88,20 @@
 
 
 class Release(msgspec.Struct, array_like=True):
-    """A release under way, or the last one.
+    """The current release, or the last one.
 
     Attributes:
-        plan: what it is to do.
-        by: who began it.
-        at: when, wall clock, milliseconds.
+        plan: plan of the release.
+        by: who started it.
+        at: time it was started, wall clock, milliseconds.
         phase: a Phase.
-        wave: the number of the wave under way.
-        members: a ChangeStatus for each member, by name.
-        reports: what each agent said last, by name; empty where all went well.
-        previous: of members whose turn was granted, what they were before.
-        boots: how often each had started when its turn was granted, where that is known.
-        out_since_version: of servers, the version of the agreed state that took each out.
+        wave: index of the current wave.
+        members: ChangeStatus of each member, by name.
+        reports: the error that each agent reported last, by name; empty if its change succeeded.
+        previous_statuses: ChangeStatus before its turn of each member with a granted turn, by name.
+        boots: number of starts of each member when its turn was granted, by name; 0 or absent if
+            unknown.
+        out_since_version: version of the agreed state in which each server was taken out, by name.
     """
 
     plan: Plan
@@ -107,13 +111,13 @@
     wave: int = 0
     members: dict[str, str] = {}
     reports: dict[str, str] = {}
-    previous: dict[str, str] = {}
+    previous_statuses: dict[str, str] = {}
     boots: dict[str, int] = {}
     out_since_version: dict[str, int] = {}
 
 
-class Limits(NamedTuple):
-    """The values that one number of a plan may have, and its key in the plan's file."""
+class PlanLimit(NamedTuple):
+    """The allowed range of one number of a plan, and its key in the plan's file."""
 
     file_key: str
     field: str
@@ -122,25 +126,25 @@
 
 
 PLAN_LIMITS = (
-    Limits("hold_s", "hold_s", 0.1, 1e6),
-    Limits("flows", "min_flows", 0, 1e9),
-    Limits("patience", "max_hold_periods", 1, 1e4),
-    Limits("worse", "max_excess_failure_share", 0.0, 1.0),
-    Limits("slower", "max_setup_ratio", 1.0, 1e3),
-    Limits("change_s", "change_timeout_s", 1, 1e5),
-    Limits("empty_s", "drain_timeout_s", 1, 1e5),
+    PlanLimit("hold_s", "hold_s", 0.1, 1e6),
+    PlanLimit("flows", "min_flows", 0, 1e9),
+    PlanLimit("patience", "max_hold_periods", 1, 1e4),
+    PlanLimit("worse", "max_excess_failure_share", 0.0, 1.0),
+    PlanLimit("slower", "max_setup_ratio", 1.0, 1e3),
+    PlanLimit("change_s", "change_timeout_s", 1, 1e5),
+    PlanLimit("empty_s", "drain_timeout_s", 1, 1e5),
 )
 
 
-def objection(plan: Plan, known: Sequence[str]) -> list[str]:
-    """A line for each error in a plan, in the words of its file.
+def plan_errors(plan: Plan, known: Sequence[str]) -> list[str]:
+    """Return a line for each error in a plan, with the keys of the plan's file.
 
     Args:
-        plan: as asked for.
-        known: names of the members, or servers, that there are.
+        plan: the requested plan.
+        known: names of all balancers or of all servers.
     """
     names = [name for wave in plan.waves for name in wave]
-    errors = unknown_names(plan, names, known)
+    errors = unknown_name_errors(plan, names, known)
     if plan.kind not in tuple(MemberKind):
         errors.append(f"kind: {plan.kind}, not balancers or servers")
     errors += [
@@ -159,8 +163,8 @@
     return errors
 
 
-def unknown_names(plan: Plan, names: Collection[str], known: Sequence[str]) -> list[str]:
-    """A line for each name in the waves that no member has."""
+def unknown_name_errors(plan: Plan, names: Collection[str], known: Sequence[str]) -> list[str]:
+    """Return a line for each name in the waves that is not known."""
     listed = ", ".join(known[:MAX_NAMES_LISTED])
     if len(known) > MAX_NAMES_LISTED:
         listed += ", ..."
@@ -174,17 +178,17 @@
 def begin(
     plan: Plan, by: str, at: int, current: Release | None, known: Sequence[str]
 ) -> tuple[Release | None, str]:
-    """Begins a release.
+    """Begin a release.
 
     Args:
-        plan: as asked for.
-        by: who asks.
-        at: wall clock, milliseconds.
-        current: the release there is, if any.
-        known: names of the members, or servers, that there are.
+        plan: the requested plan.
+        by: who requests it.
+        at: time of the request, wall clock, milliseconds.
+        current: the current or last release, if any.
+        known: names of all balancers or of all servers.
 
     Returns:
-        The new release and a text for the history, or None and why it is refused.
+        The new release and a text for the history, or None and why it is rejected.
     """
     if current is not None and current.phase in UNFINISHED:
         return (
@@ -192,9 +196,9 @@
             f"release {current.plan.name} by {current.by} is {current.phase}:"
             " it must be done or back first",
         )
-    errors = objection(plan, known)
+    errors = plan_errors(plan, known)
     if current is not None and plan.name == current.plan.name:
-        # Commands name their release: one meant for the last must not act on this one.
+        # Commands name their release, and one sent for the last release must not apply to this one.
         errors.append(f"name: {plan.name} was the last one's")
     if errors:
         return None, "; ".join(errors)
@@ -203,7 +207,10 @@
 
 
 def turn_objection(release: Release, name: str, halted: bool) -> str:
-    """Why a member may not be granted its turn now, or an empty string; bounds.py checks bounds."""
+    """Return why a member may not be granted its turn now, or an empty string.
+
+    Bounds are checked separately, by bounds.py.
+    """
     status = release.members.get(name)
     if release.phase == Phase.ROLLING_BACK:
         changed = status in (ChangeStatus.NEW, ChangeStatus.FAILED)
@@ -214,69 +221,72 @@
         return "halted"
     if name not in release.plan.waves[release.wave]:
         return f"{name} is not of wave {release.wave}"
-    # A failed one halted the release: once a person has resumed, it is tried again.
+    # A failed member halted the release; once an operator has resumed it, the member is retried.
     unchanged = status in (ChangeStatus.OLD, ChangeStatus.FAILED)
     return "" if unchanged else f"{name} is {status}"
 
 
 def grant_turn(release: Release, name: str, boot: int) -> None:
-    """Grants a member its turn; `boot` is how often it has started, 0 if unknown."""
-    release.previous[name] = release.members[name]
+    """Grant a member its turn; `boot` is how often it has started, 0 if unknown."""
+    release.previous_statuses[name] = release.members[name]
     release.members[name] = ChangeStatus.TURN_GRANTED
     release.boots[name] = boot
 
 
 def target_version(release: Release, name: str) -> str:
-    """The version that a member's agent is to run."""
+    """Return the version that a member's agent should run."""
     if release.phase == Phase.ROLLING_BACK:
         return release.plan.from_version
     return release.plan.to_version
 
 
-def start_objection(release: Release, name: str, to: str, halted: bool) -> str:
-    """Why a member's agent may not start changing it, or an empty string; bounds are apart."""
+def start_objection(release: Release, name: str, version: str, halted: bool) -> str:
+    """Return why a member's agent may not start the change, or an empty string.
+
+    Bounds are checked separately.
+    """
     status = release.members.get(name)
-    if status != ChangeStatus.TURN_GRANTED or to != target_version(release, name):
-        return f"{name} is {status}, and nothing to be changed to {to}"
+    if status != ChangeStatus.TURN_GRANTED or version != target_version(release, name):
+        return f"{name} is {status}, and nothing to be changed to {version}"
     return "halted" if halted and release.phase != Phase.ROLLING_BACK else ""
 
 
-def record_report(release: Release, name: str, runs: str, why: str) -> str:
-    """Records what an agent reports once it has changed its member, or could not.
+def record_report(release: Release, name: str, running: str, reason: str) -> str:
+    """Record an agent's report that the change of its member has ended or failed.
 
     Args:
-        release: is changed.
-        name: the member.
-        runs: the version that runs now, empty if none does.
-        why: what went wrong, if anything.
+        release: the release; it is modified.
+        name: name of the member.
+        running: the version that runs now, empty if none does.
+        reason: what went wrong, if anything.
 
     Returns:
-        Why that halts the release, or an empty string.
+        Why the report halts the release, or an empty string.
     """
     if release.members.get(name) != ChangeStatus.CHANGING:
         return ""
-    release.reports[name] = why
+    release.reports[name] = reason
     wanted = target_version(release, name)
-    if runs == release.plan.to_version:
+    if running == release.plan.to_version:
         release.members[name] = ChangeStatus.NEW
-    elif runs == release.plan.from_version:
+    elif running == release.plan.from_version:
         release.members[name] = ChangeStatus.OLD
     else:
         release.members[name] = ChangeStatus.FAILED
     if release.phase == Phase.ROLLING_BACK and all_old(release):
         release.phase = Phase.ROLLED_BACK
-    return "" if runs == wanted else f"{name}: {why or 'it runs ' + (runs or 'nothing')}"
+    return "" if running == wanted else f"{name}: {reason or 'it runs ' + (running or 'nothing')}"
 
 
 def end_unused_turn(release: Release, name: str) -> None:
-    """Ends a turn that was granted and not used: the member is what it was before."""
+    """End a turn that was granted and not used; the member returns to its previous status."""
     if release.members.get(name) == ChangeStatus.TURN_GRANTED:
-        # Not simply OLD: one that had failed runs the new version, or nothing.
-        release.members[name] = release.previous.pop(name)
+        # Not simply OLD: a member that had failed runs the new version or none.
+        release.members[name] = release.previous_statuses.pop(name)
 
 
 def pass_wave(release: Release, wave: int) -> str:
-    """Ends a wave that was observed for long enough; why that is refused, or empty."""
+    """End a wave that was observed for long enough; return why it is rejected, or empty."""
     if release.phase != Phase.RUNNING or wave != release.wave:
         return f"wave {release.wave} of a release that is {release.phase}"
     if any(release.members[name] != ChangeStatus.NEW for name in release.plan.waves[wave]):
@@ -288,9 +298,9 @@
 
 
 def roll_back(release: Release) -> str:
-    """Starts rolling back; why that is refused, or an empty string.
+    """Start rolling back; return why it is rejected, or an empty string.
 
-    A release that is done may be rolled back too, as long as no other has begun.
+    A finished release may be rolled back too, as long as no other has begun.
     """
     if release.phase in (Phase.ROLLING_BACK, Phase.ROLLED_BACK):
         return f"the release is {release.phase} already"
@@ -301,5 +311,5 @@
 
 
 def all_old(release: Release) -> bool:
-    """Whether every member runs the version before."""
+    """Return whether every member runs the version from before the release."""
     return all(status == ChangeStatus.OLD for status in release.members.values())
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -1,13 +1,14 @@
-"""What the agent of a server does: the server is drained, stopped and started in the other version.
+"""The agent of a server, which drains and stops the server and starts the other version.
 
-Two processes of a server can't stand side by side, so it is taken out by the release first.
+Two processes of a server can't run at the same time, so the release takes the server out of
+rotation first. The steps of a change:
 
-    a release names this server, every balancer knows that it is out -> the start is agreed
-    -> its flows have left it, and the fleet still wants it -> SIGTERM -> the other version is
-    started and answers for STEADY_TIME -> the new version is reported: it is in again
+    a release names this server and every balancer has applied its removal -> the fleet agrees to
+    the start -> no flows are left and the fleet confirms the change -> SIGTERM -> the other version
+    is started and answers for STEADY_TIME -> the new version is reported and the server returns
 
-    it never answers -> the version before is started again -> that is reported, and why; if that
-    does not answer either, none
+    the new version never answers -> the previous version is started again -> it is reported with
+    the reason; if it does not answer either, the agent reports that no version runs
 """
 
 import logging
@@ -32,65 +33,68 @@
 
 
 class ServerAgent(ChangeAgent):
-    """Runs a server; while it is changed, it is out."""
+    """Runs a server, which is out of rotation during a change."""
 
     first_step = AgentStep.DRAINING
 
-    def __init__(self, member: str, first: str, admins: tuple[str, str], state: AgentState):
-        """Makes an agent; a server has one address, so `admins` are alike."""
-        super().__init__(member, first, admins, state)
+    def __init__(
+        self, member: str, initial_version: str, admin_addresses: tuple[str, str], state: AgentState
+    ):
+        """Create an agent; a server has one address, so both `admin_addresses` are the same."""
+        super().__init__(member, initial_version, admin_addresses, state)
         self.steps[AgentStep.DRAINING] = self.drain_and_stop
         self.steps[AgentStep.REPLACING] = self.start_new
         self.steps[AgentStep.RESTORING] = self.restore_old
 
     def must_wait(self, turn: Turn) -> Work[bool]:
-        """Waits until every balancer acts on the server's being out: else one may send it flows."""
+        """Return whether a balancer has not applied the server's removal and may send it flows."""
         yield from ()
-        return not turn.settled
+        return not turn.removal_applied
 
     def stop_objection(self, turn: Turn) -> str:
-        """Why it may not be stopped: flows stand there.
+        """Return that flows are open or their number is unknown, or an empty string.
 
-        Asked again at the last: a balancer that was cut off so long that nobody waited for its word
-        may be back.
+        Checked again right before the stop: a balancer may be back that was cut off for so long
+        that its report was no longer waited for.
         """
         if turn.open_flows == 0:
             return ""
         count = "an unknown number of" if turn.open_flows is None else turn.open_flows
-        return f"{count} flows stand there"
+        return f"{count} flows are open"
 
     def drain_and_stop(self) -> Work[None]:
-        """Waits until no flow stands there, and asks the server to leave."""
+        """Wait until the server has no flows, then ask it to shut down."""
         state = self.state
         reason = yield from self.wait_until_drained()
         if not reason:
-            # Draining may have taken long: members may have been lost, or a person may have halted.
+            # Draining may have taken long. Others may have been lost meanwhile, or an operator may
+            # have halted the fleet.
             reason = yield from self.confirm_stop()
         if reason:
-            yield from self.enter(AgentStep.REPORTING, reason)
+            yield from self.enter_step(AgentStep.REPORTING, reason)
             return
         log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
         yield EndProcess(state.pid, False)
-        yield from self.enter(AgentStep.REPLACING)
+        yield from self.enter_step(AgentStep.REPLACING)
 
     def wait_until_drained(self) -> Work[str]:
-        """Waits until all balancers that are heard say that no flow stands there; or why not."""
+        """Wait until all reachable balancers report no open flow; return why not, or empty."""
         started_at: float = yield ReadClock()
         while True:
             turn = yield from self.query_turn()
             if turn is not None:
-                if self.turned(turn):
-                    return "the release has turned"
+                if self.is_withdrawn(turn):
+                    return "the release no longer wants this change"
                 if turn.open_flows == 0:
                     return ""
                 if (yield ReadClock()) - started_at > turn.drain_timeout_s:
                     return f"{self.stop_objection(turn)} after {turn.drain_timeout_s:g} s"
             elif (yield ReadClock()) - started_at > READY_TIMEOUT + STOP_TIMEOUT:
-                return "the fleet could not be asked whether flows stand there"
+                return "the fleet did not answer whether flows are open"
             yield Sleep(STEP_INTERVAL)
 
     def start_new(self) -> Work[None]:
-        """Starts the new version; where it does not answer, the old one is to be restored."""
+        """Start the new version; if it does not answer, go on to restore the old one."""
         state = self.state
         error = yield from self.replace_process(state.target_version)
         if not error:
@@ -99,22 +103,22 @@
         state.new_pid = 0
         if error:
             yield EndProcess(state.pid, True)
-            yield from self.enter(AgentStep.RESTORING, error)
+            yield from self.enter_step(AgentStep.RESTORING, error)
         else:
-            yield from self.enter(AgentStep.REPORTING)
+            yield from self.enter_step(AgentStep.REPORTING)
 
     def restore_old(self) -> Work[None]:
-        """Starts the version again that served before the change."""
+        """Start the version again that served before the change."""
         state = self.state
         error = yield from self.replace_process(state.version)
         state.pid = state.new_pid
         state.new_pid = 0
         state.failed = bool(error)
         outcome = f"{state.reason}; {state.version} again: {error or 'answers'}"
-        yield from self.enter(AgentStep.REPORTING, outcome)
+        yield from self.enter_step(AgentStep.REPORTING, outcome)
 
     def replace_process(self, version: str) -> Work[str]:
-        """Starts a version once the process before has ended; why it never answers, or empty."""
+        """Start a version once the previous process has ended; return why it fails, or empty."""
         state = self.state
         if not state.new_pid or not (yield IsRunning(state.new_pid)):
             yield from self.wait_until_address_free(state.pid)
@@ -124,11 +128,11 @@
         return (yield from self.wait_until_ready(state.admin, state.new_pid))
 
     def wait_until_address_free(self, pid: int) -> Work[None]:
-        """Waits until a process has ended and freed its address, however long that takes."""
+        """Wait until a process has ended and freed its address, however long that takes."""
         yield from self.wait_until_ended(pid)
         while (yield IsRunning(pid)):
             yield Sleep(CHECK_INTERVAL)
 
     def running_version(self) -> str:
-        """The version that answers, or an empty string."""
+        """Return the version that answers, or an empty string."""
         return "" if self.state.failed else self.state.version
