--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -1,7 +1,7 @@
-"""A plain model of a fleet under a release.
+"""A simple model of a fleet during a release.
 
-The state machine and the leader's part are the program's; agents, balancers and what these serve
-are drawn by seed.
+The state machine and the leader's release control are the real ones. Agents, balancers and the
+flows that they answer are simulated with a seeded random generator.
 """
 
 from collections.abc import Callable
@@ -42,7 +42,7 @@
 MAX_OUT = 2
 
 STEP_S = 0.2
-FLOWS_OF_A_STEP = 20
+FLOWS_PER_STEP = 20
 SETUP_TIME = 3 * MILLISECOND
 SLOW_SETUP_TIME = 9 * MILLISECOND
 FAILURE_PROBABILITY = 0.005
@@ -51,7 +51,8 @@
 CHANGE_STARTS_PROBABILITY = 0.5
 CHANGE_ENDS_PROBABILITY = 0.3
 
-# Steps in which faults are drawn, and their probabilities in each of them.
+# The number of steps with random faults, and upper ends of the faults' ranges for one random number
+# from 0 to 1 per step.
 FAULTY_STEPS = 2000
 DEATH_BELOW = 0.05
 REVIVAL_BELOW = 0.09
@@ -63,28 +64,34 @@
 
 @dataclass
 class Served:
-    """What a balancer's process has answered since it began; set-up times in nanoseconds."""
+    """Counts of the flows that a balancer's process has answered since it started.
+
+    Attributes:
+        established: Flows that were set up.
+        failed: Flows that failed.
+        setup_time: Sum of set-up times, nanoseconds.
+    """
 
     established: int = 0
     failed: int = 0
     setup_time: int = 0
 
     def counts(self) -> ServedCounts:
-        """In the form in which the leader hears it."""
+        """Return the counts in the form that the leader receives."""
         return ServedCounts(self.established, 0, self.failed, self.setup_time)
 
 
 class ModelFleet:
-    """Agents, a leader that may change, and what balancers serve, round the state machine.
+    """A state machine with simulated agents, flows of balancers, and changing leaders.
 
     Attributes:
-        versions: What each balancer runs.
-        bad_version: Fails a tenth of its flows.
-        slow_version: Takes three times as long for a set-up.
-        dead: Balancers that do not run, and whose agents do nothing.
-        unheard: Those that a new leader has not heard yet.
-        peak_out: The most that were out at once by the release.
-        flows_of_a_step: What each balancer is sent.
+        versions: The version that each balancer runs, by name.
+        bad_version: The version that fails a tenth of its flows.
+        slow_version: The version whose set-ups take three times as long.
+        dead: Balancers that do not run and whose agents do nothing.
+        unheard: Balancers that have not reported to a new leader yet.
+        peak_out: The highest number of balancers that the release took out at once.
+        flows_per_step: Number of flows that each balancer is sent in a step.
     """
 
     def __init__(self, seed: int) -> None:
@@ -96,14 +103,14 @@
         self.last_command = 0
         self.leader = ReleaseControl()
         self.versions = dict.fromkeys(ZONES, OLD_VERSION)
-        self.targets: dict[str, str] = {}  # of changes under way
+        self.targets: dict[str, str] = {}  # target version of each change under way, by name
         self.served = {name: Served() for name in ZONES}
         self.bad_version = ""
         self.slow_version = ""
         self.dead: set[str] = set()
         self.unheard: set[str] = set()
         self.peak_out = 0
-        self.flows_of_a_step = FLOWS_OF_A_STEP
+        self.flows_per_step = FLOWS_PER_STEP
         assert self.apply(commands.BeginRelease, PLAN, sorted(ZONES))[0]
 
     def apply(self, command: type[Command], *arguments: Any) -> Any:
@@ -114,7 +121,7 @@
 
     @property
     def release(self) -> Release:
-        """The release, as agreed; one has begun with the model."""
+        """Return the agreed release; `__init__` has begun one."""
         release = self.machine.state.release
         if release is None:
             raise LookupError("there is no release")
@@ -122,35 +129,35 @@
 
     @property
     def halt_reason(self) -> str:
-        """Why nothing may go out; empty if nothing is halted."""
+        """Return the reason of the current halt, or an empty string."""
         halted = self.machine.state.halted
         return halted[2] if halted is not None else ""
 
     @property
     def is_halted(self) -> bool:
-        """Whether a halt is in force."""
+        """Return whether a halt is in force."""
         return self.machine.state.halted is not None
 
     def out(self) -> set[str]:
-        """Balancers that are out by the release."""
+        """Return the balancers that the release has taken out."""
         members = self.release.members
         return {name for name, status in members.items() if status in ("out", "changing")}
 
     def count_of(self, version: str) -> int:
-        """How many balancers run a version."""
+        """Return how many balancers run a version."""
         return list(self.versions.values()).count(version)
 
     def change_leader(self) -> None:
-        """Another member leads, which has heard nobody yet."""
+        """Replace the leader by one that has received no reports yet."""
         self.leader = ReleaseControl()
         self.unheard = set(ZONES)
 
     def return_balancer(self, name: str) -> None:
-        """Return a balancer under the grant that it has."""
+        """Apply the return of a balancer that has a leave grant."""
         self.apply(commands.BalancerReturned, name, self.machine.state.leave_grants[name])
 
     def step(self) -> None:
-        """Let a fifth of a second pass."""
+        """Simulate one step, a fifth of a second."""
         self.now += int(STEP_S * SECOND)
         for name, version in self.versions.items():
             if name not in self.dead:
@@ -166,7 +173,7 @@
 
     def _serve(self, name: str, version: str) -> None:
         served = self.served[name]
-        for _ in range(self.flows_of_a_step):
+        for _ in range(self.flows_per_step):
             is_bad = version == self.bad_version
             failed = is_bad and self.random.random() < BAD_FAILURE_PROBABILITY
             if failed or self.random.random() < FAILURE_PROBABILITY:
@@ -176,7 +183,7 @@
             served.setup_time += SLOW_SETUP_TIME if version == self.slow_version else SETUP_TIME
 
     def _unavailable(self) -> dict[str, str]:
-        """Those that the leader takes for out, with the reason."""
+        """Return the balancers that the leader counts as out, each with the reason."""
         self.unheard = {
             name
             for name in sorted(self.unheard)
@@ -227,13 +234,13 @@
         if self.apply(commands.ChangeStarted, name, target, ZONES, unavailable)[0]:
             self.targets[name] = target
 
-    def run_until(self, met: Callable[[], bool], seconds: int) -> None:
-        """Let time pass until something is met, or that many seconds from the start are over."""
-        while not met() and self.now < seconds * SECOND:
+    def run_until(self, condition: Callable[[], bool], seconds: int) -> None:
+        """Run until the condition holds, or until that many seconds after the start."""
+        while not condition() and self.now < seconds * SECOND:
             self.step()
 
     def run_until_rolled_back(self, seconds: int = 600) -> None:
-        """Let time pass until the release is rolled back, within that many seconds."""
+        """Run until the release is rolled back; fail if that takes more than that many seconds."""
         end = self.now // SECOND + seconds
         self.run_until(lambda: self.release.phase == "backed", end)
         state = (self.release, self.machine.state.halted, self.leader.waits_for)
@@ -241,12 +248,12 @@
 
 
 def inject_random_fault(fleet: ModelFleet) -> None:
-    """Perhaps let a balancer die or return, the leader change, or a person halt or resume."""
+    """At random, kill or revive a balancer, change the leader, halt or resume, or do nothing."""
     draw = fleet.random.random()
     if draw < DEATH_BELOW and len(fleet.dead) < MAX_DEAD:
         fleet.dead.add(fleet.random.choice(sorted(ZONES)))
         if fleet.random.random() < 0.5:
-            fleet.change_leader()  # it led
+            fleet.change_leader()  # the dead balancer was the leader
     elif draw < REVIVAL_BELOW and fleet.dead:
         fleet.dead.discard(fleet.random.choice(sorted(fleet.dead)))
     elif draw < LEADER_CHANGE_BELOW:
@@ -257,13 +264,13 @@
         fleet.apply(commands.Resume, fleet.machine.state.halt_count)
 
 
-def assert_halt_and_bound_hold(fleet: ModelFleet, out_before: set[str], halted: bool) -> None:
-    """Nothing went out under a halt, and no more are out than the bound and the dead allow.
+def assert_halt_and_bound_respected(fleet: ModelFleet, out_before: set[str], halted: bool) -> None:
+    """Assert that nothing went out during a halt and that the bound holds, given dead balancers.
 
     Args:
-        fleet: After a step.
-        out_before: Who was out before that step.
-        halted: Whether a halt was in force then.
+        fleet: The fleet after a step.
+        out_before: Balancers that were out before that step.
+        halted: Whether a halt was in force before that step.
     """
     out = fleet.out()
     gone_out = out - out_before
@@ -273,14 +280,14 @@
         assert len(out | fleet.dead) <= MAX_OUT + len(fleet.dead & out)
 
 
-def play_release_among_faults(seed: int) -> ModelFleet:
-    """Play a release among faults; once they are over it must be possible to roll it back."""
+def run_release_with_faults(seed: int) -> ModelFleet:
+    """Run a release with random faults, and check that it can be rolled back afterwards."""
     fleet = ModelFleet(seed)
     for _ in range(FAULTY_STEPS):
         inject_random_fault(fleet)
         out_before, halted = fleet.out(), fleet.is_halted
         fleet.step()
-        assert_halt_and_bound_hold(fleet, out_before, halted)
+        assert_halt_and_bound_respected(fleet, out_before, halted)
     fleet.dead.clear()
     fleet.apply(commands.RollBack, "r1")
     fleet.run_until_rolled_back(900)
--- a/tests/rollout/release_mutants.py
+++ b/tests/rollout/release_mutants.py
@@ -1,4 +1,4 @@
-"""Deliberately broken rules of a release, for the model to detect."""
+"""Mutants of the release logic, each with one broken rule, which the model must detect."""
 
 from dataclasses import replace
 
@@ -19,14 +19,14 @@
 FREED_PROBABILITY = 0.05
 
 
-def slots_are_freed_while_an_agent_works(patch: pytest.MonkeyPatch) -> None:
-    """A grant that nobody was seen to use is free while its agent works."""
-    returned, step = release.end_unused_turn, ModelFleet.step
+def free_slots_while_agents_work(patch: pytest.MonkeyPatch) -> None:
+    """Free a slot that seems unused although the agent of its balancer is at work."""
+    end_unused_turn, step = release.end_unused_turn, ModelFleet.step
 
-    def returned_as_old(now: Release, name: str) -> None:
-        returned(now, name)
-        if now.members.get(name) == "changing":
-            now.members[name] = "old"
+    def end_any_turn(current: Release, name: str) -> None:
+        end_unused_turn(current, name)
+        if current.members.get(name) == "changing":
+            current.members[name] = "old"
 
     def step_after_freeing(self: ModelFleet) -> None:
         for name in sorted(self.machine.state.leave_grants):
@@ -34,12 +34,12 @@
                 self.return_balancer(name)
         step(self)
 
-    patch.setattr(release, "end_unused_turn", returned_as_old)
+    patch.setattr(release, "end_unused_turn", end_any_turn)
     patch.setattr(ModelFleet, "step", step_after_freeing)
 
 
-def lost_balancers_are_not_counted(patch: pytest.MonkeyPatch) -> None:
-    """Balancers that are out by themselves take no place of a bound."""
+def ignore_lost_balancers(patch: pytest.MonkeyPatch) -> None:
+    """Do not count balancers that are out without a grant against a bound."""
     patch.setattr(
         disruption_bounds,
         "violation_reason",
@@ -49,8 +49,8 @@
     )
 
 
-def unknown_members_are_taken_for_out(patch: pytest.MonkeyPatch) -> None:
-    """Whoever has not said anything to a new leader is out already, and may go."""
+def count_unheard_balancers_as_out(patch: pytest.MonkeyPatch) -> None:
+    """Treat balancers that have not reported to a new leader as out, so that they may go out."""
     patch.setattr(
         disruption_bounds,
         "violation_reason",
@@ -60,12 +60,12 @@
     )
 
 
-def halts_are_ignored(patch: pytest.MonkeyPatch) -> None:
-    """Neither the leader nor the state machine heeds a halt."""
+def ignore_halts(patch: pytest.MonkeyPatch) -> None:
+    """Ignore halts in the leader and in the state machine."""
     turn_objection, next_action = release.turn_objection, ReleaseControl.next_action
 
-    def turn_objection_despite_halt(now: Release, name: str, halted: bool) -> str:
-        return turn_objection(now, name, False)
+    def turn_objection_despite_halt(current: Release, name: str, halted: bool) -> str:
+        return turn_objection(current, name, False)
 
     def next_action_despite_halt(
         self: ReleaseControl, now: int, situation: ReleaseSituation
@@ -77,12 +77,12 @@
     patch.setattr(ReleaseControl, "next_action", next_action_despite_halt)
 
 
-def waves_are_not_observed(patch: pytest.MonkeyPatch) -> None:
-    """The next wave begins as soon as one is changed."""
+def skip_wave_observation(patch: pytest.MonkeyPatch) -> None:
+    """Begin the next wave as soon as all members of the current one are changed."""
     observe_wave = ReleaseControl._observe_wave
 
-    def pass_any_wave(now: Release, wave: int) -> str:
-        now.wave = min(now.wave + 1, len(now.plan.waves) - 1)
+    def pass_any_wave(current: Release, wave: int) -> str:
+        current.wave = min(current.wave + 1, len(current.plan.waves) - 1)
         return ""
 
     def observe_or_pass(
--- a/tests/rollout/test_bounds.py
+++ b/tests/rollout/test_bounds.py
@@ -1,4 +1,4 @@
-"""How many members a bound allows to be unavailable."""
+"""Bounds on the number of unavailable members."""
 
 import pytest
 from helpers import PARAMS
@@ -39,8 +39,8 @@
 
 
 @pytest.fixture
-def objection_to_invalid_bounds() -> str:
-    """What is said against settings in which five bounds are invalid."""
+def error_of_invalid_bounds() -> str:
+    """Return the error for settings in which five bounds are invalid."""
     invalid = {
         "balancers": {"all": 0, "zone": {"share": 2}, "odd": 1},
         "servers": {"all": {"share": 0.5, "least": -1}},
@@ -53,8 +53,8 @@
     "field",
     ["balancers.all", "balancers.zone", "balancers.odd", "servers.all", "bounds.clients"],
 )
-def test_every_invalid_bound_is_named(objection_to_invalid_bounds, field):
-    assert field in objection_to_invalid_bounds
+def test_every_invalid_bound_is_named(error_of_invalid_bounds, field):
+    assert field in error_of_invalid_bounds
 
 
 def test_valid_bounds_are_accepted():
@@ -62,7 +62,7 @@
     assert not bounds.objection(valid)
 
 
-def test_each_zone_has_a_bound_of_its_own():
+def test_zone_bound_counts_each_zone_separately():
     assert not violation_reason(ALL_AND_ZONE, ZONES, {"a1": "drained"}, {}, "b1")
 
 
@@ -71,25 +71,25 @@
     assert "of zone a" in violation
 
 
-def test_violation_names_how_many_are_out_and_who():
+def test_violation_lists_the_number_and_names_of_unavailable_members():
     violation = violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "a1")
     assert violation.startswith("2 of 5 are out and 1 may be: b1 (not ready)")
 
 
-def test_member_that_is_out_already_takes_no_further_place():
+def test_member_that_is_already_out_is_not_counted_twice():
     assert not violation_reason(ALL_AND_ZONE, ZONES, {}, {"a1": "not heard"}, "a1")
 
 
 def test_lost_member_violates_a_bound_that_others_exceed():
-    """It may come back just before it goes out."""
+    """The lost member may come back just before it is taken out."""
     assert violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1")
 
 
-def test_lost_member_may_be_healed_though_others_are_lost():
+def test_lost_member_may_be_repaired_though_others_are_lost():
     assert not violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1", heals=True)
 
 
-def test_lost_member_may_not_be_healed_while_another_is_out_by_a_grant():
+def test_lost_member_may_not_be_repaired_while_another_is_out_by_a_grant():
     granted, lost = {"a1": "drained"}, {"b1": "not ready"}
     assert violation_reason(ONE_OF_ALL, ZONES, granted, lost, "b1", heals=True)
 
--- a/tests/rollout/test_release_commands.py
+++ b/tests/rollout/test_release_commands.py
@@ -1,4 +1,4 @@
-"""Release commands at the replicated state machine."""
+"""Release commands, applied by the replicated state machine."""
 
 import pytest
 from release_model import NEW_VERSION, PLAN, ZONES, ModelFleet
@@ -8,12 +8,12 @@
 
 @pytest.fixture
 def fleet() -> ModelFleet:
-    """A fleet in which release r1 has begun."""
+    """Return a fleet in which release r1 has begun."""
     return ModelFleet(1)
 
 
 def start_change(fleet: ModelFleet, name: str, boot: int = 1) -> None:
-    """Grant a balancer a turn, and let its agent start the change."""
+    """Grant a balancer its turn and start its change."""
     assert fleet.apply(commands.GrantTurn, name, ZONES, {}, boot)[0]
     assert fleet.apply(commands.ChangeStarted, name, NEW_VERSION, ZONES, {})[0]
 
@@ -37,7 +37,7 @@
 
 
 def test_failed_member_that_did_not_use_its_second_turn_stays_failed(fleet):
-    """Else the release would be rolled back with the new version running there."""
+    """Otherwise a rollback could end while this member still runs the new version."""
     start_change(fleet, "n0")
     fleet.apply(commands.ChangeFinished, "n0", "", "its process ended")
     assert fleet.release.members["n0"] == "failed"
--- a/tests/rollout/test_release_model.py
+++ b/tests/rollout/test_release_model.py
@@ -1,4 +1,4 @@
-"""Releases: the state machine and the leader's part against a plain model."""
+"""The state machine and the leader's release control, tested on a simple model of a fleet."""
 
 import pytest
 from release_model import (
@@ -7,21 +7,21 @@
     OLD_VERSION,
     PLAN,
     ModelFleet,
-    play_release_among_faults,
+    run_release_with_faults,
 )
 from release_mutants import (
-    halts_are_ignored,
-    lost_balancers_are_not_counted,
-    slots_are_freed_while_an_agent_works,
-    unknown_members_are_taken_for_out,
-    waves_are_not_observed,
+    count_unheard_balancers_as_out,
+    free_slots_while_agents_work,
+    ignore_halts,
+    ignore_lost_balancers,
+    skip_wave_observation,
 )
 
 from cypresswalk.fleet import commands
 from cypresswalk.model import SECOND
 
-# Seeds within which each mutant is detected.
-MUTANT_SEEDS = 60
+# Each mutant must be detected by one of this many seeds.
+MUTANT_SEED_COUNT = 60
 LEADER_CHANGE_PROBABILITY = 0.03
 
 
@@ -45,8 +45,8 @@
     assert not fleet.is_halted, fleet.halt_reason
 
 
-def play_bad_release(seed: int, defect: str) -> None:
-    """Play a release to a version with a defect: it must halt, hold, and roll back."""
+def run_bad_release(seed: int, defect: str) -> None:
+    """Release a version with a defect: it must halt, change no further member, and roll back."""
     fleet = ModelFleet(seed)
     setattr(fleet, defect, NEW_VERSION)
     fleet.run_until(lambda: fleet.is_halted, 300)
@@ -64,40 +64,40 @@
 @pytest.mark.parametrize("defect", ["bad_version", "slow_version"])
 @pytest.mark.parametrize("seed", range(4))
 def test_bad_release_halts_in_its_first_wave_and_is_rolled_back(seed, defect):
-    play_bad_release(seed, defect)
+    run_bad_release(seed, defect)
 
 
 def test_release_without_enough_flows_halts_in_its_first_wave():
     fleet = ModelFleet(1)
-    fleet.flows_of_a_step = 0
+    fleet.flows_per_step = 0
     fleet.run_until(lambda: fleet.is_halted, 300)
     assert fleet.release.wave == 0
     assert "nothing is known of wave 0" in fleet.halt_reason
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_release_among_faults_keeps_bounds_and_halts_and_can_be_rolled_back(seed):
-    play_release_among_faults(seed)
+def test_release_with_faults_keeps_bounds_and_halts_and_can_be_rolled_back(seed):
+    run_release_with_faults(seed)
 
 
 @pytest.mark.parametrize(
     "mutate",
     [
-        slots_are_freed_while_an_agent_works,
-        lost_balancers_are_not_counted,
-        halts_are_ignored,
-        unknown_members_are_taken_for_out,
+        free_slots_while_agents_work,
+        ignore_lost_balancers,
+        ignore_halts,
+        count_unheard_balancers_as_out,
     ],
 )
 def test_release_mutant_is_detected(mutate, monkeypatch):
     mutate(monkeypatch)
     with pytest.raises(AssertionError):
-        for seed in range(MUTANT_SEEDS):
-            play_release_among_faults(seed)
+        for seed in range(MUTANT_SEED_COUNT):
+            run_release_with_faults(seed)
 
 
-def test_wave_that_is_not_observed_is_detected(monkeypatch):
-    waves_are_not_observed(monkeypatch)
+def test_mutant_that_skips_wave_observation_is_detected(monkeypatch):
+    skip_wave_observation(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(4):
-            play_bad_release(seed, "bad_version")
+            run_bad_release(seed, "bad_version")
