--- a/cypresswalk/cli/fleet/agent.py
+++ b/cypresswalk/cli/fleet/agent.py
@@ -109,8 +109,8 @@
     from cypresswalk.rollout.actions import CallResult
 
     args = call.args
-    if call.ident:
-        args = client.command_args(f"agent of {agent_name}", **args) | {"ident": call.ident}
+    if call.command_id:
+        args = client.command_args(f"agent of {agent_name}", **args) | {"ident": call.command_id}
     try:
         answer = client.call(caller.addresses, caller.fleet, call.name, args, CALL_TIMEOUT)
     except (CommandError, client.UncertainOutcomeError) as error:
--- a/cypresswalk/cli/fleet/releases.py
+++ b/cypresswalk/cli/fleet/releases.py
@@ -64,7 +64,7 @@
     if body["halted"]:
         halted = f"; HALTED by {body['halted'][0]}: {body['halted'][2]}"
     click.echo(
-        f"release {plan.name} by {current.by}: {plan.from_version} -> {plan.to_version}, "
+        f"release {plan.name} by {current.started_by}: {plan.from_version} -> {plan.to_version}, "
         f"{current.phase}, wave {current.wave} of {len(plan.waves)}{halted}"
     )
     if body["waits"]:
--- a/cypresswalk/fleet/applied_view.py
+++ b/cypresswalk/fleet/applied_view.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from cypresswalk.fleet.records import FleetState, ListedServer
-from cypresswalk.rollout.release import UNFINISHED, MemberKind
+from cypresswalk.rollout.release import UNFINISHED_PHASES, MemberKind
 
 # A leave grant whose reason begins with this lasts until an operator ends the drain.
 DRAINED = "drained"
@@ -53,5 +53,5 @@
         drained_balancers=drained,
         report_servers=release is not None
         and release.plan.kind == MemberKind.SERVERS
-        and release.phase in UNFINISHED,
+        and release.phase in UNFINISHED_PHASES,
     )
--- a/cypresswalk/fleet/disruption_bounds.py
+++ b/cypresswalk/fleet/disruption_bounds.py
@@ -14,7 +14,7 @@
     name: str,
     zones: dict[str, str],
     unavailable: dict[str, str],
-    heals: bool = False,
+    is_repair: bool = False,
 ) -> str:
     """Return why the balancer may not go out, or an empty string.
 
@@ -23,7 +23,7 @@
         name: name of the balancer.
         zones: zones of all members, by name.
         unavailable: members that the leader considers out, each with the reason.
-        heals: whether the change is to bring back a balancer that is out already.
+        is_repair: whether the change is to bring back a balancer that is out already.
     """
     granted = {
         member: f"{why}, by {by}"
@@ -31,11 +31,11 @@
         if member in zones
     }
     scopes = state.settings.get("bounds", {}).get("balancers", {})
-    return violation_reason(scopes, zones, granted, unavailable, name, heals)
+    return violation_reason(scopes, zones, granted, unavailable, name, is_repair)
 
 
 def server_bound(
-    state: FleetState, server: str, unavailable: dict[str, str], heals: bool = False
+    state: FleetState, server: str, unavailable: dict[str, str], is_repair: bool = False
 ) -> str:
     """Return why the server may not go out, or an empty string.
 
@@ -53,7 +53,7 @@
         reason = f"release {state.release.plan.name}"
         granted |= dict.fromkeys(state.servers_out_for_release(), reason)
     granted |= {name: f"by {by}" for name, (by, _) in state.removed_servers.items()}
-    return violation_reason(scopes, zones, granted, unavailable | listed, server, heals)
+    return violation_reason(scopes, zones, granted, unavailable | listed, server, is_repair)
 
 
 def change_bound(
--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -78,7 +78,7 @@
     if release is None:
         return CommandResult(False, "there is no release")
     if isinstance(command, RollBack | PauseRelease) and command.release != release.plan.name:
-        why = f"release {release.plan.name} by {release.by} has come since"
+        why = f"release {release.plan.name} by {release.started_by} has come since"
         return CommandResult(False, why)
     return _HANDLERS[type(command)](state, release, command)
 
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -265,7 +265,7 @@
         boots = situation.boots
         self.boots = {name: boot for name, boot in self.boots.items() if name in changed}
         for name in changed:
-            before = situation.release.boots.get(name, 0)
+            before = situation.release.boots_at_grant.get(name, 0)
             if before:
                 expected = before + 1  # the change itself starts the target once
             else:
@@ -280,7 +280,7 @@
         if self.healthy_since is None:
             self.healthy_since = now
         passed = now - self.healthy_since
-        unknown = self.evidence.missing(plan, wave)
+        unknown = self.evidence.missing_evidence(plan, wave)
         self.waits_for = (
             f"wave {release.wave} holds for {passed / SECOND:.1f} of {plan.hold_s:g} s:"
             f" {unknown or 'good'}"
--- a/cypresswalk/fleet/shared_settings.py
+++ b/cypresswalk/fleet/shared_settings.py
@@ -56,7 +56,7 @@
         return str(invalid) or type(invalid).__name__
     if error:
         return error
-    if "bounds" in settings and (error := bounds.objection(settings["bounds"])):
+    if "bounds" in settings and (error := bounds.validation_error(settings["bounds"])):
         return error
     if (
         decoded.instances < 1
--- a/cypresswalk/fleet/state_machine.py
+++ b/cypresswalk/fleet/state_machine.py
@@ -255,7 +255,7 @@
         return CommandResult(False, why)
     state.halted = None
     if state.release is not None:
-        state.release.boots = {}  # only starts after the resumption count
+        state.release.boots_at_grant = {}  # only starts after the resumption count
     state.record(command.by, command.at, "resumed")
     return CommandResult(True, "resumed")
 
--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -9,19 +9,19 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.actions import (
     Action,
+    ActionGenerator,
     CallFleet,
     CallResult,
     CheckReady,
-    DrawToken,
-    EndProcess,
     FindStartedProcess,
+    GenerateToken,
     IsRunning,
     ReadClock,
     SaveState,
     Sleep,
     StartProcess,
     StartResult,
-    Work,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState
 from cypresswalk.rollout.change_agent import ChangeAgent
@@ -87,7 +87,7 @@
         self._world = world
         self._host = host
         self._agent: ChangeAgent | None = None
-        self._work: Work[None] | None = None
+        self._work: ActionGenerator[None] | None = None
         self._incarnation = 0  # results for an earlier one are void
 
     def start(self) -> None:
@@ -144,18 +144,20 @@
             case StartProcess():
                 return StartResult(host.start_process(action.version, action.admin), "")
             case FindStartedProcess():
-                is_other = host.latest_pid != action.known and host.latest_pid in host.running_pids
+                is_other = (
+                    host.latest_pid != action.known_pid and host.latest_pid in host.running_pids
+                )
                 return host.latest_pid if is_other else 0
             case IsRunning():
                 return action.pid in host.running_pids
-            case EndProcess():
-                end: Callable[[int], None] = host.end_process if action.hard else host.ask_to_leave
+            case StopProcess():
+                end: Callable[[int], None] = host.end_process if action.kill else host.ask_to_leave
                 end(action.pid)
             case CheckReady():
                 return host.readiness_error(action.admin)
             case ReadClock():
                 return host.clock() / SECOND
-            case DrawToken():
+            case GenerateToken():
                 return self._world.next_ident("d")
         return None
 
@@ -187,9 +189,9 @@
         if call.name == "release_began":
             self._world.count("began asked")
         args = call.args
-        if call.ident:
+        if call.command_id:
             command = self._world.make_command(f"agent of {self._host.name}", args)
-            args = command | {"ident": call.ident}
+            args = command | {"ident": call.command_id}
         self._world.call(process, call.name, args, CALL_SPAN, reply)
 
     def _first_contact(self) -> Process | None:
--- a/cypresswalk/rollout/actions.py
+++ b/cypresswalk/rollout/actions.py
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FindStartedProcess:
-    """Find the process started last. Result: its id if it runs and is not `known`, else 0."""
+    """Find the process started last. Result: its id if it runs and is not `known_pid`, else 0."""
 
-    known: int
+    known_pid: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +37,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndProcess:
-    """Kill a process if `hard`, else ask it to shut down. Result: None."""
+class StopProcess:
+    """Kill a process if `kill`, else ask it to shut down. Result: None."""
 
     pid: int
-    hard: bool
+    kill: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,16 +58,17 @@
     Attributes:
         name: name of the call.
         args: arguments of the call.
-        ident: id of a command, which takes effect once however often it is sent; empty for a query.
+        command_id: id of a command, which takes effect once however often it is sent; empty for a
+            query.
     """
 
     name: str
     args: dict[str, Any]
-    ident: str = ""
+    command_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class DrawToken:
+class GenerateToken:
     """Generate a token. Result: a unique string."""
 
 
@@ -102,12 +103,12 @@
     | StartProcess
     | FindStartedProcess
     | IsRunning
-    | EndProcess
+    | StopProcess
     | CheckReady
     | CallFleet
-    | DrawToken
+    | GenerateToken
     | Sleep
     | ReadClock
 )
 ResultT = TypeVar("ResultT")
-Work = Generator[Action, Any, ResultT]
+ActionGenerator = Generator[Action, Any, ResultT]
--- a/cypresswalk/rollout/agent_host.py
+++ b/cypresswalk/rollout/agent_host.py
@@ -22,15 +22,15 @@
     CallFleet,
     CallResult,
     CheckReady,
-    DrawToken,
-    EndProcess,
     FindStartedProcess,
+    GenerateToken,
     IsRunning,
     ReadClock,
     SaveState,
     Sleep,
     StartProcess,
     StartResult,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState
 from cypresswalk.rollout.change_agent import ChangeAgent
@@ -140,13 +140,13 @@
         log.info("event=process_started version=%s pid=%d admin=%s", version, child.pid, admin)
         return child.pid
 
-    def find_started(self, known: int) -> int:
-        """Return the id of the process started last if it runs and is not `known`, else 0."""
+    def find_started(self, known_pid: int) -> int:
+        """Return the id of the process started last if it runs and is not `known_pid`, else 0."""
         try:
             pid = int((self.folder / STARTED_FILE).read_text() or 0)
         except (OSError, ValueError):
             return 0
-        return pid if pid != known and self.is_running(pid) else 0
+        return pid if pid != known_pid and self.is_running(pid) else 0
 
     def is_running(self, pid: int) -> bool:
         """Return whether the process runs and was started by this agent or an earlier one."""
@@ -161,10 +161,10 @@
         except OSError:
             return False
 
-    def stop(self, pid: int, hard: bool) -> None:
-        """Kill a process if `hard`, else ask it to shut down; do nothing if it does not run."""
+    def stop(self, pid: int, kill: bool) -> None:
+        """Kill a process if `kill`, else ask it to shut down; do nothing if it does not run."""
         if self.is_running(pid):
-            os.kill(pid, signal.SIGKILL if hard else signal.SIGTERM)
+            os.kill(pid, signal.SIGKILL if kill else signal.SIGTERM)
 
 
 class AgentHost:
@@ -208,7 +208,7 @@
     def execute(self, action: Action) -> Any:
         """Execute an action and return the result that its class documents."""
         match action:
-            case StartProcess() | FindStartedProcess() | IsRunning() | EndProcess():
+            case StartProcess() | FindStartedProcess() | IsRunning() | StopProcess():
                 return self.execute_on_process(action)
             case SaveState():
                 self.state_file.save(self.agent.state)
@@ -216,7 +216,7 @@
                 return self.check.error(admin)
             case CallFleet():
                 return self.call_fleet(action)
-            case DrawToken():
+            case GenerateToken():
                 return uuid.uuid4().hex
             case Sleep(seconds=seconds):
                 time.sleep(seconds)
@@ -227,7 +227,7 @@
         return None
 
     def execute_on_process(
-        self, action: StartProcess | FindStartedProcess | IsRunning | EndProcess
+        self, action: StartProcess | FindStartedProcess | IsRunning | StopProcess
     ) -> Any:
         """Execute an action on the member's processes and return its result."""
         match action:
@@ -236,10 +236,10 @@
                     return StartResult(self.processes.start(version, admin), "")
                 except OSError as error:
                     return StartResult(0, f"{version}: {error}")
-            case FindStartedProcess(known=known):
-                return self.processes.find_started(known)
+            case FindStartedProcess(known_pid=known_pid):
+                return self.processes.find_started(known_pid)
             case IsRunning(pid=pid):
                 return self.processes.is_running(pid)
-            case EndProcess(pid=pid, hard=hard):
-                self.processes.stop(pid, hard)
+            case StopProcess(pid=pid, kill=kill):
+                self.processes.stop(pid, kill)
         return None
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -14,11 +14,11 @@
 
 from cypresswalk.net.lifecycle import Phase
 from cypresswalk.rollout.actions import (
+    ActionGenerator,
     CheckReady,
-    EndProcess,
     IsRunning,
     ReadClock,
-    Work,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
 from cypresswalk.rollout.change_agent import READY_TIMEOUT, ChangeAgent
@@ -48,7 +48,7 @@
             else self.admin_addresses[0]
         )
 
-    def must_wait(self, turn: Turn) -> Work[bool]:
+    def must_wait(self, turn: Turn) -> ActionGenerator[bool]:
         """Return whether the current process was started recently and is not ready yet.
 
         A second process could not find one that is not listening yet: both would listen, and the
@@ -63,7 +63,7 @@
         now: float = yield ReadClock()
         return now - self.started_at < READY_TIMEOUT
 
-    def start_new(self) -> Work[None]:
+    def start_new(self) -> ActionGenerator[None]:
         """Start the new process while the old one runs, and wait until it is ready."""
         state = self.state
         error = ""
@@ -76,12 +76,12 @@
         else:
             yield from self.enter_step(AgentStep.STOPPING_OLD)
 
-    def give_up(self, reason: str) -> Work[None]:
+    def give_up(self, reason: str) -> ActionGenerator[None]:
         """Kill the new process and keep the old one running."""
-        yield EndProcess(self.state.new_pid, True)
+        yield StopProcess(self.state.new_pid, True)
         yield from self.enter_step(AgentStep.REPORTING, reason)
 
-    def stop_old(self) -> Work[None]:
+    def stop_old(self) -> ActionGenerator[None]:
         """Ask the old process to shut down, unless it already was, and wait until it has ended."""
         state = self.state
         if (yield IsRunning(state.pid)):
@@ -94,7 +94,7 @@
                     yield from self.give_up(reason)
                     return
                 log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
-                yield EndProcess(state.pid, False)
+                yield StopProcess(state.pid, False)
         yield from self.wait_until_ended(state.pid)
         admin = self.other_admin()
         error = yield from self.wait_until_ready(admin, state.new_pid)
--- a/cypresswalk/rollout/bounds.py
+++ b/cypresswalk/rollout/bounds.py
@@ -66,7 +66,7 @@
         )
 
 
-def objection(bounds: object) -> str:
+def validation_error(bounds: object) -> str:
     """Return all errors in a `bounds` table in one line, or an empty string."""
     if not isinstance(bounds, dict):
         return "bounds: no table"
@@ -133,7 +133,7 @@
     granted: Mapping[str, str],
     observed: Mapping[str, str],
     candidate: str,
-    heals: bool = False,
+    is_repair: bool = False,
 ) -> BoundViolation | None:
     """Return the first bound that would be exceeded if `candidate` went out, or None.
 
@@ -145,13 +145,13 @@
         granted: reasons of the members that may be out by a grant, by name.
         observed: reasons of the members that are out for any other cause, by name.
         candidate: the member that is to go out.
-        heals: whether taking out the candidate repairs it, since it is out without a grant. Then
-            only grants count against the bound: the candidate may come back just before it is
+        is_repair: whether taking out the candidate repairs it, since it is out without a grant.
+            Then only grants count against the bound: the candidate may come back just before it is
             taken out, so it needs a grant of its own, but other members without a grant do not
             block its repair.
     """
     candidate_zone = zones.get(candidate, "")
-    unavailable = granted if heals else {**observed, **granted}
+    unavailable = granted if is_repair else {**observed, **granted}
     same_zone = {name for name, zone in zones.items() if zone == candidate_zone}
     members_by_scope: tuple[tuple[str, Collection[str], str | None], ...] = (
         (ALL, zones, None),
@@ -174,8 +174,8 @@
     granted: Mapping[str, str],
     observed: Mapping[str, str],
     candidate: str,
-    heals: bool = False,
+    is_repair: bool = False,
 ) -> str:
     """Return the text of `find_violation`'s result, or an empty string."""
-    violation = find_violation(scopes, zones, granted, observed, candidate, heals)
+    violation = find_violation(scopes, zones, granted, observed, candidate, is_repair)
     return "" if violation is None else str(violation)
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -11,18 +11,18 @@
 from collections.abc import Callable
 
 from cypresswalk.rollout.actions import (
+    ActionGenerator,
     CallFleet,
     CallResult,
     CheckReady,
-    DrawToken,
-    EndProcess,
     FindStartedProcess,
+    GenerateToken,
     IsRunning,
     ReadClock,
     SaveState,
     Sleep,
     StartProcess,
-    Work,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
 from cypresswalk.rollout.release import ChangeStatus
@@ -67,11 +67,13 @@
         self.state = state
         self.started_at: float | None = None
         self.next_query_at = 0.0
-        self.steps: dict[AgentStep, Callable[[], Work[None]]] = {AgentStep.REPORTING: self.report}
+        self.steps: dict[AgentStep, Callable[[], ActionGenerator[None]]] = {
+            AgentStep.REPORTING: self.report
+        }
 
     # Overridden for balancers and servers.
 
-    def must_wait(self, turn: Turn) -> Work[bool]:
+    def must_wait(self, turn: Turn) -> ActionGenerator[bool]:
         """Return whether the change must wait although the member's turn is granted."""
         raise NotImplementedError
 
@@ -85,24 +87,24 @@
 
     # Common to both.
 
-    def run(self) -> Work[None]:
+    def run(self) -> ActionGenerator[None]:
         """Run the agent forever."""
         while True:
             yield from self.steps.get(self.state.step, self.idle)()
             yield Sleep(STEP_INTERVAL)
 
-    def enter_step(self, step: AgentStep, reason: str = "") -> Work[None]:
+    def enter_step(self, step: AgentStep, reason: str = "") -> ActionGenerator[None]:
         """Set the current step and save the state."""
         self.state.step = step
         self.state.reason = reason
         yield SaveState()
 
-    def idle(self) -> Work[None]:
+    def idle(self) -> ActionGenerator[None]:
         """Keep the version running and check for a turn, even if the process keeps ending."""
         yield from self.keep_running()
         yield from self.look_for_turn()
 
-    def keep_running(self) -> Work[None]:
+    def keep_running(self) -> ActionGenerator[None]:
         """Restart the version if its process has ended."""
         state = self.state
         if self.started_at is None:
@@ -123,13 +125,13 @@
                 log.error("event=process_not_started version=%s error=%s", state.version, error)
         yield SaveState()
 
-    def query_turn(self) -> Work[Turn | None]:
+    def query_turn(self) -> ActionGenerator[Turn | None]:
         """Query the fleet for the member's turn; return None if the call fails."""
         result: CallResult = yield CallFleet("turn", {"member": self.member})
         ok, body = result
         return Turn.from_body(body) if ok else None
 
-    def query_granted_turn(self) -> Work[Turn | None]:
+    def query_granted_turn(self) -> ActionGenerator[Turn | None]:
         """Return the member's turn if it was granted; limit how often the fleet is queried."""
         now: float = yield ReadClock()
         if now < self.next_query_at:
@@ -141,17 +143,17 @@
             return None
         return turn
 
-    def look_for_turn(self) -> Work[None]:
+    def look_for_turn(self) -> ActionGenerator[None]:
         """Start the change if it is the member's turn."""
         turn = yield from self.query_granted_turn()
         if turn is None:
             return
         state = self.state
-        state.change_id = yield DrawToken()
+        state.change_id = yield GenerateToken()
         if turn.changing:
             # The fleet agreed to the change, but the agent died before it saved that, so nothing
             # was changed.
-            yield from self.enter_step(AgentStep.REPORTING, "its agent began anew")
+            yield from self.enter_step(AgentStep.REPORTING, "its agent restarted")
             return
         if state.version not in (turn.from_version, turn.to_version):
             log.error(
@@ -164,7 +166,7 @@
         if not (yield from self.must_wait(turn)):
             yield from self.start_change(turn.target_version)
 
-    def start_change(self, target: str) -> Work[None]:
+    def start_change(self, target: str) -> ActionGenerator[None]:
         """Start the change to a version if the fleet agrees in time."""
         state = self.state
         asked_at: float = yield ReadClock()
@@ -186,7 +188,7 @@
         else:
             yield from self.enter_step(self.first_step)
 
-    def start_new_process(self, version: str, admin: str) -> Work[str]:
+    def start_new_process(self, version: str, admin: str) -> ActionGenerator[str]:
         """Start the new process; return why that failed, or an empty string.
 
         An earlier agent may have started it and died before it saved the process id; then that
@@ -200,14 +202,14 @@
         yield SaveState()
         return error
 
-    def wait_until_ended(self, pid: int) -> Work[None]:
+    def wait_until_ended(self, pid: int) -> ActionGenerator[None]:
         """Wait until a process asked to shut down has ended; kill it after STOP_TIMEOUT."""
         deadline: float = (yield ReadClock()) + STOP_TIMEOUT
         while (yield IsRunning(pid)) and (yield ReadClock()) < deadline:
             yield Sleep(CHECK_INTERVAL)
-        yield EndProcess(pid, True)
+        yield StopProcess(pid, True)
 
-    def wait_until_ready(self, admin: str, pid: int) -> Work[str]:
+    def wait_until_ready(self, admin: str, pid: int) -> ActionGenerator[str]:
         """Wait until a process has been ready for STEADY_TIME; return why it was not, or empty."""
         deadline: float = (yield ReadClock()) + READY_TIMEOUT
         ready_since: float | None = None
@@ -222,7 +224,7 @@
             yield Sleep(CHECK_INTERVAL)
         return error or "not ready for long enough"
 
-    def confirm_stop(self) -> Work[str]:
+    def confirm_stop(self) -> ActionGenerator[str]:
         """Ask the fleet again before the old process is stopped.
 
         If other members were lost meanwhile, wait for them, since they may come back.
@@ -249,7 +251,7 @@
         """Return whether the fleet no longer wants the change under way."""
         return not turn.changing or turn.target_version != self.state.target_version
 
-    def report(self) -> Work[None]:
+    def report(self) -> ActionGenerator[None]:
         """Report the running version to the fleet; the step is repeated until that succeeds."""
         state = self.state
         # All attempts have one command id, so that a late one does not end the next change.
--- a/cypresswalk/rollout/evidence.py
+++ b/cypresswalk/rollout/evidence.py
@@ -256,7 +256,7 @@
                     return assessment.reason
         return ""
 
-    def missing(self, plan: Plan, names: Collection[str]) -> str:
+    def missing_evidence(self, plan: Plan, names: Collection[str]) -> str:
         """Return why some of the named members are not known to be good, or an empty string."""
         reasons = []
         for name in names:
--- a/cypresswalk/rollout/release.py
+++ b/cypresswalk/rollout/release.py
@@ -49,7 +49,7 @@
     SERVERS = "servers"
 
 
-UNFINISHED = (Phase.RUNNING, Phase.PAUSED, Phase.ROLLING_BACK)
+UNFINISHED_PHASES = (Phase.RUNNING, Phase.PAUSED, Phase.ROLLING_BACK)
 
 
 class Plan(msgspec.Struct, frozen=True, array_like=True):
@@ -92,27 +92,27 @@
 
     Attributes:
         plan: plan of the release.
-        by: who started it.
-        at: time it was started, wall clock, milliseconds.
+        started_by: who started it.
+        started_at_ms: time it was started, wall clock, milliseconds.
         phase: a Phase.
         wave: index of the current wave.
         members: ChangeStatus of each member, by name.
         reports: the error that each agent reported last, by name; empty if its change succeeded.
         previous_statuses: ChangeStatus before its turn of each member with a granted turn, by name.
-        boots: number of starts of each member when its turn was granted, by name; 0 or absent if
-            unknown.
+        boots_at_grant: number of starts of each member when its turn was granted, by name; 0 or
+            absent if unknown.
         out_since_version: version of the agreed state in which each server was taken out, by name.
     """
 
     plan: Plan
-    by: str
-    at: int
+    started_by: str
+    started_at_ms: int
     phase: str = Phase.RUNNING.value
     wave: int = 0
     members: dict[str, str] = {}
     reports: dict[str, str] = {}
     previous_statuses: dict[str, str] = {}
-    boots: dict[str, int] = {}
+    boots_at_grant: dict[str, int] = {}
     out_since_version: dict[str, int] = {}
 
 
@@ -190,10 +190,10 @@
     Returns:
         The new release and a text for the history, or None and why it is rejected.
     """
-    if current is not None and current.phase in UNFINISHED:
+    if current is not None and current.phase in UNFINISHED_PHASES:
         return (
             None,
-            f"release {current.plan.name} by {current.by} is {current.phase}:"
+            f"release {current.plan.name} by {current.started_by} is {current.phase}:"
             " it must be done or back first",
         )
     errors = plan_errors(plan, known)
@@ -230,7 +230,7 @@
     """Grant a member its turn; `boot` is how often it has started, 0 if unknown."""
     release.previous_statuses[name] = release.members[name]
     release.members[name] = ChangeStatus.TURN_GRANTED
-    release.boots[name] = boot
+    release.boots_at_grant[name] = boot
 
 
 def target_version(release: Release, name: str) -> str:
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -14,11 +14,11 @@
 import logging
 
 from cypresswalk.rollout.actions import (
-    EndProcess,
+    ActionGenerator,
     IsRunning,
     ReadClock,
     Sleep,
-    Work,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState, AgentStep, Turn
 from cypresswalk.rollout.change_agent import (
@@ -46,7 +46,7 @@
         self.steps[AgentStep.REPLACING] = self.start_new
         self.steps[AgentStep.RESTORING] = self.restore_old
 
-    def must_wait(self, turn: Turn) -> Work[bool]:
+    def must_wait(self, turn: Turn) -> ActionGenerator[bool]:
         """Return whether a balancer has not applied the server's removal and may send it flows."""
         yield from ()
         return not turn.removal_applied
@@ -62,7 +62,7 @@
         count = "an unknown number of" if turn.open_flows is None else turn.open_flows
         return f"{count} flows are open"
 
-    def drain_and_stop(self) -> Work[None]:
+    def drain_and_stop(self) -> ActionGenerator[None]:
         """Wait until the server has no flows, then ask it to shut down."""
         state = self.state
         reason = yield from self.wait_until_drained()
@@ -74,10 +74,10 @@
             yield from self.enter_step(AgentStep.REPORTING, reason)
             return
         log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
-        yield EndProcess(state.pid, False)
+        yield StopProcess(state.pid, False)
         yield from self.enter_step(AgentStep.REPLACING)
 
-    def wait_until_drained(self) -> Work[str]:
+    def wait_until_drained(self) -> ActionGenerator[str]:
         """Wait until all reachable balancers report no open flow; return why not, or empty."""
         started_at: float = yield ReadClock()
         while True:
@@ -93,7 +93,7 @@
                 return "the fleet did not answer whether flows are open"
             yield Sleep(STEP_INTERVAL)
 
-    def start_new(self) -> Work[None]:
+    def start_new(self) -> ActionGenerator[None]:
         """Start the new version; if it does not answer, go on to restore the old one."""
         state = self.state
         error = yield from self.replace_process(state.target_version)
@@ -102,12 +102,12 @@
         state.pid = state.new_pid
         state.new_pid = 0
         if error:
-            yield EndProcess(state.pid, True)
+            yield StopProcess(state.pid, True)
             yield from self.enter_step(AgentStep.RESTORING, error)
         else:
             yield from self.enter_step(AgentStep.REPORTING)
 
-    def restore_old(self) -> Work[None]:
+    def restore_old(self) -> ActionGenerator[None]:
         """Start the version again that served before the change."""
         state = self.state
         error = yield from self.replace_process(state.version)
@@ -117,7 +117,7 @@
         outcome = f"{state.reason}; {state.version} again: {error or 'answers'}"
         yield from self.enter_step(AgentStep.REPORTING, outcome)
 
-    def replace_process(self, version: str) -> Work[str]:
+    def replace_process(self, version: str) -> ActionGenerator[str]:
         """Start a version once the previous process has ended; return why it fails, or empty."""
         state = self.state
         if not state.new_pid or not (yield IsRunning(state.new_pid)):
@@ -127,7 +127,7 @@
                 return error
         return (yield from self.wait_until_ready(state.admin, state.new_pid))
 
-    def wait_until_address_free(self, pid: int) -> Work[None]:
+    def wait_until_address_free(self, pid: int) -> ActionGenerator[None]:
         """Wait until a process has ended and freed its address, however long that takes."""
         yield from self.wait_until_ended(pid)
         while (yield IsRunning(pid)):
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -196,7 +196,7 @@
         results = {
             actions.IsRunning: True,
             actions.CheckReady: readiness_error,
-            actions.DrawToken: "d",
+            actions.GenerateToken: "d",
             actions.ReadClock: 0.0,
             actions.CallFleet: actions.CallResult(True, turn),
         }
@@ -219,7 +219,7 @@
     turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
     results = {
         actions.IsRunning: True,
-        actions.DrawToken: "d",
+        actions.GenerateToken: "d",
         actions.ReadClock: 0.0,
         actions.CallFleet: actions.CallResult(True, turn),
     }
@@ -230,8 +230,8 @@
         if isinstance(action, actions.CallFleet) and action.name != "turn":
             break
     assert done[-1].name == "release_came"
-    assert done[-1].args["why"] == "its agent began anew"
-    changes = actions.StartProcess | actions.EndProcess
+    assert done[-1].args["why"] == "its agent restarted"
+    changes = actions.StartProcess | actions.StopProcess
     assert not any(isinstance(action, changes) for action in done)
 
 
--- a/tests/rollout/release_mutants.py
+++ b/tests/rollout/release_mutants.py
@@ -43,7 +43,7 @@
     patch.setattr(
         disruption_bounds,
         "violation_reason",
-        lambda scopes, zones, granted, observed, candidate, heals: violation_reason(
+        lambda scopes, zones, granted, observed, candidate, is_repair: violation_reason(
             scopes, zones, granted, {}, candidate
         ),
     )
@@ -54,7 +54,7 @@
     patch.setattr(
         disruption_bounds,
         "violation_reason",
-        lambda scopes, zones, granted, observed, candidate, heals: violation_reason(
+        lambda scopes, zones, granted, observed, candidate, is_repair: violation_reason(
             scopes, zones, granted, observed, candidate, candidate in observed
         ),
     )
--- a/tests/rollout/test_bounds.py
+++ b/tests/rollout/test_bounds.py
@@ -59,7 +59,7 @@
 
 def test_valid_bounds_are_accepted():
     valid = {"balancers": {"all": 1}, "servers": {"zone": {"share": 0.5, "least": 1}}}
-    assert not bounds.objection(valid)
+    assert not bounds.validation_error(valid)
 
 
 def test_zone_bound_counts_each_zone_separately():
@@ -86,12 +86,12 @@
 
 
 def test_lost_member_may_be_repaired_though_others_are_lost():
-    assert not violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1", heals=True)
+    assert not violation_reason(ONE_OF_ALL, ZONES, {}, TWO_LOST, "b1", is_repair=True)
 
 
 def test_lost_member_may_not_be_repaired_while_another_is_out_by_a_grant():
     granted, lost = {"a1": "drained"}, {"b1": "not ready"}
-    assert violation_reason(ONE_OF_ALL, ZONES, granted, lost, "b1", heals=True)
+    assert violation_reason(ONE_OF_ALL, ZONES, granted, lost, "b1", is_repair=True)
 
 
 def test_a_share_of_a_zone_of_one_allows_none_unless_it_has_a_least_number():
--- a/tests/rollout/test_evidence.py
+++ b/tests/rollout/test_evidence.py
@@ -106,7 +106,7 @@
 
 def test_evidence_compares_members_over_the_same_time(fleet_after_first_wave):
     """Otherwise a server lost for a moment while a member returns would halt a good release."""
-    assert not fleet_after_first_wave.evidence.missing(PLAN, ["n0"])
+    assert not fleet_after_first_wave.evidence.missing_evidence(PLAN, ["n0"])
 
 
 def test_last_wave_is_compared_with_passed_waves(fleet_after_first_wave):
@@ -115,5 +115,5 @@
     fleet.wave = ["n1", "n2"]
     fleet.members |= {"n1": "new", "n2": "new"}
     assert not fleet.serve(30, failure_share=0.02)
-    assert not fleet.evidence.missing(PLAN, fleet.wave)
+    assert not fleet.evidence.missing_evidence(PLAN, fleet.wave)
     assert fleet.serve(30, failure_share=0.02, n2=0.3).startswith("n2 failed or rejected")
