--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -163,7 +163,7 @@
     )
 
 
-def _build_limits(data: dict[str, Any], settings: Settings, operated: bool) -> Limits:
+def _build_limits(data: dict[str, Any], settings: Settings, admin_enabled: bool) -> Limits:
     params = data["settings"]
     objectives = [
         service_type.message_latency_objective
@@ -179,5 +179,5 @@
         ),
         # A delay of up to a third of the smallest objective does not count as overload.
         min_reported_delay=min(objectives, default=SECOND) // 3,
-        operated=operated,
+        admin_enabled=admin_enabled,
     )
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -61,7 +61,7 @@
     [
         ("aborts", "failed or rejected"),
         ("slow", "ms for a set-up"),
-        ("falls", "began anew by itself"),
+        ("falls", "restarted by itself"),
         ("never_ready", "ERR starting"),
     ],
 )
@@ -128,12 +128,12 @@
 
 def a_slot_is_freed_while_an_agent_works(patch):
     """A balancer that is ready is taken for in, though its agent is changing it."""
-    next_ended = UnavailabilityTracker.next_ended
+    next_ended_grant = UnavailabilityTracker.next_ended_grant
 
     def with_none_changing(self, now, grants, changing, waiting, unavailable, present):
-        return next_ended(self, now, grants, (), waiting, unavailable, present)
+        return next_ended_grant(self, now, grants, (), waiting, unavailable, present)
 
-    patch.setattr(UnavailabilityTracker, "next_ended", with_none_changing)
+    patch.setattr(UnavailabilityTracker, "next_ended_grant", with_none_changing)
 
 
 @pytest.mark.parametrize(
@@ -196,7 +196,7 @@
         results = {
             actions.IsRunning: True,
             actions.CheckReady: readiness_error,
-            actions.DrawToken: "d",
+            actions.GenerateToken: "d",
             actions.ReadClock: 0.0,
             actions.CallFleet: actions.CallResult(True, turn),
         }
@@ -219,7 +219,7 @@
     turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
     results = {
         actions.IsRunning: True,
-        actions.DrawToken: "d",
+        actions.GenerateToken: "d",
         actions.ReadClock: 0.0,
         actions.CallFleet: actions.CallResult(True, turn),
     }
@@ -230,8 +230,8 @@
         if isinstance(action, actions.CallFleet) and action.name != "turn":
             break
     assert done[-1].name == "release_came"
-    assert done[-1].args["why"] == "its agent began anew"
-    changes = actions.StartProcess | actions.EndProcess
+    assert done[-1].args["why"] == "its agent restarted"
+    changes = actions.StartProcess | actions.StopProcess
     assert not any(isinstance(action, changes) for action in done)
 
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -8,7 +8,7 @@
 
 import pytest
 from core_helpers import DRIVER_LIMITS
-from helpers import config_data, listed
+from helpers import config_data, endpoint_entry
 from program_helpers import (
     END,
     LOOPBACK,
@@ -173,7 +173,7 @@
     def __init__(self, address: str, polled: bool = False):
         """Create a watch of discovery at an address, and a core that knows s-0 as in service."""
         self.inbox = Inbox(Clock())
-        data = config_data([listed("s-0")])
+        data = config_data([endpoint_entry("s-0")])
         config = build({}, data)
         self.core = Core(config, None, Counters(), self.inbox.clock())
         self.decoder = EndpointListDecoder(config.zones)
@@ -276,7 +276,7 @@
 def test_drain_read_before_a_watch_ends_is_applied_even_if_handled_later(order):
     # A drain that was read must not be lost because SIGHUP ended the watch before it was handled.
     harness = WatchHarness("127.0.0.1:9")
-    drain_and_new_server = [listed("s-0", lifecycle="terminating"), listed("s-7")]
+    drain_and_new_server = [endpoint_entry("s-0", lifecycle="terminating"), endpoint_entry("s-7")]
     assert harness.state() is ServerState.READY
     if order == "update first":
         harness.on_update(*drain_and_new_server)
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -4,8 +4,8 @@
 
 import pytest
 from core_helpers import CoreHarness, reply_of
-from handover_helpers import HandoverProcess, MessageChannel, upgraded
-from helpers import listed
+from handover_helpers import HandoverProcess, MessageChannel, start_upgraded_pair
+from helpers import endpoint_entry
 
 from cypresswalk.model import SECOND, ServerState
 from cypresswalk.net.lifecycle import Phase
@@ -97,7 +97,7 @@
     """The predecessor sends its state when the successor connects, and again when it hands over."""
     new_predecessor = HandoverProcess()
     new_successor = HandoverProcess(new_predecessor)
-    stopped_predecessor, taking_over = upgraded()
+    stopped_predecessor, taking_over = start_upgraded_pair()
     stopped_predecessor.stop()
     lost = []
     for successor, state in ((new_successor, "first state"), (taking_over, "state at handover")):
@@ -132,7 +132,7 @@
     # still keep it: the predecessor's state, written before the command, would otherwise undo it.
     predecessor = HandoverProcess()
     successor = HandoverProcess(predecessor)
-    assert successor.state_is_on_its_way()
+    assert successor.is_receiving_state()
     command = (name, "s-0") if name == "set-down" else (name,)
     call = successor.call(*command)
     successor.pass_time(SECOND)
@@ -252,8 +252,8 @@
 def test_newer_of_the_two_endpoint_lists_is_used(successor_version, expected):
     predecessor = HandoverProcess()
     predecessor.update_endpoints(
-        listed("s-0", lifecycle="terminated"),
-        listed("s-1", lifecycle="terminating"),
+        endpoint_entry("s-0", lifecycle="terminated"),
+        endpoint_entry("s-1", lifecycle="terminating"),
         generation=5,
     )
     predecessor.process_drivers.list_version = 5
