--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -35,7 +35,7 @@
 
 HEARTBEAT_INTERVAL = 2 * SECOND  # of discovery
 HEADERS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-PARTIAL_UPDATE = http_chunk(endpoint_update(listed("s-0"))[:-9])
+PARTIAL_UPDATE = http_chunk(endpoint_update(endpoint_entry("s-0"))[:-9])
 HEARTBEAT = http_chunk(b"\n")
 
 
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("polled", [False, True])
 def test_drain_is_applied_within_six_seconds_of_recovery_from_any_failed_call(polled):
     """Run all kinds of failure at once; measure each from the time at which a call has failed."""
-    drain = endpoint_update(listed("s-0", lifecycle="terminating"))
+    drain = endpoint_update(endpoint_entry("s-0", lifecycle="terminating"))
     discoveries = [failure(drain) for failure in FAILURES]
     harnesses = [WatchHarness(discovery.address, polled) for discovery in discoveries]
     for harness in harnesses:
@@ -287,5 +287,5 @@
         # Only the new address may add a server.
         assert server_number("s-7") not in harness.core.balancer.servers
     # The old address cannot put a draining server back into service either.
-    harness.on_update(listed("s-0"))
+    harness.on_update(endpoint_entry("s-0"))
     assert harness.state() is ServerState.DRAINING
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -19,7 +19,7 @@
     assert predecessor.run_command("set-down", "s-0") == "OK"
     overloaded = predecessor.server("s-1")
     predecessor.core.balancer.on_gossip(predecessor.now, overloaded, 2.0)
-    predecessor.core.balancer.limits.keep_at(predecessor.now, overloaded, 3.0)
+    predecessor.core.balancer.limits.lower_to(predecessor.now, overloaded, 3.0)
     successor = HandoverProcess(predecessor)
     assert successor.run_command("check") == "ERR"  # it has no state yet
     successor.exchange_all()
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("caller", ["predecessor", "successor"])
 @pytest.mark.parametrize("stopped", [False, True])
 def test_command_while_both_run_takes_effect_in_both_before_its_ok(caller, stopped):
-    predecessor, successor = upgraded()
+    predecessor, successor = start_upgraded_pair()
     called = predecessor if caller == "predecessor" else successor
     if stopped:
         predecessor.stop()
@@ -85,7 +85,7 @@
     successor.exchange_all()
     assert reply_of(unknown) == "ERR"
     # A server that only one process's list names so far is taken out of rotation in both.
-    predecessor.update_endpoints(listed("s-7"))
+    predecessor.update_endpoints(endpoint_entry("s-7"))
     known = called.call("set-down", "s-7")
     successor.exchange_all()
     assert reply_of(known) == "OK"
@@ -101,7 +101,7 @@
     stopped_predecessor.stop()
     lost = []
     for successor, state in ((new_successor, "first state"), (taking_over, "state at handover")):
-        assert successor.state_is_on_its_way()
+        assert successor.is_receiving_state()
         call = successor.call("set-down", "s-0")
         successor.exchange_all()
         assert reply_of(call) == "OK"
@@ -116,7 +116,7 @@
 
 
 def test_unconfirmed_command_gets_err_after_a_timeout_and_ok_when_the_peer_ends():
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     unconfirmed = predecessor.call("set-down", "s-1")
     predecessor.pass_time(SECOND)
     assert reply_of(unconfirmed) == "ERR"
@@ -148,7 +148,7 @@
 
 def upgraded_at_second_attempt() -> tuple[HandoverProcess, HandoverProcess]:
     """Return a process and its second successor; the first ended before it accepted clients."""
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     predecessor.lose_peer()
     successor = HandoverProcess(predecessor)
     successor.exchange_all()
@@ -165,7 +165,7 @@
 
 
 def test_predecessor_keeps_serving_if_its_successor_ends_before_it_accepts():
-    predecessor, _ = upgraded()
+    predecessor, _ = start_upgraded_pair()
     predecessor.lose_peer()
     assert predecessor.accepting
     assert predecessor.core.lifecycle.ready
