--- a/cypresswalk/net/config.py
+++ b/cypresswalk/net/config.py
@@ -24,7 +24,7 @@
         listen: Address at which clients connect.
         discovery: Address of discovery, which sends the endpoint list.
         seed: Seed of the balancer's random numbers.
-        known: Endpoint list that is used until discovery sends one.
+        initial_list: Endpoint list that is used until discovery sends one.
         settings: Settings of the decisions.
         limits: Sizes, counts and times.
         zones: Index of each zone in the settings, by name.
@@ -46,7 +46,7 @@
     listen: Address
     discovery: Address
     seed: int
-    known: dict
+    initial_list: dict
     settings: Settings
     limits: Limits
     zones: dict[str, int]
@@ -147,7 +147,7 @@
             environment.get("PROXY_DISCOVERY") or data["discovery"], "discovery"
         ),
         seed=int(data["seed"], 16),
-        known=data.get("known") or {"instances": []},
+        initial_list=data.get("known") or {"instances": []},
         settings=settings,
         limits=limits,
         zones={name: i for i, name in enumerate(params["azs"])},
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -30,7 +30,7 @@
 from cypresswalk.net.config import Config
 from cypresswalk.net.counters import Counters
 from cypresswalk.net.delay_gauge import DelayGauge
-from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.endpoints import EndpointTable
 from cypresswalk.net.lifecycle import Lifecycle, Phase
 from cypresswalk.net.limits import MILLISECOND
 from cypresswalk.net.logs import event
@@ -83,7 +83,7 @@
         self.timers = Timers()
         self.extensions = Extensions()
         self.metrics = Metrics(self.service_types, self.balancer, counters, self.sessions)
-        self.endpoints = EndpointBook(self.balancer, self.limits, self.timers, self.on_endpoints)
+        self.endpoints = EndpointTable(self.balancer, self.limits, self.timers, self.on_endpoints)
         self.lifecycle = Lifecycle(
             self.limits,
             self.timers,
--- a/cypresswalk/net/endpoints.py
+++ b/cypresswalk/net/endpoints.py
@@ -19,7 +19,7 @@
     address: Address
 
 
-class EndpointBook:
+class EndpointTable:
     """The addresses of servers, and the entries that are withheld from the decisions for a time."""
 
     def __init__(
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -72,7 +72,7 @@
         if self.is_successor:
             core.lifecycle.phase = Phase.STARTING
             core.lifecycle.update_readiness()
-        self.received: StateReceiver | None = None
+        self.state_receiver: StateReceiver | None = None
         self.state_received = False  # a complete state has been received
         self.replaced = False  # the other process accepts clients instead of this one
         self.peer_sessions = 0  # held by the other process; they count toward the common limit
@@ -130,11 +130,11 @@
             return
         match message:
             case {"state": dict(state)}:
-                self.received = StateReceiver(state)
-            case {"servers": list()} | {"ids": list()} if self.received is not None:
-                self.received.add(message)
-            case {"end": _} if self.received is not None and self.is_successor:
-                received, self.received = self.received, None
+                self.state_receiver = StateReceiver(state)
+            case {"servers": list()} | {"ids": list()} if self.state_receiver is not None:
+                self.state_receiver.add(message)
+            case {"end": _} if self.state_receiver is not None and self.is_successor:
+                received, self.state_receiver = self.state_receiver, None
                 self._on_state(now, received)
             case {"yours": _} if self.is_successor:
                 self._take_over(now)
@@ -187,7 +187,7 @@
         if peer is not self.peer:
             return
         self.peer = None
-        self.received = None
+        self.state_receiver = None
         self.peer_sessions = 0
         for number in list(self.unconfirmed):
             self._on_confirmed(now, number, None)
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -248,7 +248,7 @@
 
     # The predecessor.
 
-    def wait_for_successor(self, handover: Handover) -> None:
+    def listen_for_successor(self, handover: Handover) -> None:
         """Listen for a successor, unless this process does so already."""
         with self.listen_lock:
             if not self.folder or self.sock is not None:
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from cypresswalk.model import SECOND, Flow
-from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.endpoints import EndpointTable
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.logs import event
 from cypresswalk.net.ports import Drivers, Extensions
@@ -46,7 +46,7 @@
         timers: Timers,
         drivers: Drivers,
         extensions: Extensions,
-        endpoints: EndpointBook,
+        endpoints: EndpointTable,
         sessions: dict[Flow, Session],
         requests: RequestHandler,
     ):
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -6,7 +6,7 @@
 from cypresswalk.decisions.balancer import Balancer
 from cypresswalk.model import EndpointUpdate, Server, ServerState
 from cypresswalk.net.counters import Counters
-from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.endpoints import EndpointTable
 from cypresswalk.net.lifecycle import Lifecycle, Phase
 from cypresswalk.net.logs import event
 from cypresswalk.net.metrics import Metrics
@@ -25,7 +25,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        endpoints: EndpointBook,
+        endpoints: EndpointTable,
         lifecycle: Lifecycle,
         extensions: Extensions,
         metrics: Metrics,
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -76,7 +76,7 @@
         self.core = core(config, self, self.counters, self.clock(), policy)
         decoder = EndpointListDecoder(config.zones)
         try:
-            _, entries = decoder.decode(config.known)
+            _, entries = decoder.decode(config.initial_list)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
         self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
@@ -319,7 +319,7 @@
             self.gossip_socket.receiving = True
             start_thread(self.gossip_socket.run, self.limits.fault_pause)
         if self.handover_socket is not None and self.handover is not None:
-            self.handover_socket.wait_for_successor(self.handover)
+            self.handover_socket.listen_for_successor(self.handover)
 
     def stop_accepting(self) -> None:
         """Leave clients, gossip, health checks and the fleet to the successor from now on."""
--- a/tests/binding_helpers.py
+++ b/tests/binding_helpers.py
@@ -45,7 +45,7 @@
         self.fleet_calls: list[FleetCall] = []
         self.core = Core(config, self.drivers, Counters(), self.now)
         self.decoder = EndpointListDecoder(config.zones)
-        _, known = self.decoder.decode(config.known)
+        _, known = self.decoder.decode(config.initial_list)
         self.core.on_endpoints(self.now, EndpointUpdate.CACHED, known)
         table = FleetTable.model_validate(
             {
--- a/tests/handover_helpers.py
+++ b/tests/handover_helpers.py
@@ -109,7 +109,7 @@
     def is_receiving_state(self) -> bool:
         """Return whether this process, a successor, has not yet read all of a state sent to it."""
         messages = (json.loads(text) for text in self.channel.reverse.sent)
-        return self.handover.received is not None or any("state" in m for m in messages)
+        return self.handover.state_receiver is not None or any("state" in m for m in messages)
 
     def stop(self) -> None:
         """Stop the process as an operator does."""
--- a/tests/service/test_upgrade.py
+++ b/tests/service/test_upgrade.py
@@ -266,7 +266,7 @@
         heard=None,
         parted=lambda now, other: None,
     )
-    first.wait_for_successor(handover)
+    first.listen_for_successor(handover)
     call, args = inboxes[0].urgent.get(timeout=3)
     call(clock(), *args)
     search.join(3)
