--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -1,7 +1,8 @@
-"""Handlers of the release commands: a table from command class to function over the fleet's state.
+"""Handlers of the release commands: a table from command class to function on the fleet's state.
 
-No I/O, no clock. A release of balancers counts against their bound by leave grants, one of servers
-by what the release keeps out of rotation, which is a part of the version.
+No I/O, no clock. What counts against the bound is, in a release of balancers, their leave grants,
+and in a release of servers, the servers that it keeps out of rotation. The latter are part of the
+version.
 """
 
 from collections.abc import Callable
@@ -26,7 +27,7 @@
 
 
 def apply_release_command(state: FleetState, command: Command) -> CommandResult:
-    """Apply a release command; one on a release of servers makes a new version."""
+    """Apply a release command; for a release of servers, all but ChangeStarted start a version."""
     before = state.servers_out_for_release()
     if isinstance(command, BeginRelease):
         result = _begin_release(state, command)
@@ -77,7 +78,7 @@
     if release is None:
         return CommandResult(False, "there is no release")
     if isinstance(command, RollBack | PauseRelease) and command.release != release.plan.name:
-        why = f"release {release.plan.name} by {release.by} has come since"
+        why = f"release {release.plan.name} by {release.started_by} has come since"
         return CommandResult(False, why)
     return _HANDLERS[type(command)](state, release, command)
 
