--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -198,7 +198,7 @@
     store = Store(DiskFolder(folder))
     state = load(store) or PersistentState(Snapshot(0, 0, MEMBERS, b"x"))
     boot = (store.identity.boot if store.identity else 0) + 1
-    store.begin(LogIdentity("f", "g", "a#1", boot), state)
+    store.begin_file(LogIdentity("f", "g", "a#1", boot), state)
     index, snapshot_index = last_index(state), state.snapshot.index
     chance = random.Random()
     while True:
--- a/cypresswalk/agreement/election.py
+++ b/cypresswalk/agreement/election.py
@@ -95,8 +95,8 @@
         if state.role is Role.LEADER:
             return True
         return (
-            state.leader_heard_at is not None
-            and now - state.leader_heard_at < state.timing.election_timeout
+            state.leader_contact_at is not None
+            and now - state.leader_contact_at < state.timing.election_timeout
             and state.leader != ""
         )
 
--- a/cypresswalk/agreement/follower.py
+++ b/cypresswalk/agreement/follower.py
@@ -169,7 +169,7 @@
                 raise LogDivergedError(f"two leaders in term {term}: {state.id} and {source}")
             state.become(term, Role.FOLLOWER)
         state.leader = source
-        state.leader_heard_at = now
+        state.leader_contact_at = now
         state.reset_election_timer(now)
         return True
 
--- a/cypresswalk/agreement/leader.py
+++ b/cypresswalk/agreement/leader.py
@@ -85,7 +85,7 @@
         """
         state = self.state
         timeout = state.timing.election_timeout
-        if not self._has_quorum(lambda peer: now - peer.heard_at < timeout):
+        if not self._has_quorum(lambda peer: now - peer.last_response_at < timeout):
             state.follow(now, state.term)
             return
         leadership = self._leadership
@@ -141,7 +141,7 @@
             return None
         peer = leadership.peers.get(source)
         if peer is not None:
-            peer.heard_at = now
+            peer.last_response_at = now
             peer.acknowledged_round = max(peer.acknowledged_round, round_)
         return peer
 
@@ -292,7 +292,9 @@
             [
                 voter
                 for voter in state.voters
-                if voter != state.id and voter in peers and now - peers[voter].heard_at < timeout
+                if voter != state.id
+                and voter in peers
+                and now - peers[voter].last_response_at < timeout
             ]
         )
         if successor is None:
--- a/cypresswalk/agreement/leadership.py
+++ b/cypresswalk/agreement/leadership.py
@@ -27,7 +27,7 @@
         in_flight_index: last index of the append or snapshot that is not acknowledged yet, or 0.
             Only one is in flight at a time, which limits what a slow member is sent.
         sent_at: time of the latest append with entries, or snapshot chunk, in nanoseconds.
-        heard_at: time of the latest response, or of this object's creation, in nanoseconds.
+        last_response_at: time of the latest response, or of this object's creation, in nanoseconds.
         acknowledged_round: latest round that the member has answered.
         matched_round: first round sent after the logs were found to match; None before. A
             rejection in this round or a later one means that the member has lost entries.
@@ -40,7 +40,7 @@
         "next_index",
         "in_flight_index",
         "sent_at",
-        "heard_at",
+        "last_response_at",
         "acknowledged_round",
         "matched_round",
         "heartbeat_due_at",
@@ -53,7 +53,7 @@
         self.next_index = next_index
         self.in_flight_index = 0
         self.sent_at = now
-        self.heard_at = now
+        self.last_response_at = now
         self.acknowledged_round = 0
         self.matched_round: int | None = None
         self.heartbeat_due_at = now
--- a/cypresswalk/agreement/member_state.py
+++ b/cypresswalk/agreement/member_state.py
@@ -40,7 +40,7 @@
         durable_index: index up to which the log is flushed to disk.
         role: role in this term.
         leader: id of the current leader, or an empty string.
-        leader_heard_at: time of the last message from a leader, in nanoseconds; None if there
+        leader_contact_at: time of the last message from a leader, in nanoseconds; None if there
             was none.
         due_at: time at which the election timeout ends or, at the leader, the quorum is checked
             next, in nanoseconds.
@@ -66,7 +66,7 @@
         self.durable_index = self.log.last_index
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.leader_heard_at: int | None = None
+        self.leader_contact_at: int | None = None
         self.due_at = self.random_election_time(now)
         self.leadership: Leadership | None = None
         self.round = 0
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -73,9 +73,9 @@
         return self.state.leader
 
     @property
-    def leader_heard_at(self) -> int | None:
+    def leader_contact_at(self) -> int | None:
         """Return the time of the last message from a leader; None if there was none."""
-        return self.state.leader_heard_at
+        return self.state.leader_contact_at
 
     @property
     def log(self) -> Log:
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -272,7 +272,7 @@
 
     # Writing.
 
-    def begin(self, identity: LogIdentity, state: PersistentState) -> None:
+    def begin_file(self, identity: LogIdentity, state: PersistentState) -> None:
         """Write a new file.
 
         This happens at each start. It drops a torn tail, and `boot` is flushed before anything is
@@ -294,7 +294,7 @@
         """
         require_unbroken(self)
         if ready.snapshot is not None:
-            # A snapshot always comes with a vote, and `begin` is called first.
+            # A snapshot always comes with a vote, and `begin_file` is called first.
             assert ready.vote is not None
             assert self.identity is not None
             self._write_file(self.identity, ready.snapshot, ready.vote, ready.entries)
@@ -308,7 +308,7 @@
         if records:
             data, key = _seal_records(records, self.key)
             with broken_on_failure(self):
-                self.folder.add(f"{FILE_PREFIX}{self.file_number}", data)
+                self.folder.append(f"{FILE_PREFIX}{self.file_number}", data)
                 self.key = key
 
     def _write_file(
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -209,7 +209,7 @@
         require_unbroken(self)
         data, key = seal_record(self.chain_key, BATCH, encode(changes))
         with broken_on_failure(self):
-            self.folder.add(f"{FILE_PREFIX}{self.file_number}", data)
+            self.folder.append(f"{FILE_PREFIX}{self.file_number}", data)
         self.chain_key = key
         self.file_size += len(data)
         latest = max(_latest_expiry(change) for change in changes)
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -83,7 +83,7 @@
         if self.context.is_leader:
             return True
         has_recent_leader = (
-            node.leader_heard_at is not None and now - node.leader_heard_at < LEADER_LOST
+            node.leader_contact_at is not None and now - node.leader_contact_at < LEADER_LOST
         )
         return has_recent_leader and self.context.is_member(self.context.id)
 
--- a/cypresswalk/fleet/leader_membership.py
+++ b/cypresswalk/fleet/leader_membership.py
@@ -34,7 +34,7 @@
                 member.name == name
                 and peer is not None
                 and peer.acknowledged_round
-                and now - peer.heard_at < MAX_MESSAGE_AGE
+                and now - peer.last_response_at < MAX_MESSAGE_AGE
             ):
                 return "a balancer with that name is still in contact with the leader"
         self._joining[name] = now, request
@@ -147,7 +147,7 @@
         return (
             peer is not None
             and peer.matched_round is not None
-            and now - peer.heard_at < MAX_MESSAGE_AGE
+            and now - peer.last_response_at < MAX_MESSAGE_AGE
             and peer.match_index >= node.commit_index - MAX_LAG
         )
 
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -197,7 +197,7 @@
         peer = self.raft.peers.get(member_id)
         if peer is None:
             return False
-        return now - peer.heard_at < (
+        return now - peer.last_response_at < (
             MAX_MESSAGE_AGE // 2 if member_id in self.raft.voters else MAX_MESSAGE_AGE
         )
 
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -73,12 +73,12 @@
         before = self.store.identity
         assert before is not None, "a log that was loaded has an identity"
         identity = LogIdentity(before.fleet, before.group, before.member, before.boot + 1)
-        self.store.begin(identity, persisted)
+        self.store.begin_file(identity, persisted)
         return identity, persisted
 
     def begin_log(self, group: str, member_id: str, boot: int, persisted: PersistentState) -> None:
         """Create the log of a member that has found its group; raises OSError."""
-        self.store.begin(LogIdentity(self.fleet, group, member_id, boot), persisted)
+        self.store.begin_file(LogIdentity(self.fleet, group, member_id, boot), persisted)
 
     def write(self, ready: Ready) -> None:
         """Write and flush the Raft node's output; raises OSError."""
--- a/cypresswalk/fleet/queries.py
+++ b/cypresswalk/fleet/queries.py
@@ -162,7 +162,7 @@
         "acts_on": acting.version if acting is not None else None,
         "since_s": round((now - since) / SECOND, 1),
         "lapsed": duties.grants.lapsed(now, member.id) if duties.grants is not None else None,
-        "heard_s": 0.0 if peer is None else round((now - peer.heard_at) / SECOND, 1),
+        "heard_s": 0.0 if peer is None else round((now - peer.last_response_at) / SECOND, 1),
         "behind": 0 if peer is None else node.log.last_index - peer.match_index,
         "wipes": duties.data_losses.get(member.id, 0),
     }
--- a/cypresswalk/fleet/recovery.py
+++ b/cypresswalk/fleet/recovery.py
@@ -46,7 +46,7 @@
         _fence_group(machine.state, old.group, name, by)
         group = f"{fleet}-{uuid.uuid4().hex[:16]}"
         identity = LogIdentity(fleet, group, old.member, old.boot + 1)
-        log.store.begin(identity, _new_log(log.persisted, old.member, machine))
+        log.store.begin_file(identity, _new_log(log.persisted, old.member, machine))
     except OSError as error:
         raise CommandError(f"{folder}: {error}") from error
     finally:
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -78,7 +78,7 @@
         if dies:
             raise ProcessKilledError
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Appends to the file; a crash or a failure may leave a part of `data`."""
         # A KeyError says that the folder is gone, which is an OSError of a real one.
         before, inode = self.files[name]
--- a/cypresswalk/state/disk.py
+++ b/cypresswalk/state/disk.py
@@ -89,7 +89,7 @@
         """Creates or empties the file, writes and flushes it."""
         self.put(name, data, os.O_CREAT | os.O_TRUNC)
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Writes at the end of a file that is there, and flushes it."""
         self.put(name, data, os.O_APPEND)
 
--- a/cypresswalk/storage/folder.py
+++ b/cypresswalk/storage/folder.py
@@ -20,7 +20,7 @@
         """Create or replace the file, and flush it."""
         ...
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Append to the file, and flush it."""
         ...
 
--- a/tests/agreement/test_agreement_store.py
+++ b/tests/agreement/test_agreement_store.py
@@ -23,7 +23,7 @@
 def new_store(disk: SimulatedDisk) -> Store:
     """Return a store that has started the log of a member in term 2."""
     store = Store(disk)
-    store.begin(LogIdentity("f", "g", "a#1", 1), PersistentState(FIRST_SNAPSHOT, [], 2, "a#1"))
+    store.begin_file(LogIdentity("f", "g", "a#1", 1), PersistentState(FIRST_SNAPSHOT, [], 2, "a#1"))
     return store
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -169,7 +169,7 @@
         self.files[name] = data
         self.inodes[name] = max(self.inodes.values(), default=0) + 1
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Append to the file."""
         self.files[name] += data
 
@@ -199,7 +199,7 @@
     assert store.identity is not None
     assert (state.term, len(state.entries)) == (5, 3)
     assert state.entries[-1] == Entry(5, 1, b"third")
-    store.begin(store.identity, state)
+    store.begin_file(store.identity, state)
     assert folder.files == GoldenFolder("agreement_after").files
 
 
