--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -9,19 +9,19 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.actions import (
     Action,
+    ActionGenerator,
     CallFleet,
     CallResult,
     CheckReady,
-    DrawToken,
-    EndProcess,
     FindStartedProcess,
+    GenerateToken,
     IsRunning,
     ReadClock,
     SaveState,
     Sleep,
     StartProcess,
     StartResult,
-    Work,
+    StopProcess,
 )
 from cypresswalk.rollout.agent_state import AgentState
 from cypresswalk.rollout.change_agent import ChangeAgent
@@ -144,7 +144,9 @@
             case StartProcess():
                 return StartResult(host.start_process(action.version, action.admin), "")
             case FindStartedProcess():
-                is_other = host.latest_pid != action.known and host.latest_pid in host.running_pids
+                is_other = (
+                    host.latest_pid != action.known_pid and host.latest_pid in host.running_pids
+                )
                 return host.latest_pid if is_other else 0
             case IsRunning():
                 return action.pid in host.running_pids
