--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -87,7 +87,7 @@
         self._simulation = simulation
         self._host = host
         self._agent: ChangeAgent | None = None
-        self._work: Work[None] | None = None
+        self._work: ActionGenerator[None] | None = None
         self._incarnation = 0  # results for an earlier one are ignored
 
     def start(self) -> None:
@@ -150,16 +150,16 @@
                 return host.latest_pid if is_other else 0
             case IsRunning():
                 return action.pid in host.running_pids
-            case EndProcess():
+            case StopProcess():
                 end: Callable[[int], None] = (
-                    host.end_process if action.hard else host.request_shutdown
+                    host.end_process if action.kill else host.request_shutdown
                 )
                 end(action.pid)
             case CheckReady():
                 return host.readiness_error(action.admin)
             case ReadClock():
                 return host.clock() / SECOND
-            case DrawToken():
+            case GenerateToken():
                 return self._simulation.next_ident("d")
         return None
 
@@ -191,9 +191,9 @@
         if call.name == "release_began":
             self._simulation.count("began asked")
         args = call.args
-        if call.ident:
+        if call.command_id:
             command = self._simulation.make_command(f"agent of {self._host.name}", args)
-            args = command | {"ident": call.ident}
+            args = command | {"ident": call.command_id}
         self._simulation.call(process, call.name, args, CALL_SPAN, reply)
 
     def _first_contact(self) -> Process | None:
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -78,7 +78,7 @@
         if dies:
             raise ProcessKilledError
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Append to the file; a crash or a failure may leave a part of `data`."""
         # A KeyError means that the folder is gone; a real folder raises OSError.
         before, inode = self.files[name]
