--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -25,8 +25,8 @@
 
 from cypresswalk.lab.cluster.plan import Build, Plan, Step
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
-from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
-from cypresswalk.lab.cluster.simulation.world import World
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
+from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.builds import make_balancer_build
 from cypresswalk.lab.cluster.testbed.releases import Releases
@@ -376,7 +376,7 @@
 class VirtualRun:
     """A fleet in virtual time; a subclass makes its world. The same seed gives the same run."""
 
-    _world: World
+    _world: FleetSimulation
 
     def start(self) -> None:
         """Starts all balancers."""
@@ -402,7 +402,7 @@
 
     def __init__(self, seed: int, voters: int, followers: int):
         """Nothing runs yet."""
-        self._world = World(seed, voters, followers)
+        self._world = FleetSimulation(seed, voters, followers)
 
 
 class VirtualRelease(VirtualRun):
@@ -446,7 +446,7 @@
     @property
     def most_out(self) -> int:
         """How many balancers were out at once by the program's own doing, at most."""
-        return self._world.most_out
+        return self._world.max_members_out
 
     @property
     def state(self) -> Any:
@@ -476,7 +476,7 @@
         # Hold periods and excess failures at most, set-up ratio at most, seconds of a change.
         limits = [8.0, 0.01, 1.5, 120.0]
         plan = ["r1", OLD_VERSION, NEW_VERSION, self.waves, hold_s, min_flows, *limits]
-        self._world.operator_call("release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND)
+        self._world.operator_call("release_begin", {"plan": plan}, timeout=COMMAND_TIMEOUT * SECOND)
 
     def vary_load(self, chance: Random) -> None:
         """Half as many flows again for a fifth of the time; for a tenth of it 20 % fail."""
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -166,7 +166,7 @@
         run = partial(run_seed, action_count=acts)
         for outcome in pool.map(run, range(first, first + seeds)):
             situations.update(outcome.situations)
-            went_out += outcome.went_out
+            went_out += outcome.departure_count
             if outcome.violation:
                 failed.append(outcome)
                 click.echo(outcome.violation)
--- a/cypresswalk/lab/cluster/simulation/__init__.py
+++ b/cypresswalk/lab/cluster/simulation/__init__.py
@@ -4,7 +4,8 @@
 sockets and files. Its clock, network and disks are simulated, and so are the processes and hosts
 that a release changes.
 
-- `world`: the balancers, virtual time and the network; `invariants` are checked after every step
+- `fleet_simulation`: the balancers, virtual time and the network
+- `invariants`: the agreement's invariants, checked after every step
 - `explorer`: random faults and operators' calls that test the agreement
 - `balancer_releases`, `server_releases`: releases by agents, under random faults
 """
--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.release_world import ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import ReleaseSimulation
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.actions import (
     Action,
@@ -80,7 +80,7 @@
         actions_until_crash: number of actions executed before the agent crashes; None for never.
     """
 
-    def __init__(self, simulation: ReleaseWorld[Any], host: AgentHost):
+    def __init__(self, simulation: ReleaseSimulation[Any], host: AgentHost):
         """Create a runner whose agent is not started yet."""
         self.saved = AgentState()
         self.actions_until_crash: int | None = None
--- a/cypresswalk/lab/cluster/simulation/balancer_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_hosts.py
@@ -15,7 +15,11 @@
     HostProcess,
 )
 from cypresswalk.lab.cluster.simulation.process import Process, SimulatedFleetThread
-from cypresswalk.lab.cluster.simulation.release_world import OLD_VERSION, Reason, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import (
+    OLD_VERSION,
+    Reason,
+    ReleaseSimulation,
+)
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.balancer_agent import BalancerAgent
@@ -59,7 +63,7 @@
     startup_time_s = (0.3, 1.5)
     shutdown_time_s = (0.1, 6)
 
-    def __init__(self, simulation: ReleaseWorld[Any], process: Process, traffic: Traffic):
+    def __init__(self, simulation: ReleaseSimulation[Any], process: Process, traffic: Traffic):
         """Create the host of the given fleet member."""
         super().__init__(
             simulation, process.name, Random(f"{simulation.seed}/machine/{process.name}")
@@ -191,7 +195,7 @@
         """Let another process take over; after a planned end it inherits lease and version."""
         fleet = self.process.fleet
         lease_until = fleet.lease_until if fleet is not None else 0
-        version = self.process.acts_on if fleet is not None else 0
+        version = self.process.applied_version if fleet is not None else 0
         if planned:
             self.process.end()
         else:
@@ -201,7 +205,7 @@
             return
         self._take_over(successor)
         if planned and self.process.fleet is not None:
-            self.process.acts_on = version
+            self.process.applied_version = version
             self.process.fleet.inherit_lease(lease_until, version)
             self.simulation.schedule(self.process)
 
--- a/cypresswalk/lab/cluster/simulation/balancer_releases.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -1,7 +1,7 @@
 """Simulated releases of balancers in virtual time.
 
 The fleet's and the agents' production code runs with simulated processes, under random faults and
-operators' calls. `release_world` has the rules that are checked after every step.
+operators' calls. `release_simulation` has the rules that are checked after every step.
 """
 
 from random import Random
@@ -16,10 +16,10 @@
     Outcome,
     ReleaseRun,
 )
-from cypresswalk.lab.cluster.simulation.release_world import (
+from cypresswalk.lab.cluster.simulation.release_simulation import (
     MAX_DETECTION_TIME,
     Reason,
-    ReleaseWorld,
+    ReleaseSimulation,
 )
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.bounds import Bound
@@ -58,7 +58,7 @@
 LOSSES = (0.0, 0.02)
 
 
-class BalancerReleases(ReleaseWorld[BalancerHost]):
+class BalancerReleases(ReleaseSimulation[BalancerHost]):
     """Simulated fleet in which a release changes the balancers.
 
     Attributes:
@@ -83,7 +83,7 @@
         loss: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """Create a fleet that is not started yet; see ReleaseWorld."""
+        """Create a fleet that is not started yet; see ReleaseSimulation."""
         count = voters + followers
         super().__init__(seed, voters, followers, zones, count, bound, build, loss, delay)
         self.traffic = Traffic(flows_per_s)
--- a/cypresswalk/lab/cluster/simulation/data_losses.py
+++ b/cypresswalk/lab/cluster/simulation/data_losses.py
@@ -1,7 +1,7 @@
 """Limits on simulated disk losses, so that the fleet keeps every command it has confirmed."""
 
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.world import World
 
 
 class DataLosses:
@@ -11,7 +11,7 @@
     separate test shows that nothing worse happens.
     """
 
-    def __init__(self, simulation: World):
+    def __init__(self, simulation: FleetSimulation):
         """Start with no disk lost."""
         self._simulation = simulation
         self._lost: dict[str, str] = {}  # former member ids, by balancer name
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -14,6 +14,7 @@
 from cypresswalk.lab.cluster.simulation.disk import StoredFile
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import CommonFaults, Picker, Target, ValueT
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.network import MIN_DELAY
 from cypresswalk.lab.cluster.simulation.operators import Operators
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, Process
@@ -23,7 +24,6 @@
     draw_schedule,
     reduce_schedule,
 )
-from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 STARTUP_TIME = 6 * SECOND  # before the first fault
@@ -68,7 +68,7 @@
 class Explorer:
     """Executes a schedule of faults and calls in a simulation."""
 
-    def __init__(self, simulation: World):
+    def __init__(self, simulation: FleetSimulation):
         """Create an explorer of the given simulation."""
         self.simulation = simulation
         self.operators = Operators(simulation)
@@ -177,7 +177,7 @@
     def _check_versions(self, leader: Process) -> None:
         newest = leader.live_member.state.version
         for process in self.simulation.processes.values():
-            if not process.acts or process.acts_on != newest:
+            if not process.may_act or process.applied_version != newest:
                 raise ViolationError(
                     f"{process.name} does not act on version {newest} although all faults "
                     f"were cleared: {describe_processes(self.simulation)}"
@@ -206,7 +206,7 @@
     return pick
 
 
-def describe_processes(simulation: World) -> str:
+def describe_processes(simulation: FleetSimulation) -> str:
     """Describe the state of each balancer, for error messages."""
     return "; ".join(
         f"{process.name}: {_describe(process)}" for process in simulation.processes.values()
@@ -222,7 +222,10 @@
     node = member.node
     raft = node and (node.role.value, node.term, node.commit_index, node.log.last_index)
     members = [(m.id[:2] + m.id[-4:], m.voter) for m in member.members]
-    return f"{member.id[-4:]} {raft} acts {process.acts} on {process.acts_on} members {members}"
+    return (
+        f"{member.id[-4:]} {raft} acts {process.may_act} on {process.applied_version} "
+        f"members {members}"
+    )
 
 
 def run_seed(
@@ -265,9 +268,9 @@
     return outcome
 
 
-def _draw_simulation(seed: int, voters: int, followers: int) -> World:
+def _draw_simulation(seed: int, voters: int, followers: int) -> FleetSimulation:
     random = Random(f"{seed}/shape")
-    simulation = World(
+    simulation = FleetSimulation(
         seed,
         voters,
         followers,
--- a/cypresswalk/lab/cluster/simulation/faults.py
+++ b/cypresswalk/lab/cluster/simulation/faults.py
@@ -6,8 +6,8 @@
 from typing import Protocol, TypeVar
 
 from cypresswalk.fleet.events import LeadershipReleased
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.units import SECOND
 
 FREEZE_TIMES_S = (0.2, 2, 7, 30)
@@ -51,7 +51,7 @@
 class CommonFaults:
     """Faults of links and of running balancers, common to all simulations."""
 
-    def __init__(self, simulation: World, link_delays_s: Sequence[float]):
+    def __init__(self, simulation: FleetSimulation, link_delays_s: Sequence[float]):
         """Inject into the simulation; a slow link gets one of the given extra delays."""
         self._simulation = simulation
         self._network = simulation.network
@@ -98,4 +98,4 @@
 
     def release_leadership(self, target: Target) -> None:
         """Ask a running balancer to hand over leadership, if it leads."""
-        target.process.turn([LeadershipReleased()])
+        target.process.process_events([LeadershipReleased()])
--- a/cypresswalk/lab/cluster/simulation/fingerprint.py
+++ b/cypresswalk/lab/cluster/simulation/fingerprint.py
@@ -28,8 +28,8 @@
         process.fleet is None,
         process.member is None,
         _summarize_node(node, highest_term) if node is not None else None,
-        process.acts,
-        process.acts_on,
+        process.may_act,
+        process.applied_version,
         process.is_frozen,
         process.disk.failing or process.disk.full,
     )
--- a/cypresswalk/lab/cluster/simulation/world.py
+++ b/cypresswalk/lab/cluster/simulation/fleet_simulation.py
@@ -38,7 +38,7 @@
     """Ignore the answer to a call."""
 
 
-class World:
+class FleetSimulation:
     """A simulated fleet in virtual time. Times are nanoseconds.
 
     Attributes:
@@ -178,7 +178,7 @@
         if process.member is None:
             reply(False, {"why": "the balancer does not run"})
         else:
-            process.turn([CallRequested(name, args, reply, timeout / SECOND)])
+            process.process_events([CallRequested(name, args, reply, timeout / SECOND)])
 
     # Messages.
 
@@ -213,7 +213,7 @@
             and not self.network.is_cut(name, target.name)
             and sender.fleet.hello("").id == hello.id
         ):
-            sender.turn([ConnectionRejected(target.live_member.id, rejection)])
+            sender.process_events([ConnectionRejected(target.live_member.id, rejection)])
 
     # Time.
 
--- a/cypresswalk/lab/cluster/simulation/hosts.py
+++ b/cypresswalk/lab/cluster/simulation/hosts.py
@@ -9,7 +9,7 @@
 from cypresswalk.fleet.messages import FlowCounts
 from cypresswalk.lab.cluster.simulation.agent_runner import AgentRunner
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, ReleaseSimulation
 from cypresswalk.lab.units import SECOND
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.change_agent import ChangeAgent
@@ -96,7 +96,7 @@
     startup_time_s: tuple[float, float]  # bounds of the time until a new process answers
     shutdown_time_s: tuple[float, float]  # bounds of the time that a process takes to shut down
 
-    def __init__(self, simulation: ReleaseWorld[Any], name: str, random: Random):
+    def __init__(self, simulation: ReleaseSimulation[Any], name: str, random: Random):
         """Create a host on which nothing runs."""
         self.simulation = simulation
         self.name = name
--- a/cypresswalk/lab/cluster/simulation/invariants.py
+++ b/cypresswalk/lab/cluster/simulation/invariants.py
@@ -47,7 +47,7 @@
                     self._check_delivered(member, state)
                     self._note_version(member.state.version, now)
         for process in processes:
-            if process.acts_on < self.newest_version and process.acts:
+            if process.applied_version < self.newest_version and process.may_act:
                 self._check_contradiction(process, now)
 
     def _check_leader(self, member_id: str, state: MemberState) -> None:
@@ -84,11 +84,11 @@
         self.newest_version = max(self.newest_version, version)
 
     def _check_contradiction(self, process: Process, now: int) -> None:
-        next_version = process.acts_on + 1
+        next_version = process.applied_version + 1
         late = now - self.active_at[next_version]
         self.longest_contradiction = max(self.longest_contradiction, late)
         if late > self._max_contradiction:
             raise ViolationError(
-                f"L: {process.name} acts on version {process.acts_on}, "
+                f"L: {process.name} acts on version {process.applied_version}, "
                 f"{next_version} has been in force for {late / SECOND:.3f} s"
             )
--- a/cypresswalk/lab/cluster/simulation/operators.py
+++ b/cypresswalk/lab/cluster/simulation/operators.py
@@ -8,8 +8,8 @@
 
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import Handler, Target
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation, Reply
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.world import Reply, World
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 CALL_SPAN = 6 * SECOND
@@ -32,7 +32,7 @@
         confirmed_commands: the commands that were confirmed, by ident.
     """
 
-    def __init__(self, simulation: World):
+    def __init__(self, simulation: FleetSimulation):
         """Start without calls."""
         self.confirmed_commands: dict[str, ConfirmedCommand] = {}
         self._simulation = simulation
@@ -100,7 +100,7 @@
     def _check_settled(self, version: int, ok: bool, body: Any) -> None:
         self._simulation.count(f"settled: {'yes' if ok else 'no'}")
         processes = self._simulation.processes.values()
-        behind = [p.name for p in processes if p.acts and p.acts_on < version]
+        behind = [p.name for p in processes if p.may_act and p.applied_version < version]
         if ok and behind:
             raise ViolationError(
                 f"L3: answered that nobody acts on less than {version}, but {', '.join(behind)} do"
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -115,7 +115,7 @@
         frozen_until: virtual time until which it is suspended, nanoseconds.
         clock_rate: speed of its clock relative to virtual time.
         last_member_id: id of the member that it ran last.
-        acts_on: version of the agreed state that it acts on.
+        applied_version: version of the agreed state that it acts on.
         unreadable_marks: settings with one of these marks cannot be read by this balancer.
         on_start: function that gets each new fleet thread before the thread starts.
     """
@@ -130,7 +130,7 @@
         self.frozen_until = 0
         self.clock_rate = 1.0
         self.last_member_id = ""
-        self.acts_on = 0
+        self.applied_version = 0
         self.unreadable_marks: set[int] = set()
         self.on_start: Callable[[SimulatedFleetThread], None] = lambda fleet: None
         self._environment = environment
@@ -156,7 +156,7 @@
         return self._environment.now < self.frozen_until
 
     @property
-    def acts(self) -> bool:
+    def may_act(self) -> bool:
         """Return whether it runs and may act on its version of the agreed state."""
         return self.fleet is not None and not self.is_frozen and self.fleet.may_act()
 
@@ -170,8 +170,8 @@
 
     def apply_view(self, view: AppliedView) -> None:
         """Apply a view as the balancer's deciding thread does; takes no virtual time."""
-        if self.fleet is not None and view.version > self.acts_on:
-            self.acts_on = view.version
+        if self.fleet is not None and view.version > self.applied_version:
+            self.applied_version = view.version
             self.fleet.queue.put(VersionApplied(view.version))
             self.fleet.applied_version = view.version
 
@@ -180,7 +180,7 @@
     def start(self) -> None:
         """Start the process, which reads its folder."""
         self.starts += 1
-        self.acts_on = 0
+        self.applied_version = 0
         self.fleet = SimulatedFleetThread(self._environment, self)
         self.on_start(self.fleet)
         self._retry_at = 0
@@ -221,15 +221,15 @@
         if self.is_frozen:
             self._deferred.append(event)
         else:
-            self.turn([event])
+            self.process_events([event])
 
     def wake_up(self) -> None:
         """Handle the events received while frozen, and whatever is due."""
         deferred = self._deferred
         self._deferred = []
-        self.turn(deferred)
+        self.process_events(deferred)
 
-    def turn(self, events: list[Event]) -> None:
+    def process_events(self, events: list[Event]) -> None:
         """Handle the given events, queued events and expired timers."""
         if self.fleet is None:
             return
--- a/cypresswalk/lab/cluster/simulation/release_faults.py
+++ b/cypresswalk/lab/cluster/simulation/release_faults.py
@@ -5,7 +5,7 @@
 
 from cypresswalk.lab.cluster.simulation.faults import CommonFaults, Handler, Target
 from cypresswalk.lab.cluster.simulation.hosts import Host
-from cypresswalk.lab.cluster.simulation.release_world import ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import ReleaseSimulation
 
 LINK_DELAYS_S = (0.1, 0.5, 1.0)
 
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        simulation: ReleaseWorld[Any],
+        simulation: ReleaseSimulation[Any],
         host_of: Callable[[Target], Host],
         max_actions_until_crash: int,
     ):
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -11,10 +11,10 @@
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import draw_pause
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES
-from cypresswalk.lab.cluster.simulation.release_world import (
+from cypresswalk.lab.cluster.simulation.release_simulation import (
     NEW_VERSION,
     OLD_VERSION,
-    ReleaseWorld,
+    ReleaseSimulation,
 )
 from cypresswalk.lab.units import SECOND
 from cypresswalk.rollout.release import Phase, Release
@@ -39,8 +39,8 @@
         history: the last events, a line each.
         steps: number of simulation steps.
         duration: duration of the release in virtual time, nanoseconds.
-        went_out: how many times a member went out.
-        most_out: most members that were out at once.
+        departure_count: how many times a member went out.
+        max_members_out: most members that were out at once.
         end: phase in which the release ended; or NEVER_BEGUN.
     """
 
@@ -50,8 +50,8 @@
     history: list[str] = field(default_factory=list)
     steps: int = 0
     duration: int = 0
-    went_out: int = 0
-    most_out: int = 0
+    departure_count: int = 0
+    max_members_out: int = 0
     end: str = ""
 
 
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        simulation: ReleaseWorld[Any],
+        simulation: ReleaseSimulation[Any],
         random: Random,
         inject: Callable[[str], None],
         weights: Mapping[str, float],
@@ -114,8 +114,8 @@
         outcome.situations = simulation.situations
         outcome.history = simulation.history
         outcome.steps = simulation.steps
-        outcome.went_out = simulation.went_out
-        outcome.most_out = simulation.most_out
+        outcome.departure_count = simulation.departure_count
+        outcome.max_members_out = simulation.max_members_out
         return outcome
 
     def _draw_kind(self) -> str:
--- a/cypresswalk/lab/cluster/simulation/release_world.py
+++ b/cypresswalk/lab/cluster/simulation/release_simulation.py
@@ -19,8 +19,8 @@
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.lab.cluster.checkers.halts import MAX_HALT_DELAY
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation, Reply, ignore_reply
 from cypresswalk.lab.cluster.simulation.network import DEFAULT_DELAY
-from cypresswalk.lab.cluster.simulation.world import Reply, World, ignore_reply
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.rollout.bounds import Bound, max_unavailable
 from cypresswalk.rollout.release import MemberKind, Plan
@@ -75,7 +75,7 @@
 HostT = TypeVar("HostT", bound=ObservedHost)
 
 
-class ReleaseWorld(World, ABC, Generic[HostT]):
+class ReleaseSimulation(FleetSimulation, ABC, Generic[HostT]):
     """Simulated fleet with hosts whose members a release changes.
 
     Attributes:
@@ -84,8 +84,8 @@
         max_unavailable: bound on members out at once.
         pid_count: number of processes started, and the latest pid.
         rollback_requested_at: virtual time of the last request for a rollback; or None.
-        most_out: most members that were out at once.
-        went_out: how many times a member was taken out.
+        max_members_out: most members that were out at once.
+        departure_count: how many times a member was taken out.
     """
 
     kind: MemberKind  # what the release changes: balancers or servers
@@ -123,8 +123,8 @@
         self.build = build
         self.pid_count = 0
         self.rollback_requested_at: int | None = None
-        self.most_out = 0
-        self.went_out = 0
+        self.max_members_out = 0
+        self.departure_count = 0
         self.hosts: dict[str, HostT] = {}  # filled by the subclass
         self.max_unavailable = max_unavailable(bound, member_count)
         self._ident_count = 0
@@ -192,7 +192,7 @@
     def check_bound(self) -> None:
         """Check B1 after a change of a host's state; raise ViolationError."""
         out = [host.name for host in self.hosts.values() if host.is_out]
-        self.most_out = max(self.most_out, len(out))
+        self.max_members_out = max(self.max_members_out, len(out))
         if len(out) > self.max_unavailable:
             names = ", ".join(out)
             raise ViolationError(
@@ -202,7 +202,7 @@
     def on_taken_out(self, host: HostT, reason: Reason) -> None:
         """Check all rules when a member is taken out; raise ViolationError."""
         self.check_bound()
-        self.went_out += 1
+        self.departure_count += 1
         self.count(f"goes out: {reason}")
         self.note(f"{host.name} goes out: {reason}")
         if not self.is_bound_waived(host, reason):
@@ -248,18 +248,18 @@
         name: str,
         args: dict[str, Any],
         reply: Reply = ignore_reply,
-        span: int = CALL_SPAN,
+        timeout: int = CALL_SPAN,
     ) -> None:
         """Call any running balancer as an operator; if none runs, there is no answer."""
         running = [process for process in self.live() if not process.is_frozen]
         if running:
             process = self.random.choice(running)
-            self.call(process, name, self.make_command("explorer", args), span, reply)
+            self.call(process, name, self.make_command("explorer", args), timeout, reply)
 
     def begin_release(self, random: Random) -> None:
         """Begin a release of all members, in up to three random waves."""
         plan = msgspec.to_builtins(self._draw_plan(random))
-        self.operator_call("release_begin", {"plan": plan}, span=BEGIN_SPAN)
+        self.operator_call("release_begin", {"plan": plan}, timeout=BEGIN_SPAN)
 
     def _draw_plan(self, random: Random) -> Plan:
         names = sorted(self.hosts)
--- a/cypresswalk/lab/cluster/simulation/server_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/server_hosts.py
@@ -6,7 +6,11 @@
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.hosts import Build, Host, HostProcess
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, MAX_CLOCK_BASE, Process
-from cypresswalk.lab.cluster.simulation.release_world import OLD_VERSION, Reason, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import (
+    OLD_VERSION,
+    Reason,
+    ReleaseSimulation,
+)
 from cypresswalk.rollout.agent_state import AgentState, AgentStep
 from cypresswalk.rollout.server_agent import ServerAgent
 
@@ -28,7 +32,7 @@
     startup_time_s = (0.1, 1.0)
     shutdown_time_s = (0.1, 3)
 
-    def __init__(self, simulation: ReleaseWorld[Any], name: str):
+    def __init__(self, simulation: ReleaseSimulation[Any], name: str):
         """Create the host of the named server."""
         super().__init__(simulation, name, Random(f"{simulation.seed}/server/{name}"))
         self._clock_base = self.random.randrange(MAX_CLOCK_BASE)
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -2,7 +2,7 @@
 
 The fleet's and the agents' production code runs with simulated servers, and with balancers that
 check servers' health, send them flows and drain them. Rules, in addition to those of
-`release_world`:
+`release_simulation`:
 
 - S: no server is shut down while a balancer may send it flows or has flows open there, and no
   flow is sent to a server that is being changed.
@@ -21,7 +21,7 @@
     Outcome,
     ReleaseRun,
 )
-from cypresswalk.lab.cluster.simulation.release_world import Reason, ReleaseWorld
+from cypresswalk.lab.cluster.simulation.release_simulation import Reason, ReleaseSimulation
 from cypresswalk.lab.cluster.simulation.server_hosts import ServerHost
 from cypresswalk.lab.cluster.simulation.serving_balancers import Drains, ServingBalancer
 from cypresswalk.lab.units import MILLISECOND, SECOND
@@ -65,7 +65,7 @@
 LOSSES = (0.0, 0.02)
 
 
-class ServerReleases(ReleaseWorld[ServerHost]):
+class ServerReleases(ReleaseSimulation[ServerHost]):
     """Simulated fleet in which a release changes the servers.
 
     Attributes:
@@ -90,7 +90,7 @@
         loss: float = 0.0,
         delay: tuple[int, int] = DEFAULT_DELAY,
     ):
-        """Create a fleet with the given number of servers, not started yet; see ReleaseWorld."""
+        """Create a fleet with `servers` servers that is not started yet; see ReleaseSimulation."""
         super().__init__(seed, voters, followers, ZONES, servers, bound, build, loss, delay)
         self.drains = Drains()
         for name in (f"s{i}" for i in range(servers)):
@@ -121,7 +121,7 @@
         """Check all rules when a server is asked to shut down; raise ViolationError."""
         super().on_stopping(host)
         for balancer in self.balancers.values():
-            if balancer.process.acts:
+            if balancer.process.may_act:
                 self._check_balancer(balancer, host)
 
     def _check_balancer(self, balancer: ServingBalancer, host: ServerHost) -> None:
--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -10,10 +10,10 @@
 from cypresswalk.fleet.messages import ServerReport
 from cypresswalk.fleet.records import ListedServer
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.hosts import BASE_FAILURE_SHARE, FlowCounter
 from cypresswalk.lab.cluster.simulation.process import Process, SimulatedFleetThread
 from cypresswalk.lab.cluster.simulation.server_hosts import ServerHost
-from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.model import ServerState
 
@@ -47,7 +47,11 @@
     """
 
     def __init__(
-        self, simulation: World, process: Process, servers: Mapping[str, ServerHost], drains: Drains
+        self,
+        simulation: FleetSimulation,
+        process: Process,
+        servers: Mapping[str, ServerHost],
+        drains: Drains,
     ):
         """Attach to the balancer's process, and send flows to the given servers."""
         self.process = process
@@ -110,7 +114,7 @@
 
     def step(self) -> None:
         """Check servers and send flows; raise ViolationError for a flow to one being changed."""
-        if not self.process.acts:
+        if not self.process.may_act:
             self.last_inactive_at = self._simulation.now
         if self.process.fleet is None or self.process.is_frozen:
             return
@@ -120,7 +124,7 @@
             if name in self.out:
                 if self._simulation.now >= self._drained_at.get(name, 0):
                     self.open_flows[name] = 0
-            elif self.process.acts and self._ready.get(name, False):
+            elif self.process.may_act and self._ready.get(name, False):
                 self._send_flows(server)
 
     def _send_flows(self, server: ServerHost) -> None:
--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -13,8 +13,8 @@
 from cypresswalk.agreement.ready import PersistentState
 from cypresswalk.agreement.timing import Timing
 from cypresswalk.fleet.member import Member
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
 # Time in which a starting fleet elects a leader and all members get leases.
@@ -62,9 +62,9 @@
         return self.answer[1]
 
 
-def start_simulation(seed: int, voters: int = 3, followers: int = 0) -> World:
+def start_simulation(seed: int, voters: int = 3, followers: int = 0) -> FleetSimulation:
     """Start a simulated fleet, and run it until it has a leader and all members have leases."""
-    simulation = World(seed, voters, followers)
+    simulation = FleetSimulation(seed, voters, followers)
     simulation.start()
     simulation.run(STARTUP_TIME)
     assert simulation.leader() is not None
@@ -72,22 +72,22 @@
     return simulation
 
 
-def all_have_leases(simulation: World) -> bool:
+def all_have_leases(simulation: FleetSimulation) -> bool:
     """Return whether every member has a lease, and so may act on its state."""
-    return all(process.acts for process in simulation.processes.values())
+    return all(process.may_act for process in simulation.processes.values())
 
 
-def any_has_lease(simulation: World) -> bool:
+def any_has_lease(simulation: FleetSimulation) -> bool:
     """Return whether any member has a lease."""
-    return any(process.acts for process in simulation.processes.values())
+    return any(process.may_act for process in simulation.processes.values())
 
 
-def other_processes(simulation: World, process: Process) -> list[Process]:
+def other_processes(simulation: FleetSimulation, process: Process) -> list[Process]:
     """Return all members except `process`."""
     return [other for other in simulation.processes.values() if other is not process]
 
 
-def leader_of(simulation: World) -> Process:
+def leader_of(simulation: FleetSimulation) -> Process:
     """Return the leader.
 
     Raises:
@@ -127,12 +127,12 @@
     return set(member_of(process).state.removed_servers)
 
 
-def isolate(simulation: World, process: Process) -> None:
+def isolate(simulation: FleetSimulation, process: Process) -> None:
     """Cut one member off from all others, in both directions."""
     simulation.network.isolate(process.name, simulation.processes)
 
 
-def call(simulation: World, process: Process, name: str, **arguments: Any) -> PendingCall:
+def call(simulation: FleetSimulation, process: Process, name: str, **arguments: Any) -> PendingCall:
     """Make an operator's call at one member; the answer arrives as virtual time passes."""
     pending = PendingCall()
     if name in CHANGING_CALLS:
--- a/tests/agreement/test_agreement_cases.py
+++ b/tests/agreement/test_agreement_cases.py
@@ -18,8 +18,8 @@
 
 from cypresswalk.fleet.events import LeadershipReleased
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.process import Process
-from cypresswalk.lab.cluster.simulation.world import World
 from cypresswalk.model import SECOND
 
 # More entries than a leader keeps before it takes a snapshot.
@@ -36,12 +36,12 @@
     holder = other_processes(simulation, leader)[0]
     simulation.network.slow_down(leader.name, holder.name, 3 * SECOND)
     simulation.run(10 * SECOND)
-    assert holder.acts
+    assert holder.may_act
     isolate(simulation, holder)
     removal = call(simulation, leader, "out", server="s0")
     simulation.run(12 * SECOND)
     assert removal.accepted
-    assert not holder.acts
+    assert not holder.may_act
 
 
 def test_lease_runs_from_when_it_was_requested(monkeypatch):
@@ -105,12 +105,12 @@
     restored.start()
     simulation.run(20 * SECOND)
     assert member_of(restored).id != id_before
-    assert restored.acts
+    assert restored.may_act
     names = [member.name for member in member_of(leader_of(simulation)).members]
     assert names.count(restored.name) == 1
 
 
-def new_leader(simulation: World, old: Process) -> Process:
+def new_leader(simulation: FleetSimulation, old: Process) -> Process:
     """Return the leader of the latest term, other than `old`."""
     leaders = [
         process
@@ -135,7 +135,7 @@
     later_removal = call(simulation, frozen, "out", server="s2")
     simulation.run(10 * SECOND)
     assert later_removal.accepted
-    assert frozen.acts
+    assert frozen.may_act
     assert {"s1", "s2"} <= removed_servers(leader)
 
 
@@ -158,8 +158,8 @@
     restored.start()
     simulation.run(30 * SECOND)
     assert simulation.leader() is None
-    assert not wiped.acts
-    assert not restored.acts
+    assert not wiped.may_act
+    assert not restored.may_act
     down.start()
     simulation.run(30 * SECOND)
     assert simulation.leader() is None
@@ -167,7 +167,7 @@
 
 
 def test_members_with_different_seed_members_bootstrap_nothing():
-    simulation = World(6)
+    simulation = FleetSimulation(6)
     seed_members = {name: simulation.addresses[name] for name in ("n0", "n1")}
     process = simulation.processes["n1"]
     process.table = process.table.model_copy(update={"first": seed_members})
@@ -191,7 +191,7 @@
     assert all("s0" in removed_servers(process) for process in simulation.processes.values())
 
 
-def propose_settings(simulation: World, name: str, base: int, mark: int) -> PendingCall:
+def propose_settings(simulation: FleetSimulation, name: str, base: int, mark: int) -> PendingCall:
     """Propose settings at one member, based on the version `base`."""
     return call(simulation, simulation.processes[name], "offer", base=base, settings={"mark": mark})
 
@@ -254,23 +254,23 @@
     lagging.start()
     replaced.start()
     simulation.run(10 * SECOND)
-    assert lagging.acts
-    assert lagging.acts_on == leader_of(simulation).acts_on
-    assert not replaced.acts
+    assert lagging.may_act
+    assert lagging.applied_version == leader_of(simulation).applied_version
+    assert not replaced.may_act
     assert replaced.name not in {member.name for member in member_of(leader_of(simulation)).members}
 
 
 def test_planned_stop_transfers_leadership():
     simulation = start_simulation(11)
     leader, term = leader_of(simulation), node_of(leader_of(simulation)).term
-    leader.turn([LeadershipReleased()])
+    leader.process_events([LeadershipReleased()])
     simulation.run(SECOND // 2)
     assert leader_of(simulation) is not leader
     assert node_of(leader_of(simulation)).term == term + 1
 
 
 def test_two_hundred_members_agree():
-    simulation = World(12, voters=5, followers=195)
+    simulation = FleetSimulation(12, voters=5, followers=195)
     simulation.start()
     simulation.run(15 * SECOND, check=False)
     simulation.check()
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -14,7 +14,7 @@
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases, run_seed
-from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
+from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.units import SECOND
 from cypresswalk.refusal import CommandError
 from cypresswalk.rollout import actions
@@ -156,7 +156,8 @@
     code = (
         "from cypresswalk.lab.cluster.simulation.balancer_releases import run_seed;"
         "o = run_seed(6, action_count=30);"
-        "print(o.violation, o.steps, o.went_out, o.duration, o.end, sorted(o.situations.items()))"
+        "print(o.violation, o.steps, o.departure_count, o.duration, o.end,"
+        " sorted(o.situations.items()))"
     )
 
     def run_with(hash_seed: str) -> str:
