--- a/cypresswalk/state/__init__.py
+++ b/cypresswalk/state/__init__.py
@@ -1,6 +1,7 @@
-"""A balancer's persisted state, in a folder that the operator file names; off without one.
+"""Persists a balancer's state in the folder that the operator file names; disabled without one.
 
-`snapshot_writer.SnapshotWriter` is all that the program calls. `snapshot` says what is persisted,
-`recovery` how it ages and goes back into a balancer, `file_format` how it stands in a file, `store`
-in which order a file is written and read: all without I/O of their own. `disk` is the real folder.
+The program uses `snapshot_writer.SnapshotWriter` alone. `snapshot` defines the persisted records,
+`recovery` restores them into a balancer and discounts them by age, `file_format` encodes and
+decodes a file, and `store` writes and reads generations of files in a crash-safe order. These four
+do no I/O of their own; `disk` accesses the real folder.
 """
--- a/cypresswalk/state/disk.py
+++ b/cypresswalk/state/disk.py
@@ -1,7 +1,7 @@
-"""A folder of files with one writer.
+"""A folder of files that one process writes at a time.
 
-Every name is opened relative to the folder, no link is followed, and a lock that dies with its
-holder keeps other writers out.
+Every file is opened relative to the folder and no symbolic link is followed. A lock, which the
+kernel releases when its holder ends, keeps other writers out.
 """
 
 import fcntl
@@ -9,26 +9,31 @@
 import stat
 
 LOCK = "lock"
-WRITE_BYTES = 1 << 18  # at once
+WRITE_BYTES = 1 << 18  # at most, in one system call
 
 
 class FolderLockedError(OSError):
-    """Another process holds the folder."""
+    """Another process holds the folder's lock."""
 
 
 class DiskFolder:
-    """The folder is opened anew for each operation: one that vanished and came back serves again.
+    """A folder on disk.
 
-    Each call raises OSError where it fails.
+    Each operation opens the folder again, so that a folder that was removed and created again can
+    be used. Every method raises OSError if its operation fails.
+
+    Attributes:
+        path: path of the folder.
+        held: descriptor of the lock file while this process holds the lock, else None.
     """
 
     def __init__(self, path: str):
-        """The folder need not be there yet."""
+        """Use the folder at `path`, which need not exist yet."""
         self.path = path
         self.held: int | None = None
 
-    def folder(self) -> int:
-        """A descriptor of the folder, which must be this user's own."""
+    def open_folder(self) -> int:
+        """Return a descriptor of the folder; raise PermissionError if another user owns it."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_NOFOLLOW | os.O_CLOEXEC)
         owner = os.fstat(descriptor).st_uid
         if owner != os.geteuid():
@@ -37,13 +42,13 @@
         return descriptor
 
     def lock(self) -> None:
-        """Held until `unlock` or the end of this process.
+        """Take the folder's lock until `unlock` or the end of this process.
 
         Raises:
-            FolderLockedError: another process has it.
-            OSError: there is no folder.
+            FolderLockedError: another process holds the lock.
+            OSError: the folder can't be opened.
         """
-        folder = self.folder()
+        folder = self.open_folder()
         try:
             self.held = os.open(
                 LOCK, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600, dir_fd=folder
@@ -58,22 +63,22 @@
             raise FolderLockedError(11, "another process holds its lock") from None
 
     def unlock(self) -> None:
-        """Lets another process have the folder."""
+        """Release the lock, so that another process can take it."""
         if self.held is not None:
             os.close(self.held)
             self.held = None
 
     def names(self) -> list[str]:
-        """Of all files in it."""
-        folder = self.folder()
+        """Return the names of all files in the folder."""
+        folder = self.open_folder()
         try:
             return os.listdir(folder)
         finally:
             os.close(folder)
 
-    def read(self, name: str, most: int) -> bytes:
-        """At most so many bytes from the file's begin."""
-        folder = self.folder()
+    def read(self, name: str, max_bytes: int) -> bytes:
+        """Return the file's first `max_bytes` bytes, or fewer if it is shorter."""
+        folder = self.open_folder()
         try:
             file = os.open(
                 name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=folder
@@ -83,21 +88,21 @@
         with os.fdopen(file, "rb") as reader:
             if not stat.S_ISREG(os.fstat(file).st_mode):
                 raise OSError(22, "not a plain file")
-            return reader.read(most)
+            return reader.read(max_bytes)
 
     def write(self, name: str, data: bytes) -> None:
-        """Creates or empties the file, writes and flushes it."""
+        """Create or truncate the file, write the data and flush it to disk."""
         self.put(name, data, os.O_CREAT | os.O_TRUNC)
 
     def add(self, name: str, data: bytes) -> None:
-        """Writes at the end of a file that is there, and flushes it."""
+        """Append to an existing file and flush it to disk."""
         self.put(name, data, os.O_APPEND)
 
-    def put(self, name: str, data: bytes, how: int) -> None:
-        """Opens the file with these flags, writes and flushes it."""
-        folder = self.folder()
+    def put(self, name: str, data: bytes, open_flags: int) -> None:
+        """Open the file with `open_flags`, write the data and flush it to disk."""
+        folder = self.open_folder()
         try:
-            flags = os.O_WRONLY | how | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC
+            flags = os.O_WRONLY | open_flags | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC
             file = os.open(name, flags, 0o600, dir_fd=folder)
         finally:
             os.close(folder)
@@ -110,32 +115,32 @@
             os.fsync(file)
 
     def inode(self, name: str) -> int:
-        """The file's number: another one if it was replaced."""
-        folder = self.folder()
+        """Return the file's inode number, which differs after the file was replaced."""
+        folder = self.open_folder()
         try:
             return os.stat(name, dir_fd=folder, follow_symlinks=False).st_ino
         finally:
             os.close(folder)
 
     def rename(self, name: str, to: str) -> None:
-        """Over whatever has that name."""
-        folder = self.folder()
+        """Rename the file, replacing any file named `to`."""
+        folder = self.open_folder()
         try:
             os.rename(name, to, src_dir_fd=folder, dst_dir_fd=folder)
         finally:
             os.close(folder)
 
     def flush(self) -> None:
-        """Flushes the folder itself: names, not contents."""
-        folder = self.folder()
+        """Flush the folder's entries (file names) to disk; contents are flushed by writes."""
+        folder = self.open_folder()
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
 
     def remove(self, name: str) -> None:
-        """Takes the name out of the folder."""
-        folder = self.folder()
+        """Remove the file from the folder."""
+        folder = self.open_folder()
         try:
             os.unlink(name, dir_fd=folder)
         finally:
--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -1,12 +1,13 @@
-r"""The file format of persisted state: a head of fixed size, then chunks, under one checksum.
+r"""The file format of persisted state: a file header of fixed size, then chunks.
 
-    magic "CWSTATE\n" | version u16 | length of the rest u64 | BLAKE2b-128 of the others | chunks
+    magic "CWSTATE\n" | version u16 | length of chunks u64 | BLAKE2b-128 of all else | chunks
     chunk: kind u8 ("h" head, "s" servers, "i" ids, "e" end) | length u32 | MessagePack
 
-No I/O. Little-endian. Chunks are encoded one by one: encoding ten thousand servers at once would
-hold the interpreter's lock, and with it the deciding thread, for ten milliseconds. msgspec checks
-types as it decodes, so that a file with a right checksum and wrong contents is refused too. The
-checksum is BLAKE2b (RFC 7693); any bit flipped in the head or the body is seen.
+No I/O. Integers are little-endian. Chunks are encoded one by one, since encoding ten thousand
+servers at once would hold the interpreter's lock, and so block the deciding thread, for ten
+milliseconds. The checksum is BLAKE2b (RFC 7693); it detects any flipped bit in the file header or
+the chunks. msgspec checks types as it decodes, so invalid contents under a valid checksum are
+refused too.
 """
 
 import math
@@ -22,112 +23,116 @@
 MAGIC = b"CWSTATE\n"
 VERSION = 1
 FIXED = struct.Struct("<8sHQ")
-DIGEST = 16  # bytes
+DIGEST = 16  # bytes of the checksum
 PART = struct.Struct("<cI")
-# A hundred thousand ids and servers take a tenth of it.
+# A hundred thousand ids and servers take a tenth of this size.
 MAX_BODY_BYTES = 64 << 20
 STATES = {state.value for state in ServerState}
 
 encoder = msgspec.msgpack.Encoder()
 heads = msgspec.msgpack.Decoder(Header)
 servers = msgspec.msgpack.Decoder(list[ServerRecord])
-ids = msgspec.msgpack.Decoder(list[tuple[int, int]])
+ids_decoder = msgspec.msgpack.Decoder(list[tuple[int, int]])
 
 
 class FormatError(Exception):
-    """The file is invalid; the message says why.
+    """The file is invalid, or the state too large for one; the message gives the reason.
 
     Attributes:
-        newer: a later version of this program wrote it.
+        newer: whether a newer version of this program wrote the file.
     """
 
     def __init__(self, reason: str, newer: bool = False):
-        """As above."""
+        """Take the message; `newer` as in the attribute."""
         super().__init__(reason)
         self.newer = newer
 
 
-def part(kind: bytes, value: object) -> bytes:
-    """One chunk."""
+def encode_chunk(kind: bytes, value: object) -> bytes:
+    """Return a value encoded as a chunk of that kind."""
     data = encoder.encode(value)
     return PART.pack(kind, len(data)) + data
 
 
-def whole(parts: Iterable[bytes]) -> bytes:
-    """The file, from its chunks. Raises FormatError beyond the largest size."""
-    body = b"".join(parts) + part(b"e", None)
+def encode_file(chunks: Iterable[bytes]) -> bytes:
+    """Return a file of these chunks. Raise FormatError if it exceeds MAX_BODY_BYTES."""
+    body = b"".join(chunks) + encode_chunk(b"e", None)
     if len(body) > MAX_BODY_BYTES:
         raise FormatError(f"{len(body)} bytes, more than {MAX_BODY_BYTES}")
     fixed = FIXED.pack(MAGIC, VERSION, len(body))
-    return fixed + digest(fixed, body) + body
+    return fixed + compute_checksum(fixed, body) + body
 
 
-def digest(fixed: bytes, body: bytes) -> bytes:
-    """The checksum of the head's other fields and the body."""
+def compute_checksum(fixed: bytes, body: bytes) -> bytes:
+    """Return the checksum of the file header's other fields and the chunks."""
     checksum = blake2b(fixed, digest_size=DIGEST)
     checksum.update(body)
     return checksum.digest()
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The file, encoded at once."""
-    parts = [part(b"h", snapshot.head), part(b"s", snapshot.servers), part(b"i", snapshot.ids)]
-    return whole(parts)
+    """Return the file of a snapshot, which is encoded in one go."""
+    chunks = [
+        encode_chunk(b"h", snapshot.head),
+        encode_chunk(b"s", snapshot.servers),
+        encode_chunk(b"i", snapshot.ids),
+    ]
+    return encode_file(chunks)
 
 
 def decode(data: bytes) -> Snapshot:
-    """All of it, or a FormatError. Nothing is decoded before the checksum is right."""
+    """Return a file's snapshot. Raise FormatError if it is invalid; check the checksum first."""
     if len(data) < FIXED.size + DIGEST:
-        raise FormatError(f"{len(data)} bytes, too short for a head")
+        raise FormatError(f"{len(data)} bytes, shorter than the file header")
     magic, version, length = FIXED.unpack_from(data)
     if magic != MAGIC:
-        raise FormatError("no state file")
+        raise FormatError("not a state file")
     body = data[FIXED.size + DIGEST :]
     if length != len(body):
-        raise FormatError(f"{len(body)} bytes follow the head, {length} are named there")
-    if digest(data[: FIXED.size], body) != data[FIXED.size : FIXED.size + DIGEST]:
-        raise FormatError("the checksum is wrong")
+        raise FormatError(f"{len(body)} bytes follow the file header, {length} are stated there")
+    if compute_checksum(data[: FIXED.size], body) != data[FIXED.size : FIXED.size + DIGEST]:
+        raise FormatError("the checksum does not match")
     if version > VERSION:
         raise FormatError(f"version {version}, this program reads up to {VERSION}", newer=True)
     if version < 1:
         raise FormatError(f"version {version}")
     try:
-        return build(list(chunks(body)))
+        return build_snapshot(list(read_chunks(body)))
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError, struct.error) as error:
         raise FormatError(str(error)) from None
 
 
-def chunks(body: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """Each chunk's kind and contents. Raises ValueError or struct.error where one is cut short."""
-    at = 0
-    while at < len(body):
-        kind, length = PART.unpack_from(body, at)
-        at += PART.size
-        if at + length > len(body):
-            raise ValueError("a chunk is cut short")
-        yield kind, body[at : at + length]
-        at += length
-
-
-def build(found: list[tuple[bytes, bytes]]) -> Snapshot:
-    """The snapshot from all chunks. Raises ValueError and msgspec's errors."""
-    if not found or found[0][0] != b"h" or found[-1][0] != b"e":
-        raise ValueError("no head or no end")
-    snapshot = Snapshot(heads.decode(found[0][1]), [], [])
-    for kind, data in found[1:-1]:
+def read_chunks(body: bytes) -> Iterator[tuple[bytes, bytes]]:
+    """Yield each chunk's kind and data. Raise ValueError or struct.error if one is truncated."""
+    offset = 0
+    while offset < len(body):
+        kind, length = PART.unpack_from(body, offset)
+        offset += PART.size
+        if offset + length > len(body):
+            raise ValueError("a chunk is truncated")
+        yield kind, body[offset : offset + length]
+        offset += length
+
+
+def build_snapshot(chunks: list[tuple[bytes, bytes]]) -> Snapshot:
+    """Return the snapshot that the chunks hold. Raise ValueError or an error of msgspec."""
+    if not chunks or chunks[0][0] != b"h" or chunks[-1][0] != b"e":
+        raise ValueError("no head chunk at the start or no end chunk at the end")
+    snapshot = Snapshot(heads.decode(chunks[0][1]), [], [])
+    for kind, data in chunks[1:-1]:
         if kind == b"s":
             snapshot.servers += servers.decode(data)
         elif kind == b"i":
-            snapshot.ids += ids.decode(data)
+            snapshot.ids += ids_decoder.decode(data)
         else:
-            raise ValueError(f"a chunk of kind {kind!r}")
+            raise ValueError(f"unknown chunk kind {kind!r}")
     for server in snapshot.servers:
-        check(server)
+        check_server(server)
     return snapshot
 
 
-def check(server: ServerRecord) -> None:
-    """Raises ValueError where a figure is out of its range."""
+def check_server(server: ServerRecord) -> None:
+    """Raise ValueError if a field is out of its range."""
     if server.state not in STATES:
         raise ValueError(f"server {server.id}: state {server.state!r}")
     counts = (
@@ -144,6 +149,6 @@
         or server.limit < 0
         or not math.isfinite(server.strain)
     ):
-        raise ValueError(f"server {server.id}: a figure out of its range")
-    if any(not math.isfinite(total) for total, _ in (server.dealt, server.drops)):
-        raise ValueError(f"server {server.id}: a sum that is no number")
+        raise ValueError(f"server {server.id}: a value out of its range")
+    if any(not math.isfinite(total) for total, _ in (server.slow_start_spent, server.recent_drops)):
+        raise ValueError(f"server {server.id}: a sum is not a finite number")
--- a/cypresswalk/state/recovery.py
+++ b/cypresswalk/state/recovery.py
@@ -1,7 +1,8 @@
-"""How a snapshot loses weight with age, and how it goes back into a balancer.
+"""Restores a snapshot into a balancer, with less weight the older it is.
 
-No I/O and no clock. A file from the future, or one whose age cannot be told, counts as endlessly
-old. Old knowledge may make a balancer careful and never ejects a healthy fleet: see `Recovery`.
+No I/O and no clock. A file from the future, or one of unknown age, counts as infinitely old. Old
+knowledge may make a balancer careful but never ejects a healthy fleet: see `Recovery`. Beliefs are
+knowledge that loses value with age: health, counts of failures, load and limits.
 """
 
 import math
@@ -15,36 +16,36 @@
 from cypresswalk.model import SECOND, Server, ServerState
 from cypresswalk.state.snapshot import ServerRecord, Snapshot, SumsRecord, observations
 
-# After one half-life, half of a belief is left. A server's faults last tens of seconds: hangs of
-# 7 to 24 s were seen, returns after 6 to 28 s.
+# A belief loses half its weight in one half-life. A server's faults last tens of seconds: hangs of
+# 7 to 24 s and returns after 6 to 28 s were seen.
 FAULT_HALF_LIFE = 20 * SECOND
-# A client's id comes again within its own retries, which end within a minute; five are kept.
+# An id is repeated only by its client's retries, which end within a minute; ids are kept for five.
 MAX_ID_AGE = 300 * SECOND
-# Sums of flows decay by themselves; past ten minutes nothing is left of any.
+# The sums decay by themselves; after ten minutes all of them are close to zero.
 MAX_SUMS_AGE = 600 * SECOND
-MAX_CLOCK_SKEW = 2 * SECOND  # between two readings of wall time; beyond it is the future
-MAX_EJECTED_FRACTION = 0.5  # more of the fleet ejected by old knowledge: none of that is believed
-MIN_WEIGHT = 0.01  # a belief of less is not taken over
-COUNTS = ("drains", "beliefs", "aside", "restarted", "unknown")  # as the log names them
+MAX_CLOCK_SKEW = 2 * SECOND  # between two readings of wall time; a time beyond is in the future
+MAX_EJECTED_FRACTION = 0.5  # if beliefs would eject more of the servers, all are ignored
+MIN_WEIGHT = 0.01  # beliefs with less weight are not restored
+COUNTS = ("drains", "beliefs", "aside", "restarted", "unknown")  # names of the counts in the log
 
 
 def belief_weight(age: int, half_life: int) -> float:
-    """What is left of a belief of that age: 1 at once, a half after one half-life."""
+    """Return the weight of a belief of that age: 1 at age 0, 0.5 after one half-life."""
     return 0.5 ** (age / half_life) if age >= 0 else 0.0
 
 
 def age_of(learned: int, now: int) -> int | None:
-    """None if it is from the future: a clock went back, or the file came from elsewhere."""
+    """Return the age, or None in the future: the clock was set back or the file is foreign."""
     return None if learned > now + MAX_CLOCK_SKEW else max(now - learned, 0)
 
 
-def decayed(count: int, weight: float) -> int:
-    """Rounded half down: one failure may be chance, and half of one is none."""
+def decay_count(count: int, weight: float) -> int:
+    """Return the weighted count, rounded half down, since one failure may be chance."""
     return math.ceil(count * weight - 0.5)
 
 
 def restore_sum(decaying: DecayingSum, saved: tuple[float, int], now: int) -> None:
-    """Puts a saved total into a decaying sum, unless it makes no sense."""
+    """Restore a saved total into a decaying sum, unless it is invalid or from the future."""
     total, at = saved
     if at <= now + MAX_CLOCK_SKEW and math.isfinite(total) and total >= 0:
         decaying.total = total
@@ -52,39 +53,46 @@
 
 
 def record_weight(record: ServerRecord, now: int) -> float:
-    """What is left of what was known of a server."""
+    """Return the weight of a server's record, 0 if its age is unknown."""
     age = age_of(record.learned, now)
     return 0.0 if age is None else belief_weight(age, FAULT_HALF_LIFE)
 
 
-def is_ejected(record: ServerRecord, weight: float) -> bool:
-    """Whether the server would be ejected by what is left of what was known."""
-    down = record.known and record.health < RISE and decayed(FALL, weight) >= MAX_FAILURES
-    failures = max(decayed(record.misses, weight), decayed(record.errors, weight))
+def would_be_ejected(record: ServerRecord, weight: float) -> bool:
+    """Return whether the server would be ejected if its record were restored with this weight."""
+    down = record.known and record.health < RISE and decay_count(FALL, weight) >= MAX_FAILURES
+    failures = max(decay_count(record.misses, weight), decay_count(record.errors, weight))
     return down or failures >= MAX_FAILURES
 
 
 @dataclass(slots=True)
 class Recovery:
-    """Puts a snapshot back into a balancer that has just been started with its last list.
-
-    Facts go back whatever their age: a server that was told to drain or gone, and was not started
-    since, is not sent anything until a live list names it. Beliefs go back by weight: counts of
-    failures shrink and vanish; health returns to unknown. If what remains would eject more than
-    half of the servers in service, it is not believed at all: then the fault lay nearer than the
-    servers, or the file is from another time.
+    """Restores a snapshot into a balancer that has just been started with its last list.
+
+    Facts are restored whatever their age: a server that was listed as draining or gone, and has not
+    started since, gets no flows until a live list names it. Beliefs are restored by weight: counts
+    of failures shrink to zero, and health returns to unknown. If the weighted beliefs would eject
+    more than half of the servers in service, all are ignored: the fault was then probably not in
+    the servers but nearer to the balancer, or the file is from another time.
+
+    Attributes:
+        snapshot: the snapshot to restore.
+        now: current time, in nanoseconds.
+        list_version: version of the list that the balancer was started with.
+        list_address: address that this list came from.
+        counts: how much was restored, by `COUNTS`.
+        learned: by server, its observations and the time at which they were learned.
     """
 
     snapshot: Snapshot
     now: int
-    list_version: int  # of the list that the balancer was started with
+    list_version: int
     list_address: str
-    counts: dict[str, int] = field(default_factory=dict)  # of what was taken over, by `COUNTS`
-    # By server: what was observed of it, and when that was learned.
+    counts: dict[str, int] = field(default_factory=dict)
     learned: dict[int, tuple[tuple[object, ...], int]] = field(default_factory=dict)
 
     def apply(self, balancer: Balancer) -> dict[str, int]:
-        """Returns what was taken over, in counts for the log."""
+        """Restore the snapshot into the balancer; return `counts` for the log."""
         self.counts = dict.fromkeys(COUNTS, 0)
         pairs = self._matching_servers(balancer)
         for server, record in pairs:
@@ -103,7 +111,7 @@
             if server is None:
                 self.counts["unknown"] += 1
             elif server.started_at != record.since:
-                # It started since: what was known is of another process.
+                # The server has restarted: the record describes another process.
                 self.counts["restarted"] += 1
             else:
                 pairs.append((server, record))
@@ -125,7 +133,7 @@
         ready = [s for s in balancer.servers.values() if s.state is ServerState.READY]
         ejected = sum(
             server.state is ServerState.READY
-            and is_ejected(record, record_weight(record, self.now))
+            and would_be_ejected(record, record_weight(record, self.now))
             for server, record in pairs
         )
         if not ready or ejected > MAX_EJECTED_FRACTION * len(ready):
@@ -138,26 +146,27 @@
                 self._restore_server(server, record, weight)
 
     def _restore_server(self, server: Server, record: ServerRecord, weight: float) -> None:
-        server.consecutive_failures = decayed(record.misses, weight)
-        server.consecutive_errors = decayed(record.errors, weight)
-        server.failed_checks = decayed(record.failed, weight)
-        if record.known and decayed(FALL, weight) >= MAX_FAILURES:
-            # Down stays down until a health check; an unknown server is taken for up anyhow.
+        server.consecutive_failures = decay_count(record.misses, weight)
+        server.consecutive_errors = decay_count(record.errors, weight)
+        server.failed_checks = decay_count(record.failed, weight)
+        if record.known and decay_count(FALL, weight) >= MAX_FAILURES:
+            # A server that was down stays down until a health check passes; one that was up becomes
+            # unknown, which counts as up.
             server.health = min(record.health, RISE)
             server.checked = record.health < RISE
         server.awaiting_first_pass = record.fresh
         server.established_count = record.answers
-        # These run out by themselves; none may reach further than it would have.
-        server.next_trial_at = min(record.trial_at, self.now + SECOND)
-        server.ejected_until = min(record.full_until, self.now + SECOND)
+        # These times expire by themselves; none may lie further ahead than it could when set.
+        server.next_trial_at = min(record.next_trial_at, self.now + SECOND)
+        server.ejected_until = min(record.ejected_until, self.now + SECOND)
         server.load = record.strain
         server.load_at = min(record.strain_at, self.now)
         server.message_delay = record.delay
         server.concurrency_limit = record.limit
-        server.limit_cut_at = min(record.cut_at, self.now)
-        restore_sum(server.recent_drops, record.drops, self.now)
-        # What was spent of a slow-start budget counts on, or a restart would spend it twice.
-        restore_sum(server.slow_start_spent, record.dealt, self.now)
+        server.limit_cut_at = min(record.limit_cut_at, self.now)
+        restore_sum(server.recent_drops, record.recent_drops, self.now)
+        # The spent part of a slow-start budget is kept, or a restart would allow it twice.
+        restore_sum(server.slow_start_spent, record.slow_start_spent, self.now)
 
     def _restore_sums(self, balancer: Balancer) -> None:
         head = self.snapshot.head
@@ -170,7 +179,7 @@
         balancer.traffic.started_at = min(head.started, balancer.traffic.started_at)
 
     def recent_ids(self) -> Iterable[int]:
-        """The ids of flows that may still come again, the oldest first."""
+        """Yield the ids of flows that clients may still retry, oldest first."""
         for ident, served in self.snapshot.ids:
             age = age_of(served, self.now)
             if age is not None and age <= MAX_ID_AGE:
--- a/cypresswalk/state/snapshot.py
+++ b/cypresswalk/state/snapshot.py
@@ -1,8 +1,8 @@
-"""What is persisted of a balancer's knowledge, as records, and how it is copied from the balancer.
+"""The records that are persisted of a balancer's state, and functions that copy them from it.
 
-No I/O and no clock. Times are nanoseconds of wall time, as the balancer's own clock counts them.
-The records' fields stand in files; this module and `recovery` are where they meet the attributes of
-model.Server and of the decisions' Balancer.
+No I/O and no clock. Times are nanoseconds of wall time, like those of the balancer's clock. The
+records' fields are part of the file format; only this module and `recovery` map them to the
+attributes of model.Server and decisions.balancer.Balancer.
 """
 
 from msgspec import Struct
@@ -11,18 +11,39 @@
 from cypresswalk.measures import DecayingSum
 from cypresswalk.model import Server
 
-SERVERS_PER_SLICE = 250  # copied at once: a tenth of a millisecond
-IDS_PER_SLICE = 2000  # likewise: a third of a millisecond
+SERVERS_PER_SLICE = 250  # copied without a break, in a tenth of a millisecond
+IDS_PER_SLICE = 2000  # copied without a break, in a third of a millisecond
 
 
 class ServerRecord(Struct, array_like=True, forbid_unknown_fields=True):
-    """One server.
-
-    `learned` is when something was last heard of it, by whichever incarnation of the balancer.
+    """The state of one server, written as an array in the order of the fields.
+
+    Attributes:
+        id: the server's number.
+        since: time of the server's latest start, according to the endpoint list.
+        state: value of its ServerState.
+        learned: time of the last change of its `observations`, in this or an earlier process of
+            the balancer.
+        health: the counter of passed and failed health checks, `Server.health`.
+        known: whether a health check has given a result.
+        fresh: whether it is new or restarted and no health check has passed yet.
+        misses: attempts without an answer since the last established one.
+        errors: attempts answered with an error since the last established one.
+        failed: health checks failed since the last one that passed.
+        answers: attempts established since its start.
+        next_trial_at: time from which one flow may try the server while it is ejected.
+        ejected_until: end of its ejection for being full or dropping flows.
+        strain: reported load.
+        strain_at: time of that report.
+        limit: concurrency limit, in connections; inf if it has none.
+        limit_cut_at: time of the last cut of that limit.
+        delay: last reported message delay, in nanoseconds.
+        slow_start_spent: total and time of the decaying sum of slow-start budget spent.
+        recent_drops: total and time of the decaying sum of flows that it dropped.
     """
 
     id: int
-    since: int  # its start, as the list told it
+    since: int
     state: str
     learned: int
     health: int
@@ -32,19 +53,19 @@
     errors: int
     failed: int
     answers: int
-    trial_at: int
-    full_until: int
+    next_trial_at: int
+    ejected_until: int
     strain: float
     strain_at: int
-    limit: float  # inf where it has none
-    cut_at: int
+    limit: float
+    limit_cut_at: int
     delay: int
-    dealt: tuple[float, int]  # a decaying sum: its total, and when that held
-    drops: tuple[float, int]
+    slow_start_spent: tuple[float, int]
+    recent_drops: tuple[float, int]
 
 
 class SumsRecord(Struct, forbid_unknown_fields=True):
-    """The balancer's own decaying sums, each as its total and when that held."""
+    """The balancer's own decaying sums, each as its total and the time of that total."""
 
     carried: tuple[float, int]
     arrivals: tuple[float, int]
@@ -54,32 +75,32 @@
 
 
 class Header(Struct, forbid_unknown_fields=True):
-    """Whose snapshot it is, when it was taken, and the balancer's sums."""
+    """The part of a snapshot that is not about single servers or flows."""
 
-    balancer: str
-    taken: int  # when it was copied
-    started: int  # since when the sums have run
+    balancer: str  # name of the balancer that took the snapshot
+    taken: int  # time at which the snapshot was taken
+    started: int  # start of the sums
     list_version: int
     list_address: str
-    again: float  # the fraction of flows that came again, as clients marked them
+    again: float  # fraction of accepted flows whose clients were returning
     sums: SumsRecord
 
 
 class Snapshot(Struct):
-    """All that one file holds."""
+    """The contents of one file."""
 
     head: Header
     servers: list[ServerRecord]
-    ids: list[tuple[int, int]]  # a flow's id, and when it was served
+    ids: list[tuple[int, int]]  # each flow's id and the time at which it was copied
 
 
 def copy_sum(decaying: DecayingSum) -> tuple[float, int]:
-    """A decaying sum's total and time."""
+    """Return a decaying sum's total and the time of that total."""
     return decaying.total, decaying.updated_at
 
 
 def copy_server(server: Server, learned: int) -> ServerRecord:
-    """The server's record; `learned` as there."""
+    """Return the record of a server; `learned` is the record's field of that name."""
     return ServerRecord(
         id=server.id,
         since=server.started_at,
@@ -92,28 +113,28 @@
         errors=server.consecutive_errors,
         failed=server.failed_checks,
         answers=server.established_count,
-        trial_at=server.next_trial_at,
-        full_until=server.ejected_until,
+        next_trial_at=server.next_trial_at,
+        ejected_until=server.ejected_until,
         strain=server.load,
         strain_at=server.load_at,
         limit=server.concurrency_limit,
-        cut_at=server.limit_cut_at,
+        limit_cut_at=server.limit_cut_at,
         delay=server.message_delay,
-        dealt=copy_sum(server.slow_start_spent),
-        drops=copy_sum(server.recent_drops),
+        slow_start_spent=copy_sum(server.slow_start_spent),
+        recent_drops=copy_sum(server.recent_drops),
     )
 
 
 def copy_sums(balancer: Balancer) -> SumsRecord:
-    """The balancer's own sums."""
+    """Return the record of the balancer's own sums."""
     sums = balancer.sums()
     return SumsRecord(**{name: copy_sum(sums[name]) for name in SumsRecord.__struct_fields__})
 
 
 def observations(server: Server) -> tuple[object, ...]:
-    """Changes whenever something is heard of the server, and not when time passes.
+    """Return values that change with every new observation of the server, not as time passes.
 
-    Without it a loop of restarts would write old knowledge anew as if it had just been learned.
+    They keep a restart loop from writing old knowledge again as if it had just been learned.
     """
     return (
         server.health,
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -1,8 +1,8 @@
-"""Persists a running balancer's state: recovers it at the start, copies it in slices, writes it.
+"""Persists a running balancer's state: recovers it at the start, then copies and writes it.
 
-The deciding thread does the copying alone, a slice of well under a millisecond at a time; the
-writer's thread encodes and writes. Whatever goes wrong with folder or file is logged once, until it
-changes, and the balancer runs on without.
+The deciding thread only copies, in slices of well under a millisecond; the writer's thread encodes
+and writes. An error of the folder or a file is logged once, until it changes, and the balancer goes
+on without persisted state.
 """
 
 import logging
@@ -33,125 +33,136 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IDS = 100_000  # in the file: five minutes of three hundred flows a second
-IDS_INTERVAL = SECOND  # between two copies of new ids: no more than a slice comes in between
-SLICE_PAUSE = 0.001  # seconds between two slices: the deciding thread takes what waits
-# Bytes of the writer's thread: the serializer and the file layer need more than the drivers'.
+MAX_IDS = 100_000  # in the file: three hundred flows per second for five minutes
+IDS_INTERVAL = SECOND  # between two copies of new ids: at most one slice of them arrives meanwhile
+SLICE_PAUSE = 0.001  # seconds between two slices, for the deciding thread's waiting events
+# Stack of the writer's thread: the serializer and the file layer need more than the drivers do.
 STACK_BYTES = 512 * 1024
-SLICE_TIMEOUT = 10  # seconds for the deciding thread to come to a slice; longer, it is ending
+SLICE_TIMEOUT = 10  # seconds for the deciding thread to run a slice; if exceeded, it is ending
 
 
 class SnapshotWriter:
-    """Recovers the state before anything runs, then writes a generation at each interval."""
+    """Recovers the state before other threads start, then writes a generation at each interval.
+
+    Attributes:
+        interval: seconds between two generations.
+        disabled: whether the folder must be left alone, because another process holds it or it has
+            a file that must not be replaced.
+        generation: number of the latest generation.
+        learned: by server, its last observations and the time at which they were learned.
+        ids: ids of recent flows, each with the time at which it was copied.
+        logged_error: the last logged error while it lasts, else empty.
+        previous_list_version: version of the endpoint list of the previous process.
+        longest: duration of the longest slice, in nanoseconds.
+    """
 
     def __init__(
         self,
         folder: str,
-        every: float,
+        interval: float,
         core: Core,
         inbox: Inbox,
-        registry: EndpointListDecoder,
+        list_decoder: EndpointListDecoder,
         balancer: str,
         list_address: str,
     ):
-        """Writes each `every` seconds, as the balancer of that name; its list is at the address."""
+        """Use `folder` for the balancer of that name, whose list comes from `list_address`."""
         self.core = core
         self.inbox = inbox
-        self.registry = registry
-        self.every = every
+        self.list_decoder = list_decoder
+        self.interval = interval
         self.balancer = balancer
         self.list_address = list_address
         self.disk = DiskFolder(folder)
-        self.off = False  # the folder is another's, or holds what must be left alone
-        self.number = 0
-        # By server: what was observed of it last, and when that was learned.
+        self.disabled = False
+        self.generation = 0
         self.learned: dict[int, tuple[tuple[object, ...], int]] = {}
         self.ids: deque[tuple[int, int]] = deque(maxlen=MAX_IDS)
-        self.logged_error = ""  # while it lasts
-        self.writing = Lock()
-        self.ended = Event()
-        self.previous_list_version = 0  # in the incarnation before
-        self.longest = 0  # nanoseconds that one slice took
+        self.logged_error = ""
+        self.write_lock = Lock()
+        self.stopped = Event()
+        self.previous_list_version = 0
+        self.longest = 0
 
-    # At the start, before anything runs.
+    # At the start, before other threads run.
 
     def recover(self, now: int) -> None:
-        """Takes over what the folder holds. Errors are logged, and the balancer starts without."""
+        """Restore the latest generation. On an error log it, and leave the balancer as it is."""
         try:
             self.disk.lock()
-            kept, self.number = store.load(self.disk, self.balancer, self.on_invalid_file)
+            snapshot, self.generation = store.load(self.disk, self.balancer, self.on_invalid_file)
         except FolderLockedError as error:
-            self.turn_off("state_folder_taken", error)
+            self.disable("state_folder_taken", error)
             return
         except store.ForeignFileError as error:
-            self.turn_off("state_file_foreign", error)
+            self.disable("state_file_foreign", error)
             return
         except OSError as error:
             self.on_error("read", error)
             return
-        if kept is None:
+        if snapshot is None:
             log.info(event("state_none", folder=self.disk.path))
             return
-        self.previous_list_version = kept.head.list_version
-        recovery = Recovery(kept, now, self.registry.version, self.list_address)
-        done = recovery.apply(self.core.balancer)
+        self.previous_list_version = snapshot.head.list_version
+        recovery = Recovery(snapshot, now, self.list_decoder.version, self.list_address)
+        counts = recovery.apply(self.core.balancer)
         self.learned = recovery.learned
         found = list(recovery.recent_ids())
-        believed = set(found)
-        self.ids.extend((ident, at) for ident, at in kept.ids if ident in believed)
+        recent = set(found)
+        self.ids.extend((ident, at) for ident, at in snapshot.ids if ident in recent)
         for ident in found[-self.core.limits.max_remembered_flows :]:
             self.core.seen_ids[ident] = None
         log.info(
             event(
                 "state_recovered",
-                generation=self.number,
-                age=f"{(now - kept.head.taken) / SECOND:.1f}",
-                servers=len(kept.servers),
+                generation=self.generation,
+                age=f"{(now - snapshot.head.taken) / SECOND:.1f}",
+                servers=len(snapshot.servers),
                 ids=len(found),
-                **done,
+                **counts,
             )
         )
 
     def on_invalid_file(self, name: str, reason: str) -> None:
-        """Logs a file that was passed over."""
+        """Log an invalid file, which is skipped."""
         log.warning(event("state_file_invalid", file=name, reason=reason))
 
-    def turn_off(self, log_event: str, reason: object) -> None:
-        """Leaves the folder alone for good."""
-        self.off = True
+    def disable(self, log_event: str, reason: object) -> None:
+        """Stop using the folder, and log why."""
+        self.disabled = True
         self.disk.unlock()
         log.error(event(log_event, folder=self.disk.path, reason=reason, state="off"))
 
     def on_error(self, operation: str, error: Exception) -> None:
-        """Logs an error once, until it is another or has gone."""
+        """Log an error, unless it is the same as the last one and still lasts."""
         reason = f"{operation}: {getattr(error, 'strerror', None) or error}"
         if reason != self.logged_error:
             log.error(event("state_not_kept", folder=self.disk.path, reason=reason))
         self.logged_error = reason
 
-    # While it runs.
+    # In the writer's thread.
 
     def start(self) -> None:
-        """Starts the writing thread, unless the folder must be left alone."""
-        if not self.off:
+        """Start the writer's thread, unless the writer is disabled."""
+        if not self.disabled:
             start_thread(self.run, SECOND, STACK_BYTES)
 
     def run(self) -> None:
-        """The writing thread; ends with `finish`, or when the deciding thread no longer answers."""
-        due = time.monotonic() + self.every
-        while not self.ended.wait(min(max(due - time.monotonic(), 0.01), IDS_INTERVAL / SECOND)):
+        """Write generations until `finish` is called or the deciding thread no longer answers."""
+        due = time.monotonic() + self.interval
+        while not self.stopped.wait(min(max(due - time.monotonic(), 0.01), IDS_INTERVAL / SECOND)):
             if not self._run_slice(self.copy_ids):
                 return
             if time.monotonic() >= due:
-                due = time.monotonic() + self.every
+                due = time.monotonic() + self.interval
                 self.keep()
 
     def _run_slice(self, copy: Callable[..., object], *args: object) -> bool:
-        """Has the deciding thread run it, and waits; False where that thread has ended."""
+        """Run a slice in the deciding thread and wait; return False if that thread has ended."""
         done = Event()
 
         def run(now: int) -> None:
-            """Runs the slice in the deciding thread and measures it."""
+            """Run the slice and measure its duration."""
             began = time.perf_counter_ns()
             copy(now, *args)
             self.longest = max(self.longest, time.perf_counter_ns() - began)
@@ -161,81 +172,86 @@
         return done.wait(SLICE_TIMEOUT)
 
     def keep(self) -> None:
-        """Copies and writes one generation."""
-        heads: list[Header] = []
+        """Copy and write one generation."""
+        headers: list[Header] = []
         servers: list[Server] = []
 
-        def copy_head(now: int) -> None:
-            """Copies the header and takes the list of servers."""
-            heads.append(self.head(now))
+        def copy_header(now: int) -> None:
+            """Copy the header and the list of servers."""
+            headers.append(self.build_header(now))
             servers.extend(self.core.balancer.servers.values())
 
-        if not self._run_slice(copy_head):
+        if not self._run_slice(copy_header):
             return
-        parts = [file_format.part(b"h", heads[0])]
+        chunks = [file_format.encode_chunk(b"h", headers[0])]
         for at in range(0, len(servers), SERVERS_PER_SLICE):
             copies: list[ServerRecord] = []
             if not self._run_slice(self.copy_servers, servers[at : at + SERVERS_PER_SLICE], copies):
                 return
-            parts.append(file_format.part(b"s", copies))
+            chunks.append(file_format.encode_chunk(b"s", copies))
             time.sleep(SLICE_PAUSE)
-        self.write(parts)
+        self.write(chunks)
 
-    def write(self, parts: list[bytes]) -> None:
-        """Adds the ids to head and servers, and writes the file."""
+    def write(self, chunks: list[bytes]) -> None:
+        """Add the ids' chunks to those of header and servers, and write the file."""
         ids = list(self.ids)
         for at in range(0, len(ids), IDS_PER_SLICE):
-            parts.append(file_format.part(b"i", ids[at : at + IDS_PER_SLICE]))
-            if not self.ended.is_set():
+            chunks.append(file_format.encode_chunk(b"i", ids[at : at + IDS_PER_SLICE]))
+            if not self.stopped.is_set():
                 time.sleep(SLICE_PAUSE)
-        with self.writing:
+        with self.write_lock:
             try:
                 if self.disk.held is None:
-                    # The folder was not there at the start. A file in it that is another's or of a
-                    # newer version would be counted on from, and removed two generations later.
+                    # The folder did not exist at the start. Without this check, a file in it of
+                    # another balancer or a newer version would be removed two generations later.
                     self.disk.lock()
-                    _, self.number = store.load(self.disk, self.balancer, self.on_invalid_file)
-                store.save(self.disk, file_format.whole(parts), self.number + 1)
-                self.number += 1
+                    _, self.generation = store.load(self.disk, self.balancer, self.on_invalid_file)
+                store.save(self.disk, file_format.encode_file(chunks), self.generation + 1)
+                self.generation += 1
                 if self.logged_error:
-                    log.info(event("state_kept_again", generation=self.number))
+                    log.info(event("state_kept_again", generation=self.generation))
                 self.logged_error = ""
                 self.core.counters.add("state_written")
-                self.core.counters.add("state_bytes", sum(map(len, parts)))
+                self.core.counters.add("state_bytes", sum(map(len, chunks)))
             except store.ForeignFileError as error:
-                self.ended.set()
-                self.turn_off("state_file_foreign", error)
+                self.stopped.set()
+                self.disable("state_file_foreign", error)
             except (OSError, file_format.FormatError) as error:
                 self.on_error("write", error)
 
     def finish(self, now: int) -> None:
-        """The last generation, by the deciding thread, which has nothing else to do."""
-        if self.off or self.ended.is_set():
+        """Write the last generation in the deciding thread, which has no other work any more."""
+        if self.disabled or self.stopped.is_set():
             return
-        self.ended.set()
+        self.stopped.set()
         self.copy_ids(now)
         copies: list[ServerRecord] = []
         self.copy_servers(now, list(self.core.balancer.servers.values()), copies)
-        self.write([file_format.part(b"h", self.head(now)), file_format.part(b"s", copies)])
+        self.write(
+            [
+                file_format.encode_chunk(b"h", self.build_header(now)),
+                file_format.encode_chunk(b"s", copies),
+            ]
+        )
 
-    # By the deciding thread.
+    # In the deciding thread.
 
-    def head(self, now: int) -> Header:
-        """The header of a snapshot that is taken now."""
+    def build_header(self, now: int) -> Header:
+        """Return the header of a snapshot that is taken now."""
         counts = self.core.counters.counts
         taken = max(counts.get("flows_taken", 0), 1)
         return Header(
             self.balancer,
             now,
             self.core.balancer.traffic.started_at,
-            self.registry.version,
+            self.list_decoder.version,
             self.list_address,
             counts.get("flows_again", 0) / taken,
             copy_sums(self.core.balancer),
         )
 
     def copy_servers(self, now: int, servers: list[Server], into: list[ServerRecord]) -> None:
-        """Appends their records; what is new of them is learned now."""
+        """Append the servers' records; new observations count as learned now."""
         for server in servers:
             seen = observations(server)
             known = self.learned.get(server.id)
@@ -244,7 +260,7 @@
             into.append(copy_server(server, known[1]))
 
     def copy_ids(self, now: int) -> None:
-        """Copies the flows' ids that came since the last time, and drops those that are too old."""
+        """Copy the flows' ids that arrived since the last call, and drop ids that are too old."""
         last = self.ids[-1][0] if self.ids else None
         new = []
         for ident in islice(reversed(self.core.seen_ids), IDS_PER_SLICE):
--- a/cypresswalk/state/store.py
+++ b/cypresswalk/state/store.py
@@ -1,10 +1,11 @@
-"""In which order a generation of the state is written and read, on any file layer.
-
-No I/O of its own. A generation is written to `next`, flushed, renamed to `state.N`, and the folder
-flushed; only then is the one before the last removed. So at any moment that the power fails the
-folder holds the last generation that was reported written, complete (Pillai et al., "All File
-Systems Are Not Created Equal", OSDI 2014: without the flush before the rename the new name may come
-to an empty file; without the folder's flush the rename itself may be lost).
+"""Writes and reads generations of the state (numbered snapshot files) in a crash-safe order.
+
+Does no I/O of its own: `Files` is the file layer. A generation is written to `next`, flushed and
+renamed to `state.N`, and the folder is flushed; only then is the generation before the previous one
+removed. So after a power failure at any moment the folder holds, complete, the last generation that
+was reported as written (Pillai et al., "All File Systems Are Not Created Equal", OSDI 2014: without
+the flush before the rename the new name may refer to an empty file; without the folder's flush the
+rename itself may be lost).
 """
 
 from collections.abc import Callable
@@ -20,33 +21,33 @@
 
 
 class Files(Protocol):
-    """One folder. Each call raises OSError where it fails."""
+    """The operations that a folder needs. Every method raises OSError if its operation fails."""
 
     def names(self) -> list[str]:
-        """Of all files in it."""
+        """Return the names of all files in the folder."""
 
-    def read(self, name: str, most: int) -> bytes:
-        """At most so many bytes from the file's begin."""
+    def read(self, name: str, max_bytes: int) -> bytes:
+        """Return the file's first `max_bytes` bytes, or fewer if it is shorter."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Creates or empties the file, writes and flushes it."""
+        """Create or truncate the file, write the data and flush it to disk."""
 
     def rename(self, name: str, to: str) -> None:
-        """Over whatever has that name."""
+        """Rename the file, replacing any file named `to`."""
 
     def flush(self) -> None:
-        """Flushes the folder itself."""
+        """Flush the folder's entries (file names) to disk."""
 
     def remove(self, name: str) -> None:
-        """Takes the name out of the folder."""
+        """Remove the file from the folder."""
 
 
 class ForeignFileError(Exception):
-    """The folder holds a file that this program may not replace; the message says which."""
+    """The folder holds a file that this program must not replace; the message names the file."""
 
 
-def generations(files: Files) -> list[int]:
-    """The numbers of those that are there, the latest first. Other names are passed over."""
+def list_generations(files: Files) -> list[int]:
+    """Return the numbers of the generations in the folder, latest first; ignore other files."""
     numbers = [name[len(PREFIX) :] for name in files.names() if name.startswith(PREFIX)]
     return sorted((int(number) for number in numbers if number.isdecimal()), reverse=True)
 
@@ -54,18 +55,18 @@
 def load(
     files: Files, balancer: str, on_invalid: Callable[[str, str], None]
 ) -> tuple[Snapshot | None, int]:
-    """The latest valid generation, or None, and the latest number there is.
+    """Return the latest valid generation, or None, and the latest generation's number, or 0.
 
     Args:
         files: the folder.
-        balancer: whose state it must be.
-        on_invalid: called with the name of each invalid file, and the reason.
+        balancer: name of the balancer that must have written the state.
+        on_invalid: called with the name of each invalid file and the reason.
 
     Raises:
-        ForeignFileError: a file of a newer version or of another balancer.
+        ForeignFileError: a newer version of the program or another balancer wrote a file.
         OSError: the folder can't be read.
     """
-    numbers = generations(files)
+    numbers = list_generations(files)
     for number in numbers[:KEPT_GENERATIONS]:
         name = f"{PREFIX}{number}"
         try:
@@ -85,10 +86,10 @@
 
 
 def save(files: Files, data: bytes, number: int) -> None:
-    """Writes generation `number`. Raises OSError; then the generations before still stand."""
+    """Write generation `number`. Raise OSError if it fails; earlier generations then remain."""
     files.write(NEXT, data)
     files.rename(NEXT, f"{PREFIX}{number}")
     files.flush()
-    for old in generations(files):
+    for old in list_generations(files):
         if old <= number - KEPT_GENERATIONS:
             files.remove(f"{PREFIX}{old}")
--- a/tests/state/test_crash_safety.py
+++ b/tests/state/test_crash_safety.py
@@ -1,4 +1,4 @@
-"""A failure of the power or a kill at any point of a write leaves a complete generation."""
+"""A power failure or a kill at any point of a write leaves a complete generation."""
 
 import itertools
 import subprocess
@@ -13,7 +13,7 @@
 KILL_WRITER = Path(__file__).parent / "kill_writer.py"
 BLOCK = 512  # bytes that a disk writes at once
 
-# What is found of a write that was not flushed.
+# Contents of a file after a power failure if its write was not flushed, by name of the case.
 LEFTOVERS = {
     "none": lambda data: b"",
     "part": lambda data: data[: len(data) // 2],
@@ -23,54 +23,54 @@
 }
 
 
-class PowerFailure(Exception):  # noqa: N818 (what happens to the disk, no error of the program)
+class PowerFailure(Exception):  # noqa: N818 (an event of the disk, not an error of the program)
     """The power has failed."""
 
 
 class CrashDisk:
-    """A folder whose power fails at a chosen operation, or at a chosen byte of a write.
+    """A simulated folder whose power fails at a chosen operation or a chosen byte of a write.
 
-    What was flushed stays. What was not is found as `leftover` says; a rename whose folder was not
-    flushed may or may not be found.
+    Flushed data survives. Of unflushed data, what `leftover` selects survives. A rename may or may
+    not survive if the folder was not flushed after it.
     """
 
     def __init__(self, leftover: str = "none"):
-        """An empty folder whose power does not fail; `leftover` is one of `LEFTOVERS`."""
+        """Create an empty folder whose power does not fail; `leftover` is a key of `LEFTOVERS`."""
         self.leftover = leftover
         self.failing_operation: int | None = None
         self.failing_byte: int | None = None
         self.operations = 0
-        self.durable: dict[str, bytes] = {}  # names and contents at the folder's last flush
+        self.durable: dict[str, bytes] = {}  # names and contents as of the folder's last flush
         self.contents: dict[str, bytes] = {}
         self.flushed: dict[str, bool] = {}
 
     def fail_at(self, operation: int, byte: int | None = None) -> None:
-        """The power fails that many operations from now, after so many bytes if it is a write."""
+        """Let the power fail so many operations from now, after `byte` bytes if it is a write."""
         self.failing_operation = self.operations + operation
         self.failing_byte = byte
 
     def begin_operation(self) -> bool:
-        """Counts an operation; whether the power fails in it."""
+        """Count an operation, and return whether the power fails in it."""
         self.operations += 1
         return self.operations == self.failing_operation
 
     def pass_failure_point(self) -> None:
-        """The power may fail here."""
+        """Count an operation, and raise PowerFailure if the power fails in it."""
         if self.begin_operation():
             raise PowerFailure
 
-    # As the program's own folder.
+    # The methods of `store.Files`.
 
     def names(self) -> list[str]:
-        """Names of all files."""
+        """Return the names of all files."""
         return list(self.contents)
 
-    def read(self, name: str, most: int) -> bytes:
-        """A file's first bytes."""
-        return self.contents[name][:most]
+    def read(self, name: str, max_bytes: int) -> bytes:
+        """Return a file's first bytes."""
+        return self.contents[name][:max_bytes]
 
     def write(self, name: str, data: bytes) -> None:
-        """Writes a file and flushes it."""
+        """Write a file and flush it."""
         fails = self.begin_operation()
         written = data[: self.failing_byte] if fails and self.failing_byte is not None else data
         self.contents[name] = written
@@ -81,34 +81,34 @@
         self.flushed[name] = True
 
     def rename(self, name: str, to: str) -> None:
-        """Renames a file."""
+        """Rename a file."""
         self.pass_failure_point()
         self.contents[to] = self.contents.pop(name)
         self.flushed[to] = self.flushed.pop(name)
         self.pass_failure_point()
 
     def flush(self) -> None:
-        """Flushes the folder: all names stay from now on."""
+        """Flush the folder, so that its present names survive a failure."""
         self.pass_failure_point()
-        self.durable = {name: self.found(name) for name in self.contents}
+        self.durable = {name: self.data_after_failure(name) for name in self.contents}
 
     def remove(self, name: str) -> None:
-        """Removes a file."""
+        """Remove a file."""
         self.pass_failure_point()
         del self.contents[name]
 
     # After the failure.
 
-    def found(self, name: str) -> bytes:
-        """What is found of a file after a failure."""
+    def data_after_failure(self, name: str) -> bytes:
+        """Return a file's contents after a failure."""
         data = self.contents[name]
         return data if self.flushed[name] else LEFTOVERS[self.leftover](data)
 
     def after_failure(self, renamed: bool) -> "CrashDisk":
-        """The folder as it is found: with unflushed names, or with those of the last flush."""
+        """Return the folder after a failure: `renamed` keeps names that were not flushed."""
         found = CrashDisk()
         if renamed:
-            found.contents = {name: self.found(name) for name in self.contents}
+            found.contents = {name: self.data_after_failure(name) for name in self.contents}
         else:
             found.contents = dict(self.durable)
         found.flushed = dict.fromkeys(found.contents, True)
@@ -116,13 +116,13 @@
 
 
 def load(disk: CrashDisk) -> Snapshot | None:
-    """The snapshot that a folder holds."""
+    """Return the latest valid snapshot in the folder, or None."""
     found, _ = store.load(disk, "n0", lambda name, error: None)
     return found
 
 
-def save_through_failure(disk: CrashDisk, data: bytes, number: int) -> bool:
-    """Saves a generation; whether it was reported as saved."""
+def save_unless_power_fails(disk: CrashDisk, data: bytes, number: int) -> bool:
+    """Save a generation, and return whether the save was reported as done."""
     try:
         store.save(disk, data, number)
     except PowerFailure:
@@ -140,7 +140,7 @@
         disk = CrashDisk(leftover)
         store.save(disk, old, 1)
         disk.fail_at(*failure)
-        reported = save_through_failure(disk, new, 2)
+        reported = save_unless_power_fails(disk, new, 2)
         found = load(disk.after_failure(renamed))
         assert found is not None, case
         generation = found.head.list_version
@@ -150,23 +150,23 @@
     assert seen == {(1, False), (2, False), (2, True)}
 
 
-class UnflushedDisk(CrashDisk):
-    """Does not flush what is written."""
+class DiskWithoutFileFlush(CrashDisk):
+    """A disk whose writes do not flush the file."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Writes a file."""
+        """Write a file without a flush."""
         super().write(name, data)
         self.flushed[name] = False
 
 
-def test_generation_is_lost_without_the_flush_before_the_rename():
-    """The same failures find a wrong order: the test above can fail."""
-    disk = UnflushedDisk("zeros")
+def test_generation_is_lost_without_a_flush_before_the_rename():
+    """Shows that the simulated failures detect a missing flush, so the test above can fail."""
+    disk = DiskWithoutFileFlush("zeros")
     store.save(disk, file_format.encode(snapshot(1)), 1)
     assert load(disk.after_failure(renamed=True)) is None
 
 
-def test_processes_killed_while_they_write_leave_nothing_that_is_accepted_yet_wrong():
+def test_killed_writers_leave_no_file_that_is_accepted_although_wrong():
     run = subprocess.run(
         [sys.executable, KILL_WRITER, "1000", "1"],
         capture_output=True,
--- a/tests/state/test_file_format.py
+++ b/tests/state/test_file_format.py
@@ -1,4 +1,4 @@
-"""The file of a snapshot: what is written is read, and nothing else is."""
+"""The file format of snapshots: encoding and decoding agree, and invalid files are refused."""
 
 import math
 from pathlib import Path
@@ -9,7 +9,7 @@
 from cypresswalk.state import file_format
 from cypresswalk.state.file_format import FormatError
 
-SAMPLES = Path(__file__).parent / "samples"  # one file of each version there was
+SAMPLES = Path(__file__).parent / "samples"  # one file of each version of the format
 
 
 def test_snapshot_that_was_encoded_is_decoded():
@@ -17,7 +17,7 @@
     assert file_format.decode(file_format.encode(snapshot(servers=0))).servers == []
 
 
-def test_every_flipped_bit_and_every_cut_is_refused():
+def test_file_with_a_flipped_bit_or_wrong_length_is_refused():
     data = file_format.encode(snapshot())
     for bit in range(len(data) * 8):
         flipped = bytearray(data)
@@ -38,9 +38,9 @@
         ({"limit": math.nan}, "out of its range"),
         ({"health": -1}, "out of its range"),
         ({"strain": math.inf}, "out of its range"),
-        ({"dealt": (math.inf, 0)}, "no number"),
+        ({"slow_start_spent": (math.inf, 0)}, "not a finite number"),
     ],
-    ids=["state", "limit", "health", "strain", "dealt"],
+    ids=["state", "limit", "health", "strain", "slow_start_spent"],
 )
 def test_invalid_server_under_a_valid_checksum_is_refused(changes, message):
     content = snapshot()
@@ -53,19 +53,19 @@
 @pytest.mark.parametrize(
     "chunk, message",
     [
-        (file_format.part(b"z", 1), "a chunk of kind b'z'"),
-        (file_format.part(b"s", [["x"]]), "Expected"),
+        (file_format.encode_chunk(b"z", 1), "unknown chunk kind b'z'"),
+        (file_format.encode_chunk(b"s", [["x"]]), "Expected"),
     ],
     ids=["unknown kind", "invalid servers"],
 )
 def test_invalid_chunk_under_a_valid_checksum_is_refused(chunk, message):
-    head = file_format.part(b"h", snapshot().head)
+    head = file_format.encode_chunk(b"h", snapshot().head)
     with pytest.raises(FormatError, match=message):
-        file_format.decode(file_format.whole([head, chunk]))
+        file_format.decode(file_format.encode_file([head, chunk]))
 
 
 @pytest.mark.parametrize("version", range(1, file_format.VERSION + 1))
-def test_file_of_every_version_there_was_is_read(version):
+def test_file_of_every_format_version_is_read(version):
     content = file_format.decode((SAMPLES / f"v{version}.state").read_bytes())
     assert content.head.balancer == "n0"
     assert len(content.servers) == 3
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a new incarnation believes of the snapshot that it finds, and for how long."""
+"""What a restarted balancer restores from a snapshot, depending on the snapshot's age."""
 
 from typing import NamedTuple
 
@@ -15,28 +15,28 @@
     MAX_ID_AGE,
     Recovery,
     belief_weight,
-    decayed,
+    decay_count,
 )
 from cypresswalk.state.snapshot import Snapshot, observations
 
-HOURS_OLD = 7200 * SECOND
+TWO_HOURS = 7200 * SECOND
 
 
 class Recovered(NamedTuple):
-    """A balancer after its recovery."""
+    """A balancer after its recovery, and how much was restored."""
 
     balancer: Balancer
-    counts: dict[str, int]  # what was recovered
+    counts: dict[str, int]  # the result of `Recovery.apply`
     recovery: Recovery
 
     @property
     def first_server(self) -> Server:
-        """The server that the tests are about."""
+        """The server that most tests examine, with the id 7."""
         return self.balancer.servers[7]
 
 
 def balancer_of(servers: int, now: int, **changes: object) -> Balancer:
-    """A balancer that knows so many servers from its list; `changes` are to their entries."""
+    """Return a balancer with a list of `servers` servers; `changes` apply to the list's entries."""
     balancer = Balancer(settings(), 1, now)
     balancer.on_endpoints(now, EndpointUpdate.CACHED, entries(servers, **changes))
     return balancer
@@ -45,19 +45,19 @@
 def recover(
     content: Snapshot, now: int, version: int = 5, address: str = "a:1", **changes: object
 ) -> Recovered:
-    """A balancer of four servers recovers; version and address are its list's."""
+    """Restore a snapshot into a balancer of four servers; `version` and `address` of its list."""
     balancer = balancer_of(4, now, **changes)
     recovery = Recovery(content, now, version, address)
     return Recovered(balancer, recovery.apply(balancer), recovery)
 
 
 def healthy_snapshot(**header: object) -> Snapshot:
-    """A snapshot of four servers that served."""
+    """Return a snapshot of four healthy servers."""
     return snapshot(0, servers=4, **header)
 
 
 def make_failing(content: Snapshot, place: int = 0, **changes: object) -> Snapshot:
-    """Has a server of the snapshot fail attempts and health checks."""
+    """Change a server's record to one that failed attempts and health checks."""
     for name, value in ({"misses": 4, "health": 0, "failed": 5} | changes).items():
         setattr(content.servers[place], name, value)
     return content
@@ -72,16 +72,16 @@
     assert is_up(recovered.first_server) is up
 
 
-def test_belief_halves_every_half_life_and_nothing_of_the_future_is_believed():
+def test_weight_halves_every_half_life_and_is_zero_for_the_future():
     weights = [belief_weight(age * SECOND, FAULT_HALF_LIFE) for age in (0, 20, 40, 60, 80)]
-    assert [decayed(4, weight) for weight in weights] == [4, 2, 1, 0, 0]
+    assert [decay_count(4, weight) for weight in weights] == [4, 2, 1, 0, 0]
     assert belief_weight(-1, FAULT_HALF_LIFE) == 0
 
 
-def test_snapshot_hours_old_changes_nothing_but_the_drains_that_were_told():
+def test_snapshot_of_hours_ago_restores_drains_only():
     content = make_failing(healthy_snapshot())
     content.servers[1].state = "draining"
-    now = START + HOURS_OLD
+    now = START + TWO_HOURS
     recovered = recover(content, now, version=0).balancer
     fresh = balancer_of(4, now)
     assert recovered.servers[20].state is ServerState.DRAINING
@@ -109,7 +109,7 @@
     "learned, taken",
     [(START + 3600 * SECOND, START), (START + 3600 * SECOND, START + 3600 * SECOND)],
 )
-def test_knowledge_from_the_future_counts_as_of_unknown_age(learned, taken):
+def test_records_from_the_future_restore_drains_only(learned, taken):
     content = make_failing(healthy_snapshot(taken=taken), learned=learned)
     content.servers[1].state = "gone"
     content.ids = [(5, learned), (6, START)]
@@ -120,7 +120,7 @@
     assert list(recovered.recovery.recent_ids()) == [6]
 
 
-def test_server_that_started_since_starts_afresh():
+def test_record_of_a_server_that_restarted_is_ignored():
     content = make_failing(healthy_snapshot(), state="draining")
     recovered = recover(content, START + SECOND, started_at=START)
     assert recovered.counts["restarted"] == 4
@@ -131,10 +131,8 @@
 @pytest.mark.parametrize(
     "version, address, drained", [(0, "a:1", True), (9, "a:1", False), (9, "b:1", True)]
 )
-def test_drain_holds_until_a_later_list_of_the_same_address_takes_it_back(
-    version, address, drained
-):
-    """No new flows go there after a restart, and a server that is back is not out for good."""
+def test_drain_holds_until_a_later_list_of_the_same_address_ends_it(version, address, drained):
+    """A restart must neither send flows to a draining server nor exclude a ready one forever."""
     content = healthy_snapshot()
     content.servers[0].state = "draining"
     recovered = recover(content, START + SECOND, version=version, address=address)
@@ -144,7 +142,7 @@
 
 
 def place_flows(balancer: Balancer, now: int, count: int) -> list[Flow]:
-    """Has flows arrive, each accepted by its server, if it has one."""
+    """Let flows arrive; each that gets a server is accepted by it."""
     flows = []
     for number in range(1, count + 1):
         flow = Flow(number, balancer.settings.service_types[0], number, START + 9 * SECOND)
@@ -157,19 +155,19 @@
     return flows
 
 
-@pytest.mark.parametrize("failing, believed", [(1, 1), (2, 2), (3, 0), (4, 0)])
-def test_outliers_that_are_more_than_half_of_the_servers_are_not_believed(failing, believed):
+@pytest.mark.parametrize("failing, restored", [(1, 1), (2, 2), (3, 0), (4, 0)])
+def test_failures_of_more_than_half_of_the_servers_are_not_restored(failing, restored):
     content = healthy_snapshot()
     for place in range(failing):
-        make_failing(content, place, limit=1.0, cut_at=START)
+        make_failing(content, place, limit=1.0, limit_cut_at=START)
     recovered = recover(content, START + SECOND)
     balancer = recovered.balancer
-    assert recovered.counts["aside"] == believed
+    assert recovered.counts["aside"] == restored
     failures = [server.consecutive_failures for server in balancer.servers.values()]
-    assert sum(count >= MAX_FAILURES for count in failures) == believed
+    assert sum(count >= MAX_FAILURES for count in failures) == restored
     flows = place_flows(balancer, START + SECOND, 40)
     used = {flow.server.id for flow in flows if flow.server is not None}
-    assert len(used) >= 4 - believed
+    assert len(used) >= 4 - restored
     assert flows[-1].server is not None
 
 
@@ -181,14 +179,14 @@
     assert is_up(server)
     assert not server.checked
     assert server.health <= RISE
-    # As soon as it fails two attempts it is ejected, whatever the snapshot said.
+    # It is ejected as soon as it fails two attempts, whatever its record says.
     for _ in range(MAX_FAILURES):
         balancer.outliers.on_attempt_failed(START + SECOND, server, Outcome.TIMEOUT, SECOND)
     flow = Flow(1, balancer.settings.service_types[0], 1, START + 9 * SECOND)
     assert not balancer.admission.is_preferred(START + SECOND, server, flow, True)
 
 
-def test_restarts_in_a_loop_do_not_make_old_knowledge_new(tmp_path):
+def test_restart_loop_does_not_renew_old_knowledge(tmp_path):
     first = recovered_harness(tmp_path)
     first.balancer.servers[7].consecutive_failures = 4
     first.end()
@@ -197,13 +195,13 @@
         incarnation = recovered_harness(tmp_path, now=START + turn * 15 * SECOND)
         failures.append(incarnation.balancer.servers[7].consecutive_failures)
         incarnation.end()
-    # Of 4 failures, after 15, 30, 45 and 60 s: never more than the age of the first leaves.
+    # 4 failures decay by the age of the first observation: after 15, 30, 45 and 60 s.
     assert failures[0] == 2
     assert failures[-1] == 0
     assert failures == sorted(failures, reverse=True)
 
 
-def test_what_is_observed_is_new_knowledge_and_time_alone_is_not():
+def test_observations_change_with_a_health_check_but_not_with_time():
     balancer = balancer_of(2, START)
     server = balancer.servers[7]
     before = observations(server)
@@ -213,12 +211,13 @@
     assert observations(server) != before
 
 
-def test_slow_start_budget_is_not_spent_twice():
+def test_slow_start_budget_is_not_granted_twice():
     content = healthy_snapshot()
-    content.servers[0].dealt = (7.5, START)
+    content.servers[0].slow_start_spent = (7.5, START)
     recovered = recover(content, START + SECOND)
     assert 5 < recovered.first_server.slow_start_spent.read(START + SECOND) < 7.5
-    # The sums go on: the flows of a long incarnation do not pass for a short one's many.
+    # The sums keep their start: otherwise the flows of a long run would count as those of a short
+    # one, at a much higher rate.
     assert recovered.balancer.traffic.started_at == START - 60 * SECOND
 
 
--- a/tests/state/test_snapshot_writer.py
+++ b/tests/state/test_snapshot_writer.py
@@ -1,4 +1,4 @@
-"""The snapshot writer and its folder: generations, locks, files and folders that are in the way."""
+"""The snapshot writer and its folder: generations, the lock, and unusable files and folders."""
 
 import logging
 import os
@@ -18,7 +18,7 @@
 from cypresswalk.model import SECOND
 from cypresswalk.state import file_format
 
-# Writes a generation, then one that may have no more than 100 bytes.
+# Writes a generation, then fails to write another one because files are limited to 100 bytes.
 WRITE_TO_A_FULL_DISK = """
 import resource, sys
 from state_helpers import recovered_harness
@@ -27,37 +27,37 @@
 harness.writer.keep()
 resource.setrlimit(resource.RLIMIT_FSIZE, (100, 100))
 harness.writer.keep()
-print(harness.writer.number, harness.writer.logged_error)
+print(harness.writer.generation, harness.writer.logged_error)
 """
 
 
 @pytest.fixture
 def caplog(caplog, monkeypatch):
-    """What the program logs, from level INFO on."""
+    """Capture what the program logs at level INFO and above."""
     monkeypatch.setattr(logging.getLogger("cypresswalk"), "propagate", True)
     caplog.set_level(logging.INFO)
     return caplog
 
 
 def file_names(folder) -> list[str]:
-    """Names of all files of a folder."""
+    """Return the names of all files in a folder."""
     return sorted(path.name for path in folder.iterdir())
 
 
 def generation_names(folder) -> list[str]:
-    """Names of the generations in a folder."""
+    """Return the names of the generations in a folder."""
     return sorted(path.name for path in folder.glob("state.*"))
 
 
 def newer_version(data: bytes) -> bytes:
-    """The file as the next version of the format would write it."""
+    """Return the file with the next version's number and a valid checksum."""
     fields_end = file_format.FIXED.size
     body = data[fields_end + file_format.DIGEST :]
     fixed = file_format.FIXED.pack(file_format.MAGIC, file_format.VERSION + 1, len(body))
-    return fixed + file_format.digest(fixed, body) + body
+    return fixed + file_format.compute_checksum(fixed, body) + body
 
 
-def test_incarnation_hands_on_what_it_knew(tmp_path, caplog):
+def test_restarted_balancer_recovers_state_and_flow_ids(tmp_path, caplog):
     first = recovered_harness(tmp_path)
     server = first.balancer.servers[7]
     server.consecutive_failures = 3
@@ -80,7 +80,7 @@
     assert events(caplog) == ["event=state_none", "event=state_recovered"]
 
 
-def test_two_generations_stay_and_a_damaged_one_gives_way_to_the_one_before(tmp_path, caplog):
+def test_two_generations_are_kept_and_a_damaged_one_is_skipped(tmp_path, caplog):
     first = recovered_harness(tmp_path)
     for version in range(4):
         first.decoder.version = version
@@ -90,17 +90,17 @@
     (tmp_path / "state.4").write_bytes(b"CWSTATE\nnonsense")
     second = recovered_harness(tmp_path)
     assert second.writer.previous_list_version == 2
-    assert second.writer.number == 4
+    assert second.writer.generation == 4
     second.writer.keep()
     assert (tmp_path / "state.5").exists()
     assert events(caplog)[-2:] == ["event=state_file_invalid", "event=state_recovered"]
 
 
-def test_folder_serves_one_process_at_a_time(tmp_path, caplog):
+def test_folder_in_use_by_another_writer_is_left_alone(tmp_path, caplog):
     first = recovered_harness(tmp_path)
     second = recovered_harness(tmp_path)
     second.writer.start()
-    assert second.writer.off
+    assert second.writer.disabled
     assert events(caplog)[-1] == "event=state_folder_taken"
     first.writer.keep()
     first.writer.disk.unlock()
@@ -119,20 +119,20 @@
     (tmp_path / "state.8").write_bytes(data)
     harness = recovered_harness(tmp_path)
     harness.writer.finish(START)
-    assert harness.writer.off
+    assert harness.writer.disabled
     assert events(caplog) == ["event=state_file_foreign"]
     assert (tmp_path / "state.8").read_bytes() == data
     assert not (tmp_path / "state.9").exists()
 
 
-def test_foreign_file_in_a_folder_that_comes_late_is_left_alone(tmp_path, caplog):
+def test_foreign_file_in_a_folder_created_after_the_start_is_left_alone(tmp_path, caplog):
     folder = tmp_path / "kept"
     data = file_format.encode(snapshot(balancer="n9"))
     harness = recovered_harness(folder)
     folder.mkdir()
     (folder / "state.8").write_bytes(data)
     for _ in range(3):
-        if not harness.writer.off:
+        if not harness.writer.disabled:
             harness.writer.keep()
     assert events(caplog) == ["event=state_not_kept", "event=state_file_foreign"]
     assert generation_names(folder) == ["state.8"]
@@ -140,17 +140,17 @@
 
 
 def keep_times(harness: WriterHarness, times: int) -> None:
-    """Writes that many generations."""
+    """Write a generation that many times."""
     for _ in range(times):
         harness.writer.keep()
 
 
-def test_error_of_the_folder_is_logged_once_until_it_changes(tmp_path, caplog):
+def test_folder_error_is_logged_once_until_it_changes(tmp_path, caplog):
     folder = tmp_path / "kept"
     folder.mkdir()
     harness = recovered_harness(folder)
 
-    # It vanishes.
+    # The folder is removed.
     (folder / "lock").unlink()
     folder.rmdir()
     keep_times(harness, 3)
@@ -161,11 +161,11 @@
     folder.unlink()
     folder.symlink_to(tmp_path)
     harness.writer.keep()
-    # It is there again.
+    # The folder exists again.
     folder.unlink()
     folder.mkdir()
     harness.writer.keep()
-    # The file that is written next is a link, then a pipe.
+    # The file `next` is a link, then a pipe.
     (folder / "next").symlink_to(tmp_path / "elsewhere")
     harness.writer.keep()
     (folder / "next").unlink()
@@ -193,7 +193,7 @@
     assert all(server.consecutive_failures == 0 for server in servers)
 
 
-@pytest.mark.skipif(os.geteuid() != 0, reason="only root can give a folder away")
+@pytest.mark.skipif(os.geteuid() != 0, reason="only root can change a folder's owner")
 def test_folder_of_another_user_is_not_used(tmp_path, caplog):
     os.chown(tmp_path, 12345, -1)
     harness = recovered_harness(tmp_path)
@@ -204,7 +204,7 @@
     assert "the folder belongs to user 12345" in caplog.records[0].getMessage()
 
 
-def test_full_disk_leaves_the_generation_before(tmp_path):
+def test_full_disk_leaves_the_previous_generation(tmp_path):
     run = subprocess.run(
         [sys.executable, "-c", WRITE_TO_A_FULL_DISK, str(tmp_path)],
         capture_output=True,
@@ -227,6 +227,6 @@
     writer.keep()
     content = file_format.decode((tmp_path / "state.2").read_bytes())
     assert len(content.servers) == 10_000
-    assert len(content.ids) == 100_000  # the oldest made room
-    # docs/measurements/state.md holds it to a millisecond; a loaded machine is granted twenty.
+    assert len(content.ids) == 100_000  # the oldest were dropped
+    # The limit in docs/measurements/state.md is one millisecond; 20 ms allow for a loaded machine.
     assert writer.longest < SECOND // 50
--- a/tests/state_helpers.py
+++ b/tests/state_helpers.py
@@ -1,4 +1,4 @@
-"""Snapshots, and a snapshot writer with a balancer of its own."""
+"""Test snapshots, and a snapshot writer with a balancer of its own."""
 
 import math
 import os
@@ -17,12 +17,12 @@
 from cypresswalk.state.snapshot import Header, ServerRecord, Snapshot, SumsRecord
 from cypresswalk.state.snapshot_writer import SnapshotWriter
 
-# For scripts that tests start: the program and the helpers are found.
+# Environment of scripts that tests start, in which they can import the program and the helpers.
 SCRIPT_ENVIRONMENT = os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{ROOT / 'tests'}"}
 
 
 def snapshot(number: int = 3, servers: int = 3, **header: Any) -> Snapshot:
-    """A snapshot that says its number in every place: a mix of two would show."""
+    """Return a snapshot with its number in many fields, so that a mix of two is detected."""
     sums = SumsRecord(*[(float(number), number)] * 5)
     values: dict[str, Any] = dict(
         balancer="n0",
@@ -41,7 +41,7 @@
 
 
 def server_record(server_id: int, number: int) -> ServerRecord:
-    """A server's record in the snapshot of that number."""
+    """Return a server's record in the snapshot of that number."""
     return ServerRecord(
         id=server_id,
         since=0,
@@ -54,20 +54,20 @@
         errors=0,
         failed=0,
         answers=number,
-        trial_at=START,
-        full_until=0,
+        next_trial_at=START,
+        ejected_until=0,
         strain=0.5,
         strain_at=START,
         limit=math.inf,
-        cut_at=0,
+        limit_cut_at=0,
         delay=5,
-        dealt=(1.5, START),
-        drops=(0.0, START),
+        slow_start_spent=(1.5, START),
+        recent_drops=(0.0, START),
     )
 
 
 class WriterHarness:
-    """A snapshot writer, with a core and an inbox of which it uses no more than this."""
+    """A snapshot writer, with stand-ins that have just what it uses of the core and the inbox."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         version: int = 5,
         address: str = "a:1",
     ):
-        """The writer of a balancer in a folder; `version` and `address` are its list's."""
+        """Create the writer and its balancer; `version` and `address` are the endpoint list's."""
         self.now = now
         self.balancer = Balancer(settings(), 1, self.now)
         self.balancer.on_endpoints(self.now, EndpointUpdate.CACHED, entries(servers))
@@ -91,22 +91,22 @@
         self.writer = SnapshotWriter(str(folder), 1, stand_in, stand_in, decoder, name, address)
 
     def post(self, call: Callable[..., object], *args: Any) -> None:
-        """Stands in for the inbox: the deciding thread does it at once."""
+        """Call at once, in place of an inbox that passes the call to the deciding thread."""
         call(self.now, *args)
 
     def end(self) -> None:
-        """The process ends by a planned stop: it writes the last generation."""
+        """Write the last generation and unlock the folder, as at a planned stop."""
         self.writer.finish(self.now)
         self.writer.disk.unlock()
 
 
 def recovered_harness(folder: Path | str, **options: Any) -> WriterHarness:
-    """A harness that has recovered what the folder holds."""
+    """Return a harness whose writer has recovered the folder's state."""
     harness = WriterHarness(folder, **options)
     harness.writer.recover(harness.now)
     return harness
 
 
 def events(caplog: pytest.LogCaptureFixture) -> list[str]:
-    """The events that were logged, in their order."""
+    """Return the logged events, in order."""
     return [record.getMessage().split(" ")[0] for record in caplog.records]
