--- a/cypresswalk/faults/injection.py
+++ b/cypresswalk/faults/injection.py
@@ -1,4 +1,4 @@
-"""What the proxies for TCP and for UDP share: their settings, and the record of injected faults."""
+"""Common base of the TCP and UDP proxies: their settings and the record of injected faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,38 +10,39 @@
 
 
 def ignore_fault(fault: Fault, ports: list[int]) -> None:
-    """For who does not want to know of each fault."""
+    """Do nothing: the default `fault_callback`."""
 
 
 @dataclass(eq=False, repr=False)
 class InjectingProxy:
-    """Passes on what comes to one address to another, and injects faults.
+    """A proxy that forwards what arrives at one address to another, and injects faults.
 
     Attributes:
-        listen: where it is to listen; port 0 for any.
-        to: where all goes on to.
-        plan: which faults are injected.
-        seed: for what the plan leaves to chance.
-        clock: nanoseconds.
-        told: is called with each injected fault and the connection's ports; none for UDP.
-        record: of what was injected.
-        address: where it listens.
+        listen_address: address to listen on; port 0 for any free port.
+        target: address to forward to.
+        plan: plan of the faults to inject.
+        seed: seed for the plan's random choices.
+        clock: function that returns the time in nanoseconds.
+        fault_callback: function that is called with each injected fault and the ports of its
+            connection (empty for UDP).
+        record: record of the injected faults.
+        address: address that it listens on, known once it has started.
     """
 
-    listen: Address
-    to: Address
+    listen_address: Address
+    target: Address
     plan: FaultPlan
     seed: int
     clock: Callable[[], int]
-    told: Callable[[Fault, list[int]], None] = ignore_fault
+    fault_callback: Callable[[Fault, list[int]], None] = ignore_fault
     record: Record = field(init=False, default_factory=Record)
     address: Address = field(init=False)
 
     def __post_init__(self) -> None:
-        """Does not listen yet."""
-        self.address = self.listen
+        """Set `address` to the address to listen on until `start` is called."""
+        self.address = self.listen_address
 
     def on_injected(self, fault: Fault, ports: list[int]) -> None:
-        """A fault was injected into what has these ports."""
+        """Record a fault that was injected, and call `fault_callback`."""
         self.record.add(fault)
-        self.told(fault, ports)
+        self.fault_callback(fault, ports)
--- a/cypresswalk/faults/kinds.py
+++ b/cypresswalk/faults/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults, and one fault at one place."""
+"""The kinds of faults, and `Fault`: one fault at one place."""
 
 import json
 from dataclasses import dataclass
@@ -8,32 +8,32 @@
 class Kind(StrEnum):
     """What a fault does.
 
-    The first four end something, the others change how bytes pass. Kinds in DATAGRAMS exist for
-    UDP.
+    The first four end a stream or a connection; the others change how bytes are forwarded. Kinds in
+    DATAGRAM_KINDS can be used for UDP, kinds in STREAM_KINDS for TCP.
     """
 
     CUT = "cut"  # both sides get a reset
-    TRUNCATE = "truncate"  # nothing passes any more either way; both sides get an end of stream
-    HALF_CLOSE = "half_close"  # an end of stream in this direction; the other goes on
-    BLACK_HOLE = "black_hole"  # nothing passes in this direction, and no end either
-    DELAY = "delay"  # one pause
-    LATENCY = "latency"  # from here on each byte arrives later
-    THROTTLE = "throttle"  # from here on at most so many bytes per second
+    TRUNCATE = "truncate"  # both sides get an end of stream; nothing more is forwarded
+    HALF_CLOSE = "half_close"  # an end of stream in this direction; the other continues
+    BLACK_HOLE = "black_hole"  # nothing more is forwarded in this direction, not even its end
+    DELAY = "delay"  # one pause of `ms`
+    LATENCY = "latency"  # from here on each byte is delayed by `ms`
+    THROTTLE = "throttle"  # from here on at most `rate` bytes per second
     SPLIT = "split"  # from here on writes of at most `size` bytes, `ms` apart
-    JOIN = "join"  # from here on writes wait for `size` bytes, at most `ms`
-    GARBLE = "garble"  # `size` bytes are changed
-    DROP = "drop"  # `size` bytes, or one datagram, are left out
-    DUPLICATE = "duplicate"  # a datagram comes twice
-    SWAP = "swap"  # a datagram comes after the next one
+    JOIN = "join"  # from here on bytes are held until there are `size`, for at most `ms`
+    GARBLE = "garble"  # `size` bytes are changed to other values
+    DROP = "drop"  # `size` bytes, or one datagram, are not forwarded
+    DUPLICATE = "duplicate"  # a datagram is forwarded twice
+    SWAP = "swap"  # a datagram is forwarded after the next one
 
 
-ENDS = frozenset({Kind.CUT, Kind.TRUNCATE, Kind.HALF_CLOSE, Kind.BLACK_HOLE})
-DATAGRAMS = frozenset(
+TERMINAL_KINDS = frozenset({Kind.CUT, Kind.TRUNCATE, Kind.HALF_CLOSE, Kind.BLACK_HOLE})
+DATAGRAM_KINDS = frozenset(
     {Kind.DROP, Kind.DELAY, Kind.DUPLICATE, Kind.GARBLE, Kind.TRUNCATE, Kind.SWAP}
 )
-STREAMS = frozenset(set(Kind) - {Kind.DUPLICATE, Kind.SWAP})
-# The parameters each kind needs; it takes no others.
-NEEDS = {
+STREAM_KINDS = frozenset(set(Kind) - {Kind.DUPLICATE, Kind.SWAP})
+# The parameters that each kind requires; it takes no others.
+STREAM_PARAMETERS = {
     Kind.DELAY: {"ms"},
     Kind.LATENCY: {"ms"},
     Kind.THROTTLE: {"rate"},
@@ -42,21 +42,26 @@
     Kind.GARBLE: {"size"},
     Kind.DROP: {"size"},
 }
-DATAGRAM_NEEDS = {Kind.DELAY: {"ms"}, Kind.GARBLE: {"size"}}
+DATAGRAM_PARAMETERS = {Kind.DELAY: {"ms"}, Kind.GARBLE: {"size"}}
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault at one place.
 
-    It is bound to bytes and not to time, so that it is injected at the same place however late the
-    machine is.
+    Its place is a byte offset and not a time, so that it is injected at the same place however slow
+    the machine is.
 
     Attributes:
-        connection: from 1, in the order of acceptance; UDP: the peer, in the order of first
-        datagrams. direction: "up", from who connected, or "down". at: offset of a byte; UDP: the
-        datagram's number from 0. kind: what it does. size: bytes. ms: milliseconds. rate: bytes per
-        second. mask: the seed for what garbled bytes become.
+        connection: the connection's number from 1, in the order of acceptance; for UDP the peer's,
+            in the order of first datagrams.
+        direction: "up" (from the client to the target) or "down".
+        at: offset of a byte; for UDP the datagram's number from 0.
+        kind: the kind of fault.
+        size: number of bytes.
+        ms: milliseconds.
+        rate: bytes per second.
+        mask: seed for the values of garbled bytes.
     """
 
     connection: int
@@ -69,7 +74,7 @@
     mask: int = 0
 
     def line(self) -> str:
-        """The fault as JSON, without parameters of other kinds; alike for equal faults."""
+        """Return the fault as JSON without parameters that are 0; equal faults give equal text."""
         parameters = {name: getattr(self, name) for name in ("size", "ms", "rate", "mask")}
         fields = {
             "connection": self.connection,
@@ -80,8 +85,8 @@
         return json.dumps(fields, separators=(",", ":"))
 
     @property
-    def place(self) -> tuple[int, str, int, str, int, int, int, int]:
-        """The key by which faults are sorted."""
+    def sort_key(self) -> tuple[int, str, int, str, int, int, int, int]:
+        """The key by which faults are sorted: connection, direction, offset, then the rest."""
         return (
             self.connection,
             self.direction,
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -1,8 +1,8 @@
-"""The plan: which faults are injected into which connection.
+"""Fault plans: which faults are injected into which connection.
 
-It is decoded from TOML, drawn from a seed, or read back from a record. Chance comes from the seed
-and the connection's number alone, so that neither the machine's load nor other connections change
-it.
+A plan is decoded from TOML, where faults have stated places or are drawn at random, or read from a
+record. Random choices depend on the seed and the connection's number only, so that neither the
+machine's load nor other connections change them.
 """
 
 import json
@@ -14,7 +14,14 @@
 from pydantic import Field, ValidationError, field_validator, model_validator
 
 from cypresswalk import toml
-from cypresswalk.faults.kinds import DATAGRAM_NEEDS, DATAGRAMS, NEEDS, STREAMS, Fault, Kind
+from cypresswalk.faults.kinds import (
+    DATAGRAM_KINDS,
+    DATAGRAM_PARAMETERS,
+    STREAM_KINDS,
+    STREAM_PARAMETERS,
+    Fault,
+    Kind,
+)
 from cypresswalk.refusal import CommandError
 
 Direction = Literal["up", "down", "both"]
@@ -28,13 +35,14 @@
     """`[[fault]]`: a fault at a stated place.
 
     Attributes:
-        connection: a number from 1, several, or all.
-        direction: of the bytes.
-        kind: what it does.
+        connection: a connection's number from 1, a list of numbers, or "all".
+        direction: direction of the bytes.
+        kind: kind of the fault.
         at: offset of a byte.
-        size: bytes.
+        size: number of bytes.
         ms: milliseconds.
         rate: bytes per second.
+        required: for each kind the parameters that it requires.
     """
 
     connection: int | list[int] | Literal["all"] = "all"
@@ -44,12 +52,12 @@
     size: int = Field(0, ge=0, le=MAX_SIZE)
     ms: int = Field(0, ge=0, le=MAX_PAUSE_MS)
     rate: int = Field(0, ge=0, le=MAX_OFFSET)
-    needs: ClassVar[dict[Kind, set[str]]] = NEEDS
+    required: ClassVar[dict[Kind, set[str]]] = STREAM_PARAMETERS
 
     @field_validator("connection")
     @classmethod
     def check_connection(cls, value: int | list[int] | str) -> int | list[int] | str:
-        """Raises ValueError for a number below 1."""
+        """Raise ValueError for a number below 1."""
         numbers: list[int] = []
         if isinstance(value, int):
             numbers = [value]
@@ -61,46 +69,47 @@
 
     @model_validator(mode="after")
     def check_parameters(self) -> "PlacedFault":
-        """Raises ValueError where a parameter lacks, or is not the kind's."""
-        needs = self.needs.get(self.kind, set())
+        """Raise ValueError if a parameter is missing or not one of the kind's."""
+        required = self.required.get(self.kind, set())
         given = {name for name in PARAMETERS if getattr(self, name)}
         if self.kind is Kind.SPLIT:
-            # The gap may be left out: then reads split where the kernel lets them.
-            needs = {"size"} | given & {"ms"}
-        if missing := needs - given:
+            # The gap `ms` is optional: without it, the receiver's kernel may join the writes.
+            required = {"size"} | given & {"ms"}
+        if missing := required - given:
             raise ValueError(f"{self.kind.value} needs {' and '.join(sorted(missing))} above 0")
-        if extra := given - needs:
+        if extra := given - required:
             raise ValueError(f"{self.kind.value} takes no {' and no '.join(sorted(extra))}")
         return self
 
-    def concerns(self, connection: int) -> bool:
-        """Whether the fault is one of that connection."""
+    def applies_to(self, connection: int) -> bool:
+        """Return whether the fault is to be injected into that connection."""
         if isinstance(self.connection, list):
             return connection in self.connection
         return self.connection == "all" or self.connection == connection
 
 
 class PlacedDatagramFault(PlacedFault):
-    """`[[datagram]]`: for UDP; `connection` is the peer, `at` the datagram's number from 0."""
+    """`[[datagram]]`: a fault for UDP; `connection` is the peer, `at` the datagram, from 0."""
 
-    needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
+    required: ClassVar[dict[Kind, set[str]]] = DATAGRAM_PARAMETERS
 
 
 class RandomFaults(toml.Table):
-    """`[[random]]`: each direction of each connection gets one of the kinds with that chance.
+    """`[[random]]`: one fault per connection and direction, with a probability of `chance`.
 
     Attributes:
-        chance: above 0, at most 1.
-        kinds: to choose from.
-        direction: of the bytes.
-        within: the offset is below this.
-        size: range of bytes.
+        required: for each kind the parameters that it requires.
+        chance: probability of the fault, above 0 and at most 1.
+        kinds: kinds of which one is drawn.
+        direction: direction of the bytes.
+        within: exclusive upper bound of the fault's offset, in bytes.
+        size: range of the number of bytes.
         ms: range of milliseconds.
         rate: range of bytes per second.
-        first: connections from this number on.
+        first: number of the first connection that can get a fault.
     """
 
-    needs: ClassVar[dict[Kind, set[str]]] = NEEDS
+    required: ClassVar[dict[Kind, set[str]]] = STREAM_PARAMETERS
     chance: float = Field(gt=0, le=1)
     kinds: list[Kind] = Field(min_length=1)
     direction: Direction = "both"
@@ -113,33 +122,33 @@
     @field_validator(*PARAMETERS)
     @classmethod
     def check_range(cls, value: tuple[int, int]) -> tuple[int, int]:
-        """Raises ValueError where the range is empty or has values that are not allowed."""
+        """Raise ValueError if the range is empty or has values that are not allowed."""
         if not 1 <= value[0] <= value[1] <= MAX_SIZE:
             raise ValueError("a range is [least, most], both from 1 on")
         return value
 
 
 class RandomDatagramFaults(RandomFaults):
-    """`[[random_datagram]]`: each datagram gets one with that chance; `within` has no meaning."""
+    """`[[random_datagram]]`: one fault per datagram, with that probability; `within` is ignored."""
 
-    needs: ClassVar[dict[Kind, set[str]]] = DATAGRAM_NEEDS
+    required: ClassVar[dict[Kind, set[str]]] = DATAGRAM_PARAMETERS
 
 
 class FaultPlan(Protocol):
-    """What a proxy asks for the faults of connections and datagrams."""
+    """The interface of plans: the faults of connections and datagrams."""
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
-        """The faults of one TCP connection, sorted by direction and offset."""
+        """Return the faults of one TCP connection, sorted by direction and offset."""
 
-    def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
-        """The faults of one datagram, counted from 0 for each peer and direction."""
+    def for_datagram(self, peer: int, direction: str, number: int, seed: int) -> list[Fault]:
+        """Return the faults of one datagram, numbered from 0 for each peer and direction."""
 
-    def named(self) -> Sequence[PlacedFault | Fault]:
-        """The faults at stated places."""
+    def placed_faults(self) -> Sequence[PlacedFault | Fault]:
+        """Return the faults at stated places."""
 
 
 class Plan(toml.Table):
-    """A plan's file; its tables are the attributes."""
+    """A plan's file; each attribute is a table of it."""
 
     fault: list[PlacedFault] = []
     random: list[RandomFaults] = []
@@ -148,106 +157,116 @@
 
     @model_validator(mode="after")
     def check_kinds(self) -> "Plan":
-        """Raises ValueError where a kind does not exist for TCP, or for UDP."""
+        """Raise ValueError if a table has a kind that does not exist for TCP, or for UDP."""
         for name, allowed, entries in (
-            ("fault", STREAMS, [[f.kind] for f in self.fault]),
-            ("random", STREAMS, [r.kinds for r in self.random]),
-            ("datagram", DATAGRAMS, [[f.kind] for f in self.datagram]),
-            ("random_datagram", DATAGRAMS, [r.kinds for r in self.random_datagram]),
+            ("fault", STREAM_KINDS, [[f.kind] for f in self.fault]),
+            ("random", STREAM_KINDS, [r.kinds for r in self.random]),
+            ("datagram", DATAGRAM_KINDS, [[f.kind] for f in self.datagram]),
+            ("random_datagram", DATAGRAM_KINDS, [r.kinds for r in self.random_datagram]),
         ):
             for i, kinds in enumerate(entries):
                 check_allowed(f"{name}[{i}]", kinds, allowed)
         return self
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
-        """The faults of one TCP connection, sorted by direction and offset."""
+        """Return the faults of one TCP connection, sorted by direction and offset."""
         faults = []
         for i, placed in enumerate(self.fault):
-            for way in ways(placed.direction) if placed.concerns(number) else ():
-                chance = Random(f"{seed}/named/{i}/{number}/{way}")
-                faults.append(placed_fault(placed, number, way, placed.at, chance))
+            for direction in (
+                single_directions(placed.direction) if placed.applies_to(number) else ()
+            ):
+                rng = Random(f"{seed}/named/{i}/{number}/{direction}")
+                faults.append(make_placed_fault(placed, number, direction, placed.at, rng))
         for i, drawn in enumerate(self.random):
-            for way in ways(drawn.direction) if number >= drawn.first else ():
-                chance = Random(f"{seed}/random/{i}/{number}/{way}")
-                if chance.random() < drawn.chance:
-                    at = chance.randrange(drawn.within)
-                    faults.append(random_fault(drawn, number, way, at, chance))
-        return sorted(faults, key=lambda f: f.place)
-
-    def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
-        """The faults of one datagram, counted from 0 for each peer and direction."""
+            for direction in single_directions(drawn.direction) if number >= drawn.first else ():
+                rng = Random(f"{seed}/random/{i}/{number}/{direction}")
+                if rng.random() < drawn.chance:
+                    at = rng.randrange(drawn.within)
+                    faults.append(draw_fault(drawn, number, direction, at, rng))
+        return sorted(faults, key=lambda f: f.sort_key)
+
+    def for_datagram(self, peer: int, direction: str, number: int, seed: int) -> list[Fault]:
+        """Return the faults of one datagram, numbered from 0 for each peer and direction."""
         faults = []
         for i, placed in enumerate(self.datagram):
-            if placed.concerns(peer) and way in ways(placed.direction) and placed.at == number:
-                chance = Random(f"{seed}/datagram/{i}/{peer}/{way}")
-                faults.append(placed_fault(placed, peer, way, number, chance))
+            if (
+                placed.applies_to(peer)
+                and direction in single_directions(placed.direction)
+                and placed.at == number
+            ):
+                rng = Random(f"{seed}/datagram/{i}/{peer}/{direction}")
+                faults.append(make_placed_fault(placed, peer, direction, number, rng))
         for i, drawn in enumerate(self.random_datagram):
-            if way in ways(drawn.direction) and peer >= drawn.first:
-                chance = Random(f"{seed}/random_datagram/{i}/{peer}/{way}/{number}")
-                if chance.random() < drawn.chance:
-                    faults.append(random_fault(drawn, peer, way, number, chance))
-        return sorted(faults, key=lambda f: f.place)
-
-    def named(self) -> Sequence[PlacedFault | Fault]:
-        """The faults at stated places."""
+            if direction in single_directions(drawn.direction) and peer >= drawn.first:
+                rng = Random(f"{seed}/random_datagram/{i}/{peer}/{direction}/{number}")
+                if rng.random() < drawn.chance:
+                    faults.append(draw_fault(drawn, peer, direction, number, rng))
+        return sorted(faults, key=lambda f: f.sort_key)
+
+    def placed_faults(self) -> Sequence[PlacedFault | Fault]:
+        """Return the faults at stated places."""
         return [*self.fault, *self.datagram]
 
 
 def check_allowed(place: str, kinds: list[Kind], allowed: frozenset[Kind]) -> None:
-    """Raises ValueError where a kind is not allowed at that place of the plan."""
+    """Raise ValueError if a kind is not allowed at that place of the plan."""
     for kind in kinds:
         if kind not in allowed:
             names = ", ".join(sorted(k.value for k in allowed))
             raise ValueError(f"{place}: {kind.value} is not one of {names}")
 
 
-def ways(direction: str) -> tuple[str, ...]:
-    """The directions that a plan's direction stands for."""
+def single_directions(direction: str) -> tuple[str, ...]:
+    """Return "up", "down" or both of them for a plan's direction."""
     return ("down", "up") if direction == "both" else (direction,)
 
 
-def draw_mask(kind: Kind, chance: Random) -> int:
-    """The seed for garbled bytes, 0 for other kinds."""
-    return chance.randrange(1, 1 << 32) if kind is Kind.GARBLE else 0
+def draw_mask(kind: Kind, rng: Random) -> int:
+    """Return a random seed for garbled bytes, 0 for other kinds."""
+    return rng.randrange(1, 1 << 32) if kind is Kind.GARBLE else 0
 
 
-def placed_fault(spec: PlacedFault, number: int, way: str, at: int, chance: Random) -> Fault:
-    """The fault of one connection and direction at a stated place."""
-    mask = draw_mask(spec.kind, chance)
-    return Fault(number, way, at, spec.kind, spec.size, spec.ms, spec.rate, mask)
+def make_placed_fault(
+    spec: PlacedFault, number: int, direction: str, at: int, rng: Random
+) -> Fault:
+    """Return the fault of one connection and direction at a stated place."""
+    mask = draw_mask(spec.kind, rng)
+    return Fault(number, direction, at, spec.kind, spec.size, spec.ms, spec.rate, mask)
 
 
-def random_fault(spec: RandomFaults, number: int, way: str, at: int, chance: Random) -> Fault:
-    """A fault of one connection and direction with a drawn kind and drawn parameters."""
-    kind = chance.choice(spec.kinds)
-    drawn = {name: chance.randint(*getattr(spec, name)) for name in PARAMETERS}
-    needs = spec.needs.get(kind, set())
-    parameters = {name: value if name in needs else 0 for name, value in drawn.items()}
-    return Fault(number, way, at, kind, **parameters, mask=draw_mask(kind, chance))
+def draw_fault(spec: RandomFaults, number: int, direction: str, at: int, rng: Random) -> Fault:
+    """Return a fault of one connection and direction with a random kind and parameters."""
+    kind = rng.choice(spec.kinds)
+    drawn = {name: rng.randint(*getattr(spec, name)) for name in PARAMETERS}
+    required = spec.required.get(kind, set())
+    parameters = {name: value if name in required else 0 for name, value in drawn.items()}
+    return Fault(number, direction, at, kind, **parameters, mask=draw_mask(kind, rng))
 
 
 class Replay:
-    """The faults of a record, at their places."""
+    """A plan that repeats the faults of a record."""
 
     def __init__(self, faults: list[Fault]):
-        """Takes the record's faults in any order."""
-        self.faults = sorted(faults, key=lambda f: f.place)
+        """Use the record's faults, in any order."""
+        self.faults = sorted(faults, key=lambda f: f.sort_key)
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
-        """The faults of one TCP connection, sorted by direction and offset."""
+        """Return the faults of one TCP connection, sorted by direction and offset."""
         return [fault for fault in self.faults if fault.connection == number]
 
-    def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
-        """The faults of one datagram, counted from 0 for each peer and direction."""
-        return [f for f in self.faults if (f.connection, f.direction, f.at) == (peer, way, number)]
+    def for_datagram(self, peer: int, direction: str, number: int, seed: int) -> list[Fault]:
+        """Return the faults of one datagram, numbered from 0 for each peer and direction."""
+        return [
+            f for f in self.faults if (f.connection, f.direction, f.at) == (peer, direction, number)
+        ]
 
-    def named(self) -> Sequence[PlacedFault | Fault]:
-        """All faults: each stands at its place."""
+    def placed_faults(self) -> Sequence[PlacedFault | Fault]:
+        """Return all faults, since each has a stated place."""
         return self.faults
 
 
-class Line(toml.Table):
-    """A line of a record; its keys are a fault's attributes."""
+class RecordLine(toml.Table):
+    """A line of a record; its keys are the attributes of `Fault`."""
 
     connection: int = Field(ge=1)
     direction: Literal["up", "down"]
@@ -260,12 +279,12 @@
 
 
 def read(path: str | Path) -> Plan:
-    """Reads a plan. Raises CommandError with a line for each error."""
+    """Read a plan from a file. Raise CommandError with a line for each error."""
     return toml.read(path, Plan)
 
 
 def read_record(path: str | Path) -> Replay:
-    """Reads a record. Raises CommandError for the first line that is not one of a record."""
+    """Read a record from a file. Raise CommandError for the first invalid line."""
     faults = []
     try:
         with open(path, encoding="utf-8") as file:
@@ -277,9 +296,9 @@
 
 
 def read_line(place: str, text: str) -> Fault:
-    """Reads one line of a record; `place` names it in the CommandError that is raised."""
+    """Read a line of a record. Raise CommandError, with `place` as the line's name, if invalid."""
     try:
-        return Fault(**Line.model_validate(json.loads(text)).model_dump())
+        return Fault(**RecordLine.model_validate(json.loads(text)).model_dump())
     except ValidationError as error:
         first = error.errors()[0]
         raise CommandError(f"{place}: {toml.field(first['loc'])}: {toml.message(first)}") from error
--- a/cypresswalk/faults/proxy_thread.py
+++ b/cypresswalk/faults/proxy_thread.py
@@ -1,4 +1,4 @@
-"""A proxy on a thread of its own, for tests and tools that are not written round an event loop."""
+"""A proxy in a thread of its own, for tests and tools that have no event loop."""
 
 import asyncio
 import time
@@ -14,30 +14,31 @@
 
 
 class ProxyThread:
-    """`with ProxyThread(to, plan, seed) as proxy:` gives a proxy that listens on any free port.
+    """A proxy that runs in a thread: `with ProxyThread(target, plan, seed) as proxy:`.
 
-    The proxy's methods must be called on its loop: `on_loop` does that.
+    The proxy listens on any free port by default. Its methods must be called in its event loop;
+    `on_loop` does that.
     """
 
     def __init__(
         self,
-        to: Address,
+        target: Address,
         plan: FaultPlan | None = None,
         seed: int = 0,
         listen: Address = ("127.0.0.1", 0),
         udp: bool = False,
         clock: Callable[[], int] = time.monotonic_ns,
     ):
-        """Does not run yet; the arguments are those of `Proxy`, `udp` chooses `DatagramProxy`."""
+        """Create the proxy: a `DatagramProxy` if `udp`, else a `Proxy`, with the same arguments."""
         proxy_type = DatagramProxy if udp else Proxy
-        self.proxy: Proxy | DatagramProxy = proxy_type(listen, to, plan or Plan(), seed, clock)
+        self.proxy: Proxy | DatagramProxy = proxy_type(listen, target, plan or Plan(), seed, clock)
         self.ready = Event()
         self.stopping = asyncio.Event()
         self.error: OSError | None = None
         self.thread = Thread(target=lambda: asyncio.run(self.run()), daemon=True, name="faults")
 
     async def run(self) -> None:
-        """Runs the proxy until it is stopped."""
+        """Run the proxy until it is stopped."""
         self.loop = asyncio.get_running_loop()
         try:
             await self.proxy.start()
@@ -50,11 +51,11 @@
         await self.proxy.stop()
 
     def on_loop(self, call: Callable[..., object], *args: object) -> None:
-        """Has the proxy's loop call a function."""
+        """Call a function in the proxy's event loop."""
         self.loop.call_soon_threadsafe(call, *args)
 
     def __enter__(self) -> Proxy | DatagramProxy:
-        """Starts the proxy. Raises OSError where the address is taken."""
+        """Start the proxy and return it. Raise OSError if it can't listen on the address."""
         self.thread.start()
         self.ready.wait()
         if self.error is not None:
@@ -62,6 +63,6 @@
         return self.proxy
 
     def __exit__(self, *_: object) -> None:
-        """Stops the proxy."""
+        """Stop the proxy and wait until its thread ends, at most STOP_TIMEOUT."""
         self.on_loop(self.stopping.set)
         self.thread.join(STOP_TIMEOUT)
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -1,7 +1,7 @@
 """The record of injected faults, as JSON lines.
 
 Lines are sorted by connection, direction and offset: the order in which several connections reach
-their faults follows from the machine's load, and a record must not.
+their faults depends on the machine's load, and a record must not.
 """
 
 import os
@@ -14,31 +14,35 @@
 
 
 class Record:
-    """Collects injected faults.
+    """A collection of injected faults.
 
     Attributes:
-        left_out: how many were not kept, beyond the limit.
+        faults: the injected faults, in the order of injection.
+        limit: largest number of faults to keep.
+        omitted: number of faults beyond the limit, which were not kept.
     """
 
     def __init__(self, limit: int = MAX_FAULTS):
-        """Keeps at most `limit` faults."""
+        """Create an empty record for at most `limit` faults."""
         self.faults: list[Fault] = []
         self.limit = limit
-        self.left_out = 0
+        self.omitted = 0
 
     def add(self, fault: Fault) -> None:
-        """Adds one, or counts it as left out."""
+        """Add a fault, or count it as omitted."""
         if len(self.faults) < self.limit:
             self.faults.append(fault)
         else:
-            self.left_out += 1
+            self.omitted += 1
 
     def text(self) -> str:
-        """The record's lines."""
-        return "".join(fault.line() + "\n" for fault in sorted(self.faults, key=lambda f: f.place))
+        """Return the record's lines, sorted."""
+        return "".join(
+            fault.line() + "\n" for fault in sorted(self.faults, key=lambda f: f.sort_key)
+        )
 
     def save(self, path: str | Path) -> None:
-        """Replaces a file in one step. Raises OSError."""
+        """Write the record to a file, which is replaced atomically. Raise OSError on failure."""
         temporary = f"{path}.new"
         with open(temporary, "w", encoding="utf-8") as file:
             file.write(self.text())
@@ -47,22 +51,22 @@
         os.replace(temporary, path)
 
     def missed(self, plan: FaultPlan, connections: int) -> list[str]:
-        """A line for each fault of a named connection that was never injected.
+        """Return a line for each fault of a numbered connection that was never injected.
 
         Args:
-            plan: that was carried out.
-            connections: how many there were.
+            plan: plan that the proxy used.
+            connections: number of connections that were accepted.
         """
-        done = {(fault.connection, fault.kind, fault.at) for fault in self.faults}
+        injected = {(fault.connection, fault.kind, fault.at) for fault in self.faults}
         lines = []
-        for spec in plan.named():
+        for spec in plan.placed_faults():
             numbers = spec.connection if isinstance(spec.connection, list) else [spec.connection]
             for number in numbers:
                 if isinstance(number, str):
                     continue  # "all"
-                place = f"{spec.kind.value} at {spec.at}: connection {number} never came"
+                place = f"{spec.kind.value} at {spec.at} not injected into connection {number}:"
                 if number > connections:
-                    lines.append(f"{place}, {connections} did")
-                elif (number, spec.kind, spec.at) not in done:
-                    lines.append(f"{place} that far")
+                    lines.append(f"{place} only connections up to {connections} came")
+                elif (number, spec.kind, spec.at) not in injected:
+                    lines.append(f"{place} its data did not reach that place")
         return lines
--- a/cypresswalk/faults/stream.py
+++ b/cypresswalk/faults/stream.py
@@ -1,15 +1,15 @@
-"""One direction of one TCP connection under faults: bytes in, steps out. No I/O and no clock.
+"""Applies faults to one direction of one TCP connection: bytes in, steps out. No I/O and no clock.
 
-Fed one byte at a time or all at once, the bytes that come out, the end and the faults injected are
-the same; only the times and the borders between writes follow from how they came in. Times are
-nanoseconds of the host's clock.
+However the received bytes are divided, the bytes that come out, the end and the injected faults are
+the same; only the times and the division into writes differ. Times are nanoseconds of the host's
+clock.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from random import Random
 
-from cypresswalk.faults.kinds import ENDS, Fault, Kind
+from cypresswalk.faults.kinds import TERMINAL_KINDS, Fault, Kind
 
 MILLISECOND = 1_000_000
 SECOND = 1_000 * MILLISECOND
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Bytes, or a datagram, for the receiver, not before `at`."""
+    """A step: bytes, or a datagram, for the receiver, not before the time `at`."""
 
     at: int
     data: bytes
@@ -25,27 +25,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """An end of stream for the receiver, once all before it has gone out."""
+    """A step: an end of stream for the receiver, after all earlier bytes."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """An end of stream for both sides; nothing more passes."""
+    """A step: an end of stream for both sides; nothing more is forwarded."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """A reset for both sides."""
+    """A step: a reset for both sides."""
 
     at: int
 
 
 Step = Write | Finish | Close | Reset
-STEP_OF_END: dict[Kind, type[Reset] | type[Close] | type[Finish]] = {
+STEP_OF_KIND: dict[Kind, type[Reset] | type[Close] | type[Finish]] = {
     Kind.CUT: Reset,
     Kind.TRUNCATE: Close,
     Kind.HALF_CLOSE: Finish,
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Writes of at most `size` bytes from the offset `origin` on, `gap` nanoseconds apart."""
+    """A split of bytes from offset `origin` on into writes of `size` bytes, `gap` ns apart."""
 
     origin: int
     size: int
@@ -63,126 +63,133 @@
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """Writes wait for `size` bytes, at most `timeout` nanoseconds."""
+    """A rule to hold bytes until there are `size`, for at most `timeout` nanoseconds."""
 
     size: int
     timeout: int
 
 
 class Stream:
-    """Turns bytes that come in into steps, in the order in which they are to be taken.
+    """A converter of received bytes into steps, in the order in which they must be carried out.
 
     Attributes:
-        faults: those still ahead, in order.
-        at: how many bytes have come in.
-        over: an end has gone out; what still comes in is swallowed.
+        faults: faults that are not injected yet, in order.
+        on_injected: function that is called with each injected fault.
+        offset: number of bytes received.
+        ended: whether the stream has ended; bytes that are received later are discarded.
+        next_write_at: earliest time of the next write or end.
+        latency: nanoseconds by which each write is delayed.
+        rate: bytes per second; 0 if unlimited.
+        join_buffer: bytes held by `join`, since `join_started_at`.
+        drop_left: number of bytes still to be dropped.
+        garble_left: number of bytes still to be garbled.
     """
 
-    def __init__(self, faults: Iterable[Fault], done: Callable[[Fault], None]):
-        """Takes the faults of this direction; `done` is called with each that is injected."""
-        self.faults = sorted(faults, key=lambda f: (f.at, f.kind not in ENDS, f.place))
-        self.done = done
-        self.at = 0
-        self.over = False
-        self.free_at = 0  # nothing goes out before
+    def __init__(self, faults: Iterable[Fault], on_injected: Callable[[Fault], None]):
+        """Create the stream of one direction with its faults."""
+        self.faults = sorted(faults, key=lambda f: (f.at, f.kind not in TERMINAL_KINDS, f.sort_key))
+        self.on_injected = on_injected
+        self.offset = 0
+        self.ended = False
+        self.next_write_at = 0
         self.latency = 0
-        self.rate = 0  # bytes per second, 0: any
+        self.rate = 0
         self.split: Split | None = None
         self.join: Join | None = None
-        self.joined = bytearray()
-        self.joined_since = 0
-        self.drop_left = 0  # bytes that are still to be dropped
+        self.join_buffer = bytearray()
+        self.join_started_at = 0
+        self.drop_left = 0
         self.garble_left = 0
-        self.chance = Random(0)
+        self.garble_random = Random(0)
 
     def start(self, now: int) -> list[Step]:
-        """Before the first byte: injects faults at offset 0 that end something."""
+        """Inject terminal faults at offset 0, before the first byte is received."""
         steps: list[Step] = []
-        self.inject_ends(now, steps)
+        self.inject_terminal_faults(now, steps)
         return steps
 
     def feed(self, now: int, data: bytes) -> list[Step]:
-        """Takes bytes that came in."""
+        """Return the steps that received bytes lead to."""
         steps: list[Step] = []
         view = memoryview(data)
-        while view and not self.over:
-            self.inject_changes(now)
-            reach = self.faults[0].at - self.at if self.faults else len(view)
-            piece, view = view[:reach], view[reach:]
-            self.at += len(piece)
+        while view and not self.ended:
+            self.inject_other_faults(now)
+            length = self.faults[0].at - self.offset if self.faults else len(view)
+            piece, view = view[:length], view[length:]
+            self.offset += len(piece)
             self.pass_on(now, bytes(piece), steps)
-            self.inject_ends(now, steps)
+            self.inject_terminal_faults(now, steps)
         return steps
 
     def end(self, now: int) -> list[Step]:
-        """The sender has ended its side, which is passed on once all before it is out."""
-        if self.over:
+        """Return the steps after the sender's end of stream, which is forwarded last."""
+        if self.ended:
             return []
         steps: list[Step] = []
-        self.flush_joined(now, steps)
-        self.over = True
-        steps.append(Finish(max(now + self.latency, self.free_at)))
+        self.flush_join_buffer(now, steps)
+        self.ended = True
+        steps.append(Finish(max(now + self.latency, self.next_write_at)))
         return steps
 
     def due(self) -> int | None:
-        """When `wake` must be called, since bytes wait to be joined with others; or None."""
-        if self.join is None or not self.joined:
+        """Return when `on_timer` must be called for bytes held by `join`, or None."""
+        if self.join is None or not self.join_buffer:
             return None
-        return self.joined_since + self.join.timeout
+        return self.join_started_at + self.join.timeout
 
-    def wake(self, now: int) -> list[Step]:
-        """Lets bytes go that have waited for long enough."""
+    def on_timer(self, now: int) -> list[Step]:
+        """Write the bytes held by `join` if their timeout has passed."""
         steps: list[Step] = []
         due = self.due()
         if due is not None and now >= due:
-            self.flush_joined(now, steps)
+            self.flush_join_buffer(now, steps)
         return steps
 
-    def inject_ends(self, now: int, steps: list[Step]) -> None:
-        """Injects faults that end something as soon as their offset is reached.
+    def inject_terminal_faults(self, now: int, steps: list[Step]) -> None:
+        """Inject terminal faults as soon as their offset is reached.
 
-        That is before the next byte comes: a cut after a line's last byte must not wait for the
-        answer to it.
+        They don't wait for the byte at their offset: a cut after a line's last byte must not wait
+        for the next line, which may not be sent before an answer.
         """
         while (
-            not self.over
+            not self.ended
             and self.faults
-            and self.faults[0].at <= self.at
-            and self.faults[0].kind in ENDS
+            and self.faults[0].at <= self.offset
+            and self.faults[0].kind in TERMINAL_KINDS
         ):
             fault = self.faults.pop(0)
-            self.done(fault)
-            self.over = True
-            self.flush_joined(now, steps)
+            self.on_injected(fault)
+            self.ended = True
+            self.flush_join_buffer(now, steps)
             if fault.kind is not Kind.BLACK_HOLE:
-                steps.append(STEP_OF_END[fault.kind](max(now + self.latency, self.free_at)))
+                steps.append(STEP_OF_KIND[fault.kind](max(now + self.latency, self.next_write_at)))
 
-    def inject_changes(self, now: int) -> None:
-        """Injects the other faults when the byte at their offset comes."""
-        while self.faults and self.faults[0].at <= self.at:
+    def inject_other_faults(self, now: int) -> None:
+        """Inject the other faults when the byte at their offset is received."""
+        while self.faults and self.faults[0].at <= self.offset:
             fault = self.faults.pop(0)
-            self.done(fault)
-            span = fault.ms * MILLISECOND
+            self.on_injected(fault)
+            duration = fault.ms * MILLISECOND
             match fault.kind:
                 case Kind.DELAY:
-                    self.free_at = max(self.free_at, now) + span
+                    self.next_write_at = max(self.next_write_at, now) + duration
                 case Kind.LATENCY:
-                    self.latency = span
+                    self.latency = duration
                 case Kind.THROTTLE:
                     self.rate = fault.rate
                 case Kind.SPLIT:
-                    self.split = Split(fault.at, fault.size, span)
+                    self.split = Split(fault.at, fault.size, duration)
                 case Kind.JOIN:
-                    self.join = Join(fault.size, span)
+                    self.join = Join(fault.size, duration)
                 case Kind.DROP:
                     self.drop_left = max(self.drop_left, fault.size)
                 case Kind.GARBLE:
                     self.garble_left = fault.size
-                    self.chance = Random(fault.mask)
+                    self.garble_random = Random(fault.mask)
 
     def pass_on(self, now: int, piece: bytes, steps: list[Step]) -> None:
-        """Passes on the bytes up to `at`, changed by what was injected."""
-        start = self.at - len(piece)
+        """Forward bytes that end at `offset`, changed by the injected faults."""
+        start = self.offset - len(piece)
         dropped = min(self.drop_left, len(piece))
         self.drop_left -= dropped
         piece = self.garble(piece[dropped:])
@@ -190,43 +197,43 @@
         if not piece:
             return
         if self.join is not None:
-            if not self.joined:
-                self.joined_since = now
-            self.joined += piece
-            if len(self.joined) >= self.join.size:
-                self.flush_joined(now, steps)
+            if not self.join_buffer:
+                self.join_started_at = now
+            self.join_buffer += piece
+            if len(self.join_buffer) >= self.join.size:
+                self.flush_join_buffer(now, steps)
         elif self.split is not None:
             self.write_split(now, start, piece, self.split, steps)
         else:
             self.write(now, piece, steps)
 
     def garble(self, piece: bytes) -> bytes:
-        """Changes the bytes that are still to be garbled, each to another value."""
+        """Change the bytes that are still to be garbled, each to another value."""
         count = min(self.garble_left, len(piece))
         self.garble_left -= count
-        changed = bytes(byte ^ self.chance.randint(1, 255) for byte in piece[:count])
+        changed = bytes(byte ^ self.garble_random.randint(1, 255) for byte in piece[:count])
         return changed + piece[count:]
 
     def write_split(
         self, now: int, start: int, piece: bytes, split: Split, steps: list[Step]
     ) -> None:
-        """Writes bytes from the offset `start` on in parts."""
+        """Write bytes that begin at the offset `start`, in parts."""
         while piece:
-            reach = split.size - (start - split.origin) % split.size
-            self.write(now, piece[:reach], steps)
-            start += min(reach, len(piece))
-            piece = piece[reach:]
-            self.free_at += split.gap
-
-    def flush_joined(self, now: int, steps: list[Step]) -> None:
-        """Writes the bytes that wait to be joined with others."""
-        if self.joined:
-            self.write(now, bytes(self.joined), steps)
-            self.joined.clear()
+            length = split.size - (start - split.origin) % split.size
+            self.write(now, piece[:length], steps)
+            start += min(length, len(piece))
+            piece = piece[length:]
+            self.next_write_at += split.gap
+
+    def flush_join_buffer(self, now: int, steps: list[Step]) -> None:
+        """Write the bytes held by `join`."""
+        if self.join_buffer:
+            self.write(now, bytes(self.join_buffer), steps)
+            self.join_buffer.clear()
 
     def write(self, now: int, data: bytes, steps: list[Step]) -> None:
-        """Writes bytes as soon as latency and rate allow."""
-        self.free_at = max(now + self.latency, self.free_at)
-        steps.append(Write(self.free_at, data))
+        """Write bytes as soon as latency and rate allow."""
+        self.next_write_at = max(now + self.latency, self.next_write_at)
+        steps.append(Write(self.next_write_at, data))
         if self.rate:
-            self.free_at += len(data) * SECOND // self.rate
+            self.next_write_at += len(data) * SECOND // self.rate
--- a/cypresswalk/state/recovery.py
+++ b/cypresswalk/state/recovery.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Recovery:
-    """Restores a snapshot into a balancer that has just been started with its last list.
+    """The restoration of a snapshot into a balancer that has just been started with its last list.
 
     Facts are restored whatever their age: a server that was listed as draining or gone, and has not
     started since, gets no flows until a live list names it. Beliefs are restored by weight: counts
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -42,7 +42,7 @@
 
 
 class SnapshotWriter:
-    """Recovers the state before other threads start, then writes a generation at each interval.
+    """The recovery of the state before other threads start, and a thread that writes generations.
 
     Attributes:
         interval: seconds between two generations.
