--- a/cypresswalk/lab/balancer_control.py
+++ b/cypresswalk/lab/balancer_control.py
@@ -16,12 +16,13 @@
 from cypresswalk.lab.units import SECOND
 from cypresswalk.refusal import CommandError
 
-READY_WITHIN = 30 * SECOND  # balancers answer PING by then, or the scenario can't be played
+READY_WITHIN = 30 * SECOND  # for balancers to answer PING; else the scenario can't be played
 READY_CHECK_INTERVAL_S = 0.05
 READY_ANSWER_S = 1
-SAMPLE_INTERVAL_S = 0.5  # between two samples of what balancers cost
-# A planned stop: the edge load balancer notices within these seconds of SIGTERM, and SIGKILL comes
-# so long after the longest client timeout, which counts up to a limit.
+SAMPLE_INTERVAL_S = 0.5  # between two samples of the balancers' resource usage
+# A planned stop: the edge load balancer notices it within PLANNED_NOTICE_S after SIGTERM. SIGKILL
+# follows KILL_AFTER_TIMEOUT_S after the longest client timeout, of which at most
+# MAX_TIMEOUT_AWAITED_S is awaited.
 PLANNED_NOTICE_S = (0.2, 0.4)
 MAX_TIMEOUT_AWAITED_S = 3
 KILL_AFTER_TIMEOUT_S = 0.7
@@ -38,27 +39,27 @@
 
 
 class BalancerControl:
-    """All balancers of a scenario.
+    """The control of all balancer processes of a scenario.
 
     Attributes:
         balancers: The processes by balancer name.
-        agents: Each balancer's current list agent.
-        random: Also used by the fault injector.
-        crashes: A violation for each end that nobody asked for.
-        samples: What balancers cost: see `ScenarioResult.samples`.
+        agents: The current list agent by balancer name.
+        random: The source of random numbers, also used by the fault injector.
+        crashes: One violation for each unexpected exit of a balancer.
+        samples: The balancers' resource usage; see `ScenarioResult.samples`.
     """
 
     def __init__(
         self, bed: Bed, variant: Variant, folder: Path, files: Path, command: list[str] | None
     ):
-        """Prepare them.
+        """Prepare the control; no balancer runs yet.
 
         Args:
-            bed: The test bed.
-            variant: What runs as a balancer.
-            folder: Where configuration and logs go.
-            files: The program's files.
-            command: Runs instead of the program, if not None.
+            bed: The testbed.
+            variant: The variant that runs as the balancer.
+            folder: The folder for configuration files and logs.
+            files: The folder of the program's source.
+            command: The command to run instead of the program; None runs the program.
         """
         self.bed = bed
         self.variant = variant
@@ -76,7 +77,7 @@
         """Start all balancers and wait until they serve.
 
         Raises:
-            CommandError: One does not.
+            CommandError: A balancer does not become ready.
         """
         bed = self.bed
         transport, relay = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -105,7 +106,7 @@
         await asyncio.gather(*(self.wait_until_ready(name) for name in self.balancers))
 
     def matching(self, names: list[str]) -> list[str]:
-        """Return the balancers that names mean: a balancer's or a zone's name, or `all`."""
+        """Return the balancers that are selected by balancer names, zone names or `all`."""
         return [
             balancer
             for balancer in self.balancers
@@ -113,10 +114,10 @@
         ]
 
     def start(self, name: str) -> None:
-        """Start a balancer with the list that its agent knows."""
+        """Start a balancer with its agent's current endpoint list."""
         agent = self.agents[name].agent
         endpoints = agent.listing.complete(agent.version)
-        # The list that it starts with counts as a notification, as what its agent sends later.
+        # The checker counts the initial list as a notification, like the agent's later updates.
         for endpoint in endpoints:
             self.bed.observe(
                 "told",
@@ -130,10 +131,10 @@
         self.balancers[name].start()
 
     async def wait_until_ready(self, name: str) -> None:
-        """Wait until a balancer answers PING; then its edge load balancer sends it clients.
+        """Wait until a balancer answers PING, then mark it up at its edge load balancer.
 
         Raises:
-            CommandError: It does not, before the scenario began.
+            CommandError: The balancer does not answer, and the scenario has not begun yet.
         """
         bed = self.bed
         until = bed.now() + READY_WITHIN
@@ -149,7 +150,7 @@
             raise CommandError(f"balancer {name} does not serve ({self.variant.name}): {last}")
 
     async def watch(self) -> None:
-        """Sample for ever what balancers cost, and restart those that ended by themselves."""
+        """Sample the balancers' resource usage and restart crashed ones, until cancelled."""
         while True:
             second = (self.bed.now() - self.bed.began) / SECOND
             for name, balancer in self.balancers.items():
@@ -170,7 +171,7 @@
         self.bed.spawn(self.wait_until_ready(name))
 
     async def _mark_down_late(self, name: str) -> None:
-        """Let the edge load balancer notice a dead balancer, unless it is back by then."""
+        """Mark a dead balancer down after the detection delay, unless it was restarted by then."""
         starts = self.balancers[name].starts
         detection_ms = self.bed.experiment.edge.detection_ms
         await asyncio.sleep(self.random.uniform(*detection_ms) / 1000)
@@ -180,7 +181,7 @@
     # Faults.
 
     async def kill(self, name: str, span_s: float) -> None:
-        """Kill a balancer, and start it again after some seconds."""
+        """Kill a balancer and start it again after `span_s` seconds."""
         self.balancers[name].kill()
         self.bed.observe("balancer_down", "", name)
         self.bed.spawn(self._mark_down_late(name))
@@ -189,9 +190,10 @@
         await self.wait_until_ready(name)
 
     async def stop(self, name: str, span_s: float) -> None:
-        """Restart a balancer as planned.
+        """Restart a balancer by a planned stop.
 
-        The edge load balancer stops sending soon after SIGTERM; SIGKILL comes as on the platform.
+        The edge load balancer stops sending clients soon after SIGTERM; SIGKILL follows with the
+        platform's timing.
         """
         bed = self.bed
         balancer = self.balancers[name]
@@ -211,19 +213,19 @@
         await self.wait_until_ready(name)
 
     async def signal(self, name: str, names: list[SignalName]) -> None:
-        """Send a balancer signals, one soon after the other, while its listening socket exists."""
+        """Send signals to a balancer at short intervals, while its listening socket exists."""
         for signal_name in names:
             if await listens(self.balancers[name]):
                 self.balancers[name].send(SIGNALS[signal_name])
             await asyncio.sleep(self.random.uniform(0, MAX_SIGNAL_PAUSE_S))
 
     async def reload(self, name: str) -> None:
-        """Move a balancer's list to a new address that knows less, and send SIGHUP."""
+        """Move a balancer to a list agent at a new address with an older version; send SIGHUP."""
         old = self.agents[name]
         await self._new_agent(name, max(old.agent.version - 1, 1))
         self.bed.spawn(self.agents[name].learn(len(self.bed.listing.changes)))
         self._write_configuration(name)
-        if await listens(self.balancers[name]):  # else it reads the new file at its start
+        if await listens(self.balancers[name]):  # otherwise it reads the new file when it starts
             self.balancers[name].send(signal.SIGHUP)
         await old.retire()
 
@@ -244,7 +246,7 @@
 
 
 async def listens(balancer: Balancer) -> bool:
-    """Return whether a balancer's listening socket exists: signals are handled from then on."""
+    """Return whether a balancer listens; it handles signals from then on."""
     try:
         _, writer = await asyncio.open_connection(*balancer.address)
     except OSError:
@@ -260,6 +262,6 @@
         writer.write(b"PING\r\n")
         line = await asyncio.wait_for(reader.readline(), READY_ANSWER_S)
         writer.close()
-    except OSError:  # a timeout is one too
+    except OSError:  # includes TimeoutError
         return False
     return line == b"PONG\r\n"
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -1,4 +1,4 @@
-"""Real balancer processes: configuration, start, signals, and what they cost."""
+"""Real balancer processes: configuration, start, signals and resource usage."""
 
 import ctypes
 import json
@@ -30,12 +30,12 @@
 
 
 def die_with_parent() -> None:
-    """Let the kernel kill this child process when the lab's process dies."""
+    """Make the kernel kill this child process when the lab's process dies."""
     ctypes.CDLL(None).prctl(SET_DEATH_SIGNAL, signal.SIGKILL)
 
 
 def params(experiment: Experiment, settings: Settings, number: int) -> dict:
-    """Return the settings of the balancer with a number, in the platform's form."""
+    """Return the settings of the balancer with index `number`, in the platform's format."""
     groups = experiment.balancer_groups()
     return {
         "me": number,
@@ -75,7 +75,7 @@
 
 
 def rules_of(experiment: Experiment, settings: Settings) -> dict:
-    """Return the platform's rules on cold servers and polls."""
+    """Return the rules on cold servers and list polling, in the platform's format."""
     return {
         "askWithin": POLL_WITHIN_MS,
         "cold": max(group.warm_up_s for group in experiment.servers) * 1000,
@@ -95,7 +95,7 @@
 
 
 def encode_type(flow_type: ServiceType) -> dict:
-    """Return a type of flow in the platform's form."""
+    """Return a type of flow in the platform's format."""
     return {
         "name": flow_type.name,
         "semantics": EFFECTS[flow_type.effect],
@@ -107,24 +107,24 @@
 
 
 def own_host() -> str:
-    """Return a loopback address of this process alone.
+    """Return a loopback address that only this process uses.
 
-    Two labs side by side, or a client's own port, could else take the port of a balancer between
-    its choice and its start, or while it is away.
+    On a shared address, another lab process or the local port of a client could take a balancer's
+    port between its choice and the balancer's start, or while the balancer is down.
     """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16) % 128}.{pid >> 8 & 255}.{pid & 255}"
 
 
 def free_port(host: str, kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port of an address that is free now."""
+    """Return a port of an address that is currently free."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((host, 0))
         return sock.getsockname()[1]
 
 
 class Balancer:
-    """One balancer's process, over its starts in a scenario."""
+    """One balancer's process and its restarts in a scenario."""
 
     def __init__(
         self,
@@ -138,20 +138,20 @@
         relay: tuple[str, int],
         command: list[str] | None = None,
     ):
-        """Choose its addresses and files; it does not run yet.
+        """Choose its addresses and files; the process does not run yet.
 
         Args:
             name: The balancer's name.
-            number: Its place among all balancers.
-            group: What it may use.
+            number: The balancer's index among all balancers.
+            group: The balancer group, with its resource limits.
             experiment: The experiment.
-            variant: What runs.
-            tree: The folder of the program's files.
-            folder: Where its configuration, log and state go.
-            relay: Where it sends gossip.
-            command: Runs instead of the program, if not None.
+            variant: The variant that runs.
+            tree: The folder of the program's source.
+            folder: The folder for configuration, log and state.
+            relay: The address to which the balancer sends gossip.
+            command: The command to run instead of the program; None runs the program.
         """
-        # Over 40 lines since it sets one attribute a line.
+        # Longer than 40 lines because each line sets one attribute.
         self.name = name
         self.number = number
         self.group = group
@@ -177,7 +177,7 @@
         self.expected_end = False
 
     def write(self, discovery: tuple[str, int], known: dict, seed: int) -> None:
-        """Write its configuration: the list service, the list it starts with, its seed."""
+        """Write its configuration: list service address, initial endpoint list, seed."""
         data = {
             "name": self.name,
             "listen": address_text(self.address),
@@ -202,9 +202,9 @@
         os.replace(new, self.config)
 
     def environment(self) -> dict[str, str]:
-        """Return its environment: of the platform's variables only what the lab sets.
+        """Return its environment, with only those platform variables that the lab sets.
 
-        Where the settings ask for persisted state, an operator file is written for it.
+        If the settings enable persisted state, write an operator file that configures it.
         """
         plain = {
             k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
@@ -213,7 +213,7 @@
         if self.settings.state:
             state = (self.folder / f"{self.name}.state").absolute()
             if not self.starts:
-                shutil.rmtree(state, ignore_errors=True)  # a scenario begins without a past
+                shutil.rmtree(state, ignore_errors=True)  # a scenario starts without state
             state.mkdir(exist_ok=True)
             self.operator.write_text(
                 f'[state]\nfolder = "{state}"\nevery_s = {self.settings.state_every_s}\n'
@@ -222,7 +222,7 @@
         return plain
 
     def start(self) -> None:
-        """Start it; its log goes on after the first start."""
+        """Start the process; restarts append to its log."""
         with open(self.log, "ab" if self.starts else "wb") as log:
             self.process = subprocess.Popen(
                 self.command,
@@ -239,31 +239,31 @@
         self.starts += 1
 
     def send(self, number: int) -> None:
-        """Send it a signal if it runs."""
+        """Send it a signal if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it if it runs, and wait for its end."""
+        """Kill it if it is running, and wait until it has exited."""
         self.expected_end = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
     def running(self) -> bool:
-        """Return whether its process runs."""
+        """Return whether its process is running."""
         return self.process is not None and self.process.poll() is None
 
     def crashed(self) -> int | None:
-        """Return the exit code of an end that nobody asked for."""
+        """Return the exit code of an unexpected exit; None if there was none."""
         if self.process is None or self.expected_end:
             return None
         return self.process.poll()
 
     def cost(self) -> tuple[int, int, float] | None:
-        """Return resident bytes, descriptors and seconds of processor time since its start.
+        """Return resident bytes, file descriptors and CPU seconds since its start.
 
-        None while it does not run.
+        Return None while it is not running.
         """
         if self.usage is None:
             return None
@@ -276,7 +276,7 @@
             return None
 
     def counters(self) -> dict[str, int]:
-        """Return the sums of the counters that its runs logged, at their ends or when asked."""
+        """Return the counters that its runs logged, at exit or on SIGUSR1, summed over all runs."""
         total: dict[str, int] = {}
         run: dict[str, int] = {}
         try:
@@ -302,5 +302,5 @@
 
 
 def known(agent: ListAgent, entries: list[dict]) -> dict:
-    """Return the list that a balancer starts with, in the platform's form."""
+    """Return the initial endpoint list of a balancer, in the platform's format."""
     return {"generation": agent.version, "reset": True, "instances": entries}
--- a/cypresswalk/lab/baselines.py
+++ b/cypresswalk/lab/baselines.py
@@ -1,9 +1,9 @@
-"""Plain policies to compare the product with, each in the product's own program.
+"""Baseline placement policies for comparison with the product, run in the product's program.
 
-`python -m cypresswalk.lab.baselines random|least|maglev` runs one. They belong to the lab, never to
-the product. Each keeps the product's health checks, failure counters, bookkeeping and answers, and
-replaces the choice of the server alone; none migrates an established flow, limits a server or
-spares a cold one.
+`python -m cypresswalk.lab.baselines random|least|maglev` runs one. They are part of the lab, not of
+the product. Each keeps the product's health checks, failure counters, bookkeeping and answers and
+replaces only the choice of the server. None of them migrates established flows, limits the
+concurrency of a server or sends fewer flows to a cold one.
 """
 
 import sys
@@ -19,18 +19,18 @@
 
 
 class NoMigration(Migration):
-    """Lets every established flow stand."""
+    """A migration policy that migrates no established flow."""
 
     def flow_to_migrate(self, now: int, server: Server) -> Flow | None:
-        """Return None."""
+        """Return None: no flow is migrated."""
         return None
 
 
 class PlainPlacement(Placement):
-    """Replaces the choice of the server alone."""
+    """A base of the baseline placements, which replace only the choice of the server."""
 
     def candidates(self, flow: Flow) -> list[Server]:
-        """Return servers that are up and not attempted yet, or all that are up."""
+        """Return the available servers not attempted yet, or all available ones if none is left."""
         servers = [
             server
             for pool in self.pools()
@@ -41,12 +41,12 @@
 
 
 class RandomPlacement(PlainPlacement):
-    """Any server."""
+    """A placement on a random server."""
 
     draws: Draws
 
     def pick(self, now: int, flow: Flow) -> Server | None:
-        """Return one drawn from the candidates."""
+        """Return a random candidate."""
         servers = self.candidates(flow)
         if not servers:
             return None
@@ -54,10 +54,10 @@
 
 
 class LeastConnectionsPlacement(PlainPlacement):
-    """The server with the fewest connections of this balancer; it sees no other's."""
+    """A placement on the server with the fewest connections of this balancer alone."""
 
     def pick(self, now: int, flow: Flow) -> Server | None:
-        """Return the first of the candidates with the fewest connections by weight."""
+        """Return the first candidate with the fewest connections per weight."""
         return min(
             self.candidates(flow),
             key=lambda server: (
@@ -68,10 +68,13 @@
 
 
 class MaglevPlacement(PlainPlacement):
-    """The key's slot, else the next slot of a server not tried yet (NSDI 2016, section 3.4)."""
+    """A placement by the key's slot of the Maglev table (NSDI 2016, section 3.4).
+
+    If that server was tried already, the next slot of a server not tried yet is used.
+    """
 
     def pick(self, now: int, flow: Flow) -> Server | None:
-        """Return the first candidate from the key's slot on."""
+        """Return the first candidate, starting at the key's slot."""
         allowed = self.candidates(flow)
         for pool in self.pools():
             home = pool.table[slot_of(flow.key)]
@@ -82,27 +85,27 @@
 
 
 class RandomBalancer(Balancer):
-    """Places at random and migrates nothing."""
+    """A balancer that places at random and migrates nothing."""
 
     placement_type = RandomPlacement
     migration_type = NoMigration
 
     def __init__(self, settings: Settings, seed: int, now: int):
-        """Draw from the same numbers as the rest of the balancer."""
+        """Share the balancer's source of random numbers with the placement."""
         super().__init__(settings, seed, now)
         assert isinstance(self.placement, RandomPlacement)
         self.placement.draws = self.draws
 
 
 class LeastConnectionsBalancer(Balancer):
-    """Places by its own connections and migrates nothing."""
+    """A balancer that places by its own connection counts and migrates nothing."""
 
     placement_type = LeastConnectionsPlacement
     migration_type = NoMigration
 
 
 class MaglevBalancer(Balancer):
-    """Places by the lookup table alone and migrates nothing."""
+    """A balancer that places by the Maglev table alone and migrates nothing."""
 
     placement_type = MaglevPlacement
     migration_type = NoMigration
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -1,9 +1,9 @@
-"""Checks whether the four rules held, by the observations of clients, servers and lists.
+"""Checks the four rules against the observations of clients, servers and list agents.
 
-Written from the rules, not from the balancer: it imports nothing of the product. Each violation
-names the flow, the rule, the time and the observations that show it. What a client could not have
-been owed is no violation: a balancer that is killed takes its waiting flows along (the client
-retries), a client that left is owed nothing, and a scenario's end cuts off what is under way.
+The checker is written from the rules, not from the balancer, and imports nothing of the product.
+Each violation names the flow, the rule, the time and the observations that show it. A flow may
+remain unanswered without a violation if its balancer was killed (the client retries), its client
+left, or the scenario ended before the deadline.
 """
 
 from bisect import bisect_right
@@ -23,7 +23,7 @@
 
 
 class Checker:
-    """Holds one scenario's observations against the rules."""
+    """A check of one scenario's observations against the rules."""
 
     def __init__(self, observations: Iterable[Observation], rules: Rules):
         """Read all observations."""
@@ -32,7 +32,7 @@
         self.violations: list[Violation] = []
 
     def check(self) -> list[Violation]:
-        """Return all violations by time; none if the rules held."""
+        """Return all violations in order of time; none if the rules held."""
         for ident, flow in self.history.flows.items():
             if flow.sent:
                 self._check_answers(ident, flow)
@@ -40,7 +40,7 @@
                 self._check_lines(ident, flow)
                 continue
             for attempt in flow.attempts:
-                message = "a server was sent what no client had sent"
+                message = "a server was sent a flow that no client had sent"
                 self._add(ONE_ANSWER, ident, attempt.at, message, [attempt.opened])
         self._check_drains()
         self._check_cold_servers()
@@ -101,7 +101,7 @@
             line = answer.fields["line"]
             replies = [attempt.reply for attempt in flow.attempts if attempt.reply]
             if not any(reply.fields.get("receipt") == line for reply in replies):
-                message = "established with what no server gave for it"
+                message = "established with a line that no server sent for it"
                 self._add(ONE_ANSWER, ident, answer.at, message, evidence)
 
     # Rule two: no flow has its effect twice.
@@ -127,14 +127,14 @@
                 self._add(ONE_EFFECT, ident, answer.at, message, [*evidence, answer])
 
     def _check_attempts(self, ident: str, flow: ObservedFlow, evidence: list[Observation]) -> None:
-        """Check how many attempts there were, and that one was pending at a time."""
+        """Check the number of attempts, and that at most one was pending at a time."""
         limit = self.rules.max_attempts
         if len(flow.attempts) > limit:
-            message = f"{len(flow.attempts)} connects of {limit} allowed"
+            message = f"{len(flow.attempts)} attempts, {limit} are allowed"
             self._add(ONE_EFFECT, ident, flow.attempts[-1].at, message, evidence)
         for before, after in zip(flow.attempts, flow.attempts[1:], strict=False):
             if before.over > after.at + self.rules.slack:
-                message = "a second connect while one was out"
+                message = "a second attempt while one was pending"
                 self._add(ONE_EFFECT, ident, after.at, message, evidence)
 
     def _check_retry(
@@ -145,7 +145,7 @@
         retry: Attempt,
         evidence: list[Observation],
     ) -> None:
-        """Check a retry of a flow that may have run at an earlier attempt."""
+        """Check a retry of a flow that an earlier attempt may have executed."""
         if rule.effect == "once-only":
             message = "sent again, though it may have run"
             self._add(ONE_EFFECT, ident, retry.at, message, evidence)
@@ -157,9 +157,9 @@
         other_zone = rule.scope == "zone" and first.zone != second.zone
         other_cell = rule.scope == "cell" and first.cell != second.cell
         if other_zone or other_cell:
-            self._add(ONE_EFFECT, ident, retry.at, "sent again outside its group", evidence)
+            self._add(ONE_EFFECT, ident, retry.at, "sent again outside its scope", evidence)
 
-    # Established connections: each side hears what the other said.
+    # Established connections: each side receives the lines that the other sent.
 
     def _check_lines(self, ident: str, flow: ObservedFlow) -> None:
         numbers = {attempt.number for attempt in flow.attempts}
@@ -170,8 +170,8 @@
         }
         client = sides.get("client")
         server = sides.get("server")
-        # What an injected fault garbles or cuts is not the balancer's doing; one answer and one
-        # effect are owed all the same.
+        # The balancer is not responsible for lines that an injected fault garbled or cut off. The
+        # rules on answers and effects apply to such flows all the same.
         if client is None or server is None or flow.hit_by_fault:
             return
         how = flow.ended.fields["how"] if flow.ended else None
@@ -191,12 +191,12 @@
         listener: Observation,
         all_owed: bool,
     ) -> None:
-        """Check that the listener heard a beginning of what was said; all of it if that is owed."""
+        """Check that the received lines are a prefix of the sent ones, or all if `all_owed`."""
         said = speaker.fields["said"]
         heard = listener.fields["heard"]
         evidence = [speaker, listener]
         if heard != said[: len(heard)]:
-            message = f"{direction}: heard {heard} of what was said {said}"
+            message = f"{direction}: received {heard} of the lines sent {said}"
             self._add(LINES, ident, listener.at, message, evidence)
             return
         lost = len(said) - len(heard)
@@ -207,7 +207,7 @@
     def _end_explained(self, flow: ObservedFlow, ended: Observation) -> bool:
         return self.history.end_explained(flow, ended.at, self.rules.slack)
 
-    # Rule three: a draining server gets nothing new past its grace.
+    # Rule three: a draining server gets no new flow after its grace period.
 
     def _check_drains(self) -> None:
         for ident, flow in self.history.flows.items():
@@ -227,12 +227,12 @@
         late = attempt.at - notified_at - self.rules.drain_grace - self.rules.slack
         if late > 0:
             message = (
-                f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace"
-                f" after it was told {state} at {notified_at / 1e9:.3f} s"
+                f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace period"
+                f" after the notification of {state} at {notified_at / 1e9:.3f} s"
             )
             self._add(DRAINS, ident, attempt.at, message, [attempt.opened])
 
-    # Rule four: a cold server gets no more than its budget.
+    # Rule four: a cold server gets no more load than its budget.
 
     def _check_cold_servers(self) -> None:
         attempts: dict[str, list[Observation]] = defaultdict(list)
@@ -249,7 +249,7 @@
     def _check_start(
         self, server: str, rule: ServerRule, start: int, attempts: list[Observation]
     ) -> None:
-        """Check the attempts at a server while it warmed up after one start."""
+        """Check the attempts during a server's warm-up after one start."""
         first = 0
         load = 0.0
         for attempt in attempts:
@@ -262,13 +262,13 @@
             if load > max(budget, 1.0) and len(within) > 1:
                 message = (
                     f"{server}, started at {start / 1e9:.3f} s, was sent loads of "
-                    f"{load:.1f} within the rule's time, {budget:.1f} are allowed"
+                    f"{load:.1f} within the overload window, {budget:.1f} are allowed"
                 )
                 self._add(COLD_SERVERS, attempt.flow, attempt.at, message, within)
                 return
 
     def _budget(self, rule: ServerRule, age: int) -> float:
-        """Loads that a server may be sent within the overload window, so long after its start."""
+        """Return the load that a server of an age may get within the overload window."""
         warmth = (
             rule.warm_up_initial_fraction + (1 - rule.warm_up_initial_fraction) * age / rule.warm_up
         )
@@ -283,5 +283,5 @@
 
 
 def check(observations: Iterable[Observation], rules: Rules) -> list[Violation]:
-    """Return all violations by time; none if the rules held."""
+    """Return all violations in order of time; none if the rules held."""
     return Checker(observations, rules).check()
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -246,14 +246,14 @@
         (ONE_ANSWER, "after its final answer", [sent(0), BUSY, attempt(80)]),
         (
             ONE_ANSWER,
-            "what no server gave",
+            "a line that no server sent",
             [sent(0), attempt(5), reply(10), answer(12, line="UP r2")],
         ),
-        (ONE_ANSWER, "what no client had sent", [attempt(5, flow="x")]),
+        (ONE_ANSWER, "a flow that no client had sent", [attempt(5, flow="x")]),
         (ONE_ANSWER, "after its final answer", [repeated(0), *GOOD, attempt(80, 2, "s1")]),
         (
             ONE_EFFECT,
-            "while one was out",
+            "while one was pending",
             [
                 sent(0),
                 attempt(5),
@@ -265,7 +265,7 @@
         ),
         (
             ONE_EFFECT,
-            "4 connects of 3",
+            "4 attempts, 3 are allowed",
             [sent(0), *busy_attempts(4), answer(90, "busy", "BUSY")],
         ),
         (ONE_EFFECT, "though it may have run", retried_flow("book", 90, 99, "s0")),
@@ -275,15 +275,15 @@
             [sent(0, "book"), attempt(5), reply(9, "error"), answer(12, "busy", "BUSY")],
         ),
         (ONE_EFFECT, "after its window", retried_flow("note", 90, 399, "s0")),
-        (ONE_EFFECT, "outside its group", retried_flow("note", 90, 99, "s2")),
+        (ONE_EFFECT, "outside its scope", retried_flow("note", 90, 99, "s2")),
         (
             DRAINS,
-            "s0 50 ms past the grace",
+            "s0 50 ms past the grace period",
             [told(0, "terminating"), told(500, "terminated"), sent(1050), *established(1100)],
         ),
         pytest.param(
             DRAINS,
-            "past the grace",
+            "past the grace period",
             [
                 told(0, "terminating", version=5),
                 told(500, "in_service", version=4),
@@ -295,7 +295,7 @@
         (COLD_SERVERS, "s1, started at 0.000 s", flows_at_started_server(9)),
         (
             LINES,
-            "up: heard ['a', 'c']",
+            "up: received ['a', 'c']",
             [
                 *GOOD,
                 lines("client", ["a", "b", "c"], []),
@@ -305,7 +305,7 @@
         ),
         (
             LINES,
-            "down: heard ['a', 'a']",
+            "down: received ['a', 'a']",
             [
                 *GOOD,
                 lines("client", [], ["a", "a"]),
@@ -336,7 +336,7 @@
     assert [violation.rule for violation in found] == [rule], texts
     assert message in found[0].message, texts
     assert found[0].evidence
-    flows = {COLD_SERVERS: "f3", "what no client had sent": "x"}
+    flows = {COLD_SERVERS: "f3", "a flow that no client had sent": "x"}
     assert found[0].flow == flows.get(rule, flows.get(message, "f"))
 
 
@@ -390,16 +390,16 @@
     Mutation.NEVER_ANSWERS: Expected(ONE_ANSWER, "no final answer in time"),
     Mutation.ANSWERS_LATE: Expected(ONE_ANSWER, "after its connect timeout"),
     Mutation.ENDS_WITHOUT_ANSWER: Expected(ONE_ANSWER, "with no answer"),
-    Mutation.INVENTS_ANSWER: Expected(ONE_ANSWER, "what no server gave"),
+    Mutation.INVENTS_ANSWER: Expected(ONE_ANSWER, "a line that no server sent"),
     Mutation.ANSWERS_TWICE: Expected(ONE_ANSWER, "a second final answer"),
     Mutation.ATTEMPTS_AFTER_ANSWER: Expected(ONE_ANSWER, "after its final answer"),
-    Mutation.TWO_ATTEMPTS_AT_ONCE: Expected(ONE_EFFECT, "while one was out"),
+    Mutation.TWO_ATTEMPTS_AT_ONCE: Expected(ONE_EFFECT, "while one was pending"),
     Mutation.RETRIES_ONCE_ONLY: Expected(ONE_EFFECT, "though it may have run"),
     Mutation.REJECTS_WHAT_MAY_HAVE_RUN: Expected(ONE_EFFECT, "rejected, though"),
-    Mutation.IGNORES_DRAINS: Expected(DRAINS, "past the grace"),
+    Mutation.IGNORES_DRAINS: Expected(DRAINS, "past the grace period"),
     Mutation.PREFERS_COLD_SERVERS: Expected(COLD_SERVERS, "s-2"),
-    Mutation.LOSES_LINE: Expected(LINES, "up: heard"),
-    Mutation.DOUBLES_LINE: Expected(LINES, "down: heard"),
+    Mutation.LOSES_LINE: Expected(LINES, "up: received"),
+    Mutation.DOUBLES_LINE: Expected(LINES, "down: received"),
     Mutation.CUTS_CONNECTION: Expected(LINES, "cut off without MOVE"),
 }
 SIDE_BY_SIDE = 5
