--- a/cypresswalk/lab/clients.py
+++ b/cypresswalk/lab/clients.py
@@ -1,7 +1,7 @@
-"""Simulated clients: who comes when, and what each does next. No I/O, no clock.
+"""Simulated clients: their arrivals, properties and reactions. No I/O, no clock.
 
-All random numbers come from the seed. What a client is and when it comes is drawn from the seed and
-its number alone: so each variant gets the same clients, however they are served.
+All random numbers come from the seed. A client's properties and arrival time depend only on the
+seed and the client's number, so that all variants get the same clients, however they are served.
 """
 
 from bisect import bisect
@@ -29,19 +29,21 @@
     """One client, from its arrival until it was served for its lifetime or gave up.
 
     Attributes:
-        number: Its number, from 0 on.
-        arrives_at: Nanoseconds since the scenario's start.
-        type: The type of its flows.
-        tenant: The tenant that it belongs to.
-        group: Its group of connections; empty if of none.
-        zone: The zone in which it arrives.
-        lifetime: How long it wants to be served, all connections together, in nanoseconds.
+        number: The client's number, from 0 on.
+        arrives_at: The arrival time, in nanoseconds since the scenario's start.
+        type: The type of the client's flows.
+        tenant: The tenant that the client belongs to.
+        group: The group of the client's connections; empty for none.
+        zone: The zone in which the client arrives.
+        lifetime: The total time that the client wants to be served, over all its connections, in
+            nanoseconds.
         load: The load of each of its connections.
-        leaves_after: Nanoseconds after its first line at which it goes away; 0: it stays.
-        ignores_retry_after: Whether it retries without the wait that it was told.
-        random: The source of its own random numbers.
-        rejections: Without a served connection in between.
-        connections: Begun so far.
+        leaves_after: The time after its opening line at which it leaves, in nanoseconds; 0 if it
+            stays.
+        ignores_retry_after: Whether it ignores the wait of a Retry-After.
+        random: The source of its random numbers.
+        rejections: The number of consecutive rejections.
+        connections: The number of connections begun so far.
     """
 
     number: int
@@ -59,14 +61,15 @@
     connections: int = 0
 
     def next_id(self) -> str:
-        """Begin a connection and return the id of its flow."""
+        """Count a new connection and return the id of its flow."""
         self.connections += 1
         return f"p{self.number}.{self.connections}"
 
     def delay_after_rejection(self, habits: Clients, retry_after: int | None) -> int | None:
-        """Return nanoseconds until it retries; None: it gives up.
+        """Return the nanoseconds until it retries, or None if it gives up.
 
-        A Retry-After, in nanoseconds, goes before its habit if it heeds that.
+        A client that does not ignore Retry-After (`retry_after`, in nanoseconds) waits for that
+        time rather than for its own one.
         """
         self.rejections += 1
         if habits.after_rejection == "none" or self.rejections > habits.retries:
@@ -78,13 +81,13 @@
         return draw_ms(self.random, habits.wait_ms)
 
     def delay_after_disconnect(self, habits: Clients) -> int | None:
-        """Return nanoseconds until it connects again after a break or MOVE; None: it does not."""
+        """Return the nanoseconds until it reconnects after a break or MOVE; None if it does not."""
         self.rejections = 0
         return draw_ms(self.random, habits.reconnect_ms) if habits.reconnect else None
 
 
 def draw_ms(random: Random, milliseconds: tuple[float, float]) -> int:
-    """Draw nanoseconds from a range of milliseconds."""
+    """Draw a time from a range of milliseconds; return it in nanoseconds."""
     return int(random.uniform(*milliseconds) * MILLISECOND)
 
 
@@ -92,7 +95,7 @@
     """All clients of a scenario, drawn from its seed."""
 
     def __init__(self, experiment: Experiment, seed: int):
-        """Prepare the draws; nothing is drawn yet."""
+        """Prepare the distributions; nothing is drawn yet."""
         self.experiment = experiment
         self.seed = seed
         self.types = experiment.types
@@ -101,7 +104,7 @@
         self.tenant_sums = list(accumulate(tenant.share for tenant in self.tenants))
 
     def client(self, number: int, arrives_at: int) -> Client:
-        """Draw the client with a number. The order of its draws is part of what a seed means."""
+        """Draw the client with this number; the order of draws determines a seed's clients."""
         random = Random(f"{self.seed}/person/{number}")
         habits = self.experiment.clients
         flow_type = self.types[bisect(self.type_sums, random.random() * self.type_sums[-1])]
@@ -130,7 +133,7 @@
         )
 
     def arrivals(self) -> Iterator[int]:
-        """Yield when clients arrive, in nanoseconds since the scenario's start.
+        """Yield the clients' arrival times, in nanoseconds since the scenario's start.
 
         A Poisson process whose rate follows the load's course, by thinning (Lewis and Shedler,
         "Simulation of nonhomogeneous Poisson processes by thinning", 1979).
@@ -147,17 +150,17 @@
                 yield int(second * SECOND)
 
     def all(self) -> list[Client]:
-        """Return all clients in the order in which they arrive, those of bursts included."""
+        """Return all clients in order of arrival, including those of bursts."""
         moments = list(self.arrivals())
         for fault in self.experiment.faults:
             if fault.kind == "burst":
                 moments += [int(fault.at_s * SECOND)] * int(fault.amount)
-        # Bursts get the last numbers: one in a single variant of a file changes no other client.
+        # Bursts get the last numbers, so that adding a burst changes no other client.
         clients = [self.client(number, at) for number, at in enumerate(moments)]
         return sorted(clients, key=lambda client: (client.arrives_at, client.number))
 
     def misbehaving(self) -> list[tuple[int, str, str]]:
-        """Return the misbehaving clients: when each comes, its misbehaviour, its zone."""
+        """Return the misbehaving clients: arrival time in nanoseconds, misbehaviour, zone."""
         random = Random(f"{self.seed}/bad")
         rate = self.experiment.clients.bad_per_s
         zones = [balancers.zone for balancers in self.experiment.balancer_groups()]
--- a/cypresswalk/lab/edge.py
+++ b/cypresswalk/lab/edge.py
@@ -2,19 +2,19 @@
 
 
 class EdgeLoadBalancer:
-    """Distributes clients over the balancers of a zone that it believes to be up.
+    """A load balancer that distributes the clients of a zone over the balancers marked up.
 
-    Its host tells it which are, late.
+    Its owner marks balancers up and down, with a detection delay.
     """
 
     def __init__(self, zone: str, balancers: list[str]):
-        """Start with all balancers down."""
+        """Start with all balancers marked down."""
         self.zone = zone
         self.up = dict.fromkeys(balancers, False)
         self.turn = 0
 
     def mark_up(self, balancer: str) -> None:
-        """Send clients to a balancer of this zone from now on."""
+        """Send clients to a balancer from now on, if it is of this zone."""
         if balancer in self.up:
             self.up[balancer] = True
 
@@ -24,7 +24,7 @@
             self.up[balancer] = False
 
     def pick(self) -> str | None:
-        """Return the next one that is up, in turns and regardless of load; None if none is."""
+        """Return the next balancer marked up, round robin regardless of load; None if none is."""
         serving = [name for name, up in self.up.items() if up]
         if not serving:
             return None
--- a/cypresswalk/lab/endpoint_list.py
+++ b/cypresswalk/lab/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: its changes, and what each list agent knows of them. No I/O, no clock."""
+"""The endpoint list, its changes and the list agents that serve it. No I/O, no clock."""
 
 from dataclasses import dataclass
 from random import Random
@@ -14,9 +14,9 @@
     """A server's entry in the list.
 
     Attributes:
-        server: Its name.
-        state: Its state as the list has it.
-        started_ms: Its start in milliseconds of wall time; 0 if it was long ago.
+        server: The server's name.
+        state: The server's state in the list.
+        started_ms: The server's start in milliseconds of wall time; 0 if it was long ago.
     """
 
     server: str
@@ -25,12 +25,12 @@
 
 
 class WatchAnswer(NamedTuple):
-    """What a list agent answers to a watch.
+    """A list agent's answer to a watch.
 
     Attributes:
-        complete: Whether it is the complete list rather than changes alone.
+        complete: Whether it is the complete list rather than only changes.
         endpoints: The entries.
-        version: The version that the watcher knows with them.
+        version: The version of the list that the answer brings the watcher to.
     """
 
     complete: bool
@@ -39,14 +39,14 @@
 
 
 class EndpointList:
-    """All changes in order; the list's version is their number."""
+    """The list as a sequence of changes; its version is the number of changes."""
 
     def __init__(self) -> None:
         """Start at version 0, empty."""
         self.changes: list[Endpoint] = []
 
     def add(self, server: str, state: ServerState, started_ms: int) -> int:
-        """Add a change and return the version that it makes."""
+        """Add a change and return the new version."""
         self.changes.append(Endpoint(server, state, started_ms))
         return len(self.changes)
 
@@ -54,13 +54,13 @@
         """Return the latest entry of each server that changed after `since`, up to `until`."""
         latest: dict[str, Endpoint] = {}
         for endpoint in self.changes[max(since, 0) : until]:
-            # Taken out first, so that the order is that of the latest changes.
+            # Removed first, so that entries are in the order of their latest changes.
             latest.pop(endpoint.server, None)
             latest[endpoint.server] = endpoint
         return list(latest.values())
 
     def complete(self, version: int) -> list[Endpoint]:
-        """Return all entries of a version but those of terminated servers."""
+        """Return all entries of a version except those of terminated servers."""
         return [
             endpoint
             for endpoint in self.changes_between(0, version)
@@ -69,13 +69,13 @@
 
 
 class ListAgent:
-    """What one address of the list service knows: all changes up to a version that arrives late.
+    """One address of the list service, which has all changes up to a version.
 
-    A new address may begin further back, with an older version.
+    Changes reach it with a delay. The agent at a new address may start with an older version.
     """
 
     def __init__(self, listing: EndpointList, experiment: Experiment, random: Random, version: int):
-        """Start with the list at a version; delays are drawn from `random`."""
+        """Start at a version of the list; delays are drawn from `random`."""
         self.listing = listing
         self.random = random
         self.delay_ms = experiment.list_service.delay_ms
@@ -83,13 +83,13 @@
         self.silent = False
 
     def next_delay(self) -> int:
-        """Draw how late the next change arrives, in nanoseconds."""
+        """Draw the delay of the next change, in nanoseconds."""
         return int(self.random.uniform(*self.delay_ms) * MILLISECOND)
 
     def learn(self, version: int) -> bool:
-        """Take a version that arrived, and return whether it is newer than the one known.
+        """Take over a version that arrived; return whether it is newer than the current one.
 
-        Changes can arrive out of order; the later one includes all before it.
+        Changes can arrive out of order; a later version includes all earlier changes.
         """
         if version <= self.version:
             return False
@@ -97,9 +97,9 @@
         return True
 
     def answer(self, since: int) -> WatchAnswer:
-        """Answer a watch from a version on.
+        """Answer a watch for changes after version `since`.
 
-        Since 0, or since a version that this agent has not reached, it is the complete list.
+        If `since` is 0 or a version that this agent has not reached, answer the complete list.
         """
         if since <= 0 or since > self.version:
             return WatchAnswer(True, self.listing.complete(self.version), self.version)
@@ -108,7 +108,7 @@
 
 
 def initial_list(servers: list[SimulatedServer]) -> EndpointList:
-    """Return the list of the servers that run; those to be added later are not on it yet."""
+    """Return the list of the running servers, without those that are added later."""
     listing = EndpointList()
     for server in servers:
         if server.running:
--- a/cypresswalk/lab/experiment.py
+++ b/cypresswalk/lab/experiment.py
@@ -1,8 +1,8 @@
 """The experiment file: servers, balancers, load over time, scheduled faults, seeds and variants.
 
-Decoded from TOML by pydantic (see cypresswalk.toml). Times in the file are seconds (`_s`) or
-milliseconds (`_ms`); everything else in the lab counts in nanoseconds. A field with an alias has
-the alias as its key in the file and in messages of errors; nothing outside this module knows those.
+Decoded from TOML by pydantic (see cypresswalk.toml). Times in the file are in seconds (`_s`) or
+milliseconds (`_ms`); the rest of the lab uses nanoseconds. A field with an alias has the alias as
+its key in the file and in error messages; code outside this module uses only the field names.
 """
 
 from pathlib import Path
@@ -13,7 +13,7 @@
 from cypresswalk import toml
 from cypresswalk.faults.plan import Plan
 
-Range: TypeAlias = tuple[float, float]  # least and most
+Range: TypeAlias = tuple[float, float]  # minimum and maximum
 NAME = r"^[A-Za-z][A-Za-z0-9_-]{0,31}$"
 MAX_RANGE = 1e6
 MAX_RATE = 10_000  # new clients a second
@@ -21,27 +21,29 @@
 
 
 def ordered(value: Range | None) -> Range | None:
-    """Return a range whose ends are in order.
+    """Return a range after checking its bounds.
 
     Raises:
-        ValueError: They are not, or out of bounds.
+        ValueError: The bounds are not in order, or not from 0 to MAX_RANGE.
     """
     if value is not None and not 0 <= value[0] <= value[1] <= MAX_RANGE:
-        raise ValueError("a range is [least, most], both from 0 on")
+        raise ValueError("a range is [minimum, maximum], in order and from 0 on")
     return value
 
 
 class ServerGroup(toml.Table):
-    """Servers that are alike. One core of speed 1 carries `per_core` connections of load 1.
+    """A group of identical servers.
+
+    One core of speed 1 carries `per_core` connections of load 1.
 
     Attributes:
-        max_connections: Beyond it the server answers BUSY.
-        setup_ms: Time of one core that each connection's set-up takes.
-        health_check_ms: Time of one core that each health check takes.
-        group_work: Loads that each group of connections adds, however many of it are there.
-        warm_up_initial_fraction: The share of its capacity that a server has as it starts.
-        warm_up_s: How long until it has the whole.
-        max_backlog_s: Work beyond it makes the server drop its newest connection.
+        max_connections: The number of connections above which a server answers BUSY.
+        setup_ms: The CPU time of one core that each connection's set-up takes.
+        health_check_ms: The CPU time of one core that each health check takes.
+        group_work: The load that each group of connections adds, whatever its size.
+        warm_up_initial_fraction: The share of its capacity that a server has when it starts.
+        warm_up_s: The time until a started server has its full capacity.
+        max_backlog_s: The backlog of work above which a server drops its newest connection.
     """
 
     name: str = Field(pattern=NAME)
@@ -65,13 +67,14 @@
     """A type of flow: its share of the load, its effect and its objectives.
 
     Attributes:
-        effect: Whether it may be retried: any time, within window and scope, or never.
-        scope: Where a retry must stay.
-        window_ms: How long after its first attempt a retry is allowed.
-        timeout_ms: The client's own patience for an answer.
-        priority_weight: What a second of service is worth beside other types.
-        lifetime_s: How long a client wants to be served.
-        load: The load of one connection.
+        effect: Whether a flow that may have run may be retried: always ("repeatable"), within
+            window and scope ("referenced") or never ("once-only").
+        scope: The servers to which a retry is limited: all, or those of the same zone or cell.
+        window_ms: The time after the first attempt within which a retry is allowed.
+        timeout_ms: The time for which a client waits for an answer.
+        priority_weight: The value of a second of service, relative to other types.
+        lifetime_s: The range of times for which clients want to be served.
+        load: The range of the load of one connection.
     """
 
     name: str = Field(pattern=NAME)
@@ -96,21 +99,24 @@
 
 
 class Clients(toml.Table):
-    """What clients do.
+    """The behaviour of clients.
 
     Attributes:
-        after_rejection: What one does that got no server: give up, retry at once, or after a wait.
-        retries: How often it retries.
-        wait_ms: How long it waits by itself.
-        ignore_retry_after: The share of those who don't keep to a wait that they were told.
-        reconnect: Whether one connects again after its connection broke or was migrated.
-        reconnect_ms: After how long.
-        leave: The share that goes away before its answer.
-        groups: Number of groups of connections; 0 for none.
-        line_ms: Between two lines on a connection.
-        bad_per_s: Misbehaving clients a second: garbage, silence, half lines, floods, repeated ids.
-        resting: Clients of each balancer that keep one connection open and use it until it ends.
-        crowd: Clients of each balancer that connect and say nothing.
+        after_rejection: A client's reaction to a rejection: give up ("none"), retry at once, or
+            retry after a wait.
+        retries: The maximum number of retries in a row.
+        wait_ms: The range of waits before a retry, if the rejection names none.
+        ignore_retry_after: The share of clients that ignore Retry-After.
+        reconnect: Whether a client reconnects after its connection broke or was migrated.
+        reconnect_ms: The range of waits before it reconnects.
+        leave: The share of clients that leave before their answer.
+        groups: The number of groups of connections; 0 for none.
+        line_ms: The interval between two lines on a connection.
+        bad_per_s: The number of misbehaving clients per second: garbage, silence, half lines,
+            floods, repeated ids.
+        resting: The number of clients per balancer that keep one connection open and use it until
+            it ends.
+        crowd: The number of clients per balancer that connect and send nothing.
     """
 
     after_rejection: Literal["none", "at once", "wait"] = Field(default="wait", alias="habit")
@@ -129,7 +135,7 @@
 
 
 class BalancerGroup(toml.Table):
-    """Balancers of one zone and what each may use."""
+    """The balancers of one zone and the resource limits of each."""
 
     zone: str
     count: int = Field(default=1, ge=1, le=64)
@@ -138,7 +144,7 @@
 
 
 class Network(toml.Table):
-    """Delays of one way within a zone, across zones and between balancers, and gossip lost."""
+    """One-way delays within a zone, across zones and between balancers, and gossip loss."""
 
     within_ms: float = Field(default=0.2, ge=0)
     across_ms: float = Field(default=8, ge=0)
@@ -148,7 +154,7 @@
 
 
 class ListService(toml.Table):
-    """How late the endpoint list is, and whether balancers must poll it."""
+    """The delay of endpoint list changes, and whether balancers must poll the list."""
 
     delay_ms: Range = Field(default=(300, 1500), alias="late_ms")
     polled: bool = Field(default=False, alias="asked")
@@ -156,14 +162,14 @@
 
 
 class EdgeSettings(toml.Table):
-    """How late the edge load balancer of a zone notices a dead balancer."""
+    """The delay after which the edge load balancer of a zone notices a dead balancer."""
 
     detection_ms: Range = Field(default=(800, 2000), alias="notice_ms")
     _ordered = field_validator("detection_ms")(ordered)
 
 
 class Load(toml.Table):
-    """New clients a second: straight lines between the points [second, rate]."""
+    """The rate of new clients per second, interpolated linearly between points [second, rate]."""
 
     course: list[tuple[float, float]] = Field(min_length=1)
 
@@ -173,7 +179,9 @@
         rate_wrong = any(rate < 0 or rate > MAX_RATE for _, rate in value)
         pairs = zip(value, value[1:], strict=False)
         if rate_wrong or any(before[0] >= after[0] for before, after in pairs):
-            raise ValueError("points are [second, rate], the seconds rising, rates from 0 to 10000")
+            raise ValueError(
+                "points are [second, rate], with increasing seconds and rates from 0 to 10000"
+            )
         return value
 
     def rate(self, second: float) -> float:
@@ -225,17 +233,19 @@
 
 
 class ScheduledFault(toml.Table):
-    """A fault at a moment of the scenario.
-
-    `servers` and `balancers` take names, a zone's name, or `all`. What `amount` says depends on the
-    kind: slow: so many times slower; neighbour: the share that another program takes; errors,
-    resets, cut_clients: the share affected; burst: so many clients at one instant; grow: so many
-    servers like those named.
+    """A fault scheduled at a time of the scenario.
 
     Attributes:
-        at_s: When it begins.
-        for_s: How long it lasts; 0: to the scenario's end. Of drains: until the server is gone.
-        signals: Of `signals`: sent one after the other, each up to 50 ms after the one before.
+        at_s: The time at which it begins.
+        for_s: Its duration; 0 for the rest of the scenario. For a drain, the time until the server
+            is gone.
+        servers: The names of servers, server groups or zones, or `all`.
+        balancers: The names of balancers or zones, or `all`.
+        amount: By kind: the slowdown factor (slow), the share of the machine that another program
+            takes (neighbour), the share of flows or clients affected (errors, resets,
+            cut_clients), the number of clients that arrive at once (burst), or the number of the
+            named servers to add (grow).
+        signals: The signals that the kind `signals` sends, each up to 50 ms after the previous one.
     """
 
     kind: FaultKind
@@ -253,7 +263,9 @@
         if self.kind in BALANCER_FAULTS and not self.balancers:
             raise ValueError(f"{self.kind} needs balancers")
         if (self.kind == "signals") != bool(self.signals):
-            raise ValueError("signals: the kind signals needs them, and no other has them")
+            raise ValueError(
+                "signals: required for the kind signals, and not allowed for other kinds"
+            )
         if self.kind in FAULTS_WITH_AMOUNT and not self.amount:
             raise ValueError(f"{self.kind} needs an amount above 0")
         if self.kind in FAULTS_WITH_SHARE and self.amount > 1:
@@ -262,19 +274,19 @@
 
 
 class ConnectionFaults(toml.Table):
-    """Fault plans (cypresswalk.faults) on the connections of clients and of servers."""
+    """The fault plans (cypresswalk.faults) for the connections of clients and of servers."""
 
     clients: Plan = Plan()
     servers: Plan = Plan()
 
 
 class Settings(toml.Table):
-    """What the balancers are configured with, besides the servers and tenants.
+    """The settings of the balancers, besides servers and tenants.
 
     Attributes:
-        state: Whether a balancer persists its state in a folder over its restarts.
-        state_every_s: How often it writes that.
-        overload_window_ms: The span over which a cold server's budget counts.
+        state: Whether a balancer persists its state in a folder across restarts.
+        state_every_s: The interval between two writes of that state.
+        overload_window_ms: The time window of a cold server's budget.
     """
 
     max_attempts: int = Field(default=4, ge=1, le=20, alias="max_connects")
@@ -295,7 +307,7 @@
 
 
 class Variant(toml.Table):
-    """Another balancer among the same servers and clients.
+    """A balancer implementation or configuration to compare on the same servers and clients.
 
     It is one of the lab's baselines, an earlier revision, or the product with other settings.
     """
@@ -308,12 +320,12 @@
     @model_validator(mode="after")
     def _either(self) -> "Variant":
         if self.revision and self.policy != "product":
-            raise ValueError("a revision plays its own policy")
+            raise ValueError("a revision can be played only with the policy product")
         return self
 
 
 class Experiment(toml.Table):
-    """One experiment file."""
+    """The content of an experiment file."""
 
     name: str = Field(pattern=NAME)
     about: str = ""
@@ -358,7 +370,7 @@
         any_balancer = {*self.balancer_names(), *self.zones, ALL}
         for index, fault in enumerate(self.faults):
             if fault.at_s >= self.seconds:
-                message = f"the day ends after {self.seconds:g} s"
+                message = f"the scenario ends after {self.seconds:g} s"
                 raise ValueError(f"trouble[{index}].at_s: {message}")
             check_known(f"trouble[{index}].servers", fault.servers, any_server)
             check_known(f"trouble[{index}].balancers", fault.balancers, any_balancer)
@@ -375,18 +387,18 @@
 def check_unique(key: str, names: list[str]) -> None:
     """Raise ValueError if a name occurs twice."""
     if len(set(names)) < len(names):
-        raise ValueError(f"{key}: a name stands twice")
+        raise ValueError(f"{key}: a name occurs twice")
 
 
 def check_known(key: str, names: list[str], known: set[str]) -> None:
-    """Raise ValueError at the first name that is not known."""
+    """Raise ValueError if a name is not known."""
     for name in names:
         if name not in known:
             raise ValueError(f"{key}: {name!r} is not one of {', '.join(sorted(known))}")
 
 
 def server_names(group: ServerGroup) -> list[str]:
-    """Return the names of a group's servers."""
+    """Return the names of the servers of a group."""
     return [f"{group.name}-{i}" for i in range(group.count)]
 
 
@@ -394,6 +406,6 @@
     """Read an experiment file.
 
     Raises:
-        CommandError: The file can't be read or is wrong, a line for each wrong field.
+        CommandError: The file can't be read or is invalid; one line for each invalid field.
     """
     return toml.read(path, Experiment)
--- a/cypresswalk/lab/fault_injector.py
+++ b/cypresswalk/lab/fault_injector.py
@@ -11,14 +11,14 @@
 from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-RELEASE_DRAIN_S = 1.0  # for each server of a release
+RELEASE_DRAIN_S = 1.0  # drain time of each server of a release
 RELEASE_PAUSE_S = 0.5  # between two servers of a release
-MIGRATE_AFTER_S = 0.5  # of a drain's begin
-NEIGHBOUR_PHASE_S = (0.5, 2)  # of another program on the server's machine, on and off
+MIGRATE_AFTER_S = 0.5  # from the beginning of a drain
+NEIGHBOUR_PHASE_S = (0.5, 2)  # each active or idle phase of another program on the machine
 
 
 class FaultInjector:
-    """Carries out each kind of fault on servers, balancers, clients and the endpoint list."""
+    """An injector of each kind of fault into servers, balancers, clients and the endpoint list."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         clients: ClientDriver,
         control: BalancerControl,
     ):
-        """Take what it injects faults into."""
+        """Keep the targets of the faults."""
         self.bed = bed
         self.servers = servers
         self.clients = clients
@@ -45,7 +45,7 @@
         }
 
     async def inject(self, fault: ScheduledFault) -> None:
-        """Carry out one fault from its begin to its end."""
+        """Inject one fault, from its beginning to its end."""
         self.bed.observe(
             "trouble", "", fault.kind, servers=fault.servers, balancers=fault.balancers
         )
@@ -87,19 +87,20 @@
         started_ms = await driver.start()
         self._publish(driver.model.name, ServerState.IN_SERVICE, started_ms)
 
-    # Of servers: each takes the driver, the fault's amount and its length in seconds.
+    # Faults of servers. Each function takes the driver, the amount and the duration in seconds.
 
     async def _crash(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        """End with resets; the list learns of it late; the server returns cold."""
+        """Reset all connections and stop; the list changes late, and the server returns cold."""
         driver.crash()
         self._publish(driver.model.name, ServerState.TERMINATED)
         await asyncio.sleep(span_s)
         await self._return_to_service(driver)
 
     async def _vanish(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        """Fall silent, and return cold.
+        """Stop answering, and return cold after the span.
 
-        The kernel goes on accepting connections: one that is never accepted can't be shown here.
+        The kernel still accepts connections, so that this does not simulate connections that are
+        never accepted.
         """
         self.bed.observe("server_mute", "", driver.model.name)
         driver.model.silent = True
@@ -122,7 +123,7 @@
         driver.model.slowness = 1.0
 
     async def _neighbour(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        """Let another program take a share of the server's machine, on and off."""
+        """Let another program take a share of the server's machine, in alternating phases."""
         until = self.bed.now() + int(span_s * SECOND)
         while self.bed.now() < until:
             for share in (amount, 0.0):
@@ -142,7 +143,7 @@
         driver.model.reset_share = 0.0
 
     async def _drain(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        """Drain: send clients away, take nothing new, and be gone after the span."""
+        """Drain: reject new flows, migrate the established ones, and terminate after the span."""
         model = driver.model
         model.state = ServerState.DRAINING
         self._publish(model.name, ServerState.DRAINING, model.started // MILLISECOND)
@@ -153,17 +154,17 @@
         self._publish(model.name, ServerState.TERMINATED, model.started // MILLISECOND)
         driver.crash()
 
-    # Of others.
+    # Other faults.
 
     async def _release(self, fault: ScheduledFault) -> None:
-        """Drain and restart servers, one after the other."""
+        """Drain and restart the servers one after the other."""
         for driver in self._matching(fault.servers):
             await self._drain(driver, 0.0, RELEASE_DRAIN_S)
             await self._return_to_service(driver)
             await asyncio.sleep(RELEASE_PAUSE_S)
 
     async def _list_outage(self, span_s: float) -> None:
-        """Let all list agents fall silent for a while."""
+        """Make all list agents stop answering for a while."""
         agents = list(self.control.agents.values())
         for agent in agents:
             agent.agent.silent = True
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files."""
+"""Tests of experiment files: invalid ones and those that are shipped."""
 
 import pytest
 from lab_helpers import run_lab, small_experiment
@@ -9,22 +9,22 @@
 
 
 def server_group(**changes):
-    """Servers as an experiment file names them."""
+    """Return the table of one server group, as an experiment file has it."""
     return {"servers": [{"name": "s", "zone": "north", "count": 1} | changes]}
 
 
 def flow_type(**changes):
-    """A type of flows as an experiment file names it."""
+    """Return the table of one type of flows, as an experiment file has it."""
     return {"types": [{"name": "v", "share": 1} | changes]}
 
 
 def fault(kind, at_s=1, **changes):
-    """A fault as an experiment file names it."""
+    """Return the table of one scheduled fault, as an experiment file has it."""
     return {"trouble": [{"kind": kind, "at_s": at_s} | changes]}
 
 
 def variant(**changes):
-    """A variant as an experiment file names it."""
+    """Return the table of one variant, as an experiment file has it."""
     return {"variant": [{"name": "v"} | changes]}
 
 
@@ -37,17 +37,17 @@
         (server_group(zone="south"), "servers[0].zone: 'south' is not one of north"),
         (server_group(cores=0), "servers[0].cores: input should be greater"),
         (flow_type(effect="twice"), "types[0].effect: input should be 'repeatable'"),
-        (flow_type(life_s=[3, 1]), "types[0].life_s: a range is [least, most]"),
-        ({"types": [{"name": "v", "share": 1}] * 2}, "types: a name stands twice"),
+        (flow_type(life_s=[3, 1]), "types[0].life_s: a range is [minimum, maximum]"),
+        ({"types": [{"name": "v", "share": 1}] * 2}, "types: a name occurs twice"),
         ({"load": {"course": [[3, 1], [2, 1]]}}, "load.course: points are [second, rate]"),
         (fault("hang"), "trouble[0]: hang needs servers"),
         (fault("hang", servers=["x"]), "trouble[0].servers: 'x' is not one of all"),
-        (fault("hang", at_s=9, servers=["s"]), "trouble[0].at_s: the day ends after 4 s"),
+        (fault("hang", at_s=9, servers=["s"]), "trouble[0].at_s: the scenario ends after 4 s"),
         (fault("slow", servers=["s"]), "trouble[0]: slow needs an amount above 0"),
         (fault("reload", balancers=["b7"]), "trouble[0].balancers: 'b7' is not one of all"),
         (fault("explode"), "trouble[0].kind: input should be 'crash'"),
         (variant(policy="best"), "variant[0].policy: input should be 'product'"),
-        (variant(policy="random", revision="HEAD"), "variant[0]: a revision plays its own"),
+        (variant(policy="random", revision="HEAD"), "variant[0]: a revision can be played"),
     ],
 )
 def test_an_invalid_experiment_is_rejected_with_one_line(change, message):
