--- a/cypresswalk/lab/history.py
+++ b/cypresswalk/lab/history.py
@@ -1,4 +1,4 @@
-"""Observations sorted by flow and by host, as the checker's rules read them."""
+"""Observations grouped by flow and by host, for the checker."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -17,12 +17,13 @@
     """One attempt of a flow at a server.
 
     Attributes:
-        opened: The opening line at the server.
-        reply: The server's reply.
-        over: When it was no longer pending (established counts as that too), in nanoseconds.
+        opened: The observation of the opening line at the server.
+        reply: The observation of the server's reply.
+        over: The time since which the attempt is no longer pending (an established one is not
+            pending either), in nanoseconds.
         may_have_run: Whether the flow may have had its effect.
-        broken: The server ended the connection.
-        released: The balancer ended the connection.
+        broken: The observation that the server ended the connection.
+        released: The observation that the balancer ended the connection.
     """
 
     opened: Observation
@@ -34,7 +35,7 @@
 
     @property
     def at(self) -> int:
-        """When it reached the server, in nanoseconds."""
+        """The time at which it reached the server, in nanoseconds."""
         return self.opened.at
 
     @property
@@ -44,11 +45,11 @@
 
     @property
     def number(self) -> int:
-        """The connection's number, of its own in the scenario."""
+        """The connection's number, which is unique in the scenario."""
         return self.opened.fields["number"]
 
     def update(self, observation: Observation) -> None:
-        """Take what was observed later on its connection: "reply", "broke" or "let_go"."""
+        """Add a later observation of its connection: "reply", "broke" or "let_go"."""
         if observation.kind == "reply":
             self.reply = observation
             self.may_have_run = observation.fields["kind"] != "busy"
@@ -59,23 +60,23 @@
         self.over = min(self.over, observation.at)
 
     def evidence(self) -> list[Observation]:
-        """All that was observed of it."""
+        """Return all observations of the attempt."""
         observations = (self.opened, self.reply, self.released, self.broken)
         return [observation for observation in observations if observation is not None]
 
 
 @dataclass(slots=True)
 class ObservedFlow:
-    """All that was observed of one flow.
+    """The observations of one flow.
 
     Attributes:
         sent: The client's opening lines.
         answers: The answers that the client read.
-        left: The client went away before its answer.
-        ended: The end of the client's connection.
-        attempts: In the order in which they reached servers.
-        lines: What each side of an established connection said and heard.
-        hit_by_fault: Whether an injected fault hit one of its connections.
+        left: The observation that the client left before its answer.
+        ended: The observation that the client's connection ended.
+        attempts: The attempts, in the order in which they reached servers.
+        lines: The lines that each side of an established connection sent and received.
+        hit_by_fault: Whether an injected fault hit one of the flow's connections.
     """
 
     sent: list[Observation] = field(default_factory=list)
@@ -87,31 +88,31 @@
     hit_by_fault: bool = False
 
     def evidence(self) -> list[Observation]:
-        """All that was observed of its attempts."""
+        """Return all observations of the flow's attempts."""
         return [observation for attempt in self.attempts for observation in attempt.evidence()]
 
 
 class History:
-    """What a scenario's observations say of flows, servers and balancers."""
+    """The history of a scenario's flows, servers and balancers, from its observations."""
 
     def __init__(self, observations: Iterable[Observation]):
-        """Sort and read all observations."""
+        """Sort all observations by time and read them."""
         in_order = sorted(observations, key=lambda observation: observation.at)
         self.flows: dict[str, ObservedFlow] = defaultdict(ObservedFlow)
-        # By balancer.
+        # Times at which each balancer ended.
         self.balancer_deaths: dict[str, list[int]] = defaultdict(list)
-        # By server: when it stopped answering.
+        # Times at which each server stopped answering.
         self.server_failures: dict[str, list[int]] = defaultdict(list)
-        # By server.
+        # Times at which each server started.
         self.server_starts: dict[str, list[int]] = defaultdict(list)
-        # By balancer and server: when the balancer was notified of which state.
+        # By balancer and server: time and state of each notification that the balancer got.
         self.list_updates: dict[tuple[str, str], list[tuple[int, str]]] = defaultdict(list)
-        # By balancer: the latest version of the list that it was notified of.
+        # The latest list version that each balancer was notified of.
         self.list_versions: dict[str, int] = {}
         self.scenario_end = NEVER
-        # Flow and balancer, of ids that a misbehaving client sent a second time.
+        # Flow id and balancer of each id that a misbehaving client repeated.
         self.repeated_ids: set[tuple[str, str]] = set()
-        # Side and port of connections that an injected fault hit.
+        # Side and port of each connection that an injected fault hit.
         self.hit_ports = {
             (observation.subject, port)
             for observation in in_order
@@ -125,13 +126,13 @@
                 self._read_of_host(observation)
 
     def balancer_died(self, balancer: str, since: int, until: int, slack: int) -> bool:
-        """Whether a balancer ended between two times, each widened by the slack."""
+        """Return whether a balancer ended between two times, widened by the slack at both ends."""
         deaths = self.balancer_deaths[balancer]
         index = bisect_right(deaths, since - slack)
         return index < len(deaths) and deaths[index] <= until + slack
 
     def end_explained(self, flow: ObservedFlow, until: int, slack: int) -> bool:
-        """Whether a server's, a balancer's or the scenario's end explains that of a connection."""
+        """Return whether the end of a server, balancer or the scenario explains a flow's end."""
         last = flow.attempts[-1]
         failures = self.server_failures[last.server]
         server_failed = any(last.at - SECOND <= at <= until for at in failures)
@@ -191,7 +192,10 @@
         return (side, observation.fields.get("port")) in self.hit_ports
 
     def _read_attempt(self, observation: Observation, flow: ObservedFlow) -> None:
-        """Add it, unless it is for a repeated id at a balancer that can't know the owner's."""
+        """Add an attempt, unless a misbehaving client's repeated id caused it at another balancer.
+
+        That balancer can't know the original flow, which it never received.
+        """
         balancer = observation.fields["balancer"]
         repeated = (observation.flow, balancer) in self.repeated_ids
         if repeated and flow.sent and flow.sent[0].subject != balancer:
@@ -200,14 +204,14 @@
         flow.hit_by_fault |= self._hit("server", observation)
 
     def _outdated(self, observation: Observation) -> bool:
-        """Whether it is of an older list than the balancer knows, and would end a drain."""
+        """Return whether a notification is of an older list version and would cancel a drain."""
         version = observation.fields.get("version", 0)
         known = self.list_versions.get(observation.subject, 0)
         self.list_versions[observation.subject] = max(version, known)
         return version < known and observation.fields["life"] == IN_SERVICE
 
     def _end_attempts_at(self, server: str, at: int) -> None:
-        """End the attempts pending at a server that died: a balancer may retry at once."""
+        """Mark the attempts pending at a dead server as ended: a balancer may retry at once."""
         for flow in self.flows.values():
             for attempt in flow.attempts:
                 if attempt.server == server and attempt.over == NEVER:
--- a/cypresswalk/lab/metrics.py
+++ b/cypresswalk/lab/metrics.py
@@ -1,9 +1,9 @@
-"""How well clients were served in one scenario, from its observations. No I/O.
+"""Metrics of how well clients were served in one scenario, from its observations. No I/O.
 
 Service is the weighted time in which clients were connected and their lines came back within the
-message latency objective, over the weighted time for which they asked from their arrival on.
-Latencies go into HDR histograms (the hdrhistogram package): a mean would hide the tail, and
-percentiles of several scenarios can be had from merged histograms alone.
+message latency objective, divided by the weighted time that they requested from their arrival on.
+Latencies are recorded in HDR histograms (the hdrhistogram package), since a mean would hide the
+tail, and percentiles over several scenarios can only be computed from merged histograms.
 """
 
 from collections import defaultdict
@@ -17,8 +17,8 @@
 from cypresswalk.lab.result import ScenarioResult
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-MAX_LATENCY_US = 60_000_000  # of a histogram
-SIGNIFICANT_DIGITS = 3  # of a histogram
+MAX_LATENCY_US = 60_000_000  # largest value of a histogram
+SIGNIFICANT_DIGITS = 3  # precision of a histogram
 WORST_WINDOW_S = 10
 PERCENTILES = (50, 90, 99, 99.9, 100)
 BYTES_PER_MB = 2**20
@@ -30,12 +30,12 @@
 
 
 def record(histogram: HdrHistogram, latency: float) -> None:
-    """Add a latency in nanoseconds."""
+    """Add a latency, in nanoseconds, to a histogram."""
     histogram.record_value(min(max(int(latency / 1000), 1), MAX_LATENCY_US))
 
 
 def merged(histograms: Iterable[HdrHistogram]) -> HdrHistogram:
-    """Return one histogram of all values."""
+    """Return a histogram with the values of all given ones."""
     total = new_histogram()
     for histogram in histograms:
         total.add(histogram)
@@ -43,7 +43,7 @@
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Return the percentiles in milliseconds; 0.0 where nothing was recorded."""
+    """Return the percentiles in milliseconds, or 0.0 if nothing was recorded."""
     if not histogram.get_total_count():
         return {f"p{p:g}": 0.0 for p in PERCENTILES}
     return {f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1000, 3) for p in PERCENTILES}
@@ -54,9 +54,10 @@
     """A client's established connection.
 
     Attributes:
-        since: When it was established, in nanoseconds.
-        until: When it ended.
-        echoes: When each line came back, and after how many milliseconds.
+        since: The time at which it was established, in nanoseconds.
+        until: The time at which it ended, in nanoseconds.
+        echoes: For each line that came back, the time in nanoseconds and the latency in
+            milliseconds.
     """
 
     since: int
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class ObservedClient:
-    """A client: its type, when it came and until when it wants to be served, its connections."""
+    """A client: its type, arrival time, end of its requested service time, and connections."""
 
     type: str
     arrived_at: int
@@ -75,7 +76,7 @@
 
 
 class ScenarioMetrics:
-    """The metrics of one scenario; `summary` is what reports and comparisons use."""
+    """The metrics of one scenario; reports and comparisons use `summary`."""
 
     def __init__(self, experiment: Experiment, result: ScenarioResult):
         """Read all observations."""
@@ -92,15 +93,15 @@
         self.clients_without_balancer = 0
         self.misbehaving = 0
         self.misbehaving_unanswered = 0
-        # Client, time and balancer of each flow's opening line.
+        # By flow: client, time and balancer of the opening line.
         self._client_of: dict[str, int] = {}
         self._sent_at: dict[str, int] = {}
         self._sent_to: dict[str, str] = {}
-        # Weighted seconds by type and second of the scenario.
+        # Weighted seconds, by flow type and second of the scenario.
         seconds = int(experiment.seconds) + 1
         self.asked = {name: [0.0] * seconds for name in self.types}
         self.served = {name: [0.0] * seconds for name in self.types}
-        # Mean number of established connections by second.
+        # Mean number of established connections, by second of the scenario.
         self.established = [0.0] * seconds
         for observation in sorted(result.events, key=lambda event: event.at):
             self._read(observation)
@@ -116,7 +117,8 @@
                 self._sent_at[event.flow] = event.at
                 self._sent_to[event.flow] = event.subject
             case "attempt":
-                # Not those for an id that a misbehaving client repeated at another balancer.
+                # Attempts for an id that a misbehaving client repeated at another balancer don't
+                # count.
                 self.attempts += self._sent_to.get(event.flow) == fields["balancer"]
             case "answer":
                 self._read_answer(event)
@@ -163,7 +165,7 @@
             client.connections[event.flow].until = event.at
 
     def _count_service(self, client: ObservedClient) -> None:
-        """Add the seconds that a client asked for and was served."""
+        """Add the seconds of service that a client requested and got."""
         began = self.result.began
         flow_type = self.types[client.type]
         weight = flow_type.priority_weight
@@ -181,25 +183,25 @@
     def service(
         self, types: list[str] | None = None, since: int = 0, until: int | None = None
     ) -> float:
-        """Return the service of some types, or all, between two seconds of the scenario."""
+        """Return the service of the given types, or all, between two seconds of the scenario."""
         names = types or list(self.types)
         asked = sum(sum(self.asked[name][since:until]) for name in names)
         served = sum(sum(self.served[name][since:until]) for name in names)
         return served / asked if asked else 1.0
 
     def worst_service(self) -> float:
-        """Return the service of the worst seconds in a row."""
+        """Return the lowest service of any WORST_WINDOW_S consecutive seconds."""
         seconds = len(self.established) - 1
         starts = range(max(seconds - WORST_WINDOW_S + 1, 1))
         return min(self.service(since=start, until=start + WORST_WINDOW_S) for start in starts)
 
     def service_by_second(self) -> list[float]:
-        """Return the service of each second."""
+        """Return the service in each second of the scenario."""
         seconds = range(len(self.established) - 1)
         return [self.service(since=second, until=second + 1) for second in seconds]
 
     def peaks(self) -> dict[str, dict[str, float]]:
-        """Return what each balancer used at most."""
+        """Return the peak resource usage of each balancer."""
         peaks: dict[str, dict[str, float]] = {}
         for _, name, memory, descriptors, cpu_s in self.result.samples:
             peak = peaks.setdefault(name, {"memory_mb": 0.0, "descriptors": 0, "cpu_s": 0.0})
@@ -283,10 +285,10 @@
 def served_spans(
     connection: EstablishedConnection, until: int, objective_ms: float, line_ms: float
 ) -> list[tuple[int, int]]:
-    """Return the spans of time in which a connection was well served.
+    """Return the time spans in which a connection was well served.
 
-    They reach up to each line that came back in time, and on for as long as the next one is not yet
-    due. A connection on which nothing comes back is served no longer than that.
+    A span extends to each line that came back in time, and from there until the next one is due. A
+    connection on which no line comes back counts as served only until its first line is due.
     """
     due = int((2 * line_ms + objective_ms) * MILLISECOND)
     spans: list[tuple[int, int]] = []
--- a/cypresswalk/lab/observations.py
+++ b/cypresswalk/lab/observations.py
@@ -1,6 +1,6 @@
-"""What simulated clients, servers and lists observed, in one order and by one clock.
+"""Observations of simulated clients, servers and list agents, in one order and by one clock.
 
-The checker reads observations alone. On disk an observation is one line of JSON.
+They are the checker's only input. On disk, an observation is one line of JSON.
 """
 
 import json
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class Observation:
-    """One thing that a part of the test bed saw or did.
+    """One event that a part of the testbed observed or caused.
 
     Attributes:
-        at: Nanoseconds of the lab's clock.
+        at: The time, in nanoseconds of the lab's clock.
         kind: One of KINDS.
-        flow: The id of the flow that it is about; empty if of none.
-        subject: The balancer or server that it is about.
-        fields: What this kind carries, as KINDS says beside its name.
+        flow: The id of the flow concerned; empty for none.
+        subject: The name of the balancer or server concerned.
+        fields: The fields of this kind, which KINDS describes.
     """
 
     at: int
@@ -28,55 +28,58 @@
     fields: dict = field(default_factory=dict)
 
     def line(self) -> str:
-        """Return it as one line of JSON, without the line's end."""
+        """Return the observation as one line of JSON, without the newline."""
         head = {"at": self.at, "what": self.kind, "flow": self.flow, "who": self.subject}
         return json.dumps(head | self.fields, separators=(",", ":"))
 
     def __str__(self) -> str:
-        """Return it as a line for people, the time in seconds."""
+        """Return the observation as a readable line, with the time in seconds."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         head = f"{self.at / 1e9:.3f} s {self.kind} {self.flow} {self.subject}"
         return f"{head} {fields}".strip()
 
 
 KINDS = {
-    "sent": "by a client to a balancer, its last byte: type, wait_ms, person, port",
-    "answer": "read by the client: kind (up, busy, failed), line",
-    "said_again": "a misbehaving client sent that id to a balancer a second time: who",
-    "left": "the client went away before an answer, of its own accord",
-    "ended": "the client's connection: how (own, end, reset, move, bye)",
-    "attempt": "a complete opening line at a server: balancer, number, load, port",
-    "reply": "the server's reply to it: number, kind (up, busy, error, reset), receipt",
-    "let_go": "the balancer ended that connection: number",
-    "broke": "the server ended that connection: number, how",
-    "lines": "one side of an established connection: side (client, server), said, heard, number",
-    "told": "a list agent wrote this to the balancer: server, life, version of the list",
+    "sent": "a client sent the last byte of its opening line to a balancer: type, wait_ms, person,"
+    " port",
+    "answer": "the client read an answer: kind (up, busy, failed), line",
+    "said_again": "a misbehaving client sent the id of this flow to a balancer again: who",
+    "left": "the client left by its own decision before an answer",
+    "ended": "the client's connection ended: how (own, end, reset, move, bye)",
+    "attempt": "a server received a complete opening line: balancer, number, load, port",
+    "reply": "the server replied to an attempt: number, kind (up, busy, error, reset), receipt",
+    "let_go": "the balancer ended the connection of an attempt: number",
+    "broke": "the server ended the connection of an attempt: number, how",
+    "lines": "the lines of one side of an established connection: side (client, server), said (what"
+    " it sent), heard (what it received), number",
+    "told": "a list agent sent an entry to the balancer: server, life (its state), version (of the"
+    " list)",
     "balancer_up": "",
     "balancer_down": "",
-    "server_up": "started, cold",
+    "server_up": "the server started, cold",
     "server_down": "",
     "server_mute": "the server stopped answering",
     "echo": "a line came back: took_ms, person",
-    "fault": "a connection was hit by an injected fault: who (client, server: which side of the"
-    " balancers), ports, kind",
+    "fault": "an injected fault hit a connection: who (client or server, the side of the balancers"
+    " that it is on), ports, kind",
     "day_ended": "",
 }
 
 
 def save(observations: Iterable[Observation], path: Path) -> None:
-    """Write them to a file, one a line."""
+    """Write observations to a file, one per line."""
     with open(path, "w", encoding="utf-8") as file:
         for observation in observations:
             file.write(observation.line() + "\n")
 
 
 def load(path: Path) -> list[Observation]:
-    """Read what `save` wrote.
+    """Read a file that `save` wrote.
 
     Raises:
         OSError: The file can't be read.
-        ValueError: A line is no JSON.
-        KeyError: A line lacks one of the keys that every observation has.
+        ValueError: A line is not JSON.
+        KeyError: A line lacks a key that every observation has.
     """
     observations = []
     with open(path, encoding="utf-8") as file:
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -19,11 +19,12 @@
 from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-# What the rules grant beyond each limit: with a later lab nobody can tell who was late.
+# The slack that the rules allow beyond each limit. If the lab itself is later than that, a late
+# event can't be attributed to the balancer.
 LATE = 50 * MILLISECOND
-MAX_LATE_SHARE = 0.01  # of the lab's lateness checks
-MAX_LATENESS = 400 * MILLISECOND  # of the order of a connect timeout's tenth
-HEAD_START = 100 * MILLISECOND  # from ready balancers to the first clients
+MAX_LATE_SHARE = 0.01  # of the lateness checks
+MAX_LATENESS = 400 * MILLISECOND  # about a tenth of a connect timeout
+HEAD_START = 100 * MILLISECOND  # between the balancers' readiness and the first clients
 PROGRESS_INTERVAL_S = 0.25
 COUNTERS_WAIT_S = 0.15  # for balancers to log their counters
 MAX_SHOWN_VIOLATIONS = 50
@@ -43,7 +44,7 @@
         files: Path,
         command: list[str] | None = None,
     ):
-        """Build all parts; nothing runs yet. See `BalancerControl` for the arguments."""
+        """Create all parts; nothing runs yet. See `BalancerControl` for the arguments."""
         self.experiment = experiment
         self.bed = Bed(experiment, seed)
         self.result = ScenarioResult(experiment.name, variant.name, seed)
@@ -55,7 +56,7 @@
         self.faults = FaultInjector(self.bed, self.servers, self.clients, self.control)
 
     async def run(self, on_progress: ProgressCallback) -> ScenarioResult:
-        """Play it and check the rules.
+        """Play the scenario and check the rules.
 
         Raises:
             CommandError: A balancer does not start.
@@ -67,7 +68,7 @@
             bed.spawn(bed.watch_lateness())
             await self._play(on_progress)
         finally:
-            # At Ctrl-C, a failure of the lab or the end: no child and no task outlives it.
+            # Ends all child processes and tasks, also after Ctrl-C or a failure of the lab.
             for balancer in self.control.balancers.values():
                 balancer.kill()
             for proxy in bed.proxies:
@@ -88,7 +89,7 @@
             self.bed.spawn(driver.work())
 
     async def _play(self, on_progress: ProgressCallback) -> None:
-        """Let clients come and faults be injected until the scenario's end."""
+        """Run the clients and inject the faults until the scenario's end."""
         bed = self.bed
         span = int(self.experiment.seconds * SECOND)
         began = bed.now() + HEAD_START
@@ -129,7 +130,7 @@
         violations = self.control.crashes + check(result.events, Rules.of(self.experiment))
         for observation in result.events:
             if observation.kind == "fell":
-                message = f"{observation.subject} fell over: pushed beyond its budget while cold"
+                message = f"{observation.subject} crashed: its load exceeded its budget while cold"
                 violations.append(
                     Violation(COLD_SERVERS, "", observation.at, message, [observation])
                 )
@@ -140,7 +141,7 @@
         result.counters = {name: balancer.counters() for name, balancer in balancers.items()}
 
     def _check_lateness(self) -> None:
-        """Make the result void if the lab failed or was late."""
+        """Mark the result as void if the lab failed or was late."""
         lateness = sorted(self.bed.lateness) or [0]
         share = sum(late > LATE for late in lateness) / len(lateness)
         self.result.lateness_ms = {
@@ -159,7 +160,7 @@
 
 
 def ignore_progress(second: float) -> None:
-    """Take no notice of the second that a scenario has reached."""
+    """Ignore the progress of a scenario."""
 
 
 def play_scenario(
@@ -170,12 +171,12 @@
     on_progress: ProgressCallback = ignore_progress,
     command: list[str] | None = None,
 ) -> ScenarioResult:
-    """Play a scenario and leave observations, result and logs in a folder.
+    """Play a scenario and write observations, result and logs to a folder.
 
-    `command` runs another program in the balancers' place, by the same platform's rules.
+    `command` runs another program instead of the balancers; it follows the same platform rules.
 
     Raises:
-        CommandError: It can't begin.
+        CommandError: The scenario can't begin.
     """
     folder.mkdir(parents=True, exist_ok=True)
     with source_tree(variant) as files:
--- a/cypresswalk/lab/plots.py
+++ b/cypresswalk/lab/plots.py
@@ -29,7 +29,7 @@
 
 
 def plot_service(by_variant: dict[str, list[dict]], path: Path) -> None:
-    """Plot the service of each second: every scenario faintly, and the variants' medians."""
+    """Plot the service per second: each scenario as a faint line, and each variant's median."""
     axes = new_axes()
     for index, (name, summaries) in enumerate(by_variant.items()):
         courses = [summary["course"] for summary in summaries]
@@ -38,11 +38,11 @@
         medians = [statistics.median(values) for values in zip(*courses, strict=False)]
         axes.plot(medians, color=f"C{index}", label=name)
     axes.set_ylim(0, 1.02)
-    save_axes(axes, path, "seconds into the day", "service, second by second")
+    save_axes(axes, path, "seconds since the scenario's start", "service per second")
 
 
 def plot_setups(by_variant: dict[str, list[dict]], path: Path) -> None:
-    """Plot the percentiles of set-up latencies, the tail stretched."""
+    """Plot the percentiles of set-up latencies, on a scale that expands the tail."""
     axes = new_axes()
     for index, (name, summaries) in enumerate(by_variant.items()):
         total = merged(HdrHistogram.decode(summary["setup_hdr"]) for summary in summaries)
@@ -57,7 +57,7 @@
     axes.set_xscale("log")
     axes.set_yscale("log")
     axes.set_xticks([1, 2, 4, 10, 100, 1000], ["0%", "50%", "75%", "90%", "99%", "99.9%"])
-    save_axes(axes, path, "share of flows set up sooner", "set-up, ms")
+    save_axes(axes, path, "share of flows set up faster", "set-up, ms")
 
 
 def plot_memory(by_variant: dict[str, list[dict]], path: Path) -> None:
@@ -72,7 +72,7 @@
             memory_mb = [memory for _, _, memory, _ in samples]
             axes.plot(seconds, memory_mb, color=f"C{index}", alpha=0.7, label=label)
             label = None
-    save_axes(axes, path, "seconds into the day", "memory of each balancer, MB")
+    save_axes(axes, path, "seconds since the scenario's start", "memory of each balancer, MB")
 
 
 def new_axes() -> Axes:
@@ -87,6 +87,6 @@
     axes.grid(alpha=0.3)
     axes.legend()
     figure = axes.figure
-    assert isinstance(figure, Figure)  # axes of `new_axes` are in no subfigure
+    assert isinstance(figure, Figure)  # `new_axes` creates no subfigure
     figure.savefig(path, dpi=RESOLUTION_DPI, bbox_inches="tight")
     pyplot.close(figure)
--- a/cypresswalk/lab/report.py
+++ b/cypresswalk/lab/report.py
@@ -1,4 +1,4 @@
-"""Reports of scenarios: Markdown to read, JSON to keep; and variants compared side by side."""
+"""Reports of scenarios, as Markdown and JSON, and comparisons of variants."""
 
 import json
 import statistics
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MIN_REPEATS = 5  # scenarios for a difference to count: a two-sided sign test at 1/16
+MIN_REPEATS = 5  # scenarios for a difference to count: a two-sided sign test at level 1/16
 HIGHER_IS_BETTER = 1
 LOWER_IS_BETTER = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """What is compared: a name, its value in a summary, which way is better, and its decimals."""
+    """A compared measure: name, value in a summary, better direction, number of decimals."""
 
     name: str
     value: Callable[[dict], float]
@@ -40,7 +40,7 @@
 
 
 def median_and_range(values: list[float], decimals: int) -> str:
-    """Return the median, with the range if there is one."""
+    """Return the median, and the range if the values differ."""
     median = statistics.median(values)
     if len(values) == 1 or min(values) == max(values):
         return f"{median:.{decimals}f}"
@@ -48,7 +48,7 @@
 
 
 def verdict(summary: dict) -> str:
-    """Return whether the rules held, as a line."""
+    """Return a line that says whether the rules held."""
     if summary["void"]:
         return f"void: {summary['void']}"
     if summary["broken"]:
@@ -74,13 +74,13 @@
         descriptors = f"{cost['descriptors']} descriptors"
         rows.append(f"| {name} | {memory} | {descriptors} | {cost['cpu_s']:.2f} s of CPU |")
     if summary["breaches"]:
-        rows += ["", "## What broke the rules", ""]
+        rows += ["", "## Violations of the rules", ""]
         rows += [f"    {line}" for text in summary["breaches"] for line in text.splitlines()]
     return "\n".join(rows) + "\n"
 
 
 def figure_rows(summary: dict) -> list[str]:
-    """Return the table of all figures."""
+    """Return the rows of the table of all figures."""
     rows = ["| figure | value |", "| --- | --- |"]
     for measure in MEASURES:
         rows.append(f"| {measure.name} | {measure.value(summary):.{measure.decimals}f} |")
@@ -93,13 +93,13 @@
         *rows,
         f"| clients, flows | {summary['clients']}, {summary['flows']} |",
         f"| clients that found no balancer | {summary['nobody']} |",
-        f"| bad clients, without their due | {bad} |",
+        f"| misbehaving clients, of these without answer or end | {bad} |",
         f"| the lab's own lateness, ms: median, p99, most | {late} |",
     ]
 
 
 def latency_rows(summary: dict) -> list[str]:
-    """Return the table of latencies by percentile."""
+    """Return the rows of the table of latencies by percentile."""
     setups = summary["setup_ms"]
     messages = summary["message_ms"]
     return [
@@ -113,10 +113,10 @@
 def difference(
     base: list[dict], other: list[dict], value: Callable[[dict], float], better: int
 ) -> str:
-    """Compare a variant with the first one, seed by seed: the same clients came to both.
+    """Compare a variant with the first one seed by seed, as both served the same clients.
 
-    A difference counts only if it points the same way on all seeds that both played, and these are
-    `MIN_REPEATS` at least; else it is within the spread.
+    A difference counts only if it has the same sign for all seeds that both played, and these are
+    at least `MIN_REPEATS`; otherwise it is within the spread.
     """
     by_seed = {summary["seed"]: value(summary) for summary in base}
     differences = [
@@ -132,7 +132,7 @@
 
 
 def compare(summaries: list[dict]) -> str:
-    """Return a table of an experiment's variants: median and range. Void scenarios are left out."""
+    """Return a table of median and range for each variant, without void scenarios."""
     variants: dict[str, list[dict]] = {}
     for summary in summaries:
         valid = variants.setdefault(summary["variant"], [])
@@ -141,11 +141,11 @@
     variants = {name: valid for name, valid in variants.items() if valid}
     void = len(summaries) - sum(map(len, variants.values()))
     if not variants:
-        return f"All {void} days are void: {summaries[0]['void']}\n"
+        return f"All {void} scenarios are void: {summaries[0]['void']}\n"
     first = next(iter(variants.values()))
     seeds = ", ".join(str(summary["seed"]) for summary in first)
     text = "\n".join(comparison_rows(variants)) + f"\n\nSeeds {seeds}; median and range."
-    return text + (f" {void} days were void and are left out.\n" if void else "\n")
+    return text + (f" {void} void scenarios are left out.\n" if void else "\n")
 
 
 def comparison_rows(variants: dict[str, list[dict]]) -> list[str]:
@@ -170,7 +170,7 @@
 
 def save(summaries: list[dict], folder: Path) -> None:
     """Write report.md, report.json and the plots into a folder."""
-    # Loading matplotlib takes long; reports without plots do without it.
+    # Imported here because matplotlib loads slowly and only the plots need it.
     from cypresswalk.lab.plots import save_plots
 
     folder.mkdir(parents=True, exist_ok=True)
--- a/cypresswalk/lab/result.py
+++ b/cypresswalk/lab/result.py
@@ -1,4 +1,4 @@
-"""What came of one scenario played with one variant and seed."""
+"""The result of one scenario, played with one variant and seed."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -13,14 +13,14 @@
     """The raw result. The names of its fields are the keys of `day.json`.
 
     Attributes:
-        began: When the first clients could come, by the lab's clock in nanoseconds.
-        ended: When the last could.
-        void: Why the result says nothing about the balancer; empty if it does.
+        began: The time from which clients could arrive, in nanoseconds of the lab's clock.
+        ended: The time until which clients could arrive, in nanoseconds of the lab's clock.
+        void: The reason why the result says nothing about the balancer; empty if it is valid.
         breaches: The first violations of the rules, as text.
-        broken: Number of violations by rule.
-        samples: Second, balancer, resident bytes, descriptors, seconds of processor time.
-        counters: Each balancer's own counters.
-        lateness_ms: How late the lab itself was.
+        broken: The number of violations by rule.
+        samples: Tuples of second, balancer, resident bytes, file descriptors and CPU seconds.
+        counters: Each balancer's counters.
+        lateness_ms: Statistics of the lab's own lateness, in milliseconds.
         events: All observations.
     """
 
@@ -38,7 +38,7 @@
     events: list[Observation] = field(default_factory=list)
 
     def save(self, folder: Path) -> None:
-        """Write the observations and the rest into a folder."""
+        """Write the observations and the other fields to two files in a folder."""
         observations.save(self.events, folder / "events.jsonl")
         data = asdict(self) | {"events": len(self.events)}
         (folder / "day.json").write_text(json.dumps(data, indent=1))
--- a/cypresswalk/lab/rules.py
+++ b/cypresswalk/lab/rules.py
@@ -1,4 +1,4 @@
-"""The limits that the checker holds balancers to, and what a violation of them is."""
+"""The limits that the checker applies to balancers, and violations of them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 from cypresswalk.lab.servers import turnover
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-# Granted beyond each limit on sockets by the platform's own rules.
+# The slack beyond each limit that the platform's rules allow for timing on sockets.
 DEFAULT_SLACK = 50 * MILLISECOND
 # Lines of evidence that a printed violation shows.
 MAX_EVIDENCE_LINES = 12
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TypeRule:
-    """How often a flow of one type may run.
+    """The rule on repeated execution of flows of one type.
 
     Attributes:
-        effect: "repeatable", "referenced" or "once-only", the words of the experiment file.
-        scope: Where an idempotency key holds: "all", "zone" or "cell".
-        window: How long an idempotency key holds, in nanoseconds.
+        effect: "repeatable", "referenced" or "once-only", as in the experiment file.
+        scope: The servers for which an idempotency key is valid: "all", "zone" or "cell".
+        window: The time for which an idempotency key is valid, in nanoseconds.
     """
 
     effect: str
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRule:
-    """One server's place and capacity.
+    """One server's location and capacity.
 
     Attributes:
-        zone: Its zone.
-        cell: Its cell.
-        capacity: Loads that it carries when warm.
-        warm_up_initial_fraction: The share of its capacity that it has as it starts.
-        warm_up: How long until it has the whole, in nanoseconds.
+        zone: The server's zone.
+        cell: The server's cell.
+        capacity: The load that it can carry when warm.
+        warm_up_initial_fraction: The share of its capacity that it has when it starts.
+        warm_up: The time from its start to its full capacity, in nanoseconds.
     """
 
     zone: str
@@ -52,14 +52,16 @@
     """The limits of one scenario.
 
     Attributes:
-        types: By the flow type's name.
-        servers: By the server's name.
-        max_attempts: Attempts that one flow may take.
-        drain_grace: How long after a drain a server may still get attempts, in nanoseconds.
-        overload_factor: Budget of a cold server over what it serves in the overload window.
-        overload_window: The span over which that budget counts, in nanoseconds.
-        turnover: Loads that one place of load serves a second.
-        slack: Nanoseconds granted beyond each limit.
+        types: The type rules by flow type name.
+        servers: The server rules by server name.
+        max_attempts: The maximum number of attempts of one flow.
+        drain_grace: The time after a drain's notification during which a server may still get
+            attempts, in nanoseconds.
+        overload_factor: The budget of a cold server, relative to the load that it can serve within
+            the overload window.
+        overload_window: The time window of that budget, in nanoseconds.
+        turnover: The load that one unit of capacity serves per second.
+        slack: The tolerance beyond each time limit, in nanoseconds.
     """
 
     types: dict[str, TypeRule]
@@ -73,7 +75,7 @@
 
     @staticmethod
     def of(experiment: Experiment) -> "Rules":
-        """Return the rules that hold in an experiment."""
+        """Return the rules of an experiment."""
         settings = experiment.settings
         types = {
             flow_type.name: TypeRule(
@@ -105,13 +107,13 @@
 
 @dataclass(slots=True)
 class Violation:
-    """A rule that was broken.
+    """A violation of a rule.
 
     Attributes:
         rule: The rule's name.
-        flow: The id of the flow; empty if of none.
-        at: When, in nanoseconds of the lab's clock.
-        message: What was wrong.
+        flow: The id of the flow; empty for none.
+        at: The time, in nanoseconds of the lab's clock.
+        message: A description of the violation.
         evidence: The observations that show it.
     """
 
@@ -122,7 +124,7 @@
     evidence: list[Observation]
 
     def __str__(self) -> str:
-        """Return a line that says it and the first lines of evidence."""
+        """Return a line that describes the violation, followed by the first lines of evidence."""
         shown = self.evidence[:MAX_EVIDENCE_LINES]
         lines = "".join(f"\n    {observation}" for observation in shown)
         head = f"{self.rule}: {self.flow or '-'} at {self.at / 1e9:.3f} s"
