--- a/cypresswalk/lab/servers.py
+++ b/cypresswalk/lab/servers.py
@@ -1,8 +1,9 @@
-"""Simulated servers: what each does with a connection, a line or a health check.
+"""Simulated servers: how each handles connections, lines and health checks.
 
-No I/O, no clock; random numbers are handed in. A server is a backlog of work in front of a number
-of cores. Each connection takes a steady part of them; a set-up and a health check add to the
-backlog; load beyond the capacity makes it grow. A line waits behind it. Times are nanoseconds.
+No I/O, no clock; the caller passes in the source of random numbers. A server is modelled as a
+backlog of work in front of a number of cores. Each connection takes a constant share of the cores.
+A set-up or a health check adds to the backlog, and load beyond the capacity makes it grow. A line
+waits until the backlog is processed. Times are in nanoseconds.
 """
 
 from collections import Counter, deque
@@ -13,13 +14,13 @@
 from cypresswalk.lab.experiment import Experiment, ScheduledFault, ServerGroup, server_names
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-MIN_SPARE_SHARE = 0.05  # of a server's capacity, for the time of a line's own service
-MIN_LEFT_SHARE = 0.01  # of a server's cores, beside another program
-LINE_SERVICE_S = 0.001  # of an idle server
+MIN_SPARE_SHARE = 0.05  # of a server's capacity, to bound the service time of a line
+MIN_LEFT_SHARE = 0.01  # of a server's cores, left over by another program
+LINE_SERVICE_S = 0.001  # service time of a line at an idle server
 
 
 class Reply(Enum):
-    """What a server does with a new connection."""
+    """A server's reaction to a new connection."""
 
     UP = "up"
     BUSY = "busy"
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class Connection:
-    """An established connection: its load, its group if any, and since when."""
+    """An established connection: its load, its group (or ""), and when it was established."""
 
     load: float
     group: str
@@ -46,7 +47,7 @@
 
 
 class SimulatedServer:
-    """One server's model. Its host reports what arrives and when, and carries out the answers."""
+    """The model of one server; its driver reports arrivals and their times and sends answers."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
 
         Args:
             name: The server's name.
-            group: What servers of its kind are like.
-            random: Source of its random numbers.
-            overload_factor: Of the rule on cold servers, see `budget`.
-            overload_window: Of the same rule, in nanoseconds.
-            turnover: Loads that one place of load serves a second, see `turnover`.
+            group: The server group, with the properties of its servers.
+            random: The source of its random numbers.
+            overload_factor: The factor of a cold server's budget; see `budget`.
+            overload_window: The time window of that budget, in nanoseconds.
+            turnover: The load that one unit of capacity serves per second; see `turnover`.
         """
-        # Over 40 lines since it sets one attribute a line.
+        # Longer than 40 lines because each line sets one attribute.
         self.name = name
         self.group = group
         self.random = random
@@ -77,16 +78,16 @@
         self.warm_up = int(group.warm_up_s * SECOND)
         self.state = ServerState.IN_SERVICE
         self.running = True
-        # Nanoseconds; 0 is long ago.
+        # Start time in nanoseconds; 0 if it was long ago.
         self.started = 0
         self.connections: dict[int, Connection] = {}
         self.connection_load = 0.0
-        # Connections of each group.
+        # Number of connections by group.
         self.groups: Counter[str] = Counter()
-        # Seconds of the whole server's work.
+        # Work in seconds of all cores of the server, as of `backlog_at`.
         self.backlog_s = 0.0
         self.backlog_at = 0
-        # When and how much load arrived within the overload window, while cold.
+        # Time and amount of each load that arrived within the overload window, while cold.
         self.recent_loads: deque[tuple[int, float]] = deque()
         self.overloaded = False
         # Injected faults.
@@ -100,28 +101,28 @@
     # Capacity.
 
     def warmth(self, now: int) -> float:
-        """Return the share of its capacity that it has, by the time since its start."""
+        """Return the share of its full capacity that it has at a time since its start."""
         if not self.started or now - self.started >= self.warm_up:
             return 1.0
         initial = self.group.warm_up_initial_fraction
         return initial + (1 - initial) * (now - self.started) / self.warm_up
 
     def capacity(self, now: int) -> float:
-        """Return the loads that it can carry now."""
+        """Return the load that it can carry now."""
         group = self.group
         warm = group.cores * group.speed * group.per_core * self.warmth(now)
         return warm / self.slowness * (1 - self.stolen_share)
 
     def demand(self) -> float:
-        """Return the loads that connections and their groups take."""
+        """Return the load of its connections and their groups."""
         return self.connection_load + self.group.group_work * len(self.groups)
 
     def utilization(self, now: int) -> float:
-        """Return demand over capacity; above 1.0 the backlog grows."""
+        """Return demand divided by capacity; above 1.0, the backlog grows."""
         return self.demand() / max(self.capacity(now), 1e-9)
 
     def update_backlog(self, now: int) -> None:
-        """Bring the backlog up to now."""
+        """Compute the backlog as of now."""
         span_s = (now - self.backlog_at) / SECOND
         if span_s > 0:
             growth = (self.utilization(now) - 1) * span_s
@@ -129,7 +130,7 @@
             self.backlog_at = now
 
     def delay(self, now: int) -> int:
-        """Return how long a line waits: its own service, longer as cores fill, and the backlog."""
+        """Return the delay of a line: the backlog plus a service time that utilization extends."""
         self.update_backlog(now)
         spare = max(1 - self.utilization(now), MIN_SPARE_SHARE)
         return int((LINE_SERVICE_S / spare + self.backlog_s) * SECOND)
@@ -143,7 +144,7 @@
     # What arrives.
 
     def open(self, now: int, number: int, load: float, group: str) -> tuple[Reply, int]:
-        """Take a new connection; return the reply and after how many nanoseconds it is sent."""
+        """Handle a new connection; return the reply and its delay in nanoseconds."""
         self.update_backlog(now)
         self._count_while_cold(now, load)
         if self.silent or self.hanging:
@@ -165,7 +166,7 @@
         return Reply.UP, self.delay(now)
 
     def close(self, now: int, number: int) -> None:
-        """Forget a connection that ended; one that is not known is ignored."""
+        """Remove a connection that ended; ignore an unknown one."""
         self.update_backlog(now)
         connection = self.connections.pop(number, None)
         if connection is None:
@@ -177,15 +178,15 @@
                 del self.groups[connection.group]
 
     def echo_delay(self, now: int) -> int | None:
-        """Return how long the echo of a line takes; None: it never comes."""
+        """Return the delay of a line's echo; None if it never comes."""
         if self.silent or self.hanging or not self.running:
             return None
         return self.delay(now)
 
     def health_check_delay(self, now: int) -> int | None:
-        """Return how long the answer to a health check takes; None: it never comes.
+        """Return the delay of the answer to a health check; None if it never comes.
 
-        A hanging server answers health checks: that is what makes it a fault of its own.
+        A hanging server still answers health checks, which distinguishes it from a silent one.
         """
         if self.silent or not self.running:
             return None
@@ -194,7 +195,7 @@
         return MILLISECOND if self.hanging else self.delay(now)
 
     def connection_to_drop(self, now: int) -> int | None:
-        """Return the newest connection's number if the backlog is too long, else None."""
+        """Return the number of the newest connection if the backlog is too long, else None."""
         self.update_backlog(now)
         if self.backlog_s <= self.group.max_backlog_s or not self.connections:
             return None
@@ -202,13 +203,13 @@
             return None
         return max(self.connections, key=lambda number: self.connections[number].since)
 
-    # Rule four: a cold server that gets more than its budget fails.
+    # Rule four: a cold server that gets more load than its budget crashes.
 
     def budget(self, now: int) -> float:
-        """Return the loads that all balancers may send it within the overload window.
+        """Return the load that all balancers together may send it within the overload window.
 
-        It is what the server, as warm as it is, can set up and serve to the end in that time, times
-        the overload factor.
+        It is the load that the server, with its current capacity, can serve to the end in that
+        time, multiplied by the overload factor.
         """
         window = self.overload_window
         return self.overload_factor * self.capacity(now) * self.turnover * window / SECOND
@@ -224,10 +225,10 @@
         if total > max(self.budget(now), 1.0) and len(self.recent_loads) > 1:
             self.overloaded = True
 
-    # Its process.
+    # Stop and start of its process.
 
     def stop(self, now: int) -> list[int]:
-        """End its process; return the numbers of the connections that break."""
+        """Stop its process; return the numbers of the connections that break."""
         lost = list(self.connections)
         self.running = False
         self.silent = False
@@ -239,7 +240,7 @@
         return lost
 
     def start(self, now: int, started: int) -> None:
-        """Start it cold. `started` is the same moment by the clock that `warmth` is asked by."""
+        """Start it cold; `started` is the same time as `now`, by the clock of calls of `warmth`."""
         self.running = True
         self.overloaded = False
         self.started = started
@@ -250,9 +251,9 @@
 
 
 def turnover(experiment: Experiment) -> float:
-    """Return the loads that one place of load serves a second, by the mix of types.
+    """Return the load that one unit of capacity serves per second, for the mix of types.
 
-    It is the mean load of a new connection over the mean of load times lifetime.
+    It is the mean load of a new connection, divided by the mean of load times lifetime.
     """
     total = sum(t.share for t in experiment.types)
     loads = sum(t.share / total * sum(t.load) / 2 for t in experiment.types)
@@ -263,7 +264,7 @@
 
 
 def build_servers(experiment: Experiment, seed: int) -> dict[str, SimulatedServer]:
-    """Return all servers by name; those that a `grow` adds are not running yet."""
+    """Return all servers by name; those that a `grow` fault adds are not running yet."""
     settings = experiment.settings
     loads_per_place = turnover(experiment)
     servers = {
@@ -286,12 +287,12 @@
 
 
 def added_servers(experiment: Experiment, fault: ScheduledFault) -> list[str]:
-    """Return the servers that a `grow` adds: so many of those named, the last ones first."""
+    """Return the servers that a `grow` fault adds: the last `amount` of those named."""
     return matching_servers(experiment, fault.servers)[::-1][: int(fault.amount)]
 
 
 def matching_servers(experiment: Experiment, names: list[str]) -> list[str]:
-    """Return the servers that names mean: a server's, a group's or a zone's name, or `all`."""
+    """Return the servers selected by names of servers, groups or zones, or by `all`."""
     return [
         server
         for group in experiment.servers
--- a/cypresswalk/lab/soak.py
+++ b/cypresswalk/lab/soak.py
@@ -1,7 +1,7 @@
-"""A soak: random plans, each played with real processes and judged.
+"""A soak test: random plans, each played with real processes and then checked.
 
-A seed fails if a rule was broken, a balancer crashed, logged a fault of its own, went over its
-descriptors, or left a flow without an answer at a planned stop.
+A seed fails if a rule was violated, or if a balancer crashed, logged an internal fault, exceeded
+its file descriptors, or left a flow unanswered at a planned stop.
 """
 
 import json
@@ -21,19 +21,19 @@
 
 FAULT_IN_LOG = re.compile(r"Traceback|event=(fault|thread_failed)\b")
 MAX_SHOWN_FINDINGS = 20
-LEFT_ATTEMPT_TIME = SECOND // 10  # within which attempts for a client that left may begin
+LEFT_ATTEMPT_TIME = SECOND // 10  # time in which attempts for a client that left may begin
 MAX_LATE_ATTEMPTS = 2
 
 
 @dataclass(slots=True)
 class SeedVerdict:
-    """What came of one seed.
+    """The result of one seed.
 
     Attributes:
         seed: The seed.
-        findings: What was broken, the worst first; none if all held.
-        void: Why the play says nothing; empty if it does.
-        flows: How many flows were sent.
+        findings: The faults found, violations of the rules first; empty if there were none.
+        void: The reason why the result says nothing about the balancer; empty if it is valid.
+        flows: The number of flows sent.
     """
 
     seed: int
@@ -43,7 +43,7 @@
 
 
 def play_seed(seed: int, folder: Path) -> SeedVerdict:
-    """Play a seed's plan and judge it; plan, logs, observations and findings are in the folder.
+    """Play and check a seed's plan; write plan, logs, observations and findings to a folder.
 
     Raises:
         CommandError: A balancer does not start.
@@ -67,24 +67,25 @@
 
 
 def repeated_ids(events: Iterable[Observation]) -> set[str]:
-    """Return ids that a bad client said again.
+    """Return the flow ids that a misbehaving client repeated.
 
-    Whose line a balancer reads first is chance, and it forgets an id once its flow is over.
+    Violations of such flows don't count: it is random whose line a balancer reads first, and the
+    balancer forgets an id once its flow has ended.
     """
     return {event.flow for event in events if event.kind == "said_again"}
 
 
 def names_flow(breach: str, flows: set[str]) -> bool:
-    """Return whether a violation's text is of one of the flows."""
+    """Return whether a violation's text is about one of the flows."""
     words = breach.split(" at ", 1)[0].rsplit(": ", 1)
     return words[-1] in flows
 
 
 def unanswered_at_stops(events: Iterable[Observation]) -> list[str]:
-    """Return flows that a balancer was sent during a planned stop and did not answer.
+    """Return a finding for each flow sent to a balancer during its planned stop and not answered.
 
-    The checker excuses what a balancer's end cuts off; a planned stop excuses nothing, since
-    SIGKILL comes after the longest timeout.
+    The checker excuses flows that a balancer's end cuts off. A planned stop is no excuse, because
+    SIGKILL comes only after the longest timeout.
     """
     sent: dict[str, Observation] = {}
     settled: set[str] = set()
@@ -110,14 +111,14 @@
             continue
         if any(event.at <= stop <= over.at + SECOND for stop in stops[event.subject]):
             findings.append(
-                f"one answer: {flow} at {event.at / SECOND:.3f} s: sent to {event.subject}, which "
-                f"was stopped by plan, and not answered ({over.kind} {over.fields.get('how', '')})"
+                f"one answer: {flow} at {event.at / SECOND:.3f} s: sent to {event.subject}, "
+                f"stopped as planned, and not answered ({over.kind} {over.fields.get('how', '')})"
             )
     return findings
 
 
 def attempts_for_nobody(events: Iterable[Observation]) -> list[str]:
-    """Return attempts that began over 0.1 s after their client had left, from the third on."""
+    """Return findings for attempts begun over 0.1 s after their client left, if over two."""
     left_at: dict[str, int] = {}
     late: list[str] = []
     for event in events:
@@ -132,7 +133,7 @@
 
 
 def faults_logged(folder: Path) -> list[str]:
-    """Return the lines in which a balancer logged a fault of its own."""
+    """Return the log lines in which a balancer reports an internal fault."""
     return [
         f"{path.name}: {line[:300]}"
         for path in sorted(folder.glob("*.log"))
@@ -142,7 +143,7 @@
 
 
 def descriptors_beyond(experiment: Experiment, result: ScenarioResult) -> list[str]:
-    """Return the first sample of each balancer that held more descriptors than it may."""
+    """Return the first sample of each balancer in which it exceeded its descriptor limit."""
     groups = dict(zip(experiment.balancer_names(), experiment.balancer_groups(), strict=True))
     found: dict[str, str] = {}
     for second, name, _, descriptors, _ in result.samples:
--- a/cypresswalk/lab/soak_plan.py
+++ b/cypresswalk/lab/soak_plan.py
@@ -1,4 +1,4 @@
-"""Random plans of a soak: an experiment drawn from a seed alone (docs/design/soak.md)."""
+"""Random plans of a soak test: experiments drawn from a seed (docs/design/soak.md)."""
 
 from random import Random
 from typing import Any
@@ -8,13 +8,13 @@
 
 SECONDS = 16.0
 FIRST_FAULT_S = 2.0
-LAST_FAULT_S = 10.0  # so that its consequences end before the scenario does
-STOP_LASTS_S = 6.0  # SIGTERM to serving again, at the most
+LAST_FAULT_S = 10.0  # leaves time for the fault's effects before the scenario ends
+STOP_LASTS_S = 6.0  # maximum time from SIGTERM until the balancer serves again
 MAX_OUTAGE_S = 4.0
 CROWD_PROBABILITY = 0.3
 GOSSIP_PROBABILITY = 0.5
 POLLED_PROBABILITY = 0.3
-# Around SIGTERM: when each series of signals begins, in seconds from it.
+# Possible starts of a series of signals, in seconds relative to SIGTERM.
 SERIES_OFFSETS_S = (-0.05, 0.0, 0.01, 0.2, 1.0)
 SERIES = (["HUP"], ["HUP", "HUP", "HUP"], ["USR1", "HUP"])
 SERIES_AFTER_TERM = (["TERM"], ["TERM", "HUP"], ["HUP", "TERM", "TERM"])
@@ -30,7 +30,7 @@
 
 
 def soak_table(seed: int) -> Table:
-    """Return the experiment of a seed as its file would hold it."""
+    """Return the experiment of a seed in the form of an experiment file."""
     random = Random(f"soak/{seed}")
     zones = ["north", "south"][: random.randint(1, 2)]
     servers = random.randint(2, 4)
@@ -60,7 +60,7 @@
 
 
 def draw_types(random: Random) -> list[Table]:
-    """Draw the types of flows: one that may be repeated, and one that may not, or for a while."""
+    """Draw the types of flows: a repeatable one, and a once-only or referenced one."""
     return [
         {"name": "view", "share": 3, "life_s": [1, 6]},
         {
@@ -78,14 +78,14 @@
 def draw_faults(
     random: Random, zones: list[str], servers: int, balancers: list[str]
 ) -> list[Table]:
-    """Draw what happens: stops with their signals, reloads, faults of servers and of the list."""
+    """Draw the faults: stops with signals, reloads, faults of servers and of the endpoint list."""
     faults: list[Table] = []
     for name in random.sample(balancers, random.randint(1, len(balancers))):
         faults += draw_stop(random, name)
     for _ in range(random.randint(0, 2)):
         faults.append({"kind": "reload", "at_s": draw_moment(random), "balancers": ["all"]})
     names = [f"{zone}-{number}" for zone in zones for number in range(servers)]
-    # One server at least stays whole.
+    # At least one server has no fault.
     for name in random.sample(names, random.randint(1, len(names) - 1)):
         faults.append(draw_server_fault(random, name))
     if random.random() < 0.4:
@@ -95,18 +95,18 @@
 
 
 def draw_moment(random: Random) -> float:
-    """Draw the second at which a fault begins."""
+    """Draw the time at which a fault begins, in seconds."""
     return round(random.uniform(FIRST_FAULT_S, LAST_FAULT_S), 2)
 
 
 def draw_stop(random: Random, balancer: str) -> list[Table]:
-    """Draw a planned stop, and series of signals before, with and after its SIGTERM."""
+    """Draw a planned stop and series of signals before, at and after its SIGTERM."""
     latest = SECONDS - STOP_LASTS_S
     at_s = round(random.uniform(FIRST_FAULT_S, min(latest, LAST_FAULT_S)), 2)
     stop: Table = {"kind": "balancer_stop", "at_s": at_s, "for_s": 0.3, "balancers": [balancer]}
     faults = [stop]
     for offset in random.sample(SERIES_OFFSETS_S, random.randint(0, 3)):
-        # Before its SIGTERM another one would be an end that nobody asked for.
+        # A SIGTERM before that of the stop would end the balancer unexpectedly.
         kinds = (*SERIES, *SERIES_AFTER_TERM) if offset > 0.1 else SERIES
         series = {"kind": "signals", "signals": random.choice(kinds), "balancers": [balancer]}
         faults.append({"at_s": round(at_s + offset, 2)} | series)
--- a/cypresswalk/lab/source_tree.py
+++ b/cypresswalk/lab/source_tree.py
@@ -1,4 +1,4 @@
-"""The program's files of a variant: this checkout's, or those of an earlier revision."""
+"""The program's source of a variant: this checkout or an earlier revision."""
 
 import shutil
 import subprocess
@@ -16,10 +16,10 @@
 
 @contextmanager
 def source_tree(variant: Variant) -> Iterator[Path]:
-    """Give the folder of a variant's files; one made for it is removed at the end.
+    """Provide the folder of a variant's source; remove a temporary folder at the end.
 
     Raises:
-        CommandError: The revision can't be had from git.
+        CommandError: git can't export the revision.
     """
     if not variant.revision:
         yield ROOT
--- a/cypresswalk/lab/testbed/bed.py
+++ b/cypresswalk/lab/testbed/bed.py
@@ -1,4 +1,4 @@
-"""What all drivers share: the clock, the observations, the models and the running tasks."""
+"""The state that all drivers share: clock, observations, models and running tasks."""
 
 import asyncio
 import time
@@ -22,24 +22,24 @@
 
 
 class Bed:
-    """The test bed of one scenario.
+    """The testbed of one scenario.
 
     Attributes:
-        observations: What all drivers observed.
-        servers: The models by name.
-        server_addresses: By server and balancer: the address in the balancer's endpoint list.
-        balancer_addresses: Where clients reach each balancer.
-        edges: By zone.
-        failures: Of the lab itself; a scenario with one says nothing.
-        lateness: How late the event loop was at each check, in nanoseconds.
-        began: When the first clients may come; 0 before that.
+        observations: The observations of all drivers.
+        servers: The server models by name.
+        server_addresses: The address in the balancer's endpoint list, by server and balancer.
+        balancer_addresses: The address at which clients reach each balancer.
+        edges: The edge load balancers by zone.
+        failures: Failures of the lab itself; any of them makes the scenario void.
+        lateness: The lateness of the event loop at each check, in nanoseconds.
+        began: The time from which clients may arrive, in nanoseconds; 0 until it is set.
     """
 
     def __init__(self, experiment: Experiment, seed: int):
         """Build the models; nothing runs yet."""
         self.experiment = experiment
         self.seed = seed
-        # Start times in the list are wall time: that of the start, moved by the monotonic clock.
+        # Start times in the list are wall time, read once here and advanced by the monotonic clock.
         self.wall_offset = time.time_ns() - time.monotonic_ns()
         self.observations: list[Observation] = []
         self.servers = build_servers(experiment, seed)
@@ -66,19 +66,19 @@
         self.proxies: list[Proxy] = []
 
     def now(self) -> int:
-        """Return nanoseconds of the lab's clock."""
+        """Return the time of the lab's clock in nanoseconds."""
         return time.monotonic_ns() + self.wall_offset
 
     def observe(
         self, kind: str, flow: str = "", subject: str = "", /, **fields: object
     ) -> Observation:
-        """Record an observation of this moment; see `lab.observations` for the arguments."""
+        """Record an observation with the current time; see `lab.observations` for the arguments."""
         observation = Observation(self.now(), kind, flow, subject, fields)
         self.observations.append(observation)
         return observation
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
-        """Run a task until the scenario's end; an exception of it is a failure of the lab."""
+        """Run a task until the scenario's end; an exception in it is a failure of the lab."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -90,28 +90,28 @@
             self.failures.append(f"{type(task.exception()).__name__}: {task.exception()}")
 
     async def sleep_until(self, at: int) -> None:
-        """Sleep until a time of the lab's clock; return at once if it is past."""
+        """Sleep until a time of the lab's clock; return at once if it has passed."""
         wait = at - self.now()
         if wait > 0:
             await asyncio.sleep(wait / SECOND)
 
     async def watch_lateness(self) -> None:
-        """Measure for ever how late the event loop is."""
+        """Measure the lateness of the event loop, until cancelled."""
         while True:
             due = self.now() + LATENESS_CHECK_INTERVAL
             await self.sleep_until(due)
             self.lateness.append(max(self.now() - due, 0))
 
     async def with_faults(self, address: Address, plan: Plan, side: str) -> Address:
-        """Start a proxy that injects a plan's faults before an address; return the proxy's address.
+        """Start a proxy that injects a plan's faults in front of an address; return its address.
 
-        Where the plan has no fault there is no proxy, and the address itself is returned.
+        If the plan has no fault, start no proxy and return the address itself.
         """
         if plan == Plan():
             return address
 
         def on_fault(fault: Fault, ports: list[int]) -> None:
-            """Notes a fault and the ports of the connection that it strikes."""
+            """Record a fault and the ports of the connection that it hit."""
             self.observe("fault", "", side, ports=list(ports), kind=fault.kind.value)
 
         seed = self.seed + len(self.proxies)
@@ -121,13 +121,13 @@
         return proxy.address
 
     def one_way_delay(self, balancer: str, server: SimulatedServer) -> int:
-        """Return nanoseconds of one way between a balancer and a server."""
+        """Return the one-way delay between a balancer and a server, in nanoseconds."""
         same_zone = self.balancer_zone[balancer] == server.group.zone
         network = self.experiment.network
         return int((network.within_ms if same_zone else network.across_ms) * MILLISECOND)
 
     def encode_endpoint(self, endpoint: Endpoint, balancer: str) -> dict:
-        """Return an entry in the platform's form, with the server's address for a balancer."""
+        """Return an entry in the platform's format, with the server's address for a balancer."""
         group = self.servers[endpoint.server].group
         return {
             "instanceId": endpoint.server,
--- a/cypresswalk/lab/testbed/client_driver.py
+++ b/cypresswalk/lab/testbed/client_driver.py
@@ -1,4 +1,4 @@
-"""Simulated clients on sockets."""
+"""The driver of simulated clients on sockets."""
 
 import asyncio
 import contextlib
@@ -16,21 +16,21 @@
 )
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-# Clients wait somewhat longer than their timeout: a late answer is observed as late.
+# Clients wait this much longer than their timeout, so that a late answer is observed as late.
 LATE_ANSWER_S = 0.3
-SECOND_ANSWER_S = 1  # how long a second answer is waited for
-LAST_LINES_S = 1  # how long lines after a client's own end are waited for
+SECOND_ANSWER_S = 1  # wait for a second answer
+LAST_LINES_S = 1  # wait for lines after the client ended the connection
 OWN_END = "own"
-MOVE_LINE = "MOVE"  # of a balancer, or of a server that its balancer relays
+MOVE_LINE = "MOVE"  # sent by a balancer, or by a server and relayed by the balancer
 
 
 @dataclass(slots=True)
 class ConnectionResult:
-    """How one connection of a client went.
+    """The result of one connection of a client.
 
     Attributes:
-        ended: How it ended once established; empty if it never was.
-        retry_after: The wait that the client was told, in nanoseconds.
+        ended: The way in which an established connection ended; empty if it was not established.
+        retry_after: The wait that a rejection named, in nanoseconds; None if it named none.
     """
 
     ended: str = ""
@@ -42,10 +42,10 @@
     """One connection of a client to a balancer.
 
     Attributes:
-        end: When the client wants to be served no longer, by the lab's clock.
-        said: Lines sent.
-        heard: Lines received.
-        unanswered: When each line was sent whose echo has not come yet.
+        end: The time until which the client wants to be served, in nanoseconds.
+        said: The lines sent.
+        heard: The lines received.
+        unanswered: The sending time of each line whose echo has not come yet, in nanoseconds.
     """
 
     client: Client
@@ -60,10 +60,10 @@
 
 
 class ClientDriver:
-    """Lets each client come, be served or not, and come again as its habits say.
+    """A driver that connects each client and retries or reconnects as its behaviour says.
 
     Attributes:
-        established: The writers of established connections, by flow.
+        established: The writers of established connections by flow id.
         latest_id: The flow id sent last, for misbehaving clients to repeat.
     """
 
@@ -74,7 +74,7 @@
         self.latest_id = ""
 
     async def run(self, client: Client, began: int) -> None:
-        """Play one client from its arrival on."""
+        """Run one client from its arrival on."""
         bed = self.bed
         await bed.sleep_until(began + client.arrives_at)
         end = bed.now() + client.lifetime
@@ -103,7 +103,7 @@
             await asyncio.sleep(wait / SECOND)
 
     async def _connect(self, client: Client, end: int, marks: str) -> ConnectionResult:
-        """Play one connection; `marks` are added to its opening line."""
+        """Run one connection; append `marks` to its opening line."""
         bed = self.bed
         balancer = bed.edges[client.zone].pick()
         if balancer is None:
@@ -126,7 +126,7 @@
         end: int,
         marks: str = "",
     ) -> ConnectionResult:
-        """Send a flow's first line on an open connection, and play it to its end."""
+        """Send a flow's opening line on an open connection, and run the flow to its end."""
         connection = ClientConnection(client, client.next_id(), balancer, end, reader, writer)
         try:
             set_nodelay(writer)
@@ -171,7 +171,7 @@
             self.bed.observe("ended", flow, balancer, how="reset")
             return ConnectionResult()
         if not line.endswith(b"\n"):
-            # Nothing, or the part of an answer that a cut left.
+            # The connection ended without an answer or in the middle of one.
             self.bed.observe("ended", flow, balancer, how="end")
             return ConnectionResult()
         return await self._on_answer(connection, decode_line(line))
@@ -193,8 +193,8 @@
         return ConnectionResult(retry_after=retry_after_of(text) if kind == "busy" else None)
 
     async def _watch_for_second_answer(self, connection: ClientConnection) -> None:
-        """Wait for the end after a rejection; a further line is a second answer."""
-        with contextlib.suppress(*CONNECTION_ENDS):  # a timeout is an OSError too
+        """Wait for the connection's end after a rejection; record a further line as an answer."""
+        with contextlib.suppress(*CONNECTION_ENDS):  # includes TimeoutError, an OSError
             line = await asyncio.wait_for(connection.reader.readline(), SECOND_ANSWER_S)
             if line:
                 text = line.decode("ascii", "replace").strip()
@@ -202,7 +202,7 @@
                 self.bed.observe("answer", flow, connection.balancer, kind="failed", line=text)
 
     async def _talk(self, connection: ClientConnection) -> str:
-        """Talk on an established connection; return how it ended."""
+        """Exchange lines on an established connection; return how it ended."""
         connection.client.rejections = 0
         how = OWN_END
         try:
@@ -213,7 +213,7 @@
         except TimeoutError:
             pass
         except CONNECTION_ENDS:
-            # A reset after its own end changes nothing for it.
+            # A reset after the client's own end does not matter.
             if self.bed.now() < connection.end:
                 how = "cut" if connection.writer.transport.is_closing() else "reset"
         number = connection.client.number
@@ -230,10 +230,10 @@
         return how
 
     async def _hear_last_lines(self, connection: ClientConnection) -> None:
-        """Hear what was on its way to the client when it ended.
+        """Read the lines that were on the way to the client when it ended the connection.
 
-        A balancer that drains may have sent MOVE before it saw the client's end: that is no line
-        of the server.
+        A balancer that drains may have sent MOVE before it noticed the client's end; that is not a
+        line of the server.
         """
         while line := await asyncio.wait_for(connection.reader.readline(), LAST_LINES_S):
             text = decode_line(line)
@@ -241,7 +241,7 @@
                 connection.heard.append(text)
 
     async def _exchange_lines(self, connection: ClientConnection) -> str:
-        """Send lines and read echoes until the client's end or an earlier one; return which."""
+        """Send lines and read echoes until the connection ends; return how it ended."""
         interval = int(self.bed.experiment.clients.line_ms * MILLISECOND)
         next_line_at = self.bed.now() + connection.client.random.randrange(interval)
         while (now := self.bed.now()) < connection.end:
@@ -283,7 +283,7 @@
         )
 
     def cut(self, share: float) -> None:
-        """Reset a share of the established connections, as a network does to its clients."""
+        """Reset a share of the established connections, like a network failure."""
         random = Random(f"{self.bed.seed}/cut/{len(self.bed.observations)}")
         for flow, writer in list(self.established.items()):
             if random.random() < share:
@@ -292,14 +292,14 @@
 
 
 def kind_of_answer(text: str) -> str:
-    """Return "up", "busy" or "failed"."""
+    """Return the kind of an answer: "up", "busy" or "failed"."""
     if text.startswith("UP "):
         return "up"
     return "busy" if text.split(" ")[0] == "BUSY" else "failed"
 
 
 def retry_after_of(text: str) -> int | None:
-    """Return the wait that a rejection names, in nanoseconds."""
+    """Return the wait that a rejection names, in nanoseconds; None if it names none."""
     words = text.split(" ")[1:]
     if words and words[0].isdecimal():
         return int(words[0]) * MILLISECOND
--- a/cypresswalk/lab/testbed/gossip_relay.py
+++ b/cypresswalk/lab/testbed/gossip_relay.py
@@ -10,10 +10,10 @@
 
 
 class GossipRelay(asyncio.DatagramProtocol):
-    """Passes what one balancer sends to all others, late or not at all."""
+    """A relay that passes each balancer's messages to all others, with delay and loss."""
 
     def __init__(self, bed: Bed):
-        """Start without members."""
+        """Start without member addresses."""
         self.bed = bed
         self.random = Random(f"{bed.seed}/peers")
         self.members: list[Address] = []
@@ -21,12 +21,12 @@
         self.lost = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket; called by asyncio."""
-        # Of a datagram endpoint; Python 3.11's own class does not derive from DatagramTransport.
+        """Store the transport; called by asyncio."""
+        # Python 3.11's transport of a datagram endpoint does not derive from DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        """Pass a message on; called by asyncio."""
+        """Pass a message to all other members; called by asyncio."""
         network = self.bed.experiment.network
         for member in self.members:
             if member == sender[:2]:
--- a/cypresswalk/lab/testbed/list_driver.py
+++ b/cypresswalk/lab/testbed/list_driver.py
@@ -1,4 +1,4 @@
-"""The list service on sockets: one address for each balancer."""
+"""The driver of the list service on sockets, with one address for each balancer."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, LOOPBACK, MAX_LINE_BYTES
 from cypresswalk.lab.units import SECOND
 
-HEARTBEAT_S = 2  # between empty lines on a watch
+HEARTBEAT_S = 2  # interval between empty lines on a watch
 RETIREMENT_S = 1.5
 RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -20,10 +20,10 @@
 
 
 class ListAgentDriver:
-    """One address of the list service, for one balancer."""
+    """The driver of a list agent: one address of the list service, for one balancer."""
 
     def __init__(self, bed: Bed, balancer: str, agent: ListAgent):
-        """Prepare it; it does not listen yet."""
+        """Prepare the driver; it does not listen yet."""
         self.bed = bed
         self.balancer = balancer
         self.agent = agent
@@ -32,7 +32,7 @@
         self.address: Address = (LOOPBACK, 0)
 
     async def listen(self) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self.listener = await asyncio.start_server(self._accept, LOOPBACK, 0, limit=MAX_LINE_BYTES)
         self.address = self.listener.sockets[0].getsockname()[:2]
 
@@ -61,7 +61,7 @@
         since: int,
         follow: bool,
     ) -> None:
-        """Send what is newer than a version, once or as it comes."""
+        """Send the changes after a version, once or continuously (`follow`)."""
         while True:
             newer = since < self.agent.version or since == 0
             if newer and not self.agent.silent:
@@ -79,7 +79,7 @@
                 return
 
     def _send(self, writer: asyncio.StreamWriter, since: int) -> int:
-        """Send what changed since a version as one line; return the version sent."""
+        """Send the changes after a version as one line; return the version sent."""
         answer = self.agent.answer(since)
         instances = [
             self.bed.encode_endpoint(endpoint, self.balancer) for endpoint in answer.endpoints
@@ -103,17 +103,17 @@
         return answer.version
 
     async def learn(self, version: int) -> None:
-        """Let a version arrive at this address, late."""
+        """Deliver a version to this agent after a delay."""
         await asyncio.sleep(self.agent.next_delay() / SECOND)
         if self.agent.learn(version):
             self.changed.set()
 
     def wake(self) -> None:
-        """Let watches look for changes."""
+        """Make all watches check for changes."""
         self.changed.set()
 
     async def retire(self) -> None:
-        """Take no new connection, and end those that are open after a while."""
+        """Accept no more connections, and close the open ones after RETIREMENT_S."""
         self.listener.close()
         await asyncio.sleep(RETIREMENT_S)
         for writer in list(self.writers):
@@ -123,7 +123,7 @@
 def publish(
     bed: Bed, agents: Iterable[ListAgentDriver], server: str, state: ServerState, started_ms: int
 ) -> None:
-    """Change a server's entry in the list; each agent learns of it late."""
+    """Change a server's entry in the list; the change reaches each agent after a delay."""
     version = bed.listing.add(server, state, started_ms)
     for agent in agents:
         bed.spawn(agent.learn(version))
--- a/cypresswalk/lab/testbed/misbehaving_clients.py
+++ b/cypresswalk/lab/testbed/misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol. They are owed an error or an end, and no more."""
+"""Clients that break the protocol. A balancer must send them an error or disconnect them."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 async def misbehave(
     bed: Bed, clients: ClientDriver, misbehaviour: str, zone: str, number: int
 ) -> None:
-    """Play one misbehaving client; see `lab.clients.MISBEHAVIOURS`."""
+    """Run one misbehaving client; see `lab.clients.MISBEHAVIOURS`."""
     balancer = bed.edges[zone].pick()
     if balancer is None or misbehaviour == "twice" and not clients.latest_id:
         return
@@ -43,7 +43,7 @@
 
 
 def bytes_of(bed: Bed, misbehaviour: str, number: int, latest_id: str) -> bytes:
-    """Return what a misbehaving client sends."""
+    """Return the bytes that a misbehaving client sends."""
     flow_type = bed.experiment.types[0].name
     tenant = bed.experiment.tenants[0].name
     valid = f"OPEN x{number} k1 c={flow_type},t={tenant},d=1000\r\n".encode()
--- a/cypresswalk/lab/testbed/resting_clients.py
+++ b/cypresswalk/lab/testbed/resting_clients.py
@@ -1,7 +1,8 @@
-"""Clients that keep a connection open, at rest, and use it until the balancer ends it.
+"""Clients that keep an idle connection open and use it now and then until the balancer ends it.
 
-Some ask PING now and then, and one day send a flow; others, the crowd, say nothing. They reach a
-balancer directly, as connections that the edge opened before do: also while it shuts down.
+Resting clients send PING from time to time and eventually a flow; those of the crowd send nothing.
+They connect to a balancer directly, not through the edge load balancer, also while it shuts down:
+like connections that the edge opened earlier.
 """
 
 import asyncio
@@ -12,12 +13,12 @@
 from cypresswalk.lab.testbed.client_driver import ClientDriver
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, MAX_LINE_BYTES, decode_line
 
-REST_S = (0.02, 0.6)  # between two uses of a connection
+REST_S = (0.02, 0.6)  # range of the idle time between two uses of a connection
 RECONNECT_S = (0.05, 0.4)
-FLOW_PROBABILITY = 0.15  # that a use is a flow's first line
+FLOW_PROBABILITY = 0.15  # that a use is a flow's opening line rather than PING
 PING_ANSWER_S = 3.0
 CROWD_STARTS_WITHIN_S = 2.0
-FIRST_NUMBER = 1_000_000  # clients of the load have lower ones
+FIRST_NUMBER = 1_000_000  # other clients have lower numbers
 NUMBERS_PER_BALANCER = 100_000
 USABLE = ("PONG", "ERR")  # answers after which the connection may be used again
 
@@ -26,12 +27,12 @@
     """The resting clients of all balancers."""
 
     def __init__(self, bed: Bed, clients: ClientDriver):
-        """Start without any; `clients` plays their flows."""
+        """Start without clients; `clients` runs their flows."""
         self.bed = bed
         self.clients = clients
 
     async def run(self, balancer: str, began: int) -> None:
-        """Play a balancer's resting clients and its crowd for ever."""
+        """Run a balancer's resting clients and its crowd, until cancelled."""
         await self.bed.sleep_until(began)
         habits = self.bed.experiment.clients
         first = FIRST_NUMBER + NUMBERS_PER_BALANCER * self.bed.balancers.index(balancer)
@@ -42,14 +43,14 @@
     async def _rest(self, balancer: str, number: int) -> None:
         random = Random(f"{self.bed.seed}/resting/{number}")
         while True:
-            # One that is refused, or ends while it is at rest, is opened again.
+            # A connection that is refused, or that ends while idle, is opened again.
             with contextlib.suppress(*CONNECTION_ENDS):
                 await self._use_connection(balancer, number, random)
             number += self.bed.experiment.clients.resting
             await asyncio.sleep(random.uniform(*RECONNECT_S))
 
     async def _use_connection(self, balancer: str, number: int, random: Random) -> None:
-        """Use one connection until it ends or its one flow, the client's of that number, does."""
+        """Use one connection until it ends, or until the flow of the client `number` ends."""
         address = self.bed.balancer_addresses[balancer]
         reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE_BYTES)
         try:
@@ -79,7 +80,9 @@
             except OSError:
                 await asyncio.sleep(random.uniform(*RECONNECT_S))
                 continue
-            with contextlib.suppress(*CONNECTION_ENDS):  # reset: it makes room for others
+            with contextlib.suppress(
+                *CONNECTION_ENDS
+            ):  # a balancer resets idle connections to make room for others
                 await reader.read()
             writer.close()
             await asyncio.sleep(random.uniform(*RECONNECT_S))
--- a/cypresswalk/lab/testbed/server_driver.py
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -1,4 +1,4 @@
-"""A simulated server on sockets."""
+"""The driver of a simulated server on sockets."""
 
 import asyncio
 from functools import partial
@@ -18,16 +18,16 @@
 LISTEN_BACKLOG = 512  # connections
 WORK_INTERVAL_S = 0.25
 LOAD_REPORT_EVERY = 4  # work intervals
-REPORT_ABOVE_PART = 3  # a delay over this part of the tightest message latency objective
+REPORT_ABOVE_PART = 3  # reports delays above 1/3 of the tightest message latency objective
 
 
 class ServerConnection:
-    """A connection established at a server, and what was said on it."""
+    """A connection established at a server, and the lines exchanged on it."""
 
     __slots__ = ("number", "flow", "writer", "said", "heard", "last_echo_at", "broken")
 
     def __init__(self, number: int, flow: str, writer: asyncio.StreamWriter):
-        """Start with nothing said."""
+        """Start without any lines exchanged."""
         self.number = number
         self.flow = flow
         self.writer = writer
@@ -37,17 +37,17 @@
         self.broken = False
 
     def say(self, text: str) -> None:
-        """Send a line unless the connection ended."""
+        """Send a line, unless the connection has ended."""
         if not self.broken and not self.writer.transport.is_closing():
             self.said.append(text)
             self.writer.write(text.encode() + b"\r\n")
 
 
 class ServerDriver:
-    """One server on sockets, with a port for each balancer: so the way between them is known."""
+    """One server on sockets, with a port per balancer, which identifies the balancer."""
 
     def __init__(self, bed: Bed, model: SimulatedServer):
-        """Prepare it; it does not listen yet."""
+        """Prepare the driver; it does not listen yet."""
         self.bed = bed
         self.model = model
         self.ports: dict[str, int] = {}
@@ -59,9 +59,9 @@
     # Listening and reading.
 
     async def listen(self) -> None:
-        """Listen, at the same ports as before if it did.
+        """Listen on one port per balancer; after a restart, on the same ports as before.
 
-        A port that another process took is recorded as a failure of the lab.
+        If another process has taken a port, record a failure of the lab.
         """
         for balancer in self.bed.balancers:
             port = self.ports.get(balancer)
@@ -81,7 +81,7 @@
             self.listeners.append(listener)
 
     async def _publish(self, balancer: str, port: int) -> None:
-        """Take a port; its address, behind a proxy if faults are planned, goes into the list."""
+        """Store a port and its address for a balancer: a fault proxy's if faults are planned."""
         self.ports[balancer] = port
         plan = self.bed.experiment.connection_faults.servers
         address = await self.bed.with_faults((LOOPBACK, port), plan, "server")
@@ -108,7 +108,7 @@
     async def _read_requests(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer health checks until the opening line of a flow."""
+        """Answer health checks until a flow's opening line, then serve the flow."""
         while line := await reader.readline():
             word = line.split(b" ", 1)[0].strip()
             if word in (b"PING", b"STATS"):
@@ -163,7 +163,8 @@
         try:
             released = await self._wait_before_reply(reply, wait, balancer, reader)
             if released or not self.model.running:
-                # A crash ends a pending attempt too: the checker must not take it for pending.
+                # A crash ends a pending attempt as well, so that the checker does not take it for
+                # still pending.
                 kind = "let_go" if self.model.running else "broke"
                 self.bed.observe(kind, flow, self.model.name, number=number, how="reset")
                 return
@@ -180,7 +181,7 @@
     ) -> bool:
         """Wait until the reply is due; return whether the balancer ended the connection first.
 
-        A server that fell silent has no reply: it waits for the balancer's end.
+        A server that has become silent sends no reply and waits until the balancer disconnects.
         """
         if reply is not Reply.SILENT:
             way = self.bed.one_way_delay(balancer, self.model)
@@ -211,7 +212,7 @@
     async def _echo(
         self, connection: ServerConnection, balancer: str, reader: asyncio.StreamReader
     ) -> None:
-        """Echo each line, late as the model says, until one side ends the connection."""
+        """Echo each line with the model's delay, until one side ends the connection."""
         try:
             while line := await reader.readline():
                 text = line.decode().rstrip("\r\n")
@@ -242,13 +243,13 @@
         if wait is None:
             return
         way = 2 * self.bed.one_way_delay(balancer, self.model)
-        # Lines of one connection are served in the order in which they came.
+        # Lines of one connection are echoed in the order in which they came.
         connection.last_echo_at = max(connection.last_echo_at, self.bed.now() + wait + way)
         delay = max(connection.last_echo_at - self.bed.now(), 0)
         asyncio.get_running_loop().call_later(delay / SECOND, connection.say, text)
 
     def end(self, connection: ServerConnection, how: str) -> None:
-        """End a connection: "bye" or "move" say so and close it, "reset" resets it."""
+        """End a connection: send BYE or MOVE and close it ("bye", "move"), or reset it."""
         if connection.broken:
             return
         if how != "reset":
@@ -261,10 +262,10 @@
         else:
             connection.writer.close()
 
-    # Its process.
+    # Stop and start of its process.
 
     def _fail(self) -> None:
-        """Crash from too much load while cold; it stays down."""
+        """Crash because of too much load while cold, and stay down."""
         self.bed.observe("fell", "", self.model.name)
         self.crash()
 
@@ -275,7 +276,7 @@
         self.listeners.clear()
 
     def crash(self) -> None:
-        """End its process: all connections are reset."""
+        """Stop its process and reset all its connections."""
         name = self.model.name
         self.bed.observe("server_down", "", name)
         self.model.stop(self.bed.now())
@@ -296,7 +297,11 @@
         return now // MILLISECOND
 
     async def work(self) -> None:
-        """Drop connections that are too much, and report the delay on one while it is long."""
+        """Drop connections above the backlog limit and report long delays, until cancelled.
+
+        A report goes to one random connection; the first short delay after long ones is reported as
+        well.
+        """
         objectives = [t.message_latency_objective_ms for t in self.bed.experiment.types]
         min_reported_ms = min(objectives) / REPORT_ABOVE_PART
         random = Random(f"{self.bed.seed}/load/{self.model.name}")
@@ -315,7 +320,7 @@
                     connection.say(f"LOAD {delay_ms:.1f}")
 
     def _load_report_due(self) -> bool:
-        """Whether this is the one of some work intervals in which the server can report."""
+        """Return whether the server reports its load in this work interval."""
         interval = self.bed.now() // int(WORK_INTERVAL_S * SECOND)
         if interval % LOAD_REPORT_EVERY or not self.connections:
             return False
@@ -323,12 +328,12 @@
 
 
 def receipt_of(number: int) -> str:
-    """Return the line with which a server accepts a connection."""
+    """Return the line with which a server accepts a flow."""
     return f"UP r{number}"
 
 
 async def ended_within(reader: asyncio.StreamReader, wait: int) -> bool:
-    """Return whether the peer ends a connection within so many nanoseconds."""
+    """Return whether the peer ends a connection within `wait` nanoseconds."""
     try:
         return not await asyncio.wait_for(reader.readline(), wait / SECOND)
     except TimeoutError:
--- a/cypresswalk/lab/testbed/streams.py
+++ b/cypresswalk/lab/testbed/streams.py
@@ -1,4 +1,4 @@
-"""What all drivers do with asyncio's streams."""
+"""Functions on asyncio streams that all drivers use."""
 
 import asyncio
 import contextlib
@@ -6,9 +6,9 @@
 import struct
 
 LOOPBACK = "127.0.0.1"
-MAX_LINE_BYTES = 8192  # twice the protocol's
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
-# Errors that mean no more than that a connection ended or the peer broke the protocol.
+MAX_LINE_BYTES = 8192  # twice the protocol's limit
+ABORT = struct.pack("ii", 1, 0)  # value of SO_LINGER: on, 0 s
+# Errors that only mean that a connection ended or that the peer broke the protocol.
 CONNECTION_ENDS = (
     ConnectionError,
     asyncio.IncompleteReadError,
@@ -28,10 +28,10 @@
 
 
 def set_nodelay(writer: asyncio.StreamWriter) -> None:
-    """Send each line at once."""
+    """Disable Nagle's algorithm, so that each line is sent at once."""
     writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def decode_line(line: bytes) -> str:
-    """Return a line as text without its end."""
+    """Return a line as text, without its line end."""
     return line.decode("ascii", "replace").rstrip("\r\n")
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -1,10 +1,11 @@
-"""The balancer, with a line on standard error for each event and each decision.
+"""The balancer, with a trace line on standard error for each event and each decision.
 
-A line reads `trace SECONDS EVENT FIELD ...`: the time in seconds of the balancer's clock, the
-event's name, then its fields. A server is `s` and its number in hexadecimal.
+The format of a line is `trace SECONDS EVENT FIELD ...`: the time in seconds of the balancer's
+clock, the event's name, and its fields. A server is written as `s` and its number in hexadecimal.
 
-For counting across a fleet: `deploy/traced.toml` starts it, docs/measurements/fleet.md counts. Not
-for service: the lines take time of their own and are not held back by the log's limit.
+Used to count events across a fleet: `deploy/traced.toml` starts it, docs/measurements/fleet.md uses
+the lines. Not for production: writing the lines takes time, and the log's rate limit does not apply
+to them.
 """
 
 import os
@@ -22,30 +23,30 @@
 from cypresswalk.net.session import Attempt, Session
 from cypresswalk.service.program import main
 
-STANDARD_ERROR = 2  # file descriptor; written at once, without a buffer
+STANDARD_ERROR = 2  # file descriptor; written to directly, without a buffer
 SECOND = 1_000_000_000  # in nanoseconds
 MILLISECOND = 1_000_000
 MICROSECOND = 1_000
 
 
 def write_line(now: int, event: str, *fields: object) -> None:
-    """Writes one line; `now` in nanoseconds, written in seconds."""
+    """Write one trace line; `now` is in nanoseconds, the line has seconds."""
     words = ["trace", f"{now / SECOND:.4f}", event, *map(str, fields)]
     os.write(STANDARD_ERROR, " ".join(words).encode() + b"\n")
 
 
 def server_label(server: Server) -> str:
-    """The server's number as the lines have it."""
+    """Return the server's number in the trace format."""
     return f"s{server.id:08x}"
 
 
 def limit_field(server: Server) -> str:
-    """The server's concurrency limit as the lines have it."""
+    """Return the server's concurrency limit in the trace format."""
     return f"limit={server.concurrency_limit:.1f}"
 
 
 def endpoint_field(endpoint: Endpoint) -> str:
-    """An entry of the endpoint list: number, state, zone, weight, start, host and port."""
+    """Return an entry of the endpoint list: number, state, zone, weight, start, host, port."""
     server, address = endpoint
     fields: list[object] = [
         server_label(server),
@@ -60,17 +61,17 @@
 
 
 def phase_of(session: Session) -> str:
-    """`standing` once the session is established, `setup` before."""
+    """Return `standing` if the session is established, else `setup`."""
     return "standing" if session.established else "setup"
 
 
 class TracedCore(Core):
-    """The core, with a line for each event and for each decision that is a method of its own."""
+    """The core, with a trace line for each event and each decision that has its own method."""
 
-    now = 0  # nanoseconds; when decisions were last carried out
+    now = 0  # nanoseconds; the time at which decisions were last carried out
 
     def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
-        """Writes `open`: id, service type, timeout, group, whether it returns, server before."""
+        """Write `open`: id, service type, timeout, group, first or again, previous server."""
         values = request.values
         write_line(
             now,
@@ -87,14 +88,14 @@
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
     ) -> None:
-        """Writes `connect`: id, server, attempt's number, timeout in milliseconds."""
+        """Write `connect`: id, server, attempt number, timeout in milliseconds."""
         timeout_ms = (deadline - now) // MILLISECOND
         ident = session.request.ident
         write_line(now, "connect", ident, server_label(server), number, timeout_ms)
         super().start_attempt(now, session, server, number, deadline)
 
     def on_established(self, now: int, attempt: Attempt) -> None:
-        """Writes `up`: id, server, attempt's number, microseconds that it took."""
+        """Write `up`: id, server, attempt number, duration in microseconds."""
         write_line(
             now,
             "up",
@@ -106,7 +107,7 @@
         super().on_established(now, attempt)
 
     def on_attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        """Writes `ended` for a session's latest attempt: as `up`, with outcome and phase."""
+        """Write `ended` for a session's latest attempt: like `up`, plus outcome and phase."""
         session = attempt.session
         if session.attempt is attempt and not session.finished:
             write_line(
@@ -122,19 +123,19 @@
         super().on_attempt_ended(now, attempt, outcome)
 
     def on_client_left(self, now: int, session: Session) -> None:
-        """Writes `left`: id, phase."""
+        """Write `left`: id, phase."""
         if session.has_flow and not session.finished:
             write_line(now, "left", session.request.ident, phase_of(session))
         super().on_client_left(now, session)
 
     def end_session(self, now: int, session: Session, reply: bytes) -> None:
-        """Writes `answer`: id, the reply."""
+        """Write `answer`: id, reply."""
         ident = session.request.ident if session.has_flow else "-"
         write_line(now, "answer", ident, reply.strip().decode())
         super().end_session(now, session, reply)
 
     def migrate(self, now: int, flow: Flow) -> None:
-        """Writes `move`: id, server, its consecutive failures, health and limit."""
+        """Write `move`: id, server, the server's consecutive failures, health and limit."""
         session = self.sessions[flow]
         attempt = session.attempt
         assert attempt is not None  # the session is established
@@ -153,19 +154,19 @@
     def on_health_check_result(
         self, now: int, server: Server, passed: bool, load: list[float]
     ) -> None:
-        """Writes `probed`: server, result, health after it."""
+        """Write `probed`: server, result, health after the check."""
         super().on_health_check_result(now, server, passed, load)
         result = "passed" if passed else "failed"
         write_line(now, "probed", server_label(server), result, server.health)
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
-        """Writes `delay`: server, microseconds, limit after it."""
+        """Write `delay`: server, delay in microseconds, limit after the update."""
         super().on_message_delay(now, server, delay)
         delay_us = delay // MICROSECOND
         write_line(now, "delay", server_label(server), delay_us, limit_field(server))
 
     def on_gossip(self, now: int, message: bytes) -> None:
-        """Writes `heard`: server, load (1.0 at the message latency objective)."""
+        """Write `heard`: server, load (1.0 at the message latency objective)."""
         gossip = unpack_gossip(self.balancer, message)
         if gossip:
             server, load = gossip
@@ -179,41 +180,41 @@
         entries: list[Endpoint],
         older: bool = False,
     ) -> None:
-        """Writes `listed`: kind of update, the entries."""
+        """Write `listed`: kind of update, entries."""
         write_line(now, "listed", update.name, *map(endpoint_field, entries))
         super().on_endpoints(now, update, entries, older)
 
     def on_endpoints_failed(self, now: int) -> None:
-        """Writes `list_failed`."""
+        """Write `list_failed`."""
         write_line(now, "list_failed")
         super().on_endpoints_failed(now)
 
     def carry_out_decisions(self, now: int) -> None:
-        """Keeps the time for the drivers' lines."""
+        """Carry out the decisions, and keep the time for the trace lines of the drivers."""
         self.now = now
         super().carry_out_decisions(now)
 
 
 class TracedDrivers:
-    """The drivers, with a line for decisions for which the core has no method of its own."""
+    """The drivers, with a trace line for each decision that has no own method in the core."""
 
-    core: TracedCore  # set once it is built
+    core: TracedCore  # set after the core is built
 
     def __init__(self, drivers: Drivers):
-        """Calls without a line go to `drivers` as they are."""
+        """Forward all calls to `drivers`, with a trace line for some."""
         self.drivers = drivers
 
     def __getattr__(self, name: str) -> Any:
-        """A call without a line."""
+        """Return the driver's method for a call without a trace line."""
         return getattr(self.drivers, name)
 
     def check_health(self, server: Server, address: Address) -> None:
-        """Writes `probe`: server, host, port."""
+        """Write `probe`: server, host, port."""
         write_line(self.core.now, "probe", server_label(server), *address)
         self.drivers.check_health(server, address)
 
     def send_gossip(self, message: bytes) -> None:
-        """Writes `tell`: server, load (1.0 at the message latency objective)."""
+        """Write `tell`: server, load (1.0 at the message latency objective)."""
         gossip = unpack_gossip(self.core.balancer, message)
         if gossip is not None:
             server, load = gossip
@@ -221,7 +222,7 @@
         self.drivers.send_gossip(message)
 
     def request_endpoints(self) -> None:
-        """Writes `subscribe`."""
+        """Write `subscribe`."""
         write_line(self.core.now, "subscribe")
         self.drivers.request_endpoints()
 
@@ -229,7 +230,7 @@
 def build_traced_core(
     config: Config, drivers: Drivers, counters: Counters, now: int, policy: type[Balancer]
 ) -> TracedCore:
-    """The core for `main`; writes `settings`."""
+    """Return the core for `main`, and write `settings`."""
     traced_drivers = TracedDrivers(drivers)
     core = TracedCore(config, cast(Drivers, traced_drivers), counters, now, policy)
     traced_drivers.core = core
