--- a/tests/lab/lab_helpers.py
+++ b/tests/lab/lab_helpers.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the lab: a small experiment, a simulated server, the lab's command."""
+"""Helpers for the tests of the lab: a small experiment, a simulated server, the lab command."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 
 COMMAND_TIMEOUT_S = 60
 
-# It carries 2 * 10 loads when it is warm.
+# Its servers have a capacity of 2 * 10 when warm.
 SERVER_GROUP = ServerGroup(
     name="m",
     zone="a",
@@ -29,7 +29,7 @@
 
 
 def simulated_server(**faults: Any) -> SimulatedServer:
-    """A server without connections; faults are attributes of the server."""
+    """Return a server without connections; `faults` sets attributes of the server."""
     server = SimulatedServer(
         "m-0", SERVER_GROUP, Random(1), overload_factor=2, overload_window=2 * SECOND, turnover=0.1
     )
@@ -39,7 +39,7 @@
 
 
 def small_experiment(**changes: Any) -> Experiment:
-    """An experiment with one balancer and three servers; changes are keys of its file."""
+    """Return an experiment with one balancer and three servers; `changes` replaces file keys."""
     data = {
         "name": "small",
         "seconds": 4,
@@ -54,7 +54,7 @@
 
 
 def run_lab(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the lab's command to its end."""
+    """Run the lab command until it exits."""
     return subprocess.run(
         [sys.executable, "-m", "cypresswalk", "lab", *arguments],
         cwd=ROOT,
--- a/tests/lab/mutant_balancer.py
+++ b/tests/lab/mutant_balancer.py
@@ -1,7 +1,7 @@
-"""A small balancer that breaks a rule in one chosen way, or none.
+"""A small balancer that violates a rule in one selectable way, or none.
 
-`python mutant_balancer.py MUTATION` reads PROXY_CONFIG as the real balancer does. The checker must
-detect each mutation, and pass the balancer without one.
+`python mutant_balancer.py MUTATION` reads PROXY_CONFIG like the real balancer. The checker must
+detect each mutation, and find no violation by the balancer without one.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class Mutation(StrEnum):
-    """What the balancer does wrong."""
+    """The fault that the balancer has."""
 
     NONE = "none"
     NEVER_ANSWERS = "never-answers"
@@ -42,7 +42,7 @@
     CUTS_CONNECTION = "cuts-connection"
 
 
-# Of these every fourth flow shows the mutation; the others are served as they should be.
+# These mutations affect only every fourth flow; the other flows are served correctly.
 OF_EVERY_FOURTH_FLOW = {
     Mutation.NEVER_ANSWERS,
     Mutation.ANSWERS_LATE,
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Stream:
-    """Both directions of a connection."""
+    """The reader and writer of a connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """A server's first line, and the connection; None if it was refused."""
+    """A server's first line, and the connection; the latter is None if it was refused."""
 
     answer: bytes
     stream: Stream | None
@@ -75,13 +75,13 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of "host:port"."""
+    """Return host and port of an address "host:port"."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 async def attempt(server: Server, line: bytes) -> Attempt:
-    """Send a request to a server; one that refuses the connection has not run it."""
+    """Send a request to a server; a refused connection counts as rejected, as it did not run."""
     try:
         stream = Stream(*await asyncio.open_connection(*split_address(server["hostPort"])))
     except OSError:
@@ -94,10 +94,10 @@
 
 
 class MutantBalancer:
-    """Serves clients at one listener by the servers of its endpoint list."""
+    """A balancer that serves clients at one listener with the servers of its endpoint list."""
 
     def __init__(self, config: dict[str, Any], mutation: Mutation) -> None:
-        """Start with the servers that the configuration knows."""
+        """Start with the servers of the configuration's endpoint list."""
         self.config = config
         self.mutation = mutation
         self.servers: dict[str, Server] = {}
@@ -110,14 +110,14 @@
         self.update(config["known"]["instances"])
 
     async def serve(self) -> None:
-        """Listen, and follow the endpoint list, for ever."""
+        """Listen and follow the endpoint list, until cancelled."""
         server = await asyncio.start_server(
             self.serve_client, *split_address(self.config["listen"])
         )
         await asyncio.gather(server.serve_forever(), self.follow_list())
 
     def update(self, entries: list[Server]) -> None:
-        """Take over changes of the endpoint list."""
+        """Apply changes of the endpoint list."""
         for entry in entries:
             name = entry["instanceId"]
             is_drain = name in self.servers and entry["lifecycle"] != "in_service"
@@ -125,7 +125,7 @@
                 self.servers[name] = entry
 
     async def follow_list(self) -> None:
-        """Ask for the endpoint list, and take over each change."""
+        """Watch the endpoint list and apply each change."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(
@@ -140,7 +140,7 @@
                 await asyncio.sleep(0.05)
 
     def candidates(self) -> list[Server]:
-        """Servers that take flows; warm ones if there are any."""
+        """Return the servers in service, only the warm ones if there are any."""
         ready = [entry for entry in self.servers.values() if entry["lifecycle"] == "in_service"]
         cold = [entry for entry in ready if entry["startedAtMs"]]
         if self.mutation is Mutation.PREFERS_COLD_SERVERS and cold:
@@ -150,7 +150,7 @@
     async def serve_client(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer health checks, and then one flow."""
+        """Answer health checks, then serve one flow."""
         try:
             while (line := await reader.readline()) == b"PING\r\n":
                 writer.write(b"PONG\r\n")
@@ -158,12 +158,12 @@
                 self.flows += 1
                 await self.serve_flow(line, self.flows, Stream(reader, writer))
         except OSError:
-            pass  # the client is gone
+            pass  # the client has disconnected
         finally:
             writer.close()
 
     async def serve_flow(self, line: bytes, number: int, client: Stream) -> None:
-        """Answer a flow, wrongly if it is the mutation's turn."""
+        """Serve a flow; every fourth one with a mutation that affects only those."""
         values = dict(pair.split("=", 1) for pair in line.decode().split()[3].split(","))
         timeout_s = float(values["d"]) / 1000
         if number % 4 == 0 and self.mutation in OF_EVERY_FOURTH_FLOW:
@@ -174,7 +174,7 @@
         await self.answer(line, number, values["c"] in self.once_only, client)
 
     async def answer_wrongly(self, line: bytes, timeout_s: float, client: Stream) -> None:
-        """Break rule one in the mutation's way."""
+        """Violate rule one in the way of the mutation."""
         match self.mutation:
             case Mutation.NEVER_ANSWERS:
                 await asyncio.sleep(timeout_s + 1)
@@ -189,9 +189,9 @@
                 await attempt(self.candidates()[0], line)
 
     async def answer(self, line: bytes, number: int, once_only: bool, client: Stream) -> None:
-        """Try some servers in turn and answer with what the first one says that takes the flow."""
+        """Try servers in turn, and answer with the reply of the first one that accepts the flow."""
         servers = self.candidates()
-        beside: list[asyncio.Task[Attempt]] = []  # their connections stay open while the flow lasts
+        beside: list[asyncio.Task[Attempt]] = []  # references keep their connections open
         for turn in range(ATTEMPTS):
             if self.mutation is Mutation.TWO_ATTEMPTS_AT_ONCE:
                 other = servers[(number + 1) % len(servers)]
@@ -212,7 +212,7 @@
         client.writer.write(FAILED if once_only else REJECTED)
 
     async def relay(self, client: Stream, server: Stream) -> None:
-        """Pass lines both ways until both ends have ended, or until the mutation cuts."""
+        """Relay lines in both directions until both sides end, or until the mutation cuts."""
         cuts = self.mutation is Mutation.CUTS_CONNECTION
         directions = [self.relay_up(client, server), self.relay_down(client, server)]
         await asyncio.wait(
@@ -222,7 +222,7 @@
         server.writer.close()
 
     async def relay_up(self, client: Stream, server: Stream) -> None:
-        """Pass the client's lines, but for the second if that is the mutation."""
+        """Relay the client's lines, without the second one if that is the mutation."""
         number = 0
         while line := await client.reader.readline():
             number += 1
@@ -231,7 +231,7 @@
         server.writer.write_eof()
 
     async def relay_down(self, client: Stream, server: Stream) -> None:
-        """Pass the server's lines, the second twice or only three if that is the mutation."""
+        """Relay the server's lines; a mutation doubles the second one or stops after three."""
         number = 0
         while line := await server.reader.readline():
             number += 1
@@ -242,7 +242,7 @@
 
 
 def main() -> None:
-    """Serve as the arguments and the environment say."""
+    """Run the balancer with the mutation and configuration given."""
     config = json.loads(Path(os.environ["PROXY_CONFIG"]).read_text())
     asyncio.run(MutantBalancer(config, Mutation(sys.argv[1])).serve())
 
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker on observations written by hand, and on mutant balancers that the lab plays."""
+"""Tests of the checker with hand-written observations and with mutant balancers."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -36,72 +36,72 @@
     turnover=0.1,
 )
 
-# Builders of observations. All times are milliseconds from the scenario's start.
+# Builders of observations. All times are in milliseconds since the scenario's start.
 
 
 def observation(at: int, kind: str, flow: str, subject: str, /, **fields: object) -> Observation:
-    """An observation of any kind."""
+    """Return an observation of any kind."""
     return Observation(at * MILLISECOND, kind, flow, subject, fields)
 
 
 def sent(at, kind="view", flow="f", balancer="b0"):
-    """A client sent a flow, which it gives a second."""
+    """Return that a client sent a flow, with a timeout of one second."""
     return observation(at, "sent", flow, balancer, type=kind, wait_ms=1000, person=1)
 
 
 def repeated(at, balancer="b0"):
-    """A misbehaving client sent the flow's id again."""
+    """Return that a misbehaving client repeated the flow's id."""
     return observation(at, "said_again", "f", balancer)
 
 
 def answer(at, kind="up", line="UP r1", flow="f"):
-    """A client heard an answer."""
+    """Return that a client received an answer."""
     return observation(at, "answer", flow, "b0", kind=kind, line=line)
 
 
 def attempt(at, number=1, server="s0", flow="f", balancer="b0"):
-    """A server heard of a flow."""
+    """Return that a server received an attempt of a flow."""
     return observation(at, "attempt", flow, server, balancer=balancer, number=number, load=1.0)
 
 
 def reply(at, kind="up", number=1, server="s0", flow="f"):
-    """A server replied."""
+    """Return that a server replied."""
     receipt = f"UP r{number}"
     return observation(at, "reply", flow, server, number=number, kind=kind, receipt=receipt)
 
 
 def let_go(at, number=1):
-    """A server's connection was closed by the balancer."""
+    """Return that the balancer closed its connection to a server."""
     return observation(at, "let_go", "f", "s0", number=number)
 
 
 def lines(side, said, heard):
-    """What one side said and heard on an established connection."""
+    """Return the lines that one side of an established connection sent and received."""
     return observation(900, "lines", "f", "b0", side=side, said=said, heard=heard, number=1)
 
 
 def ended(at, how):
-    """A client's connection ended."""
+    """Return that a client's connection ended."""
     return observation(at, "ended", "f", "b0", how=how)
 
 
 def told(at, state, version=0):
-    """A balancer was told of s0's state."""
+    """Return that a balancer was notified of s0's state."""
     return observation(at, "told", "", "b0", server="s0", life=state, version=version)
 
 
 def balancer_down(at):
-    """The balancer died."""
+    """Return that the balancer died."""
     return observation(at, "balancer_down", "", "b0")
 
 
 def server_down(at):
-    """Server s0 died."""
+    """Return that server s0 died."""
     return observation(at, "server_down", "", "s0")
 
 
 def second_attempt(at, server="s1", reply_server="s1", answer_after=5):
-    """A second attempt that is replied to and answered."""
+    """Return a second attempt with its reply and the client's answer."""
     return [
         attempt(at, 2, server),
         reply(at + 10, "up", 2, reply_server),
@@ -110,7 +110,7 @@
 
 
 def established(at):
-    """A flow that is sent, attempted, replied to and answered, the attempt `at` that time."""
+    """Return an attempt at time `at`, its reply and the client's answer."""
     return [attempt(at), reply(at + 2), answer(at + 4)]
 
 
@@ -189,20 +189,20 @@
         ),
         pytest.param(
             [told(0, "terminating"), told(1500, "in_service"), sent(1900), *established(1940)],
-            id="attempt after the drain was taken back",
+            id="attempt after the drain was cancelled",
         ),
         pytest.param(
             [repeated(0, "b1"), *GOOD, attempt(14, 9, "s1", balancer="b1")],
-            id="misbehaving client's copy at another balancer",
+            id="id repeated by a misbehaving client at another balancer",
         ),
     ],
 )
-def test_histories_that_the_rules_allow_pass(events):
+def test_allowed_histories_have_no_violation(events):
     assert [str(violation) for violation in check(events, RULES)] == []
 
 
 def retried_flow(kind, first_end, second_at, server="s1"):
-    """A flow of which the first attempt was let go and a second one made."""
+    """Return a flow whose first attempt the balancer ended and which it then retried."""
     return [
         sent(0, kind),
         attempt(5),
@@ -212,7 +212,7 @@
 
 
 def flows_at_started_server(count):
-    """Many flows at s1, which has just started."""
+    """Return `count` flows at s1, which has just started."""
     events = [observation(0, "server_up", "", "s1")]
     for number in range(count):
         flow = f"f{number}"
@@ -226,7 +226,7 @@
 
 
 def busy_attempts(count):
-    """Attempts one after the other, each at a busy server."""
+    """Return consecutive attempts, each at a busy server."""
     events = []
     for number in range(count):
         events += [attempt(5 + 20 * number, number), reply(10 + 20 * number, "busy", number)]
@@ -290,7 +290,7 @@
                 sent(1050),
                 *established(1100),
             ],
-            id="an older list takes no drain back",
+            id="an older list does not cancel a drain",
         ),
         (COLD_SERVERS, "s1, started at 0.000 s", flows_at_started_server(9)),
         (
@@ -330,7 +330,7 @@
         ),
     ],
 )
-def test_each_violation_is_found_and_named(rule, message, events):
+def test_each_violation_is_reported_with_its_rule_flow_and_evidence(rule, message, events):
     found = check(events, RULES)
     texts = [str(violation) for violation in found]
     assert [violation.rule for violation in found] == [rule], texts
@@ -345,7 +345,7 @@
     assert load(tmp_path / "events") == GOOD
 
 
-# Mutant balancers, played.
+# Scenarios with mutant balancers.
 
 EXPERIMENT = toml.decode(
     {
@@ -380,7 +380,7 @@
 
 @dataclass(frozen=True)
 class Expected:
-    """What the checker must say of a mutant."""
+    """The violation that the checker must find in a mutant: its rule and part of its message."""
 
     rule: str
     message: str
@@ -403,29 +403,29 @@
     Mutation.CUTS_CONNECTION: Expected(LINES, "cut off without MOVE"),
 }
 SIDE_BY_SIDE = 5
-# On one worker, so that the mutants are played once.
+# On one pytest worker, so that the mutants are played only once.
 on_one_worker = pytest.mark.xdist_group("mutant_balancers")
 
 
 def play_mutant(mutation: Mutation, folder: Path) -> ScenarioResult:
-    """Play the experiment with a mutant in the balancer's place."""
+    """Play the experiment with a mutant instead of the balancer."""
     command = [sys.executable, str(Path(__file__).parent / "mutant_balancer.py"), mutation]
     variant = EXPERIMENT.variants[0]
     result = played(EXPERIMENT, variant, 1, folder / mutation, command=command)
-    result.events = []  # they need not come back from the process
+    result.events = []  # not needed, so not transferred from the process
     return result
 
 
 @pytest.fixture(scope="module")
 def played_mutants(tmp_path_factory) -> dict[Mutation, ScenarioResult]:
-    """What came of each mutant, some of them played side by side."""
+    """Return the result of each mutant; up to SIDE_BY_SIDE of them are played in parallel."""
     play = partial(play_mutant, folder=tmp_path_factory.mktemp("mutants"))
     with ProcessPoolExecutor(SIDE_BY_SIDE) as pool:
         return dict(zip(Mutation, pool.map(play, Mutation), strict=True))
 
 
 @on_one_worker
-def test_the_balancer_without_a_mutation_passes(played_mutants):
+def test_the_balancer_without_a_mutation_has_no_violation(played_mutants):
     result = played_mutants[Mutation.NONE]
     assert not result.void, result.void
     assert not result.broken, result.breaches
@@ -444,6 +444,6 @@
         text.startswith(expected.rule) and expected.message in text for text in result.breaches
     ), result.breaches
     assert expected.rule in result.broken
-    # What it does right is not blamed: only two attempts at once may violate other rules too.
+    # No other rule may be reported; only two attempts at once may violate other rules as well.
     if mutation is not Mutation.TWO_ATTEMPTS_AT_ONCE:
         assert set(result.broken) == {expected.rule}, result.breaches
--- a/tests/lab/test_client_population.py
+++ b/tests/lab/test_client_population.py
@@ -1,4 +1,4 @@
-"""The lab's clients: who comes when, and what each does when it is rejected."""
+"""Tests of the lab's clients: their arrivals and their reaction to a rejection."""
 
 import pytest
 from lab_helpers import small_experiment
@@ -14,7 +14,7 @@
 
 
 def drawn_clients(population: ClientPopulation) -> set[tuple]:
-    """What was drawn for each client."""
+    """Return the properties drawn for each client."""
     return {
         (client.number, client.arrives_at, client.lifetime, client.group, client.type.name)
         for client in population.all()
@@ -38,7 +38,7 @@
     assert arrivals[0] != arrivals[1]
 
 
-def test_clients_come_at_the_rate_of_the_file():
+def test_clients_arrive_at_the_rate_of_the_experiment_file():
     experiment = small_experiment(seconds=100)
     counts = [len(ClientPopulation(experiment, seed).all()) for seed in range(5)]
     assert 9 < sum(counts) / 5 / 100 < 11
@@ -46,17 +46,17 @@
 
 @pytest.fixture
 def client() -> Client:
-    """A client that waits after a rejection, twice."""
+    """Return a client that retries twice, each time after a wait."""
     return ClientPopulation(small_experiment(clients=WAITING), 1).client(0, 0)
 
 
 @pytest.fixture
 def habits() -> Clients:
-    """The habits of that client."""
+    """Return the configured behaviour of that client."""
     return small_experiment(clients=WAITING).clients
 
 
-def test_a_client_waits_as_it_is_told_or_by_its_own_habit_and_stops_retrying(client, habits):
+def test_a_client_waits_for_retry_after_or_its_own_delay_and_stops_retrying(client, habits):
     assert client.delay_after_rejection(habits, RETRY_AFTER) == RETRY_AFTER
     own_delay = client.delay_after_rejection(habits, None)
     assert 10 * MILLISECOND <= own_delay <= 20 * MILLISECOND
@@ -68,7 +68,7 @@
     assert client.delay_after_rejection(habits, RETRY_AFTER) <= 20 * MILLISECOND
 
 
-def test_a_client_that_lost_its_connection_may_retry_as_often_as_at_first(client, habits):
+def test_a_client_that_lost_its_connection_may_retry_as_often_as_a_new_one(client, habits):
     client.delay_after_rejection(habits, None)
     assert client.delay_after_disconnect(habits) is not None
     assert client.rejections == 0
--- a/tests/lab/test_lab_endpoint_list.py
+++ b/tests/lab/test_lab_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The lab's endpoint list, its agents, and the edge load balancer, without sockets."""
+"""Tests of the lab's endpoint list, list agents and edge load balancer, without sockets."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def endpoint_list() -> EndpointList:
-    """A list of two servers, of which one drains and then ends."""
+    """Return a list of two servers, one of which drains and then terminates."""
     changes = EndpointList()
     changes.add("s-0", ServerState.IN_SERVICE, 0)
     changes.add("s-1", ServerState.IN_SERVICE, 0)
@@ -23,11 +23,11 @@
 
 @pytest.fixture
 def agent(endpoint_list: EndpointList) -> ListAgent:
-    """An agent that has both servers, and has not heard yet that one drains."""
+    """Return an agent that has both servers, but not yet the drain of one."""
     return ListAgent(endpoint_list, small_experiment(), Random(1), 2)
 
 
-def test_an_agent_takes_changes_in_any_order(agent):
+def test_an_agent_accepts_versions_in_any_order(agent):
     assert not agent.learn(2)
     assert agent.learn(4)
     assert not agent.learn(3)
--- a/tests/lab/test_lab_metrics.py
+++ b/tests/lab/test_lab_metrics.py
@@ -1,4 +1,4 @@
-"""What the lab counts as service, and which differences it believes."""
+"""Tests of the lab's service metric and of the verdict on differences between variants."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from cypresswalk.lab.units import SECOND
 
 
-def test_service_counts_only_what_came_back_in_time():
+def test_service_counts_only_lines_that_came_back_in_time():
     echoes = [(SECOND, 5.0), (2 * SECOND, 900.0), (3 * SECOND, 5.0)]
     connection = EstablishedConnection(0, 5 * SECOND, echoes)
     assert served_spans(connection, 10 * SECOND, 100, 500) == [
@@ -17,7 +17,7 @@
     ]
 
 
-def test_service_of_a_connection_that_is_silent_ends_with_the_first_line():
+def test_service_of_a_connection_without_echoes_ends_when_the_first_line_is_due():
     connection = EstablishedConnection(0, 9 * SECOND)
     assert served_spans(connection, 9 * SECOND, 100, 500) == [(0, 1_100_000_000)]
 
@@ -29,12 +29,12 @@
 
 
 def summaries(values: list[int]) -> list[dict[str, int]]:
-    """Summaries of one repeat a seed, with one value each."""
+    """Return one summary per seed, each with one value."""
     return [{"seed": seed, "value": value} for seed, value in enumerate(values)]
 
 
 def value_of(summary: dict[str, int]) -> int:
-    """The value that is compared."""
+    """Return the compared value."""
     return summary["value"]
 
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Short scenarios with the real balancer."""
+"""Tests that play short scenarios with the real balancer."""
 
 import json
 import os
@@ -49,7 +49,7 @@
     "left",
 }
 
-# Cuts at any byte of the request, the answer and the first lines.
+# Cuts at random bytes of the request, the answer and the first lines.
 CUTS = {"kinds": ["cut", "half_close", "truncate", "black_hole"], "within": 110}
 CUT_CONNECTIONS = {
     "clients": {"random": [CUTS | {"chance": 0.15}]},
@@ -68,17 +68,17 @@
 
 
 def play(experiment: Experiment, seed: int, folder: Path) -> ScenarioResult:
-    """Play the experiment's first variant, again if the machine itself was late."""
+    """Play the experiment's first variant; repeat it if the machine was late."""
     return played(experiment, experiment.variants[0], seed, folder)
 
 
 def count_of(result: ScenarioResult, kind: str) -> int:
-    """How many observations there are of a kind."""
+    """Return the number of observations of a kind."""
     return sum(event.kind == kind for event in result.events)
 
 
 def short_hang_experiment(folder: Path) -> Path:
-    """The shipped experiment with a hanging server, cut to five seconds."""
+    """Return the shipped experiment with a hanging server, shortened to five seconds."""
     text = (ROOT / "experiments/hang.toml").read_text()
     for shipped, short in (
         ("seconds = 20", "seconds = 5"),
@@ -132,7 +132,7 @@
 
 
 def test_cut_connections_on_both_sides_keep_the_rules(tmp_path):
-    """What may have run is not sent again, and nobody gets two answers."""
+    """Check that flows that may have run are not sent again, and that none gets two answers."""
     experiment = small_experiment(
         seconds=6, load={"course": [[0, 20]]}, types=ALL_EFFECTS, between=CUT_CONNECTIONS
     )
@@ -145,7 +145,7 @@
 
 @pytest.fixture
 def head_revision() -> str:
-    """The commit that is checked out."""
+    """Return the commit that is checked out."""
     command = ["git", "rev-parse", "HEAD"]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     if run.returncode:
@@ -187,7 +187,7 @@
 
 
 def test_a_lab_that_was_late_voids_its_scenario(tmp_path):
-    """Else the balancer would be blamed for a machine that stood still."""
+    """Otherwise violations caused by a stalled machine would be attributed to the balancer."""
     stalled_at: list[float] = []
 
     def stall_once(second: float) -> None:
@@ -201,7 +201,7 @@
     assert result.void.startswith("the lab itself was late: ")
 
 
-def test_a_balancer_that_ends_by_itself_is_a_violation(tmp_path):
+def test_a_balancer_that_exits_before_it_serves_is_reported(tmp_path):
     experiment = small_experiment(seconds=1)
     command = [sys.executable, "-c", "import time; time.sleep(0.1); raise SystemExit(7)"]
     with pytest.raises(CommandError, match="balancer b0 does not serve"):
@@ -209,7 +209,7 @@
 
 
 def wait_until_balancers_run(lab: psutil.Process, folder: Path) -> list[psutil.Process]:
-    """The lab's children, once both balancers have begun to log."""
+    """Return the lab's child processes, once both balancers have begun to log."""
     end = time.monotonic() + START_TIMEOUT_S
     while len(children := lab.children()) < 2 or not list(folder.glob("*/b1.log")):
         assert time.monotonic() < end
--- a/tests/lab/test_simulated_servers.py
+++ b/tests/lab/test_simulated_servers.py
@@ -1,4 +1,4 @@
-"""The simulated servers of the lab, without sockets."""
+"""Tests of the lab's simulated servers, without sockets."""
 
 import pytest
 from hypothesis import given, settings
@@ -12,12 +12,12 @@
 
 
 def open_reply(server: SimulatedServer, number: int = 1, load: float = 1.0) -> Reply:
-    """What the server replies to a connection."""
+    """Return the server's reply to a new connection."""
     return server.open(0, number, load, "")[0]
 
 
 def echo_delay(server: SimulatedServer, now: int) -> int:
-    """How long a line takes there and back, of a server that answers."""
+    """Return the echo delay of a server, which must answer."""
     delay = server.echo_delay(now)
     assert delay is not None
     return delay
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def cold_server() -> SimulatedServer:
-    """A server that starts at one second."""
+    """Return a server that started cold at one second."""
     server = simulated_server()
     server.start(SECOND, SECOND)
     return server
@@ -60,7 +60,7 @@
 
 
 def test_a_cold_server_is_overloaded_by_more_than_its_budget_within_the_window(cold_server):
-    """The budget is 2 * 5 loads * 0.1 a second * 2 s = 2 loads."""
+    """The budget is factor 2 * capacity 5 * turnover 0.1 per second * window 2 s = load 2."""
     overloaded = []
     for number in range(3):
         cold_server.open(SECOND + number, number, 1.0, "")
@@ -119,7 +119,7 @@
 
 
 def assert_totals_match_connections(server: SimulatedServer) -> None:
-    """Load, groups and backlog are those of the open connections."""
+    """Assert that load and groups match the open connections and the backlog is not negative."""
     connections = server.connections.values()
     assert abs(server.connection_load - sum(found.load for found in connections)) < 1e-9
     assert sum(server.groups.values()) == sum(bool(found.group) for found in connections)
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: plans drawn from a seed, what is judged beyond the checker, and a few seeds played."""
+"""Tests of the soak: random plans, findings beyond the checker's, and a few played seeds."""
 
 import signal
 import subprocess
@@ -29,7 +29,7 @@
 
 
 def seen(second: float, kind: str, flow: str = "", subject: str = "", /, **fields) -> Observation:
-    """An observation at a second."""
+    """Return an observation at a time in seconds."""
     return Observation(int(second * SECOND), kind, flow, subject, fields)
 
 
@@ -42,7 +42,7 @@
     assert any(experiment.clients.crowd for experiment in experiments)
 
 
-def test_no_second_sigterm_comes_before_the_stop_whose_it_is():
+def test_no_additional_sigterm_comes_before_that_of_the_planned_stop():
     for experiment in map(soak_experiment, range(PLANS)):
         stops = {f.balancers[0]: f.at_s for f in experiment.faults if f.kind == "balancer_stop"}
         for fault in experiment.faults:
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "5-3", "1-2-3", "-1", "1-99999"])
-def test_seeds_that_are_no_range_are_refused_in_one_line(text):
+def test_invalid_seed_ranges_are_refused_in_one_line(text):
     with pytest.raises(CommandError, match="--seeds: "):
         parse_seeds(text)
 
@@ -66,7 +66,7 @@
 
 
 def test_flow_that_a_stopped_balancer_leaves_unanswered_is_found():
-    # The checker excuses what a balancer's end cuts off.
+    # The checker excuses flows that a balancer's end cuts off.
     lost = [seen(1, "sent", "f1", "b0"), seen(1.9, "ended", "f1", "b0", how="reset")]
     assert "f1" in unanswered_at_stops([*lost, *STOPPED])[0]
     answered = [seen(1, "sent", "f1", "b0"), seen(1.5, "answer", "f1", "b0", kind="busy")]
@@ -77,7 +77,7 @@
 
 def test_attempts_for_clients_that_left_are_found_from_the_third_on():
     def flow(number: int, after: float) -> list[Observation]:
-        """A flow whose client leaves, and an attempt that begins so much later."""
+        """Return a flow whose client leaves, and an attempt `after` seconds later."""
         ident = f"f{number}"
         return [seen(1, "left", ident, "b0"), seen(1 + after, "attempt", ident, "s-0")]
 
@@ -87,7 +87,7 @@
     assert attempts_for_nobody([event for number in range(3) for event in flow(number, 0.1)]) == []
 
 
-def test_id_that_is_said_again_is_no_finding():
+def test_violation_of_a_repeated_id_is_no_finding():
     events = [seen(1, "sent", "f1", "b0"), seen(4, "said_again", "f1", "b0")]
     assert repeated_ids(events) == {"f1"}
     assert names_flow("one answer: f1 at 4.0 s: a server was sent it", {"f1"})
@@ -100,7 +100,7 @@
 
 
 def has_ended(process: psutil.Process) -> bool:
-    """Whether a process has ended, be it that its new parent has not collected it yet."""
+    """Return whether a process has ended; its new parent may not have reaped it yet."""
     try:
         return process.status() == psutil.STATUS_ZOMBIE
     except psutil.NoSuchProcess:
@@ -108,13 +108,14 @@
 
 
 def test_an_interrupt_of_a_soak_ends_every_child_within_three_seconds(tmp_path: Path):
-    # Seen: the command alone was interrupted, and waited for its seed to end, up to 16 s.
+    # Guards against a fault seen before: only the command was interrupted, and it waited up to
+    # 16 s for its seed to end.
     command = [sys.executable, "-m", "cypresswalk", "lab", "soak", "--seeds", "1-2"]
     process = subprocess.Popen(
         [*command, "--out", str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
     )
     lab = psutil.Process(process.pid)
-    # The seed's process and a balancer of it.
+    # The process of the seed and one of its balancers.
     wait_until(lambda: len(lab.children(recursive=True)) >= 2, timeout=20)
     children = lab.children(recursive=True)
     process.send_signal(signal.SIGINT)
@@ -125,11 +126,11 @@
 
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
-def test_seed_holds(seed, tmp_path: Path):
+def test_seed_has_no_findings(seed, tmp_path: Path):
     verdict = play_seed(seed, tmp_path)
     print(verdict, file=sys.stderr)
     assert verdict.flows > 50
-    if verdict.void:  # the lab was late: times say nothing, a fault in a log does all the same
+    if verdict.void:  # the lab was late: timing is not valid, but a logged fault still counts
         assert not faults_logged(tmp_path)
     else:
         assert not verdict.findings
--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -1,4 +1,4 @@
-"""The drivers of the test bed, one by one."""
+"""Tests of the individual drivers of the testbed."""
 
 import asyncio
 import socket
@@ -22,7 +22,7 @@
 
 
 class ObservingBed:
-    """A test bed that only keeps what is observed, by kind."""
+    """A testbed that only keeps the last observation of each kind."""
 
     def __init__(self) -> None:
         """Start without observations."""
@@ -30,23 +30,23 @@
         self.observed: dict[str, dict[str, Any]] = {}
 
     def now(self) -> int:
-        """One second, all the while."""
+        """Return a constant time, one second."""
         return SECOND
 
     def observe(self, kind: str, *_: object, **fields: Any) -> None:
-        """Keep the last observation of a kind."""
+        """Keep the fields of an observation."""
         self.observed[kind] = fields
 
 
 class ClosableWriter:
-    """A writer whose end nobody sees."""
+    """A writer that can be ended without effect."""
 
     def write_eof(self) -> None:
-        """Say nothing more."""
+        """Do nothing."""
 
 
 async def talk(*lines: bytes) -> tuple[str, list[str]]:
-    """Let a client hear some lines after its own end; how it ended, and what it noted as heard."""
+    """Send lines to a client after its own end; return how it ended and the lines it recorded."""
     bed = ObservingBed()
     reader = asyncio.StreamReader()
     reader.feed_data(b"".join(line + b"\r\n" for line in lines))
@@ -66,12 +66,12 @@
         ([b"M 0", b"BYE"], ["M 0", "BYE"]),
     ],
 )
-def test_a_migration_that_crosses_the_clients_own_end_is_no_line_of_its_server(lines, heard):
-    """A balancer that drains has not seen the client's end yet; what follows is compared still."""
+def test_move_that_crosses_the_clients_own_end_is_not_recorded_as_a_server_line(lines, heard):
+    """A draining balancer may not have seen the client's end yet; later lines still count."""
     assert asyncio.run(talk(*lines)) == ("own", heard)
 
 
-def test_a_port_that_another_process_took_is_the_labs_fault():
+def test_a_port_taken_by_another_process_is_a_failure_of_the_lab():
     async def listen_at_taken_port() -> list[str]:
         bed = Bed(small_experiment(), 1)
         driver = ServerDriver(bed, bed.servers["s-0"])
@@ -86,7 +86,7 @@
 
 
 def udp_socket() -> socket.socket:
-    """A socket that does not block, at a free port."""
+    """Return a non-blocking UDP socket on a free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     sock.setblocking(False)
@@ -94,7 +94,7 @@
 
 
 async def relay_one_message() -> GossipRelay:
-    """Send one message by a relay between two balancers; it comes to the other alone."""
+    """Send one message through a relay of two balancers; check that only the other gets it."""
     loop = asyncio.get_running_loop()
     with udp_socket() as sender, udp_socket() as receiver:
         transport, relay = await loop.create_datagram_endpoint(
@@ -115,7 +115,7 @@
 
 
 def test_each_lab_process_has_an_address_of_its_own():
-    """Else the clients of one scenario may speak to the balancer of another beside it."""
+    """Otherwise clients of one scenario could connect to a balancer of another, parallel one."""
     hosts = {
         subprocess.run(
             [sys.executable, "-c", PRINT_HOST], cwd=ROOT, capture_output=True, text=True
