--- a/cypresswalk/lab/balancer_control.py
+++ b/cypresswalk/lab/balancer_control.py
@@ -5,20 +5,20 @@
 from pathlib import Path
 from random import Random
 
-from cypresswalk.lab.balancers import Balancer, known
+from cypresswalk.lab.balancers import BalancerProcess, encode_initial_list
 from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.experiment import SignalName, Variant
 from cypresswalk.lab.rules import Violation
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.gossip_relay import GossipRelay
 from cypresswalk.lab.testbed.list_driver import ListAgentDriver
 from cypresswalk.lab.testbed.streams import LOOPBACK
 from cypresswalk.lab.units import SECOND
 from cypresswalk.refusal import CommandError
 
-READY_WITHIN = 30 * SECOND  # for balancers to answer PING; else the scenario can't be played
+READY_TIMEOUT = 30 * SECOND  # for balancers to answer PING; else the scenario can't be played
 READY_CHECK_INTERVAL_S = 0.05
-READY_ANSWER_S = 1
+PING_TIMEOUT_S = 1
 SAMPLE_INTERVAL_S = 0.5  # between two samples of the balancers' resource usage
 # A planned stop: the edge load balancer notices it within PLANNED_NOTICE_S after SIGTERM. SIGKILL
 # follows KILL_AFTER_TIMEOUT_S after the longest client timeout, of which at most
@@ -50,26 +50,31 @@
     """
 
     def __init__(
-        self, bed: Bed, variant: Variant, folder: Path, files: Path, command: list[str] | None
+        self,
+        testbed: ScenarioTestBed,
+        variant: Variant,
+        folder: Path,
+        source_folder: Path,
+        command: list[str] | None,
     ):
         """Prepare the control; no balancer runs yet.
 
         Args:
-            bed: The testbed.
+            testbed: The testbed.
             variant: The variant that runs as the balancer.
             folder: The folder for configuration files and logs.
-            files: The folder of the program's source.
+            source_folder: The folder of the program's source.
             command: The command to run instead of the program; None runs the program.
         """
-        self.bed = bed
+        self.testbed = testbed
         self.variant = variant
         self.folder = folder
-        self.files = files
+        self.source_folder = source_folder
         self.command = command
-        self.balancers: dict[str, Balancer] = {}
+        self.balancers: dict[str, BalancerProcess] = {}
         self.agents: dict[str, ListAgentDriver] = {}
-        self.random = Random(f"{bed.seed}/troubles")
-        self.balancer_seeds = Random(f"{bed.seed}/balancers")
+        self.random = Random(f"{testbed.seed}/troubles")
+        self.balancer_seeds = Random(f"{testbed.seed}/balancers")
         self.crashes: list[Violation] = []
         self.samples: list[Sample] = []
 
@@ -79,47 +84,49 @@
         Raises:
             CommandError: A balancer does not become ready.
         """
-        bed = self.bed
+        testbed = self.testbed
         transport, relay = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: GossipRelay(bed), local_addr=(LOOPBACK, 0)
+            lambda: GossipRelay(testbed), local_addr=(LOOPBACK, 0)
         )
-        groups = bed.experiment.balancer_groups()
-        client_faults = bed.experiment.connection_faults.clients
-        for number, (name, group) in enumerate(zip(bed.balancers, groups, strict=True)):
-            balancer = Balancer(
+        groups = testbed.experiment.balancer_groups()
+        client_faults = testbed.experiment.connection_faults.clients
+        for number, (name, group) in enumerate(zip(testbed.balancers, groups, strict=True)):
+            balancer = BalancerProcess(
                 name,
                 number,
                 group,
-                bed.experiment,
+                testbed.experiment,
                 self.variant,
-                self.files,
+                self.source_folder,
                 self.folder,
                 transport.get_extra_info("sockname")[:2],
                 self.command,
             )
             self.balancers[name] = balancer
-            relay.members.append(balancer.peer)
-            address = await bed.with_faults(balancer.address, client_faults, "client")
-            bed.balancer_addresses[name] = address
-            await self._new_agent(name, len(bed.listing.changes))
+            relay.members.append(balancer.gossip_address)
+            address = await testbed.with_fault_proxy(balancer.address, client_faults, "client")
+            testbed.balancer_addresses[name] = address
+            await self._new_agent(name, len(testbed.endpoint_list.changes))
             self.start(name)
         await asyncio.gather(*(self.wait_until_ready(name) for name in self.balancers))
 
-    def matching(self, names: list[str]) -> list[str]:
+    def matching_balancers(self, names: list[str]) -> list[str]:
         """Return the balancers that are selected by balancer names, zone names or `all`."""
         return [
             balancer
             for balancer in self.balancers
-            if any(name in (balancer, self.bed.balancer_zone[balancer], "all") for name in names)
+            if any(
+                name in (balancer, self.testbed.balancer_zone[balancer], "all") for name in names
+            )
         ]
 
     def start(self, name: str) -> None:
         """Start a balancer with its agent's current endpoint list."""
         agent = self.agents[name].agent
-        endpoints = agent.listing.complete(agent.version)
+        endpoints = agent.endpoint_list.complete(agent.version)
         # The checker counts the initial list as a notification, like the agent's later updates.
         for endpoint in endpoints:
-            self.bed.observe(
+            self.testbed.observe(
                 "told",
                 "",
                 name,
@@ -136,55 +143,55 @@
         Raises:
             CommandError: The balancer does not answer, and the scenario has not begun yet.
         """
-        bed = self.bed
-        until = bed.now() + READY_WITHIN
-        while bed.now() < until and self.balancers[name].crashed() is None:
+        testbed = self.testbed
+        until = testbed.now() + READY_TIMEOUT
+        while testbed.now() < until and self.balancers[name].crash_exit_code() is None:
             if await answers_ping(self.balancers[name]):
-                bed.observe("balancer_up", "", name)
-                bed.edges[bed.balancer_zone[name]].mark_up(name)
+                testbed.observe("balancer_up", "", name)
+                testbed.edges[testbed.balancer_zone[name]].mark_up(name)
                 return
             await asyncio.sleep(READY_CHECK_INTERVAL_S)
-        if not bed.began:
-            log = self.balancers[name].log.read_text(errors="replace").strip().splitlines()
+        if not testbed.began:
+            log = self.balancers[name].log_file.read_text(errors="replace").strip().splitlines()
             last = log[-1] if log else "nothing logged"
             raise CommandError(f"balancer {name} does not serve ({self.variant.name}): {last}")
 
     async def watch(self) -> None:
         """Sample the balancers' resource usage and restart crashed ones, until cancelled."""
         while True:
-            second = (self.bed.now() - self.bed.began) / SECOND
+            second = (self.testbed.now() - self.testbed.began) / SECOND
             for name, balancer in self.balancers.items():
-                if (cost := balancer.cost()) is not None:
-                    self.samples.append((round(second, 2), name, *cost))
-                code = balancer.crashed()
+                if (usage := balancer.resource_usage()) is not None:
+                    self.samples.append((round(second, 2), name, *usage))
+                code = balancer.crash_exit_code()
                 if code is not None:
                     self._on_crash(name, code)
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def _on_crash(self, name: str, code: int) -> None:
-        observation = self.bed.observe("balancer_down", "", name, code=code)
+        observation = self.testbed.observe("balancer_down", "", name, code=code)
         message = f"{name} ended with exit code {code}"
         self.crashes.append(Violation("crash", "", observation.at, message, [observation]))
         self.balancers[name].expected_end = True
-        self.bed.spawn(self._mark_down_late(name))
+        self.testbed.spawn(self._mark_down_after_delay(name))
         self.start(name)
-        self.bed.spawn(self.wait_until_ready(name))
+        self.testbed.spawn(self.wait_until_ready(name))
 
-    async def _mark_down_late(self, name: str) -> None:
+    async def _mark_down_after_delay(self, name: str) -> None:
         """Mark a dead balancer down after the detection delay, unless it was restarted by then."""
-        starts = self.balancers[name].starts
-        detection_ms = self.bed.experiment.edge.detection_ms
+        start_count = self.balancers[name].start_count
+        detection_ms = self.testbed.experiment.edge.detection_ms
         await asyncio.sleep(self.random.uniform(*detection_ms) / 1000)
-        if self.balancers[name].starts == starts:
-            self.bed.edges[self.bed.balancer_zone[name]].mark_down(name)
+        if self.balancers[name].start_count == start_count:
+            self.testbed.edges[self.testbed.balancer_zone[name]].mark_down(name)
 
     # Faults.
 
     async def kill(self, name: str, span_s: float) -> None:
         """Kill a balancer and start it again after `span_s` seconds."""
         self.balancers[name].kill()
-        self.bed.observe("balancer_down", "", name)
-        self.bed.spawn(self._mark_down_late(name))
+        self.testbed.observe("balancer_down", "", name)
+        self.testbed.spawn(self._mark_down_after_delay(name))
         await asyncio.sleep(span_s)
         self.start(name)
         await self.wait_until_ready(name)
@@ -195,19 +202,19 @@
         The edge load balancer stops sending clients soon after SIGTERM; SIGKILL follows with the
         platform's timing.
         """
-        bed = self.bed
+        testbed = self.testbed
         balancer = self.balancers[name]
         balancer.expected_end = True
-        balancer.send(signal.SIGTERM)
+        balancer.send_signal(signal.SIGTERM)
         await asyncio.sleep(self.random.uniform(*PLANNED_NOTICE_S))
-        bed.edges[bed.balancer_zone[name]].mark_down(name)
-        longest_s = max(t.timeout_ms for t in bed.experiment.types) / 1000
+        testbed.edges[testbed.balancer_zone[name]].mark_down(name)
+        longest_s = max(t.timeout_ms for t in testbed.experiment.types) / 1000
         grace_s = min(longest_s, MAX_TIMEOUT_AWAITED_S) + KILL_AFTER_TIMEOUT_S
-        until = bed.now() + int(grace_s * SECOND)
-        while bed.now() < until and balancer.running():
+        until = testbed.now() + int(grace_s * SECOND)
+        while testbed.now() < until and balancer.is_running():
             await asyncio.sleep(EXIT_CHECK_INTERVAL_S)
         balancer.kill()
-        bed.observe("balancer_down", "", name, planned=True)
+        testbed.observe("balancer_down", "", name, planned=True)
         await asyncio.sleep(min(span_s, MAX_PLANNED_DOWN_S))
         self.start(name)
         await self.wait_until_ready(name)
@@ -216,36 +223,41 @@
         """Send signals to a balancer at short intervals, while its listening socket exists."""
         for signal_name in names:
             if await listens(self.balancers[name]):
-                self.balancers[name].send(SIGNALS[signal_name])
+                self.balancers[name].send_signal(SIGNALS[signal_name])
             await asyncio.sleep(self.random.uniform(0, MAX_SIGNAL_PAUSE_S))
 
     async def reload(self, name: str) -> None:
         """Move a balancer to a list agent at a new address with an older version; send SIGHUP."""
         old = self.agents[name]
         await self._new_agent(name, max(old.agent.version - 1, 1))
-        self.bed.spawn(self.agents[name].learn(len(self.bed.listing.changes)))
+        self.testbed.spawn(self.agents[name].receive_later(len(self.testbed.endpoint_list.changes)))
         self._write_configuration(name)
-        if await listens(self.balancers[name]):  # otherwise it reads the new file when it starts
-            self.balancers[name].send(signal.SIGHUP)
+        # A balancer that does not listen yet reads the new file when it starts.
+        if await listens(self.balancers[name]):
+            self.balancers[name].send_signal(signal.SIGHUP)
         await old.retire()
 
     async def _new_agent(self, name: str, version: int) -> None:
-        bed = self.bed
-        random = Random(f"{bed.seed}/agent/{name}/{version}")
-        driver = ListAgentDriver(bed, name, ListAgent(bed.listing, bed.experiment, random, version))
+        testbed = self.testbed
+        random = Random(f"{testbed.seed}/agent/{name}/{version}")
+        driver = ListAgentDriver(
+            testbed, name, ListAgent(testbed.endpoint_list, testbed.experiment, random, version)
+        )
         await driver.listen()
         self.agents[name] = driver
 
     def _write_configuration(self, name: str) -> None:
         driver = self.agents[name]
         agent = driver.agent
-        endpoints = agent.listing.complete(agent.version)
-        entries = [self.bed.encode_endpoint(endpoint, name) for endpoint in endpoints]
+        endpoints = agent.endpoint_list.complete(agent.version)
+        entries = [self.testbed.encode_endpoint(endpoint, name) for endpoint in endpoints]
         seed = self.balancer_seeds.getrandbits(64)
-        self.balancers[name].write(driver.address, known(agent, entries), seed)
+        self.balancers[name].write_configuration(
+            driver.address, encode_initial_list(agent, entries), seed
+        )
 
 
-async def listens(balancer: Balancer) -> bool:
+async def listens(balancer: BalancerProcess) -> bool:
     """Return whether a balancer listens; it handles signals from then on."""
     try:
         _, writer = await asyncio.open_connection(*balancer.address)
@@ -255,12 +267,12 @@
     return True
 
 
-async def answers_ping(balancer: Balancer) -> bool:
+async def answers_ping(balancer: BalancerProcess) -> bool:
     """Return whether a balancer answers PING now."""
     try:
         reader, writer = await asyncio.open_connection(*balancer.address)
         writer.write(b"PING\r\n")
-        line = await asyncio.wait_for(reader.readline(), READY_ANSWER_S)
+        line = await asyncio.wait_for(reader.readline(), PING_TIMEOUT_S)
         writer.close()
     except OSError:  # includes TimeoutError
         return False
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -22,7 +22,11 @@
 )
 
 ROOT = Path(__file__).parents[2]
-EFFECTS = {"repeatable": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
+SEMANTICS_BY_EFFECT = {
+    "repeatable": "idempotent",
+    "referenced": "deduplicated",
+    "once-only": "at_most_once",
+}
 SET_DEATH_SIGNAL = 1  # of prctl(2)
 POLL_WITHIN_MS = 10_000.0
 GOSSIP_PRICE = 0.01
@@ -34,7 +38,7 @@
     ctypes.CDLL(None).prctl(SET_DEATH_SIGNAL, signal.SIGKILL)
 
 
-def params(experiment: Experiment, settings: Settings, number: int) -> dict:
+def encode_settings(experiment: Experiment, settings: Settings, number: int) -> dict:
     """Return the settings of the balancer with index `number`, in the platform's format."""
     groups = experiment.balancer_groups()
     return {
@@ -52,7 +56,7 @@
             "dialTimeout": settings.dial_timeout_ms,
             "peerMessages": settings.gossip,
         },
-        "rules": rules_of(experiment, settings),
+        "rules": encode_rules(experiment, settings),
         "deductions": {
             "crossZone": settings.zone_crossing_price,
             "moves": settings.migration_price,
@@ -66,7 +70,7 @@
             "groups": bool(experiment.clients.groups),
             "tellsDelay": True,
             "messageAim": [t.message_latency_objective_ms for t in experiment.types],
-            "tenantQuotaConnections": quotas_of(experiment),
+            "tenantQuotaConnections": tenant_quotas(experiment),
         },
         "overagePayoff": OVERAGE_WEIGHT,
         "tenants": [{"name": tenant.name} for tenant in experiment.tenants],
@@ -74,7 +78,7 @@
     }
 
 
-def rules_of(experiment: Experiment, settings: Settings) -> dict:
+def encode_rules(experiment: Experiment, settings: Settings) -> dict:
     """Return the rules on cold servers and list polling, in the platform's format."""
     return {
         "askWithin": POLL_WITHIN_MS,
@@ -85,7 +89,7 @@
     }
 
 
-def quotas_of(experiment: Experiment) -> list[float]:
+def tenant_quotas(experiment: Experiment) -> list[float]:
     """Return each tenant's quota: its share of the capacity of all servers."""
     shares = sum(tenant.share for tenant in experiment.tenants)
     capacity = sum(
@@ -98,7 +102,7 @@
     """Return a type of flow in the platform's format."""
     return {
         "name": flow_type.name,
-        "semantics": EFFECTS[flow_type.effect],
+        "semantics": SEMANTICS_BY_EFFECT[flow_type.effect],
         "group": flow_type.scope,
         "window": flow_type.window_ms,
         "setupTarget": flow_type.setup_latency_objective_ms,
@@ -123,7 +127,7 @@
         return sock.getsockname()[1]
 
 
-class Balancer:
+class BalancerProcess:
     """One balancer's process and its restarts in a scenario."""
 
     def __init__(
@@ -133,9 +137,9 @@
         group: BalancerGroup,
         experiment: Experiment,
         variant: Variant,
-        tree: Path,
+        source_folder: Path,
         folder: Path,
-        relay: tuple[str, int],
+        relay_address: tuple[str, int],
         command: list[str] | None = None,
     ):
         """Choose its addresses and files; the process does not run yet.
@@ -146,9 +150,9 @@
             group: The balancer group, with its resource limits.
             experiment: The experiment.
             variant: The variant that runs.
-            tree: The folder of the program's source.
+            source_folder: The folder of the program's source.
             folder: The folder for configuration, log and state.
-            relay: The address to which the balancer sends gossip.
+            relay_address: The address to which the balancer sends gossip.
             command: The command to run instead of the program; None runs the program.
         """
         # Longer than 40 lines because each line sets one attribute.
@@ -156,27 +160,29 @@
         self.number = number
         self.group = group
         self.variant = variant
-        self.tree = tree
+        self.source_folder = source_folder
         self.settings = variant.settings or experiment.settings
-        self.params = params(experiment, self.settings, number)
+        self.encoded_settings = encode_settings(experiment, self.settings, number)
         host = own_host()
         self.address = (host, free_port(host))
-        self.peer = (host, free_port(host, socket.SOCK_DGRAM))
-        self.relay = relay
-        self.starts = 0
+        self.gossip_address = (host, free_port(host, socket.SOCK_DGRAM))
+        self.relay_address = relay_address
+        self.start_count = 0
         module = ["cypresswalk"]
         if variant.policy != "product":
             module = ["cypresswalk.lab.baselines", variant.policy]
         self.command = command or [sys.executable, "-B", "-m", *module]
         self.folder = folder
-        self.operator = folder / f"{name}.operator.toml"
-        self.config = folder / f"{name}.json"
-        self.log = folder / f"{name}.log"
+        self.operator_file = folder / f"{name}.operator.toml"
+        self.config_file = folder / f"{name}.json"
+        self.log_file = folder / f"{name}.log"
         self.process: subprocess.Popen | None = None
-        self.usage: psutil.Process | None = None
+        self.process_info: psutil.Process | None = None
         self.expected_end = False
 
-    def write(self, discovery: tuple[str, int], known: dict, seed: int) -> None:
+    def write_configuration(
+        self, discovery: tuple[str, int], initial_list: dict, seed: int
+    ) -> None:
         """Write its configuration: list service address, initial endpoint list, seed."""
         data = {
             "name": self.name,
@@ -188,18 +194,18 @@
                 "memory_mb": self.group.memory_mb,
                 "sockets": self.group.sockets,
             },
-            "known": known,
-            "settings": self.params,
+            "known": initial_list,
+            "settings": self.encoded_settings,
         }
         if self.settings.gossip:
             data |= {
-                "peer_listen": address_text(self.peer),
-                "peers_all": address_text(self.relay),
+                "peer_listen": address_text(self.gossip_address),
+                "peers_all": address_text(self.relay_address),
                 "peers": [],
             }
-        new = self.config.with_suffix(".new")
+        new = self.config_file.with_suffix(".new")
         new.write_text(json.dumps(data))
-        os.replace(new, self.config)
+        os.replace(new, self.config_file)
 
     def environment(self) -> dict[str, str]:
         """Return its environment, with only those platform variables that the lab sets.
@@ -209,24 +215,24 @@
         plain = {
             k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
         }
-        plain["PROXY_CONFIG"] = str(self.config.absolute())
+        plain["PROXY_CONFIG"] = str(self.config_file.absolute())
         if self.settings.state:
             state = (self.folder / f"{self.name}.state").absolute()
-            if not self.starts:
+            if not self.start_count:
                 shutil.rmtree(state, ignore_errors=True)  # a scenario starts without state
             state.mkdir(exist_ok=True)
-            self.operator.write_text(
+            self.operator_file.write_text(
                 f'[state]\nfolder = "{state}"\nevery_s = {self.settings.state_every_s}\n'
             )
-            plain["PROXY_OPERATOR"] = str(self.operator.absolute())
+            plain["PROXY_OPERATOR"] = str(self.operator_file.absolute())
         return plain
 
     def start(self) -> None:
         """Start the process; restarts append to its log."""
-        with open(self.log, "ab" if self.starts else "wb") as log:
+        with open(self.log_file, "ab" if self.start_count else "wb") as log:
             self.process = subprocess.Popen(
                 self.command,
-                cwd=self.tree,
+                cwd=self.source_folder,
                 stderr=log,
                 stdout=log,
                 stdin=subprocess.DEVNULL,
@@ -234,11 +240,11 @@
                 preexec_fn=die_with_parent,
                 start_new_session=True,
             )
-        self.usage = psutil.Process(self.process.pid)
+        self.process_info = psutil.Process(self.process.pid)
         self.expected_end = False
-        self.starts += 1
+        self.start_count += 1
 
-    def send(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send it a signal if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
@@ -250,28 +256,28 @@
             self.process.kill()
             self.process.wait()
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Return whether its process is running."""
         return self.process is not None and self.process.poll() is None
 
-    def crashed(self) -> int | None:
+    def crash_exit_code(self) -> int | None:
         """Return the exit code of an unexpected exit; None if there was none."""
         if self.process is None or self.expected_end:
             return None
         return self.process.poll()
 
-    def cost(self) -> tuple[int, int, float] | None:
+    def resource_usage(self) -> tuple[int, int, float] | None:
         """Return resident bytes, file descriptors and CPU seconds since its start.
 
         Return None while it is not running.
         """
-        if self.usage is None:
+        if self.process_info is None:
             return None
         try:
-            with self.usage.oneshot():
-                times = self.usage.cpu_times()
-                memory = self.usage.memory_info().rss
-                return memory, self.usage.num_fds(), times.user + times.system
+            with self.process_info.oneshot():
+                times = self.process_info.cpu_times()
+                memory = self.process_info.memory_info().rss
+                return memory, self.process_info.num_fds(), times.user + times.system
         except (psutil.Error, AttributeError):
             return None
 
@@ -280,7 +286,7 @@
         total: dict[str, int] = {}
         run: dict[str, int] = {}
         try:
-            lines = self.log.read_text(errors="replace").splitlines()
+            lines = self.log_file.read_text(errors="replace").splitlines()
         except OSError:
             return total
         for line in lines:
@@ -301,6 +307,6 @@
     return f"{host}:{port}"
 
 
-def known(agent: ListAgent, entries: list[dict]) -> dict:
+def encode_initial_list(agent: ListAgent, entries: list[dict]) -> dict:
     """Return the initial endpoint list of a balancer, in the platform's format."""
     return {"generation": agent.version, "reset": True, "instances": entries}
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -41,12 +41,12 @@
                 continue
             for attempt in flow.attempts:
                 message = "a server was sent a flow that no client had sent"
-                self._add(ONE_ANSWER, ident, attempt.at, message, [attempt.opened])
+                self._add_violation(ONE_ANSWER, ident, attempt.at, message, [attempt.opened])
         self._check_drains()
         self._check_cold_servers()
         return sorted(self.violations, key=lambda violation: violation.at)
 
-    def _add(
+    def _add_violation(
         self, rule: str, flow: str, at: int, message: str, evidence: list[Observation]
     ) -> None:
         self.violations.append(Violation(rule, flow, at, message, evidence))
@@ -59,7 +59,7 @@
         evidence = [sent, *flow.answers, *(attempt.opened for attempt in flow.attempts)]
         if len(flow.answers) > 1:
             second = flow.answers[1]
-            self._add(ONE_ANSWER, ident, second.at, "a second final answer", evidence)
+            self._add_violation(ONE_ANSWER, ident, second.at, "a second final answer", evidence)
         if flow.answers:
             self._check_first_answer(ident, flow, deadline, evidence)
         else:
@@ -83,7 +83,7 @@
         if flow.ended and flow.ended.at < deadline and flow.ended.fields["how"]:
             message = f"its connection ended ({flow.ended.fields['how']}) with no answer"
             evidence = [*evidence, flow.ended]
-        self._add(ONE_ANSWER, ident, over, message, evidence)
+        self._add_violation(ONE_ANSWER, ident, over, message, evidence)
 
     def _check_first_answer(
         self, ident: str, flow: ObservedFlow, deadline: int, evidence: list[Observation]
@@ -92,17 +92,17 @@
         if answer.at > deadline:
             late_ms = (answer.at - deadline + self.rules.slack) / MILLISECOND
             message = f"answered {late_ms:.0f} ms after its connect timeout"
-            self._add(ONE_ANSWER, ident, answer.at, message, evidence)
+            self._add_violation(ONE_ANSWER, ident, answer.at, message, evidence)
         for attempt in flow.attempts:
             if attempt.at > answer.at + self.rules.slack:
                 message = "a server was sent it after its final answer"
-                self._add(ONE_ANSWER, ident, attempt.at, message, evidence)
+                self._add_violation(ONE_ANSWER, ident, attempt.at, message, evidence)
         if answer.fields["kind"] == "up":
             line = answer.fields["line"]
             replies = [attempt.reply for attempt in flow.attempts if attempt.reply]
             if not any(reply.fields.get("receipt") == line for reply in replies):
                 message = "established with a line that no server sent for it"
-                self._add(ONE_ANSWER, ident, answer.at, message, evidence)
+                self._add_violation(ONE_ANSWER, ident, answer.at, message, evidence)
 
     # Rule two: no flow has its effect twice.
 
@@ -124,18 +124,18 @@
         for answer in flow.answers:
             if answer.fields["kind"] == "busy" and first_run.at <= answer.at:
                 message = "rejected, though it may have run"
-                self._add(ONE_EFFECT, ident, answer.at, message, [*evidence, answer])
+                self._add_violation(ONE_EFFECT, ident, answer.at, message, [*evidence, answer])
 
     def _check_attempts(self, ident: str, flow: ObservedFlow, evidence: list[Observation]) -> None:
         """Check the number of attempts, and that at most one was pending at a time."""
         limit = self.rules.max_attempts
         if len(flow.attempts) > limit:
             message = f"{len(flow.attempts)} attempts, {limit} are allowed"
-            self._add(ONE_EFFECT, ident, flow.attempts[-1].at, message, evidence)
+            self._add_violation(ONE_EFFECT, ident, flow.attempts[-1].at, message, evidence)
         for before, after in zip(flow.attempts, flow.attempts[1:], strict=False):
-            if before.over > after.at + self.rules.slack:
+            if before.ended_at > after.at + self.rules.slack:
                 message = "a second attempt while one was pending"
-                self._add(ONE_EFFECT, ident, after.at, message, evidence)
+                self._add_violation(ONE_EFFECT, ident, after.at, message, evidence)
 
     def _check_retry(
         self,
@@ -148,16 +148,20 @@
         """Check a retry of a flow that an earlier attempt may have executed."""
         if rule.effect == "once-only":
             message = "sent again, though it may have run"
-            self._add(ONE_EFFECT, ident, retry.at, message, evidence)
+            self._add_violation(ONE_EFFECT, ident, retry.at, message, evidence)
             return
         if retry.at > first_run.at + rule.window + self.rules.slack:
-            self._add(ONE_EFFECT, ident, retry.at, "sent again after its window", evidence)
+            self._add_violation(
+                ONE_EFFECT, ident, retry.at, "sent again after its window", evidence
+            )
         first = self.rules.servers[first_run.server]
         second = self.rules.servers[retry.server]
         other_zone = rule.scope == "zone" and first.zone != second.zone
         other_cell = rule.scope == "cell" and first.cell != second.cell
         if other_zone or other_cell:
-            self._add(ONE_EFFECT, ident, retry.at, "sent again outside its scope", evidence)
+            self._add_violation(
+                ONE_EFFECT, ident, retry.at, "sent again outside its scope", evidence
+            )
 
     # Established connections: each side receives the lines that the other sent.
 
@@ -180,29 +184,29 @@
         if flow.ended and how in ("end", "reset") and not self._end_explained(flow, flow.ended):
             message = "cut off without MOVE from a server that still answered"
             evidence = [flow.ended, *(attempt.opened for attempt in flow.attempts)]
-            self._add(LINES, ident, flow.ended.at, message, evidence)
+            self._add_violation(LINES, ident, flow.ended.at, message, evidence)
 
     def _check_direction(
         self,
         ident: str,
         flow: ObservedFlow,
         direction: str,
-        speaker: Observation,
-        listener: Observation,
-        all_owed: bool,
+        sender: Observation,
+        receiver: Observation,
+        all_expected: bool,
     ) -> None:
-        """Check that the received lines are a prefix of the sent ones, or all if `all_owed`."""
-        said = speaker.fields["said"]
-        heard = listener.fields["heard"]
-        evidence = [speaker, listener]
+        """Check that the received lines are a prefix of the sent ones, or all if `all_expected`."""
+        said = sender.fields["said"]
+        heard = receiver.fields["heard"]
+        evidence = [sender, receiver]
         if heard != said[: len(heard)]:
             message = f"{direction}: received {heard} of the lines sent {said}"
-            self._add(LINES, ident, listener.at, message, evidence)
+            self._add_violation(LINES, ident, receiver.at, message, evidence)
             return
         lost = len(said) - len(heard)
-        if all_owed and flow.ended and lost > 0 and not self._end_explained(flow, flow.ended):
+        if all_expected and flow.ended and lost > 0 and not self._end_explained(flow, flow.ended):
             message = f"{direction}: {lost} of {len(said)} lines lost at an orderly end"
-            self._add(LINES, ident, listener.at, message, evidence)
+            self._add_violation(LINES, ident, receiver.at, message, evidence)
 
     def _end_explained(self, flow: ObservedFlow, ended: Observation) -> bool:
         return self.history.end_explained(flow, ended.at, self.rules.slack)
@@ -230,7 +234,7 @@
                 f"sent to {attempt.server} {late / MILLISECOND:.0f} ms past the grace period"
                 f" after the notification of {state} at {notified_at / 1e9:.3f} s"
             )
-            self._add(DRAINS, ident, attempt.at, message, [attempt.opened])
+            self._add_violation(DRAINS, ident, attempt.at, message, [attempt.opened])
 
     # Rule four: a cold server gets no more load than its budget.
 
@@ -244,9 +248,9 @@
             in_order = sorted(attempts[server], key=lambda opened: opened.at)
             for start in starts:
                 warming = [e for e in in_order if start <= e.at < start + rule.warm_up]
-                self._check_start(server, rule, start, warming)
+                self._check_warm_up(server, rule, start, warming)
 
-    def _check_start(
+    def _check_warm_up(
         self, server: str, rule: ServerRule, start: int, attempts: list[Observation]
     ) -> None:
         """Check the attempts during a server's warm-up after one start."""
@@ -264,7 +268,7 @@
                     f"{server}, started at {start / 1e9:.3f} s, was sent loads of "
                     f"{load:.1f} within the overload window, {budget:.1f} are allowed"
                 )
-                self._add(COLD_SERVERS, attempt.flow, attempt.at, message, within)
+                self._add_violation(COLD_SERVERS, attempt.flow, attempt.at, message, within)
                 return
 
     def _budget(self, rule: ServerRule, age: int) -> float:
--- a/cypresswalk/lab/clients.py
+++ b/cypresswalk/lab/clients.py
@@ -65,25 +65,25 @@
         self.connections += 1
         return f"p{self.number}.{self.connections}"
 
-    def delay_after_rejection(self, habits: Clients, retry_after: int | None) -> int | None:
+    def delay_after_rejection(self, behaviour: Clients, retry_after: int | None) -> int | None:
         """Return the nanoseconds until it retries, or None if it gives up.
 
         A client that does not ignore Retry-After (`retry_after`, in nanoseconds) waits for that
         time rather than for its own one.
         """
         self.rejections += 1
-        if habits.after_rejection == "none" or self.rejections > habits.retries:
+        if behaviour.after_rejection == "none" or self.rejections > behaviour.retries:
             return None
         if retry_after is not None and not self.ignores_retry_after:
             return retry_after
-        if habits.after_rejection == "at once":
+        if behaviour.after_rejection == "at once":
             return 0
-        return draw_ms(self.random, habits.wait_ms)
+        return draw_ms(self.random, behaviour.wait_ms)
 
-    def delay_after_disconnect(self, habits: Clients) -> int | None:
+    def delay_after_disconnect(self, behaviour: Clients) -> int | None:
         """Return the nanoseconds until it reconnects after a break or MOVE; None if it does not."""
         self.rejections = 0
-        return draw_ms(self.random, habits.reconnect_ms) if habits.reconnect else None
+        return draw_ms(self.random, behaviour.reconnect_ms) if behaviour.reconnect else None
 
 
 def draw_ms(random: Random, milliseconds: tuple[float, float]) -> int:
@@ -99,23 +99,27 @@
         self.experiment = experiment
         self.seed = seed
         self.types = experiment.types
-        self.type_sums = list(accumulate(flow_type.share for flow_type in self.types))
+        self.cumulative_type_shares = list(accumulate(flow_type.share for flow_type in self.types))
         self.tenants = experiment.tenants
-        self.tenant_sums = list(accumulate(tenant.share for tenant in self.tenants))
+        self.cumulative_tenant_shares = list(accumulate(tenant.share for tenant in self.tenants))
 
     def client(self, number: int, arrives_at: int) -> Client:
         """Draw the client with this number; the order of draws determines a seed's clients."""
         random = Random(f"{self.seed}/person/{number}")
-        habits = self.experiment.clients
-        flow_type = self.types[bisect(self.type_sums, random.random() * self.type_sums[-1])]
-        tenant_index = bisect(self.tenant_sums, random.random() * self.tenant_sums[-1])
+        behaviour = self.experiment.clients
+        flow_type = self.types[
+            bisect(self.cumulative_type_shares, random.random() * self.cumulative_type_shares[-1])
+        ]
+        tenant_index = bisect(
+            self.cumulative_tenant_shares, random.random() * self.cumulative_tenant_shares[-1]
+        )
         tenant = self.tenants[tenant_index].name
-        group = f"{tenant}-{random.randrange(habits.groups)}" if habits.groups else ""
+        group = f"{tenant}-{random.randrange(behaviour.groups)}" if behaviour.groups else ""
         zone = random.choice([balancers.zone for balancers in self.experiment.balancer_groups()])
         lifetime = int(random.uniform(*flow_type.lifetime_s) * SECOND)
         load = random.uniform(*flow_type.load)
         leaves_after = 0
-        if random.random() < habits.leave:
+        if random.random() < behaviour.leave:
             objective_ms = flow_type.setup_latency_objective_ms
             leaves_after = int(random.random() * objective_ms * MILLISECOND) + 1
         return Client(
@@ -128,7 +132,7 @@
             lifetime,
             load,
             leaves_after,
-            random.random() < habits.ignore_retry_after,
+            random.random() < behaviour.ignore_retry_after,
             random,
         )
 
@@ -151,12 +155,12 @@
 
     def all(self) -> list[Client]:
         """Return all clients in order of arrival, including those of bursts."""
-        moments = list(self.arrivals())
+        arrival_times = list(self.arrivals())
         for fault in self.experiment.faults:
             if fault.kind == "burst":
-                moments += [int(fault.at_s * SECOND)] * int(fault.amount)
+                arrival_times += [int(fault.at_s * SECOND)] * int(fault.amount)
         # Bursts get the last numbers, so that adding a burst changes no other client.
-        clients = [self.client(number, at) for number, at in enumerate(moments)]
+        clients = [self.client(number, at) for number, at in enumerate(arrival_times)]
         return sorted(clients, key=lambda client: (client.arrives_at, client.number))
 
     def misbehaving(self) -> list[tuple[int, str, str]]:
--- a/cypresswalk/lab/edge.py
+++ b/cypresswalk/lab/edge.py
@@ -11,7 +11,7 @@
         """Start with all balancers marked down."""
         self.zone = zone
         self.up = dict.fromkeys(balancers, False)
-        self.turn = 0
+        self.pick_count = 0
 
     def mark_up(self, balancer: str) -> None:
         """Send clients to a balancer from now on, if it is of this zone."""
@@ -28,5 +28,5 @@
         serving = [name for name, up in self.up.items() if up]
         if not serving:
             return None
-        self.turn += 1
-        return serving[self.turn % len(serving)]
+        self.pick_count += 1
+        return serving[self.pick_count % len(serving)]
--- a/cypresswalk/lab/endpoint_list.py
+++ b/cypresswalk/lab/endpoint_list.py
@@ -74,9 +74,11 @@
     Changes reach it with a delay. The agent at a new address may start with an older version.
     """
 
-    def __init__(self, listing: EndpointList, experiment: Experiment, random: Random, version: int):
+    def __init__(
+        self, endpoint_list: EndpointList, experiment: Experiment, random: Random, version: int
+    ):
         """Start at a version of the list; delays are drawn from `random`."""
-        self.listing = listing
+        self.endpoint_list = endpoint_list
         self.random = random
         self.delay_ms = experiment.list_service.delay_ms
         self.version = version
@@ -86,7 +88,7 @@
         """Draw the delay of the next change, in nanoseconds."""
         return int(self.random.uniform(*self.delay_ms) * MILLISECOND)
 
-    def learn(self, version: int) -> bool:
+    def receive(self, version: int) -> bool:
         """Take over a version that arrived; return whether it is newer than the current one.
 
         Changes can arrive out of order; a later version includes all earlier changes.
@@ -102,15 +104,15 @@
         If `since` is 0 or a version that this agent has not reached, answer the complete list.
         """
         if since <= 0 or since > self.version:
-            return WatchAnswer(True, self.listing.complete(self.version), self.version)
-        changes = self.listing.changes_between(since, self.version)
+            return WatchAnswer(True, self.endpoint_list.complete(self.version), self.version)
+        changes = self.endpoint_list.changes_between(since, self.version)
         return WatchAnswer(False, changes, self.version)
 
 
 def initial_list(servers: list[SimulatedServer]) -> EndpointList:
     """Return the list of the running servers, without those that are added later."""
-    listing = EndpointList()
+    endpoint_list = EndpointList()
     for server in servers:
         if server.running:
-            listing.add(server.name, ServerState.IN_SERVICE, 0)
-    return listing
+            endpoint_list.add(server.name, ServerState.IN_SERVICE, 0)
+    return endpoint_list
--- a/cypresswalk/lab/fault_injector.py
+++ b/cypresswalk/lab/fault_injector.py
@@ -5,7 +5,7 @@
 from cypresswalk.lab.balancer_control import BalancerControl
 from cypresswalk.lab.experiment import SERVER_FAULTS, ScheduledFault
 from cypresswalk.lab.servers import ServerState, added_servers, matching_servers
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientDriver
 from cypresswalk.lab.testbed.list_driver import publish
 from cypresswalk.lab.testbed.server_driver import ServerDriver
@@ -22,13 +22,13 @@
 
     def __init__(
         self,
-        bed: Bed,
+        testbed: ScenarioTestBed,
         servers: dict[str, ServerDriver],
         clients: ClientDriver,
         control: BalancerControl,
     ):
         """Keep the targets of the faults."""
-        self.bed = bed
+        self.testbed = testbed
         self.servers = servers
         self.clients = clients
         self.control = control
@@ -46,28 +46,28 @@
 
     async def inject(self, fault: ScheduledFault) -> None:
         """Inject one fault, from its beginning to its end."""
-        self.bed.observe(
+        self.testbed.observe(
             "trouble", "", fault.kind, servers=fault.servers, balancers=fault.balancers
         )
-        span_s = fault.for_s or self.bed.experiment.seconds
+        span_s = fault.for_s or self.testbed.experiment.seconds
         if fault.kind in SERVER_FAULTS:
             work = self.server_faults[fault.kind]
-            drivers = self._matching(fault.servers)
+            drivers = self._matching_servers(fault.servers)
             await asyncio.gather(*(work(driver, fault.amount, span_s) for driver in drivers))
         elif fault.kind == "release":
             await self._release(fault)
         elif fault.kind == "grow":
-            for name in added_servers(self.bed.experiment, fault):
+            for name in added_servers(self.testbed.experiment, fault):
                 await self._return_to_service(self.servers[name])
         elif fault.kind == "list_outage":
             await self._list_outage(span_s)
         elif fault.kind == "cut_clients":
-            self.clients.cut(fault.amount)
+            self.clients.cut_connections(fault.amount)
         else:
             await self._inject_into_balancers(fault, span_s)
 
     async def _inject_into_balancers(self, fault: ScheduledFault, span_s: float) -> None:
-        names = self.control.matching(fault.balancers)
+        names = self.control.matching_balancers(fault.balancers)
         if fault.kind == "balancer_kill":
             await asyncio.gather(*(self.control.kill(name, span_s) for name in names))
         elif fault.kind == "balancer_stop":
@@ -77,11 +77,11 @@
         elif fault.kind == "signals":
             await asyncio.gather(*(self.control.signal(name, fault.signals) for name in names))
 
-    def _matching(self, names: list[str]) -> list[ServerDriver]:
-        return [self.servers[name] for name in matching_servers(self.bed.experiment, names)]
+    def _matching_servers(self, names: list[str]) -> list[ServerDriver]:
+        return [self.servers[name] for name in matching_servers(self.testbed.experiment, names)]
 
     def _publish(self, server: str, state: ServerState, started_ms: int = 0) -> None:
-        publish(self.bed, self.control.agents.values(), server, state, started_ms)
+        publish(self.testbed, self.control.agents.values(), server, state, started_ms)
 
     async def _return_to_service(self, driver: ServerDriver) -> None:
         started_ms = await driver.start()
@@ -102,7 +102,7 @@
         The kernel still accepts connections, so that this does not simulate connections that are
         never accepted.
         """
-        self.bed.observe("server_mute", "", driver.model.name)
+        self.testbed.observe("server_mute", "", driver.model.name)
         driver.model.silent = True
         self._publish(driver.model.name, ServerState.TERMINATED)
         await asyncio.sleep(span_s)
@@ -110,24 +110,24 @@
         await self._return_to_service(driver)
 
     async def _hang(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        self.bed.observe("server_mute", "", driver.model.name)
+        self.testbed.observe("server_mute", "", driver.model.name)
         driver.model.hanging = True
         await asyncio.sleep(span_s)
         driver.model.hanging = False
 
     async def _slow(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        driver.model.update_backlog(self.bed.now())
+        driver.model.update_backlog(self.testbed.now())
         driver.model.slowness = max(amount, 1.0)
         await asyncio.sleep(span_s)
-        driver.model.update_backlog(self.bed.now())
+        driver.model.update_backlog(self.testbed.now())
         driver.model.slowness = 1.0
 
     async def _neighbour(self, driver: ServerDriver, amount: float, span_s: float) -> None:
         """Let another program take a share of the server's machine, in alternating phases."""
-        until = self.bed.now() + int(span_s * SECOND)
-        while self.bed.now() < until:
+        until = self.testbed.now() + int(span_s * SECOND)
+        while self.testbed.now() < until:
             for share in (amount, 0.0):
-                driver.model.update_backlog(self.bed.now())
+                driver.model.update_backlog(self.testbed.now())
                 driver.model.stolen_share = share
                 await asyncio.sleep(self.control.random.uniform(*NEIGHBOUR_PHASE_S))
         driver.model.stolen_share = 0.0
@@ -158,7 +158,7 @@
 
     async def _release(self, fault: ScheduledFault) -> None:
         """Drain and restart the servers one after the other."""
-        for driver in self._matching(fault.servers):
+        for driver in self._matching_servers(fault.servers):
             await self._drain(driver, 0.0, RELEASE_DRAIN_S)
             await self._return_to_service(driver)
             await asyncio.sleep(RELEASE_PAUSE_S)
@@ -171,4 +171,4 @@
         await asyncio.sleep(span_s)
         for agent in agents:
             agent.agent.silent = False
-            agent.wake()
+            agent.notify_watches()
--- a/cypresswalk/lab/history.py
+++ b/cypresswalk/lab/history.py
@@ -19,19 +19,19 @@
     Attributes:
         opened: The observation of the opening line at the server.
         reply: The observation of the server's reply.
-        over: The time since which the attempt is no longer pending (an established one is not
+        ended_at: The time since which the attempt is no longer pending (an established one is not
             pending either), in nanoseconds.
         may_have_run: Whether the flow may have had its effect.
-        broken: The observation that the server ended the connection.
-        released: The observation that the balancer ended the connection.
+        ended_by_server: The observation that the server ended the connection.
+        ended_by_balancer: The observation that the balancer ended the connection.
     """
 
     opened: Observation
     reply: Observation | None = None
-    over: int = NEVER
+    ended_at: int = NEVER
     may_have_run: bool = True
-    broken: Observation | None = None
-    released: Observation | None = None
+    ended_by_server: Observation | None = None
+    ended_by_balancer: Observation | None = None
 
     @property
     def at(self) -> int:
@@ -54,14 +54,14 @@
             self.reply = observation
             self.may_have_run = observation.fields["kind"] != "busy"
         elif observation.kind == "broke":
-            self.broken = observation
+            self.ended_by_server = observation
         else:
-            self.released = observation
-        self.over = min(self.over, observation.at)
+            self.ended_by_balancer = observation
+        self.ended_at = min(self.ended_at, observation.at)
 
     def evidence(self) -> list[Observation]:
         """Return all observations of the attempt."""
-        observations = (self.opened, self.reply, self.released, self.broken)
+        observations = (self.opened, self.reply, self.ended_by_balancer, self.ended_by_server)
         return [observation for observation in observations if observation is not None]
 
 
@@ -121,9 +121,9 @@
         }
         for observation in in_order:
             if observation.flow:
-                self._read_of_flow(observation, self.flows[observation.flow])
+                self._read_flow_observation(observation, self.flows[observation.flow])
             else:
-                self._read_of_host(observation)
+                self._read_host_observation(observation)
 
     def balancer_died(self, balancer: str, since: int, until: int, slack: int) -> bool:
         """Return whether a balancer ended between two times, widened by the slack at both ends."""
@@ -137,17 +137,17 @@
         failures = self.server_failures[last.server]
         server_failed = any(last.at - SECOND <= at <= until for at in failures)
         return (
-            last.broken is not None
+            last.ended_by_server is not None
             or server_failed
             or self.scenario_end <= until
             or self.balancer_died(flow.sent[0].subject, last.at, until, slack)
         )
 
-    def _read_of_flow(self, observation: Observation, flow: ObservedFlow) -> None:
+    def _read_flow_observation(self, observation: Observation, flow: ObservedFlow) -> None:
         match observation.kind:
             case "sent":
                 flow.sent.append(observation)
-                flow.hit_by_fault |= self._hit("client", observation)
+                flow.hit_by_fault |= self._was_hit_by_fault("client", observation)
             case "answer":
                 flow.answers.append(observation)
             case "left":
@@ -170,7 +170,7 @@
                     if attempt.number == observation.fields["number"]:
                         attempt.update(observation)
 
-    def _read_of_host(self, observation: Observation) -> None:
+    def _read_host_observation(self, observation: Observation) -> None:
         subject = observation.subject
         match observation.kind:
             case "balancer_down":
@@ -188,7 +188,7 @@
             case "day_ended":
                 self.scenario_end = observation.at
 
-    def _hit(self, side: str, observation: Observation) -> bool:
+    def _was_hit_by_fault(self, side: str, observation: Observation) -> bool:
         return (side, observation.fields.get("port")) in self.hit_ports
 
     def _read_attempt(self, observation: Observation, flow: ObservedFlow) -> None:
@@ -201,7 +201,7 @@
         if repeated and flow.sent and flow.sent[0].subject != balancer:
             return
         flow.attempts.append(Attempt(observation))
-        flow.hit_by_fault |= self._hit("server", observation)
+        flow.hit_by_fault |= self._was_hit_by_fault("server", observation)
 
     def _outdated(self, observation: Observation) -> bool:
         """Return whether a notification is of an older list version and would cancel a drain."""
@@ -214,5 +214,5 @@
         """Mark the attempts pending at a dead server as ended: a balancer may retry at once."""
         for flow in self.flows.values():
             for attempt in flow.attempts:
-                if attempt.server == server and attempt.over == NEVER:
-                    attempt.over = at
+                if attempt.server == server and attempt.ended_at == NEVER:
+                    attempt.ended_at = at
--- a/cypresswalk/lab/metrics.py
+++ b/cypresswalk/lab/metrics.py
@@ -99,7 +99,7 @@
         self._sent_to: dict[str, str] = {}
         # Weighted seconds, by flow type and second of the scenario.
         seconds = int(experiment.seconds) + 1
-        self.asked = {name: [0.0] * seconds for name in self.types}
+        self.requested = {name: [0.0] * seconds for name in self.types}
         self.served = {name: [0.0] * seconds for name in self.types}
         # Mean number of established connections, by second of the scenario.
         self.established = [0.0] * seconds
@@ -125,9 +125,9 @@
             case "ended":
                 self._read_end(event)
             case _:
-                self._read_of_client(event)
+                self._read_client_event(event)
 
-    def _read_of_client(self, event: Observation) -> None:
+    def _read_client_event(self, event: Observation) -> None:
         fields = event.fields
         match event.kind:
             case "comes":
@@ -169,8 +169,8 @@
         began = self.result.began
         flow_type = self.types[client.type]
         weight = flow_type.priority_weight
-        asked = self.asked[client.type]
-        add_span(asked, client.arrived_at - began, client.until - began, weight)
+        requested = self.requested[client.type]
+        add_span(requested, client.arrived_at - began, client.until - began, weight)
         objective_ms = flow_type.message_latency_objective_ms
         line_ms = self.experiment.clients.line_ms
         for connection in client.connections.values():
@@ -185,9 +185,9 @@
     ) -> float:
         """Return the service of the given types, or all, between two seconds of the scenario."""
         names = types or list(self.types)
-        asked = sum(sum(self.asked[name][since:until]) for name in names)
+        requested = sum(sum(self.requested[name][since:until]) for name in names)
         served = sum(sum(self.served[name][since:until]) for name in names)
-        return served / asked if asked else 1.0
+        return served / requested if requested else 1.0
 
     def worst_service(self) -> float:
         """Return the lowest service of any WORST_WINDOW_S consecutive seconds."""
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -12,7 +12,7 @@
 from cypresswalk.lab.result import ScenarioResult
 from cypresswalk.lab.rules import Rules, Violation
 from cypresswalk.lab.source_tree import source_tree
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientDriver
 from cypresswalk.lab.testbed.misbehaving_clients import misbehave
 from cypresswalk.lab.testbed.resting_clients import RestingClients
@@ -21,7 +21,7 @@
 
 # The slack that the rules allow beyond each limit. If the lab itself is later than that, a late
 # event can't be attributed to the balancer.
-LATE = 50 * MILLISECOND
+LATENESS_TOLERANCE = 50 * MILLISECOND
 MAX_LATE_SHARE = 0.01  # of the lateness checks
 MAX_LATENESS = 400 * MILLISECOND  # about a tenth of a connect timeout
 HEAD_START = 100 * MILLISECOND  # between the balancers' readiness and the first clients
@@ -41,19 +41,19 @@
         variant: Variant,
         seed: int,
         folder: Path,
-        files: Path,
+        source_folder: Path,
         command: list[str] | None = None,
     ):
         """Create all parts; nothing runs yet. See `BalancerControl` for the arguments."""
         self.experiment = experiment
-        self.bed = Bed(experiment, seed)
+        self.testbed = ScenarioTestBed(experiment, seed)
         self.result = ScenarioResult(experiment.name, variant.name, seed)
         self.servers = {
-            name: ServerDriver(self.bed, model) for name, model in self.bed.servers.items()
+            name: ServerDriver(self.testbed, model) for name, model in self.testbed.servers.items()
         }
-        self.clients = ClientDriver(self.bed)
-        self.control = BalancerControl(self.bed, variant, folder, files, command)
-        self.faults = FaultInjector(self.bed, self.servers, self.clients, self.control)
+        self.clients = ClientDriver(self.testbed)
+        self.control = BalancerControl(self.testbed, variant, folder, source_folder, command)
+        self.faults = FaultInjector(self.testbed, self.servers, self.clients, self.control)
 
     async def run(self, on_progress: ProgressCallback) -> ScenarioResult:
         """Play the scenario and check the rules.
@@ -61,21 +61,21 @@
         Raises:
             CommandError: A balancer does not start.
         """
-        bed = self.bed
+        testbed = self.testbed
         try:
             await self._start_servers()
             await self.control.start_all()
-            bed.spawn(bed.watch_lateness())
+            testbed.spawn(testbed.watch_lateness())
             await self._play(on_progress)
         finally:
             # Ends all child processes and tasks, also after Ctrl-C or a failure of the lab.
             for balancer in self.control.balancers.values():
                 balancer.kill()
-            for proxy in bed.proxies:
+            for proxy in testbed.proxies:
                 await proxy.stop()
-            for task in list(bed.tasks):
+            for task in list(testbed.tasks):
                 task.cancel()
-            await asyncio.gather(*bed.tasks, return_exceptions=True)
+            await asyncio.gather(*testbed.tasks, return_exceptions=True)
         self._check_rules()
         self._check_lateness()
         return self.result
@@ -83,49 +83,49 @@
     async def _start_servers(self) -> None:
         for driver in self.servers.values():
             await driver.listen()
-            driver.model.backlog_at = self.bed.now()
+            driver.model.backlog_at = self.testbed.now()
             if not driver.model.running:
                 driver.close()
-            self.bed.spawn(driver.work())
+            self.testbed.spawn(driver.run_periodic_work())
 
     async def _play(self, on_progress: ProgressCallback) -> None:
         """Run the clients and inject the faults until the scenario's end."""
-        bed = self.bed
+        testbed = self.testbed
         span = int(self.experiment.seconds * SECOND)
-        began = bed.now() + HEAD_START
-        bed.began = began
+        began = testbed.now() + HEAD_START
+        testbed.began = began
         self.result.began = began
-        for client in bed.clients.all():
-            bed.spawn(self.clients.run(client, began))
-        resting = RestingClients(bed, self.clients)
-        for name in bed.balancers:
-            bed.spawn(resting.run(name, began))
-        for number, (at, misbehaviour, zone) in enumerate(bed.clients.misbehaving()):
-            work = misbehave(bed, self.clients, misbehaviour, zone, number)
-            bed.spawn(self._run_at(began + at, work))
+        for client in testbed.clients.all():
+            testbed.spawn(self.clients.run(client, began))
+        resting = RestingClients(testbed, self.clients)
+        for name in testbed.balancers:
+            testbed.spawn(resting.run(name, began))
+        for number, (at, misbehaviour, zone) in enumerate(testbed.clients.misbehaving()):
+            work = misbehave(testbed, self.clients, misbehaviour, zone, number)
+            testbed.spawn(self._run_at(began + at, work))
         for fault in self.experiment.faults:
             work = self.faults.inject(fault)
-            bed.spawn(self._run_at(began + int(fault.at_s * SECOND), work))
-        bed.spawn(self.control.watch())
-        while (left := began + span - bed.now()) > 0:
+            testbed.spawn(self._run_at(began + int(fault.at_s * SECOND), work))
+        testbed.spawn(self.control.watch())
+        while (left := began + span - testbed.now()) > 0:
             on_progress((span - left) / SECOND)
             await asyncio.sleep(min(left / SECOND, PROGRESS_INTERVAL_S))
-        bed.observe("day_ended")
-        self.result.ended = bed.now()
+        testbed.observe("day_ended")
+        self.result.ended = testbed.now()
         for balancer in self.control.balancers.values():
-            balancer.send(signal.SIGUSR1)
+            balancer.send_signal(signal.SIGUSR1)
         await asyncio.sleep(COUNTERS_WAIT_S)
 
     async def _run_at(self, at: int, work: Coroutine) -> None:
         try:
-            await self.bed.sleep_until(at)
+            await self.testbed.sleep_until(at)
             await work
         finally:
             work.close()
 
     def _check_rules(self) -> None:
         result = self.result
-        result.events = self.bed.observations
+        result.events = self.testbed.observations
         result.samples = self.control.samples
         violations = self.control.crashes + check(result.events, Rules.of(self.experiment))
         for observation in result.events:
@@ -142,20 +142,20 @@
 
     def _check_lateness(self) -> None:
         """Mark the result as void if the lab failed or was late."""
-        lateness = sorted(self.bed.lateness) or [0]
-        share = sum(late > LATE for late in lateness) / len(lateness)
+        lateness = sorted(self.testbed.lateness) or [0]
+        share = sum(late > LATENESS_TOLERANCE for late in lateness) / len(lateness)
         self.result.lateness_ms = {
             "median": lateness[len(lateness) // 2] / MILLISECOND,
             "p99": lateness[len(lateness) * 99 // 100] / MILLISECOND,
             "most": lateness[-1] / MILLISECOND,
             "share_late": round(share, 5),
         }
-        if self.bed.failures:
-            self.result.void = f"the lab itself failed: {self.bed.failures[0]}"
+        if self.testbed.failures:
+            self.result.void = f"the lab itself failed: {self.testbed.failures[0]}"
         elif share > MAX_LATE_SHARE or lateness[-1] > MAX_LATENESS:
             self.result.void = (
                 f"the lab itself was late: {lateness[-1] / MILLISECOND:.0f} ms at most,"
-                f" {share:.1%} of its ticks by over {LATE / MILLISECOND:.0f} ms"
+                f" {share:.1%} of its ticks by over {LATENESS_TOLERANCE / MILLISECOND:.0f} ms"
             )
 
 
@@ -179,8 +179,8 @@
         CommandError: The scenario can't begin.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    with source_tree(variant) as files:
-        scenario = Scenario(experiment, variant, seed, folder, files, command)
+    with source_tree(variant) as source_folder:
+        scenario = Scenario(experiment, variant, seed, folder, source_folder, command)
         result = asyncio.run(scenario.run(on_progress))
     result.save(folder)
     return result
--- a/cypresswalk/lab/servers.py
+++ b/cypresswalk/lab/servers.py
@@ -15,7 +15,7 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
 MIN_SPARE_SHARE = 0.05  # of a server's capacity, to bound the service time of a line
-MIN_LEFT_SHARE = 0.01  # of a server's cores, left over by another program
+MIN_CORE_SHARE = 0.01  # of a server's cores, left over by another program
 LINE_SERVICE_S = 0.001  # service time of a line at an idle server
 
 
@@ -138,7 +138,7 @@
     def _add_work(self, now: int, core_seconds: float) -> None:
         group = self.group
         warm = group.cores * group.speed * self.warmth(now)
-        left = max(1 - self.stolen_share, MIN_LEFT_SHARE)
+        left = max(1 - self.stolen_share, MIN_CORE_SHARE)
         self.backlog_s += core_seconds / (warm / self.slowness * left)
 
     # What arrives.
@@ -146,7 +146,7 @@
     def open(self, now: int, number: int, load: float, group: str) -> tuple[Reply, int]:
         """Handle a new connection; return the reply and its delay in nanoseconds."""
         self.update_backlog(now)
-        self._count_while_cold(now, load)
+        self._count_recent_load(now, load)
         if self.silent or self.hanging:
             return Reply.SILENT, 0
         if not self.running:
@@ -214,7 +214,7 @@
         window = self.overload_window
         return self.overload_factor * self.capacity(now) * self.turnover * window / SECOND
 
-    def _count_while_cold(self, now: int, load: float) -> None:
+    def _count_recent_load(self, now: int, load: float) -> None:
         if self.warmth(now) >= 1 or not self.running:
             self.recent_loads.clear()
             return
@@ -266,7 +266,7 @@
 def build_servers(experiment: Experiment, seed: int) -> dict[str, SimulatedServer]:
     """Return all servers by name; those that a `grow` fault adds are not running yet."""
     settings = experiment.settings
-    loads_per_place = turnover(experiment)
+    turnover_rate = turnover(experiment)
     servers = {
         name: SimulatedServer(
             name,
@@ -274,7 +274,7 @@
             Random(f"{seed}/server/{name}"),
             settings.overload_factor,
             int(settings.overload_window_ms * MILLISECOND),
-            loads_per_place,
+            turnover_rate,
         )
         for group in experiment.servers
         for name in server_names(group)
--- a/cypresswalk/lab/soak.py
+++ b/cypresswalk/lab/soak.py
@@ -21,7 +21,7 @@
 
 FAULT_IN_LOG = re.compile(r"Traceback|event=(fault|thread_failed)\b")
 MAX_SHOWN_FINDINGS = 20
-LEFT_ATTEMPT_TIME = SECOND // 10  # time in which attempts for a client that left may begin
+ATTEMPT_TIME_AFTER_LEAVE = SECOND // 10  # time in which attempts for a client that left may begin
 MAX_LATE_ATTEMPTS = 2
 
 
@@ -54,11 +54,11 @@
     result = play_scenario(experiment, experiment.variants[0], seed, folder)
     repeated = repeated_ids(result.events)
     findings = [
-        *(breach for breach in result.breaches if not names_flow(breach, repeated)),
+        *(breach for breach in result.breaches if not concerns_flow(breach, repeated)),
         *unanswered_at_stops(result.events),
-        *attempts_for_nobody(result.events),
-        *faults_logged(folder),
-        *descriptors_beyond(experiment, result),
+        *attempts_after_client_left(result.events),
+        *logged_faults(folder),
+        *descriptor_limit_violations(experiment, result),
     ]
     flows = sum(event.kind == "sent" for event in result.events)
     verdict = SeedVerdict(seed, findings[:MAX_SHOWN_FINDINGS], result.void, flows)
@@ -75,7 +75,7 @@
     return {event.flow for event in events if event.kind == "said_again"}
 
 
-def names_flow(breach: str, flows: set[str]) -> bool:
+def concerns_flow(breach: str, flows: set[str]) -> bool:
     """Return whether a violation's text is about one of the flows."""
     words = breach.split(" at ", 1)[0].rsplit(": ", 1)
     return words[-1] in flows
@@ -117,7 +117,7 @@
     return findings
 
 
-def attempts_for_nobody(events: Iterable[Observation]) -> list[str]:
+def attempts_after_client_left(events: Iterable[Observation]) -> list[str]:
     """Return findings for attempts begun over 0.1 s after their client left, if over two."""
     left_at: dict[str, int] = {}
     late: list[str] = []
@@ -126,13 +126,13 @@
             left_at[event.flow] = event.at
         elif event.kind == "attempt" and event.flow in left_at:
             after = event.at - left_at[event.flow]
-            if after > LEFT_ATTEMPT_TIME + DEFAULT_SLACK:
+            if after > ATTEMPT_TIME_AFTER_LEAVE + DEFAULT_SLACK:
                 text = f"an attempt {after / SECOND:.3f} s after its client left"
                 late.append(f"one answer: {event.flow} at {event.at / SECOND:.3f} s: {text}")
     return late if len(late) > MAX_LATE_ATTEMPTS else []
 
 
-def faults_logged(folder: Path) -> list[str]:
+def logged_faults(folder: Path) -> list[str]:
     """Return the log lines in which a balancer reports an internal fault."""
     return [
         f"{path.name}: {line[:300]}"
@@ -142,7 +142,7 @@
     ]
 
 
-def descriptors_beyond(experiment: Experiment, result: ScenarioResult) -> list[str]:
+def descriptor_limit_violations(experiment: Experiment, result: ScenarioResult) -> list[str]:
     """Return the first sample of each balancer in which it exceeded its descriptor limit."""
     groups = dict(zip(experiment.balancer_names(), experiment.balancer_groups(), strict=True))
     found: dict[str, str] = {}
--- a/cypresswalk/lab/soak_plan.py
+++ b/cypresswalk/lab/soak_plan.py
@@ -9,15 +9,15 @@
 SECONDS = 16.0
 FIRST_FAULT_S = 2.0
 LAST_FAULT_S = 10.0  # leaves time for the fault's effects before the scenario ends
-STOP_LASTS_S = 6.0  # maximum time from SIGTERM until the balancer serves again
+MAX_STOP_S = 6.0  # maximum time from SIGTERM until the balancer serves again
 MAX_OUTAGE_S = 4.0
 CROWD_PROBABILITY = 0.3
 GOSSIP_PROBABILITY = 0.5
 POLLED_PROBABILITY = 0.3
 # Possible starts of a series of signals, in seconds relative to SIGTERM.
 SERIES_OFFSETS_S = (-0.05, 0.0, 0.01, 0.2, 1.0)
-SERIES = (["HUP"], ["HUP", "HUP", "HUP"], ["USR1", "HUP"])
-SERIES_AFTER_TERM = (["TERM"], ["TERM", "HUP"], ["HUP", "TERM", "TERM"])
+SIGNAL_SERIES = (["HUP"], ["HUP", "HUP", "HUP"], ["USR1", "HUP"])
+SIGNAL_SERIES_AFTER_TERM = (["TERM"], ["TERM", "HUP"], ["HUP", "TERM", "TERM"])
 SERVER_FAULTS = ("hang", "slow", "errors", "resets", "drain", "restart", "crash")
 AMOUNTS = {"slow": (2.0, 8.0), "errors": (0.1, 0.9), "resets": (0.1, 0.6)}
 
@@ -83,31 +83,31 @@
     for name in random.sample(balancers, random.randint(1, len(balancers))):
         faults += draw_stop(random, name)
     for _ in range(random.randint(0, 2)):
-        faults.append({"kind": "reload", "at_s": draw_moment(random), "balancers": ["all"]})
+        faults.append({"kind": "reload", "at_s": draw_start_s(random), "balancers": ["all"]})
     names = [f"{zone}-{number}" for zone in zones for number in range(servers)]
     # At least one server has no fault.
     for name in random.sample(names, random.randint(1, len(names) - 1)):
         faults.append(draw_server_fault(random, name))
     if random.random() < 0.4:
         span_s = round(random.uniform(1, MAX_OUTAGE_S), 2)
-        faults.append({"kind": "list_outage", "at_s": draw_moment(random), "for_s": span_s})
+        faults.append({"kind": "list_outage", "at_s": draw_start_s(random), "for_s": span_s})
     return faults
 
 
-def draw_moment(random: Random) -> float:
+def draw_start_s(random: Random) -> float:
     """Draw the time at which a fault begins, in seconds."""
     return round(random.uniform(FIRST_FAULT_S, LAST_FAULT_S), 2)
 
 
 def draw_stop(random: Random, balancer: str) -> list[Table]:
     """Draw a planned stop and series of signals before, at and after its SIGTERM."""
-    latest = SECONDS - STOP_LASTS_S
+    latest = SECONDS - MAX_STOP_S
     at_s = round(random.uniform(FIRST_FAULT_S, min(latest, LAST_FAULT_S)), 2)
     stop: Table = {"kind": "balancer_stop", "at_s": at_s, "for_s": 0.3, "balancers": [balancer]}
     faults = [stop]
     for offset in random.sample(SERIES_OFFSETS_S, random.randint(0, 3)):
         # A SIGTERM before that of the stop would end the balancer unexpectedly.
-        kinds = (*SERIES, *SERIES_AFTER_TERM) if offset > 0.1 else SERIES
+        kinds = (*SIGNAL_SERIES, *SIGNAL_SERIES_AFTER_TERM) if offset > 0.1 else SIGNAL_SERIES
         series = {"kind": "signals", "signals": random.choice(kinds), "balancers": [balancer]}
         faults.append({"at_s": round(at_s + offset, 2)} | series)
     return faults
@@ -118,7 +118,7 @@
     kind = random.choice(SERVER_FAULTS)
     fault: Table = {
         "kind": kind,
-        "at_s": draw_moment(random),
+        "at_s": draw_start_s(random),
         "for_s": round(random.uniform(1, 5), 2),
         "servers": [server],
     }
--- a/cypresswalk/lab/source_tree.py
+++ b/cypresswalk/lab/source_tree.py
@@ -24,7 +24,7 @@
     if not variant.revision:
         yield ROOT
         return
-    archive = archive_of(variant)
+    archive = export_revision(variant)
     folder = Path(tempfile.mkdtemp(prefix="cypresswalk-revision-"))
     try:
         with tarfile.open(fileobj=BytesIO(archive)) as files:
@@ -34,7 +34,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def archive_of(variant: Variant) -> bytes:
+def export_revision(variant: Variant) -> bytes:
     """Return a variant's revision as a tar archive."""
     command = ["git", "archive", "--format=tar", variant.revision, "--", "cypresswalk"]
     try:
--- a/cypresswalk/lab/testbed/bed.py
+++ b/cypresswalk/lab/testbed/bed.py
@@ -21,7 +21,7 @@
 LATENESS_CHECK_INTERVAL = 20 * MILLISECOND
 
 
-class Bed:
+class ScenarioTestBed:
     """The testbed of one scenario.
 
     Attributes:
@@ -43,7 +43,7 @@
         self.wall_offset = time.time_ns() - time.monotonic_ns()
         self.observations: list[Observation] = []
         self.servers = build_servers(experiment, seed)
-        self.listing = initial_list(list(self.servers.values()))
+        self.endpoint_list = initial_list(list(self.servers.values()))
         self.balancers = experiment.balancer_names()
         groups = experiment.balancer_groups()
         self.balancer_zone = {
@@ -102,7 +102,7 @@
             await self.sleep_until(due)
             self.lateness.append(max(self.now() - due, 0))
 
-    async def with_faults(self, address: Address, plan: Plan, side: str) -> Address:
+    async def with_fault_proxy(self, address: Address, plan: Plan, side: str) -> Address:
         """Start a proxy that injects a plan's faults in front of an address; return its address.
 
         If the plan has no fault, start no proxy and return the address itself.
--- a/cypresswalk/lab/testbed/client_driver.py
+++ b/cypresswalk/lab/testbed/client_driver.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from cypresswalk.lab.clients import Client
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.streams import (
     CONNECTION_ENDS,
     MAX_LINE_BYTES,
@@ -43,9 +43,9 @@
 
     Attributes:
         end: The time until which the client wants to be served, in nanoseconds.
-        said: The lines sent.
-        heard: The lines received.
-        unanswered: The sending time of each line whose echo has not come yet, in nanoseconds.
+        lines_sent: The lines sent.
+        lines_received: The lines received.
+        awaited_echoes: The sending time of each line whose echo has not come yet, in nanoseconds.
     """
 
     client: Client
@@ -54,9 +54,9 @@
     end: int
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    said: list[str] = field(default_factory=list)
-    heard: list[str] = field(default_factory=list)
-    unanswered: dict[str, int] = field(default_factory=dict)
+    lines_sent: list[str] = field(default_factory=list)
+    lines_received: list[str] = field(default_factory=list)
+    awaited_echoes: dict[str, int] = field(default_factory=dict)
 
 
 class ClientDriver:
@@ -67,19 +67,19 @@
         latest_id: The flow id sent last, for misbehaving clients to repeat.
     """
 
-    def __init__(self, bed: Bed):
+    def __init__(self, testbed: ScenarioTestBed):
         """Start without clients."""
-        self.bed = bed
+        self.testbed = testbed
         self.established: dict[str, asyncio.StreamWriter] = {}
         self.latest_id = ""
 
     async def run(self, client: Client, began: int) -> None:
         """Run one client from its arrival on."""
-        bed = self.bed
-        await bed.sleep_until(began + client.arrives_at)
-        end = bed.now() + client.lifetime
-        marks = ""
-        bed.observe(
+        testbed = self.testbed
+        await testbed.sleep_until(began + client.arrives_at)
+        end = testbed.now() + client.lifetime
+        extra_fields = ""
+        testbed.observe(
             "comes",
             "",
             client.zone,
@@ -88,34 +88,34 @@
             customer=client.tenant,
             life_ms=client.lifetime // MILLISECOND,
         )
-        habits = bed.experiment.clients
-        while bed.now() < end:
-            result = await self._connect(client, end, marks)
+        behaviour = testbed.experiment.clients
+        while testbed.now() < end:
+            result = await self._connect(client, end, extra_fields)
             if result.ended == OWN_END:
                 break
             if result.ended:
-                wait = client.delay_after_disconnect(habits)
+                wait = client.delay_after_disconnect(behaviour)
             else:
-                wait = client.delay_after_rejection(habits, result.retry_after)
+                wait = client.delay_after_rejection(behaviour, result.retry_after)
             if wait is None:
                 break
-            marks = ",again=1" if result.ended else ",r=1"
+            extra_fields = ",again=1" if result.ended else ",r=1"
             await asyncio.sleep(wait / SECOND)
 
-    async def _connect(self, client: Client, end: int, marks: str) -> ConnectionResult:
-        """Run one connection; append `marks` to its opening line."""
-        bed = self.bed
-        balancer = bed.edges[client.zone].pick()
+    async def _connect(self, client: Client, end: int, extra_fields: str) -> ConnectionResult:
+        """Run one connection; append `extra_fields` to its opening line."""
+        testbed = self.testbed
+        balancer = testbed.edges[client.zone].pick()
         if balancer is None:
-            bed.observe("nobody", "", client.zone, person=client.number)
+            testbed.observe("nobody", "", client.zone, person=client.number)
             return ConnectionResult()
-        address = bed.balancer_addresses[balancer]
+        address = testbed.balancer_addresses[balancer]
         try:
             reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE_BYTES)
         except OSError:
-            bed.observe("refused", "", balancer, person=client.number)
+            testbed.observe("refused", "", balancer, person=client.number)
             return ConnectionResult()
-        return await self.send_flow(client, balancer, reader, writer, end, marks)
+        return await self.send_flow(client, balancer, reader, writer, end, extra_fields)
 
     async def send_flow(
         self,
@@ -124,28 +124,28 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         end: int,
-        marks: str = "",
+        extra_fields: str = "",
     ) -> ConnectionResult:
         """Send a flow's opening line on an open connection, and run the flow to its end."""
         connection = ClientConnection(client, client.next_id(), balancer, end, reader, writer)
         try:
             set_nodelay(writer)
-            self._send_opening(connection, marks)
+            self._send_opening(connection, extra_fields)
             return await self._await_answer(connection)
         finally:
             self.established.pop(connection.flow, None)
             writer.close()
 
-    def _send_opening(self, connection: ClientConnection, marks: str) -> None:
+    def _send_opening(self, connection: ClientConnection, extra_fields: str) -> None:
         client = connection.client
         flow_type = client.type
         group = f",g={client.group}" if client.group else ""
         connection.writer.write(
             f"OPEN {connection.flow} k{client.number} c={flow_type.name},t={client.tenant},"
-            f"d={flow_type.timeout_ms:g},h={client.load:.3f}{group}{marks}\r\n".encode()
+            f"d={flow_type.timeout_ms:g},h={client.load:.3f}{group}{extra_fields}\r\n".encode()
         )
         self.latest_id = connection.flow
-        self.bed.observe(
+        self.testbed.observe(
             "sent",
             connection.flow,
             connection.balancer,
@@ -165,20 +165,20 @@
         try:
             line = await asyncio.wait_for(connection.reader.readline(), wait_s)
         except TimeoutError:
-            self.bed.observe("left" if leaves else "waited", flow, balancer)
+            self.testbed.observe("left" if leaves else "waited", flow, balancer)
             return ConnectionResult()
         except CONNECTION_ENDS:
-            self.bed.observe("ended", flow, balancer, how="reset")
+            self.testbed.observe("ended", flow, balancer, how="reset")
             return ConnectionResult()
         if not line.endswith(b"\n"):
             # The connection ended without an answer or in the middle of one.
-            self.bed.observe("ended", flow, balancer, how="end")
+            self.testbed.observe("ended", flow, balancer, how="end")
             return ConnectionResult()
         return await self._on_answer(connection, decode_line(line))
 
     async def _on_answer(self, connection: ClientConnection, text: str) -> ConnectionResult:
         kind = kind_of_answer(text)
-        self.bed.observe(
+        self.testbed.observe(
             "answer",
             connection.flow,
             connection.balancer,
@@ -188,7 +188,7 @@
         )
         if kind == "up":
             self.established[connection.flow] = connection.writer
-            return ConnectionResult(ended=await self._talk(connection))
+            return ConnectionResult(ended=await self._run_established(connection))
         await self._watch_for_second_answer(connection)
         return ConnectionResult(retry_after=retry_after_of(text) if kind == "busy" else None)
 
@@ -199,9 +199,9 @@
             if line:
                 text = line.decode("ascii", "replace").strip()
                 flow = connection.flow
-                self.bed.observe("answer", flow, connection.balancer, kind="failed", line=text)
+                self.testbed.observe("answer", flow, connection.balancer, kind="failed", line=text)
 
-    async def _talk(self, connection: ClientConnection) -> str:
+    async def _run_established(self, connection: ClientConnection) -> str:
         """Exchange lines on an established connection; return how it ended."""
         connection.client.rejections = 0
         how = OWN_END
@@ -209,27 +209,27 @@
             how = await self._exchange_lines(connection)
             if how == OWN_END:
                 connection.writer.write_eof()
-                await self._hear_last_lines(connection)
+                await self._read_last_lines(connection)
         except TimeoutError:
             pass
         except CONNECTION_ENDS:
             # A reset after the client's own end does not matter.
-            if self.bed.now() < connection.end:
+            if self.testbed.now() < connection.end:
                 how = "cut" if connection.writer.transport.is_closing() else "reset"
         number = connection.client.number
-        self.bed.observe("ended", connection.flow, connection.balancer, how=how, person=number)
-        self.bed.observe(
+        self.testbed.observe("ended", connection.flow, connection.balancer, how=how, person=number)
+        self.testbed.observe(
             "lines",
             connection.flow,
             connection.balancer,
             side="client",
-            said=connection.said,
-            heard=connection.heard,
+            said=connection.lines_sent,
+            heard=connection.lines_received,
             number=0,
         )
         return how
 
-    async def _hear_last_lines(self, connection: ClientConnection) -> None:
+    async def _read_last_lines(self, connection: ClientConnection) -> None:
         """Read the lines that were on the way to the client when it ended the connection.
 
         A balancer that drains may have sent MOVE before it noticed the client's end; that is not a
@@ -238,13 +238,13 @@
         while line := await asyncio.wait_for(connection.reader.readline(), LAST_LINES_S):
             text = decode_line(line)
             if text != MOVE_LINE:
-                connection.heard.append(text)
+                connection.lines_received.append(text)
 
     async def _exchange_lines(self, connection: ClientConnection) -> str:
         """Send lines and read echoes until the connection ends; return how it ended."""
-        interval = int(self.bed.experiment.clients.line_ms * MILLISECOND)
-        next_line_at = self.bed.now() + connection.client.random.randrange(interval)
-        while (now := self.bed.now()) < connection.end:
+        interval = int(self.testbed.experiment.clients.line_ms * MILLISECOND)
+        next_line_at = self.testbed.now() + connection.client.random.randrange(interval)
+        while (now := self.testbed.now()) < connection.end:
             if now >= next_line_at:
                 self._send_line(connection, now)
                 next_line_at = max(next_line_at + interval, now)
@@ -259,22 +259,22 @@
             text = decode_line(line)
             if text == MOVE_LINE:
                 return "move"
-            connection.heard.append(text)
+            connection.lines_received.append(text)
             if text == "BYE":
                 return "bye"
-            if text in connection.unanswered:
+            if text in connection.awaited_echoes:
                 self._on_echo(connection, text)
         return OWN_END
 
     def _send_line(self, connection: ClientConnection, now: int) -> None:
-        text = f"M {len(connection.said)}"
-        connection.said.append(text)
-        connection.unanswered[text] = now
+        text = f"M {len(connection.lines_sent)}"
+        connection.lines_sent.append(text)
+        connection.awaited_echoes[text] = now
         connection.writer.write(text.encode() + b"\r\n")
 
     def _on_echo(self, connection: ClientConnection, text: str) -> None:
-        took = self.bed.now() - connection.unanswered.pop(text)
-        self.bed.observe(
+        took = self.testbed.now() - connection.awaited_echoes.pop(text)
+        self.testbed.observe(
             "echo",
             connection.flow,
             connection.balancer,
@@ -282,12 +282,12 @@
             person=connection.client.number,
         )
 
-    def cut(self, share: float) -> None:
+    def cut_connections(self, share: float) -> None:
         """Reset a share of the established connections, like a network failure."""
-        random = Random(f"{self.bed.seed}/cut/{len(self.bed.observations)}")
+        random = Random(f"{self.testbed.seed}/cut/{len(self.testbed.observations)}")
         for flow, writer in list(self.established.items()):
             if random.random() < share:
-                self.bed.observe("left", flow, "", cut=True)
+                self.testbed.observe("left", flow, "", cut=True)
                 reset(writer)
 
 
--- a/cypresswalk/lab/testbed/gossip_relay.py
+++ b/cypresswalk/lab/testbed/gossip_relay.py
@@ -5,17 +5,17 @@
 from typing import cast
 
 from cypresswalk.lab.clients import draw_ms
-from cypresswalk.lab.testbed.bed import Address, Bed
+from cypresswalk.lab.testbed.bed import Address, ScenarioTestBed
 from cypresswalk.lab.units import SECOND
 
 
 class GossipRelay(asyncio.DatagramProtocol):
     """A relay that passes each balancer's messages to all others, with delay and loss."""
 
-    def __init__(self, bed: Bed):
+    def __init__(self, testbed: ScenarioTestBed):
         """Start without member addresses."""
-        self.bed = bed
-        self.random = Random(f"{bed.seed}/peers")
+        self.testbed = testbed
+        self.random = Random(f"{testbed.seed}/peers")
         self.members: list[Address] = []
         self.passed = 0
         self.lost = 0
@@ -27,7 +27,7 @@
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
         """Pass a message to all other members; called by asyncio."""
-        network = self.bed.experiment.network
+        network = self.testbed.experiment.network
         for member in self.members:
             if member == sender[:2]:
                 continue
--- a/cypresswalk/lab/testbed/list_driver.py
+++ b/cypresswalk/lab/testbed/list_driver.py
@@ -6,7 +6,7 @@
 
 from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.servers import ServerState
-from cypresswalk.lab.testbed.bed import Address, Bed
+from cypresswalk.lab.testbed.bed import Address, ScenarioTestBed
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, LOOPBACK, MAX_LINE_BYTES
 from cypresswalk.lab.units import SECOND
 
@@ -22,9 +22,9 @@
 class ListAgentDriver:
     """The driver of a list agent: one address of the list service, for one balancer."""
 
-    def __init__(self, bed: Bed, balancer: str, agent: ListAgent):
+    def __init__(self, testbed: ScenarioTestBed, balancer: str, agent: ListAgent):
         """Prepare the driver; it does not listen yet."""
-        self.bed = bed
+        self.testbed = testbed
         self.balancer = balancer
         self.agent = agent
         self.changed = asyncio.Event()
@@ -37,7 +37,7 @@
         self.address = self.listener.sockets[0].getsockname()[:2]
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.bed.spawn(self._serve(reader, writer))
+        self.testbed.spawn(self._serve(reader, writer))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -82,7 +82,7 @@
         """Send the changes after a version as one line; return the version sent."""
         answer = self.agent.answer(since)
         instances = [
-            self.bed.encode_endpoint(endpoint, self.balancer) for endpoint in answer.endpoints
+            self.testbed.encode_endpoint(endpoint, self.balancer) for endpoint in answer.endpoints
         ]
         message = {
             "generation": answer.version,
@@ -92,7 +92,7 @@
         line = json.dumps(message).encode() + b"\n"
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
         for endpoint in answer.endpoints:
-            self.bed.observe(
+            self.testbed.observe(
                 "told",
                 "",
                 self.balancer,
@@ -102,13 +102,13 @@
             )
         return answer.version
 
-    async def learn(self, version: int) -> None:
+    async def receive_later(self, version: int) -> None:
         """Deliver a version to this agent after a delay."""
         await asyncio.sleep(self.agent.next_delay() / SECOND)
-        if self.agent.learn(version):
+        if self.agent.receive(version):
             self.changed.set()
 
-    def wake(self) -> None:
+    def notify_watches(self) -> None:
         """Make all watches check for changes."""
         self.changed.set()
 
@@ -121,9 +121,13 @@
 
 
 def publish(
-    bed: Bed, agents: Iterable[ListAgentDriver], server: str, state: ServerState, started_ms: int
+    testbed: ScenarioTestBed,
+    agents: Iterable[ListAgentDriver],
+    server: str,
+    state: ServerState,
+    started_ms: int,
 ) -> None:
     """Change a server's entry in the list; the change reaches each agent after a delay."""
-    version = bed.listing.add(server, state, started_ms)
+    version = testbed.endpoint_list.add(server, state, started_ms)
     for agent in agents:
-        bed.spawn(agent.learn(version))
+        testbed.spawn(agent.receive_later(version))
--- a/cypresswalk/lab/testbed/misbehaving_clients.py
+++ b/cypresswalk/lab/testbed/misbehaving_clients.py
@@ -2,25 +2,25 @@
 
 import asyncio
 
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientDriver
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, MAX_LINE_BYTES
 from cypresswalk.lab.units import MILLISECOND
 
-ANSWER_WITHIN_S = 3
+ANSWER_TIMEOUT_S = 3
 FLOOD_LINES = 200
 ENDLESS_LINE_BYTES = 20_000
 
 
 async def misbehave(
-    bed: Bed, clients: ClientDriver, misbehaviour: str, zone: str, number: int
+    testbed: ScenarioTestBed, clients: ClientDriver, misbehaviour: str, zone: str, number: int
 ) -> None:
     """Run one misbehaving client; see `lab.clients.MISBEHAVIOURS`."""
-    balancer = bed.edges[zone].pick()
+    balancer = testbed.edges[zone].pick()
     if balancer is None or misbehaviour == "twice" and not clients.latest_id:
         return
-    began = bed.now()
-    address = bed.balancer_addresses[balancer]
+    began = testbed.now()
+    address = testbed.balancer_addresses[balancer]
     answer = "neither"
     try:
         reader, writer = await asyncio.open_connection(*address, limit=MAX_LINE_BYTES)
@@ -28,9 +28,9 @@
         return
     try:
         if misbehaviour == "twice":
-            bed.observe("said_again", clients.latest_id, balancer)
-        writer.write(bytes_of(bed, misbehaviour, number, clients.latest_id))
-        line = await asyncio.wait_for(reader.readline(), ANSWER_WITHIN_S)
+            testbed.observe("said_again", clients.latest_id, balancer)
+        writer.write(misbehaviour_bytes(testbed, misbehaviour, number, clients.latest_id))
+        line = await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT_S)
         answer = line.decode("ascii", "replace").strip().split(" ")[0] or "end"
     except TimeoutError:
         pass
@@ -38,14 +38,16 @@
         answer = "reset"
     finally:
         writer.close()
-    took_ms = (bed.now() - began) / MILLISECOND
-    bed.observe("bad", "", balancer, sort=misbehaviour, answer=answer, took_ms=took_ms)
+    took_ms = (testbed.now() - began) / MILLISECOND
+    testbed.observe("bad", "", balancer, sort=misbehaviour, answer=answer, took_ms=took_ms)
 
 
-def bytes_of(bed: Bed, misbehaviour: str, number: int, latest_id: str) -> bytes:
+def misbehaviour_bytes(
+    testbed: ScenarioTestBed, misbehaviour: str, number: int, latest_id: str
+) -> bytes:
     """Return the bytes that a misbehaving client sends."""
-    flow_type = bed.experiment.types[0].name
-    tenant = bed.experiment.tenants[0].name
+    flow_type = testbed.experiment.types[0].name
+    tenant = testbed.experiment.tenants[0].name
     valid = f"OPEN x{number} k1 c={flow_type},t={tenant},d=1000\r\n".encode()
     return {
         "silent": b"",
--- a/cypresswalk/lab/testbed/server_driver.py
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from cypresswalk.lab.servers import Reply, SimulatedServer
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.streams import (
     CONNECTION_ENDS,
     LOOPBACK,
@@ -18,37 +18,45 @@
 LISTEN_BACKLOG = 512  # connections
 WORK_INTERVAL_S = 0.25
 LOAD_REPORT_EVERY = 4  # work intervals
-REPORT_ABOVE_PART = 3  # reports delays above 1/3 of the tightest message latency objective
+REPORT_THRESHOLD_DIVISOR = 3  # reports delays above 1/3 of the tightest message latency objective
 
 
 class ServerConnection:
     """A connection established at a server, and the lines exchanged on it."""
 
-    __slots__ = ("number", "flow", "writer", "said", "heard", "last_echo_at", "broken")
+    __slots__ = (
+        "number",
+        "flow",
+        "writer",
+        "lines_sent",
+        "lines_received",
+        "last_echo_at",
+        "ended_by_server",
+    )
 
     def __init__(self, number: int, flow: str, writer: asyncio.StreamWriter):
         """Start without any lines exchanged."""
         self.number = number
         self.flow = flow
         self.writer = writer
-        self.said: list[str] = []
-        self.heard: list[str] = []
+        self.lines_sent: list[str] = []
+        self.lines_received: list[str] = []
         self.last_echo_at = 0
-        self.broken = False
+        self.ended_by_server = False
 
-    def say(self, text: str) -> None:
+    def send_line(self, text: str) -> None:
         """Send a line, unless the connection has ended."""
-        if not self.broken and not self.writer.transport.is_closing():
-            self.said.append(text)
+        if not self.ended_by_server and not self.writer.transport.is_closing():
+            self.lines_sent.append(text)
             self.writer.write(text.encode() + b"\r\n")
 
 
 class ServerDriver:
     """One server on sockets, with a port per balancer, which identifies the balancer."""
 
-    def __init__(self, bed: Bed, model: SimulatedServer):
+    def __init__(self, testbed: ScenarioTestBed, model: SimulatedServer):
         """Prepare the driver; it does not listen yet."""
-        self.bed = bed
+        self.testbed = testbed
         self.model = model
         self.ports: dict[str, int] = {}
         self.listeners: list[asyncio.Server] = []
@@ -63,7 +71,7 @@
 
         If another process has taken a port, record a failure of the lab.
         """
-        for balancer in self.bed.balancers:
+        for balancer in self.testbed.balancers:
             port = self.ports.get(balancer)
             try:
                 listener = await asyncio.start_server(
@@ -74,7 +82,7 @@
                     limit=MAX_LINE_BYTES,
                 )
             except OSError as error:
-                self.bed.failures.append(f"{self.model.name} can't listen at {port}: {error}")
+                self.testbed.failures.append(f"{self.model.name} can't listen at {port}: {error}")
                 return
             if port is None:
                 await self._publish(balancer, listener.sockets[0].getsockname()[1])
@@ -83,14 +91,14 @@
     async def _publish(self, balancer: str, port: int) -> None:
         """Store a port and its address for a balancer: a fault proxy's if faults are planned."""
         self.ports[balancer] = port
-        plan = self.bed.experiment.connection_faults.servers
-        address = await self.bed.with_faults((LOOPBACK, port), plan, "server")
-        self.bed.server_addresses[self.model.name][balancer] = address
+        plan = self.testbed.experiment.connection_faults.servers
+        address = await self.testbed.with_fault_proxy((LOOPBACK, port), plan, "server")
+        self.testbed.server_addresses[self.model.name][balancer] = address
 
     def _accept(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.bed.spawn(self._serve(balancer, reader, writer))
+        self.testbed.spawn(self._serve(balancer, reader, writer))
 
     async def _serve(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -119,18 +127,18 @@
             else:
                 writer.write(b"SYNTAX\r\n")
                 shown = repr(line[:80])
-                self.bed.observe("odd_line", "", self.model.name, balancer=balancer, line=shown)
+                self.testbed.observe("odd_line", "", self.model.name, balancer=balancer, line=shown)
                 return
 
     async def _answer_health_check(
         self, balancer: str, word: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        wait = self.model.health_check_delay(self.bed.now())
+        wait = self.model.health_check_delay(self.testbed.now())
         if wait is None:
             return
-        way = self.bed.one_way_delay(balancer, self.model)
+        way = self.testbed.one_way_delay(balancer, self.model)
         await asyncio.sleep((wait + 2 * way) / SECOND)
-        utilization = self.model.utilization(self.bed.now())
+        utilization = self.model.utilization(self.testbed.now())
         report = f" x0={utilization:.3f}" if word == b"STATS" else ""
         writer.write(f"PONG{report}\r\n".encode())
 
@@ -143,11 +151,11 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        number = next(self.bed.connection_numbers)
+        number = next(self.testbed.connection_numbers)
         values = dict(pair.split("=", 1) for pair in words[3].split(","))
         flow = words[1]
         load = float(values.get("h", 1))
-        self.bed.observe(
+        self.testbed.observe(
             "attempt",
             flow,
             self.model.name,
@@ -156,9 +164,9 @@
             load=load,
             port=writer.get_extra_info("peername")[1],
         )
-        reply, wait = self.model.open(self.bed.now(), number, load, values.get("g", ""))
+        reply, wait = self.model.open(self.testbed.now(), number, load, values.get("g", ""))
         if self.model.overloaded:
-            self._fail()
+            self._crash_from_overload()
             return
         try:
             released = await self._wait_before_reply(reply, wait, balancer, reader)
@@ -166,7 +174,7 @@
                 # A crash ends a pending attempt as well, so that the checker does not take it for
                 # still pending.
                 kind = "let_go" if self.model.running else "broke"
-                self.bed.observe(kind, flow, self.model.name, number=number, how="reset")
+                self.testbed.observe(kind, flow, self.model.name, number=number, how="reset")
                 return
             if self._reply(reply, flow, number, writer):
                 connection = ServerConnection(number, flow, writer)
@@ -174,7 +182,7 @@
                 writer.write(receipt_of(number).encode() + b"\r\n")
                 await self._echo(connection, balancer, reader)
         finally:
-            self.model.close(self.bed.now(), number)
+            self.model.close(self.testbed.now(), number)
 
     async def _wait_before_reply(
         self, reply: Reply, wait: int, balancer: str, reader: asyncio.StreamReader
@@ -184,7 +192,7 @@
         A server that has become silent sends no reply and waits until the balancer disconnects.
         """
         if reply is not Reply.SILENT:
-            way = self.bed.one_way_delay(balancer, self.model)
+            way = self.testbed.one_way_delay(balancer, self.model)
             if await ended_within(reader, wait + 3 * way):
                 return True
         if reply is Reply.SILENT or self.model.silent or self.model.hanging:
@@ -195,7 +203,7 @@
 
     def _reply(self, reply: Reply, flow: str, number: int, writer: asyncio.StreamWriter) -> bool:
         """Record the reply, send it unless it is UP, and return whether it is UP."""
-        self.bed.observe(
+        self.testbed.observe(
             "reply",
             flow,
             self.model.name,
@@ -216,7 +224,7 @@
         try:
             while line := await reader.readline():
                 text = line.decode().rstrip("\r\n")
-                connection.heard.append(text)
+                connection.lines_received.append(text)
                 if text == "END":
                     self.end(connection, "bye")
                     return
@@ -224,39 +232,39 @@
         except CONNECTION_ENDS:
             pass
         finally:
-            if not connection.broken:
+            if not connection.ended_by_server:
                 name = self.model.name
-                self.bed.observe("let_go", connection.flow, name, number=connection.number)
+                self.testbed.observe("let_go", connection.flow, name, number=connection.number)
             self.connections.pop(connection.number, None)
-            self.bed.observe(
+            self.testbed.observe(
                 "lines",
                 connection.flow,
                 self.model.name,
                 side="server",
-                said=connection.said,
-                heard=connection.heard,
+                said=connection.lines_sent,
+                heard=connection.lines_received,
                 number=connection.number,
             )
 
     def _schedule_echo(self, connection: ServerConnection, balancer: str, text: str) -> None:
-        wait = self.model.echo_delay(self.bed.now())
+        wait = self.model.echo_delay(self.testbed.now())
         if wait is None:
             return
-        way = 2 * self.bed.one_way_delay(balancer, self.model)
+        way = 2 * self.testbed.one_way_delay(balancer, self.model)
         # Lines of one connection are echoed in the order in which they came.
-        connection.last_echo_at = max(connection.last_echo_at, self.bed.now() + wait + way)
-        delay = max(connection.last_echo_at - self.bed.now(), 0)
-        asyncio.get_running_loop().call_later(delay / SECOND, connection.say, text)
+        connection.last_echo_at = max(connection.last_echo_at, self.testbed.now() + wait + way)
+        delay = max(connection.last_echo_at - self.testbed.now(), 0)
+        asyncio.get_running_loop().call_later(delay / SECOND, connection.send_line, text)
 
     def end(self, connection: ServerConnection, how: str) -> None:
         """End a connection: send BYE or MOVE and close it ("bye", "move"), or reset it."""
-        if connection.broken:
+        if connection.ended_by_server:
             return
         if how != "reset":
-            connection.say("BYE" if how == "bye" else "MOVE")
-        connection.broken = True
+            connection.send_line("BYE" if how == "bye" else "MOVE")
+        connection.ended_by_server = True
         name = self.model.name
-        self.bed.observe("broke", connection.flow, name, number=connection.number, how=how)
+        self.testbed.observe("broke", connection.flow, name, number=connection.number, how=how)
         if how == "reset":
             reset(connection.writer)
         else:
@@ -264,9 +272,9 @@
 
     # Stop and start of its process.
 
-    def _fail(self) -> None:
+    def _crash_from_overload(self) -> None:
         """Crash because of too much load while cold, and stay down."""
-        self.bed.observe("fell", "", self.model.name)
+        self.testbed.observe("fell", "", self.model.name)
         self.crash()
 
     def close(self) -> None:
@@ -278,53 +286,53 @@
     def crash(self) -> None:
         """Stop its process and reset all its connections."""
         name = self.model.name
-        self.bed.observe("server_down", "", name)
-        self.model.stop(self.bed.now())
+        self.testbed.observe("server_down", "", name)
+        self.model.stop(self.testbed.now())
         self.close()
         for connection in list(self.connections.values()):
-            connection.broken = True
+            connection.ended_by_server = True
             number = connection.number
-            self.bed.observe("broke", connection.flow, name, number=number, how="reset")
+            self.testbed.observe("broke", connection.flow, name, number=number, how="reset")
         for writer in list(self.writers):
             reset(writer)
 
     async def start(self) -> int:
         """Start it cold; return its start time for the list, in milliseconds."""
-        now = self.bed.now()
+        now = self.testbed.now()
         self.model.start(now, now)
-        self.bed.observe("server_up", "", self.model.name)
+        self.testbed.observe("server_up", "", self.model.name)
         await self.listen()
         return now // MILLISECOND
 
-    async def work(self) -> None:
+    async def run_periodic_work(self) -> None:
         """Drop connections above the backlog limit and report long delays, until cancelled.
 
         A report goes to one random connection; the first short delay after long ones is reported as
         well.
         """
-        objectives = [t.message_latency_objective_ms for t in self.bed.experiment.types]
-        min_reported_ms = min(objectives) / REPORT_ABOVE_PART
-        random = Random(f"{self.bed.seed}/load/{self.model.name}")
+        objectives = [t.message_latency_objective_ms for t in self.testbed.experiment.types]
+        min_reported_ms = min(objectives) / REPORT_THRESHOLD_DIVISOR
+        random = Random(f"{self.testbed.seed}/load/{self.model.name}")
         while True:
             await asyncio.sleep(WORK_INTERVAL_S)
-            number = self.model.connection_to_drop(self.bed.now())
+            number = self.model.connection_to_drop(self.testbed.now())
             if number is not None and number in self.connections:
                 self.end(self.connections[number], "reset")
-                self.model.close(self.bed.now(), number)
+                self.model.close(self.testbed.now(), number)
             if self._load_report_due():
-                delay_ms = self.model.delay(self.bed.now()) / MILLISECOND
+                delay_ms = self.model.delay(self.testbed.now()) / MILLISECOND
                 late = delay_ms > min_reported_ms
                 if late or self.reported_delay:
                     self.reported_delay = late
                     connection = random.choice(list(self.connections.values()))
-                    connection.say(f"LOAD {delay_ms:.1f}")
+                    connection.send_line(f"LOAD {delay_ms:.1f}")
 
     def _load_report_due(self) -> bool:
         """Return whether the server reports its load in this work interval."""
-        interval = self.bed.now() // int(WORK_INTERVAL_S * SECOND)
+        interval = self.testbed.now() // int(WORK_INTERVAL_S * SECOND)
         if interval % LOAD_REPORT_EVERY or not self.connections:
             return False
-        return self.model.echo_delay(self.bed.now()) is not None
+        return self.model.echo_delay(self.testbed.now()) is not None
 
 
 def receipt_of(number: int) -> str:
--- a/tests/lab/mutant_balancer.py
+++ b/tests/lab/mutant_balancer.py
@@ -43,7 +43,7 @@
 
 
 # These mutations affect only every fourth flow; the other flows are served correctly.
-OF_EVERY_FOURTH_FLOW = {
+AFFECTS_EVERY_FOURTH_FLOW = {
     Mutation.NEVER_ANSWERS,
     Mutation.ANSWERS_LATE,
     Mutation.ENDS_WITHOUT_ANSWER,
@@ -166,7 +166,7 @@
         """Serve a flow; every fourth one with a mutation that affects only those."""
         values = dict(pair.split("=", 1) for pair in line.decode().split()[3].split(","))
         timeout_s = float(values["d"]) / 1000
-        if number % 4 == 0 and self.mutation in OF_EVERY_FOURTH_FLOW:
+        if number % 4 == 0 and self.mutation in AFFECTS_EVERY_FOURTH_FLOW:
             if self.mutation is not Mutation.ANSWERS_LATE:
                 await self.answer_wrongly(line, timeout_s, client)
                 return
@@ -191,13 +191,14 @@
     async def answer(self, line: bytes, number: int, once_only: bool, client: Stream) -> None:
         """Try servers in turn, and answer with the reply of the first one that accepts the flow."""
         servers = self.candidates()
-        beside: list[asyncio.Task[Attempt]] = []  # references keep their connections open
+        # References keep the connections open.
+        concurrent_attempts: list[asyncio.Task[Attempt]] = []
         for turn in range(ATTEMPTS):
             if self.mutation is Mutation.TWO_ATTEMPTS_AT_ONCE:
                 other = servers[(number + 1) % len(servers)]
-                beside.append(asyncio.create_task(attempt(other, line)))
+                concurrent_attempts.append(asyncio.create_task(attempt(other, line)))
             made = await attempt(servers[(number + turn) % len(servers)], line)
-            if beside:
+            if concurrent_attempts:
                 await asyncio.sleep(0.1)
             if made.answer.startswith(b"UP") and made.stream is not None:
                 client.writer.write(made.answer)
--- a/tests/lab/test_client_population.py
+++ b/tests/lab/test_client_population.py
@@ -51,24 +51,24 @@
 
 
 @pytest.fixture
-def habits() -> Clients:
+def behaviour() -> Clients:
     """Return the configured behaviour of that client."""
     return small_experiment(clients=WAITING).clients
 
 
-def test_a_client_waits_for_retry_after_or_its_own_delay_and_stops_retrying(client, habits):
-    assert client.delay_after_rejection(habits, RETRY_AFTER) == RETRY_AFTER
-    own_delay = client.delay_after_rejection(habits, None)
+def test_a_client_waits_for_retry_after_or_its_own_delay_and_stops_retrying(client, behaviour):
+    assert client.delay_after_rejection(behaviour, RETRY_AFTER) == RETRY_AFTER
+    own_delay = client.delay_after_rejection(behaviour, None)
     assert 10 * MILLISECOND <= own_delay <= 20 * MILLISECOND
-    assert client.delay_after_rejection(habits, None) is None
+    assert client.delay_after_rejection(behaviour, None) is None
 
 
-def test_a_client_may_ignore_retry_after(client, habits):
+def test_a_client_may_ignore_retry_after(client, behaviour):
     client.ignores_retry_after = True
-    assert client.delay_after_rejection(habits, RETRY_AFTER) <= 20 * MILLISECOND
+    assert client.delay_after_rejection(behaviour, RETRY_AFTER) <= 20 * MILLISECOND
 
 
-def test_a_client_that_lost_its_connection_may_retry_as_often_as_a_new_one(client, habits):
-    client.delay_after_rejection(habits, None)
-    assert client.delay_after_disconnect(habits) is not None
+def test_a_client_that_lost_its_connection_may_retry_as_often_as_a_new_one(client, behaviour):
+    client.delay_after_rejection(behaviour, None)
+    assert client.delay_after_disconnect(behaviour) is not None
     assert client.rejections == 0
--- a/tests/lab/test_lab_endpoint_list.py
+++ b/tests/lab/test_lab_endpoint_list.py
@@ -28,14 +28,14 @@
 
 
 def test_an_agent_accepts_versions_in_any_order(agent):
-    assert not agent.learn(2)
-    assert agent.learn(4)
-    assert not agent.learn(3)
+    assert not agent.receive(2)
+    assert agent.receive(4)
+    assert not agent.receive(3)
 
 
 def test_an_agent_answers_with_the_changes_since_a_version(agent):
     assert agent.answer(2) == (False, [], 2)
-    agent.learn(4)
+    agent.receive(4)
     is_full, entries, version = agent.answer(2)
     assert not is_full
     assert [entry.state for entry in entries] == [ServerState.TERMINATED]
@@ -43,7 +43,7 @@
 
 
 def test_an_agent_answers_with_the_full_list_of_servers_that_run(agent):
-    agent.learn(4)
+    agent.receive(4)
     assert [entry.server for entry in agent.answer(0)[1]] == ["s-1"]
     assert agent.answer(9)[0]
 
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -13,9 +13,9 @@
 from cypresswalk.cli.lab.soak import parse_seeds, prepare_folder
 from cypresswalk.lab.observations import Observation
 from cypresswalk.lab.soak import (
-    attempts_for_nobody,
-    faults_logged,
-    names_flow,
+    attempts_after_client_left,
+    concerns_flow,
+    logged_faults,
     play_seed,
     repeated_ids,
     unanswered_at_stops,
@@ -28,7 +28,9 @@
 CI_SEEDS = (1, 3)
 
 
-def seen(second: float, kind: str, flow: str = "", subject: str = "", /, **fields) -> Observation:
+def observed(
+    second: float, kind: str, flow: str = "", subject: str = "", /, **fields
+) -> Observation:
     """Return an observation at a time in seconds."""
     return Observation(int(second * SECOND), kind, flow, subject, fields)
 
@@ -62,16 +64,16 @@
         prepare_folder(tmp_path / "file" / "soak")
 
 
-STOPPED = [seen(2, "balancer_down", "", "b0", planned=True), seen(9, "day_ended")]
+STOPPED = [observed(2, "balancer_down", "", "b0", planned=True), observed(9, "day_ended")]
 
 
 def test_flow_that_a_stopped_balancer_leaves_unanswered_is_found():
     # The checker excuses flows that a balancer's end cuts off.
-    lost = [seen(1, "sent", "f1", "b0"), seen(1.9, "ended", "f1", "b0", how="reset")]
+    lost = [observed(1, "sent", "f1", "b0"), observed(1.9, "ended", "f1", "b0", how="reset")]
     assert "f1" in unanswered_at_stops([*lost, *STOPPED])[0]
-    answered = [seen(1, "sent", "f1", "b0"), seen(1.5, "answer", "f1", "b0", kind="busy")]
+    answered = [observed(1, "sent", "f1", "b0"), observed(1.5, "answer", "f1", "b0", kind="busy")]
     assert unanswered_at_stops([*answered, *lost[1:], *STOPPED]) == []
-    elsewhere = [seen(1, "sent", "f1", "b1"), seen(1.9, "ended", "f1", "b1", how="reset")]
+    elsewhere = [observed(1, "sent", "f1", "b1"), observed(1.9, "ended", "f1", "b1", how="reset")]
     assert unanswered_at_stops([*elsewhere, *STOPPED]) == []
 
 
@@ -79,24 +81,27 @@
     def flow(number: int, after: float) -> list[Observation]:
         """Return a flow whose client leaves, and an attempt `after` seconds later."""
         ident = f"f{number}"
-        return [seen(1, "left", ident, "b0"), seen(1 + after, "attempt", ident, "s-0")]
+        return [observed(1, "left", ident, "b0"), observed(1 + after, "attempt", ident, "s-0")]
 
     late = [event for number in range(3) for event in flow(number, 0.2)]
-    assert len(attempts_for_nobody(late)) == 3
-    assert attempts_for_nobody(late[:4]) == []
-    assert attempts_for_nobody([event for number in range(3) for event in flow(number, 0.1)]) == []
+    assert len(attempts_after_client_left(late)) == 3
+    assert attempts_after_client_left(late[:4]) == []
+    assert (
+        attempts_after_client_left([event for number in range(3) for event in flow(number, 0.1)])
+        == []
+    )
 
 
 def test_violation_of_a_repeated_id_is_no_finding():
-    events = [seen(1, "sent", "f1", "b0"), seen(4, "said_again", "f1", "b0")]
+    events = [observed(1, "sent", "f1", "b0"), observed(4, "said_again", "f1", "b0")]
     assert repeated_ids(events) == {"f1"}
-    assert names_flow("one answer: f1 at 4.0 s: a server was sent it", {"f1"})
-    assert not names_flow("one answer: f12 at 4.0 s: a server was sent it", {"f1"})
+    assert concerns_flow("one answer: f1 at 4.0 s: a server was sent it", {"f1"})
+    assert not concerns_flow("one answer: f12 at 4.0 s: a server was sent it", {"f1"})
 
 
 def test_fault_in_a_log_is_found(tmp_path: Path):
     (tmp_path / "b0.log").write_text("event=start\nevent=fault call=on_open\nevent=default\n")
-    assert faults_logged(tmp_path) == ["b0.log: event=fault call=on_open"]
+    assert logged_faults(tmp_path) == ["b0.log: event=fault call=on_open"]
 
 
 def has_ended(process: psutil.Process) -> bool:
@@ -131,6 +136,6 @@
     print(verdict, file=sys.stderr)
     assert verdict.flows > 50
     if verdict.void:  # the lab was late: timing is not valid, but a logged fault still counts
-        assert not faults_logged(tmp_path)
+        assert not logged_faults(tmp_path)
     else:
         assert not verdict.findings
--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -11,7 +11,7 @@
 from paths import ROOT
 
 from cypresswalk.lab.clients import ClientPopulation
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientConnection, ClientDriver
 from cypresswalk.lab.testbed.gossip_relay import GossipRelay
 from cypresswalk.lab.testbed.server_driver import ServerDriver
@@ -21,7 +21,7 @@
 PRINT_HOST = "from cypresswalk.lab.balancers import own_host; print(own_host())"
 
 
-class ObservingBed:
+class RecordingTestBed:
     """A testbed that only keeps the last observation of each kind."""
 
     def __init__(self) -> None:
@@ -45,17 +45,17 @@
         """Do nothing."""
 
 
-async def talk(*lines: bytes) -> tuple[str, list[str]]:
+async def receive_after_end(*lines: bytes) -> tuple[str, list[str]]:
     """Send lines to a client after its own end; return how it ended and the lines it recorded."""
-    bed = ObservingBed()
+    testbed = RecordingTestBed()
     reader = asyncio.StreamReader()
     reader.feed_data(b"".join(line + b"\r\n" for line in lines))
     reader.feed_eof()
     writer = cast(asyncio.StreamWriter, ClosableWriter())
-    client = ClientPopulation(bed.experiment, 1).client(0, 0)
+    client = ClientPopulation(testbed.experiment, 1).client(0, 0)
     connection = ClientConnection(client, "p0.1", "b0", SECOND, reader, writer)
-    ending = await ClientDriver(cast(Bed, bed))._talk(connection)
-    return ending, bed.observed["lines"]["heard"]
+    ending = await ClientDriver(cast(ScenarioTestBed, testbed))._run_established(connection)
+    return ending, testbed.observed["lines"]["heard"]
 
 
 @pytest.mark.parametrize(
@@ -68,17 +68,17 @@
 )
 def test_move_that_crosses_the_clients_own_end_is_not_recorded_as_a_server_line(lines, heard):
     """A draining balancer may not have seen the client's end yet; later lines still count."""
-    assert asyncio.run(talk(*lines)) == ("own", heard)
+    assert asyncio.run(receive_after_end(*lines)) == ("own", heard)
 
 
 def test_a_port_taken_by_another_process_is_a_failure_of_the_lab():
     async def listen_at_taken_port() -> list[str]:
-        bed = Bed(small_experiment(), 1)
-        driver = ServerDriver(bed, bed.servers["s-0"])
+        testbed = ScenarioTestBed(small_experiment(), 1)
+        driver = ServerDriver(testbed, testbed.servers["s-0"])
         with socket.create_server(("127.0.0.1", 0)) as other:
             driver.ports["b0"] = other.getsockname()[1]
             await driver.listen()
-        return bed.failures
+        return testbed.failures
 
     failures = asyncio.run(listen_at_taken_port())
     assert len(failures) == 1
@@ -98,7 +98,7 @@
     loop = asyncio.get_running_loop()
     with udp_socket() as sender, udp_socket() as receiver:
         transport, relay = await loop.create_datagram_endpoint(
-            lambda: GossipRelay(Bed(small_experiment(), 1)), local_addr=("127.0.0.1", 0)
+            lambda: GossipRelay(ScenarioTestBed(small_experiment(), 1)), local_addr=("127.0.0.1", 0)
         )
         relay.members += [sender.getsockname(), receiver.getsockname()]
         sender.sendto(b"hint", transport.get_extra_info("sockname"))
