--- a/cypresswalk/lab/baselines.py
+++ b/cypresswalk/lab/baselines.py
@@ -77,8 +77,8 @@
         """Return the first candidate, starting at the key's slot."""
         allowed = self.candidates(flow)
         for pool in self.pools():
-            home = pool.table[slot_of(flow.key)]
-            for server in [home, *self.walk(pool, flow.key)]:
+            first_server = pool.table[slot_of(flow.key)]
+            for server in [first_server, *self.walk(pool, flow.key)]:
                 if server in allowed:
                     return server
         return None
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -273,13 +273,13 @@
 
     def _budget(self, rule: ServerRule, age: int) -> float:
         """Return the load that a server of an age may get within the overload window."""
-        warmth = (
+        warm_fraction = (
             rule.warm_up_initial_fraction + (1 - rule.warm_up_initial_fraction) * age / rule.warm_up
         )
         return (
             self.rules.overload_factor
             * rule.capacity
-            * warmth
+            * warm_fraction
             * self.rules.turnover
             * self.rules.overload_window
             / SECOND
--- a/cypresswalk/lab/servers.py
+++ b/cypresswalk/lab/servers.py
@@ -100,7 +100,7 @@
 
     # Capacity.
 
-    def warmth(self, now: int) -> float:
+    def warm_fraction(self, now: int) -> float:
         """Return the share of its full capacity that it has at a time since its start."""
         if not self.started or now - self.started >= self.warm_up:
             return 1.0
@@ -110,7 +110,7 @@
     def capacity(self, now: int) -> float:
         """Return the load that it can carry now."""
         group = self.group
-        warm = group.cores * group.speed * group.per_core * self.warmth(now)
+        warm = group.cores * group.speed * group.per_core * self.warm_fraction(now)
         return warm / self.slowness * (1 - self.stolen_share)
 
     def demand(self) -> float:
@@ -137,7 +137,7 @@
 
     def _add_work(self, now: int, core_seconds: float) -> None:
         group = self.group
-        warm = group.cores * group.speed * self.warmth(now)
+        warm = group.cores * group.speed * self.warm_fraction(now)
         left = max(1 - self.stolen_share, MIN_CORE_SHARE)
         self.backlog_s += core_seconds / (warm / self.slowness * left)
 
@@ -215,7 +215,7 @@
         return self.overload_factor * self.capacity(now) * self.turnover * window / SECOND
 
     def _count_recent_load(self, now: int, load: float) -> None:
-        if self.warmth(now) >= 1 or not self.running:
+        if self.warm_fraction(now) >= 1 or not self.running:
             self.recent_loads.clear()
             return
         self.recent_loads.append((now, load))
@@ -240,7 +240,7 @@
         return lost
 
     def start(self, now: int, started: int) -> None:
-        """Start it cold; `started` is the same time as `now`, by the clock of calls of `warmth`."""
+        """Start it cold; `started` is the time `now` on the clock that `warm_fraction` is given."""
         self.running = True
         self.overloaded = False
         self.started = started
--- a/cypresswalk/lab/testbed/server_driver.py
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -52,7 +52,11 @@
 
 
 class ServerDriver:
-    """One server on sockets, with a port per balancer, which identifies the balancer."""
+    """One server on sockets.
+
+    It listens on one port per balancer. The port identifies the balancer, which determines the
+    one-way delay.
+    """
 
     def __init__(self, testbed: ScenarioTestBed, model: SimulatedServer):
         """Prepare the driver; it does not listen yet."""
