--- a/cypresswalk/benchlink/host.py
+++ b/cypresswalk/benchlink/host.py
@@ -120,11 +120,13 @@
     def _reply(self, now: int, batch: _Batch) -> bytes:
         out: list[bytes] = []
         for instance_id in batch.instances:
-            is_up = instance_id not in batch.failures and instance_id in self.instances
-            records = self._encode_decisions(now, instance_id, batch.failures) if is_up else []
+            is_running = instance_id not in batch.failures and instance_id in self.instances
+            records = self._encode_decisions(now, instance_id, batch.failures) if is_running else []
             if instance_id in batch.failures:
+                # Code 9 reports that the instance failed.
                 records.append(encode_text(9, batch.failures[instance_id]))
             if records:
+                # Code 13 names the instance of the records after it, as ABOUT does in batches.
                 out.append(b"\x0d" + U16.pack(instance_id))
                 out += records
         return U32.pack(4 + sum(map(len, out))) + U32.pack(len(out)) + b"".join(out)
--- a/cypresswalk/decisions/admission.py
+++ b/cypresswalk/decisions/admission.py
@@ -11,8 +11,8 @@
 from cypresswalk.model import SECOND, Flow, Server
 
 MAX_PENDING_ATTEMPTS = 4  # per server: about one per core; more would only queue there
-ERROR_ALLOWANCE = MAX_FAILURES
-THROTTLE_TRIAL_INTERVAL = 3 * SECOND  # rare enough for hundreds of balancers together
+ERROR_ALLOWANCE = MAX_FAILURES  # errors that are ignored; one is no reason to reject flows
+THROTTLE_TRIAL_INTERVAL = 3 * SECOND  # rare enough that hundreds of balancers cause no overload
 
 
 class Admission:
@@ -78,16 +78,21 @@
         self._next_trial_at = now
 
     def should_reject(self, now: int, flow: Flow) -> bool:
-        """Return whether to reject the flow; rejecting an unattempted flow counts as an error."""
+        """Return whether to reject the flow.
+
+        While errors outnumber established attempts, a flow whose last attempt may have run is
+        rejected. A flow without an attempt is rejected at random, unless a trial is due; that
+        counts as an error.
+        """
         errors = self._traffic.errors.read(now) - ERROR_ALLOWANCE
-        taken = self._traffic.established.read(now)
-        if errors <= taken:
+        established = self._traffic.established.read(now)
+        if errors <= established:
             return False
         if flow.last_outcome is not None:
             rejected = not flow.last_outcome.never_ran
         else:
-            rejected = now < self._next_trial_at and self._draws.draw() < (errors - taken) / (
-                errors + taken
+            rejected = now < self._next_trial_at and self._draws.draw() < (errors - established) / (
+                errors + established
             )
         if rejected:
             self._traffic.errors.add(now, not flow.attempts)
--- a/cypresswalk/decisions/balance.py
+++ b/cypresswalk/decisions/balance.py
@@ -9,7 +9,7 @@
 
 
 def mean_occupancy(now: int, servers: list[Server]) -> float:
-    """Return this balancer's connections per unit of weight on the sound ones of the servers.
+    """Return the mean occupancy per unit of weight of those servers that are sound.
 
     If other servers counted, all sound ones could be over the mean and flows would go to a bad one.
     """
--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -455,7 +455,10 @@
         return not may_retry(now, flow)
 
     def _request_checks(self, now: int, flow: Flow) -> None:
-        """Check the flow's preference list first, if checks report load and the last is old."""
+        """Request checks of the servers on the flow's preference list whose known load is old.
+
+        Do nothing if checks don't report load.
+        """
         if self.settings.load_index < 0 or not self.settings.health_checks:
             return
         for server in self.placement.preference_list(flow.key):
--- a/cypresswalk/decisions/endpoints.py
+++ b/cypresswalk/decisions/endpoints.py
@@ -26,7 +26,7 @@
         health_checks: HealthCheckSchedule,
         slow_start: SlowStart,
     ):
-        """Keep the servers and the rules that learn of changes."""
+        """Keep the servers and the rules that are updated with them."""
         self._servers = servers
         self._health_checks = health_checks
         self._slow_start = slow_start
--- a/cypresswalk/decisions/maglev.py
+++ b/cypresswalk/decisions/maglev.py
@@ -19,7 +19,15 @@
 
 
 class _Permutation:
-    """A server's permutation of the slots and the current position in it."""
+    """A server's permutation of the slots and the current position in it.
+
+    Attributes:
+        server: the server.
+        slot: the current slot of the permutation.
+        skip: the distance from one slot of the permutation to the next.
+        share: the server's weight as a fraction of the highest weight.
+        credit: the sum of `share` over the rounds so far, minus the slots taken.
+    """
 
     __slots__ = ("server", "slot", "skip", "share", "credit")
 
--- a/cypresswalk/decisions/migration.py
+++ b/cypresswalk/decisions/migration.py
@@ -23,7 +23,7 @@
 OVER_LIMIT_INTERVAL = SECOND // 20  # flows over a limit leave within a second or two
 RETRY_INTERVAL = 1 * SECOND  # until the next try when too few servers are sound
 RETURN_SPREAD = 8 * SECOND  # gives servers of the own zone time to report that they are full
-MIN_CROSSING_PER_MIGRATION = 3  # a migration also interrupts the client, besides its price
+MIN_CROSSING_PER_MIGRATION = 3  # ratio of prices; a migration also interrupts the client
 
 
 class Migration:
@@ -169,6 +169,7 @@
         """
         if not self._returns_flows() or now < self._next_return_at:
             return
+        # The servers in other zones, once for each flow there.
         far = [
             server
             for server in self._servers.values()
--- a/cypresswalk/decisions/outliers.py
+++ b/cypresswalk/decisions/outliers.py
@@ -37,7 +37,10 @@
 
 
 def is_sound(now: int, server: Server) -> bool:
-    """Return whether the server is neither failing, ejected nor overloaded; ignore errors."""
+    """Return whether the server is neither failing, ejected nor overloaded.
+
+    Errors that it answered don't count.
+    """
     return (
         server.consecutive_failures < MAX_FAILURES
         and now >= server.ejected_until
--- a/cypresswalk/decisions/overload.py
+++ b/cypresswalk/decisions/overload.py
@@ -59,7 +59,7 @@
         server.load = load
         server.load_reported_at = now
         if load >= OVERLOADED:
-            # About as many balancers learn of the load as there are flows on the server.
+            # Estimate: one balancer for each flow on a server with the mean number of flows.
             informed_balancers = len(self._flows) * self.settings.instances / len(self._servers)
             self._gossip.offer(now, server, load, informed_balancers)
         if load >= OBJECTIVE_MISSED:
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -130,10 +130,10 @@
     def pick(self, now: int, flow: Flow) -> Server | None:
         """Return the server for the flow, or None if none has capacity.
 
-        A server that an operator has just returned to rotation comes first: while it warms up, it
-        is admitted so few flows that it might get none. The order in each pool is: the owner of the
-        key's slot, the servers that hold flows of the same group, and the servers after
-        the slot.
+        A server that an operator has just returned to rotation comes first: while it warms up, so
+        few flows are admitted to it that it might get none. The order in each pool is: the owner of
+        the key's slot, the servers that hold flows of the same group, and the servers after the
+        slot.
         """
         returned = self._pick_awaiting_first_flow(now, flow)
         if returned is not None:
@@ -169,6 +169,9 @@
     ) -> tuple[Server | None, Server | None]:
         """Pick from one pool.
 
+        For a group, the walk ends after its preference list if a server was found by then, here or,
+        if `has_last_resort` is set, in a nearer pool.
+
         Returns:
             The server that should take the flow, or None, and a fallback: the first server that has
             capacity for it, or None. The former may be a server over the mean: it is still sound,
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -106,8 +106,8 @@
         for server in warming:
             allowance = self._draw_from_budget(now, server, flows_per_window)
             share = server.weight / max(fleet_weight, server.weight)
-            # If the owners of their slots are full, all their flows may go to this server, not only
-            # its share of them.
+            # Keys whose slots other servers own: if these servers are full, all flows of such keys
+            # may come to this server, not only its share of them. So fewer are admitted.
             if server not in owners:
                 allowance *= max(
                     share, OTHER_KEYS_ALLOWANCE / max(flows_per_window, MIN_FLOWS_PER_WINDOW)
@@ -143,7 +143,7 @@
         )
 
     def _key_share(self, flow: Flow) -> float:
-        """Return the fraction of this balancer's flows that are others with the flow's key."""
+        """Return the fraction of this balancer's flows that are other flows with the same key."""
         if not flow.grouped:
             return 0.0
         return (self._flows.by_key[flow.key] - 1) / len(self._flows)
@@ -226,5 +226,5 @@
             target = max(target, limit)
         if occupancy_with(server, flow) > min(target, limit):
             return False
-        # At most half of it per window, because each set-up costs work of its own.
+        # At most half of the target per window, because each set-up costs work of its own.
         return server.slow_start_excess.read(now) + 1 <= target / 2
--- a/cypresswalk/decisions/traffic.py
+++ b/cypresswalk/decisions/traffic.py
@@ -36,7 +36,7 @@
         self.established = DecayingSum(ATTEMPTS_TIME_CONSTANT, now)
 
     def recent_arrivals(self, now: int) -> float:
-        """Return the arrivals in one time constant plus one, so that the result is never 0."""
+        """Return one more than the arrivals in a time constant, so that the result is never 0."""
         return self.arrivals.read(now) + 1
 
     def arrival_rate(self, now: int) -> float:
--- a/cypresswalk/model.py
+++ b/cypresswalk/model.py
@@ -15,7 +15,7 @@
 
 
 class Effect(Enum):
-    """Whether a flow's opening can safely run twice."""
+    """The effect of running a flow's opening twice."""
 
     IDEMPOTENT = "repeatable"  # safe on any server, at any time
     IDEMPOTENCY_KEY = "referenced"  # servers in its scope drop repeats for a limited time
@@ -48,7 +48,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or an established connection ended.
+    """The way in which an attempt or an established connection ended.
 
     Each value holds the name and whether the outcome proves that the flow did not run.
     """
@@ -64,7 +64,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether the outcome proves that the flow did not run on the server."""
+        """Return whether the outcome proves that the flow did not run on the server."""
         return self.value[1]
 
 
@@ -142,7 +142,8 @@
 
     # Outlier ejection.
     consecutive_failures: int = 0  # attempts without an answer since one was last established
-    consecutive_errors: int = 0  # attempts answered with an error since then
+    # Since then, flows that it answered with an error and that the next server accepted.
+    consecutive_errors: int = 0
     next_trial_at: int = 0  # when one flow may be sent to an ejected server as a trial
     ejected_until: int = 0  # set when it reports that it is full or drops flows it just accepted
 
@@ -153,7 +154,7 @@
     gossiped_at: int = 0  # when a balancer last sent the others its load
 
     # Concurrency limit.
-    concurrency_limit: float = math.inf  # connections; infinite until it first drops some
+    concurrency_limit: float = math.inf  # connections; infinity: no limit
     limit_cut_at: int = 0
     delay_at_cut: int = 0  # message delay when the limit was cut
     recent_drops: DecayingSum = field(init=False)  # established flows that the server dropped
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -166,7 +166,7 @@
         self.watch.min_version = self.snapshot_writer.previous_list_version
 
     def join_fleet(self, table: "FleetTable", config: Config) -> None:
-        """Bind the core to the state that a fleet agrees on; imports its modules only here, too."""
+        """Bind the core to the state that a fleet agrees on; its modules are imported only here."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
@@ -309,7 +309,7 @@
         """Log the counters, on SIGUSR1."""
         log.info(f"event=counters {self.counters.line()}")
 
-    # Called by the hand-over between two processes of one balancer.
+    # Called by the handover between two processes of one balancer.
 
     def accept(self) -> None:
         """Accept clients and gossip, and let a successor process find this one."""
