--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -52,7 +52,7 @@
         self.health_checks: list[Server] = []
         self.gossip: list[bytes] = []
         self.list_requests = 0
-        self.last_line = b""  # last first line sent to a server
+        self.last_line = b""  # the line sent for the latest attempt
         self.accepting_until: int | None = None
 
     def connect(self, attempt: Attempt, address: Address, line: bytes) -> None:
--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -29,7 +29,7 @@
 
 
 def place_on_warming_server(balancer: Balancer, now: int, flow: Flow) -> Server | None:
-    """Return the server that warms up to which the flow goes instead of being rejected."""
+    """Return the warming server for a flow that would otherwise be rejected, or None."""
     pools = balancer.placement.pools()
     candidates = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
     return balancer.slow_start.pick_beyond_budget(now, flow, candidates)
--- a/tests/decisions/fleet_model.py
+++ b/tests/decisions/fleet_model.py
@@ -92,7 +92,9 @@
         self.now = now
         self.balancer = Balancer(self.balancer.settings, seed, now)
         self.clients: dict[int, Client] = {}  # clients of unanswered flows, by flow id
-        self.sent: set[tuple[int, int]] = set()  # attempts in transit: flow id and attempt number
+        self.sent: set[tuple[int, int]] = (
+            set()
+        )  # attempts delivered so far: flow id and attempt number
         self.update_endpoints(EndpointUpdate.CACHED, servers)
 
     def end(self, flow: Flow, outcome: Outcome) -> None:
@@ -105,9 +107,9 @@
         """Return the flows whose latest attempt is new since the last call."""
         flows = []
         for flow in list(self.open.values()):
-            is_out = flow.server is not None and self.history[flow.id][-1].outcome is None
+            is_pending = flow.server is not None and self.history[flow.id][-1].outcome is None
             attempt = (flow.id, len(flow.attempts))
-            if is_out and attempt not in self.sent:
+            if is_pending and attempt not in self.sent:
                 self.sent.add(attempt)
                 flows.append(flow)
         return flows
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -15,7 +15,7 @@
     settle(host)
     establish_flows(host, 10)
 
-    def answered(count):
+    def attempts_with_errors(count):
         """Answer all attempts of `count` new flows with errors; return the number of attempts."""
         before = len(host.attempts)
         for _ in range(count):
@@ -25,8 +25,10 @@
             host.pass_time(SECOND // 10)
         return len(host.attempts) - before
 
-    answered(10)
-    assert answered(40) < 40  # of 240; an occasional trial flow shows whether the fault is over
+    attempts_with_errors(10)
+    assert (
+        attempts_with_errors(40) < 40
+    )  # of 240; an occasional trial flow shows whether the fault is over
     assert {host.answers[flow_id] for flow_id in range(12, host.last_id + 1)} == {"reject"}
     host.pass_time(20 * SECOND)
     accepted = 0
@@ -63,14 +65,14 @@
             while flow.id in host.open:
                 host.end(flow, outcome)
     for outcome in (Outcome.ERROR, Outcome.TIMEOUT):
-        host.pass_time(4 * SECOND)  # a trial flow may go
+        host.pass_time(4 * SECOND)  # the next trial is due
         flow = host.arrive()
         host.end(flow, outcome)
         assert host.answers[flow.id] == "reject"
         assert len(host.history[flow.id]) == 1
 
 
-def test_while_all_are_errors_one_trial_flow_goes_in_any_four_seconds():
+def test_while_all_attempts_end_in_errors_one_trial_flow_is_attempted_in_any_four_seconds():
     # Otherwise the end of the fault could go unnoticed, because every flow might be rejected.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
--- a/tests/decisions/test_fleet_ramp.py
+++ b/tests/decisions/test_fleet_ramp.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("balancers, rate", [(3, 14.0), (100, 14.0), (30, 4.0)])
-def test_few_and_many_balancers_and_thin_traffic_keep_warming_servers_within_their_budgets(
+def test_few_and_many_balancers_and_little_traffic_keep_warming_servers_within_their_budgets(
     balancers, rate
 ):
     fleet = run_mass_restart("size", balancers=balancers, rate=rate)
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -93,8 +93,8 @@
     def answer_attempt(self, client: Client) -> None:
         """Answer a client's new attempt as the store answers its server."""
         host, flow = client.host, client.flow
-        is_out = flow.id in host.open and flow.server is not None
-        if not is_out or len(flow.attempts) <= client.attempts_seen:
+        is_pending = flow.id in host.open and flow.server is not None
+        if not is_pending or len(flow.attempts) <= client.attempts_seen:
             return
         client.attempts_seen = len(flow.attempts)
         if self.store.accepts(self.now):
@@ -124,7 +124,7 @@
 def test_store_overloaded_by_a_burst_recovers_and_all_clients_are_established(seed):
     # Seen on cardiff-live after a burst of one second: attempts that timed out counted as
     # accepted, and one flow in four was attempted regardless of errors. So 100 attempts per second
-    # kept a store down for 25 s that can answer some 30 per second.
+    # kept a store that can answer some 30 per second down for 25 s.
     totals = Storm(seed, clients=200, store_capacity=25).run(25)
     assert totals[-1] == 200, totals
 
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -99,10 +99,10 @@
 
 def test_returning_clients_do_not_increase_the_rate_of_checks():
     slowdowns = []
-    for again in (False, True):
+    for returning in (False, True):
         host = SimulatedHost(40, health_check_price=0.004)
         for _ in range(20):
-            host.accept(host.arrive(returning=again))
+            host.accept(host.arrive(returning=returning))
         slowdowns.append(host.balancer.health_checks.slowdown(host.now))
     assert slowdowns[1] > 5 * slowdowns[0]
 
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -66,9 +66,9 @@
 
 
 def test_balancers_with_one_flow_each_relieve_a_slow_server_step_by_step():
-    # Seen with forty balancers of three flows: each repeatedly cut the limit for its one flow there
-    # to the same fraction of a flow, and two thirds of all flows stayed. While the delay falls,
-    # the last step is taking effect, and no further step is due.
+    # Seen with forty balancers that had three flows each: every balancer repeatedly cut the limit
+    # for its one flow there to the same fraction of a flow, and two thirds of all flows stayed.
+    # While the delay falls, the last step is taking effect, and no further step is due.
     left = {0: 0, SECOND // 10: 0}
     for decrease in left:
         for number in range(40):
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -87,9 +87,8 @@
             host.pass_time(step)
         return far
 
-    assert (
-        far_attempts(SECOND) <= 4
-    )  # three sound servers in a row, not two attempts at each of six
+    # Three sound servers in a row, not two attempts at each of six.
+    assert far_attempts(SECOND) <= 4
     assert far_attempts(10 * SECOND) <= 8  # about one trial flow every two seconds
     # One answer ends the ejection of the zone; the balancer's own zone is never ejected.
     for _ in range(80):
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -99,8 +99,8 @@
     flows = [host.arrive() for _ in range(3)]
     for flow in flows:
         host.end(flow, Outcome.CONNECT_FAILED)
-    assert sorted(host.answers.get(flow.id, "out") for flow in flows) == [
-        "out",
+    assert sorted(host.answers.get(flow.id, "no answer") for flow in flows) == [
+        "no answer",
         "reject",
         "reject",
     ]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,7 +11,8 @@
 
 
 def test_all_balancers_together_keep_the_budget_of_a_server_that_warms_up():
-    instances, window, factor, share, warm = 3, 2, 3.0, 0.2, 20
+    # Window and warm-up time are in seconds.
+    instances, window, factor, initial_fraction, warm_up_time = 3, 2, 3.0, 0.2, 20
     hosts = [SimulatedHost(1, instances=instances) for _ in range(instances)]
     for host in hosts:
         settle(host)
@@ -34,7 +35,7 @@
     assert len(sent) > 5
     for first in sent:
         age = (first - now) / SECOND
-        capacity = 6 * min(1.0, share + (1 - share) * age / warm)
+        capacity = 6 * min(1.0, initial_fraction + (1 - initial_fraction) * age / warm_up_time)
         in_window = sum(first <= at < first + window * SECOND for at in sent)
         # Budgets are spent at random, so the check leaves some tolerance, as the bench's does.
         assert_within_slow_start_budget(in_window, 1.25 * factor * capacity * window + 1)
@@ -55,7 +56,7 @@
             establish_flows(host, 1, returning=True, grouped=True)
             host.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in host.attempts)
-    assert 4 <= taken <= 14  # a share would be 16
+    assert 4 <= taken <= 14  # an equal share of all 160 flows would be 16
 
 
 def test_server_that_warms_up_is_no_last_resort():
@@ -75,7 +76,8 @@
 def host_with_overloaded_owner(number: int, age: int) -> tuple[SimulatedHost, int]:
     """Return a host and a key whose slot belongs to server 99, which warms up.
 
-    Server 98 warms up too, with its budget spent. All other servers are overloaded, 99 included.
+    Server 98 warms up too, with its budget spent. Server 99 and the two warm servers are
+    overloaded.
 
     Args:
         number: the host's number among the balancers of the fleet.
@@ -90,10 +92,8 @@
     servers = host.balancer.servers
     servers[98].slow_start_spent.add(host.now, 99)
     placement = host.balancer.placement
-    places = {key: placement.preference_list(key) for key in range(1, 1000)}
-    key = next(
-        key for key in places if places[key][0] is servers[99] and servers[98] in places[key]
-    )
+    lists = {key: placement.preference_list(key) for key in range(1, 1000)}
+    key = next(key for key in lists if lists[key][0] is servers[99] and servers[98] in lists[key])
     for ident in (7, 20, 99):
         host.balancer.on_gossip(host.now, servers[ident], 1.0)
     return host, key
@@ -192,7 +192,7 @@
         held.append(len(warming.established_flows))
         host.pass_time(SECOND)
     if load:
-        # The gossip is out of date by now, so only the load decides.
+        # The load that was last recorded is out of date by now; it is then reported again.
         assert server_beyond_budget(host) is warming
         warming.slow_start_excess.total = 0.0
         host.balancer.on_gossip(host.now, warming, load)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from rule_assertions import (
     AttemptRecord,
     assert_first_answer,
-    assert_no_attempt_out,
+    assert_no_pending_attempt,
     assert_no_second_effect,
     assert_reject_is_harmless,
     assert_takes_new_flows,
@@ -223,7 +223,7 @@
         assert flow.id in self.open, "attempt after the final answer"
         assert self.now < flow.deadline
         assert len(earlier) < self.balancer.settings.max_attempts
-        assert_no_attempt_out(earlier)
+        assert_no_pending_attempt(earlier)
         assert_takes_new_flows(self.server_states[server.id])
         assert_no_second_effect(flow, earlier, server, self.now)
         earlier.append(AttemptRecord(server, self.now))
@@ -232,7 +232,7 @@
     def _answer(self, flow: Flow, answer: str) -> None:
         assert_first_answer(self.answers, flow.id)
         assert self.open.pop(flow.id) is flow
-        assert_no_attempt_out(self.history[flow.id])
+        assert_no_pending_attempt(self.history[flow.id])
         self.answers[flow.id] = answer
 
 
--- a/tests/rule_assertions.py
+++ b/tests/rule_assertions.py
@@ -22,7 +22,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have started to serve the flow."""
+        """Return whether the server may have started to serve the flow."""
         return self.outcome is None or not self.outcome.never_ran
 
 
@@ -42,7 +42,7 @@
 # Rule two.
 
 
-def assert_no_attempt_out(attempts: Sequence[AttemptRecord]) -> None:
+def assert_no_pending_attempt(attempts: Sequence[AttemptRecord]) -> None:
     """Assert that all earlier attempts have ended when a flow is attempted again or answered."""
     assert all(attempt.outcome is not None for attempt in attempts), (
         "an earlier attempt has not ended"
@@ -96,7 +96,7 @@
 
 
 def slow_start_limit(budget: float) -> float:
-    """Return how many flows balancers that share a budget by chance may send in a window."""
+    """Return the limit on flows per window for balancers that spend a shared budget at random."""
     return budget + 2 * sqrt(budget) + 2
 
 
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -189,7 +189,7 @@
     assert_counted(program, "delays=1")  # the line is relayed before it is counted
 
 
-def test_client_whose_server_stops_answering_lines_is_told_to_move(start_program):
+def test_client_whose_server_stops_answering_lines_is_sent_move(start_program):
     client = start_program(ServerDouble()).open("k1")
     started = time.monotonic()
     assert client.read_line() == "UP rk1"
--- a/tests/service/test_state_restart.py
+++ b/tests/service/test_state_restart.py
@@ -51,7 +51,10 @@
 
 
 def test_drain_from_the_list_still_holds_after_a_kill_and_restart(start_incarnation, state_folder):
-    """Rule three over a restart: in the new process's configured list the server is still ready."""
+    """Rule three of rule_assertions.py over a restart.
+
+    In the new process's configured list the server is still ready.
+    """
     stays, drains = ServerDouble(), ServerDouble()
     drain = endpoint_update(endpoint_entry("s-1", drains.address, "terminating"))
     first = start_incarnation("one", stays, drains, discovery_server=DiscoveryServer(drain))
--- a/tests/service/test_upgrade.py
+++ b/tests/service/test_upgrade.py
@@ -38,7 +38,7 @@
     """A program and the successor processes that upgrade it."""
 
     def __init__(self, program: ProgramProcess, folder: Path):
-        """Take the program's first process and the folder of its hand-over socket."""
+        """Take the program's first process and the folder of its handover socket."""
         self.program = program
         self.folder = folder
         self.processes = [program.process]
@@ -106,7 +106,7 @@
 def start_upgradable(
     start_program: Callable[..., ProgramProcess], tmp_path: Path
 ) -> Iterator[Callable[..., tuple[UpgradedProgram, OperatorClient]]]:
-    """Return a function that starts a program with its hand-over socket in a folder."""
+    """Return a function that starts a program with its handover socket in a folder."""
     upgraded = []
 
     def start(*servers, folder=tmp_path, **options) -> tuple[UpgradedProgram, OperatorClient]:
