--- a/cypresswalk/decisions/hashing.py
+++ b/cypresswalk/decisions/hashing.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 
-def hash64(number: int) -> int:
+def hash_number(number: int) -> int:
     """Return a 128-bit hash of a 64-bit number, the same at every instance.
 
     The hash is BLAKE2b, because differently keyed CRCs of one id are correlated.
--- a/cypresswalk/decisions/limits.py
+++ b/cypresswalk/decisions/limits.py
@@ -6,7 +6,7 @@
 
 import math
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.decisions.occupancy import GROUP_WORK, occupancy
 from cypresswalk.decisions.reviews import Reviews
 from cypresswalk.decisions.warm_up import WarmUp
@@ -28,8 +28,8 @@
 
     The rank depends mostly on the key, so that all balancers evict the same groups.
     """
-    group = hash64(flow.key ^ server.id) & 0xFFFFFFFF
-    own = hash64(flow.id ^ server.id) & 0xFFFFFFFF
+    group = hash_number(flow.key ^ server.id) & 0xFFFFFFFF
+    own = hash_number(flow.id ^ server.id) & 0xFFFFFFFF
     return (KEY_HASH_WEIGHT * group + (1 - KEY_HASH_WEIGHT) * own) / 0xFFFFFFFF
 
 
--- a/cypresswalk/decisions/maglev.py
+++ b/cypresswalk/decisions/maglev.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from itertools import chain, islice
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.model import Server
 
 TABLE_SIZE = 1021  # prime; each of seventy servers gets 14 or 15 slots, equal within 7%
@@ -15,7 +15,7 @@
 
 def slot_of(key: int) -> int:
     """Return the key's slot in every table."""
-    return hash64(key) % TABLE_SIZE
+    return hash_number(key) % TABLE_SIZE
 
 
 class _Permutation:
@@ -33,7 +33,7 @@
 
     def __init__(self, server: Server, top_weight: float):
         """Derive offset and skip from the two halves of a hash of the id."""
-        digest = hash64(server.id)
+        digest = hash_number(server.id)
         self.server = server
         self.slot = (digest & (1 << 64) - 1) % TABLE_SIZE
         self.skip = 1 + (digest >> 64) % (TABLE_SIZE - 1)
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -12,7 +12,7 @@
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS
 from cypresswalk.decisions.balance import mean_occupancy
 from cypresswalk.decisions.flow_table import FlowTable
-from cypresswalk.decisions.hashing import hash64, unit_interval
+from cypresswalk.decisions.hashing import hash_number, unit_interval
 from cypresswalk.decisions.health import is_up
 from cypresswalk.decisions.limits import ConcurrencyLimits
 from cypresswalk.decisions.load import is_overloaded
@@ -120,7 +120,7 @@
             # A key whose share of this balancer's flows exceeds the server's share of the fleet
             # is admitted less often.
             probability = 1.0 if is_first_flow else allowance * share / max(share, key_share)
-            if unit_interval(hash64(flow.id ^ server.id)) < probability:
+            if unit_interval(hash_number(flow.id ^ server.id)) < probability:
                 flow.slow_start_admitted.append(server)
 
     def _warming_servers(self, now: int) -> list[Server]:
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -3,7 +3,7 @@
 from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.decisions.health import FALL, RISE, is_up
 from cypresswalk.decisions.maglev import TABLE_SIZE
 from cypresswalk.model import SECOND, EndpointUpdate, Server
@@ -117,7 +117,7 @@
     flow = host.arrive()
     assert flow.server is None
     assert len(host.health_checks) >= 3
-    owner = host.balancer.placement.pools()[0].table[hash64(flow.key) % TABLE_SIZE]
+    owner = host.balancer.placement.pools()[0].table[hash_number(flow.key) % TABLE_SIZE]
     for server in list(host.health_checks):
         host.answer_health_check(server, True, 1.5 if server is owner else 0.1)
     assert flow.server is not None
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -5,7 +5,7 @@
 from helpers import SimulatedHost
 from rule_assertions import assert_within_slow_start_budget
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.decisions.maglev import TABLE_SIZE
 from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, Server
 
@@ -153,7 +153,7 @@
         host.pass_time(SECOND // 10)
     table = host.balancer.placement.pools()[0].table
     from_other_slots = sum(
-        table[hash64(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows
+        table[hash_number(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows
     )
     assert from_other_slots
     assert len(new.established_flows) < 30
@@ -263,7 +263,7 @@
     )
     sent = []
     for key in range(1000, 1400):
-        owns_slot = table[hash64(key) % TABLE_SIZE] is warming
+        owns_slot = table[hash_number(key) % TABLE_SIZE] is warming
         flow = host.arrive(key=key)
         if flow.server is warming:
             sent.append(owns_slot)
