--- a/cypresswalk/cli/faults.py
+++ b/cypresswalk/cli/faults.py
@@ -11,7 +11,7 @@
 
 from cypresswalk.refusal import CommandError
 
-if TYPE_CHECKING:  # imported when the command runs, so that `--help` costs nothing
+if TYPE_CHECKING:  # imported when the command runs, so that `--help` is fast
     from cypresswalk.faults.datagram_proxy import DatagramProxy
     from cypresswalk.faults.proxy import Proxy
 
@@ -19,10 +19,10 @@
 
 
 def address(context: click.Context, option: click.Parameter, text: str) -> tuple[str, int]:
-    """Reads HOST:PORT. Raises click.BadParameter."""
+    """Parse HOST:PORT; raise click.BadParameter if it is invalid."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise click.BadParameter(f"{text!r} is no HOST:PORT")
+        raise click.BadParameter(f"{text!r} is not HOST:PORT")
     return host, int(port)
 
 
@@ -32,7 +32,7 @@
     required=True,
     callback=address,
     metavar="HOST:PORT",
-    help="Address to listen on; port 0: any.",
+    help="Address to listen on; port 0 picks a free one.",
 )
 @click.option(
     "--to", required=True, callback=address, metavar="HOST:PORT", help="Address to connect to."
@@ -41,16 +41,20 @@
     "--plan", type=click.Path(), help="TOML file of faults; without it all bytes pass unchanged."
 )
 @click.option(
-    "--replay", type=click.Path(), help="A record, whose faults are injected in place of a plan's."
+    "--replay",
+    type=click.Path(),
+    help="Record of an earlier run; its faults are injected instead of a plan's.",
 )
 @click.option(
-    "--seed", default=0, show_default=True, help="Seed for what the plan leaves to chance."
+    "--seed", default=0, show_default=True, help="Seed for the random values of the plan."
 )
 @click.option(
-    "--record", type=click.Path(), help="File for what was injected, as JSON lines, at the end."
+    "--record",
+    type=click.Path(),
+    help="File for the injected faults, written as JSON lines at the end.",
 )
-@click.option("--udp", is_flag=True, help="Datagrams instead of connections.")
-@click.option("--quiet", is_flag=True, help="Print no line for each injected fault.")
+@click.option("--udp", is_flag=True, help="Proxy datagrams instead of connections.")
+@click.option("--quiet", is_flag=True, help="Do not print the injected faults.")
 def faults(
     listen: tuple[str, int],
     to: tuple[str, int],
@@ -61,23 +65,23 @@
     udp: bool,
     quiet: bool,
 ) -> int:
-    """Proxies connections, or datagrams, and injects the faults of a plan.
+    """Proxy connections or datagrams, and inject the faults of a plan.
 
-    Faults are bound to the connection's number and to byte offsets, so the same seed injects them
-    at the same places. Each is printed as a JSON line; Ctrl-C ends the proxy, writes the record and
-    names the faults that were never reached.
+    A fault's place is a connection's number and a byte offset, so the same seed injects the same
+    faults at the same places. Each fault is printed as a JSON line. Ctrl-C ends the proxy, writes
+    the record and prints the faults that were never reached.
     """
     from cypresswalk.faults import plan as plans
     from cypresswalk.faults.datagram_proxy import DatagramProxy
     from cypresswalk.faults.proxy import Proxy
 
     if plan and replay:
-        raise CommandError("--plan and --replay: one of them only")
-    wanted = plans.read_record(replay) if replay else plans.read(plan) if plan else plans.Plan()
-    told = (lambda *_: None) if quiet else (lambda fault, ports: click.echo(fault.line()))
-    proxy = (DatagramProxy if udp else Proxy)(listen, to, wanted, seed, time.monotonic_ns, told)
+        raise CommandError("--plan and --replay exclude each other")
+    chosen = plans.read_record(replay) if replay else plans.read(plan) if plan else plans.Plan()
+    on_fault = (lambda *_: None) if quiet else (lambda fault, ports: click.echo(fault.line()))
+    proxy = (DatagramProxy if udp else Proxy)(listen, to, chosen, seed, time.monotonic_ns, on_fault)
     asyncio.run(serve(proxy, listen))
-    for line in proxy.record.missed(wanted, proxy.connections):
+    for line in proxy.record.missed(chosen, proxy.connections):
         click.echo(line, err=True)
     if record:
         try:
@@ -88,11 +92,11 @@
 
 
 async def serve(proxy: Proxy | DatagramProxy, listen: tuple[str, int]) -> None:
-    """Runs the proxy until SIGINT or SIGTERM. Raises CommandError where it can't listen."""
+    """Run the proxy until SIGINT or SIGTERM; raise CommandError if it can't listen."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stop.set)
     try:
         await proxy.start()
     except OSError as error:
--- a/cypresswalk/cli/main.py
+++ b/cypresswalk/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands; each imports what it needs when it runs."""
+"""The top-level command group. Each command imports what it needs when it runs."""
 
 import sys
 
@@ -15,16 +15,16 @@
 def commands() -> None:
     """A balancer for long-lived connections, and the tools to try it.
 
-    Without arguments the balancer itself starts, configured by PROXY_CONFIG.
+    Without arguments the balancer itself starts, with the configuration that PROXY_CONFIG names.
     """
 
 
 def main() -> int:
-    """Runs the command that the arguments name.
+    """Run the command that the arguments name.
 
     Returns:
-        The exit code: 0 done, 1 a rule was broken, 2 input that can't be used, 3 a scenario whose
-        run says nothing.
+        The exit code: 0 done, 1 a rule was broken, 2 unusable input, 3 a scenario run without a
+        valid result.
     """
     from cypresswalk.cli import faults, state
     from cypresswalk.cli.fleet import fleet
--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -1,7 +1,7 @@
-"""The operator file: what an installation turns on beyond the platform's own configuration.
+"""The operator file: optional features that an installation adds to the platform's configuration.
 
-It is read only where PROXY_OPERATOR names one; every part is off without its table. Keys of the
-file are the attributes' names.
+It is read only if PROXY_OPERATOR names one. Each feature is off unless its table is present. The
+keys of the file are the names of the attributes below.
 """
 
 import re
@@ -18,14 +18,14 @@
 
 
 def check_absolute(value: str) -> str:
-    """An absolute path. Raises ValueError."""
+    """Return the path unchanged; raise ValueError unless it is absolute."""
     if not value.startswith("/"):
         raise ValueError("an absolute path")
     return value
 
 
 def check_address(value: str) -> str:
-    """An IPv4 address and port, HOST:PORT. Raises ValueError."""
+    """Return the address unchanged; raise ValueError unless it is IPv4:PORT."""
     host, colon, port = value.rpartition(":")
     try:
         IPv4Address(host)
@@ -37,7 +37,7 @@
 
 
 def check_name(value: str) -> str:
-    """A name of a fleet or a balancer. Raises ValueError."""
+    """Return the name of a fleet or a balancer unchanged; raise ValueError if it is invalid."""
     if not NAME.fullmatch(value):
         raise ValueError("a name of letters, digits, dots, dashes and underscores, 63 at most")
     return value
@@ -49,11 +49,11 @@
 
 
 class StateTable(toml.Table):
-    """`[state]`: state that is kept over restarts (docs/operators/state.md).
+    """`[state]`: state that is persisted across restarts (docs/operators/state.md).
 
     Attributes:
-        folder: where it is kept.
-        every_s: between two snapshots, seconds.
+        folder: absolute path of the folder for the snapshots.
+        every_s: interval between two snapshots, in seconds.
     """
 
     folder: Folder
@@ -64,10 +64,11 @@
     """`[fleet.copies]`: replicas of idempotency keys on other machines (docs/operators/fleet.md).
 
     Attributes:
-        copies: replicas of each partition, in as many zones as there are.
-        least: with fewer replicas nothing is reserved.
-        most_ids: keys held here; 250 bytes of memory each, twice as many where others hold less.
-        share: of a flow's setup latency objective, for which it waits for its reservation.
+        copies: number of replicas of each partition, spread over as many zones as there are.
+        least: minimum number of replicas; with fewer, no key of the partition is reserved.
+        most_ids: maximum number of keys stored here; each takes 250 bytes of memory. Up to twice
+            as many are stored where other members store fewer.
+        share: fraction of a flow's setup latency objective for which it waits for its reservation.
     """
 
     copies: int = Field(3, ge=1, le=7)
@@ -77,9 +78,9 @@
 
     @model_validator(mode="after")
     def check_counts(self) -> "CopiesTable":
-        """Raises ValueError where more replicas are needed than there are."""
+        """Raise ValueError if more replicas are required than there are."""
         if self.least > self.copies:
-            raise ValueError("least: more than copies")
+            raise ValueError("least: must not be greater than copies")
         return self
 
 
@@ -87,13 +88,18 @@
     """`[fleet]`: balancers that agree on settings, list and releases (docs/operators/fleet.md).
 
     Attributes:
-        fleet: the fleet's name, the same at all its balancers. name: this balancer's name, no
-        other's. address: where the others reach it. folder: its own, on a disk that flushes. zone:
-        its zone. first: address of each seed member by name, the same at all balancers. stated_s:
-        the longest time for which two balancers may act on contradicting versions, seconds.
-        without_lease: what it does without a lease: reject flows, or go on. listen: where it
-        listens, if that is not `address`. copies: whether it replicates idempotency keys. via:
-        where it reaches other members by name, if not at their own addresses.
+        fleet: name of the fleet, the same at all its balancers.
+        name: name of this balancer, unique in the fleet.
+        address: address at which the other members reach it.
+        folder: folder of this balancer alone, on a disk that honours flushes.
+        zone: zone of this balancer.
+        first: addresses of the seed members by name, the same at all balancers.
+        stated_s: longest time for which two balancers may act on contradicting versions, in
+            seconds.
+        without_lease: behaviour without a lease: reject flows, or continue.
+        listen: address to listen on, if it is not `address`.
+        copies: options of the replication of idempotency keys; None turns it off.
+        via: addresses at which to reach other members, by name, if not at their own addresses.
     """
 
     fleet: Name
@@ -110,22 +116,22 @@
 
     @model_validator(mode="after")
     def check_first(self) -> "FleetTable":
-        """Raises ValueError where the seed members contradict each other, or this one."""
+        """Raise ValueError if the seed members contradict each other or this balancer."""
         if not 1 <= len(self.first) <= MAX_FIRST_MEMBERS:
-            raise ValueError("first: one to seven members, best 3 or 5")
+            raise ValueError("first: must name one to seven members, preferably 3 or 5")
         if len(set(self.first.values())) != len(self.first):
-            raise ValueError("first: two members have one address")
+            raise ValueError("first: two members have the same address")
         if self.first.get(self.name, self.address) != self.address:
-            raise ValueError(f"first: {self.name} stands there with another address")
+            raise ValueError(f"first: {self.name} is listed with another address")
         return self
 
 
 class Operator(toml.Table):
-    """The whole file.
+    """An operator file.
 
     Attributes:
-        state: `[state]`.
-        fleet: `[fleet]`.
+        state: table `[state]`.
+        fleet: table `[fleet]`.
     """
 
     state: StateTable | None = None
@@ -133,5 +139,5 @@
 
 
 def read(path: str) -> Operator:
-    """Reads an operator file. Raises CommandError with a line for each error."""
+    """Read an operator file; raise CommandError with one line for each error."""
     return toml.read(path, Operator)
--- a/cypresswalk/refusal.py
+++ b/cypresswalk/refusal.py
@@ -1,5 +1,5 @@
-"""The error for input that a command can't use; every package can raise it."""
+"""The error for input that a command can't use; any package may raise it."""
 
 
 class CommandError(Exception):
-    """One plain line for each error, with the file, the field and what is allowed there."""
+    """Unusable input. The text has a line for each error: file, field and what is allowed there."""
--- a/cypresswalk/toml.py
+++ b/cypresswalk/toml.py
@@ -1,7 +1,8 @@
-"""TOML files decoded and validated into pydantic models; each error is one line with its field.
+"""Decodes and validates TOML files into pydantic models; each error is one line with its field.
 
-The interface is `read`. tomllib parses; pydantic validates: it names every wrong field and what is
-allowed there, which msgspec (the first error alone) and hand-written checks do not.
+The interface is `read`, and `decode` for data that is already parsed. pydantic validates because it
+reports every wrong field and what is allowed there; msgspec reports only the first error, and
+hand-written checks do not report all.
 """
 
 import tomllib
@@ -14,13 +15,13 @@
 
 from cypresswalk.refusal import CommandError
 
-MAX_SHOWN_VALUE = 80  # characters of a wrong value up to which it is shown
+MAX_SHOWN_VALUE = 80  # a wrong value of fewer characters is shown in its error
 
 
 class Table(BaseModel):
-    """A table of such a file.
+    """A table of a TOML file.
 
-    Unknown names are errors, since a misspelt one would pass for a default.
+    Unknown keys are errors; otherwise a misspelt key would silently leave the default in force.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -30,7 +31,7 @@
 
 
 def field(location: Sequence[str | int]) -> str:
-    """A field's place as text: `('servers', 0, 'cores')` as `servers[0].cores`."""
+    """Return a field's path as text: `servers[0].cores` for `('servers', 0, 'cores')`."""
     text = ""
     for part in location:
         if isinstance(part, int):
@@ -41,7 +42,7 @@
 
 
 def read(path: str | Path, model: type[ModelT]) -> ModelT:
-    """Reads a file. Raises CommandError with a line for each error."""
+    """Read and validate a file; raise CommandError with one line for each error."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
@@ -53,7 +54,7 @@
 
 
 def decode(data: object, model: type[ModelT], source: str) -> ModelT:
-    """Validates decoded data; `source` names it in errors. Raises CommandError as `read` does."""
+    """Validate parsed data, named `source` in errors; raise CommandError as `read` does."""
     try:
         return model.model_validate(data)
     except ValidationError as error:
@@ -65,7 +66,7 @@
 
 
 def message(error: ErrorDetails) -> str:
-    """What is wrong with one field."""
+    """Return the description of what is wrong with one field."""
     if error["type"] == "extra_forbidden":
         return "no such field"
     text = error["msg"].removeprefix("Value error, ")
