--- a/cypresswalk/cli/fleet/__init__.py
+++ b/cypresswalk/cli/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""`cypresswalk fleet`: queries and commands to the balancers of a fleet."""
+"""`cypresswalk fleet`: queries and commands for the balancers of a fleet."""
 
 from cypresswalk.cli.fleet.group import fleet
 
--- a/cypresswalk/cli/fleet/agent.py
+++ b/cypresswalk/cli/fleet/agent.py
@@ -1,4 +1,4 @@
-"""`fleet agent`: runs a balancer, or a server, and changes its version when a release says so."""
+"""`fleet agent`: runs a balancer or a server, and changes its version as releases require."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from cypresswalk.cli.fleet.caller import FleetCaller, pass_caller
 from cypresswalk.refusal import CommandError
 
-if TYPE_CHECKING:  # imported when the command runs, so that `--help` costs nothing
+if TYPE_CHECKING:  # imported when the command runs, so that `--help` is fast
     from cypresswalk.rollout.actions import CallFleet, CallResult
     from cypresswalk.rollout.agent_host import ReadinessCheck
     from cypresswalk.rollout.change_agent import ChangeAgent
 
-CALL_TIMEOUT = 4.0  # seconds that an agent's call to the fleet may take
+CALL_TIMEOUT = 4.0  # seconds, of an agent's call to the fleet
 
 
 @click.command(context_settings={"ignore_unknown_options": True})
 @click.option("--member", help="The balancer's name in the fleet.")
-@click.option("--server", help="In place of it, a server's id as the list names it.")
+@click.option("--server", help="Instead of --member, a server's id in the endpoint list.")
 @click.option(
     "--root",
     required=True,
     type=click.Path(exists=True, file_okay=False),
-    help="Where versions are, a folder each.",
+    help="Folder that has a subfolder for each version.",
 )
 @click.option(
     "--folder", required=True, type=click.Path(), help="The agent's own folder, for its state."
 )
-@click.option("--first", required=True, help="The version to run if it has run none yet.")
+@click.option("--first", required=True, help="The version to run if the agent has run none yet.")
 @click.option(
     "--admin",
     nargs=2,
-    help="A balancer's two admin addresses, HOST:PORT, one for each of two processes side by side.",
+    help="A balancer's two admin addresses, HOST:PORT, for its old and new process in a change.",
 )
-@click.option("--answers", help="A server's address, HOST:PORT, where it answers PING.")
+@click.option("--answers", help="The address, HOST:PORT, at which a server answers PING.")
 @click.argument("command", nargs=-1, required=True)
 @pass_caller
 def agent(
@@ -52,7 +52,7 @@
     answers: str | None,
     command: tuple[str, ...],
 ) -> None:
-    """Runs COMMAND in the folder of the member's version, and changes it when a release says so."""
+    """Run COMMAND in the folder of the member's version; change it as releases require."""
     import logging
 
     from cypresswalk.rollout.agent_host import AgentHost, StateFile, VersionProcesses
@@ -71,7 +71,7 @@
     )
 
     def stop(*_: object) -> None:
-        """Has the agent end after the action that it carries out now."""
+        """Make the agent end after its current action."""
         host.stopped = True
 
     signal.signal(signal.SIGTERM, stop)
@@ -80,7 +80,14 @@
 
 @dataclass(frozen=True)
 class ChosenMember:
-    """What the options say of the agent's member."""
+    """The agent's member, as given by the options.
+
+    Attributes:
+        name: name of the balancer, or id of the server.
+        admins: two addresses to check; a server has one, given twice.
+        check: readiness check of the member's process.
+        agent_type: class of the agent for this kind of member.
+    """
 
     name: str
     admins: tuple[str, str]
@@ -91,7 +98,7 @@
 def choose_member(
     member: str | None, admin: tuple[str, str] | None, server: str | None, answers: str | None
 ) -> ChosenMember:
-    """A balancer or a server. Raises CommandError where the options name both, or neither."""
+    """Return the balancer or server named; raise CommandError if it is both or neither."""
     from cypresswalk.rollout.agent_host import BALANCER_CHECK, SERVER_CHECK
     from cypresswalk.rollout.balancer_agent import BalancerAgent
     from cypresswalk.rollout.server_agent import ServerAgent
@@ -100,11 +107,11 @@
         return ChosenMember(member, admin, BALANCER_CHECK, BalancerAgent)
     if server and answers and not member and not admin:
         return ChosenMember(server, (answers, answers), SERVER_CHECK, ServerAgent)
-    raise CommandError("--member with --admin, or --server with --answers")
+    raise CommandError("give --member with --admin, or --server with --answers")
 
 
 def call_fleet(caller: FleetCaller, agent_name: str, call: CallFleet) -> CallResult:
-    """Carries out an agent's call; a call that fails has the reason in its result."""
+    """Send an agent's call to the fleet; if it fails, the result has the reason."""
     from cypresswalk.fleet import client
     from cypresswalk.rollout.actions import CallResult
 
--- a/cypresswalk/cli/fleet/caller.py
+++ b/cypresswalk/cli/fleet/caller.py
@@ -1,4 +1,4 @@
-"""What the commands of `cypresswalk fleet` share: calls to the fleet, and their answers' output."""
+"""Calls to a fleet, and the output of their answers, for all commands of `cypresswalk fleet`."""
 
 import json
 from collections.abc import Callable
@@ -20,9 +20,9 @@
     """Calls the balancers of one fleet.
 
     Attributes:
-        addresses: HOST:PORT of balancers; the first that answers passes the call on to the leader.
-        fleet: the fleet's name.
-        timeout: for an answer, seconds.
+        addresses: HOST:PORT of balancers; the first that answers forwards the call to the leader.
+        fleet: name of the fleet.
+        timeout: time to wait for an answer, in seconds.
     """
 
     addresses: list[str]
@@ -30,10 +30,10 @@
     timeout: float
 
     def call(self, name: str, args: dict[str, Any] | None = None) -> Any:
-        """Sends a query, or a command with its id among `args`; the answer's body.
+        """Send a query, or a command with its id among `args`; return the answer's body.
 
         Raises:
-            CommandError: the fleet refused it, or no balancer could be asked.
+            CommandError: the fleet refused it, or no balancer could be reached.
             click.exceptions.Exit: no answer came, so the outcome is uncertain.
         """
         from cypresswalk.fleet import client
@@ -47,25 +47,25 @@
         return body
 
     def command(self, name: str, **args: Any) -> Any:
-        """Sends a command in the user's name; the answer's body. Raises as `call` does."""
+        """Send a command in the user's name; return the answer's body. Raise as `call` does."""
         from cypresswalk.fleet import client
 
         return self.call(name, client.command_args(client.operator_name(), **args))
 
     def command_and_print(self, name: str, **args: Any) -> None:
-        """Sends a command and prints what the fleet says of it. Raises as `call` does."""
+        """Send a command and print the message in the answer. Raise as `call` does."""
         click.echo(self.command(name, **args)["why"])
 
 
 @dataclass(frozen=True)
 class FleetOptions:
-    """Which fleet the options of the group name; looked at only once a command runs.
+    """The group's options that select the fleet. They are checked only when a command runs.
 
     Attributes:
-        operator: path of an operator file, if one was named.
-        at: addresses of balancers, in place of those in the file.
-        fleet: the fleet's name, with `at`.
-        seconds: for an answer.
+        operator: path of an operator file, if given.
+        at: comma-separated addresses of balancers, used instead of those in the file.
+        fleet: name of the fleet, required with `at`.
+        seconds: time to wait for an answer, in seconds.
     """
 
     operator: str | None
@@ -74,60 +74,64 @@
     seconds: float
 
     def caller(self) -> FleetCaller:
-        """The caller for that fleet; raises CommandError where the options name none."""
+        """Return the caller for the fleet; raise CommandError if the options name none."""
         if self.at:
             if not self.fleet:
                 raise CommandError("--fleet: the fleet's name is needed with --at")
             addresses = [part.strip() for part in self.at.split(",")]
             return FleetCaller(addresses, self.fleet, self.seconds)
         if not self.operator:
-            raise CommandError("--operator or --at: whom to ask")
+            raise CommandError("--operator or --at is needed to find the fleet's balancers")
         return caller_from_file(self.operator, self.seconds)
 
 
 def caller_from_file(path: str, timeout: float) -> FleetCaller:
-    """The caller that an operator file names, its own balancer first. Raises CommandError."""
+    """Return a caller for the fleet of an operator file, which tries the file's own balancer first.
+
+    Raises:
+        CommandError: the file is invalid or has no fleet.
+    """
     from cypresswalk import operator as operators
 
     table = operators.read(path).fleet
     if table is None:
-        raise CommandError(f"{path}: it has no [fleet]")
+        raise CommandError(f"{path}: no table [fleet]")
     others = [address for address in table.first.values() if address != table.address]
     return FleetCaller([table.address, *others], table.fleet, timeout)
 
 
 def caller_of(fleet: FleetOptions | FleetCaller) -> FleetCaller:
-    """The caller that the group's options name, or the one that was made already."""
+    """Return the caller for the group's options, or the caller itself if it was passed."""
     return fleet.caller() if isinstance(fleet, FleetOptions) else fleet
 
 
 def pass_caller(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Hands a command its caller as the first argument."""
+    """Decorate a command to receive its caller as the first argument."""
 
     @click.pass_obj
     @wraps(command)
     def with_caller(fleet: FleetOptions | FleetCaller, *args: Any, **kwargs: Any) -> Any:
-        """Runs the command."""
+        """Run the command."""
         return command(caller_of(fleet), *args, **kwargs)
 
     return with_caller
 
 
 def uncertain_exit(error: Exception) -> click.exceptions.Exit:
-    """Says that the outcome is uncertain; the exception that ends the command."""
+    """Print that the outcome is uncertain; return the exception that ends the command."""
     click.echo(
-        f"unsure: {error}\nIt may or may not come into force. "
-        "`cypresswalk fleet settings show` and `fleet status` tell.",
+        f"unsure: {error}\nThe command may or may not take effect; "
+        "check with `cypresswalk fleet settings show` and `fleet status`.",
         err=True,
     )
     return click.exceptions.Exit(EXIT_UNCERTAIN)
 
 
 def print_json(value: Any) -> None:
-    """Prints an answer as JSON."""
+    """Print an answer as JSON."""
     click.echo(json.dumps(value, indent=1))
 
 
 def in_brackets(marks: list[str], separator: str = ", ") -> str:
-    """What is to be added to a line: marks in brackets, or nothing."""
+    """Return the text to append to a line: the marks in brackets, or nothing if there are none."""
     return f"  ({separator.join(marks)})" if marks else ""
--- a/cypresswalk/cli/fleet/group.py
+++ b/cypresswalk/cli/fleet/group.py
@@ -1,4 +1,4 @@
-"""The group of commands, and which fleet they are for."""
+"""The group of fleet commands, and its options that select the fleet."""
 
 import click
 
@@ -15,18 +15,20 @@
 @click.option(
     "--at",
     metavar="HOST:PORT[,HOST:PORT...]",
-    help="Addresses of balancers, in place of those in the operator file.",
+    help="Addresses of balancers, used instead of those in the operator file.",
+)
+@click.option("--fleet", "name", help="The fleet's name; required with --at.")
+@click.option(
+    "--seconds", default=5.0, show_default=True, help="Timeout for the answer, in seconds."
 )
-@click.option("--fleet", "name", help="The fleet's name, with --at.")
-@click.option("--seconds", default=5.0, show_default=True, help="Timeout for the answer.")
 @click.pass_context
 def fleet(
     context: click.Context, operator: str | None, at: str | None, name: str | None, seconds: float
 ) -> None:
-    """Queries and commands the balancers of a fleet (docs/operators/fleet.md).
+    """Send queries and commands to the balancers of a fleet (docs/operators/fleet.md).
 
-    Exit codes: 0 done, 2 refused or no balancer could be asked, 4 no answer: the command may or may
-    not come into force.
+    Exit codes: 0 done; 2 refused, or no balancer could be reached; 4 no answer, so the command may
+    or may not take effect.
     """
     context.obj = FleetOptions(operator, at, name, seconds)
 
--- a/cypresswalk/cli/fleet/releases.py
+++ b/cypresswalk/cli/fleet/releases.py
@@ -10,11 +10,15 @@
 
 @click.group()
 def release() -> None:
-    """Changes balancers, or servers, to another version in waves, within the bounds."""
+    """Change balancers or servers to another version in waves, within the bounds."""
 
 
 def read_plan(caller: FleetCaller, path: str) -> list[Any]:
-    """A release's plan in the form in which the fleet takes it. Raises CommandError."""
+    """Read a release's plan; return it in the form that the fleet accepts.
+
+    Raises:
+        CommandError: the plan is invalid, or the fleet could not be queried.
+    """
     from cypresswalk.rollout import plan
 
     status = caller.call("status")
@@ -27,7 +31,7 @@
 @click.argument("file")
 @pass_caller
 def show_plan(caller: FleetCaller, file: str) -> None:
-    """Shows which members would be changed in which waves; starts nothing."""
+    """Show which members would change in which wave, without starting the release."""
     name, from_version, to_version, waves, hold_s, *_ = read_plan(caller, file)
     click.echo(f"release {name}: {from_version} -> {to_version}, each wave holds {hold_s:g} s")
     for number, wave in enumerate(waves):
@@ -38,7 +42,7 @@
 @click.argument("file")
 @pass_caller
 def start(caller: FleetCaller, file: str) -> None:
-    """Starts a release, unless another is under way."""
+    """Start a release, unless another is in progress."""
     caller.command_and_print("release_begin", plan=read_plan(caller, file))
 
 
@@ -46,7 +50,7 @@
 @json_option
 @pass_caller
 def show_status(caller: FleetCaller, as_json: bool) -> None:
-    """Shows how far the release is, what it waits for, and what each member runs."""
+    """Show the release's progress, what it waits for, and the state of each member."""
     import msgspec
 
     from cypresswalk.rollout.release import Release
@@ -79,7 +83,7 @@
 
 
 def current_name(caller: FleetCaller) -> str:
-    """The name of the release there is. Raises CommandError if there is none."""
+    """Return the name of the current release; raise CommandError if there is none."""
     current = caller.call("release")["release"]
     if not current:
         raise CommandError("there is no release")
@@ -89,21 +93,21 @@
 @release.command()
 @pass_caller
 def pause(caller: FleetCaller) -> None:
-    """Starts no further change until `resume`; a change under way is finished."""
+    """Start no further change until `resume`; changes in progress are finished."""
     caller.command_and_print("release_pause", release=current_name(caller), on=True)
 
 
 @release.command("resume")
 @pass_caller
 def resume_release(caller: FleetCaller) -> None:
-    """Goes on after a pause. After a halt `fleet resume` comes first."""
+    """Continue after a pause. After a halt, run `fleet resume` first."""
     caller.command_and_print("release_pause", release=current_name(caller), on=False)
 
 
 @release.command()
 @pass_caller
 def back(caller: FleetCaller) -> None:
-    """Rolls every changed member back, within the bounds, the worst first; also while halted."""
+    """Roll back every changed member, within the bounds, the worst first; also while halted."""
     caller.command_and_print("release_back", release=current_name(caller))
 
 
@@ -111,12 +115,12 @@
 @click.argument("why")
 @pass_caller
 def halt(caller: FleetCaller, why: str) -> None:
-    """Lets nothing more go out, by any call, at any balancer, until `resume`."""
+    """Take nothing more out of rotation, by any call at any balancer, until `resume`."""
     caller.command_and_print("halt", why=why)
 
 
 @click.command()
 @pass_caller
 def resume(caller: FleetCaller) -> None:
-    """Ends a halt."""
+    """End a halt."""
     caller.command_and_print("resume", halts=caller.call("status")["halts"])
--- a/cypresswalk/cli/fleet/replicas.py
+++ b/cypresswalk/cli/fleet/replicas.py
@@ -15,15 +15,15 @@
 )
 from cypresswalk.refusal import CommandError
 
-COMPARISONS = 3  # a partition that differs each time is inconsistent
-COMPARISON_PAUSE = 2  # seconds: what is on its way to a replica differs for a moment
+COMPARISONS = 3  # a partition that differs in every comparison is inconsistent
+COMPARISON_PAUSE = 2  # seconds; replicas differ briefly while a change is on its way to one
 
 
 @click.group(invoke_without_command=True)
 @json_option
 @click.pass_context
 def copies(context: click.Context, as_json: bool) -> None:
-    """Where idempotency keys are replicated, and what lacks replicas; `check`, `renew`."""
+    """Show where idempotency keys are replicated, and which partitions lack replicas."""
     if context.invoked_subcommand is not None:
         return
     body = caller_of(context.obj).call("copies")
@@ -31,10 +31,12 @@
         print_json(body)
         return
     if not body["copies"]:
-        raise CommandError("the leader keeps no copies: its operator file has no [fleet.copies]")
+        raise CommandError(
+            "the leader keeps no copies: its operator file has no table [fleet.copies]"
+        )
     click.echo(
         f"{len(body['parts'])} parts, {body['copies']} copies asked for, {body['least']} needed; "
-        f"{len(body['lacking'])} lack copies, {len(body['changing'])} are being changed, "
+        f"{len(body['lacking'])} lack copies, {len(body['changing'])} are changing replicas, "
         f"{len(body['lost'])} have none left"
     )
     for part, view, holders in body["parts"]:
@@ -44,24 +46,24 @@
 
 
 def partition_marks(body: dict[str, Any], part: int) -> list[str]:
-    """What is wrong with a partition."""
+    """Return the problems of a partition."""
     key = str(part)
     marks = []
     if key in body["lost"]:
         marks.append(f"LOST for {body['lost'][key]} s: claims refused")
     elif part in body["away"]:
-        marks.append("no copy heard")
+        marks.append("no copy reachable")
     if key in body["lacking"]:
         marks.append(f"lacks copies for {body['lacking'][key]} s")
     if key in body["changing"]:
-        marks.append("being changed")
+        marks.append("changing replicas")
     return marks
 
 
 @copies.command("check")
 @pass_caller
 def check(caller: FleetCaller) -> None:
-    """Compares all replicas. Exit code 1 if a partition is inconsistent three times over."""
+    """Compare all replicas. Exit code 1 if a partition is inconsistent three times in a row."""
     lines: list[str] = []
     inconsistent: set[str] = set()
     for attempt in range(COMPARISONS):
@@ -69,7 +71,7 @@
         found = {line.partition(":")[0] for line in lines}
         inconsistent = found if attempt == 0 else inconsistent & found
         if not inconsistent:
-            click.echo("every part is whole and alike at all its holders")
+            click.echo("every part is complete and alike at all its holders")
             return
         time.sleep(COMPARISON_PAUSE)
     for line in lines:
@@ -79,7 +81,7 @@
 
 
 def compare_replicas(caller: FleetCaller) -> list[str]:
-    """A line for each member that could not be asked and each partition that is inconsistent."""
+    """Return a line for each unreachable member and each inconsistent partition."""
     from cypresswalk.fleet import client
 
     status = caller.call("status")
@@ -102,13 +104,13 @@
 @click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
 @pass_caller
 def renew(caller: FleetCaller, parts: tuple[int, ...], yes: bool) -> None:
-    """Lets partitions without any replica start empty; keys reserved there may run again."""
+    """Let partitions without any replica start empty; requests of their keys may run again."""
     from cypresswalk.fleet import client
 
     if not yes:
         click.confirm(
-            "Ids claimed in these parts within the last minutes may run a second time. "
-            "Begin with nothing?",
+            "Requests with ids claimed in these parts within the last minutes may run a second "
+            "time. Start these parts empty?",
             abort=True,
         )
     click.echo(
--- a/cypresswalk/cli/fleet/settings.py
+++ b/cypresswalk/cli/fleet/settings.py
@@ -1,4 +1,4 @@
-"""`fleet settings`: the settings that all balancers act on."""
+"""`fleet settings`: the settings that all balancers of the fleet use."""
 
 import difflib
 import json
@@ -9,16 +9,16 @@
 from cypresswalk.cli.fleet.caller import FleetCaller, pass_caller
 from cypresswalk.refusal import CommandError
 
-MILLISECONDS = 1000  # a second
+MILLISECONDS = 1000  # in a second
 
 
 @click.group()
 def settings() -> None:
-    """The settings that all balancers act on: check, offer, show, diff, history, back."""
+    """Show, check and change the settings that all balancers use."""
 
 
 def read_settings(path: str) -> dict[str, Any]:
-    """The shared part of a balancer's configuration, or a file of that part alone.
+    """Read the shared settings from a balancer's configuration, or from a file of them alone.
 
     Raises:
         CommandError: the file can't be read, or has settings that are not shared.
@@ -36,22 +36,22 @@
         return shared_part(data["settings"])
     if unknown := sorted(set(data) - set(SHARED_KEYS)):
         raise CommandError(
-            f"{path}: {', '.join(unknown)}: not among what the fleet agrees on "
+            f"{path}: {', '.join(unknown)}: not among the settings that the fleet agrees on "
             f"({', '.join(SHARED_KEYS)})"
         )
     return data
 
 
 def as_lines(value: Any) -> list[str]:
-    """Settings as lines of JSON."""
+    """Return settings as lines of JSON."""
     return json.dumps(value, indent=1, sort_keys=True).splitlines()
 
 
 def agreed_settings(caller: FleetCaller, number: int | None = None) -> tuple[int, dict[str, Any]]:
-    """Version and values of the settings in force, or of an older version.
+    """Return version and values of the settings in force, or of an older version.
 
     Raises:
-        CommandError: there are none of that version.
+        CommandError: no settings of that version are kept.
     """
     body = caller.call("show")
     if number is None:
@@ -70,10 +70,10 @@
 @click.option(
     "--config",
     envvar="PROXY_CONFIG",
-    help="A balancer's configuration to check them with; without it, the file's form alone.",
+    help="A balancer's configuration to check them with; without it, only the format is checked.",
 )
 def check(file: str, config: str | None) -> None:
-    """Checks whether a balancer with this configuration could act on the file's settings."""
+    """Check whether a balancer with this configuration can use the file's settings."""
     values = read_settings(file)
     if config:
         from cypresswalk.fleet.shared_settings import objection
@@ -86,17 +86,17 @@
             raise CommandError(f"{config}: {invalid}") from invalid
         if error:
             raise CommandError(f"{file}: {error}")
-    click.echo("sound")
+    click.echo("valid")
 
 
 @settings.command()
 @click.argument("file")
 @click.option(
-    "--on", "base", type=int, help="The version that the file was made from; default: the newest."
+    "--on", "base", type=int, help="The version that the file is based on; default: the newest."
 )
 @pass_caller
 def offer(caller: FleetCaller, file: str, base: int | None) -> None:
-    """Proposes settings: in force if unchanged since, and every balancer can read them."""
+    """Propose settings; in force if the base still is, and every balancer can use them."""
     values = read_settings(file)
     if base is None:
         base, _ = agreed_settings(caller)
@@ -107,7 +107,7 @@
 @click.option("--version", "number", type=int, help="An older version.")
 @pass_caller
 def show(caller: FleetCaller, number: int | None) -> None:
-    """Prints the settings in force, as JSON that `offer` takes."""
+    """Print the settings in force, as JSON that `offer` accepts."""
     version, values = agreed_settings(caller, number)
     click.echo(f"version {version}", err=True)
     click.echo("\n".join(as_lines(values)))
@@ -118,7 +118,7 @@
 @click.option("--version", "number", type=int, help="Compare with an older version.")
 @pass_caller
 def diff(caller: FleetCaller, file: str, number: int | None) -> None:
-    """Shows what a file would change."""
+    """Show what a file would change."""
     version, values = agreed_settings(caller, number)
     before = as_lines(values)
     after = as_lines(read_settings(file))
@@ -129,7 +129,7 @@
 @settings.command()
 @pass_caller
 def history(caller: FleetCaller) -> None:
-    """Shows who did what when, the newest last."""
+    """Show who made which change when, the newest last."""
     from datetime import datetime
 
     for version, by, at, what in caller.call("history")["history"]:
@@ -143,7 +143,7 @@
 @click.argument("version", type=int)
 @pass_caller
 def back(caller: FleetCaller, version: int) -> None:
-    """Proposes the settings of an older version."""
+    """Propose the settings of an older version."""
     _, values = agreed_settings(caller, version)
     base, _ = agreed_settings(caller)
     caller.command_and_print("offer", base=base, settings=values)
--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -66,8 +66,8 @@
     Attributes:
         copies: number of replicas of each partition, spread over as many zones as there are.
         least: minimum number of replicas; with fewer, no key of the partition is reserved.
-        most_ids: maximum number of keys stored here; each takes 250 bytes of memory. Up to twice
-            as many are stored where other members store fewer.
+        most_ids: number of keys stored here above which new ones are refused; each takes 250 bytes
+            of memory. As a backup it stores up to twice as many, as the primaries may store fewer.
         share: fraction of a flow's setup latency objective for which it waits for its reservation.
     """
 
--- a/tests/cli/test_release_status.py
+++ b/tests/cli/test_release_status.py
@@ -1,4 +1,4 @@
-"""What `fleet release status` prints."""
+"""The output of `fleet release status`."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 
 
 class FakeCaller:
-    """Answers as a fleet under a release that has just begun."""
+    """A caller that answers like a fleet whose release has just begun."""
 
     def call(self, name: str) -> dict[str, Any]:
-        """Answer any call with the release."""
+        """Return the state of the release, whatever the call."""
         plan = Plan("r1", "v1", "v2", [["n0"]], 1.0, 10, 3, 0.1, 2.0, 30.0)
         release = Release(plan, "op", 0, members={"n0": "old"})
         return {"release": msgspec.to_builtins(release), "halted": None, "waits": ""}
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -1,4 +1,4 @@
-"""`cypresswalk state`: generations shown, checked and compared."""
+"""`cypresswalk state`: shows, checks and compares snapshots."""
 
 import subprocess
 
@@ -11,14 +11,14 @@
 
 
 def run_state_command(*args: object) -> subprocess.CompletedProcess[str]:
-    """Runs `cypresswalk state` to its end."""
+    """Run `cypresswalk state` and return the finished process."""
     command = [*PROGRAM, "state", *map(str, args)]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
 
 
 @pytest.fixture
 def folder(tmp_path):
-    """A folder with two generations, the second with a drain, and a damaged file."""
+    """Return a folder with two snapshots, the second with a draining server, and a damaged file."""
     before, after = snapshot(1), snapshot(2)
     after.servers[0].state = "draining"
     (tmp_path / "state.1").write_bytes(file_format.encode(before))
