--- a/cypresswalk/cli/lab/exit_codes.py
+++ b/cypresswalk/cli/lab/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of `cypresswalk lab`, beside 0 and 2."""
+"""Exit codes of `cypresswalk lab` besides 0 and 2."""
 
 BROKEN = 1  # a rule was broken
-VOID = 3  # the run says nothing, since the machine was late
+VOID = 3  # the result is invalid because the machine was too slow
--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -15,11 +15,11 @@
 from cypresswalk.cli.lab.workers import end_workers
 from cypresswalk.refusal import CommandError
 
-if TYPE_CHECKING:  # imported when a command runs, so that `--help` costs nothing
+if TYPE_CHECKING:  # imported when a command runs, so that `--help` is fast
     from cypresswalk.lab.experiment import Experiment
 
 CORES_PER_RUN = 3
-PROGRESS_STEPS = 10  # a second of the scenario
+PROGRESS_STEPS = 10  # per second of the scenario
 CAPACITY_COLUMNS = (
     "clients a second",
     "flows a second",
@@ -37,15 +37,15 @@
 
 
 def run_variant(file: str, variant: str, seed: int, folder: str) -> dict[str, Any]:
-    """Runs one variant with one seed, in a process of its own; the run's summary."""
+    """Run one variant with one seed; return the run's summary. Called in a worker process."""
     from cypresswalk.lab.experiment import read
     from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
 
     experiment = read(file)
     chosen = next(v for v in experiment.variants if v.name == variant)
-    day = play_scenario(experiment, chosen, seed, Path(folder))
-    summary = ScenarioMetrics(experiment, day).summary()
+    result = play_scenario(experiment, chosen, seed, Path(folder))
+    summary = ScenarioMetrics(experiment, result).summary()
     (Path(folder) / "summary.json").write_text(json.dumps(summary, indent=1))
     return summary
 
@@ -53,16 +53,16 @@
 def read_experiment(
     file: str, variants: tuple[str, ...] = (), seeds: tuple[int, ...] = (), repeats: int = 0
 ) -> tuple[Experiment, list[str], list[int]]:
-    """Reads an experiment and picks variants and seeds.
+    """Read an experiment and select variants and seeds.
 
     Args:
-        file: its path.
-        variants: those asked for; all if none.
-        seeds: those asked for; the file's if none.
-        repeats: how many of the file's seeds; all if 0.
+        file: path of the experiment.
+        variants: names of the selected variants; all if empty.
+        seeds: selected seeds; those of the file if empty.
+        repeats: number of the file's seeds to use; all if 0.
 
     Returns:
-        The experiment, names of variants, and seeds.
+        The experiment, the names of the variants, and the seeds.
 
     Raises:
         CommandError: the file is invalid, or it has no such variant.
@@ -81,25 +81,25 @@
 def run_all(
     file: str, names: list[str], seeds: list[int], out: Path, jobs: int
 ) -> list[dict[str, Any]]:
-    """Runs each variant with each seed, a void run once more.
+    """Run each variant with each seed, and repeat void runs once.
 
     Returns:
         The summaries in the order of variants and seeds.
     """
-    wanted = [(name, seed) for seed in seeds for name in names]
+    runs = [(name, seed) for seed in seeds for name in names]
     summaries: dict[tuple[str, int], dict[str, Any]] = {}
     repeated: set[tuple[str, int]] = set()
     with (
         ProcessPoolExecutor(jobs) as pool,
-        click.progressbar(length=len(wanted), label="days", file=sys.stderr) as bar,
+        click.progressbar(length=len(runs), label="runs", file=sys.stderr) as bar,
     ):
 
         def submit(run: tuple[str, int]) -> Future[dict[str, Any]]:
-            """Starts one run, of a variant's name and a seed; its summary comes later."""
+            """Start a run, given as variant name and seed; return the future of its summary."""
             name, seed = run
             return pool.submit(run_variant, file, name, seed, str(out / f"{name}-{seed}"))
 
-        running = {submit(run): run for run in wanted}
+        running = {submit(run): run for run in runs}
         try:
             while running:
                 done, _ = wait(running, return_when=FIRST_COMPLETED)
@@ -121,12 +121,12 @@
 @click.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> int:
-    """Checks an experiment file and says what it runs."""
+    """Check an experiment file and print what it runs."""
     experiment, names, seeds = read_experiment(file)
     click.echo(
         f"{experiment.name}: {experiment.seconds:g} s, "
         f"{sum(m.count for m in experiment.servers)} servers, "
-        f"{len(experiment.balancer_names())} balancers, {len(experiment.faults)} troubles, "
+        f"{len(experiment.balancer_names())} balancers, {len(experiment.faults)} faults, "
         f"variants {', '.join(names)}, {len(seeds)} seeds"
     )
     return 0
@@ -138,7 +138,7 @@
 @click.option("--seed", type=int, help="The seed; default: the file's first.")
 @out_option
 def play(file: str, variant: str, seed: int | None, out: Path) -> int:
-    """Runs one variant with one seed, reports on it and checks the rules."""
+    """Run one variant with one seed, report on it and check the rules."""
     from cypresswalk.lab import report
     from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
@@ -158,13 +158,13 @@
         done = 0
 
         def show_progress(second: float) -> None:
-            """Moves the bar to that second of the scenario."""
+            """Move the bar to a second of the scenario."""
             nonlocal done
             bar.update(int(second * PROGRESS_STEPS) - done)
             done = int(second * PROGRESS_STEPS)
 
-        day = play_scenario(experiment, chosen, seeds[0], folder, show_progress)
-    summary = ScenarioMetrics(experiment, day).summary()
+        result = play_scenario(experiment, chosen, seeds[0], folder, show_progress)
+    summary = ScenarioMetrics(experiment, result).summary()
     click.echo(report.scenario_report(summary))
     report.save([summary], folder)
     click.echo(f"events, logs, report and plots are in {folder}", err=True)
@@ -179,10 +179,12 @@
     "--variant",
     "variants",
     multiple=True,
-    help="Only these, in this order; the first is the baseline.",
+    help="Only this variant; may be repeated. The first one is the baseline.",
+)
+@click.option("--seed", "seeds", multiple=True, type=int, help="Only this seed; may be repeated.")
+@click.option(
+    "--repeats", type=int, default=0, help="Number of the file's seeds to use; default: all."
 )
-@click.option("--seed", "seeds", multiple=True, type=int, help="Only these seeds.")
-@click.option("--repeats", type=int, default=0, help="How many of the file's seeds; default: all.")
 @click.option(
     "--jobs",
     type=click.IntRange(1, 64),
@@ -194,10 +196,10 @@
 def compare(
     file: str, variants: tuple[str, ...], seeds: tuple[int, ...], repeats: int, jobs: int, out: Path
 ) -> int:
-    """Runs all variants with all seeds and compares them.
+    """Run all variants with all seeds and compare them.
 
-    Each seed gives every variant the same clients. A difference counts where it points the same way
-    on all of five or more seeds.
+    With the same seed all variants have the same clients. A difference counts only if there are at
+    least five seeds and it has the same sign on all of them.
     """
     from cypresswalk.lab import report
 
@@ -210,17 +212,17 @@
         if summary["broken"] or summary["void"]:
             click.echo(f"{summary['variant']}, seed {summary['seed']}: {report.verdict(summary)}")
     click.echo(f"report and plots are in {folder}", err=True)
-    first = [s for s in summaries if s["variant"] == names[0]]
-    if any(s["broken"] and not s["void"] for s in first):
+    baseline = [s for s in summaries if s["variant"] == names[0]]
+    if any(s["broken"] and not s["void"] for s in baseline):
         return BROKEN
-    return VOID if all(s["void"] for s in first) else 0
+    return VOID if all(s["void"] for s in baseline) else 0
 
 
 @click.command()
 @click.argument("file", type=click.Path())
 @click.argument("folder", type=click.Path(path_type=Path))
 def verdict(file: str, folder: Path) -> int:
-    """Checks the rules again on the events of an earlier run."""
+    """Check the rules again on the events of an earlier run."""
     from cypresswalk.lab import observations
     from cypresswalk.lab.checker import check
     from cypresswalk.lab.rules import Rules
@@ -248,13 +250,13 @@
 @click.option("--seconds", default=8, show_default=True, type=click.IntRange(4, 120))
 @out_option
 def capacity(rates: str, seconds: int, out: Path) -> int:
-    """Measures how many clients and flows per second the lab itself can simulate."""
+    """Measure how many clients and flows per second the lab itself can simulate."""
     try:
-        wanted = [float(rate) for rate in rates.split(",")]
+        rate_list = [float(rate) for rate in rates.split(",")]
     except ValueError as error:
-        raise CommandError(f"--rates: {rates!r} is no list of numbers") from error
+        raise CommandError(f"--rates: {rates!r} is not a list of numbers") from error
     click.echo(f"| {' | '.join(CAPACITY_COLUMNS)} |\n|" + " --- |" * len(CAPACITY_COLUMNS))
-    for rate in wanted:
+    for rate in rate_list:
         line, void = measure_capacity(rate, seconds, out / f"capacity-{rate:g}")
         click.echo(line)
         if void:
@@ -263,26 +265,26 @@
 
 
 def measure_capacity(rate: float, seconds: int, folder: Path) -> tuple[str, bool]:
-    """A row of the table for so many clients per second, and whether the lab was late."""
+    """Return the table row for a rate of clients per second, and whether the run was void."""
     from cypresswalk.lab.metrics import ScenarioMetrics
     from cypresswalk.lab.play import play_scenario
 
     experiment = capacity_experiment(rate, seconds)
-    day = play_scenario(experiment, experiment.variants[0], 1, folder)
-    summary = ScenarioMetrics(experiment, day).summary()
-    echoes = sum(event.kind == "echo" for event in day.events) / seconds
+    result = play_scenario(experiment, experiment.variants[0], 1, folder)
+    summary = ScenarioMetrics(experiment, result).summary()
+    echoes = sum(event.kind == "echo" for event in result.events) / seconds
     late = summary["lateness_ms"]
-    said = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
+    outcome = "late" if summary["void"] else "broken" if summary["broken"] else "in time"
     line = (
         f"| {rate:g} | {summary['flows'] / seconds:.0f} | {max(summary['standing']):.0f} | "
         f"{echoes:.0f} | {late['p99']:.1f} | {late['most']:.0f} | "
-        f"{summary['setup_ms']['p50']:.2f} | {said} |"
+        f"{summary['setup_ms']['p50']:.2f} | {outcome} |"
     )
     return line, bool(summary["void"])
 
 
 def capacity_experiment(rate: float, seconds: int) -> Experiment:
-    """Servers and balancers large enough for the lab to be the limit."""
+    """Return an experiment whose servers and balancers are so large that the lab is the limit."""
     from cypresswalk import toml
     from cypresswalk.lab.experiment import Experiment
 
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -14,9 +14,9 @@
 from cypresswalk.cli.lab.exit_codes import BROKEN
 from cypresswalk.refusal import CommandError
 
-SECONDS_PER_FAULT = 2.5  # of a drawn plan
-HISTORY_LINES = 80  # shown of a run that broke a rule
-MAX_CONTRADICTION_S = 5  # seconds, as the virtual fleet is configured
+SECONDS_PER_FAULT = 2.5  # in a random plan
+HISTORY_LINES = 80  # the last lines shown of a run that broke a rule
+MAX_CONTRADICTION_S = 5  # seconds; the configuration of the virtual fleet
 ACTIONS_PER_SEED = 100
 DEFAULT_VOTERS, DEFAULT_FOLLOWERS = 3, 1
 
@@ -29,14 +29,16 @@
 
 @click.command()
 @click.argument("plan", required=False, type=click.Path())
-@click.option("--seed", type=int, help="Draw a plan from this seed, in place of PLAN.")
-@click.option("--balancers", default=5, show_default=True, help="With --seed.")
-@click.option("--voters", default=3, show_default=True, help="With --seed.")
+@click.option(
+    "--seed", type=int, help="Generate a random plan from this seed instead of reading PLAN."
+)
+@click.option("--balancers", default=5, show_default=True, help="With --seed: number of balancers.")
+@click.option("--voters", default=3, show_default=True, help="With --seed: number of voters.")
 @click.option(
     "--seconds",
     default=20.0,
     show_default=True,
-    help="With --seed: for how long faults and calls go on.",
+    help="With --seed: duration of faults and calls.",
 )
 @click.option(
     "--copies",
@@ -45,7 +47,9 @@
     help="With --seed: replicas of each reserved key; clients repeat their requests.",
 )
 @click.option(
-    "--release", is_flag=True, help="With --seed: a release by agents, good or bad, among faults."
+    "--release",
+    is_flag=True,
+    help="With --seed: a release of a good or bad build by agents, with faults.",
 )
 @click.option(
     "--out",
@@ -63,24 +67,24 @@
     release: bool,
     out: str,
 ) -> int:
-    """Starts a fleet of real balancers, injects faults by PLAN or a seed, and checks the rules."""
+    """Start a fleet of real balancers, inject faults by PLAN or a seed, and check the rules."""
     from cypresswalk.lab.cluster.plan import read_plan
     from cypresswalk.lab.cluster.random_plans import random_plan, random_release_plan
     from cypresswalk.lab.cluster.testbed.run import run_plan, run_timeline
 
     if plan is not None and seed is not None:
-        raise CommandError("PLAN or --seed: one of them")
+        raise CommandError("give either PLAN or --seed")
     faults = max(int(seconds // SECONDS_PER_FAULT), 1)
     if plan is not None:
-        wanted = read_plan(plan)
+        chosen = read_plan(plan)
     elif seed is None:
-        raise CommandError("PLAN or --seed: one of them")
+        raise CommandError("give either PLAN or --seed")
     elif release:
-        wanted = random_release_plan(seed, balancers, voters, seconds, faults)
+        chosen = random_release_plan(seed, balancers, voters, seconds, faults)
     else:
-        wanted = random_plan(seed, balancers, voters, seconds, faults, copies)
+        chosen = random_plan(seed, balancers, voters, seconds, faults, copies)
     folder = Path(out).absolute()
-    report = asyncio.run(run_plan(wanted, folder))
+    report = asyncio.run(run_plan(chosen, folder))
     for line in run_timeline(folder):
         click.echo(line)
     click.echo(json.dumps(report, indent=1))
@@ -89,7 +93,7 @@
 
 
 def counts_line(counts: Counter[str]) -> str:
-    """How often each situation was met."""
+    """Return how often each situation occurred, as text."""
     return ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
 
 
@@ -100,9 +104,9 @@
 @click.option("--voters", default=DEFAULT_VOTERS, show_default=True)
 @click.option("--followers", default=DEFAULT_FOLLOWERS, show_default=True)
 def explore(seeds: int, first: int, jobs: int, voters: int, followers: int) -> int:
-    """Injects random faults into the fleet's code in virtual time.
+    """Inject random faults into the fleet's code in virtual time.
 
-    A seed that breaks an invariant is reduced to the faults that it needs, and these are shown.
+    The first seed that breaks an invariant is reduced; the faults that it needs are shown.
     """
     from cypresswalk.lab.cluster.simulation.explorer import run_seed
 
@@ -132,7 +136,7 @@
 
 
 def show_reduced(seed: int) -> None:
-    """Shows the faults that a seed needs to break an invariant."""
+    """Show a minimal list of the faults with which a seed breaks an invariant."""
     from cypresswalk.lab.cluster.simulation.explorer import reduce_seed
     from cypresswalk.lab.cluster.simulation.schedule import draw_schedule
 
@@ -149,11 +153,11 @@
 @first_option
 @jobs_option
 @click.option("--acts", default=60, show_default=True, help="Faults and calls for each seed.")
-@click.option("--servers", is_flag=True, help="Releases of servers, in place of balancers.")
+@click.option("--servers", is_flag=True, help="Releases of servers instead of balancers.")
 def releases(seeds: int, first: int, jobs: int, acts: int, servers: bool) -> int:
-    """Runs releases among random faults and calls in virtual time.
+    """Run releases with random faults and calls in virtual time.
 
-    The history of the first seed that breaks a rule is shown.
+    The end of the history of the first seed that breaks a rule is shown.
     """
     from cypresswalk.lab.cluster.simulation import balancer_releases, server_releases
 
--- a/cypresswalk/cli/lab/group.py
+++ b/cypresswalk/cli/lab/group.py
@@ -1,4 +1,4 @@
-"""The group of commands."""
+"""The group of lab commands."""
 
 import click
 
@@ -7,10 +7,10 @@
 
 @click.group()
 def lab() -> None:
-    """Runs scenarios with real balancers among simulated peers, and checks the rules.
+    """Run scenarios with real balancers among simulated peers, and check the rules.
 
-    Exit codes: 0 the rules held, 1 a rule was broken, 2 the file can't be used, 3 the run says
-    nothing since the machine was late.
+    Exit codes: 0 the rules held, 1 a rule was broken, 2 the input can't be used, 3 the result is
+    invalid because the machine was too slow.
     """
 
 
--- a/cypresswalk/cli/lab/soak.py
+++ b/cypresswalk/cli/lab/soak.py
@@ -1,4 +1,4 @@
-"""`cypresswalk lab soak`: random plans with real processes, one verdict a seed."""
+"""`cypresswalk lab soak`: runs random plans with real processes, and gives a verdict per seed."""
 
 from __future__ import annotations
 
@@ -15,36 +15,42 @@
 from cypresswalk.cli.lab.workers import end_workers
 from cypresswalk.refusal import CommandError
 
-if TYPE_CHECKING:  # imported when a command runs, so that `--help` costs nothing
+if TYPE_CHECKING:  # imported when a command runs, so that `--help` is fast
     from cypresswalk.lab.soak import SeedVerdict
 
 MAX_SEEDS = 10_000
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds of a range `A-B`, or of one seed `A`; raises CommandError."""
+    """Return the seeds of a range `A-B`, or the one seed `A`.
+
+    Raises:
+        CommandError: the text is neither, or the range is empty or too large.
+    """
     match = re.fullmatch(r"(\d{1,9})(?:-(\d{1,9}))?", text)
     if match is None:
-        raise CommandError(f"--seeds: {text!r} is no range such as 1-50")
+        raise CommandError(f"--seeds: {text!r} is not a range such as 1-50")
     first = int(match[1])
     last = int(match[2] or first)
     if not first <= last < first + MAX_SEEDS:
-        raise CommandError(f"--seeds: {text!r} holds 1 to {MAX_SEEDS} seeds, the lower one first")
+        raise CommandError(
+            f"--seeds: {text!r}: a range has 1 to {MAX_SEEDS} seeds, the lowest first"
+        )
     return list(range(first, last + 1))
 
 
 def prepare_folder(folder: Path) -> None:
-    """Make the folder if it is not there; raises CommandError where nothing can be written."""
+    """Create the folder if it is missing; raise CommandError if it can't be written to."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise CommandError(f"--out: {folder}: {error.strerror}") from error
     if not os.access(folder, os.W_OK):
-        raise CommandError(f"--out: {folder}: it can't be written")
+        raise CommandError(f"--out: {folder}: the folder is not writable")
 
 
-def play_all(seeds: list[int], folder: Path, jobs: int) -> list[SeedVerdict]:
-    """Play the seeds, `jobs` at a time, a void one once more; return the verdicts in order."""
+def run_seeds(seeds: list[int], folder: Path, jobs: int) -> list[SeedVerdict]:
+    """Run the seeds, `jobs` at a time, and repeat void ones once; return the verdicts in order."""
     from cypresswalk.lab.soak import play_seed
 
     verdicts: dict[int, SeedVerdict] = {}
@@ -67,17 +73,19 @@
                     bar.update(1)
         except BaseException:
             end_workers(pool)
-            click.echo(table_of(list(verdicts.values())))
+            click.echo(verdict_table(list(verdicts.values())))
             raise
     return [verdicts[seed] for seed in seeds]
 
 
-def table_of(verdicts: list[SeedVerdict]) -> str:
-    """Return a table of seeds."""
+def verdict_table(verdicts: list[SeedVerdict]) -> str:
+    """Return a Markdown table with a row for each seed."""
     rows = ["| seed | flows | verdict |", "| --- | --- | --- |"]
     for verdict in verdicts:
-        said = verdict.void or (f"{len(verdict.findings)} findings" if verdict.findings else "held")
-        rows.append(f"| {verdict.seed} | {verdict.flows} | {said} |")
+        outcome = verdict.void or (
+            f"{len(verdict.findings)} findings" if verdict.findings else "held"
+        )
+        rows.append(f"| {verdict.seed} | {verdict.flows} | {outcome} |")
     return "\n".join(rows)
 
 
@@ -94,11 +102,11 @@
     "--out", type=click.Path(path_type=Path), default=Path("lab-out/soak"), show_default=True
 )
 def soak(seeds: str, jobs: int, out: Path) -> int:
-    """Plays random plans with real processes and checks the rules."""
-    wanted = parse_seeds(seeds)
+    """Run random plans with real processes and check the rules."""
+    seed_list = parse_seeds(seeds)
     prepare_folder(out)
-    verdicts = play_all(wanted, out, jobs)
-    click.echo(table_of(verdicts))
+    verdicts = run_seeds(seed_list, out, jobs)
+    click.echo(verdict_table(verdicts))
     failed = [verdict for verdict in verdicts if verdict.findings and not verdict.void]
     for verdict in failed:
         for finding in verdict.findings:
