--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -1,9 +1,10 @@
-"""What reservations of idempotency keys and their replicas cost.
+"""Measures the cost of reserving idempotency keys and replicating the reservations.
 
-    python benchmarks/copies_cost.py [delay|claims|million]     all three where none is named
+    python benchmarks/copies_cost.py [delay|claims|million]     all three by default
 
-`delay` starts whole balancers; the others processes with nothing but a member's part in the fleet
-(`fleet.driver.FleetThread`). Results: docs/measurements/copies.md.
+`delay` starts complete balancers; the other parts start processes that run only the member's side
+of the fleet (`fleet.driver.FleetThread`). A claim is a request for a reservation.
+Results: docs/measurements/copies.md.
 """
 
 import asyncio
@@ -55,29 +56,29 @@
 DELAY_TURNS = 5
 CLAIM_SECONDS = 5
 FILLED_KEYS = 1_000_000
-KEYS_PER_WRITE = 20_000  # that a filled replica flushes together
+KEYS_PER_WRITE = 20_000  # flushed together when a replica is filled
 RECORD_LIFETIME = 3_600 * SECOND
-HOT_PARTITION = 7  # into which the keys of `claim ... part` fall
-JOIN_SECONDS = 8  # in which members that joined take over their partitions
-ANSWER_MARGIN = 5  # seconds that a claimer waits beyond its end
-NOTICE_SECONDS = 3  # until the leader has seen that a member is gone
+HOT_PARTITION = 7  # the partition of all keys of `claim ... part`
+JOIN_SECONDS = 8  # until members that joined have taken over their partitions
+ANSWER_MARGIN = 5  # seconds for which a claimer waits for answers after its end
+NOTICE_SECONDS = 3  # until the leader has noticed that a member is gone
 
 
-# A member's process.
+# The process of a member.
 
 
 @dataclass(frozen=True, slots=True)
 class FillRequested:
-    """So many keys are to be stored in bulk."""
+    """A request to store `count` keys in bulk."""
 
     count: int
 
 
 class FillableReplicationThread(ReplicationThread):
-    """Stores keys in bulk, each replica by itself, as if they had been reserved."""
+    """A replication thread that can store keys in bulk, as if they had been reserved."""
 
     def on_event(self, now: int, event: Event | FillRequested) -> None:
-        """Handles one event; besides those of the base class FillRequested."""
+        """Handle an event of the base class, or FillRequested."""
         if not isinstance(event, FillRequested):
             super().on_event(now, event)
             return
@@ -87,7 +88,7 @@
         report("filled")
 
     def _store(self, numbers: range, expires_at: int) -> None:
-        """Stores the keys of those numbers that belong here; `expires_at` is alike at all."""
+        """Store the keys of `numbers` that belong here; all members use the same `expires_at`."""
         changes: list[StoredChange] = []
         for number in numbers:
             key = f"{number:016x}"
@@ -106,10 +107,17 @@
 
 
 class Claimer:
-    """Keeps so many reservations pending at a member for some seconds."""
+    """Keeps a constant number of claims pending at a member for some seconds."""
 
     def __init__(self, fleet: FleetThread, pending: int, seconds: float, key: str):
-        """`key`: one that all ask for; "part" for keys of one partition; "" for any keys."""
+        """Create a claimer.
+
+        Args:
+            fleet: the member's thread.
+            pending: number of pending claims.
+            seconds: duration in seconds.
+            key: the key that all claims are for; "part" for keys of one partition, "" for any.
+        """
         self.fleet = fleet
         self.pending = pending
         self.seconds = seconds
@@ -121,7 +129,7 @@
         self.finished = threading.Semaphore(0)
 
     def run(self) -> None:
-        """Claims, then prints the figures as JSON."""
+        """Run the claims, then print the figures as JSON."""
         self.ends_at = time.monotonic() + self.seconds
         for number in range(self.pending):
             self._claim(number)
@@ -140,7 +148,7 @@
         began = time.monotonic()
 
         def on_answer(answer: ReservationAnswer, by: str) -> None:
-            """Counts the answer, and claims the next key until the time is up."""
+            """Count the answer, and claim the next key until the time is up."""
             self.results[answer.result] += 1
             self.durations_ms.append((time.monotonic() - began) * 1000)
             if time.monotonic() < self.ends_at:
@@ -164,10 +172,12 @@
 
 
 def run_member(table: str) -> None:
-    """A member that does what its input says: `claim PENDING SECONDS [KEY]` or `fill COUNT`.
+    """Run a member that executes the commands on its input.
+
+    The commands are `claim PENDING SECONDS [KEY]` and `fill COUNT`.
 
     Args:
-        table: of the operator file, as JSON.
+        table: table `[fleet]` of the operator file, as JSON.
     """
     fleet = FleetThread(
         FleetTable.model_validate_json(table),
@@ -176,7 +186,7 @@
         lambda view: fleet.on_version_applied(view.version),
         lambda: None,
     )
-    # The fleet's thread makes its own replication thread; this one takes one more event.
+    # The fleet's thread creates its own replication thread; this class handles one more event.
     fleet.replication.__class__ = FillableReplicationThread
     fleet.start()
     for line in sys.stdin:
@@ -188,12 +198,12 @@
             Claimer(fleet, int(words[0]), float(words[1]), key).run()
 
 
-# The benchmark's process.
+# The process of the benchmark.
 
 
 @dataclass
 class Members:
-    """Processes of members m0, m1 and so on; the first three vote."""
+    """Processes of members m0, m1 and so on; the first `voters` vote."""
 
     folder: Path
     count: int
@@ -201,12 +211,12 @@
     processes: dict[str, "subprocess.Popen[str]"] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Chooses addresses."""
+        """Choose names and addresses."""
         self.names = [f"m{number}" for number in range(self.count)]
         self.addresses = {name: f"{HOST}:{free_port(HOST)}" for name in self.names}
 
     def __enter__(self) -> "Members":
-        """Starts all, and waits until they share all partitions."""
+        """Start all members, and wait until all partitions are placed and complete."""
         try:
             for name in self.names:
                 self.start(name)
@@ -219,11 +229,11 @@
         return self
 
     def __exit__(self, *error: object) -> None:
-        """Kills all."""
+        """Kill all members."""
         self.kill_all()
 
     def start(self, name: str) -> None:
-        """Starts a member."""
+        """Start a member."""
         number = self.names.index(name)
         table = {
             "fleet": FLEET,
@@ -236,41 +246,41 @@
         }
         self.processes[name] = start_child(__file__, MEMBER_ROLE, json.dumps(table))
 
-    def lose(self, name: str) -> None:
-        """Kills a member and removes all that it wrote."""
+    def kill_and_wipe(self, name: str) -> None:
+        """Kill a member and remove its folder."""
         kill_child(self.processes[name])
         shutil.rmtree(self.folder / name)
 
     def kill_all(self) -> None:
-        """Kills all."""
+        """Kill all members."""
         for process in self.processes.values():
             kill_child(process)
 
-    def tell(self, name: str, line: str) -> None:
-        """Writes a line to a member's input."""
+    def send_line(self, name: str, line: str) -> None:
+        """Write a line to a member's input."""
         write_line(self.processes[name], line)
 
-    def hear(self, name: str) -> str:
-        """A line of a member's output."""
+    def next_line(self, name: str) -> str:
+        """Wait for the next line of a member's output and return it."""
         return read_line(self.processes[name])
 
     def local_status(self, name: str, timeout: float = 20.0) -> dict[str, Any]:
-        """What a member says of its own replicas."""
+        """Return a member's status of its own replicas."""
         address = self.addresses[name]
         return client.call([address], FLEET, "copies_local", None, timeout)[1]
 
     def resident_kib(self, name: str) -> int:
-        """Resident memory of a member, in KiB."""
+        """Return the resident memory of a member, in KiB."""
         return resident_kib(self.processes[name].pid)
 
     def wait_until_complete(self, timeout: float = 60) -> None:
-        """Waits until all can hold replicas and every partition is complete at its replicas."""
-        until = time.monotonic() + timeout
-        while time.monotonic() < until:
+        """Wait until all members can hold replicas and all replicas are complete."""
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             if self._is_complete():
                 return
             time.sleep(0.05)
-        raise SystemExit("never whole")
+        raise SystemExit("timed out waiting for complete partitions")
 
     def _is_complete(self) -> bool:
         addresses = list(self.addresses.values())
@@ -291,7 +301,7 @@
 
 
 def measure_delay() -> None:
-    """OPEN to UP in milliseconds: with and without replicas, in turn, on a disk and in memory."""
+    """Print the time from OPEN to UP, alternately with replicas on disk, in memory, and without."""
     for turn in range(DELAY_TURNS):
         for copies, in_memory in ((3, False), (3, True), (0, False)):
             samples = asyncio.run(setup_delays(copies, in_memory))
@@ -303,7 +313,7 @@
 
 
 async def setup_delays(copies: int, in_memory: bool) -> dict[str, Summary]:
-    """Milliseconds until flows were established, by effect."""
+    """Return the times until flows were established, in milliseconds, by effect."""
     plan = {"balancers": 3, "lasts_s": 10, "flows_per_s": 150, "copies": copies}
     async with running(RealCluster, plan, in_memory) as cluster:
         await cluster.wait_until_agreed()
@@ -318,11 +328,11 @@
 
 
 def measure_claims() -> None:
-    """Reservations a second and their milliseconds, from all members at once."""
+    """Print the rate and the latency of claims by all members at once."""
     for count in (3, 5, 9):
         with tempfile.TemporaryDirectory() as folder, Members(Path(folder), count) as members:
             for pending, key in ((1, ""), (64, ""), (64, "hot"), (64, "part")):
-                claim_everywhere(members, pending, key)
+                claim_at_all_members(members, pending, key)
             local = members.local_status("m0", timeout=5.0)
             size = sum(file.stat().st_size for file in (Path(folder) / "m0").glob("copies.*"))
             counts = local["counts"]
@@ -332,55 +342,56 @@
             )
 
 
-def claim_everywhere(members: Members, pending: int, key: str) -> None:
-    """All members claim at once; prints what came of it."""
+def claim_at_all_members(members: Members, pending: int, key: str) -> None:
+    """Run claims at all members at once, and print the figures."""
     for name in members.names:
-        members.tell(name, f"claim {pending} {CLAIM_SECONDS} {key}")
-    found = [json.loads(members.hear(name)) for name in members.names]
-    rate = sum(figures["count"] for figures in found) / CLAIM_SECONDS
-    median = statistics.median(figures["p50"] for figures in found)
-    p99 = max(figures["p99"] for figures in found)
+        members.send_line(name, f"claim {pending} {CLAIM_SECONDS} {key}")
+    results = [json.loads(members.next_line(name)) for name in members.names]
+    rate = sum(figures["count"] for figures in results) / CLAIM_SECONDS
+    median = statistics.median(figures["p50"] for figures in results)
+    p99 = max(figures["p99"] for figures in results)
     report(
-        f"{len(found)} members, {pending} out at each {key}: {rate:.0f} claims a second, "
-        f"p50 {median:.2f} ms, p99 {p99:.1f} ms, {[figures['kinds'] for figures in found]}"
+        f"{len(results)} members, {pending} pending at each {key}: {rate:.0f} claims a second, "
+        f"p50 {median:.2f} ms, p99 {p99:.1f} ms, {[figures['kinds'] for figures in results]}"
     )
 
 
 def measure_million() -> None:
-    """Memory of a million keys, and the seconds until a lost member's replicas are made up.
+    """Print the memory of a million keys, and the time to replace a lost member's replicas.
 
-    The keys lie at three of four members; one is killed and its disk wiped while reservations run.
+    Each key is stored at three of four members; one of them is killed and its folder removed while
+    claims run.
     """
     with tempfile.TemporaryDirectory() as folder, Members(Path(folder), 4) as members:
         fill(members)
-        members.tell("m0", "claim 8 40")
+        members.send_line("m0", "claim 8 40")
         time.sleep(5)
-        members.lose("m3")
+        members.kill_and_wipe("m3")
         began = time.monotonic()
         members.start("m3")
         time.sleep(NOTICE_SECONDS)
         members.wait_until_complete(timeout=120)
         duration = time.monotonic() - began
-        report(f"three copies of all parts again {duration:.1f} s after the kill")
+        report(f"all parts have three copies again {duration:.1f} s after the kill")
         held = [complete_keys(members.local_status(name)) for name in members.names]
-        report(f"ids held in whole parts, by member: {held}")
-        report(f"claims meanwhile: {members.hear('m0').strip()}")
+        report(f"ids in complete parts, by member: {held}")
+        report(f"claims in the meantime: {members.next_line('m0').strip()}")
 
 
 def fill(members: Members) -> None:
-    """All members store the keys that belong to them; prints the memory of each key."""
+    """Make all members store the keys that belong to them; print the memory per key."""
     before = members.resident_kib("m0")
     for name in members.names:
-        members.tell(name, f"fill {FILLED_KEYS}")
+        members.send_line(name, f"fill {FILLED_KEYS}")
     for name in members.names:
-        assert members.hear(name) == "filled\n"
+        assert members.next_line(name) == "filled\n"
     keys = members.local_status("m0")["ids"]
     size = (members.resident_kib("m0") - before) * 1024 / keys
     report(f"m0 holds {keys} ids: {size:.0f} bytes of memory for each")
 
 
 def complete_keys(local: dict[str, Any]) -> int:
-    """Keys in partitions that are complete at a member, of its status."""
+    """Return the number of keys in a member's complete partitions, given its status."""
     return sum(keys for _, _, complete, _, keys, *_ in local["parts"] if complete)
 
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,10 +1,11 @@
-"""What agreement costs.
+"""Measures the cost of agreement in a fleet.
 
     python benchmarks/fleet_cost.py [flows|commands|leaderless|words|kills]     all by default
 
-`flows`: set-up of flows with a fleet and without it, side by side in one run. `commands`: commands
-a second. `leaderless`: how long a fleet is without a leader. `words`: messages by fleet size.
-`kills`: kills of a process that writes a voter's log. Results: docs/measurements/agreement.md.
+`flows`: set-up time of flows with and without a fleet, in one run. `commands`: rate of commands.
+`leaderless`: time without a leader after the leader is killed. `words`: messages by fleet size.
+`kills`: data lost when a process that writes a voter's log is killed.
+Results: docs/measurements/agreement.md.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 
 from harness import (
     RealCluster,
+    StandaloneCluster,
     Summary,
-    UnagreedCluster,
     VirtualCluster,
     kill_child,
     read_line,
@@ -40,7 +41,7 @@
 
 FLOW_TURNS = 5
 FLOW_PLAN = {"balancers": 3, "lasts_s": 8, "flows_per_s": 120}
-START_SECONDS = 3  # in which balancers that agree on nothing have started
+START_SECONDS = 3  # until balancers without a fleet have started
 IDLE_PLAN = {"balancers": 3, "flows_per_s": 0}
 
 COMMAND_SECONDS = 5
@@ -49,13 +50,13 @@
 LEADER_KILLS = 10
 FLOWS_PER_KILL = 20
 
-FLEET_SIZES = ((3, 0), (3, 2), (3, 17), (5, 45), (5, 195))  # voters, followers
-SETTLING_SECONDS = 20  # virtual
-COUNTED_SECONDS = 10  # virtual
+FLEET_SIZES = ((3, 0), (3, 2), (3, 17), (5, 45), (5, 195))  # numbers of voters and followers
+SETTLING_SECONDS = 20  # virtual, before messages are counted
+COUNTED_SECONDS = 10  # virtual, in which messages are counted
 
-WRITERS = 8  # at a time
+WRITERS = 8  # in parallel
 KILLS_PER_WRITER = 125
-MAX_WRITER_SECONDS = 0.06
+MAX_WRITER_SECONDS = 0.06  # from a writer's first line to its kill
 MAX_ENTRY_BYTES = 2000
 ENTRIES_PER_SNAPSHOT = 40
 MEMBERS = (Member("a#1", True),)
@@ -65,26 +66,26 @@
 
 
 def measure_flows() -> None:
-    """OPEN to UP in milliseconds, and resident memory in KiB, with a fleet and without, in turn."""
+    """Print the time from OPEN to UP and the memory, alternately with and without a fleet."""
     for turn in range(FLOW_TURNS):
-        for agreed in (True, False):
-            delays = asyncio.run(setup_delays(agreed))
+        for in_fleet in (True, False):
+            delays = asyncio.run(setup_delays(in_fleet))
             report(
-                f"{turn} {'fleet' if agreed else 'alone'} flows {delays.count} "
+                f"{turn} {'fleet' if in_fleet else 'alone'} flows {delays.count} "
                 f"p50 {delays.median:.2f} ms p99 {delays.p99:.2f} ms"
             )
 
 
-async def setup_delays(agreed: bool) -> Summary:
-    """Milliseconds until flows were established; prints the memory of each balancer."""
-    kind = RealCluster if agreed else UnagreedCluster
+async def setup_delays(in_fleet: bool) -> Summary:
+    """Return the times until flows were established, in milliseconds; print balancers' memory."""
+    kind = RealCluster if in_fleet else StandaloneCluster
     async with running(kind, FLOW_PLAN) as cluster:
-        if agreed:
+        if in_fleet:
             await cluster.wait_until_agreed()
         else:
             await asyncio.sleep(START_SECONDS)
         await cluster.play()
-        report(f"{'fleet' if agreed else 'alone'} resident KB {cluster.resident_kib()}")
+        report(f"{'fleet' if in_fleet else 'alone'} resident KiB {cluster.resident_kib()}")
         return Summary.of([r.setup_ms for r in cluster.requests if r.is_established])
 
 
@@ -92,10 +93,10 @@
 
 
 def measure_commands() -> None:
-    """Servers out and back, as fast as the fleet agrees, from 1 and from 8 callers at a time."""
+    """Print rate and latency of taking servers out and back, for 1 and 8 concurrent callers."""
 
     async def run() -> None:
-        """Begins a cluster, measures and prints."""
+        """Start a cluster, measure and print."""
         async with running(RealCluster, IDLE_PLAN) as cluster:
             await cluster.wait_until_agreed()
             for callers in CALLERS:
@@ -109,13 +110,13 @@
 
 
 async def command_delays(cluster: RealCluster, callers: int) -> Summary:
-    """Milliseconds of each command, from callers that send one after another."""
+    """Return the times of commands, in milliseconds; each caller sends one after another."""
     delays_ms: list[float] = []
-    until = time.monotonic() + COMMAND_SECONDS
+    deadline = time.monotonic() + COMMAND_SECONDS
 
     async def call_repeatedly(number: int) -> None:
-        """One caller."""
-        while time.monotonic() < until:
+        """Send commands as one caller until the time is up."""
+        while time.monotonic() < deadline:
             began = time.monotonic()
             command = "out" if len(delays_ms) % 2 else "back"
             assert await cluster.command("n1", command, server=f"x-{number}")
@@ -129,25 +130,25 @@
 
 
 def measure_leader_loss() -> None:
-    """Seconds until a command is agreed again once the leader is killed, and clients' answers."""
+    """Print the time from the leader's kill to the next agreed command, and clients' answers."""
 
     async def run() -> None:
-        """Begins a cluster, measures and prints."""
+        """Start a cluster, measure and print."""
         async with running(RealCluster, IDLE_PLAN) as cluster:
             await cluster.wait_until_agreed()
             gaps = Summary.of([await leader_gap(cluster, turn) for turn in range(LEADER_KILLS)])
             refused = sum(not request.is_established for request in cluster.requests)
             report(
-                f"ten leaders killed: agreed again after {gaps.least:.2f} to {gaps.most:.2f} s, "
-                f"median {gaps.median:.2f}; {refused} of {len(cluster.requests)} flows at the "
-                "others not established"
+                f"ten leaders killed: agreed again after {gaps.minimum:.2f} to {gaps.maximum:.2f} "
+                f"s, median {gaps.median:.2f}; {refused} of {len(cluster.requests)} flows at the "
+                "other balancers not established"
             )
 
     asyncio.run(run())
 
 
 async def leader_gap(cluster: RealCluster, turn: int) -> float:
-    """Kills the leader and starts it again; seconds until the others agreed on a command."""
+    """Kill the leader; return the seconds until the others agree on a command; start it again."""
     leader = await cluster.leader()
     others = [name for name in cluster.names if name != leader]
     cluster.kill(leader)
@@ -166,7 +167,7 @@
 
 
 def measure_messages() -> None:
-    """Messages and KiB a virtual second of an idle fleet, by its size."""
+    """Print messages and KiB per virtual second of an idle fleet, by its size."""
     for voters, followers in FLEET_SIZES:
         cluster = VirtualCluster(1, voters, followers)
         cluster.start()
@@ -175,8 +176,8 @@
         cluster.run(COUNTED_SECONDS)
         report(
             f"{voters + followers} members: "
-            f"{(cluster.messages - messages) / COUNTED_SECONDS:.0f} words a second, "
-            f"{(cluster.sent_bytes - size) / COUNTED_SECONDS / 1024:.0f} KB a second"
+            f"{(cluster.messages - messages) / COUNTED_SECONDS:.0f} messages a second, "
+            f"{(cluster.sent_bytes - size) / COUNTED_SECONDS / 1024:.0f} KiB a second"
         )
 
 
@@ -184,26 +185,26 @@
 
 
 def load(store: Store) -> PersistentState | None:
-    """What a writer's folder holds."""
+    """Return the state in a writer's folder."""
     return store.load("f", "a", lambda text: None)
 
 
 def last_index(state: PersistentState) -> int:
-    """The number of the last entry."""
+    """Return the index of the last entry."""
     return state.snapshot.index + len(state.entries)
 
 
 def run_writer(folder: str) -> None:
-    """Writes entries until it is killed; prints the number of each once it is flushed."""
+    """Write entries until killed; print the index of each entry once it is flushed."""
     store = Store(DiskFolder(folder))
     state = load(store) or PersistentState(Snapshot(0, 0, MEMBERS, b"x"))
     boot = (store.identity.boot if store.identity else 0) + 1
     store.begin(LogIdentity("f", "g", "a#1", boot), state)
     index, snapshot_index = last_index(state), state.snapshot.index
-    chance = random.Random()
+    rng = random.Random()
     while True:
         index += 1
-        data = b"%d" % index + bytes(chance.randrange(MAX_ENTRY_BYTES))
+        data = b"%d" % index + bytes(rng.randrange(MAX_ENTRY_BYTES))
         store.write(Ready(entries=[(index, Entry(1, ENTRY_COMMAND, data))]))
         os.write(1, b"%d\n" % index)
         if index - snapshot_index > ENTRIES_PER_SNAPSHOT:
@@ -212,7 +213,7 @@
 
 
 def measure_kills() -> None:
-    """1,000 kills of a process that writes: every entry that it had acknowledged is there."""
+    """Kill a writing process 1,000 times; check that each acknowledged entry is stored."""
     with ThreadPoolExecutor(WRITERS) as pool:
         entries = list(pool.map(kill_writers, range(WRITERS)))
     kills = WRITERS * KILLS_PER_WRITER
@@ -220,25 +221,25 @@
 
 
 def kill_writers(seed: int) -> int:
-    """Starts a writer on one folder and kills it, again and again; the number of entries then."""
-    chance = random.Random(seed)
+    """Start a writer on one folder and kill it, repeatedly; return the final number of entries."""
+    rng = random.Random(seed)
     found = 0
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(KILLS_PER_WRITER):
             writer = start_child(__file__, WRITER_ROLE, folder)
-            acknowledged = max(found, last_acknowledged(writer, chance))
+            acknowledged = max(found, last_acknowledged(writer, rng))
             state = load(Store(DiskFolder(folder)))
             found = last_index(state) if state else 0
-            assert found >= acknowledged, f"{acknowledged} was acknowledged, {found} are there"
+            assert found >= acknowledged, f"{acknowledged} entries acknowledged, {found} stored"
     return found
 
 
-def last_acknowledged(writer: "subprocess.Popen[str]", chance: random.Random) -> int:
-    """Kills a writer at a moment drawn by chance; the last entry that it acknowledged, or 0."""
+def last_acknowledged(writer: "subprocess.Popen[str]", rng: random.Random) -> int:
+    """Kill a writer at a random time; return the last entry that it acknowledged, or 0."""
     with writer:  # closes its pipes
-        # It writes from its first line on; a process that starts has nothing to lose.
+        # Before its first line the writer has acknowledged nothing, so a kill would test nothing.
         output = read_line(writer)
-        time.sleep(chance.uniform(0, MAX_WRITER_SECONDS))
+        time.sleep(rng.uniform(0, MAX_WRITER_SECONDS))
         kill_child(writer)
         output += read_rest(writer)
     numbers = output.split()
--- a/benchmarks/operated.py
+++ b/benchmarks/operated.py
@@ -1,9 +1,9 @@
-"""What operators' commands and upgrades cost.
+"""Measures the cost of operators' commands and upgrades.
 
-    python benchmarks/operated.py [upgrades|calls]     nothing where none is named
+    python benchmarks/operated.py [upgrades|calls]     none by default
 
-`upgrades`: twenty upgrades beside a running process under load. `calls`: the longest wait of a
-command under crowds of clients. Results: docs/measurements/operated.md.
+`upgrades`: twenty upgrades under load, each with the new process beside the old one. `calls`:
+latency of commands while bursts of clients connect. Results: docs/measurements/operated.md.
 """
 
 import asyncio
@@ -16,33 +16,33 @@
 
 from harness import SingleBalancer, Summary, report, run_parts, running, table_row
 
-NAME = "n0"  # of the one balancer
+NAME = "n0"  # name of the only balancer
 COMMAND_TIMEOUT = 5  # seconds
 POLL_INTERVAL = 0.01  # seconds
-SETTLING_SECONDS = 2  # after the load, until all clients have their answers
+SETTLING_SECONDS = 2  # after the load has stopped, until all clients have their answers
 
 UPGRADES = 20
 UPGRADE_RATE = 150  # flows a second
-UPGRADE_PAUSE = 0.5  # seconds
-# Answers of clients that no balancer heard.
-UNHEARD = ("refused", "reset", "end", "none")
+UPGRADE_PAUSE = 0.5  # seconds before each upgrade
+# Outcomes of clients that got no reply from a balancer.
+NO_REPLY = ("refused", "reset", "end", "none")
 
-CROWDS = 20
-CROWD = 300  # clients at once
-CROWD_RATE = 50  # flows a second besides
+BURSTS = 20
+BURST_SIZE = 300  # clients that connect at once
+BACKGROUND_RATE = 50  # flows a second besides the bursts
 CALLERS = 4
-HANGING_CALLERS = 8  # connect and send nothing
+HANGING_CALLERS = 8  # callers that connect and send nothing
 CALLER_PAUSE = 0.02  # seconds between two commands of a caller
 COMMANDS = ("check", "vars", "set-down s-0", "set-up s-0")
 
 
 def single_plan(flows_per_s: int) -> dict[str, Any]:
-    """The plan of one balancer before four servers."""
+    """Return the plan of a cluster with one balancer and four servers."""
     return {"balancers": 1, "voters": 1, "servers": 4, "flows_per_s": flows_per_s}
 
 
 async def send_command(address: tuple[str, int], command: str) -> tuple[str, float]:
-    """The first line of the reply, or the error's name; and the seconds that it took."""
+    """Send a command; return the reply's first line, or the error's name, and the seconds taken."""
     began = time.monotonic()
     writer = None
     try:
@@ -59,7 +59,7 @@
 
 
 async def wait_until_ready(address: tuple[str, int]) -> float:
-    """Seconds until a balancer replies that all is well."""
+    """Wait until a balancer replies OK to `check`; return the seconds waited."""
     began = time.monotonic()
     while (await send_command(address, "check"))[0] != "OK":
         await asyncio.sleep(POLL_INTERVAL)
@@ -70,17 +70,17 @@
 
 
 class Upgrades:
-    """Upgrades of one balancer, one after another."""
+    """Successive upgrades of one balancer."""
 
     def __init__(self, cluster: SingleBalancer):
-        """`cluster` runs."""
+        """Create the series; `cluster` must be running."""
         self.cluster = cluster
         self.process: subprocess.Popen[Any] = cluster.process(NAME)
-        self.ready_s: list[float] = []  # until the successor was ready
-        self.gone_s: list[float] = []  # from SIGTERM until the predecessor had ended
+        self.ready_s: list[float] = []  # seconds until the successor was ready
+        self.shutdown_s: list[float] = []  # seconds from SIGTERM to the end of the predecessor
 
     async def upgrade(self) -> None:
-        """Starts a successor; once it is ready the predecessor is to end."""
+        """Start a successor; once it is ready, terminate the predecessor and wait for its end."""
         predecessor = self.process
         self.process, admin = self.cluster.start_second_process()
         self.ready_s.append(await wait_until_ready(admin))
@@ -88,11 +88,11 @@
         predecessor.send_signal(signal.SIGTERM)
         while predecessor.poll() is None:
             await asyncio.sleep(POLL_INTERVAL)
-        self.gone_s.append(time.monotonic() - began)
+        self.shutdown_s.append(time.monotonic() - began)
 
 
 async def run_upgrades() -> None:
-    """Prints clients' answers, and the seconds of each step."""
+    """Run the upgrades and print the figures."""
     async with running(SingleBalancer, single_plan(UPGRADE_RATE)) as cluster:
         await wait_until_ready(cluster.admin_address(NAME))
         cluster.start_load()
@@ -109,39 +109,39 @@
 
 
 def report_upgrades(cluster: SingleBalancer, upgrades: Upgrades) -> None:
-    """Prints the figures."""
+    """Print clients' answers, and the time of each step."""
     answers = Counter(request.answer for request in cluster.requests)
     late = sum(request.is_late for request in cluster.requests)
-    unheard = sum(answers[answer] for answer in UNHEARD)
-    ready, gone = Summary.of(upgrades.ready_s), Summary.of(upgrades.gone_s)
+    without_reply = sum(answers[answer] for answer in NO_REPLY)
+    ready, shutdown = Summary.of(upgrades.ready_s), Summary.of(upgrades.shutdown_s)
     report(
         f"{UPGRADES} upgrades under {UPGRADE_RATE} flows a second: answers {dict(answers)}, "
-        f"{late} late; turned back unheard {unheard}; ready after {ready.median:.2f} s "
-        f"({ready.least:.2f} to {ready.most:.2f}), the old one gone {gone.median:.2f} s after "
-        f"SIGTERM (at most {gone.most:.2f})"
+        f"{late} late; {without_reply} without a reply; ready after {ready.median:.2f} s "
+        f"({ready.minimum:.2f} to {ready.maximum:.2f}), old process ended "
+        f"{shutdown.median:.2f} s after SIGTERM (at most {shutdown.maximum:.2f})"
     )
 
 
-# Commands under crowds.
+# Commands during bursts of clients.
 
 
 @dataclass
 class CommandLoad:
-    """Callers that send one command after another.
+    """A load of callers that send one command after another.
 
     Attributes:
-        waits: seconds of each, by command.
-        unexpected: replies that are not as they should be, with their command.
-        over: set when the callers are to end.
+        waits: durations of the calls in seconds, by command.
+        unexpected: numbers of unexpected replies, by command and reply.
+        stop_requested: event that makes the callers end.
     """
 
     waits: dict[str, list[float]] = field(default_factory=lambda: {name: [] for name in COMMANDS})
     unexpected: Counter[str] = field(default_factory=Counter)
-    over: asyncio.Event = field(default_factory=asyncio.Event)
+    stop_requested: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def call_repeatedly(self, address: tuple[str, int]) -> None:
-        """One caller. Set-down and set-up by several in turn: each is a yes, twice is once."""
-        while not self.over.is_set():
+        """Send commands as one caller. Set-down and set-up are idempotent, so each must succeed."""
+        while not self.stop_requested.is_set():
             for command, waits in self.waits.items():
                 reply, seconds = await send_command(address, command)
                 waits.append(seconds)
@@ -151,18 +151,18 @@
 
 
 async def run_calls() -> None:
-    """Callers one after another while crowds connect at once, and other callers hang."""
-    async with running(SingleBalancer, single_plan(CROWD_RATE)) as cluster:
+    """Run callers while bursts of clients connect and other callers hang; print the figures."""
+    async with running(SingleBalancer, single_plan(BACKGROUND_RATE)) as cluster:
         admin = cluster.admin_address(NAME)
         await wait_until_ready(admin)
         cluster.start_load()
         load = CommandLoad()
         callers = [cluster.run_in_background(load.call_repeatedly(admin)) for _ in range(CALLERS)]
         hanging = [await asyncio.open_connection(*admin) for _ in range(HANGING_CALLERS)]
-        for crowd in range(CROWDS):
-            clients = (cluster.request(f"c{crowd}-{number}", NAME) for number in range(CROWD))
+        for burst in range(BURSTS):
+            clients = (cluster.request(f"c{burst}-{number}", NAME) for number in range(BURST_SIZE))
             await asyncio.gather(*clients)
-        load.over.set()
+        load.stop_requested.set()
         await asyncio.gather(*callers)
         for _, writer in hanging:
             writer.close()
@@ -171,14 +171,14 @@
 
 
 def report_calls(cluster: SingleBalancer, load: CommandLoad) -> None:
-    """Prints by command: count, and milliseconds waited (median, 99th percentile, most)."""
+    """Print for each command: count; median, 99th percentile and maximum time in milliseconds."""
     report(
-        f"{CROWDS} crowds of {CROWD} at once, {CALLERS} callers, {HANGING_CALLERS} that hang; "
-        f"not as they should be: {dict(load.unexpected)}"
+        f"{BURSTS} bursts of {BURST_SIZE} clients, {CALLERS} callers, {HANGING_CALLERS} that hang; "
+        f"unexpected replies: {dict(load.unexpected)}"
     )
     for command, waits in load.waits.items():
         waited = Summary.of([seconds * 1e3 for seconds in waits])
-        figures = f"{waited.median:.1f}", f"{waited.p99:.0f}", f"{waited.most:.0f}"
+        figures = f"{waited.median:.1f}", f"{waited.p99:.0f}", f"{waited.maximum:.0f}"
         report(table_row(f"`{command}`", waited.count, *figures))
     report(str(dict(Counter(request.answer for request in cluster.requests))))
 
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -1,11 +1,11 @@
-"""What releases cost and harm.
+"""Measures the duration of releases, their cost, and the flows that bad builds fail.
 
-    python benchmarks/release_cost.py [lengths|lengths200|bad|good|loop|halts]   nothing by default
+    python benchmarks/release_cost.py [lengths|lengths200|bad|good|loop|halts]   none by default
 
-In virtual time: `lengths`: seconds of a release and messages a second by fleet size and bound;
-`lengths200` that of two hundred balancers alone; `bad`: flows that bad builds fail until the halt;
-`good`: false halts. With real processes: `loop`: a release beside a plain loop over the balancers;
-`halts`: seconds from a halt to the last balancer that leaves.
+In virtual time: `lengths`: duration of a release and messages a second, by fleet size and bound;
+`lengths200`: the same for two hundred balancers only; `bad`: flows that bad builds fail until the
+halt; `good`: false halts. With real processes: `loop`: a release compared with a plain loop over
+the balancers; `halts`: seconds from a halt to the last balancer that leaves.
 Results: docs/measurements/rollout.md.
 """
 
@@ -29,7 +29,7 @@
     table_row,
 )
 
-SETTLING_SECONDS = 30  # virtual
+SETTLING_SECONDS = 30  # virtual, after the start
 IDLE_SECONDS = 10  # virtual, in which an idle fleet's messages are counted
 SEEDS = 10
 
@@ -48,9 +48,9 @@
 LOOP_PLAN = {"balancers": 5, "zones": 2, "flows_per_s": 150}
 AGENTS = {"agents": True, "bound": 1}
 LOOP_BUILDS = ("good", "rejects", "aborts")
-READY_SECONDS = 5  # that the loop waits for a new process
+READY_SECONDS = 5  # for which the loop waits for a new process
 POLL_INTERVAL = 0.05  # seconds
-AFTER_LOOP_SECONDS = 20  # of load on the new version
+AFTER_LOOP_SECONDS = 20  # of load on the new version after the loop
 
 HALT_PLAN = {
     "balancers": 7,
@@ -68,13 +68,13 @@
 
 
 class FleetSize(NamedTuple):
-    """A fleet whose release is measured."""
+    """Size of a fleet whose release is measured."""
 
     balancers: int
-    bound: int  # on balancers out at once
+    bound: int  # maximum number of balancers out at once
 
     def make(self) -> VirtualRelease:
-        """The fleet; it does not run yet."""
+        """Create the fleet without starting it."""
         large = self.balancers > 6
         voters = 5 if large else 3
         return VirtualRelease(
@@ -93,7 +93,7 @@
 
 
 def measure_lengths(only: int | None = None) -> None:
-    """Of the size named, or of all; two hundred take some minutes of processor time."""
+    """Print a table for one fleet size or for all; 200 balancers take minutes of CPU time."""
     titles = (
         "balancers",
         "bound",
@@ -110,7 +110,7 @@
 
 
 def length_row(size: FleetSize) -> str:
-    """Runs one release to its end; its row."""
+    """Run one release to its end; return its table row."""
     fleet = size.make()
     fleet.start()
     fleet.run(SETTLING_SECONDS)
@@ -134,40 +134,40 @@
 
 
 def run_judged_release(fleet: VirtualRelease, max_seconds: int, varies: bool = False) -> float:
-    """Runs a release until it ends or halts.
+    """Run a release until it ends or halts.
 
     Args:
-        fleet: does not run yet.
-        max_seconds: after which it is left as it is.
-        varies: the load varies, and all flows are alike to fail.
+        fleet: a fleet that has not been started.
+        max_seconds: virtual seconds after which to stop.
+        varies: whether the load varies, and at times flows of both builds fail alike.
 
     Returns:
-        Virtual seconds that it took; infinite where it did not end.
+        Virtual seconds that the release took; infinite if it did not end.
     """
     fleet.start()
     fleet.run(SETTLING_SECONDS)
     began = fleet.now
-    chance = Random(f"{fleet.seed}/burst")
+    rng = Random(f"{fleet.seed}/burst")
     fleet.begin(JUDGED_HOLD_S, JUDGED_MIN_FLOWS)
     while fleet.now - began < max_seconds:
         fleet.run(1)
         if varies:
-            fleet.vary_load(chance)
+            fleet.vary_load(rng)
         if fleet.has_ended:
             return fleet.now - began
     return float("inf")
 
 
 class BadRelease(NamedTuple):
-    """What a release of a bad build did until it was halted."""
+    """The effects of a release of a bad build until its halt."""
 
     seconds: float
-    changed: int  # balancers
-    failed: int  # flows
+    changed: int  # number of balancers
+    failed: int  # number of flows
 
 
 def run_bad_release(build: str, seed: int) -> BadRelease:
-    """Releases a bad build, which must halt."""
+    """Release a bad build; the release must be halted."""
     fleet = VirtualRelease(seed, 3, 6, 2, build)
     seconds = run_judged_release(fleet, MAX_BAD_LENGTH)
     state = fleet.state
@@ -177,7 +177,7 @@
 
 
 def measure_bad_builds() -> None:
-    """Virtual seconds until bad builds are halted, and the flows that they fail until then."""
+    """Print the virtual seconds until bad builds are halted, and the flows that fail until then."""
     for build in BAD_BUILDS:
         releases = [run_bad_release(build, seed) for seed in range(SEEDS)]
         seconds = [release.seconds for release in releases]
@@ -185,13 +185,14 @@
         report(
             f"{build}: halted in {len(releases)} of {SEEDS}, after "
             f"{statistics.median(seconds):.0f} s ({min(seconds):.0f} to {max(seconds):.0f}) from "
-            f"its begin, at most {max(release.changed for release in releases)} changed, "
-            f"{statistics.median(failed):.0f} flows failed there ({min(failed)} to {max(failed)})"
+            f"its start, at most {max(release.changed for release in releases)} changed, "
+            f"{statistics.median(failed):.0f} flows failed on the new build "
+            f"({min(failed)} to {max(failed)})"
         )
 
 
 def measure_good_builds() -> None:
-    """False halts of a good build under a load that varies."""
+    """Print the number of false halts of a good build under a varying load."""
     false_halts = 0
     for seed in range(SEEDS):
         fleet = VirtualRelease(100 + seed, 3, 6, 2)
@@ -206,12 +207,12 @@
 
 
 def count_answers(cluster: RealCluster) -> dict[str, int]:
-    """How many clients had each answer."""
+    """Return the number of clients with each answer."""
     return dict(sorted(Counter(request.answer for request in cluster.requests).items()))
 
 
 async def is_ready(address: tuple[str, int]) -> bool:
-    """Whether a balancer replies within a second that all is well."""
+    """Return whether a balancer replies OK to `check` within a second."""
     try:
         async with asyncio.timeout(1):
             reader, writer = await asyncio.open_connection(*address)
@@ -224,7 +225,7 @@
 
 
 async def by_loop(build: str) -> dict[str, Any]:
-    """What people write: stop a balancer, start the new version, wait until it answers, next."""
+    """Change versions by the usual plain loop: stop a balancer, start the new one, wait for it."""
     async with running(RealCluster, LOOP_PLAN) as cluster:
         await cluster.wait_until_agreed()
         cluster.use_build(build)
@@ -239,19 +240,19 @@
 
 
 async def replace(cluster: RealCluster, name: str) -> None:
-    """Stops a balancer and starts the new version; waits for it, but not for ever."""
+    """Stop a balancer and start the new version; wait until it is ready, or for READY_SECONDS."""
     process = cluster.process(name)
     process.send_signal(signal.SIGTERM)
     while process.poll() is None:
         await asyncio.sleep(POLL_INTERVAL)
     cluster.start(name)
-    until = time.monotonic() + READY_SECONDS
-    while time.monotonic() < until and not await is_ready(cluster.admin_address(name)):
+    deadline = time.monotonic() + READY_SECONDS
+    while time.monotonic() < deadline and not await is_ready(cluster.admin_address(name)):
         await asyncio.sleep(POLL_INTERVAL)
 
 
 async def by_release(build: str) -> dict[str, Any]:
-    """The same by a release, one balancer out at a time."""
+    """Change versions by a release, with at most one balancer out at a time."""
     async with running(ReleaseCluster, LOOP_PLAN | AGENTS) as cluster:
         await cluster.agree_on_bound()
         cluster.start_load()
@@ -265,26 +266,29 @@
 
 
 def compare_with_loop() -> None:
-    """Clients' answers to a good and two bad builds, given out by a loop and by a release."""
+    """Print clients' answers for a good and two bad builds, by a loop and by a release."""
     for build in LOOP_BUILDS:
         for change in (by_loop, by_release):
             report(f"{build} {change.__name__} {asyncio.run(change(build))}")
 
 
 def measure_halts() -> None:
-    """Seconds from the yes to a halt, at any moment of a release, to the last one told to leave."""
+    """Print the seconds from a confirmed halt until the last balancer is told to leave.
+
+    Each run halts the release at a later moment.
+    """
     for seed in range(HALT_RUNS):
         report(f"{seed} {asyncio.run(run_halted_release(seed))}")
 
 
 async def run_halted_release(seed: int) -> dict[str, Any]:
-    """Halts a release of a good build, brings it back, and holds the run against the rules."""
+    """Halt a release of a good build, roll it back, and check the run against the rules."""
     async with running(ReleaseCluster, HALT_PLAN | {"seed": seed}) as cluster:
         await cluster.agree_on_bound()
         cluster.start_load()
         await cluster.begin_release(hold_s=1.0)
         await asyncio.sleep(2 + 2.3 * seed)
-        await cluster.halt_anywhere()
+        await cluster.halt_at_random_balancer()
         await asyncio.sleep(4)
         began = time.monotonic()
         await cluster.roll_back()
--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -1,10 +1,13 @@
-"""What persisting state costs the deciding thread: `python benchmarks/state_cost.py [REPEATS]`.
+"""Measures how persisting state delays the deciding thread.
 
-A deciding thread takes events from the real inbox, one each millisecond, while the real snapshot
-writer copies, encodes and writes generations of so many servers and a hundred thousand ids; beside
-it the same without a writer. Prints, as Markdown, the median (least to most) over the repeats of:
-the longest slice of copying, the delay of events (median, 99th percentile, most), all in
-milliseconds, and the seconds of one generation; then the bytes of a generation.
+    python benchmarks/state_cost.py [REPEATS]
+
+A deciding thread takes one event each millisecond from the real inbox, while the real snapshot
+writer copies, encodes and writes snapshots (generations) of up to 10,000 servers and 100,000 ids.
+One case runs without a writer, for comparison. Prints a Markdown table with the median (minimum to
+maximum) over the repeats of: the longest slice of copying and the delay of events (median, 99th
+percentile, maximum), in milliseconds; and the seconds of one generation. Then the bytes of a
+generation.
 Results: docs/measurements/state.md.
 """
 
@@ -37,9 +40,9 @@
 GENERATIONS = 5  # written in each run
 DEFAULT_REPEATS = 5
 EVENT_INTERVAL = 0.001  # seconds between two events
-MIN_EVENTS = 500  # whose delays a run measures
-START_PAUSE = 0.2  # seconds for both threads to run
-GENERATIONS_PER_MINUTE = 12  # at the default of one each five seconds
+MIN_EVENTS = 500  # minimum number of events in a run
+START_PAUSE = 0.2  # seconds until both threads run
+GENERATIONS_PER_MINUTE = 12  # the default, one every five seconds
 MIB = 2**20
 
 SETTINGS = Settings(
@@ -77,7 +80,7 @@
 
 
 class Case(NamedTuple):
-    """What a run keeps."""
+    """A case to measure: the content of the snapshots, and whether they are written."""
 
     servers: int
     ids: int
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What one run measured."""
+    """The measurements of one run."""
 
     longest_slice_ms: float
     median_delay_ms: float
@@ -105,7 +108,7 @@
 
 
 def make_core(now: int, servers: int) -> Core:
-    """What a snapshot writer reads of a core: a balancer with so many servers, counters, ids."""
+    """Return a core with the parts that a snapshot writer reads: balancer, counters, ids."""
     balancer = Balancer(SETTINGS, 1, now)
     entries = [Server(id=7 + 13 * i, zone=i % 2, cell=i % 3) for i in range(servers)]
     balancer.on_endpoints(now, EndpointUpdate.CACHED, entries)
@@ -120,18 +123,18 @@
 
 @contextmanager
 def event_delays(clock: Clock, inbox: Inbox) -> Iterator[list[int]]:
-    """Posts an event each millisecond to a thread that takes them; their delays in nanoseconds."""
+    """Post an event each millisecond to a deciding thread; yield their delays in nanoseconds."""
     delays: list[int] = []
     ended = threading.Event()
 
     def decide() -> None:
-        """The deciding thread."""
+        """Run the deciding thread."""
         while not ended.is_set():
             at, call, args = inbox.queue.get()
             call(max(at, 0), *args)
 
     def post_events() -> None:
-        """The thread that posts events."""
+        """Run the thread that posts events."""
         while not ended.is_set():
             inbox.post(lambda at: delays.append(clock() - at))
             time.sleep(EVENT_INTERVAL)
@@ -147,7 +150,7 @@
 
 
 def run_case(case: Case) -> Result:
-    """One run: writes the generations, and measures at least so many events."""
+    """Run a case: write the generations, and measure at least MIN_EVENTS events."""
     clock = Clock()
     inbox = Inbox(clock)
     core = make_core(clock(), case.servers)
@@ -159,7 +162,7 @@
         writer.ids.extend((ident, now) for ident in range(case.ids))
         with event_delays(clock, inbox) as delays:
             if case.writes:
-                writer.keep()  # the first also makes the table of what was learned when
+                writer.keep()  # the first also fills the table of observed servers
                 writer.longest = 0
             delays.clear()
             began = time.monotonic()
@@ -180,30 +183,30 @@
     )
 
 
-def spread(values: list[float], digits: int) -> str:
-    """Median, least and most of the repeats, as a cell."""
-    least, most = min(values), max(values)
-    return f"{statistics.median(values):.{digits}f} ({least:.{digits}f} to {most:.{digits}f})"
+def format_spread(values: list[float], digits: int) -> str:
+    """Return the median, minimum and maximum of the repeats as a table cell."""
+    minimum, maximum = min(values), max(values)
+    return f"{statistics.median(values):.{digits}f} ({minimum:.{digits}f} to {maximum:.{digits}f})"
 
 
 def case_row(case: Case, results: list[Result]) -> str:
-    """The row of a case."""
+    """Return the table row of a case."""
     size = results[0].generation_bytes
     return table_row(
-        f"{case.servers}{'' if case.writes else ', not kept'}",
+        f"{case.servers}{'' if case.writes else ', no writer'}",
         case.ids,
-        spread([result.longest_slice_ms for result in results], 3),
-        spread([result.median_delay_ms for result in results], 3),
-        spread([result.p99_delay_ms for result in results], 3),
-        spread([result.longest_delay_ms for result in results], 2),
-        spread([result.generation_s for result in results], 2),
+        format_spread([result.longest_slice_ms for result in results], 3),
+        format_spread([result.median_delay_ms for result in results], 3),
+        format_spread([result.p99_delay_ms for result in results], 3),
+        format_spread([result.longest_delay_ms for result in results], 2),
+        format_spread([result.generation_s for result in results], 2),
         size,
         f"{size * GENERATIONS_PER_MINUTE / MIB:.2f}",
     )
 
 
 def main() -> None:
-    """Prints the table."""
+    """Print the table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
