--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -126,7 +126,7 @@
         return self
 
 
-class Operator(toml.Table):
+class OperatorFile(toml.Table):
     """An operator file.
 
     Attributes:
@@ -138,6 +138,6 @@
     fleet: FleetTable | None = None
 
 
-def read(path: str) -> Operator:
+def read(path: str) -> OperatorFile:
     """Read an operator file; raise CommandError with one line for each error."""
-    return toml.read(path, Operator)
+    return toml.read(path, OperatorFile)
