--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -26,8 +26,8 @@
 
 from cypresswalk.lab.cluster.plan import Build, Plan, Step
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
-from cypresswalk.lab.cluster.simulation.release_world import NEW_VERSION, OLD_VERSION
-from cypresswalk.lab.cluster.simulation.world import World
+from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
+from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.builds import make_balancer_build
 from cypresswalk.lab.cluster.testbed.releases import Releases
