--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -379,7 +379,7 @@
 class VirtualRun:
     """A fleet in virtual time, deterministic for a seed. Subclasses create `_simulation`."""
 
-    _simulation: World
+    _simulation: FleetSimulation
 
     def start(self) -> None:
         """Start all balancers."""
@@ -405,7 +405,7 @@
 
     def __init__(self, seed: int, voters: int, followers: int):
         """Create the fleet; `start` starts it."""
-        self._simulation = World(seed, voters, followers)
+        self._simulation = FleetSimulation(seed, voters, followers)
 
 
 class VirtualRelease(VirtualRun):
@@ -447,9 +447,9 @@
         return self._simulation.now / SECOND
 
     @property
-    def most_out(self) -> int:
+    def max_members_out(self) -> int:
         """Maximum number of balancers that the program itself had out at once."""
-        return self._simulation.most_out
+        return self._simulation.max_members_out
 
     @property
     def state(self) -> Any:
@@ -480,7 +480,7 @@
         limits = [8.0, 0.01, 1.5, 120.0]
         plan = ["r1", OLD_VERSION, NEW_VERSION, self.waves, hold_s, min_flows, *limits]
         self._simulation.operator_call(
-            "release_begin", {"plan": plan}, span=COMMAND_TIMEOUT * SECOND
+            "release_begin", {"plan": plan}, timeout=COMMAND_TIMEOUT * SECOND
         )
 
     def vary_load(self, rng: Random) -> None:
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -127,7 +127,7 @@
         *size,
         len(fleet.waves),
         f"{seconds:.0f} ({state.release.phase}{', halted' if state.halted else ''})",
-        fleet.most_out,
+        fleet.max_members_out,
         f"{(fleet.messages - before) / seconds:.0f}",
         f"{idle:.0f}",
     )
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -164,20 +164,20 @@
     run_seed = server_releases.run_seed if servers else balancer_releases.run_seed
     situations: Counter[str] = Counter()
     ends: Counter[str] = Counter()
-    went_out = 0
+    departure_count = 0
     failed = []
     with ProcessPoolExecutor(jobs) as pool:
         run = partial(run_seed, action_count=acts)
         for outcome in pool.map(run, range(first, first + seeds)):
             situations.update(outcome.situations)
-            went_out += outcome.departure_count
+            departure_count += outcome.departure_count
             if outcome.violation:
                 failed.append(outcome)
                 click.echo(outcome.violation)
             else:
                 ends[outcome.end] += 1
     click.echo(
-        f"{seeds} seeds, {went_out} went out, {len(failed)} broken; "
+        f"{seeds} seeds, {departure_count} went out, {len(failed)} broken; "
         + ", ".join(f"{end} {count}" for end, count in sorted(ends.items()))
     )
     click.echo(counts_line(situations))
