--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -282,6 +282,8 @@
         return Fault(**Line.model_validate(json.loads(text)).model_dump())
     except ValidationError as error:
         first = error.errors()[0]
-        raise CommandError(f"{place}: {toml.field(first['loc'])}: {toml.message(first)}") from error
+        raise CommandError(
+            f"{place}: {toml.field_path(first['loc'])}: {toml.error_message(first)}"
+        ) from error
     except (ValueError, RecursionError) as error:
         raise CommandError(f"{place}: not JSON: {error}") from error
--- a/cypresswalk/toml.py
+++ b/cypresswalk/toml.py
@@ -30,7 +30,7 @@
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
-def field(location: Sequence[str | int]) -> str:
+def field_path(location: Sequence[str | int]) -> str:
     """Return a field's path as text: `servers[0].cores` for `('servers', 0, 'cores')`."""
     text = ""
     for part in location:
@@ -59,13 +59,13 @@
         return model.model_validate(data)
     except ValidationError as error:
         lines = [
-            ": ".join([source, *([field(e["loc"])] if e["loc"] else []), message(e)])
+            ": ".join([source, *([field_path(e["loc"])] if e["loc"] else []), error_message(e)])
             for e in error.errors()
         ]
         raise CommandError("\n".join(lines)) from error
 
 
-def message(error: ErrorDetails) -> str:
+def error_message(error: ErrorDetails) -> str:
     """Return the description of what is wrong with one field."""
     if error["type"] == "extra_forbidden":
         return "no such field"
