--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,9 +1,9 @@
 """Health checks: the rise/fall counter and the rate of checks."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.decisions.health import FALL, RISE, is_up
 from cypresswalk.decisions.maglev import TABLE_SIZE
 from cypresswalk.model import SECOND, EndpointUpdate, Server
@@ -41,11 +41,11 @@
     host = SimulatedHost(1)
     settle(host)
     host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99)])
-    fill(host, 12)
+    establish_flows(host, 12)
     new = host.balancer.servers[99]
     assert not new.established_flows
     host.answer_health_check(new, True)
-    fill(host, 12)
+    establish_flows(host, 12)
     assert is_up(new)
     assert new.established_flows
 
@@ -64,7 +64,7 @@
     # Otherwise a server that never failed before would be down for three slow intervals.
     host = SimulatedHost(2)
     server = host.balancer.servers[7]
-    fill(host, 8)
+    establish_flows(host, 8)
     while server not in host.health_checks:
         host.pass_time(SECOND // 10)
     held_before = len(server.established_flows)
@@ -99,10 +99,10 @@
 
 def test_returning_clients_do_not_increase_the_rate_of_checks():
     slowdowns = []
-    for again in (False, True):
+    for returning in (False, True):
         host = SimulatedHost(40, health_check_price=0.004)
         for _ in range(20):
-            host.accept(host.arrive(returning=again))
+            host.accept(host.arrive(returning=returning))
         slowdowns.append(host.balancer.health_checks.slowdown(host.now))
     assert slowdowns[1] > 5 * slowdowns[0]
 
@@ -117,7 +117,7 @@
     flow = host.arrive()
     assert flow.server is None
     assert len(host.health_checks) >= 3
-    owner = host.balancer.placement.pools()[0].table[hash64(flow.key) % TABLE_SIZE]
+    owner = host.balancer.placement.pools()[0].table[hash_number(flow.key) % TABLE_SIZE]
     for server in list(host.health_checks):
         host.answer_health_check(server, True, 1.5 if server is owner else 0.1)
     assert flow.server is not None
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,6 +1,6 @@
 """Outlier ejection."""
 
-from decision_helpers import fill, settle
+from decision_helpers import establish_flows, settle
 from helpers import SimulatedHost
 
 from cypresswalk.model import SECOND, Outcome
@@ -37,7 +37,7 @@
 def test_server_that_answers_errors_gets_no_new_flows_and_keeps_established_ones():
     host = SimulatedHost(3)
     settle(host)
-    fill(host, 12)
+    establish_flows(host, 12)
     broken, held_before = host.balancer.servers[7], len(host.balancer.servers[7].established_flows)
     for _ in range(60):
         flow = host.arrive()
@@ -87,9 +87,8 @@
             host.pass_time(step)
         return far
 
-    assert (
-        far_attempts(SECOND) <= 4
-    )  # three sound servers in a row, not two attempts at each of six
+    # Three sound servers in a row, not two attempts at each of six.
+    assert far_attempts(SECOND) <= 4
     assert far_attempts(10 * SECOND) <= 8  # about one trial flow every two seconds
     # One answer ends the ejection of the zone; the balancer's own zone is never ejected.
     for _ in range(80):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,22 +1,23 @@
 """Slow start of servers that warm up."""
 
 import pytest
-from decision_helpers import fill, fill_warming_up, pass_health_checks, settle
+from decision_helpers import establish_flows, pass_health_checks, place_on_warming_server, settle
 from helpers import SimulatedHost
 from rule_assertions import assert_within_slow_start_budget
 
-from cypresswalk.decisions.hashing import hash64
+from cypresswalk.decisions.hashing import hash_number
 from cypresswalk.decisions.maglev import TABLE_SIZE
 from cypresswalk.model import SECOND, EndpointUpdate, Flow, Outcome, Server
 
 
 def test_all_balancers_together_keep_the_budget_of_a_server_that_warms_up():
-    instances, window, factor, share, warm = 3, 2, 3.0, 0.2, 20
+    # Window and warm-up time are in seconds.
+    instances, window, factor, initial_fraction, warm_up_time = 3, 2, 3.0, 0.2, 20
     hosts = [SimulatedHost(1, instances=instances) for _ in range(instances)]
     for host in hosts:
         settle(host)
         for _ in range(120):  # one flow completes every half second: 2 per second at each, 6 in all
-            fill(host, 1)
+            establish_flows(host, 1)
             host.pass_time(SECOND // 2)
             host.end(next(iter(host.balancer.servers[7].established_flows)), Outcome.OK)
     now = hosts[0].now
@@ -34,7 +35,7 @@
     assert len(sent) > 5
     for first in sent:
         age = (first - now) / SECOND
-        capacity = 6 * min(1.0, share + (1 - share) * age / warm)
+        capacity = 6 * min(1.0, initial_fraction + (1 - initial_fraction) * age / warm_up_time)
         in_window = sum(first <= at < first + window * SECOND for at in sent)
         # Budgets are spent at random, so the check leaves some tolerance, as the bench's does.
         assert_within_slow_start_budget(in_window, 1.25 * factor * capacity * window + 1)
@@ -48,14 +49,14 @@
         host = SimulatedHost(9, instances=40)
         settle(host)
         host.last_id = 1_000_000 * number
-        fill(host, 3)
+        establish_flows(host, 3)
         host.update_endpoints(EndpointUpdate.DELTA, [Server(id=99, started_at=host.now)])
         host.answer_health_check(host.balancer.servers[99], True)
         for _ in range(4):  # all established clients return, over six seconds
-            fill(host, 1, returning=True, grouped=True)
+            establish_flows(host, 1, returning=True, grouped=True)
             host.pass_time(3 * SECOND // 2)
         taken += sum(server.id == 99 for _, server in host.attempts)
-    assert 4 <= taken <= 14  # a share would be 16
+    assert 4 <= taken <= 14  # an equal share of all 160 flows would be 16
 
 
 def test_server_that_warms_up_is_no_last_resort():
@@ -75,7 +76,8 @@
 def host_with_overloaded_owner(number: int, age: int) -> tuple[SimulatedHost, int]:
     """Return a host and a key whose slot belongs to server 99, which warms up.
 
-    Server 98 warms up too, with its budget spent. All other servers are overloaded, 99 included.
+    Server 98 warms up too, with its budget spent. Server 99 and the two warm servers are
+    overloaded.
 
     Args:
         number: the host's number among the balancers of the fleet.
@@ -90,10 +92,8 @@
     servers = host.balancer.servers
     servers[98].slow_start_spent.add(host.now, 99)
     placement = host.balancer.placement
-    places = {key: placement.preference_list(key) for key in range(1, 1000)}
-    key = next(
-        key for key in places if places[key][0] is servers[99] and servers[98] in places[key]
-    )
+    lists = {key: placement.preference_list(key) for key in range(1, 1000)}
+    key = next(key for key in lists if lists[key][0] is servers[99] and servers[98] in lists[key])
     for ident in (7, 20, 99):
         host.balancer.on_gossip(host.now, servers[ident], 1.0)
     return host, key
@@ -134,7 +134,7 @@
     host = SimulatedHost(2)
     settle(host)
     for _ in range(40):
-        fill(host, 1)
+        establish_flows(host, 1)
         flow = next(iter(host.balancer.servers[7].established_flows), None)
         if flow:
             host.end(flow, Outcome.OK)
@@ -153,7 +153,7 @@
         host.pass_time(SECOND // 10)
     table = host.balancer.placement.pools()[0].table
     from_other_slots = sum(
-        table[hash64(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows
+        table[hash_number(flow.key) % TABLE_SIZE] is not new for flow in new.established_flows
     )
     assert from_other_slots
     assert len(new.established_flows) < 30
@@ -163,7 +163,7 @@
     """Return the warming server that would get one more flow instead of its rejection, or None."""
     service_type = host.balancer.settings.service_types[0]
     flow = Flow(9999, service_type, 5, host.now + SECOND)
-    return fill_warming_up(host.balancer, host.now, flow)
+    return place_on_warming_server(host.balancer, host.now, flow)
 
 
 @pytest.mark.parametrize("load", [0.0, 0.9])
@@ -171,10 +171,10 @@
     # Otherwise warming servers would be idle for ten seconds while all arriving clients are
     # rejected.
     host = SimulatedHost(servers=3)
-    fill(host, 60)
+    establish_flows(host, 60)
     for _ in range(30):
         host.pass_time(SECOND)
-        fill(host, 1)
+        establish_flows(host, 1)
     warming, *others = host.balancer.servers.values()
     for flow in list(warming.established_flows):
         host.end(flow, Outcome.CANCELLED)
@@ -192,9 +192,9 @@
         held.append(len(warming.established_flows))
         host.pass_time(SECOND)
     if load:
-        # The gossip is out of date by now, so only the load decides.
+        # The load that was last recorded is out of date by now; it is then reported again.
         assert server_beyond_budget(host) is warming
-        warming.slow_start_fills.total = 0.0
+        warming.slow_start_excess.total = 0.0
         host.balancer.on_gossip(host.now, warming, load)
         assert server_beyond_budget(host) is None
     else:
@@ -222,7 +222,7 @@
     assert balancer.slow_start.warm_occupancy.read(host.now) < 1
     assert server_beyond_budget(host) is None
     warming.slow_start_spent.total = 0.0
-    fill(host, 1)
+    establish_flows(host, 1)
     warming.slow_start_spent.add(host.now, 99)
     held = []
     for _ in range(40):
@@ -263,7 +263,7 @@
     )
     sent = []
     for key in range(1000, 1400):
-        owns_slot = table[hash64(key) % TABLE_SIZE] is warming
+        owns_slot = table[hash_number(key) % TABLE_SIZE] is warming
         flow = host.arrive(key=key)
         if flow.server is warming:
             sent.append(owns_slot)
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import played
+from helpers import play_with_retries
 from mutant_balancer import Mutation
 
 from cypresswalk import toml
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -10,7 +10,7 @@
 
 import psutil
 import pytest
-from helpers import played
+from helpers import play_with_retries
 from lab_helpers import run_lab, small_experiment
 from paths import ROOT
 from scenario_assertions import assert_all_rules_held
