--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -233,7 +233,7 @@
         events = observations.load(path)
     except (OSError, ValueError, KeyError) as error:
         raise CommandError(f"{path}: {error}") from error
-    violations = check(events, Rules.of(experiment))
+    violations = check(events, Rules.from_experiment(experiment))
     for violation in violations:
         click.echo(str(violation))
     click.echo(f"{len(events)} events, {len(violations)} breaches")
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -127,7 +127,9 @@
         result = self.result
         result.events = self.testbed.observations
         result.samples = self.control.samples
-        violations = self.control.crashes + check(result.events, Rules.of(self.experiment))
+        violations = self.control.crashes + check(
+            result.events, Rules.from_experiment(self.experiment)
+        )
         for observation in result.events:
             if observation.kind == "fell":
                 message = f"{observation.subject} crashed: its load exceeded its budget while cold"
--- a/cypresswalk/lab/rules.py
+++ b/cypresswalk/lab/rules.py
@@ -74,7 +74,7 @@
     slack: int = DEFAULT_SLACK
 
     @staticmethod
-    def of(experiment: Experiment) -> "Rules":
+    def from_experiment(experiment: Experiment) -> "Rules":
         """Return the rules of an experiment."""
         settings = experiment.settings
         types = {
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -411,7 +411,7 @@
     """Play the experiment with a mutant instead of the balancer."""
     command = [sys.executable, str(Path(__file__).parent / "mutant_balancer.py"), mutation]
     variant = EXPERIMENT.variants[0]
-    result = played(EXPERIMENT, variant, 1, folder / mutation, command=command)
+    result = play_with_retries(EXPERIMENT, variant, 1, folder / mutation, command=command)
     result.events = []  # not needed, so not transferred from the process
     return result
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -69,7 +69,7 @@
 
 def play(experiment: Experiment, seed: int, folder: Path) -> ScenarioResult:
     """Play the experiment's first variant; repeat it if the machine was late."""
-    return played(experiment, experiment.variants[0], seed, folder)
+    return play_with_retries(experiment, experiment.variants[0], seed, folder)
 
 
 def count_of(result: ScenarioResult, kind: str) -> int:
