--- a/cypresswalk/lab/testbed/server_driver.py
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -1,11 +1,11 @@
-"""A simulated server on sockets."""
+"""The driver of a simulated server on sockets."""
 
 import asyncio
 from functools import partial
 from random import Random
 
 from cypresswalk.lab.servers import Reply, SimulatedServer
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.streams import (
     CONNECTION_ENDS,
     LOOPBACK,
@@ -18,37 +18,49 @@
 LISTEN_BACKLOG = 512  # connections
 WORK_INTERVAL_S = 0.25
 LOAD_REPORT_EVERY = 4  # work intervals
-REPORT_ABOVE_PART = 3  # a delay over this part of the tightest message latency objective
+REPORT_THRESHOLD_DIVISOR = 3  # reports delays above 1/3 of the tightest message latency objective
 
 
 class ServerConnection:
-    """A connection established at a server, and what was said on it."""
-
-    __slots__ = ("number", "flow", "writer", "said", "heard", "last_echo_at", "broken")
+    """A connection established at a server, and the lines exchanged on it."""
+
+    __slots__ = (
+        "number",
+        "flow",
+        "writer",
+        "lines_sent",
+        "lines_received",
+        "last_echo_at",
+        "ended_by_server",
+    )
 
     def __init__(self, number: int, flow: str, writer: asyncio.StreamWriter):
-        """Start with nothing said."""
+        """Start without any lines exchanged."""
         self.number = number
         self.flow = flow
         self.writer = writer
-        self.said: list[str] = []
-        self.heard: list[str] = []
+        self.lines_sent: list[str] = []
+        self.lines_received: list[str] = []
         self.last_echo_at = 0
-        self.broken = False
+        self.ended_by_server = False
 
-    def say(self, text: str) -> None:
-        """Send a line unless the connection ended."""
-        if not self.broken and not self.writer.transport.is_closing():
-            self.said.append(text)
+    def send_line(self, text: str) -> None:
+        """Send a line, unless the connection has ended."""
+        if not self.ended_by_server and not self.writer.transport.is_closing():
+            self.lines_sent.append(text)
             self.writer.write(text.encode() + b"\r\n")
 
 
 class ServerDriver:
-    """One server on sockets, with a port for each balancer: so the way between them is known."""
+    """One server on sockets.
+
+    It listens on one port per balancer. The port identifies the balancer, which determines the
+    one-way delay.
+    """
 
-    def __init__(self, bed: Bed, model: SimulatedServer):
-        """Prepare it; it does not listen yet."""
-        self.bed = bed
+    def __init__(self, testbed: ScenarioTestBed, model: SimulatedServer):
+        """Prepare the driver; it does not listen yet."""
+        self.testbed = testbed
         self.model = model
         self.ports: dict[str, int] = {}
         self.listeners: list[asyncio.Server] = []
@@ -59,11 +71,11 @@
     # Listening and reading.
 
     async def listen(self) -> None:
-        """Listen, at the same ports as before if it did.
+        """Listen on one port per balancer; after a restart, on the same ports as before.
 
-        A port that another process took is recorded as a failure of the lab.
+        If another process has taken a port, record a failure of the lab.
         """
-        for balancer in self.bed.balancers:
+        for balancer in self.testbed.balancers:
             port = self.ports.get(balancer)
             try:
                 listener = await asyncio.start_server(
@@ -74,23 +86,23 @@
                     limit=MAX_LINE_BYTES,
                 )
             except OSError as error:
-                self.bed.failures.append(f"{self.model.name} can't listen at {port}: {error}")
+                self.testbed.failures.append(f"{self.model.name} can't listen at {port}: {error}")
                 return
             if port is None:
                 await self._publish(balancer, listener.sockets[0].getsockname()[1])
             self.listeners.append(listener)
 
     async def _publish(self, balancer: str, port: int) -> None:
-        """Take a port; its address, behind a proxy if faults are planned, goes into the list."""
+        """Store a port and its address for a balancer: a fault proxy's if faults are planned."""
         self.ports[balancer] = port
-        plan = self.bed.experiment.connection_faults.servers
-        address = await self.bed.with_faults((LOOPBACK, port), plan, "server")
-        self.bed.server_addresses[self.model.name][balancer] = address
+        plan = self.testbed.experiment.connection_faults.servers
+        address = await self.testbed.with_fault_proxy((LOOPBACK, port), plan, "server")
+        self.testbed.server_addresses[self.model.name][balancer] = address
 
     def _accept(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self.bed.spawn(self._serve(balancer, reader, writer))
+        self.testbed.spawn(self._serve(balancer, reader, writer))
 
     async def _serve(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -108,7 +120,7 @@
     async def _read_requests(
         self, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer health checks until the opening line of a flow."""
+        """Answer health checks until a flow's opening line, then serve the flow."""
         while line := await reader.readline():
             word = line.split(b" ", 1)[0].strip()
             if word in (b"PING", b"STATS"):
@@ -119,18 +131,18 @@
             else:
                 writer.write(b"SYNTAX\r\n")
                 shown = repr(line[:80])
-                self.bed.observe("odd_line", "", self.model.name, balancer=balancer, line=shown)
+                self.testbed.observe("odd_line", "", self.model.name, balancer=balancer, line=shown)
                 return
 
     async def _answer_health_check(
         self, balancer: str, word: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        wait = self.model.health_check_delay(self.bed.now())
+        wait = self.model.health_check_delay(self.testbed.now())
         if wait is None:
             return
-        way = self.bed.one_way_delay(balancer, self.model)
+        way = self.testbed.one_way_delay(balancer, self.model)
         await asyncio.sleep((wait + 2 * way) / SECOND)
-        utilization = self.model.utilization(self.bed.now())
+        utilization = self.model.utilization(self.testbed.now())
         report = f" x0={utilization:.3f}" if word == b"STATS" else ""
         writer.write(f"PONG{report}\r\n".encode())
 
@@ -143,11 +155,11 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        number = next(self.bed.connection_numbers)
+        number = next(self.testbed.connection_numbers)
         values = dict(pair.split("=", 1) for pair in words[3].split(","))
         flow = words[1]
         load = float(values.get("h", 1))
-        self.bed.observe(
+        self.testbed.observe(
             "attempt",
             flow,
             self.model.name,
@@ -156,16 +168,17 @@
             load=load,
             port=writer.get_extra_info("peername")[1],
         )
-        reply, wait = self.model.open(self.bed.now(), number, load, values.get("g", ""))
+        reply, wait = self.model.open(self.testbed.now(), number, load, values.get("g", ""))
         if self.model.overloaded:
-            self._fail()
+            self._crash_from_overload()
             return
         try:
             released = await self._wait_before_reply(reply, wait, balancer, reader)
             if released or not self.model.running:
-                # A crash ends a pending attempt too: the checker must not take it for pending.
+                # A crash ends a pending attempt as well, so that the checker does not take it for
+                # still pending.
                 kind = "let_go" if self.model.running else "broke"
-                self.bed.observe(kind, flow, self.model.name, number=number, how="reset")
+                self.testbed.observe(kind, flow, self.model.name, number=number, how="reset")
                 return
             if self._reply(reply, flow, number, writer):
                 connection = ServerConnection(number, flow, writer)
@@ -173,17 +186,17 @@
                 writer.write(receipt_of(number).encode() + b"\r\n")
                 await self._echo(connection, balancer, reader)
         finally:
-            self.model.close(self.bed.now(), number)
+            self.model.close(self.testbed.now(), number)
 
     async def _wait_before_reply(
         self, reply: Reply, wait: int, balancer: str, reader: asyncio.StreamReader
     ) -> bool:
         """Wait until the reply is due; return whether the balancer ended the connection first.
 
-        A server that fell silent has no reply: it waits for the balancer's end.
+        A server that has become silent sends no reply and waits until the balancer disconnects.
         """
         if reply is not Reply.SILENT:
-            way = self.bed.one_way_delay(balancer, self.model)
+            way = self.testbed.one_way_delay(balancer, self.model)
             if await ended_within(reader, wait + 3 * way):
                 return True
         if reply is Reply.SILENT or self.model.silent or self.model.hanging:
@@ -194,7 +207,7 @@
 
     def _reply(self, reply: Reply, flow: str, number: int, writer: asyncio.StreamWriter) -> bool:
         """Record the reply, send it unless it is UP, and return whether it is UP."""
-        self.bed.observe(
+        self.testbed.observe(
             "reply",
             flow,
             self.model.name,
@@ -211,11 +224,11 @@
     async def _echo(
         self, connection: ServerConnection, balancer: str, reader: asyncio.StreamReader
     ) -> None:
-        """Echo each line, late as the model says, until one side ends the connection."""
+        """Echo each line with the model's delay, until one side ends the connection."""
         try:
             while line := await reader.readline():
                 text = line.decode().rstrip("\r\n")
-                connection.heard.append(text)
+                connection.lines_received.append(text)
                 if text == "END":
                     self.end(connection, "bye")
                     return
@@ -223,49 +236,49 @@
         except CONNECTION_ENDS:
             pass
         finally:
-            if not connection.broken:
+            if not connection.ended_by_server:
                 name = self.model.name
-                self.bed.observe("let_go", connection.flow, name, number=connection.number)
+                self.testbed.observe("let_go", connection.flow, name, number=connection.number)
             self.connections.pop(connection.number, None)
-            self.bed.observe(
+            self.testbed.observe(
                 "lines",
                 connection.flow,
                 self.model.name,
                 side="server",
-                said=connection.said,
-                heard=connection.heard,
+                said=connection.lines_sent,
+                heard=connection.lines_received,
                 number=connection.number,
             )
 
     def _schedule_echo(self, connection: ServerConnection, balancer: str, text: str) -> None:
-        wait = self.model.echo_delay(self.bed.now())
+        wait = self.model.echo_delay(self.testbed.now())
         if wait is None:
             return
-        way = 2 * self.bed.one_way_delay(balancer, self.model)
-        # Lines of one connection are served in the order in which they came.
-        connection.last_echo_at = max(connection.last_echo_at, self.bed.now() + wait + way)
-        delay = max(connection.last_echo_at - self.bed.now(), 0)
-        asyncio.get_running_loop().call_later(delay / SECOND, connection.say, text)
+        way = 2 * self.testbed.one_way_delay(balancer, self.model)
+        # Lines of one connection are echoed in the order in which they came.
+        connection.last_echo_at = max(connection.last_echo_at, self.testbed.now() + wait + way)
+        delay = max(connection.last_echo_at - self.testbed.now(), 0)
+        asyncio.get_running_loop().call_later(delay / SECOND, connection.send_line, text)
 
     def end(self, connection: ServerConnection, how: str) -> None:
-        """End a connection: "bye" or "move" say so and close it, "reset" resets it."""
-        if connection.broken:
+        """End a connection: send BYE or MOVE and close it ("bye", "move"), or reset it."""
+        if connection.ended_by_server:
             return
         if how != "reset":
-            connection.say("BYE" if how == "bye" else "MOVE")
-        connection.broken = True
+            connection.send_line("BYE" if how == "bye" else "MOVE")
+        connection.ended_by_server = True
         name = self.model.name
-        self.bed.observe("broke", connection.flow, name, number=connection.number, how=how)
+        self.testbed.observe("broke", connection.flow, name, number=connection.number, how=how)
         if how == "reset":
             reset(connection.writer)
         else:
             connection.writer.close()
 
-    # Its process.
+    # Stop and start of its process.
 
-    def _fail(self) -> None:
-        """Crash from too much load while cold; it stays down."""
-        self.bed.observe("fell", "", self.model.name)
+    def _crash_from_overload(self) -> None:
+        """Crash because of too much load while cold, and stay down."""
+        self.testbed.observe("fell", "", self.model.name)
         self.crash()
 
     def close(self) -> None:
@@ -275,60 +288,64 @@
         self.listeners.clear()
 
     def crash(self) -> None:
-        """End its process: all connections are reset."""
+        """Stop its process and reset all its connections."""
         name = self.model.name
-        self.bed.observe("server_down", "", name)
-        self.model.stop(self.bed.now())
+        self.testbed.observe("server_down", "", name)
+        self.model.stop(self.testbed.now())
         self.close()
         for connection in list(self.connections.values()):
-            connection.broken = True
+            connection.ended_by_server = True
             number = connection.number
-            self.bed.observe("broke", connection.flow, name, number=number, how="reset")
+            self.testbed.observe("broke", connection.flow, name, number=number, how="reset")
         for writer in list(self.writers):
             reset(writer)
 
     async def start(self) -> int:
         """Start it cold; return its start time for the list, in milliseconds."""
-        now = self.bed.now()
+        now = self.testbed.now()
         self.model.start(now, now)
-        self.bed.observe("server_up", "", self.model.name)
+        self.testbed.observe("server_up", "", self.model.name)
         await self.listen()
         return now // MILLISECOND
 
-    async def work(self) -> None:
-        """Drop connections that are too much, and report the delay on one while it is long."""
-        objectives = [t.message_latency_objective_ms for t in self.bed.experiment.types]
-        min_reported_ms = min(objectives) / REPORT_ABOVE_PART
-        random = Random(f"{self.bed.seed}/load/{self.model.name}")
+    async def run_periodic_work(self) -> None:
+        """Drop connections above the backlog limit and report long delays, until cancelled.
+
+        A report goes to one random connection; the first short delay after long ones is reported as
+        well.
+        """
+        objectives = [t.message_latency_objective_ms for t in self.testbed.experiment.types]
+        min_reported_ms = min(objectives) / REPORT_THRESHOLD_DIVISOR
+        random = Random(f"{self.testbed.seed}/load/{self.model.name}")
         while True:
             await asyncio.sleep(WORK_INTERVAL_S)
-            number = self.model.connection_to_drop(self.bed.now())
+            number = self.model.connection_to_drop(self.testbed.now())
             if number is not None and number in self.connections:
                 self.end(self.connections[number], "reset")
-                self.model.close(self.bed.now(), number)
+                self.model.close(self.testbed.now(), number)
             if self._load_report_due():
-                delay_ms = self.model.delay(self.bed.now()) / MILLISECOND
+                delay_ms = self.model.delay(self.testbed.now()) / MILLISECOND
                 late = delay_ms > min_reported_ms
                 if late or self.reported_delay:
                     self.reported_delay = late
                     connection = random.choice(list(self.connections.values()))
-                    connection.say(f"LOAD {delay_ms:.1f}")
+                    connection.send_line(f"LOAD {delay_ms:.1f}")
 
     def _load_report_due(self) -> bool:
-        """Whether this is the one of some work intervals in which the server can report."""
-        interval = self.bed.now() // int(WORK_INTERVAL_S * SECOND)
+        """Return whether the server reports its load in this work interval."""
+        interval = self.testbed.now() // int(WORK_INTERVAL_S * SECOND)
         if interval % LOAD_REPORT_EVERY or not self.connections:
             return False
-        return self.model.echo_delay(self.bed.now()) is not None
+        return self.model.echo_delay(self.testbed.now()) is not None
 
 
 def receipt_of(number: int) -> str:
-    """Return the line with which a server accepts a connection."""
+    """Return the line with which a server accepts a flow."""
     return f"UP r{number}"
 
 
 async def ended_within(reader: asyncio.StreamReader, wait: int) -> bool:
-    """Return whether the peer ends a connection within so many nanoseconds."""
+    """Return whether the peer ends a connection within `wait` nanoseconds."""
     try:
         return not await asyncio.wait_for(reader.readline(), wait / SECOND)
     except TimeoutError:
