--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -12,7 +12,7 @@
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS
 from cypresswalk.decisions.balance import mean_occupancy
 from cypresswalk.decisions.flow_table import FlowTable
-from cypresswalk.decisions.hashing import hash64, unit_interval
+from cypresswalk.decisions.hashing import hash_number, unit_interval
 from cypresswalk.decisions.health import is_up
 from cypresswalk.decisions.limits import ConcurrencyLimits
 from cypresswalk.decisions.load import is_overloaded
@@ -74,7 +74,7 @@
         """Create the sums of a server that is listed for the first time."""
         time_constant = max(2 * self.settings.slow_start_window, 1)
         server.slow_start_spent = DecayingSum(time_constant, now)
-        server.slow_start_fills = DecayingSum(time_constant, now)
+        server.slow_start_excess = DecayingSum(time_constant, now)
 
     def on_predecessor_lost(self, now: int) -> None:
         """Count all budgets as spent for a window; what the predecessor spent is unknown."""
@@ -84,7 +84,7 @@
         """Spend all budgets; another process uses what is left of them."""
         for server in self._servers.values():
             server.slow_start_spent.add(now, MORE_THAN_ANY_BUDGET)
-            server.owed_first_flow = False
+            server.first_flow_pending = False
 
     # Arriving flows.
 
@@ -106,19 +106,21 @@
         for server in warming:
             allowance = self._draw_from_budget(now, server, flows_per_window)
             share = server.weight / max(fleet_weight, server.weight)
-            # If the owners of their slots are full, all their flows may go to this server, not only
-            # its share of them.
+            # Keys whose slots other servers own: if these servers are full, all flows of such keys
+            # may come to this server, not only its share of them. So fewer are admitted.
             if server not in owners:
                 allowance *= max(
                     share, OTHER_KEYS_ALLOWANCE / max(flows_per_window, MIN_FLOWS_PER_WINDOW)
                 )
             is_first_flow = (
-                server.owed_first_flow and not server.established_count and not server.pending_flows
+                server.first_flow_pending
+                and not server.established_count
+                and not server.pending_flows
             )
             # A key whose share of this balancer's flows exceeds the server's share of the fleet
             # is admitted less often.
             probability = 1.0 if is_first_flow else allowance * share / max(share, key_share)
-            if unit_interval(hash64(flow.id ^ server.id)) < probability:
+            if unit_interval(hash_number(flow.id ^ server.id)) < probability:
                 flow.slow_start_admitted.append(server)
 
     def _warming_servers(self, now: int) -> list[Server]:
@@ -131,7 +133,7 @@
     def _flows_per_window(self, now: int) -> float:
         """Return how many flows complete per window, which is this balancer's share of capacity."""
         completed = self._traffic.completed
-        fraction_seen = completed.part_seen(now, self._traffic.started_at)
+        fraction_seen = completed.accumulated_fraction(now, self._traffic.started_at)
         window = self.settings.slow_start_window
         return (
             completed.read(now)
@@ -141,7 +143,7 @@
         )
 
     def _key_share(self, flow: Flow) -> float:
-        """Return the fraction of this balancer's flows that are others with the flow's key."""
+        """Return the fraction of this balancer's flows that are other flows with the same key."""
         if not flow.grouped:
             return 0.0
         return (self._flows.by_key[flow.key] - 1) / len(self._flows)
@@ -199,7 +201,7 @@
             if self._may_exceed_budget(now, server, flow) and self._is_below_warm_share(
                 now, server, flow
             ):
-                server.slow_start_fills.add(now, 1)
+                server.slow_start_excess.add(now, 1)
                 return server
         return None
 
@@ -224,5 +226,5 @@
             target = max(target, limit)
         if occupancy_with(server, flow) > min(target, limit):
             return False
-        # At most half of it per window, because each set-up costs work of its own.
-        return server.slow_start_fills.read(now) + 1 <= target / 2
+        # At most half of the target per window, because each set-up costs work of its own.
+        return server.slow_start_excess.read(now) + 1 <= target / 2
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -12,18 +12,19 @@
 from cypresswalk.lab.result import ScenarioResult
 from cypresswalk.lab.rules import Rules, Violation
 from cypresswalk.lab.source_tree import source_tree
-from cypresswalk.lab.testbed.bed import Bed
+from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientDriver
 from cypresswalk.lab.testbed.misbehaving_clients import misbehave
 from cypresswalk.lab.testbed.resting_clients import RestingClients
 from cypresswalk.lab.testbed.server_driver import ServerDriver
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-# What the rules grant beyond each limit: with a later lab nobody can tell who was late.
-LATE = 50 * MILLISECOND
-MAX_LATE_SHARE = 0.01  # of the lab's lateness checks
-MAX_LATENESS = 400 * MILLISECOND  # of the order of a connect timeout's tenth
-HEAD_START = 100 * MILLISECOND  # from ready balancers to the first clients
+# The slack that the rules allow beyond each limit. If the lab itself is later than that, a late
+# event can't be attributed to the balancer.
+LATENESS_TOLERANCE = 50 * MILLISECOND
+MAX_LATE_SHARE = 0.01  # of the lateness checks
+MAX_LATENESS = 400 * MILLISECOND  # about a tenth of a connect timeout
+HEAD_START = 100 * MILLISECOND  # between the balancers' readiness and the first clients
 PROGRESS_INTERVAL_S = 0.25
 COUNTERS_WAIT_S = 0.15  # for balancers to log their counters
 MAX_SHOWN_VIOLATIONS = 50
@@ -40,41 +41,41 @@
         variant: Variant,
         seed: int,
         folder: Path,
-        files: Path,
+        source_folder: Path,
         command: list[str] | None = None,
     ):
-        """Build all parts; nothing runs yet. See `BalancerControl` for the arguments."""
+        """Create all parts; nothing runs yet. See `BalancerControl` for the arguments."""
         self.experiment = experiment
-        self.bed = Bed(experiment, seed)
+        self.testbed = ScenarioTestBed(experiment, seed)
         self.result = ScenarioResult(experiment.name, variant.name, seed)
         self.servers = {
-            name: ServerDriver(self.bed, model) for name, model in self.bed.servers.items()
+            name: ServerDriver(self.testbed, model) for name, model in self.testbed.servers.items()
         }
-        self.clients = ClientDriver(self.bed)
-        self.control = BalancerControl(self.bed, variant, folder, files, command)
-        self.faults = FaultInjector(self.bed, self.servers, self.clients, self.control)
+        self.clients = ClientDriver(self.testbed)
+        self.control = BalancerControl(self.testbed, variant, folder, source_folder, command)
+        self.faults = FaultInjector(self.testbed, self.servers, self.clients, self.control)
 
     async def run(self, on_progress: ProgressCallback) -> ScenarioResult:
-        """Play it and check the rules.
+        """Play the scenario and check the rules.
 
         Raises:
             CommandError: A balancer does not start.
         """
-        bed = self.bed
+        testbed = self.testbed
         try:
             await self._start_servers()
             await self.control.start_all()
-            bed.spawn(bed.watch_lateness())
+            testbed.spawn(testbed.watch_lateness())
             await self._play(on_progress)
         finally:
-            # At Ctrl-C, a failure of the lab or the end: no child and no task outlives it.
+            # Ends all child processes and tasks, also after Ctrl-C or a failure of the lab.
             for balancer in self.control.balancers.values():
                 balancer.kill()
-            for proxy in bed.proxies:
+            for proxy in testbed.proxies:
                 await proxy.stop()
-            for task in list(bed.tasks):
+            for task in list(testbed.tasks):
                 task.cancel()
-            await asyncio.gather(*bed.tasks, return_exceptions=True)
+            await asyncio.gather(*testbed.tasks, return_exceptions=True)
         self._check_rules()
         self._check_lateness()
         return self.result
@@ -82,54 +83,56 @@
     async def _start_servers(self) -> None:
         for driver in self.servers.values():
             await driver.listen()
-            driver.model.backlog_at = self.bed.now()
+            driver.model.backlog_at = self.testbed.now()
             if not driver.model.running:
                 driver.close()
-            self.bed.spawn(driver.work())
+            self.testbed.spawn(driver.run_periodic_work())
 
     async def _play(self, on_progress: ProgressCallback) -> None:
-        """Let clients come and faults be injected until the scenario's end."""
-        bed = self.bed
+        """Run the clients and inject the faults until the scenario's end."""
+        testbed = self.testbed
         span = int(self.experiment.seconds * SECOND)
-        began = bed.now() + HEAD_START
-        bed.began = began
+        began = testbed.now() + HEAD_START
+        testbed.began = began
         self.result.began = began
-        for client in bed.clients.all():
-            bed.spawn(self.clients.run(client, began))
-        resting = RestingClients(bed, self.clients)
-        for name in bed.balancers:
-            bed.spawn(resting.run(name, began))
-        for number, (at, misbehaviour, zone) in enumerate(bed.clients.misbehaving()):
-            work = misbehave(bed, self.clients, misbehaviour, zone, number)
-            bed.spawn(self._run_at(began + at, work))
+        for client in testbed.clients.all():
+            testbed.spawn(self.clients.run(client, began))
+        resting = RestingClients(testbed, self.clients)
+        for name in testbed.balancers:
+            testbed.spawn(resting.run(name, began))
+        for number, (at, misbehaviour, zone) in enumerate(testbed.clients.misbehaving()):
+            work = misbehave(testbed, self.clients, misbehaviour, zone, number)
+            testbed.spawn(self._run_at(began + at, work))
         for fault in self.experiment.faults:
             work = self.faults.inject(fault)
-            bed.spawn(self._run_at(began + int(fault.at_s * SECOND), work))
-        bed.spawn(self.control.watch())
-        while (left := began + span - bed.now()) > 0:
+            testbed.spawn(self._run_at(began + int(fault.at_s * SECOND), work))
+        testbed.spawn(self.control.watch())
+        while (left := began + span - testbed.now()) > 0:
             on_progress((span - left) / SECOND)
             await asyncio.sleep(min(left / SECOND, PROGRESS_INTERVAL_S))
-        bed.observe("day_ended")
-        self.result.ended = bed.now()
+        testbed.observe("day_ended")
+        self.result.ended = testbed.now()
         for balancer in self.control.balancers.values():
-            balancer.send(signal.SIGUSR1)
+            balancer.send_signal(signal.SIGUSR1)
         await asyncio.sleep(COUNTERS_WAIT_S)
 
     async def _run_at(self, at: int, work: Coroutine) -> None:
         try:
-            await self.bed.sleep_until(at)
+            await self.testbed.sleep_until(at)
             await work
         finally:
             work.close()
 
     def _check_rules(self) -> None:
         result = self.result
-        result.events = self.bed.observations
+        result.events = self.testbed.observations
         result.samples = self.control.samples
-        violations = self.control.crashes + check(result.events, Rules.of(self.experiment))
+        violations = self.control.crashes + check(
+            result.events, Rules.from_experiment(self.experiment)
+        )
         for observation in result.events:
             if observation.kind == "fell":
-                message = f"{observation.subject} fell over: pushed beyond its budget while cold"
+                message = f"{observation.subject} crashed: its load exceeded its budget while cold"
                 violations.append(
                     Violation(COLD_SERVERS, "", observation.at, message, [observation])
                 )
@@ -140,26 +143,26 @@
         result.counters = {name: balancer.counters() for name, balancer in balancers.items()}
 
     def _check_lateness(self) -> None:
-        """Make the result void if the lab failed or was late."""
-        lateness = sorted(self.bed.lateness) or [0]
-        share = sum(late > LATE for late in lateness) / len(lateness)
+        """Mark the result as void if the lab failed or was late."""
+        lateness = sorted(self.testbed.lateness) or [0]
+        share = sum(late > LATENESS_TOLERANCE for late in lateness) / len(lateness)
         self.result.lateness_ms = {
             "median": lateness[len(lateness) // 2] / MILLISECOND,
             "p99": lateness[len(lateness) * 99 // 100] / MILLISECOND,
             "most": lateness[-1] / MILLISECOND,
             "share_late": round(share, 5),
         }
-        if self.bed.failures:
-            self.result.void = f"the lab itself failed: {self.bed.failures[0]}"
+        if self.testbed.failures:
+            self.result.void = f"the lab itself failed: {self.testbed.failures[0]}"
         elif share > MAX_LATE_SHARE or lateness[-1] > MAX_LATENESS:
             self.result.void = (
                 f"the lab itself was late: {lateness[-1] / MILLISECOND:.0f} ms at most,"
-                f" {share:.1%} of its ticks by over {LATE / MILLISECOND:.0f} ms"
+                f" {share:.1%} of its ticks by over {LATENESS_TOLERANCE / MILLISECOND:.0f} ms"
             )
 
 
 def ignore_progress(second: float) -> None:
-    """Take no notice of the second that a scenario has reached."""
+    """Ignore the progress of a scenario."""
 
 
 def play_scenario(
@@ -170,16 +173,16 @@
     on_progress: ProgressCallback = ignore_progress,
     command: list[str] | None = None,
 ) -> ScenarioResult:
-    """Play a scenario and leave observations, result and logs in a folder.
+    """Play a scenario and write observations, result and logs to a folder.
 
-    `command` runs another program in the balancers' place, by the same platform's rules.
+    `command` runs another program instead of the balancers; it follows the same platform rules.
 
     Raises:
-        CommandError: It can't begin.
+        CommandError: The scenario can't begin.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    with source_tree(variant) as files:
-        scenario = Scenario(experiment, variant, seed, folder, files, command)
+    with source_tree(variant) as source_folder:
+        scenario = Scenario(experiment, variant, seed, folder, source_folder, command)
         result = asyncio.run(scenario.run(on_progress))
     result.save(folder)
     return result
--- a/cypresswalk/lab/testbed/list_driver.py
+++ b/cypresswalk/lab/testbed/list_driver.py
@@ -1,4 +1,4 @@
-"""The list service on sockets: one address for each balancer."""
+"""The driver of the list service on sockets, with one address for each balancer."""
 
 import asyncio
 import json
@@ -6,11 +6,11 @@
 
 from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.servers import ServerState
-from cypresswalk.lab.testbed.bed import Address, Bed
+from cypresswalk.lab.testbed.bed import Address, ScenarioTestBed
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS, LOOPBACK, MAX_LINE_BYTES
 from cypresswalk.lab.units import SECOND
 
-HEARTBEAT_S = 2  # between empty lines on a watch
+HEARTBEAT_S = 2  # interval between empty lines on a watch
 RETIREMENT_S = 1.5
 RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -20,11 +20,11 @@
 
 
 class ListAgentDriver:
-    """One address of the list service, for one balancer."""
+    """The driver of a list agent: one address of the list service, for one balancer."""
 
-    def __init__(self, bed: Bed, balancer: str, agent: ListAgent):
-        """Prepare it; it does not listen yet."""
-        self.bed = bed
+    def __init__(self, testbed: ScenarioTestBed, balancer: str, agent: ListAgent):
+        """Prepare the driver; it does not listen yet."""
+        self.testbed = testbed
         self.balancer = balancer
         self.agent = agent
         self.changed = asyncio.Event()
@@ -32,12 +32,12 @@
         self.address: Address = (LOOPBACK, 0)
 
     async def listen(self) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self.listener = await asyncio.start_server(self._accept, LOOPBACK, 0, limit=MAX_LINE_BYTES)
         self.address = self.listener.sockets[0].getsockname()[:2]
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.bed.spawn(self._serve(reader, writer))
+        self.testbed.spawn(self._serve(reader, writer))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -61,7 +61,7 @@
         since: int,
         follow: bool,
     ) -> None:
-        """Send what is newer than a version, once or as it comes."""
+        """Send the changes after a version, once or continuously (`follow`)."""
         while True:
             newer = since < self.agent.version or since == 0
             if newer and not self.agent.silent:
@@ -79,10 +79,10 @@
                 return
 
     def _send(self, writer: asyncio.StreamWriter, since: int) -> int:
-        """Send what changed since a version as one line; return the version sent."""
+        """Send the changes after a version as one line; return the version sent."""
         answer = self.agent.answer(since)
         instances = [
-            self.bed.encode_endpoint(endpoint, self.balancer) for endpoint in answer.endpoints
+            self.testbed.encode_endpoint(endpoint, self.balancer) for endpoint in answer.endpoints
         ]
         message = {
             "generation": answer.version,
@@ -92,7 +92,7 @@
         line = json.dumps(message).encode() + b"\n"
         writer.write(b"%x\r\n%s\r\n" % (len(line), line))
         for endpoint in answer.endpoints:
-            self.bed.observe(
+            self.testbed.observe(
                 "told",
                 "",
                 self.balancer,
@@ -102,18 +102,18 @@
             )
         return answer.version
 
-    async def learn(self, version: int) -> None:
-        """Let a version arrive at this address, late."""
+    async def receive_later(self, version: int) -> None:
+        """Deliver a version to this agent after a delay."""
         await asyncio.sleep(self.agent.next_delay() / SECOND)
-        if self.agent.learn(version):
+        if self.agent.receive(version):
             self.changed.set()
 
-    def wake(self) -> None:
-        """Let watches look for changes."""
+    def notify_watches(self) -> None:
+        """Make all watches check for changes."""
         self.changed.set()
 
     async def retire(self) -> None:
-        """Take no new connection, and end those that are open after a while."""
+        """Accept no more connections, and close the open ones after RETIREMENT_S."""
         self.listener.close()
         await asyncio.sleep(RETIREMENT_S)
         for writer in list(self.writers):
@@ -121,9 +121,13 @@
 
 
 def publish(
-    bed: Bed, agents: Iterable[ListAgentDriver], server: str, state: ServerState, started_ms: int
+    testbed: ScenarioTestBed,
+    agents: Iterable[ListAgentDriver],
+    server: str,
+    state: ServerState,
+    started_ms: int,
 ) -> None:
-    """Change a server's entry in the list; each agent learns of it late."""
-    version = bed.listing.add(server, state, started_ms)
+    """Change a server's entry in the list; the change reaches each agent after a delay."""
+    version = testbed.endpoint_list.add(server, state, started_ms)
     for agent in agents:
-        bed.spawn(agent.learn(version))
+        testbed.spawn(agent.receive_later(version))
--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -1,4 +1,4 @@
-"""Steps that tests of the decisions share."""
+"""Steps shared by tests of the decision code."""
 
 from typing import Any
 
@@ -9,27 +9,27 @@
 
 
 def pass_health_checks(host: SimulatedHost) -> None:
-    """Every health check that is out passes."""
+    """Let every unanswered health check pass."""
     for server in list(host.health_checks):
         host.answer_health_check(server, True)
 
 
 def settle(host: SimulatedHost, rounds: int = 4) -> None:
-    """Lets every server pass a few health checks."""
+    """Let every server pass a few health checks, two seconds apart."""
     for _ in range(rounds):
         pass_health_checks(host)
         host.pass_time(2 * SECOND)
     pass_health_checks(host)
 
 
-def fill(host: SimulatedHost, count: int, **flow: Any) -> None:
-    """Establishes that many flows."""
+def establish_flows(host: SimulatedHost, count: int, **flow: Any) -> None:
+    """Establish `count` flows."""
     for _ in range(count):
         host.accept(host.arrive(**flow))
 
 
-def fill_warming_up(balancer: Balancer, now: int, flow: Flow) -> Server | None:
-    """The server that warms up to which the flow would go rather than be rejected."""
+def place_on_warming_server(balancer: Balancer, now: int, flow: Flow) -> Server | None:
+    """Return the warming server for a flow that would otherwise be rejected, or None."""
     pools = balancer.placement.pools()
-    walked = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
-    return balancer.slow_start.pick_beyond_budget(now, flow, walked)
+    candidates = (server for pool in pools for server in balancer.placement.walk(pool, flow.key))
+    return balancer.slow_start.pick_beyond_budget(now, flow, candidates)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -169,7 +169,7 @@
         self.files[name] = data
         self.inodes[name] = max(self.inodes.values(), default=0) + 1
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Append to the file."""
         self.files[name] += data
 
@@ -199,7 +199,7 @@
     assert store.identity is not None
     assert (state.term, len(state.entries)) == (5, 3)
     assert state.entries[-1] == Entry(5, 1, b"third")
-    store.begin(store.identity, state)
+    store.begin_file(store.identity, state)
     assert folder.files == GoldenFolder("agreement_after").files
 
 
@@ -212,7 +212,7 @@
     assert len(changes) == 14
     statuses = [change for change in changes if isinstance(change, PartitionStatus)]
     others = [change for change in changes if not isinstance(change, PartitionStatus)]
-    log.begin("n0#1", 5, statuses)
+    log.begin_file("n0#1", 5, statuses)
     log.write(others, lambda: statuses)
     assert folder.files == GoldenFolder("copies_after").files
 
