--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -162,19 +162,19 @@
         writer.ids.extend((ident, now) for ident in range(case.ids))
         with event_delays(clock, inbox) as delays:
             if case.writes:
-                writer.keep()  # the first also fills the table of observed servers
-                writer.longest = 0
+                writer.write_generation()  # the first also fills the table of observed servers
+                writer.longest_slice = 0
             delays.clear()
             began = time.monotonic()
             for _ in range(GENERATIONS if case.writes else 0):
-                writer.keep()
+                writer.write_generation()
             duration = time.monotonic() - began
             while len(delays) < MIN_EVENTS:
                 time.sleep(0.01)
         size = max((file.stat().st_size for file in Path(folder).glob("state.*")), default=0)
     delays_ms = sorted(delay / MILLISECOND for delay in delays)
     return Result(
-        writer.longest / MILLISECOND,
+        writer.longest_slice / MILLISECOND,
         percentile(delays_ms, 0.5),
         percentile(delays_ms, 0.99),
         delays_ms[-1],
--- a/cypresswalk/cli/faults.py
+++ b/cypresswalk/cli/faults.py
@@ -78,10 +78,10 @@
     if plan and replay:
         raise CommandError("--plan and --replay exclude each other")
     chosen = plans.read_record(replay) if replay else plans.read(plan) if plan else plans.Plan()
-    on_fault = (lambda *_: None) if quiet else (lambda fault, ports: click.echo(fault.line()))
+    on_fault = (lambda *_: None) if quiet else (lambda fault, ports: click.echo(fault.json_line()))
     proxy = (DatagramProxy if udp else Proxy)(listen, to, chosen, seed, time.monotonic_ns, on_fault)
     asyncio.run(serve(proxy, listen))
-    for line in proxy.record.missed(chosen, proxy.connections):
+    for line in proxy.record.missed_faults(chosen, proxy.connection_count):
         click.echo(line, err=True)
     if record:
         try:
--- a/cypresswalk/faults/datagram_proxy.py
+++ b/cypresswalk/faults/datagram_proxy.py
@@ -79,7 +79,7 @@
         self.on_injected(fault, [])
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """The number of peers so far."""
         return len(self.peers)
 
--- a/cypresswalk/faults/kinds.py
+++ b/cypresswalk/faults/kinds.py
@@ -73,7 +73,7 @@
     rate: int = 0
     mask: int = 0
 
-    def line(self) -> str:
+    def json_line(self) -> str:
         """Return the fault as JSON without parameters that are 0; equal faults give equal text."""
         parameters = {name: getattr(self, name) for name in ("size", "ms", "rate", "mask")}
         fields = {
--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -57,11 +57,11 @@
 
     Attributes:
         open_connections: connections that are not closed, in the order of acceptance.
-        connections: number of connections accepted so far.
+        connection_count: number of connections accepted so far.
     """
 
     open_connections: dict[Connection, None] = field(init=False, default_factory=dict)
-    connections: int = field(init=False, default=0)
+    connection_count: int = field(init=False, default=0)
 
     async def start(self) -> None:
         """Start to listen. Raise OSError if it can't listen on the address."""
@@ -73,8 +73,8 @@
 
     def accept(self) -> Endpoint:
         """Create a connection, and return the protocol of its client's socket."""
-        self.connections += 1
-        connection = Connection(self, self.connections)
+        self.connection_count += 1
+        connection = Connection(self, self.connection_count)
         self.open_connections[connection] = None
         return Endpoint(connection, connection.up, connection.down)
 
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -38,7 +38,7 @@
     def text(self) -> str:
         """Return the record's lines, sorted."""
         return "".join(
-            fault.line() + "\n" for fault in sorted(self.faults, key=lambda f: f.sort_key)
+            fault.json_line() + "\n" for fault in sorted(self.faults, key=lambda f: f.sort_key)
         )
 
     def save(self, path: str | Path) -> None:
@@ -50,7 +50,7 @@
             os.fsync(file.fileno())
         os.replace(temporary, path)
 
-    def missed(self, plan: FaultPlan, connections: int) -> list[str]:
+    def missed_faults(self, plan: FaultPlan, connections: int) -> list[str]:
         """Return a line for each fault of a numbered connection that was never injected.
 
         Args:
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -29,7 +29,7 @@
 
         The lock keeps two processes from voting as one member.
         """
-        if self.disk.held is not None:
+        if self.disk.lock_descriptor is not None:
             return True  # the fleet's thread was restarted; this process still holds the lock
         logged = ""
         while not stopping.is_set():
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -40,7 +40,7 @@
     def __init__(self, random: Random):
         """Create an empty folder; `random` draws what is left after a crash."""
         self.files: dict[str, StoredFile] = {}
-        self.held = None
+        self.lock_descriptor = None
         self.operations_until_kill: int | None = None
         self.failing = False
         self.full = False
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -37,13 +37,15 @@
         self._fault_file = fault_file
         self._chance = Random(os.getpid())
 
-    def put(self, name: str, data: bytes, how: int) -> None:
+    def write_with_flags(self, name: str, data: bytes, open_flags: int) -> None:
         """Write a file, or fail; what is appended may be written in part."""
         if error := self._fault():
-            if how & os.O_APPEND:
-                super().put(name, data[: self._chance.randrange(len(data) + 1)], how)
+            if open_flags & os.O_APPEND:
+                super().write_with_flags(
+                    name, data[: self._chance.randrange(len(data) + 1)], open_flags
+                )
             raise error
-        super().put(name, data, how)
+        super().write_with_flags(name, data, open_flags)
 
     def rename(self, name: str, to: str) -> None:
         """Rename a file, or fail."""
--- a/cypresswalk/state/disk.py
+++ b/cypresswalk/state/disk.py
@@ -24,13 +24,13 @@
 
     Attributes:
         path: path of the folder.
-        held: descriptor of the lock file while this process holds the lock, else None.
+        lock_descriptor: descriptor of the lock file while this process holds the lock, else None.
     """
 
     def __init__(self, path: str):
         """Use the folder at `path`, which need not exist yet."""
         self.path = path
-        self.held: int | None = None
+        self.lock_descriptor: int | None = None
 
     def open_folder(self) -> int:
         """Return a descriptor of the folder; raise PermissionError if another user owns it."""
@@ -50,23 +50,23 @@
         """
         folder = self.open_folder()
         try:
-            self.held = os.open(
+            self.lock_descriptor = os.open(
                 LOCK, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600, dir_fd=folder
             )
         finally:
             os.close(folder)
         try:
-            fcntl.flock(self.held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(self.held)
-            self.held = None
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
             raise FolderLockedError(11, "another process holds its lock") from None
 
     def unlock(self) -> None:
         """Release the lock, so that another process can take it."""
-        if self.held is not None:
-            os.close(self.held)
-            self.held = None
+        if self.lock_descriptor is not None:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
 
     def names(self) -> list[str]:
         """Return the names of all files in the folder."""
@@ -92,13 +92,13 @@
 
     def write(self, name: str, data: bytes) -> None:
         """Create or truncate the file, write the data and flush it to disk."""
-        self.put(name, data, os.O_CREAT | os.O_TRUNC)
+        self.write_with_flags(name, data, os.O_CREAT | os.O_TRUNC)
 
-    def add(self, name: str, data: bytes) -> None:
+    def append(self, name: str, data: bytes) -> None:
         """Append to an existing file and flush it to disk."""
-        self.put(name, data, os.O_APPEND)
+        self.write_with_flags(name, data, os.O_APPEND)
 
-    def put(self, name: str, data: bytes, open_flags: int) -> None:
+    def write_with_flags(self, name: str, data: bytes, open_flags: int) -> None:
         """Open the file with `open_flags`, write the data and flush it to disk."""
         folder = self.open_folder()
         try:
--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -30,8 +30,8 @@
 STATES = {state.value for state in ServerState}
 
 encoder = msgspec.msgpack.Encoder()
-heads = msgspec.msgpack.Decoder(Header)
-servers = msgspec.msgpack.Decoder(list[ServerRecord])
+header_decoder = msgspec.msgpack.Decoder(Header)
+servers_decoder = msgspec.msgpack.Decoder(list[ServerRecord])
 ids_decoder = msgspec.msgpack.Decoder(list[tuple[int, int]])
 
 
@@ -118,10 +118,10 @@
     """Return the snapshot that the chunks hold. Raise ValueError or an error of msgspec."""
     if not chunks or chunks[0][0] != b"h" or chunks[-1][0] != b"e":
         raise ValueError("no head chunk at the start or no end chunk at the end")
-    snapshot = Snapshot(heads.decode(chunks[0][1]), [], [])
+    snapshot = Snapshot(header_decoder.decode(chunks[0][1]), [], [])
     for kind, data in chunks[1:-1]:
         if kind == b"s":
-            snapshot.servers += servers.decode(data)
+            snapshot.servers += servers_decoder.decode(data)
         elif kind == b"i":
             snapshot.ids += ids_decoder.decode(data)
         else:
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -53,7 +53,7 @@
         ids: ids of recent flows, each with the time at which it was copied.
         logged_error: the last logged error while it lasts, else empty.
         previous_list_version: version of the endpoint list of the previous process.
-        longest: duration of the longest slice, in nanoseconds.
+        longest_slice: duration of the longest slice, in nanoseconds.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self.write_lock = Lock()
         self.stopped = Event()
         self.previous_list_version = 0
-        self.longest = 0
+        self.longest_slice = 0
 
     # At the start, before other threads run.
 
@@ -155,7 +155,7 @@
                 return
             if time.monotonic() >= due:
                 due = time.monotonic() + self.interval
-                self.keep()
+                self.write_generation()
 
     def _run_slice(self, copy: Callable[..., object], *args: object) -> bool:
         """Run a slice in the deciding thread and wait; return False if that thread has ended."""
@@ -165,13 +165,13 @@
             """Run the slice and measure its duration."""
             began = time.perf_counter_ns()
             copy(now, *args)
-            self.longest = max(self.longest, time.perf_counter_ns() - began)
+            self.longest_slice = max(self.longest_slice, time.perf_counter_ns() - began)
             done.set()
 
         self.inbox.post(run)
         return done.wait(SLICE_TIMEOUT)
 
-    def keep(self) -> None:
+    def write_generation(self) -> None:
         """Copy and write one generation."""
         headers: list[Header] = []
         servers: list[Server] = []
@@ -201,7 +201,7 @@
                 time.sleep(SLICE_PAUSE)
         with self.write_lock:
             try:
-                if self.disk.held is None:
+                if self.disk.lock_descriptor is None:
                     # The folder did not exist at the start. Without this check, a file in it of
                     # another balancer or a newer version would be removed two generations later.
                     self.disk.lock()
--- a/tests/faults/test_fault_plan.py
+++ b/tests/faults/test_fault_plan.py
@@ -55,7 +55,7 @@
 
 def test_an_invalid_record_is_rejected_with_one_line(tmp_path):
     file = tmp_path / "record"
-    valid = Fault(1, "up", 0, Kind.CUT).line()
+    valid = Fault(1, "up", 0, Kind.CUT).json_line()
     invalid = '{"connection":0,"direction":"up","at":1,"kind":"cut"}'
     file.write_text(f"{valid}\n{invalid}\n")
     message = "line 2: connection: input should be greater than or equal to 1, not 0"
--- a/tests/state/test_snapshot_writer.py
+++ b/tests/state/test_snapshot_writer.py
@@ -24,9 +24,9 @@
 from state_helpers import recovered_harness
 
 harness = recovered_harness(sys.argv[1])
-harness.writer.keep()
+harness.writer.write_generation()
 resource.setrlimit(resource.RLIMIT_FSIZE, (100, 100))
-harness.writer.keep()
+harness.writer.write_generation()
 print(harness.writer.generation, harness.writer.logged_error)
 """
 
@@ -66,7 +66,7 @@
     server.limit_cut_at = START
     first.seen_ids |= {11: None, 12: None}
     first.writer.copy_ids(START)
-    first.writer.keep()
+    first.writer.write_generation()
     first.seen_ids[13] = None
     first.end()
     second = recovered_harness(tmp_path, now=START + 2 * SECOND)
@@ -84,14 +84,14 @@
     first = recovered_harness(tmp_path)
     for version in range(4):
         first.decoder.version = version
-        first.writer.keep()
+        first.writer.write_generation()
     first.writer.disk.unlock()
     assert file_names(tmp_path) == ["lock", "state.3", "state.4"]
     (tmp_path / "state.4").write_bytes(b"CWSTATE\nnonsense")
     second = recovered_harness(tmp_path)
     assert second.writer.previous_list_version == 2
     assert second.writer.generation == 4
-    second.writer.keep()
+    second.writer.write_generation()
     assert (tmp_path / "state.5").exists()
     assert events(caplog)[-2:] == ["event=state_file_invalid", "event=state_recovered"]
 
@@ -102,7 +102,7 @@
     second.writer.start()
     assert second.writer.disabled
     assert events(caplog)[-1] == "event=state_folder_taken"
-    first.writer.keep()
+    first.writer.write_generation()
     first.writer.disk.unlock()
     assert generation_names(tmp_path) == ["state.1"]
 
@@ -133,16 +133,16 @@
     (folder / "state.8").write_bytes(data)
     for _ in range(3):
         if not harness.writer.disabled:
-            harness.writer.keep()
+            harness.writer.write_generation()
     assert events(caplog) == ["event=state_not_kept", "event=state_file_foreign"]
     assert generation_names(folder) == ["state.8"]
     assert (folder / "state.8").read_bytes() == data
 
 
-def keep_times(harness: WriterHarness, times: int) -> None:
+def write_generations(harness: WriterHarness, times: int) -> None:
     """Write a generation that many times."""
     for _ in range(times):
-        harness.writer.keep()
+        harness.writer.write_generation()
 
 
 def test_folder_error_is_logged_once_until_it_changes(tmp_path, caplog):
@@ -153,24 +153,24 @@
     # The folder is removed.
     (folder / "lock").unlink()
     folder.rmdir()
-    keep_times(harness, 3)
+    write_generations(harness, 3)
     # A file is in its place.
     folder.write_text("a file in its place")
-    keep_times(harness, 3)
+    write_generations(harness, 3)
     # A link to another folder is in its place.
     folder.unlink()
     folder.symlink_to(tmp_path)
-    harness.writer.keep()
+    harness.writer.write_generation()
     # The folder exists again.
     folder.unlink()
     folder.mkdir()
-    harness.writer.keep()
+    harness.writer.write_generation()
     # The file `next` is a link, then a pipe.
     (folder / "next").symlink_to(tmp_path / "elsewhere")
-    harness.writer.keep()
+    harness.writer.write_generation()
     (folder / "next").unlink()
     os.mkfifo(folder / "next")
-    harness.writer.keep()
+    harness.writer.write_generation()
     assert not (tmp_path / "elsewhere").exists()
     assert events(caplog) == [
         "event=state_none",
@@ -197,7 +197,7 @@
 def test_folder_of_another_user_is_not_used(tmp_path, caplog):
     os.chown(tmp_path, 12345, -1)
     harness = recovered_harness(tmp_path)
-    harness.writer.keep()
+    harness.writer.write_generation()
     os.chown(tmp_path, 0, -1)
     assert events(caplog) == ["event=state_not_kept"] * 2
     assert not list(tmp_path.iterdir())
@@ -222,11 +222,11 @@
     writer.ids.extend((flow_id, START) for flow_id in range(100_000))
     harness.seen_ids |= dict.fromkeys(range(200_000, 202_000))
     writer.copy_ids(START)
-    writer.keep()
-    writer.longest = 0
-    writer.keep()
+    writer.write_generation()
+    writer.longest_slice = 0
+    writer.write_generation()
     content = file_format.decode((tmp_path / "state.2").read_bytes())
     assert len(content.servers) == 10_000
     assert len(content.ids) == 100_000  # the oldest were dropped
     # The limit in docs/measurements/state.md is one millisecond; 20 ms allow for a loaded machine.
-    assert writer.longest < SECOND // 50
+    assert writer.longest_slice < SECOND // 50
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -41,8 +41,8 @@
     "agreement_witness": agreement_store.witness_decoder.decode,
     "copies_head": copies_store.head_decoder.decode,
     "copies_batch": copies_store.batch_decoder.decode,
-    "kept_head": file_format.heads.decode,
-    "kept_servers": file_format.servers.decode,
+    "kept_head": file_format.header_decoder.decode,
+    "kept_servers": file_format.servers_decoder.decode,
 }
 
 
