--- a/cypresswalk/fleet/recovery.py
+++ b/cypresswalk/fleet/recovery.py
@@ -23,8 +23,8 @@
 def recover(folder: str, fleet: str, name: str, by: str) -> dict[str, Any]:
     """Create a new group from the log of one member of the old group.
 
-    All entries of the log are applied, committed or not: an entry that this member does not know to
-    be committed may have been, and been acknowledged.
+    All entries of the log are applied, even if this member does not know that they were committed:
+    they may have been committed and acknowledged.
 
     Args:
         folder: path of the member's folder.
@@ -95,7 +95,7 @@
     state.pending = None
     state.voters = [name]
     state.fenced_groups = [*state.fenced_groups, group][-MAX_FENCED_GROUPS:]
-    what = f"group {group} given up; {name} begins anew"
+    what = f"group {group} abandoned; {name} starts a new group"
     at_ms = time.time_ns() // MILLISECOND
     state.history.append(HistoryRecord(state.version, by, at_ms, what))
 
