--- a/cypresswalk/fleet/addresses.py
+++ b/cypresswalk/fleet/addresses.py
@@ -15,10 +15,10 @@
 
 
 class AddressBook:
-    """Resolves members to addresses, from the operator's table, the group's members and Hellos."""
+    """Addresses of members, from the operator's table, the group's members and Hellos."""
 
     def __init__(self, table: FleetTable):
-        """Begin with the addresses of the table's seed members."""
+        """Read the seed members and the overriding addresses from the operator's table."""
         self._routes = table.via
         self._seed_names = {address: name for name, address in table.first.items()}
         # By member id, from Hello messages: a balancer that has just joined has no member list yet.
--- a/cypresswalk/fleet/bootstrap.py
+++ b/cypresswalk/fleet/bootstrap.py
@@ -22,12 +22,12 @@
 log = logging.getLogger(__name__)
 SEARCH_INTERVAL = SECOND // 2  # how often a balancer without a group looks for one
 LEADER_LOST = 3 * SECOND  # a member without contact to a leader for this long searches, too
-MAX_RESPONSES = 32
+MAX_RESPONSES = 32  # of other balancers, remembered at a time
 
 
 @dataclass(frozen=True, slots=True)
 class ReplacedRead:
-    """A read token for a discovery request whose incarnation may have been replaced.
+    """A read token for a discovery request whose sender may have been replaced.
 
     Once the read is confirmed, the requester can be notified that it is no longer a member.
     """
@@ -36,7 +36,7 @@
 
 
 class GroupDiscovery:
-    """Finds or bootstraps this member's group, and answers the discovery requests of others."""
+    """Discovery or bootstrap of this member's group, and answers to other balancers."""
 
     def __init__(self, context: MemberContext, now: int):
         """Schedule the first search for the first call of `on_time`."""
--- a/cypresswalk/fleet/call_commands.py
+++ b/cypresswalk/fleet/call_commands.py
@@ -1,4 +1,4 @@
-"""Builds the command for a call. No I/O, no clock.
+"""Building of the command for a call. No I/O, no clock.
 
 All functions raise KeyError, TypeError, ValueError or msgspec.ValidationError if the arguments are
 malformed or the command could never be applied.
--- a/cypresswalk/fleet/call_forwarding.py
+++ b/cypresswalk/fleet/call_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards calls made at this member to the current leader, and retries unanswered ones.
+"""Forwarding of calls from this member to the current leader, with retries of unanswered ones.
 
 No I/O, no clock.
 """
@@ -37,7 +37,7 @@
 
 
 class CallForwarder:
-    """Keeps the pending calls of this member by number, and forwards them."""
+    """The pending calls of this member, by number, and their forwarding."""
 
     def __init__(self, context: MemberContext):
         """Begin without pending calls."""
--- a/cypresswalk/fleet/client.py
+++ b/cypresswalk/fleet/client.py
@@ -140,7 +140,7 @@
     for number, view, replicas in parts:
         states = [found.get(number, {}).get(replica, ([], {})) for replica in replicas]
         complete = [view, True, False]
-        if any(shape != complete or digests != states[0][1] for shape, digests in states):
+        if any(status != complete or digests != states[0][1] for status, digests in states):
             lines.append(
                 f"part {number}, view {view}: "
                 + "; ".join(
--- a/cypresswalk/fleet/commands.py
+++ b/cypresswalk/fleet/commands.py
@@ -126,7 +126,7 @@
 
 
 class Halt(Command, frozen=True):
-    """Stop all removals from service by calls until an operator resumes."""
+    """Refuse calls that take a balancer or server out of service, until an operator resumes."""
 
     why: str
 
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -1,4 +1,4 @@
-"""Applies the state that the fleet has agreed on to one balancer's core.
+"""Application of the state that the fleet has agreed on to one balancer's core.
 
 That state is the settings, the endpoint list and the servers out of rotation. Everything here runs
 in the deciding thread, except for the check of proposed settings, which reads only data that never
@@ -31,7 +31,7 @@
 
 
 class CoreBinding:
-    """Connects one balancer's fleet member with its core.
+    """Connection of one balancer's fleet member with its core.
 
     The core and the hand-over between processes call only the methods of `net.ports.FleetBinding`.
 
@@ -58,7 +58,6 @@
             post: makes the deciding thread call a function with the time and the given arguments.
             registry: returns the decoder that knows the names of servers.
         """
-        # Over 40 lines, since each part takes a line.
         self.core = core
         self.params = read_file(config.path)["settings"]
         self.fleet = FleetThread(
@@ -92,8 +91,9 @@
                 core, self.fleet, post, table.copies.share
             )
             if core.lifecycle.phase is not Phase.STARTING:
-                # No predecessor reports the budgets that it has used, so they count as used up, as
-                # after its loss. During the start a predecessor may still report them.
+                # No predecessor reports the slow-start and retry budgets that it has used, so they
+                # count as used up, as if it had been lost. During the start a predecessor may still
+                # report them.
                 core.balancer.on_predecessor_lost(core.balancer.traffic.started_at)
         self.fleet.flow_counts_provider = self.observations.served_counts
         self.fleet.server_report_provider = self.observations.server_report
@@ -199,7 +199,7 @@
         if version < self.version:
             return
         if settings is not None and shared_settings.objection(self.params, settings):
-            return  # without that lease, this process waits until it runs the member itself
+            return  # this process has no lease until it runs the member itself
         if settings is not None and int(state["settings_version"]) > self.settings_version:
             self.apply_settings(now, settings)
             self.settings_version = int(state["settings_version"])
--- a/cypresswalk/fleet/disruption_bounds.py
+++ b/cypresswalk/fleet/disruption_bounds.py
@@ -61,7 +61,7 @@
 ) -> str:
     """Return why the current release may not change that balancer or server, or an empty string.
 
-    During a rollback, changing a balancer or server that is certainly out counts as healing it.
+    During a rollback, changing a balancer or server that is certainly out counts as a repair.
     Otherwise a bad version that took out more than the bound allows could never be rolled back.
     """
     release = state.release
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -71,7 +71,7 @@
 
 
 class FleetThread:
-    """Owns the member, its folder and its connections.
+    """Owner of the member, its folder and its connections.
 
     Any thread may call the public methods, unless stated otherwise.
 
@@ -104,7 +104,6 @@
             on_lease_begun: called by this thread when a lease begins after a time without one.
             now: clock in nanoseconds that also runs while the machine is suspended.
         """
-        # Over 40 lines, since each attribute takes a line.
         self.table = table
         self.check_settings = check_settings
         self.own_settings = own_settings
@@ -187,7 +186,7 @@
         self.on_version_applied(version)
 
     def on_version_applied(self, version: int) -> None:
-        """Note that the deciding thread now acts on `version`."""
+        """Record that the deciding thread now acts on `version`."""
         self.applied_version = max(self.applied_version, version)
         self.queue.put(VersionApplied(version))
 
@@ -200,7 +199,7 @@
         self.queue.put(LeadershipReleased())
 
     def stop(self) -> None:
-        """Stop the member for another process of this balancer; the lease stays valid."""
+        """Stop the member so that another process can run it; the lease stays valid."""
         self._stopping.set()
         self.queue.put(StopRequested())
 
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -1,4 +1,4 @@
-"""Merges a balancer's own endpoint list with the agreed one; the more restrictive state applies.
+"""Merge of a balancer's own endpoint list with the agreed one; the more restrictive state applies.
 
 The balancer's own list agent alone can't lift a restriction: a server that is not in service in the
 agreed list gets no new flows, whatever that agent reports.
@@ -22,7 +22,7 @@
 
 
 class EndpointMerge:
-    """Keeps both lists, and reports the balancer's own list to the fleet.
+    """Both lists, their merge, and the reports of the balancer's own list to the fleet.
 
     Attributes:
         agreed: state and latest start (nanoseconds) of each server in the agreed list, by server
--- a/cypresswalk/fleet/fleet_commands.py
+++ b/cypresswalk/fleet/fleet_commands.py
@@ -29,7 +29,7 @@
 
 
 class FleetCommands:
-    """Sends commands to the fleet, and replies to the caller once the fleet has answered.
+    """Sender of commands to the fleet that replies to a caller once the fleet has answered.
 
     All methods run in the deciding thread.
     """
--- a/cypresswalk/fleet/leader.py
+++ b/cypresswalk/fleet/leader.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedVersion:
-    """The version that a member acts on, and the time of its first report of it, in nanoseconds."""
+    """The version that a member acts on, and the time (ns) of the first report that named it."""
 
     version: int
     since: int
--- a/cypresswalk/fleet/leader_availability.py
+++ b/cypresswalk/fleet/leader_availability.py
@@ -31,7 +31,7 @@
 
 
 class BalancerDuty:
-    """Tracks which balancers are out, and ends their leave grants."""
+    """Duty to track which balancers are out and to end their leave grants."""
 
     def __init__(self, context: MemberContext, grants: LeaseGrants | None):
         """Begin with nothing known."""
@@ -71,7 +71,7 @@
 
 
 class ServerDuty:
-    """Tracks which servers are out, and records returning ones that have been seen ready."""
+    """Duty to track which servers are out and to record returning ones that were seen ready."""
 
     def __init__(self, context: MemberContext, grants: LeaseGrants | None):
         """Begin with nothing known."""
--- a/cypresswalk/fleet/leader_calls.py
+++ b/cypresswalk/fleet/leader_calls.py
@@ -45,7 +45,7 @@
 
 
 class LeaderCalls:
-    """Carries out calls during one period with or without leadership.
+    """Calls that are carried out during one period with or without leadership.
 
     Recreated with `LeaderDuties`. A reply whose body has `again` set tells the caller to retry the
     call at the current leader.
--- a/cypresswalk/fleet/leader_membership.py
+++ b/cypresswalk/fleet/leader_membership.py
@@ -11,7 +11,7 @@
 
 
 class MembershipDuty:
-    """Adds balancers and changes the voters, one step at a time (Raft dissertation, 4.1)."""
+    """Duty to change members and voters, one step at a time (Raft dissertation, 4.1)."""
 
     def __init__(self, context: MemberContext):
         """Begin without join requests."""
--- a/cypresswalk/fleet/leader_releases.py
+++ b/cypresswalk/fleet/leader_releases.py
@@ -19,7 +19,7 @@
 
 
 class ReleaseDuty:
-    """Passes the situation to `ReleaseControl` and proposes the commands that it decides on."""
+    """Duty to pass the situation to `ReleaseControl` and to propose the commands it decides on."""
 
     def __init__(self, context: MemberContext, balancers: BalancerDuty, servers: ServerDuty):
         """Begin without observations."""
@@ -63,14 +63,14 @@
     ) -> ReleaseSituation:
         state = self.context.state
         reports = self.balancers.reports
-        fresh = self.context.config.max_contradiction
+        max_age = self.context.config.max_contradiction
         return ReleaseSituation(
             release,
             halted=state.halted is not None,
             served={
                 name: latest.served
                 for name, latest in reports.items()
-                if now - latest.received_at <= fresh
+                if now - latest.received_at <= max_age
             },
             out=set(unavailable),
             counted_against_bound=set(state.leave_grants),
--- a/cypresswalk/fleet/leader_replicas.py
+++ b/cypresswalk/fleet/leader_replicas.py
@@ -10,12 +10,12 @@
 
 # The longest attempt timeout that a client may request, as a multiple of the longest `giveUp`
 # (net/core.py).
-MAX_REQUESTED_TIMEOUTS = 20
+MAX_REQUESTED_TIMEOUT_FACTOR = 20
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 class ReplicaDuty:
-    """Passes the state to `ReplicaPlacement` and proposes the placements that it decides on."""
+    """Duty to pass the state to `ReplicaPlacement` and to propose the placements it decides on."""
 
     def __init__(self, context: MemberContext, placement: ReplicaPlacement):
         """Begin a period of leadership, for which `placement` has been reset."""
@@ -48,7 +48,7 @@
             context.propose(now, PlaceReplicas(*context.command_header("place"), proposals))
 
     def recreate_partitions(self, now: int, partitions: list[int], by: str) -> str:
-        """Recreate lost partitions as empty ones, on an operator's request.
+        """Let partitions without a reachable complete replica begin empty, as an operator requests.
 
         Requests whose keys were reserved there may run a second time.
 
@@ -56,7 +56,7 @@
             The answer for the operator.
 
         Raises:
-            ValueError: a partition still has replicas, or no partition was given.
+            ValueError: a partition has a reachable complete replica, or no partition was given.
             BusyError: the log is busy.
         """
         with_replicas = [p for p in partitions if p not in self.placement.unreachable]
@@ -79,5 +79,5 @@
     service_types = settings.get("serviceTypes") or []
     window_ms = max((float(kind.get("window", 0.0)) for kind in service_types), default=0.0)
     timeout_ms = max((float(kind.get("giveUp", 0.0)) for kind in service_types), default=0.0)
-    longest_ms = window_ms + (MAX_REQUESTED_TIMEOUTS + 1) * timeout_ms
+    longest_ms = window_ms + (MAX_REQUESTED_TIMEOUT_FACTOR + 1) * timeout_ms
     return int(longest_ms * NANOSECONDS_PER_MILLISECOND) + 2 * MAX_CLOCK_SKEW
--- a/cypresswalk/fleet/leader_settings.py
+++ b/cypresswalk/fleet/leader_settings.py
@@ -17,7 +17,7 @@
 
 
 class SettingsDuty:
-    """Activates proposed settings once every acting balancer can use them, or rejects them."""
+    """Duty to activate proposed settings once all acting balancers can use them, or reject them."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
 
 
 class EndpointListDuty:
-    """Proposes an endpoint list that a majority of voters received from their own list agents.
+    """Duty to propose an endpoint list that a majority of voters got from their own list agents.
 
     The lists must be identical byte for byte, so that a single faulty agent can't change anything.
     A list from an agent that lags behind is ignored, since its generation is not later than the
--- a/cypresswalk/fleet/lease_client.py
+++ b/cypresswalk/fleet/lease_client.py
@@ -8,11 +8,11 @@
 # The next lease is requested after `max_contradiction` divided by one of these.
 RENEWAL_DIVISOR = 4  # while a lease is held
 RETRY_DIVISOR = 20  # without a lease
-JITTER_DIVISOR = 4  # a random share of up to the wait divided by this is subtracted from it
+JITTER_DIVISOR = 4  # the wait is shortened by a random time of up to wait / JITTER_DIVISOR
 
 
 class LeaseClient:
-    """Requests leases, and computes until when the deciding thread may act."""
+    """Requests for leases, and the time until which the deciding thread may act."""
 
     def __init__(self, context: MemberContext, now: int, applied_version: int):
         """Begin without a lease; the deciding thread acts on `applied_version`."""
@@ -61,7 +61,7 @@
         self.lease.on_grant(grant.number, grant.version)
 
     def on_version_applied(self, now: int, version: int) -> None:
-        """Note that the deciding thread now acts on `version`; the leader is informed at once."""
+        """Record that the deciding thread now acts on `version`; request a lease, to report it."""
         if version > self.applied_version:
             self.applied_version = version
             self.request_at = now
--- a/cypresswalk/fleet/leases.py
+++ b/cypresswalk/fleet/leases.py
@@ -24,7 +24,7 @@
 
 
 def holder_span(max_contradiction: int) -> int:
-    """Return the holder's span (ns), shorter so that a slow clock does not extend the lease."""
+    """Return the holder's span (ns) from its request, shortened to allow for a slow clock."""
     return int(max_contradiction / (1 + MAX_CLOCK_DRIFT))
 
 
@@ -63,7 +63,7 @@
         return self.last_number
 
     def on_grant(self, number: int, version: int) -> None:
-        """Process a grant, unless its request is not outstanding or older than the lease's."""
+        """Process a grant; ignore it if its request isn't outstanding or older than the lease's."""
         requested_at = self.outstanding.pop(number, None)
         if requested_at is None:
             return
@@ -73,7 +73,7 @@
             self.granted_number = number
 
     def valid_until(self, applied_version: int) -> int:
-        """Return when the lease ends; 0 without one or if it is on a later version."""
+        """Return when the lease ends; 0 without one or if `applied_version` is too old for it."""
         if self.requested_at is None or applied_version < self.version:
             return 0
         return self.requested_at + self.span
--- a/cypresswalk/fleet/local_observations.py
+++ b/cypresswalk/fleet/local_observations.py
@@ -24,7 +24,7 @@
 
 
 class LocalObservations:
-    """Counts the outcomes of attempts, and reports on servers.
+    """Counts of the outcomes of attempts, and reports on servers.
 
     The deciding thread calls `on_attempt_established` and `on_attempt_ended`, the fleet thread the
     other methods.
--- a/cypresswalk/fleet/member.py
+++ b/cypresswalk/fleet/member.py
@@ -112,7 +112,6 @@
         Raises:
             msgspec.DecodeError: the persisted state can't be decoded.
         """
-        # Over 40 lines since it sets one attribute a line.
         self.context = MemberContext(config, identity, host, random)
         self.own_settings = own_settings
         self.placement = placement
@@ -231,7 +230,7 @@
             self.context.send(self.leader, request)
 
     def on_version_applied(self, now: int, version: int) -> None:
-        """Note that the deciding thread acts on that version now."""
+        """Record that the deciding thread now acts on `version`."""
         self.lease_client.on_version_applied(now, version)
 
     def on_list_received(
@@ -244,7 +243,7 @@
             client.request_at = min(client.request_at, now)
 
     def on_replica_capability(self, now: int, holds_replicas: bool) -> None:
-        """Note whether this balancer can hold replicas of keys from now on."""
+        """Record whether this balancer can now hold replicas of keys, and report it."""
         self.lease_client.holds_replicas = holds_replicas
         self.lease_client.request_at = now
 
@@ -284,9 +283,9 @@
         else:
             reply(False, {"why": "not the leader", "again": True})
 
-    def call(self, now: int, name: str, args: dict[str, Any], reply: Reply, span: int) -> None:
-        """Call the leader; `reply` is called once, within `span` nanoseconds."""
-        self.forwarder.call(now, name, args, reply, span, self.leader_calls)
+    def call(self, now: int, name: str, args: dict[str, Any], reply: Reply, timeout: int) -> None:
+        """Call the leader; `reply` is called once, within `timeout` nanoseconds."""
+        self.forwarder.call(now, name, args, reply, timeout, self.leader_calls)
 
     def take(self) -> MemberEffects | None:
         """Return the next work for the owner, or None."""
@@ -305,7 +304,7 @@
         return MemberEffects(new_log=new_log, ready=ready, messages=messages)
 
     def on_written(self, now: int, ready: Ready) -> None:
-        """Note that the data of `ready` is on disk."""
+        """Record that the data of `ready` is on disk."""
         self.context.raft.on_persisted(now, ready)
         self._check_leadership(now)
 
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -99,6 +99,9 @@
 class MemberIdentity:
     """The incarnation of a balancer that a member runs as.
 
+    A balancer gets a new incarnation if its folder holds no log, or if the identity stored there
+    must be given up.
+
     Attributes:
         id: name#incarnation.
         group: group that it belongs to, or an empty string.
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -14,7 +14,7 @@
 
 
 class MemberFolder:
-    """Reads and writes one member's log; used by the fleet's thread alone."""
+    """Lock and log of one member in its folder; used by the fleet's thread alone."""
 
     def __init__(self, path: str, fleet: str, name: str):
         """Use the folder at `path` for the balancer `name` of the fleet."""
--- a/cypresswalk/fleet/message_router.py
+++ b/cypresswalk/fleet/message_router.py
@@ -21,7 +21,7 @@
     """Router that passes each message to its receiver; no method blocks."""
 
     def __init__(self, table: FleetTable, transport: Transport, replication: Any):
-        """Route by these tables and threads.
+        """Store the receivers, and read addresses from the operator's table.
 
         Args:
             table: the operator's table of the fleet.
--- a/cypresswalk/fleet/messages.py
+++ b/cypresswalk/fleet/messages.py
@@ -60,7 +60,8 @@
     """Answer to a Hello that is not accepted.
 
     Attributes:
-        code: "fleet", "protocol", "replaced" or "put-back".
+        code: "fleet" (other fleet), "protocol" (other version), "replaced" (receiver has another id
+            than the sender expects) or "put-back" (a later start of the sender is known).
         reason: explanation for people.
     """
 
@@ -172,7 +173,7 @@
 
 
 class LeaseGrant(Message, frozen=True, tag="Grant"):
-    """Grant of the lease request `number`, for the agreed version `version`."""
+    """Grant of the lease request `number`; valid for acting on `version` or a later one."""
 
     number: int
     version: int
--- a/cypresswalk/fleet/outgoing_link.py
+++ b/cypresswalk/fleet/outgoing_link.py
@@ -45,7 +45,7 @@
         """Process the loss of a connection by an error."""
 
     def remove_link(self, link: "OutgoingLink") -> None:
-        """Remove and end an idle link, unless it has frames to send again."""
+        """Remove and end an idle link, unless a frame has been queued meanwhile."""
 
 
 class OutgoingLink:
--- a/cypresswalk/fleet/release_commands.py
+++ b/cypresswalk/fleet/release_commands.py
@@ -1,8 +1,8 @@
 """Handlers of the release commands: a table from command class to function on the fleet's state.
 
 No I/O, no clock. What counts against the bound is, in a release of balancers, their leave grants,
-and in a release of servers, the servers that it keeps out of rotation. The latter are part of the
-version.
+and in a release of servers, the servers that it keeps out of rotation. Each change of the
+latter starts a new version.
 """
 
 from collections.abc import Callable
--- a/cypresswalk/fleet/release_control.py
+++ b/cypresswalk/fleet/release_control.py
@@ -16,8 +16,8 @@
 TURN_RETRY_INTERVAL = SECOND // 2  # between two proposals of the same target's turn
 MAX_CHANGED_OUT = 10 * SECOND  # after which a changed target that is out counts as lost
 MAX_RELAPSES = 2  # number of times that a changed server becomes unhealthy before a halt
-# After which a turn ends that a server's agent has not used. The agent can begin only after all
-# balancers act on the version that takes the server out.
+# A server's turn ends after this time if its agent has not used it. The agent can begin only after
+# all balancers act on the version that takes the server out.
 UNUSED_TURN_TIMEOUT = 30 * SECOND
 LONG_AGO = -1 << 62
 UNKNOWN_BOOT = 1 << 62
@@ -275,7 +275,7 @@
         return ""
 
     def _observe_wave(self, now: int, release: Release, wave: list[str]) -> ReleaseAction | None:
-        """Observe a wave that is changed and in; pass it after its hold time, given evidence."""
+        """Observe a changed wave in service; pass it after its hold time, given evidence."""
         plan = release.plan
         if self.healthy_since is None:
             self.healthy_since = now
--- a/cypresswalk/fleet/replica_placement.py
+++ b/cypresswalk/fleet/replica_placement.py
@@ -1,10 +1,10 @@
 """The leader's placement of the replicas of each partition of the idempotency keys.
 
 No I/O, no clock. A partition's view is a number and its replicas, agreed in the log. Sealing one
-complete replica ends a view. The next view begins when each of its replicas is complete. Reachable
-replicas of the old view are complete already; new ones fetch the partition from the sealed one.
-Unreachable replicas are left out at once, as long as enough others remain. Replacing them follows,
-for a few partitions at a time.
+complete replica ends a view: nothing is granted in it any more. The next view begins when each of
+its replicas is complete. Reachable replicas of the old view are complete already; new ones fetch
+the partition from the sealed one. Unreachable replicas are left out at once, as long as enough
+others remain. Replacing them follows, for a few partitions at a time.
 
 A wrong decision here only costs time: a replica that is not complete knows it (copies/replica.py),
 and the state machine rejects a view that does not directly follow the agreed one.
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
-# For which the first placement waits for more members, if there are fewer members than replicas.
+# The first placement waits this long if fewer members can hold replicas than are needed.
 SETTLING_TIME = 5 * SECOND
 RESEND_INTERVAL = 3 * SECOND // 10  # after which an unanswered message is sent again
 REPROPOSE_INTERVAL = 2 * SECOND
@@ -135,7 +135,7 @@
         self.may_begin_empty.clear()
 
     def on_capability(self, member: str, able: bool) -> None:
-        """Note whether a member can hold replicas."""
+        """Record whether a member can hold replicas."""
         self.can_hold_replicas[member] = able
 
     def on_message(self, now: int, source: str, message: AnyMessage, views: Views) -> None:
--- a/cypresswalk/fleet/results.py
+++ b/cypresswalk/fleet/results.py
@@ -9,7 +9,7 @@
     Snapshots store it with the command's id, so that a repeated command gets the same answer.
 
     Attributes:
-        accepted: whether the command changed the state as requested.
+        accepted: whether the command was accepted; the state may have been as requested before.
         message: answer for people.
     """
 
--- a/cypresswalk/fleet/shared_settings.py
+++ b/cypresswalk/fleet/shared_settings.py
@@ -68,7 +68,7 @@
 
 
 def names_error(params: dict[str, Any]) -> str:
-    """Return the error in the names of service types and tenants, or an empty string.
+    """Return the error in names or in `giveUp` of service types and tenants, or an empty string.
 
     Raises:
         KeyError, TypeError, ValueError, AttributeError: the settings have the wrong structure.
--- a/cypresswalk/fleet/transport.py
+++ b/cypresswalk/fleet/transport.py
@@ -136,7 +136,7 @@
         self.post(ConnectionRejected(to, rejection))
 
     def remove_link(self, link: OutgoingLink) -> None:
-        """Remove and end an idle link, unless it has frames to send again."""
+        """Remove and end an idle link, unless a frame has been queued meanwhile."""
         with self._lock:
             if link.queue.empty():
                 link.ended = True
--- a/cypresswalk/fleet/unavailability.py
+++ b/cypresswalk/fleet/unavailability.py
@@ -92,10 +92,10 @@
         for member in members:
             if member.name in departed:
                 continue
-            ready, said_at = self.readiness.get(member.id, (None, 0))
+            ready, reported_at = self.readiness.get(member.id, (None, 0))
             if member.id in unreachable:
                 reasons[member.name] = LAPSED if member.id in lapsed else UNHEARD
-            elif ready is None or now - said_at > self.max_contradiction:
+            elif ready is None or now - reported_at > self.max_contradiction:
                 reasons[member.name] = UNKNOWN
             elif not ready:
                 reasons[member.name] = UNREADY
--- a/tests/fleet/test_replica_placement.py
+++ b/tests/fleet/test_replica_placement.py
@@ -23,7 +23,7 @@
 MIN_REPLICAS = 2
 # Nanoseconds after which a partition without any replica begins empty.
 MAX_UNAVAILABLE = 60 * SECOND
-# A reservation that outlasts each test.
+# End of a reservation that outlasts each test.
 NEVER = 1 << 62
 
 # View and replicas of a partition, as agreed.
@@ -77,7 +77,7 @@
         """Return the replicas of members that answer, with the members' ids."""
         return [(name, replica) for name, replica in self.replicas.items() if self.is_alive(name)]
 
-    def tell_leader(self, member: str, message: AnyMessage) -> None:
+    def deliver_to_leader(self, member: str, message: AnyMessage) -> None:
         """Deliver a replica's message to the leader."""
         self.placement.on_message(self.now, member, message, self.views)
 
@@ -87,7 +87,7 @@
         while replica.effects:
             match replica.effects.pop(0):
                 case SendToLeader(message):
-                    self.tell_leader(member, message)
+                    self.deliver_to_leader(member, message)
                 case AnswerRequest(_, answer):
                     self.results.append(answer.result)
                 case SendMessage(receiver, message) if self.is_alive(receiver):
@@ -96,7 +96,7 @@
     def deliver(self, sender: str, receiver: str, message: AnyMessage) -> None:
         """Deliver a message to another replica, or to the leader if it is the receiver."""
         if isinstance(message, PartitionSealed | PartitionFetched):
-            self.tell_leader(sender, message)
+            self.deliver_to_leader(sender, message)
         else:
             assert isinstance(message, PartitionMessage)
             self.replicas[receiver].on_message(sender, message)
@@ -125,7 +125,7 @@
             replica.on_message("m0#1", message)
         for effect in [found for found in replica.effects if isinstance(found, SendMessage)]:
             if isinstance(effect.message, PartitionSealed | PartitionFetched):
-                self.tell_leader(receiver, effect.message)
+                self.deliver_to_leader(receiver, effect.message)
                 replica.effects.remove(effect)
         self.carry_out(receiver)
 
@@ -153,7 +153,7 @@
             for partition, (view, chosen) in self.views.items():
                 state = replica.partition(partition)
                 if name in chosen and state.view == view and not state.complete:
-                    self.tell_leader(name, ReplicaSlow(partition, view, name))
+                    self.deliver_to_leader(name, ReplicaSlow(partition, view, name))
 
     def revive(self, member: str) -> None:
         """Make a member answer again, with all that was agreed in the meantime."""
@@ -269,7 +269,7 @@
     fleet.change_leader()
     # A sealed primary reports that it is sealed until the next view begins.
     for partition, (view, chosen) in fleet.views.items():
-        fleet.tell_leader(chosen[0], PartitionSealed(partition, view, True))
+        fleet.deliver_to_leader(chosen[0], PartitionSealed(partition, view, True))
     fleet.run(3)
     fleet.reserve_everywhere("x")
     assert len(fleet.granted) == PARTITIONS
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -11,7 +11,7 @@
 from cypresswalk.model import SECOND
 
 MILLISECOND = SECOND // 1000
-OWNER = "n0#1/1.1"  # owner of the reservations
+OWNER = "n0#1/1.1"
 BUSY = b"BUSY\r\n"
 
 
--- a/tests/fleet/test_server_observations.py
+++ b/tests/fleet/test_server_observations.py
@@ -41,9 +41,8 @@
 
 def test_counts_are_summed_over_restarts_of_a_balancer():
     observations = ServerObservations(VALID_FOR)
-    observations.on_report(
-        SECOND, "n0#1", 4, ServerReport([])
-    )  # the totals start from its first report
+    # Only what is counted after a member's first report is added to the totals.
+    observations.on_report(SECOND, "n0#1", 4, ServerReport([]))
     for at, counts in ((7, (10, 0, 1, 50)), (8, (14, 0, 1, 70)), (9, (3, 0, 0, 9))):
         report = ServerReport(flow_counts={"s0": counts})
         observations.on_report(at * SECOND, "n0#1", 4, report)
