--- a/cypresswalk/net/admin.py
+++ b/cypresswalk/net/admin.py
@@ -137,7 +137,7 @@
         Closing a connection with unread input resets it, and the caller could lose the reply.
         """
         deadline = self.inbox.clock() + self.limits.idle_grace
-        left = self.limits.max_drained_bytes
+        left = self.limits.max_discarded_bytes
         while left > 0 and (wait := deadline - self.inbox.clock()) > 0:
             caller.set_read_timeout(max(wait, MILLISECOND))
             data = caller.sock.recv(self.limits.max_line_bytes)
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -58,7 +58,7 @@
         self.relay: Relay | None = None
         self._unopened = unopened
         self._opened = False  # whether the first line is complete
-        self._dismissed = False  # whether `dismiss` has freed its place for others
+        self._dismissed = False  # whether `dismiss` has ended it to free its slot
         self._lines = LineParser(limits.max_line_bytes)
         # Held while lines are parsed and forwarded, and while `_opened` and `_dismissed` change.
         self._lock = Lock()
@@ -132,21 +132,23 @@
             self._lines.feed(data)
             return True
         if self._dismissed:
-            raise ProtocolError("no first line, and its place was needed by others")
+            raise ProtocolError("no first line, and its slot was needed for another client")
         return False
 
     def _open(self, line: bytes) -> OpenRequest:
         request = parse_open_request(line)
         with self._lock:
             if self._dismissed:
-                raise ProtocolError("first line arrived after its place was taken for others")
+                raise ProtocolError(
+                    "first line arrived after its slot was freed for another client"
+                )
             self._opened = True
         self._unopened.pop(self, None)
         self.link.set_read_timeout(0)
         return request
 
     def dismiss(self) -> bool:
-        """End a client that has sent nothing, to free its place; return whether it was ended.
+        """End a client that has sent nothing, to free its slot; return whether it was ended.
 
         The client's own thread then reads an end of stream and replies, so that a first line that
         arrives at the same time is rejected. A client whose line has arrived is kept.
@@ -168,10 +170,10 @@
 
         Closing a socket with unread data sends a reset, and the client could lose the reply.
         """
-        # A dismissed client must free its place soon, but its first line may still be in transit.
+        # A dismissed client must free its slot soon, but its first line may still be in transit.
         duration = self.limits.idle_grace if self._dismissed else self.limits.linger_timeout
         deadline = self.inbox.clock() + duration
-        remaining_bytes = self.limits.max_drained_bytes
+        remaining_bytes = self.limits.max_discarded_bytes
         try:
             while (wait := deadline - self.inbox.clock()) > 0:
                 self.link.set_read_timeout(max(wait, MILLISECOND))
@@ -184,7 +186,7 @@
                 elif self._dismissed and not self.link.peer_closed():
                     # After `dismiss` a read returns an end at once, even if the client has not
                     # ended.
-                    time.sleep(self.limits.drain_poll_interval / SECOND)
+                    time.sleep(self.limits.dismissed_poll_interval / SECOND)
                 else:
                     return
         except OSError:
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -1,7 +1,8 @@
 """The core of the balancer: passes events to the decisions and their results to the drivers.
 
-It does no I/O, reads no clock, and is called by the deciding thread only. The methods follow the
-life of a request: accepted, admitted, placed, attempted, established or retried or rejected, ended.
+The decisions are made by cypresswalk/decisions/. The core does no I/O, reads no clock, and is
+called by one thread only, the deciding thread. The methods follow the life of a request: accepted,
+admitted, placed, attempted, established or retried or rejected, ended.
 """
 
 import logging
@@ -68,7 +69,6 @@
         policy: type[Balancer] = Balancer,
     ):
         """Create and connect all parts; `policy` is the class that makes the decisions."""
-        # Longer than 40 lines because each part is created on a line of its own.
         self.limits = config.limits
         self.drivers = drivers
         self.counters = counters
@@ -138,7 +138,8 @@
     def _is_acceptable(self, request: OpenRequest, timeout: int) -> bool:
         """Return whether the request's service type, tenant and timeout fit the settings.
 
-        Servers would refuse it otherwise.
+        Servers would refuse it otherwise. A resumed flow (`at`) may have any timeout, since
+        `Limits.resume_timeout` applies to it instead.
         """
         values = request.values
         tenant = values.get("t")
@@ -153,6 +154,7 @@
     def _make_flow(self, now: int, request: OpenRequest, flow_id: int, timeout: int) -> Flow:
         values = request.values
         group = values.get("g") if self.groups else None
+        # A key of zeros and hyphens only means that there is no key.
         has_key = group or request.key.strip("0-")
         key = stable_hash(group or request.key) if has_key else flow_id
         deadline = now + timeout - self.limits.answer_margin
@@ -434,7 +436,7 @@
             now: The current time, in nanoseconds.
             update: The kind of update, such as a whole list or changed entries.
             entries: The entries of the update.
-            older: Whether it comes from a list that is older than one that was acted on before.
+            older: Whether the update is from a list that is older than one applied before.
         """
         self.counters.add("lists")
         if self.extensions.fleet is not None:
--- a/cypresswalk/net/endpoints.py
+++ b/cypresswalk/net/endpoints.py
@@ -47,8 +47,8 @@
     def withhold_returning(self, now: int, entries: list[Endpoint]) -> list[Endpoint]:
         """Return the entries of an older list that may be applied now, and withhold the others.
 
-        An older list may put a server back into service that drains or is gone and has not been
-        started again. Such an entry is withheld until the list's address has had time to catch up,
+        An older list may return a draining or gone server to service although the server has not
+        been restarted. Such an entry is withheld until the list's address has had time to catch up,
         since a new address of discovery may be behind the previous one.
         """
         accepted = []
--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -82,7 +82,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether another process of this balancer is connected."""
+        """Return whether another process of this balancer is connected."""
         return self.peer is not None
 
     # The predecessor.
--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -27,16 +27,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PATH_BYTES = 100  # the system allows a Unix socket's path 107
+MAX_PATH_BYTES = 100  # the system's limit for a Unix socket's path is 107
 MAX_DESCRIPTORS = 4  # received in one read
 BACKLOG = 4  # processes waiting to be accepted
 
 
 class HandoverError(Exception):
-    """The process that serves at this address does not hand over.
+    """An error for a process that serves at this address but does not hand over.
 
     Attributes:
-        retry: whether it may hand over later, once no other process is connected to it.
+        retry: whether that process may hand over later, once no other process is connected to it.
     """
 
     def __init__(self, reason: object, retry: bool):
--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -112,7 +112,7 @@
     now: int  # nanoseconds of the predecessor's clock
     list_address: str
     list_version: int
-    started: int
+    started: int  # start of the balancer, or of the process that it replaced, by that clock
     servers: list[ReceivedServer]
     flow_ids: list[int]
     sums: dict[str, DecayingSumState]  # by key of `Balancer.sums`
@@ -220,7 +220,7 @@
 
 
 def decode_value(kind: FieldKind, value: Any) -> int | float | bool:
-    """Decode a field's value. Raises ValueError or TypeError if it is not of that kind."""
+    """Decode a field's value. Raises ValueError or TypeError if a number is malformed."""
     match kind:
         case FieldKind.FLAG:
             return value is True
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -71,7 +71,7 @@
 
     def update_readiness(self) -> None:
         """Recompute `ready`; must be called after each change of what it depends on."""
-        # During a hand-over the predecessor goes on answering PING, so that there is no gap.
+        # During a handover the predecessor goes on answering PING, so that there is no gap.
         accepting = (
             self.phase is Phase.SERVING
             or self.phase is Phase.LEAVING
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -34,7 +34,8 @@
     dial_timeout: int
     # The longest set-up timeout of any service type (`giveUp`).
     longest_connect_timeout: int
-    # Longer message delays are reported to the decisions, in the same unit as servers' reports.
+    # Longer message delays, estimated from relayed lines, are passed to the decisions; they count
+    # like delays that servers report.
     min_reported_delay: int
 
     # Memory and buffers.
@@ -71,13 +72,13 @@
     bind_timeout: int = 3 * SECOND
     # A client that has not sent its first line by then is rejected.
     first_line_timeout: int = 2 * SECOND
-    # The same if other clients wait for its place.
+    # The same if other clients wait for its slot.
     idle_grace: int = SECOND // 10
     # Most bytes to read and discard after the final reply; reading them costs as much as reading
     # other clients' data.
-    max_drained_bytes: int = 256 * KIB
+    max_discarded_bytes: int = 256 * KIB
     # Interval of checks for the end of a dismissed client, whose reading side is shut down.
-    drain_poll_interval: int = 5 * MILLISECOND
+    dismissed_poll_interval: int = 5 * MILLISECOND
     # A peer that accepts no data for so long is considered gone.
     write_timeout: int = 5 * SECOND
     # How long one side may still send after the other has ended.
@@ -108,8 +109,8 @@
 
     # Endpoint list.
 
-    # A change must be known within this time after discovery had it and was reachable, or after a
-    # watch stopped sending. When the silence of a watch is detected, its last line is as old as the
+    # A change must be known within this time after discovery had it and was reachable, or after
+    # discovery stopped sending. When that silence is detected, the last line is as old as the
     # silence timeout: that timeout, an immediate call and the time to apply the list take 5.9 s.
     # If a call began just before discovery was reachable again, that call, the longest pause and
     # another call take 4.3 s.
@@ -134,15 +135,16 @@
     max_log_lines: int = 50
     # A planned stop takes `longest_connect_timeout`, but at most this time.
     max_shutdown_time: int = 3 * SECOND
-    # It takes this time in addition, since new clients still arrive. The kill is 0.7 s after that.
+    # A planned stop takes this time in addition, since new clients still arrive. The process is
+    # killed 0.7 s after that.
     shutdown_extension: int = 3 * SECOND // 10
     # The edge load balancer still sends clients for about this time after a stop has begun.
     min_migration_delay: int = 2 * SECOND // 5
     # Time for peers to read the last data sent before the process exits.
     final_read_time: int = SECOND // 4
     shutdown_poll_interval: int = SECOND // 50
-    # The edge load balancer checks every 0.1 s, and sends clients for 0.2 s after the first
-    # failed check.
+    # Time from the drain command until the first client is migrated: the edge load balancer checks
+    # every 0.1 s, and sends clients for 0.2 s after the first failed check.
     drain_delay: int = SECOND // 2
     # Time from the drain command until all clients are migrated; a client that is still connected
     # one second later is lost.
@@ -154,13 +156,13 @@
     admin_enabled: bool = False
     # Concurrent callers.
     max_admin_connections: int = 8
-    # Descriptors for the hand-over to a process of another version, in addition to its flows.
+    # Descriptors for the handover to a process of another version, in addition to its flows.
     handover_sockets: int = 24
     # A caller whose line is not complete by then is disconnected.
     admin_line_timeout: int = 2 * SECOND
     # Less than the second that a caller waits for the reply.
     admin_call_timeout: int = 8 * SECOND // 10
-    # The part of that time in which the other process of a hand-over must confirm a call.
+    # The part of that time in which the other process of a handover must confirm a call.
     handover_confirm_timeout: int = SECOND // 2
 
     # Descriptors: three standard ones, the listener, gossip, the endpoint list at two addresses,
--- a/cypresswalk/net/operator_commands.py
+++ b/cypresswalk/net/operator_commands.py
@@ -103,13 +103,13 @@
     def _check(self) -> str | None:
         """Return why a flow that arrives now would not be placed, or None if it would."""
         lifecycle, handover = self.lifecycle, self.extensions.handover
-        informed = (
+        ready_to_take_over = (
             lifecycle.phase is Phase.STARTING
             and handover is not None
             and handover.state_received
             and not lifecycle.drained
         )
-        serves = informed or lifecycle.phase is Phase.SERVING
+        serves = ready_to_take_over or lifecycle.phase is Phase.SERVING
         placeable = self.endpoints.count_placeable()
         if serves and placeable and self.extensions.may_place_flows():
             return None
--- a/cypresswalk/net/parsers/admin_commands.py
+++ b/cypresswalk/net/parsers/admin_commands.py
@@ -8,8 +8,8 @@
 from cypresswalk.net.errors import ProtocolError
 from cypresswalk.net.parsers.lines import NAME, LineParser
 
-COMMANDS_WITHOUT_ID = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
 # A command that ends in "-here" affects one balancer of a fleet.
+COMMANDS_WITHOUT_ID = frozenset((b"check", b"vars", b"drain-on", b"drain-off", b"drain-on-here"))
 COMMANDS_WITH_ID = frozenset((b"set-down", b"set-up", b"set-down-here", b"set-up-here"))
 
 
--- a/cypresswalk/net/parsers/http.py
+++ b/cypresswalk/net/parsers/http.py
@@ -39,7 +39,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the whole body has arrived."""
+        """Return whether the whole body has arrived."""
         return self._state is ParseState.COMPLETE
 
     def feed(self, data: bytes) -> bytes:
--- a/cypresswalk/net/parsers/json_stream.py
+++ b/cypresswalk/net/parsers/json_stream.py
@@ -56,9 +56,9 @@
             while index < len(data) and data[index] in WHITESPACE:
                 index += 1
                 if data[index - 1] == LINE_END:
-                    ends_text = self._line_has_text
+                    line_had_text = self._line_has_text
                     self._line_has_text = False
-                    if not ends_text:
+                    if not line_had_text:
                         self.buffer.take(index - self.buffer.start)
                         return HEARTBEAT
             self.buffer.take(index - self.buffer.start)
--- a/cypresswalk/net/parsers/load_reports.py
+++ b/cypresswalk/net/parsers/load_reports.py
@@ -7,8 +7,8 @@
 from cypresswalk.hosting import nanoseconds
 from cypresswalk.net.limits import MILLISECOND, Limits
 
-# A number less than every connection's first load divided by this is a delay: a load is seldom so
-# far below the smallest of a few dozen loads, and a delay that grows starts below it.
+# A number is a delay if it is less than the smallest first load of all connections divided by this.
+# A load is seldom so far below the smallest of a few dozen loads, and a growing delay starts there.
 DELAY_BELOW_FIRST_LOADS = 2
 
 
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -111,7 +111,10 @@
         """Request the flow's reservation; the answer places or rejects the session."""
 
     def finish(self, flow: Flow, how: str) -> None:
-        """End the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
+        """End the flow's reservation, if any.
+
+        `how` says whether the flow ran at a server: "ran", "never" or "unknown".
+        """
 
 
 class Extensions:
@@ -142,7 +145,7 @@
         return self.handover is not None and self.handover.replaced
 
     def flows_elsewhere(self) -> int:
-        """Return the number of flows that count toward the limit but are not in its sessions."""
+        """Return the number of flows that count toward the limit but are not in `Core.sessions`."""
         count = self.handover.peer_sessions if self.handover is not None else 0
         if self.reservations is not None:
             count += len(self.reservations.waiting)
--- a/cypresswalk/net/relay.py
+++ b/cypresswalk/net/relay.py
@@ -13,7 +13,7 @@
 from cypresswalk.net.parsers.load_reports import LoadReportHistory, parse_load_line
 from cypresswalk.net.session import Attempt
 
-# Outcomes of a flow by the first word of the server's first or last line.
+# Outcomes of a flow by the first word of the server's first line, or by its whole last line.
 OUTCOME_BY_WORD = {
     b"BUSY": Outcome.FULL,
     b"ERR": Outcome.ERROR,
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -1,4 +1,4 @@
-"""Resumed flows: established at a server before this balancer started, and returned to it."""
+"""Resumed flows: established at a server before this balancer started, and sent there again."""
 
 from typing import Protocol
 
--- a/cypresswalk/net/servers.py
+++ b/cypresswalk/net/servers.py
@@ -18,7 +18,7 @@
 from cypresswalk.net.relay import OUTCOME_BY_WORD, Relay
 from cypresswalk.net.session import Attempt
 
-# A server accepts a flow with UP and a receipt; a line without a receipt is no acceptance.
+# A server accepts a flow with UP and a receipt, any printable text; without one it does not accept.
 UP_LINE = re.compile(rb"UP [!-~][ -~]*")
 # Errors of connecting that mean that this machine lacks a resource; the server is not at fault.
 LOCAL_SHORTAGE_ERRNOS = frozenset(
--- a/cypresswalk/net/session.py
+++ b/cypresswalk/net/session.py
@@ -34,7 +34,7 @@
 
     @property
     def link(self) -> ClientSocket:
-        """The connection itself."""
+        """Return the connection itself."""
 
 
 class AttemptDriver(Protocol):
--- a/cypresswalk/net/timers.py
+++ b/cypresswalk/net/timers.py
@@ -10,7 +10,7 @@
     def __init__(self) -> None:
         """Create an empty heap."""
         self.heap: list[tuple[int, int, Callable, tuple]] = []
-        self.scheduled = 0
+        self.scheduled = 0  # number of calls scheduled so far; orders calls due at the same time
 
     def schedule(self, when: int, call: Callable[..., None], *args: object) -> None:
         """Schedule `call(now, *args)` for the time `when`, in nanoseconds."""
--- a/tests/handover_helpers.py
+++ b/tests/handover_helpers.py
@@ -42,10 +42,10 @@
 
 
 class ProcessDrivers:
-    """Fake sockets and endpoint list of a process, as the hand-over uses them."""
+    """Fake sockets and endpoint list of a process, as the handover uses them."""
 
     def __init__(self, process: "HandoverProcess", accepting: bool):
-        """Take the process; `accepting` is whether it already accepts clients."""
+        """Create drivers of the process; `accepting` is whether it already accepts clients."""
         self.process = process
         self.accepting = accepting
         self.list_version = 1
@@ -63,7 +63,7 @@
         return "127.0.0.1:9", self.list_version
 
     def server_names(self) -> dict[int, str]:
-        """Return the servers' names by id."""
+        """Return the servers' names by number."""
         return self.process.decoder.names
 
     def listening_sockets(self) -> tuple[int, ...]:
@@ -72,7 +72,7 @@
 
 
 class HandoverProcess(CoreHarness):
-    """One of the two processes: a core with a hand-over."""
+    """One of the two processes: a core with a handover."""
 
     def __init__(self, predecessor: "HandoverProcess | None" = None, **changes: Any):
         """Start alone or beside a predecessor; `changes` as for `CoreHarness`."""
@@ -88,13 +88,13 @@
 
     @property
     def channel(self) -> MessageChannel:
-        """The channel to the predecessor."""
+        """Return the channel to the predecessor."""
         assert self._channel is not None, "the process has no predecessor"
         return self._channel
 
     @property
     def accepting(self) -> bool:
-        """Whether this process accepts new clients."""
+        """Return whether this process accepts new clients."""
         return self.process_drivers.accepting
 
     def exchange_all(self) -> None:
--- a/tests/net/parsers/test_json_stream.py
+++ b/tests/net/parsers/test_json_stream.py
@@ -14,7 +14,7 @@
 TEXT = st.text(alphabet='{}[]",:\\ \n\táx', max_size=6)
 
 
-OBJECTS = st.recursive(
+VALUES = st.recursive(
     st.one_of(st.integers(0, 99), st.booleans(), st.none(), TEXT),
     lambda inner: st.one_of(st.lists(inner, max_size=3), st.dictionaries(TEXT, inner, max_size=3)),
     max_leaves=8,
@@ -25,7 +25,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.dictionaries(TEXT, OBJECTS, max_size=4),
+            st.dictionaries(TEXT, VALUES, max_size=4),
             st.sampled_from([None, 0, 2]),
             st.sampled_from([b"\n", b"\r\n", b"", b" \n", b"\n\n", b"\r\n\r\n"]),
         ),
--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("order", ["drain first", "line first"])
-def test_attempt_that_still_dials_a_draining_server_moves_to_another_server(order):
+def test_attempt_at_a_draining_server_moves_to_another_only_while_it_dials(order):
     # Dialing may take longer than a draining server goes on accepting requests.
     harness = CoreHarness(servers=3)
     session = harness.open(1)
--- a/tests/net/test_core_races.py
+++ b/tests/net/test_core_races.py
@@ -1,4 +1,7 @@
-"""Tests of concurrent events in one turn of the core: each flow gets one reply in any order."""
+"""Tests of concurrent events in one turn of the core: each flow gets one reply in any order.
+
+A turn is one iteration of the deciding thread's loop, which ends with executing the decisions.
+"""
 
 import random
 from collections.abc import Callable
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -168,7 +168,7 @@
 
 
 class WatchHarness:
-    """A watch and a core without a program: posted events stay in the inbox until processed."""
+    """A watch and a core without a deciding thread: events stay in the inbox until processed."""
 
     def __init__(self, address: str, polled: bool = False):
         """Create a watch of discovery at an address, and a core that knows s-0 as in service."""
--- a/tests/net/test_handover_rules.py
+++ b/tests/net/test_handover_rules.py
@@ -1,4 +1,7 @@
-"""The rules, checked over two processes of one balancer together, under seeded random events."""
+"""Property tests of two processes of one balancer during an upgrade, with random events.
+
+Commands hold in both, flows are answered in time, and exactly one process accepts clients.
+"""
 
 from core_helpers import SEEDED
 from handover_helpers import HandoverProcess
--- a/tests/net/test_operator_commands.py
+++ b/tests/net/test_operator_commands.py
@@ -88,9 +88,8 @@
     assert not harness.drivers.migrated
     # The edge load balancer does not know yet that the process is not ready.
     assert harness.establish(1, first=10)
-    assert (
-        harness.run_command("drain-on") == "OK"
-    )  # repeated, which does not delay the end of the drain
+    # Repeating the command does not delay the end of the drain.
+    assert harness.run_command("drain-on") == "OK"
     harness.pass_time(SECOND * 6 // 10)
     assert 0 < len(harness.drivers.migrated) < 9
     harness.pass_time(SECOND * 22 // 10)
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -112,7 +112,10 @@
         return data
 
     def reported(self) -> list[tuple]:
-        """Return the posted calls, by method name and arguments, once the attempt has ended."""
+        """Return the posted calls once the attempt has ended.
+
+        Each is a method's name and its arguments, without the first, the attempt or session.
+        """
         self.thread.join(JOIN_TIMEOUT)
         calls = []
         while self.inbox.queue.qsize():
@@ -151,13 +154,13 @@
     sock.close()
 
 
-def close_behind_bytes(sock: socket.socket) -> None:
+def send_then_close(sock: socket.socket) -> None:
     """Send something as the client, then close its connection."""
     sock.sendall(b"more than was asked for")
     sock.close()
 
 
-@pytest.mark.parametrize("leave", [close, half_close, reset, close_behind_bytes])
+@pytest.mark.parametrize("leave", [close, half_close, reset, send_then_close])
 def test_nothing_is_sent_for_a_client_that_left_before_the_core_knows(
     harness, leave: Callable[[socket.socket], None]
 ):
