--- a/cypresswalk/net/handover_socket.py
+++ b/cypresswalk/net/handover_socket.py
@@ -128,7 +128,7 @@
     def __init__(
         self, folder: str | None, name: str, listen: Address, inbox: Inbox, limits: Limits
     ):
-        """Create the socket object; without a `folder`, shared by both, there is no handover."""
+        """Create the socket object; both processes use the same `folder`, None for no handover."""
         self.inbox = inbox
         self.limits = limits
         self.name = f"{name} {listen[0]}:{listen[1]}"
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -24,7 +24,7 @@
     LEAVING = "leaving"  # graceful shutdown: still answers requests until the process ends
 
 
-class RequestHandler(Protocol):
+class DrainingCore(Protocol):
     """The methods of the core that draining uses."""
 
     def migrate(self, now: int, flow: Flow) -> None:
@@ -48,7 +48,7 @@
         extensions: Extensions,
         endpoints: EndpointTable,
         sessions: dict[Flow, Session],
-        requests: RequestHandler,
+        core: DrainingCore,
     ):
         """Start in the phase `SERVING`; `sessions` is the core's own map of its flows."""
         self.limits = limits
@@ -57,7 +57,7 @@
         self.extensions = extensions
         self.endpoints = endpoints
         self.sessions = sessions
-        self.requests = requests
+        self.core = core
         self.phase = Phase.SERVING
         # Whether flows can be placed, apart from the lease (`Extensions.may_place_flows`); read by
         # clients' threads too.
@@ -140,7 +140,7 @@
             if not session.established and flow.deadline > deadline:
                 flow.deadline = deadline
                 if session.attempt is not None:
-                    on_timeout = self.requests.on_attempt_timeout
+                    on_timeout = self.core.on_attempt_timeout
                     self.timers.schedule(flow.deadline, on_timeout, session.attempt)
         self.timers.schedule(now + delay, self._migrate_next, self.round, deadline)
         return deadline
@@ -153,12 +153,12 @@
         established = [flow for flow, session in self.sessions.items() if session.established]
         if now >= deadline:
             for flow in established:
-                self.requests.migrate(now, flow)
+                self.core.migrate(now, flow)
             if self.phase is Phase.LEAVING:
                 self.stopped = not self.sessions and not self._awaits_reservations()
             due = now + self.limits.shutdown_poll_interval
         elif established:
-            self.requests.migrate(now, established[0])
+            self.core.migrate(now, established[0])
             due = now + (deadline - now) // len(established)
         else:
             due = min(now + self.limits.shutdown_poll_interval, deadline)
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -11,7 +11,7 @@
 from cypresswalk.net.timers import Timers
 
 
-class RequestHandler(Protocol):
+class ResumingCore(Protocol):
     """The core's methods that resuming a flow needs."""
 
     def start_attempt(
@@ -32,21 +32,19 @@
         limits: Limits,
         timers: Timers,
         extensions: Extensions,
-        requests: RequestHandler,
+        core: ResumingCore,
     ):
-        """Create the handler of resumed sessions; `requests` is the core."""
+        """Create the handler of resumed sessions."""
         self.balancer = balancer
         self.limits = limits
         self.timers = timers
         self.extensions = extensions
-        self.requests = requests
+        self.core = core
 
     def begin(self, now: int, session: Session) -> None:
         """Start resuming a session whose first line names its server by `at=`."""
         self.timers.schedule(now + self.limits.first_line_timeout, self.fail_if_unlisted, session)
-        self.timers.schedule(
-            now + self.limits.resume_timeout, self.requests.on_resume_failed, session
-        )
+        self.timers.schedule(now + self.limits.resume_timeout, self.core.on_resume_failed, session)
         self.attempt(now, session)
 
     def retry_later(self, now: int, session: Session) -> None:
@@ -66,9 +64,9 @@
         ):
             self.retry_later(now, session)
             return
-        self.requests.start_attempt(now, session, server, 0, now + self.limits.resume_timeout)
+        self.core.start_attempt(now, session, server, 0, now + self.limits.resume_timeout)
 
     def fail_if_unlisted(self, now: int, session: Session) -> None:
         """Fail a session whose server the endpoint list has not named: the name may be made up."""
         if server_number(session.request.values["at"]) not in self.balancer.servers:
-            self.requests.on_resume_failed(now, session)
+            self.core.on_resume_failed(now, session)
