--- a/cypresswalk/agreement/election.py
+++ b/cypresswalk/agreement/election.py
@@ -119,7 +119,7 @@
         self.count_vote(now, self.state.id, True)
 
     def count_vote(self, now: int, source: str, granted: bool) -> None:
-        """Count a response; with a majority, start the election or become the leader."""
+        """Count a response; with a majority, campaign after a pre-vote or become the leader."""
         self.votes[source] = granted
         voters = self.state.voters
         if sum(self.votes.get(voter, False) for voter in voters) < majority(len(voters)):
--- a/cypresswalk/agreement/follower.py
+++ b/cypresswalk/agreement/follower.py
@@ -137,7 +137,8 @@
     def _incoming_data(self, request: InstallSnapshotChunk) -> bytearray:
         """Return the bytes received so far of this snapshot.
 
-        Those from another leader are discarded, because its snapshot may have different bytes.
+        Bytes from another leader are discarded, because its snapshot of the same index may have
+        different bytes.
         """
         incoming = self.incoming
         if (
--- a/cypresswalk/agreement/leader.py
+++ b/cypresswalk/agreement/leader.py
@@ -195,12 +195,15 @@
 
     def _confirm_reads(self) -> None:
         reads = self._leadership.pending_reads
-        while reads and self._has_answered(reads[0].round):
+        while reads and self._is_round_acknowledged(reads[0].round):
             read = reads.pop(0)
             self.state.ready.reads.append(ConfirmedRead(read.token, read.index))
 
-    def _has_answered(self, round_: int) -> bool:
-        """Return whether a quorum followed this leader when that round or a later one was sent."""
+    def _is_round_acknowledged(self, round_: int) -> bool:
+        """Return whether a quorum has responded to a round or a later one.
+
+        The quorum then still followed this leader when the round was sent.
+        """
         return self._has_quorum(lambda peer: peer.acknowledged_round >= round_)
 
     # Requests from the owner.
--- a/cypresswalk/agreement/node.py
+++ b/cypresswalk/agreement/node.py
@@ -48,7 +48,7 @@
     ):
         """Start as a follower with the state read from disk.
 
-        `random` randomizes the election timeout, so that members don't start elections at once.
+        `random` randomizes the election timeout, so that members don't start elections together.
         """
         self.state = MemberState(member_id, persisted, timing, random, now)
         self._leader = Leader(self.state)
@@ -249,7 +249,7 @@
             ready.vote = Vote(state.term, state.voted_for)
         start = state.durable_index + 1
         if ready.snapshot is not None:
-            # A snapshot is written to a new file, which needs the vote and all entries after it.
+            # A snapshot is written to a new file, together with the vote and all later entries.
             ready.vote = Vote(state.term, state.voted_for)
             ready.truncate_from = None
             start = state.log.first_index
--- a/cypresswalk/agreement/replication.py
+++ b/cypresswalk/agreement/replication.py
@@ -18,7 +18,11 @@
             self.send_append(now, peer_id, peer)
 
     def send_append(self, now: int, peer_id: str, peer: Progress, heartbeat: bool = False) -> None:
-        """Send entries or a snapshot chunk; a heartbeat also goes out without any."""
+        """Send missing entries or a snapshot chunk, unless one is in flight and not overdue.
+
+        If there is none to send, `heartbeat` causes an append without entries, except while a
+        snapshot chunk is in flight.
+        """
         state = self.state
         may_send_data = (
             not peer.in_flight_index or now - peer.sent_at >= state.timing.resend_timeout
--- a/cypresswalk/agreement/store.py
+++ b/cypresswalk/agreement/store.py
@@ -339,7 +339,10 @@
                     self.folder.remove(f"{FILE_PREFIX}{old}")
 
     def _write_witness(self, identity: LogIdentity, number: int) -> None:
-        """List the new file and the one before it; after a crash either may be the latest."""
+        """Write a witness of the new file and the one before it.
+
+        After a crash either of them may be the latest.
+        """
         files = [(number, self.folder.inode(NEXT_FILE))]
         if self.file_number in self._file_numbers():
             files.append((self.file_number, self.folder.inode(f"{FILE_PREFIX}{self.file_number}")))
--- a/cypresswalk/copies/backup.py
+++ b/cypresswalk/copies/backup.py
@@ -13,7 +13,7 @@
 # A backup accepts records up to this multiple of the limit at which a primary refuses keys, since
 # the primaries that send them may hold fewer records.
 MAX_BACKUP_FACTOR = 2
-MAX_DIFFERING_BUCKETS = 4  # that are reported in answer to one comparison
+MAX_DIFFERING_BUCKETS = 4  # number of buckets reported in answer to one comparison
 MAX_RECORDS_PER_MESSAGE = 4_000  # some 300 KB
 
 
--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -63,9 +63,10 @@
 PING_INTERVAL = 2 * SECOND  # shorter than the silence after which links reopen a connection
 COMPARE_INTERVAL = 5 * SECOND  # between two comparisons of a partition's replicas
 DISK_RETRY_DELAY = SECOND  # until a folder that failed is read again
-# Process starts that may have ended after the agreement log opened and before this log did.
-MAX_SKIPPED_STARTS = 3
-MAX_EVENTS_PER_BATCH = 512  # whose changes are flushed together
+# How many starts back the newest file may have been written: a process may have ended after the
+# agreement log opened and before this log did.
+MAX_BOOT_DIFFERENCE = 3
+MAX_EVENTS_PER_BATCH = 512  # the changes of a batch are flushed together
 
 # Limits of the fields of ReserveKey.
 MAX_KEY_CHARS = 64
@@ -118,10 +119,9 @@
             send: a function that sends messages to a member without waiting.
             send_to_leader: a function that sends messages to the leader without waiting.
             on_health_changed: a callback with the new value of `healthy`, called when the replica
-                has read its files, and when its disk has failed.
+                has read its files, and after a disk failure or an unhandled exception.
             max_records: the number of keys beyond which requests are refused.
         """
-        # Longer than 40 lines because it sets one attribute per line.
         self.folder = folder
         self.now = now
         self.wall = wall
@@ -376,7 +376,7 @@
         try:
             changes = self.log.load(
                 member,
-                tuple(range(boot - MAX_SKIPPED_STARTS, boot + 1)),
+                tuple(range(boot - MAX_BOOT_DIFFERENCE, boot + 1)),
                 lambda text: log.warning("event=copies_tail_cut reason=%s", text),
             )
             self.replica.restore(changes)
--- a/cypresswalk/copies/partition.py
+++ b/cypresswalk/copies/partition.py
@@ -1,4 +1,4 @@
-"""The data of one partition, a fixed part of the keys, at a replica."""
+"""The data of one partition, the keys with one value of a hash, at a replica."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
--- a/cypresswalk/copies/placement.py
+++ b/cypresswalk/copies/placement.py
@@ -1,6 +1,7 @@
 """Choice of the members that hold each partition of the keys.
 
-It depends only on hashes of the names, so all members compute the same result.
+It depends only on the members' zones and on hashes of names, not on the order in which members
+joined, so all members compute the same result.
 """
 
 from functools import lru_cache
--- a/cypresswalk/copies/primary.py
+++ b/cypresswalk/copies/primary.py
@@ -80,7 +80,10 @@
         token: object,
         now: int,
     ) -> None:
-        """Answer a request for a key that has a record, once its grant is no longer pending."""
+        """Answer a request for a key that has a record.
+
+        While the grant is being replicated, a request of its owner waits for the confirmations.
+        """
         pending = partition.pending.get(partition.pending_keys.get(known.key, -1))
         is_same_owner = known.owner == owner
         if pending is not None and pending.record.outcome == PENDING:
@@ -142,7 +145,10 @@
         tokens: list[object],
         is_owner: bool = True,
     ) -> None:
-        """Answer requests for a key whose record all replicas have; grant it only to its owner."""
+        """Answer requests for a key that has a record; grant it only to its owner.
+
+        `is_owner` says whether the requests are the owner's; the key then counts as confirmed.
+        """
         if is_owner:
             partition.confirmed.add(record.key)
         is_granted = is_owner and record.outcome == PENDING
@@ -170,8 +176,8 @@
     def resend_pending(self, number: int, sent_before: int = NO_TIME_LIMIT) -> set[str]:
         """Resend unconfirmed records; return the replicas that have not confirmed them.
 
-        Only records that were first sent before `sent_before` are taken, in nanoseconds of the
-        owner's clock.
+        Only records that were first sent before `sent_before` are resent, a time in nanoseconds of
+        the owner's clock.
         """
         partition = self.state.partition(number)
         unconfirmed: set[str] = set()
--- a/cypresswalk/copies/view_changes.py
+++ b/cypresswalk/copies/view_changes.py
@@ -79,7 +79,7 @@
         """Fetch all records for a later view from a sealed replica of the previous one.
 
         With an empty `source` the partition starts without records: the leader knows that no
-        replica has any. A repeated call resumes the transfer where it was.
+        replica has any. A repeated call resumes the transfer where it stopped.
         """
         partition = self.state.partition(number)
         if self.is_complete_for(partition, view):
--- a/tests/agreement/test_raft_node.py
+++ b/tests/agreement/test_raft_node.py
@@ -15,12 +15,12 @@
 from cypresswalk.model import SECOND
 
 # Durable index after all entries, so that no entry is handed out for writing or committed.
-NEVER_DURABLE = 1 << 40
+INDEX_AFTER_ALL_ENTRIES = 1 << 40
 
 
 def test_rejects_proposals_beyond_the_limit_of_uncommitted_entries():
     node = elected_single_node()
-    node.state.durable_index = NEVER_DURABLE
+    node.state.durable_index = INDEX_AFTER_ALL_ENTRIES
     for _ in range(8):
         node.propose(0, b"x")
     with pytest.raises(BusyError, match="too many uncommitted"):
@@ -34,9 +34,9 @@
         follower.propose(0, b"x")
 
 
-def test_rejects_a_membership_change_before_an_entry_of_its_term_is_committed():
+def test_rejects_a_membership_change_of_more_than_one_voter():
     node = elected_single_node()
-    node.state.durable_index = NEVER_DURABLE
+    node.state.durable_index = INDEX_AFTER_ALL_ENTRIES
     for _ in range(8):
         node.propose(0, b"x")
     members = (Member("a#1", True), Member("b#1", True), Member("c#1", True))
--- a/tests/copies/replication_world.py
+++ b/tests/copies/replication_world.py
@@ -216,7 +216,7 @@
         self.carry_out_effects(source)
         for name in self.next_members:
             self._prepare(name, source)
-        # A leader may be wrong about who is complete: an incomplete replica knows that it is.
+        # A leader may wrongly take replicas for complete; each replica checks that for itself.
         if len(self.complete_in_next) == REPLICAS or (
             self.complete_in_next and self.random.random() < WRONG_LEADER_PROBABILITY
         ):
--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -95,7 +95,7 @@
 def diverged_replicas() -> list[Replica]:
     """Return replicas a, b and c in their second view; a and b have a record that c lacks.
 
-    Its primary a never received the confirmation of b, so the key was not granted.
+    The first primary, a, never received the confirmation of b, so the key was not granted.
     """
     replicas = [replica_in_first_view(name, ("a", "b", "c")) for name in "abc"]
     primary, backup, _ = replicas
--- a/tests/storage/test_record_chain.py
+++ b/tests/storage/test_record_chain.py
@@ -74,7 +74,7 @@
 
 
 class BreakableStore:
-    """A store with nothing but the mark for a failed write."""
+    """A minimal store, which only has the flag for a failed write."""
 
     broken = False
 
