--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -121,7 +121,7 @@
 
 
 def free_port(host: str, kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port of an address that is currently free."""
+    """Return a port that is currently free at an address, for a type of socket."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((host, 0))
         return sock.getsockname()[1]
@@ -155,7 +155,6 @@
             relay_address: The address to which the balancer sends gossip.
             command: The command to run instead of the program; None runs the program.
         """
-        # Longer than 40 lines because each line sets one attribute.
         self.name = name
         self.number = number
         self.group = group
@@ -212,10 +211,10 @@
 
         If the settings enable persisted state, write an operator file that configures it.
         """
-        plain = {
+        variables = {
             k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
         }
-        plain["PROXY_CONFIG"] = str(self.config_file.absolute())
+        variables["PROXY_CONFIG"] = str(self.config_file.absolute())
         if self.settings.state:
             state = (self.folder / f"{self.name}.state").absolute()
             if not self.start_count:
@@ -224,8 +223,8 @@
             self.operator_file.write_text(
                 f'[state]\nfolder = "{state}"\nevery_s = {self.settings.state_every_s}\n'
             )
-            plain["PROXY_OPERATOR"] = str(self.operator_file.absolute())
-        return plain
+            variables["PROXY_OPERATOR"] = str(self.operator_file.absolute())
+        return variables
 
     def start(self) -> None:
         """Start the process; restarts append to its log."""
--- a/cypresswalk/lab/checker.py
+++ b/cypresswalk/lab/checker.py
@@ -3,7 +3,7 @@
 The checker is written from the rules, not from the balancer, and imports nothing of the product.
 Each violation names the flow, the rule, the time and the observations that show it. A flow may
 remain unanswered without a violation if its balancer was killed (the client retries), its client
-left, or the scenario ended before the deadline.
+left, an injected fault hit one of its connections, or the scenario ended before the deadline.
 """
 
 from bisect import bisect_right
@@ -71,19 +71,19 @@
         sent = flow.sent[0]
         ended_at = flow.ended.at if flow.ended else NEVER
         left_at = flow.left.at if flow.left else NEVER
-        over = min(deadline, ended_at, left_at)
+        unanswered_until = min(deadline, ended_at, left_at)
         if (
             flow.hit_by_fault
             or flow.left is not None
             or self.history.scenario_end < deadline
-            or self.history.balancer_died(sent.subject, sent.at, over, self.rules.slack)
+            or self.history.balancer_died(sent.subject, sent.at, unanswered_until, self.rules.slack)
         ):
             return
         message = "no final answer in time"
         if flow.ended and flow.ended.at < deadline and flow.ended.fields["how"]:
             message = f"its connection ended ({flow.ended.fields['how']}) with no answer"
             evidence = [*evidence, flow.ended]
-        self._add_violation(ONE_ANSWER, ident, over, message, evidence)
+        self._add_violation(ONE_ANSWER, ident, unanswered_until, message, evidence)
 
     def _check_first_answer(
         self, ident: str, flow: ObservedFlow, deadline: int, evidence: list[Observation]
@@ -133,7 +133,7 @@
             message = f"{len(flow.attempts)} attempts, {limit} are allowed"
             self._add_violation(ONE_EFFECT, ident, flow.attempts[-1].at, message, evidence)
         for before, after in zip(flow.attempts, flow.attempts[1:], strict=False):
-            if before.ended_at > after.at + self.rules.slack:
+            if before.pending_until > after.at + self.rules.slack:
                 message = "a second attempt while one was pending"
                 self._add_violation(ONE_EFFECT, ident, after.at, message, evidence)
 
@@ -175,7 +175,7 @@
         client = sides.get("client")
         server = sides.get("server")
         # The balancer is not responsible for lines that an injected fault garbled or cut off. The
-        # rules on answers and effects apply to such flows all the same.
+        # rules on answers and effects still apply, but such a flow may remain unanswered.
         if client is None or server is None or flow.hit_by_fault:
             return
         how = flow.ended.fields["how"] if flow.ended else None
@@ -221,6 +221,7 @@
     def _check_drain(self, ident: str, attempt: Attempt) -> None:
         balancer = attempt.opened.fields["balancer"]
         updates = self.history.list_updates[balancer, attempt.server]
+        # "~" sorts after every state, so that updates at the attempt's time are included.
         index = bisect_right(updates, (attempt.at, "~"))
         if not index or updates[index - 1][1] == IN_SERVICE:
             return
@@ -253,7 +254,10 @@
     def _check_warm_up(
         self, server: str, rule: ServerRule, start: int, attempts: list[Observation]
     ) -> None:
-        """Check the attempts during a server's warm-up after one start."""
+        """Check the attempts during a server's warm-up after one start.
+
+        A single attempt within the overload window is always allowed, as is a load of 1.0.
+        """
         first = 0
         load = 0.0
         for attempt in attempts:
--- a/cypresswalk/lab/fault_injector.py
+++ b/cypresswalk/lab/fault_injector.py
@@ -90,7 +90,10 @@
     # Faults of servers. Each function takes the driver, the amount and the duration in seconds.
 
     async def _crash(self, driver: ServerDriver, amount: float, span_s: float) -> None:
-        """Reset all connections and stop; the list changes late, and the server returns cold."""
+        """Stop the server and reset its connections; start it cold after the span.
+
+        List agents receive both changes of the list after a delay.
+        """
         driver.crash()
         self._publish(driver.model.name, ServerState.TERMINATED)
         await asyncio.sleep(span_s)
--- a/cypresswalk/lab/history.py
+++ b/cypresswalk/lab/history.py
@@ -19,8 +19,8 @@
     Attributes:
         opened: The observation of the opening line at the server.
         reply: The observation of the server's reply.
-        ended_at: The time since which the attempt is no longer pending (an established one is not
-            pending either), in nanoseconds.
+        pending_until: The time until which the attempt was pending, in nanoseconds: that of the
+            reply, or of the end of the connection or the server if it came earlier.
         may_have_run: Whether the flow may have had its effect.
         ended_by_server: The observation that the server ended the connection.
         ended_by_balancer: The observation that the balancer ended the connection.
@@ -28,7 +28,7 @@
 
     opened: Observation
     reply: Observation | None = None
-    ended_at: int = NEVER
+    pending_until: int = NEVER
     may_have_run: bool = True
     ended_by_server: Observation | None = None
     ended_by_balancer: Observation | None = None
@@ -57,7 +57,7 @@
             self.ended_by_server = observation
         else:
             self.ended_by_balancer = observation
-        self.ended_at = min(self.ended_at, observation.at)
+        self.pending_until = min(self.pending_until, observation.at)
 
     def evidence(self) -> list[Observation]:
         """Return all observations of the attempt."""
@@ -211,8 +211,8 @@
         return version < known and observation.fields["life"] == IN_SERVICE
 
     def _end_attempts_at(self, server: str, at: int) -> None:
-        """Mark the attempts pending at a dead server as ended: a balancer may retry at once."""
+        """End the attempts pending at a dead server; a balancer may retry them at once."""
         for flow in self.flows.values():
             for attempt in flow.attempts:
-                if attempt.server == server and attempt.ended_at == NEVER:
-                    attempt.ended_at = at
+                if attempt.server == server and attempt.pending_until == NEVER:
+                    attempt.pending_until = at
--- a/cypresswalk/lab/metrics.py
+++ b/cypresswalk/lab/metrics.py
@@ -287,15 +287,16 @@
 ) -> list[tuple[int, int]]:
     """Return the time spans in which a connection was well served.
 
-    A span extends to each line that came back in time, and from there until the next one is due. A
-    connection on which no line comes back counts as served only until its first line is due.
+    The time from one echo to the next counts if the latter met the objective and came no later than
+    it was due. The time after the last echo counts until the next one is due, and that of a
+    connection without echoes until the first one is due.
     """
-    due = int((2 * line_ms + objective_ms) * MILLISECOND)
+    due_after = int((2 * line_ms + objective_ms) * MILLISECOND)
     spans: list[tuple[int, int]] = []
     at = connection.since
     for echoed_at, took_ms in connection.echoes:
-        if took_ms <= objective_ms and echoed_at - at <= due:
+        if took_ms <= objective_ms and echoed_at - at <= due_after:
             spans.append((at, min(echoed_at, until)))
         at = echoed_at
-    spans.append((at, min(at + due, connection.until, until)))
+    spans.append((at, min(at + due_after, connection.until, until)))
     return [(begin, end) for begin, end in spans if begin < end]
--- a/cypresswalk/lab/observations.py
+++ b/cypresswalk/lab/observations.py
@@ -15,10 +15,10 @@
 
     Attributes:
         at: The time, in nanoseconds of the lab's clock.
-        kind: One of KINDS.
+        kind: The kind of event; see KINDS.
         flow: The id of the flow concerned; empty for none.
         subject: The name of the balancer or server concerned.
-        fields: The fields of this kind, which KINDS describes.
+        fields: The fields of this kind.
     """
 
     at: int
@@ -39,13 +39,16 @@
         return f"{head} {fields}".strip()
 
 
+# The kinds with a description and their fields. Other kinds: "comes", "nobody", "refused", "waited"
+# and "bad" (of clients), "fell" and "odd_line" (of servers), and "trouble" (a fault begins).
 KINDS = {
     "sent": "a client sent the last byte of its opening line to a balancer: type, wait_ms, person,"
     " port",
     "answer": "the client read an answer: kind (up, busy, failed), line",
     "said_again": "a misbehaving client sent the id of this flow to a balancer again: who",
-    "left": "the client left by its own decision before an answer",
-    "ended": "the client's connection ended: how (own, end, reset, move, bye)",
+    "left": "the client left by its own decision before an answer, or a fault cut its connection:"
+    " cut",
+    "ended": "the client's connection ended: how (own, end, reset, move, bye, cut)",
     "attempt": "a server received a complete opening line: balancer, number, load, port",
     "reply": "the server replied to an attempt: number, kind (up, busy, error, reset), receipt",
     "let_go": "the balancer ended the connection of an attempt: number",
@@ -54,15 +57,15 @@
     " it sent), heard (what it received), number",
     "told": "a list agent sent an entry to the balancer: server, life (its state), version (of the"
     " list)",
-    "balancer_up": "",
-    "balancer_down": "",
+    "balancer_up": "the balancer answers PING",
+    "balancer_down": "the balancer ended: code (after a crash), planned",
     "server_up": "the server started, cold",
-    "server_down": "",
+    "server_down": "the server stopped",
     "server_mute": "the server stopped answering",
     "echo": "a line came back: took_ms, person",
     "fault": "an injected fault hit a connection: who (client or server, the side of the balancers"
     " that it is on), ports, kind",
-    "day_ended": "",
+    "day_ended": "the scenario ended",
 }
 
 
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -95,12 +95,12 @@
         began = testbed.now() + HEAD_START
         testbed.began = began
         self.result.began = began
-        for client in testbed.clients.all():
+        for client in testbed.population.all():
             testbed.spawn(self.clients.run(client, began))
         resting = RestingClients(testbed, self.clients)
         for name in testbed.balancers:
             testbed.spawn(resting.run(name, began))
-        for number, (at, misbehaviour, zone) in enumerate(testbed.clients.misbehaving()):
+        for number, (at, misbehaviour, zone) in enumerate(testbed.population.misbehaving()):
             work = misbehave(testbed, self.clients, misbehaviour, zone, number)
             testbed.spawn(self._run_at(began + at, work))
         for fault in self.experiment.faults:
--- a/cypresswalk/lab/servers.py
+++ b/cypresswalk/lab/servers.py
@@ -68,7 +68,6 @@
             overload_window: The time window of that budget, in nanoseconds.
             turnover: The load that one unit of capacity serves per second; see `turnover`.
         """
-        # Longer than 40 lines because each line sets one attribute.
         self.name = name
         self.group = group
         self.random = random
@@ -101,7 +100,7 @@
     # Capacity.
 
     def warm_fraction(self, now: int) -> float:
-        """Return the share of its full capacity that it has at a time since its start."""
+        """Return the share of its full capacity that it has now, by the time since its start."""
         if not self.started or now - self.started >= self.warm_up:
             return 1.0
         initial = self.group.warm_up_initial_fraction
@@ -141,7 +140,7 @@
         left = max(1 - self.stolen_share, MIN_CORE_SHARE)
         self.backlog_s += core_seconds / (warm / self.slowness * left)
 
-    # What arrives.
+    # Connections, lines and health checks.
 
     def open(self, now: int, number: int, load: float, group: str) -> tuple[Reply, int]:
         """Handle a new connection; return the reply and its delay in nanoseconds."""
@@ -221,6 +220,7 @@
         self.recent_loads.append((now, load))
         while self.recent_loads and self.recent_loads[0][0] <= now - self.overload_window:
             self.recent_loads.popleft()
+        # A single connection is always allowed, as is a load of 1.0.
         total = sum(recent for _, recent in self.recent_loads)
         if total > max(self.budget(now), 1.0) and len(self.recent_loads) > 1:
             self.overloaded = True
@@ -240,7 +240,7 @@
         return lost
 
     def start(self, now: int, started: int) -> None:
-        """Start it cold; `started` is the time `now` on the clock that `warm_fraction` is given."""
+        """Start it cold at `now`; `warm_fraction` counts from `started`."""
         self.running = True
         self.overloaded = False
         self.started = started
--- a/cypresswalk/lab/soak.py
+++ b/cypresswalk/lab/soak.py
@@ -106,19 +106,23 @@
                 scenario_end = event.at
     findings = []
     for flow, event in sent.items():
-        over = ended.get(flow)
-        if flow in settled or over is None or over.at > scenario_end:
+        end = ended.get(flow)
+        if flow in settled or end is None or end.at > scenario_end:
             continue
-        if any(event.at <= stop <= over.at + SECOND for stop in stops[event.subject]):
+        if any(event.at <= stop <= end.at + SECOND for stop in stops[event.subject]):
             findings.append(
                 f"one answer: {flow} at {event.at / SECOND:.3f} s: sent to {event.subject}, "
-                f"stopped as planned, and not answered ({over.kind} {over.fields.get('how', '')})"
+                f"stopped as planned, and not answered ({end.kind} {end.fields.get('how', '')})"
             )
     return findings
 
 
 def attempts_after_client_left(events: Iterable[Observation]) -> list[str]:
-    """Return findings for attempts begun over 0.1 s after their client left, if over two."""
+    """Return a finding for each attempt that began too long after its client left.
+
+    Too long is over ATTEMPT_TIME_AFTER_LEAVE plus the slack. Up to MAX_LATE_ATTEMPTS such attempts
+    are no finding.
+    """
     left_at: dict[str, int] = {}
     late: list[str] = []
     for event in events:
--- a/cypresswalk/lab/testbed/bed.py
+++ b/cypresswalk/lab/testbed/bed.py
@@ -49,7 +49,7 @@
         self.balancer_zone = {
             name: group.zone for name, group in zip(self.balancers, groups, strict=True)
         }
-        self.clients = ClientPopulation(experiment, seed)
+        self.population = ClientPopulation(experiment, seed)
         self.edges = {
             zone: EdgeLoadBalancer(
                 zone, [name for name in self.balancers if self.balancer_zone[name] == zone]
--- a/cypresswalk/lab/testbed/client_driver.py
+++ b/cypresswalk/lab/testbed/client_driver.py
@@ -211,7 +211,7 @@
                 connection.writer.write_eof()
                 await self._read_last_lines(connection)
         except TimeoutError:
-            pass
+            pass  # the connection stayed open for LAST_LINES_S after the client's own end
         except CONNECTION_ENDS:
             # A reset after the client's own end does not matter.
             if self.testbed.now() < connection.end:
--- a/cypresswalk/lab/testbed/resting_clients.py
+++ b/cypresswalk/lab/testbed/resting_clients.py
@@ -1,8 +1,8 @@
 """Clients that keep an idle connection open and use it now and then until the balancer ends it.
 
 Resting clients send PING from time to time and eventually a flow; those of the crowd send nothing.
-They connect to a balancer directly, not through the edge load balancer, also while it shuts down:
-like connections that the edge opened earlier.
+They connect to a balancer directly rather than through the edge load balancer, even while it shuts
+down, to simulate connections that the edge load balancer opened earlier.
 """
 
 import asyncio
@@ -67,7 +67,7 @@
                 line = await asyncio.wait_for(reader.readline(), PING_ANSWER_S)
                 if decode_line(line) not in REUSABLE_AFTER:
                     return
-            client = self.testbed.clients.client(number, 0)
+            client = self.testbed.population.client(number, 0)
             end = self.testbed.now() + client.lifetime
             await self.clients.send_flow(client, balancer, reader, writer, end)
         finally:
@@ -83,9 +83,8 @@
             except OSError:
                 await asyncio.sleep(random.uniform(*RECONNECT_S))
                 continue
-            with contextlib.suppress(
-                *CONNECTION_ENDS
-            ):  # a balancer resets idle connections to make room for others
+            # A balancer resets idle connections to make room for others.
+            with contextlib.suppress(*CONNECTION_ENDS):
                 await reader.read()
             writer.close()
             await asyncio.sleep(random.uniform(*RECONNECT_S))
--- a/cypresswalk/lab/testbed/server_driver.py
+++ b/cypresswalk/lab/testbed/server_driver.py
@@ -140,8 +140,8 @@
         wait = self.model.health_check_delay(self.testbed.now())
         if wait is None:
             return
-        way = self.testbed.one_way_delay(balancer, self.model)
-        await asyncio.sleep((wait + 2 * way) / SECOND)
+        one_way = self.testbed.one_way_delay(balancer, self.model)
+        await asyncio.sleep((wait + 2 * one_way) / SECOND)
         utilization = self.model.utilization(self.testbed.now())
         report = f" x0={utilization:.3f}" if word == b"STATS" else ""
         writer.write(f"PONG{report}\r\n".encode())
@@ -173,10 +173,9 @@
             self._crash_from_overload()
             return
         try:
-            released = await self._wait_before_reply(reply, wait, balancer, reader)
-            if released or not self.model.running:
-                # A crash ends a pending attempt as well, so that the checker does not take it for
-                # still pending.
+            balancer_ended = await self._wait_before_reply(reply, wait, balancer, reader)
+            if balancer_ended or not self.model.running:
+                # Recorded after a crash as well, to end the pending attempt for the checker.
                 kind = "let_go" if self.model.running else "broke"
                 self.testbed.observe(kind, flow, self.model.name, number=number, how="reset")
                 return
@@ -196,8 +195,8 @@
         A server that has become silent sends no reply and waits until the balancer disconnects.
         """
         if reply is not Reply.SILENT:
-            way = self.testbed.one_way_delay(balancer, self.model)
-            if await ended_within(reader, wait + 3 * way):
+            one_way = self.testbed.one_way_delay(balancer, self.model)
+            if await ended_within(reader, wait + 3 * one_way):
                 return True
         if reply is Reply.SILENT or self.model.silent or self.model.hanging:
             while await reader.read(MAX_LINE_BYTES):
@@ -254,9 +253,11 @@
         wait = self.model.echo_delay(self.testbed.now())
         if wait is None:
             return
-        way = 2 * self.testbed.one_way_delay(balancer, self.model)
+        round_trip = 2 * self.testbed.one_way_delay(balancer, self.model)
         # Lines of one connection are echoed in the order in which they came.
-        connection.last_echo_at = max(connection.last_echo_at, self.testbed.now() + wait + way)
+        connection.last_echo_at = max(
+            connection.last_echo_at, self.testbed.now() + wait + round_trip
+        )
         delay = max(connection.last_echo_at - self.testbed.now(), 0)
         asyncio.get_running_loop().call_later(delay / SECOND, connection.send_line, text)
 
@@ -309,7 +310,7 @@
         return now // MILLISECOND
 
     async def run_periodic_work(self) -> None:
-        """Drop connections above the backlog limit and report long delays, until cancelled.
+        """Drop a connection if the backlog is too long, and report long delays, until cancelled.
 
         A report goes to one random connection; the first short delay after long ones is reported as
         well.
--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -3,9 +3,9 @@
 The format of a line is `trace SECONDS EVENT FIELD ...`: the time in seconds of the balancer's
 clock, the event's name, and its fields. A server is written as `s` and its number in hexadecimal.
 
-Used to count events across a fleet: `deploy/traced.toml` starts it, docs/measurements/fleet.md uses
-the lines. Not for production: writing the lines takes time, and the log's rate limit does not apply
-to them.
+It is used to count events across a fleet: `deploy/traced.toml` starts it, and
+docs/measurements/fleet.md uses the lines. It is not for production: writing the lines takes time,
+and the log's rate limit does not apply to them.
 """
 
 import os
@@ -196,7 +196,7 @@
 
 
 class TracedDrivers:
-    """The drivers, with a trace line for each decision that has no own method in the core."""
+    """The drivers, with a trace line for each decision without a method of its own in the core."""
 
     core: TracedCore  # set after the core is built
 
--- a/tests/lab/mutant_balancer.py
+++ b/tests/lab/mutant_balancer.py
@@ -174,7 +174,7 @@
         await self.answer(line, number, values["c"] in self.once_only, client)
 
     async def answer_wrongly(self, line: bytes, timeout_s: float, client: Stream) -> None:
-        """Violate rule one in the way of the mutation."""
+        """Violate rule one in the way of the mutation; to end without an answer, only return."""
         match self.mutation:
             case Mutation.NEVER_ANSWERS:
                 await asyncio.sleep(timeout_s + 1)
@@ -205,8 +205,8 @@
                 await self.relay(client, made.stream)
                 return
             made.close()
-            may_have_run = made.answer != REJECTED and once_only
-            if may_have_run and self.mutation is not Mutation.RETRIES_ONCE_ONLY:
+            must_not_retry = made.answer != REJECTED and once_only
+            if must_not_retry and self.mutation is not Mutation.RETRIES_ONCE_ONLY:
                 rejects = self.mutation is Mutation.REJECTS_WHAT_MAY_HAVE_RUN
                 client.writer.write(REJECTED if rejects else FAILED)
                 return
--- a/tests/lab/scenario_assertions.py
+++ b/tests/lab/scenario_assertions.py
@@ -29,7 +29,7 @@
     _assert_rule_held(result, DRAINS)
 
 
-def assert_cold_servers_spared(result: ScenarioResult) -> None:
+def assert_cold_servers_within_budget(result: ScenarioResult) -> None:
     """Assert rule four: a cold server gets no more load than its budget."""
     _assert_rule_held(result, COLD_SERVERS)
 
@@ -45,6 +45,6 @@
     assert_one_answer(result)
     assert_no_effect_twice(result)
     assert_drains_respected(result)
-    assert_cold_servers_spared(result)
+    assert_cold_servers_within_budget(result)
     assert_lines_relayed(result)
     assert result.broken == {}, result.breaches
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -44,59 +44,59 @@
     return Observation(at * MILLISECOND, kind, flow, subject, fields)
 
 
-def sent(at, kind="view", flow="f", balancer="b0"):
-    """Return that a client sent a flow, with a timeout of one second."""
-    return observation(at, "sent", flow, balancer, type=kind, wait_ms=1000, person=1)
+def sent(at, flow_type="view", flow="f", balancer="b0"):
+    """Return the observation that a client sent a flow, with a timeout of one second."""
+    return observation(at, "sent", flow, balancer, type=flow_type, wait_ms=1000, person=1)
 
 
 def repeated(at, balancer="b0"):
-    """Return that a misbehaving client repeated the flow's id."""
+    """Return the observation that a misbehaving client repeated the flow's id."""
     return observation(at, "said_again", "f", balancer)
 
 
 def answer(at, kind="up", line="UP r1", flow="f"):
-    """Return that a client received an answer."""
+    """Return the observation that a client received an answer."""
     return observation(at, "answer", flow, "b0", kind=kind, line=line)
 
 
 def attempt(at, number=1, server="s0", flow="f", balancer="b0"):
-    """Return that a server received an attempt of a flow."""
+    """Return the observation that a server received an attempt of a flow."""
     return observation(at, "attempt", flow, server, balancer=balancer, number=number, load=1.0)
 
 
 def reply(at, kind="up", number=1, server="s0", flow="f"):
-    """Return that a server replied."""
+    """Return the observation that a server replied."""
     receipt = f"UP r{number}"
     return observation(at, "reply", flow, server, number=number, kind=kind, receipt=receipt)
 
 
 def let_go(at, number=1):
-    """Return that the balancer closed its connection to a server."""
+    """Return the observation that the balancer closed its connection to a server."""
     return observation(at, "let_go", "f", "s0", number=number)
 
 
 def lines(side, said, heard):
-    """Return the lines that one side of an established connection sent and received."""
+    """Return the observation of the lines that one side of a connection sent and received."""
     return observation(900, "lines", "f", "b0", side=side, said=said, heard=heard, number=1)
 
 
 def ended(at, how):
-    """Return that a client's connection ended."""
+    """Return the observation that a client's connection ended."""
     return observation(at, "ended", "f", "b0", how=how)
 
 
 def told(at, state, version=0):
-    """Return that a balancer was notified of s0's state."""
+    """Return the observation that a balancer was notified of s0's state."""
     return observation(at, "told", "", "b0", server="s0", life=state, version=version)
 
 
 def balancer_down(at):
-    """Return that the balancer died."""
+    """Return the observation that the balancer died."""
     return observation(at, "balancer_down", "", "b0")
 
 
 def server_down(at):
-    """Return that server s0 died."""
+    """Return the observation that server s0 died."""
     return observation(at, "server_down", "", "s0")
 
 
@@ -201,10 +201,10 @@
     assert [str(violation) for violation in check(events, RULES)] == []
 
 
-def retried_flow(kind, first_end, second_at, server="s1"):
+def retried_flow(flow_type, first_end, second_at, server="s1"):
     """Return a flow whose first attempt the balancer ended and which it then retried."""
     return [
-        sent(0, kind),
+        sent(0, flow_type),
         attempt(5),
         let_go(first_end),
         *second_attempt(second_at, server, reply_server=server, answer_after=10),
@@ -336,6 +336,7 @@
     assert [violation.rule for violation in found] == [rule], texts
     assert message in found[0].message, texts
     assert found[0].evidence
+    # The budget of the cold s1 is 2 * 40 * 0.2 * 0.1 * 2 = 3.2, which the fourth flow exceeds.
     flows = {COLD_SERVERS: "f3", "a flow that no client had sent": "x"}
     assert found[0].flow == flows.get(rule, flows.get(message, "f"))
 
@@ -402,7 +403,7 @@
     Mutation.DOUBLES_LINE: Expected(LINES, "down: received"),
     Mutation.CUTS_CONNECTION: Expected(LINES, "cut off without MOVE"),
 }
-SIDE_BY_SIDE = 5
+PARALLEL_MUTANTS = 5
 # On one pytest worker, so that the mutants are played only once.
 on_one_worker = pytest.mark.xdist_group("mutant_balancers")
 
@@ -418,9 +419,9 @@
 
 @pytest.fixture(scope="module")
 def played_mutants(tmp_path_factory) -> dict[Mutation, ScenarioResult]:
-    """Return the result of each mutant; up to SIDE_BY_SIDE of them are played in parallel."""
+    """Return the result of each mutant; up to PARALLEL_MUTANTS of them are played in parallel."""
     play = partial(play_mutant, folder=tmp_path_factory.mktemp("mutants"))
-    with ProcessPoolExecutor(SIDE_BY_SIDE) as pool:
+    with ProcessPoolExecutor(PARALLEL_MUTANTS) as pool:
         return dict(zip(Mutation, pool.map(play, Mutation), strict=True))
 
 
--- a/tests/lab/test_lab_endpoint_list.py
+++ b/tests/lab/test_lab_endpoint_list.py
@@ -36,21 +36,21 @@
 def test_an_agent_answers_with_the_changes_since_a_version(agent):
     assert agent.answer(2) == (False, [], 2)
     agent.receive(4)
-    is_full, entries, version = agent.answer(2)
-    assert not is_full
+    is_complete, entries, version = agent.answer(2)
+    assert not is_complete
     assert [entry.state for entry in entries] == [ServerState.TERMINATED]
     assert version == 4
 
 
-def test_an_agent_answers_with_the_full_list_of_servers_that_run(agent):
+def test_an_agent_answers_with_the_complete_list_of_servers_that_run(agent):
     agent.receive(4)
     assert [entry.server for entry in agent.answer(0)[1]] == ["s-1"]
     assert agent.answer(9)[0]
 
 
-def test_an_agent_that_is_behind_answers_a_newer_version_with_its_full_list(agent):
-    is_full, entries, _ = agent.answer(4)
-    assert is_full
+def test_an_agent_that_is_behind_answers_a_newer_version_with_its_complete_list(agent):
+    is_complete, entries, _ = agent.answer(4)
+    assert is_complete
     assert [entry.server for entry in entries] == ["s-0", "s-1"]
 
 
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -168,7 +168,7 @@
         play_scenario(experiment, experiment.variants[1], 1, tmp_path)
 
 
-def test_servers_that_grow_are_off_before_and_cold_after(tmp_path):
+def test_a_server_that_a_grow_fault_adds_is_off_before_and_cold_after(tmp_path):
     experiment = small_experiment(
         seconds=7,
         load={"course": [[0, 20]]},
@@ -187,7 +187,7 @@
 
 
 def test_a_lab_that_was_late_voids_its_scenario(tmp_path):
-    """Otherwise violations caused by a stalled machine would be attributed to the balancer."""
+    """Violations caused by a stalled machine must not be attributed to the balancer."""
     stalled_at: list[float] = []
 
     def stall_once(second: float) -> None:
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -77,7 +77,7 @@
     assert unanswered_at_stops([*elsewhere, *STOPPED]) == []
 
 
-def test_attempts_for_clients_that_left_are_found_from_the_third_on():
+def test_attempts_for_clients_that_left_are_found_if_more_than_two():
     def flow(number: int, after: float) -> list[Observation]:
         """Return a flow whose client leaves, and an attempt `after` seconds later."""
         ident = f"f{number}"
--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -115,7 +115,7 @@
 
 
 def test_each_lab_process_has_an_address_of_its_own():
-    """Otherwise clients of one scenario could connect to a balancer of another, parallel one."""
+    """Clients of one scenario must not connect to a balancer of another, parallel one."""
     hosts = {
         subprocess.run(
             [sys.executable, "-c", PRINT_HOST], cwd=ROOT, capture_output=True, text=True
