--- a/cypresswalk/lab/cluster/testbed/__init__.py
+++ b/cypresswalk/lab/cluster/testbed/__init__.py
@@ -1,11 +1,18 @@
-"""A cluster of real balancer processes on loopback, with faults between them.
+"""A cluster of real balancer processes on loopback, with injected faults.
 
-`run.run_plan` plays a plan. `bed.ClusterTestBed` owns the parts: `balancer_host` the balancers and
-their agents, `links` the fault proxies between them, `server_stand_ins` or `server_members` the
-servers, `endpoint_lists` discovery, `clients` the load, `fleet_calls`, `operator_calls` and
-`releases` what operators do. `balancer_members` and `server_members` are what a release changes;
-`outages` notes which of them were out when; `player` does the plan's steps. All write into one
-`recording`; `result` has the checkers read it.
+`run.run_plan` runs a plan. `bed.ClusterTestBed` creates and owns these parts:
 
-One event loop holds the stand-ins and the proxies; calls to the fleet are made by threads.
+- `balancer_host`: the balancer processes and their agents
+- `links`: the fault proxies between balancers
+- `server_stand_ins`, `server_members`: the servers, in this process or as processes of their own
+- `endpoint_lists`: service discovery
+- `clients`: the load
+- `fleet_calls`, `operator_calls`, `releases`: the calls that operators make
+- `balancer_members`, `server_members`: the members that a release changes
+- `outages`: when each of these members was unavailable
+- `player`: the execution of the plan's steps
+
+All parts write into one `recording`, which `result` passes to the checkers.
+
+The stand-ins and the proxies run in one event loop; threads make the calls to the fleet.
 """
--- a/cypresswalk/lab/cluster/testbed/addresses.py
+++ b/cypresswalk/lab/cluster/testbed/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a test bed, and how connections there end."""
+"""Loopback addresses of a testbed, and the errors that end its connections."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -7,25 +7,25 @@
 from cypresswalk.lab.testbed.streams import CONNECTION_ENDS
 
 Address = tuple[str, int]
-# Errors that end the handler of a stand-in's connection. At the end of a run the event loop cancels
-# all handlers, and asyncio's streams would print a traceback for each.
+# Errors that a stand-in's connection handler catches. At the end of a run the event loop cancels
+# all handlers; asyncio's streams would print a traceback for each cancellation that is not caught.
 HANDLER_ENDS = (*CONNECTION_ENDS, asyncio.CancelledError)
 
 
 class Addresses:
-    """Hosts and free ports.
+    """Loopback hosts of a run, and an allocator of free ports.
 
-    Balancers, stand-ins and servers' processes have a host each: a port that was chosen for one of
-    them, and is not listened on yet or for a while, is then never taken by another.
+    Balancers, stand-ins and server processes have separate hosts, so that none of them can take a
+    port that is reserved for another kind but not listened on at the moment.
 
     Attributes:
-        balancer_host: of balancers and agents.
-        stand_in_host: of what the test bed itself listens on.
-        server_host: of servers that are processes.
+        balancer_host: host of balancers and agents.
+        stand_in_host: host on which the testbed itself listens.
+        server_host: host of servers that are processes.
     """
 
     def __init__(self) -> None:
-        """Choose hosts of this process alone."""
+        """Choose hosts that only this process uses."""
         self.balancer_host = own_host()
         last_bytes = self.balancer_host.split(".", 2)[2]
         self.stand_in_host = f"127.200.{last_bytes}"
@@ -33,7 +33,7 @@
         self._chosen: set[Address] = set()
 
     def free(self, host: str = "") -> Address:
-        """Return a free address that was not returned before, at the balancers' host by default."""
+        """Return a free address that was not returned before, by default on the balancers' host."""
         host = host or self.balancer_host
         while (address := (host, free_port(host))) in self._chosen:
             pass
@@ -43,12 +43,14 @@
 
 @dataclass
 class ServerAddresses:
-    """Where balancers find servers: a port for each of them, which tells who sent.
+    """The addresses of all servers.
+
+    A server has a separate port for each balancer, which identifies the balancer that connects.
 
     Attributes:
-        host: of all servers.
-        names: of all servers.
-        ports: by server and balancer.
+        host: host of all servers.
+        names: names of all servers.
+        ports: port by server and balancer.
     """
 
     host: str
@@ -60,5 +62,5 @@
         return self.host, self.ports[server, balancer]
 
     def text(self, server: str, balancer: str) -> str:
-        """Return that address as "host:port"."""
+        """Return a server's address for a balancer as "host:port"."""
         return address_text(self.address(server, balancer))
--- a/cypresswalk/lab/cluster/testbed/balancer_config.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_config.py
@@ -1,4 +1,4 @@
-"""The files that a balancer of a cluster starts with."""
+"""The configuration files that a balancer of a cluster reads when it starts."""
 
 import json
 from collections.abc import Mapping
@@ -10,11 +10,11 @@
 from cypresswalk.lab.cluster.testbed.fleet_calls import FLEET_NAME
 from cypresswalk.lab.cluster.testbed.settings import balancer_settings
 
-MAX_MIN_REPLICAS = 2  # that must have a reservation before it is granted
+MAX_MIN_REPLICAS = 2  # replicas that must store a reservation before it is granted
 
 
 def write_config(host: BalancerHost, number: int, plan: Plan, list_address: Address) -> None:
-    """Write the platform's configuration file."""
+    """Write the configuration file that the platform provides in production."""
     config = {
         "name": host.name,
         "listen": address_text(host.listen),
@@ -38,11 +38,11 @@
     """Write the operator file.
 
     Args:
-        host: of the balancer.
-        number: of the balancer.
-        plan: of the cluster.
-        seed_members: the fleet address of each voter.
-        links: where this balancer reaches each other one.
+        host: host of the balancer.
+        number: index of the balancer.
+        plan: plan of the cluster.
+        seed_members: fleet address of each voter.
+        links: address by which this balancer reaches each other one.
     """
     lines = [
         "[fleet]",
--- a/cypresswalk/lab/cluster/testbed/balancer_host.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_host.py
@@ -1,4 +1,4 @@
-"""The host of a balancer: the balancer itself, or an agent that starts it."""
+"""The host of a balancer, which runs the balancer itself or an agent that starts it."""
 
 import asyncio
 import os
@@ -18,23 +18,23 @@
 
 PYTHON = [sys.executable, "-B", "-m"]
 PROGRAM = [*PYTHON, "cypresswalk"]
-# Faults inside a process are put in by its start: the program's own code knows none.
+# Injects disk and clock faults into the balancer; the program's own code has no hooks for them.
 FAULTY_PROGRAM = [*PYTHON, "cypresswalk.lab.cluster.testbed.faulty_balancer"]
-EXIT_TIMEOUT_S = 8.0  # for which a balancer that was told to stop may drain
+EXIT_TIMEOUT_S = 8.0  # time for which a balancer may drain after SIGTERM
 EXIT_POLL_S = 0.02
-# After a balancer was killed or stopped under its agent, until it serves again.
+# Time until a balancer serves again after it was killed or stopped while its agent ran.
 RESTART_BY_AGENT = 4 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class HostAddresses:
-    """Where a balancer listens.
+    """The addresses on which a balancer listens.
 
     Attributes:
-        listen: for clients.
-        admin: for operators' calls.
-        fleet: for other balancers.
-        second_admin: for the second process that an agent starts beside the first.
+        listen: address for clients.
+        admin: address for operators' calls.
+        fleet: address for other balancers.
+        second_admin: admin address of the second process that an agent starts beside the first.
     """
 
     listen: Address
@@ -45,14 +45,14 @@
 
 @dataclass
 class Launch:
-    """How balancers are started; the same object for all hosts.
+    """The parameters with which balancers are started; all hosts share one object.
 
     Attributes:
-        tree: the folder of the program's files.
-        program: the command of a balancer.
-        agent_root: the folder of versions that agents start from; None where there is no agent.
-        environment: added to each start.
-        clock_drift: by balancer.
+        tree: root folder of the program's source files.
+        program: command of a balancer.
+        agent_root: folder of the versions that agents start; None where there is no agent.
+        environment: variables added to the environment of each process.
+        clock_drift: fraction by which a balancer's clock runs fast, by balancer.
     """
 
     tree: Path
@@ -63,14 +63,15 @@
 
 
 class BalancerHost(Host):
-    """A balancer over its starts.
+    """The host of one balancer, across all processes that are started on it.
 
     Attributes:
-        listen: where clients reach it.
-        admin: where operators' calls reach it.
-        fleet: where other balancers reach it, if not through a link's proxy.
-        frozen: whether it is stopped by a signal.
-        disruptions: from when until when the test bed killed, froze or stopped it, nanoseconds.
+        listen: address for clients.
+        admin: address for operators' calls.
+        fleet: address for other balancers that don't connect through a link's proxy.
+        frozen: whether its processes are stopped by SIGSTOP.
+        disruptions: begin and end of each period in which the testbed killed, froze or stopped it,
+            in nanoseconds of the monotonic clock.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         launch: Launch,
         recording: Recording,
     ):
-        """Nothing runs yet."""
+        """Create a host on which nothing runs yet."""
         super().__init__(name, folder)
         self.listen = addresses.listen
         self.admin = addresses.admin
@@ -96,7 +97,7 @@
 
     @property
     def config_file(self) -> Path:
-        """The balancer's configuration."""
+        """The balancer's configuration file."""
         return self.folder / "config.json"
 
     @property
@@ -106,28 +107,28 @@
 
     @property
     def fleet_folder(self) -> Path:
-        """What it persists of the fleet."""
+        """The folder in which the balancer persists its fleet state."""
         return self.folder / "kept"
 
     @property
     def backup_folder(self) -> Path:
-        """A copy of that of an earlier moment."""
+        """The folder of the backup of the balancer's fleet state."""
         return self.folder.parent / f"copy-{self.name}"
 
     @property
     def disk_fault_file(self) -> Path:
-        """Says which fault its disk has."""
+        """The file that names the current fault of the balancer's disk."""
         return self.folder / "disk"
 
     def disrupted(self, duration: int = 0) -> None:
-        """Record that it is disrupted from now on, for nanoseconds."""
+        """Record a disruption that begins now and lasts `duration` nanoseconds."""
         now = time.monotonic_ns()
         self.disruptions.append((now, now + duration))
 
     # Processes.
 
     def start(self, **environment: str) -> None:
-        """Start the balancer, or its agent; an older process of it may run still."""
+        """Start the balancer or its agent; an older process may still run."""
         if self.frozen:
             self.signal_children(signal.SIGCONT)  # the new agent takes them over
         self.launch(self._command(), self._launch.tree, self._environment() | environment)
@@ -136,19 +137,19 @@
         self._recording.record("start", who=self.name)
 
     def kill(self) -> None:
-        """Kill all that runs on the host."""
+        """Kill all processes on the host."""
         self.kill_all()
         self.disrupted()
         self._recording.observe("balancer_down", "", self.name)
         self._recording.record("kill", who=self.name)
 
     def kill_agent(self) -> None:
-        """Kill the agent; its balancers go on."""
+        """Kill the agent; its balancers keep running."""
         self.kill_process()
         self._recording.record("kill_agent", who=self.name)
 
     def kill_balancer(self) -> None:
-        """Kill the agent's current balancer; the agent starts it again."""
+        """Kill the agent's current balancer, which the agent then restarts."""
         pid = self.agent_state().pid
         if pid in self.child_pids():
             self.disrupted(RESTART_BY_AGENT)
@@ -156,7 +157,7 @@
             os.kill(pid, signal.SIGKILL)
 
     def freeze(self, duration_ms: int) -> None:
-        """Stop all that runs on the host by a signal."""
+        """Stop all processes on the host by SIGSTOP."""
         self.signal_children(signal.SIGSTOP)
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
@@ -164,7 +165,7 @@
         self.disrupted(duration_ms * MILLISECOND)
 
     def resume(self) -> None:
-        """End a freeze."""
+        """Let frozen processes continue."""
         if self.frozen:
             self.signal_children(signal.SIGCONT)
             if self.process is not None:
@@ -174,7 +175,7 @@
         self.frozen = False
 
     async def freeze_for(self, duration_ms: int) -> None:
-        """Freeze, and resume after a while what was frozen."""
+        """Freeze the host and resume it later, unless its process was replaced meanwhile."""
         process = self.process
         self.freeze(duration_ms)
         await asyncio.sleep(duration_ms / 1000)
@@ -182,12 +183,12 @@
             self.resume()
 
     def stop_balancers(self) -> None:
-        """Tell an agent's balancers to drain and end; the agent starts them again."""
+        """Send SIGTERM to an agent's balancers; they drain and exit, the agent restarts them."""
         self.disrupted(RESTART_BY_AGENT)
         self.signal_children(signal.SIGTERM)
 
     async def stop(self) -> None:
-        """Tell a balancer without an agent to drain and end, and wait for it."""
+        """Send SIGTERM to a balancer without an agent, and wait until it has drained and exited."""
         process = self.process
         if process is None:
             return
@@ -207,7 +208,7 @@
             self.start()
 
     def heal(self) -> None:
-        """End a freeze and a disk's fault, and start what does not run or is about to end."""
+        """End a freeze and a disk fault, and restart a process that has ended or is stopping."""
         self.clear_disk_fault()
         self.resume()
         if self.process is None:
@@ -218,25 +219,25 @@
     # Folders and disks.
 
     def set_disk_fault(self, fault: str) -> None:
-        """Let the disk of a faulty balancer fail; `faulty_balancer` knows the faults."""
+        """Set the fault of a faulty balancer's disk; `faulty_balancer` defines the faults."""
         self.disk_fault_file.write_text(fault)
 
     def clear_disk_fault(self) -> None:
-        """Let the disk work again."""
+        """End the disk's fault."""
         self.disk_fault_file.unlink(missing_ok=True)
 
     def wipe(self) -> None:
-        """Kill it and start it again without what it had persisted of the fleet."""
+        """Kill the balancer, delete its persisted fleet state and start it again."""
         self.kill()
         shutil.rmtree(self.fleet_folder, ignore_errors=True)
         self.start()
 
     def back_up(self) -> None:
-        """Copy what it has persisted of the fleet."""
+        """Back up the balancer's persisted fleet state."""
         shutil.copytree(self.fleet_folder, self.backup_folder, dirs_exist_ok=True)
 
     def restore_backup(self) -> None:
-        """Kill it and start it again with an earlier copy, if there is one."""
+        """Kill the balancer and start it again with its backup, if there is one."""
         if self.backup_folder.exists():
             self.kill()
             shutil.rmtree(self.fleet_folder)
@@ -262,7 +263,7 @@
         ]
 
     def _environment(self) -> dict[str, str]:
-        """Return its environment: of the platform's variables only what the test bed sets."""
+        """Return the process environment, which inherits no PROXY_*, PYTHONPATH or TMPDIR."""
         inherited = {
             name: value
             for name, value in os.environ.items()
--- a/cypresswalk/lab/cluster/testbed/balancer_members.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_members.py
@@ -1,4 +1,4 @@
-"""Balancers that agents start and change: what a release of them needs, and drains by operators."""
+"""Balancers that agents start and change: their releases, and their drains by operators."""
 
 import asyncio
 import time
@@ -30,15 +30,15 @@
 from cypresswalk.rollout.release import Plan as ReleasePlan
 
 ANSWER_CHECK_INTERVAL_S = 0.3
-CLIENT_ADDRESS_EVENT = "front"  # in recordings: whether a balancer answers at its client address
+CLIENT_ADDRESS_EVENT = "front"  # recorded when a client address starts or stops answering
 ADMIN_TIMEOUT_S = 2.0
 MAX_SETUP_RATIO = 4.0
-FEW_BALANCERS = 8  # below it a release has two waves, else three
+FEW_BALANCERS = 8  # with fewer balancers a release has two waves, else three
 STEPS_OUT = (AgentStep.STARTING_NEW, AgentStep.STOPPING_OLD)
 
 
 class BalancerMembers:
-    """All balancers; see `releases.ReleaseMembers`."""
+    """All balancers as members of a release; implements `releases.ReleaseMembers`."""
 
     finish_timeout_per_member_s = 8.0
 
@@ -51,15 +51,15 @@
         outages: OutageLog,
         recording: Recording,
     ):
-        """Nothing is made yet.
+        """Store the parameters; `prepare` makes the folder of versions.
 
         Args:
-            plan: of the cluster.
-            hosts: by balancer; they may be added later.
-            root: the folder of versions.
-            tree: the folder of the program's files.
-            outages: gets who is out when.
-            recording: gets calls and what was seen.
+            plan: plan of the cluster.
+            hosts: host by balancer; hosts may be added later.
+            root: folder of versions.
+            tree: root folder of the program's source files.
+            outages: log that receives the outages of balancers.
+            recording: recording that receives calls and changes of agents and balancers.
         """
         self.names = plan.balancer_names()
         self.first_balancer = self.names[0]
@@ -75,24 +75,24 @@
         self._drains: list[Departure] = []
 
     def prepare(self) -> None:
-        """Make the folder of versions and the first one."""
+        """Make the folder of versions and the first version."""
         self._root.mkdir()
         self.make_build(FIRST_VERSION, Build.GOOD)
 
     def watch(self, tasks: BackgroundTasks, chance: Random) -> None:
-        """Begin to watch who is out."""
+        """Start tasks that record which balancers are unavailable."""
         tasks.spawn(watch_agents(self._hosts, STEPS_OUT, self._outages, self._recording))
         for host in self._hosts.values():
             tasks.spawn(self._watch_answers(host, chance.random() * ANSWER_CHECK_INTERVAL_S))
 
     def make_build(self, version: str, build: Build) -> None:
-        """Make a version for agents to start."""
+        """Make a version that agents can start."""
         make_balancer_build(self._root, self._tree, version, build)
 
     def release_plan(
         self, name: str, from_version: str, to_version: str, names: list[str], step: Step
     ) -> ReleasePlan:
-        """Return the plan of a release: a canary, then the others, in three waves if many."""
+        """Return the plan of a release: a canary wave, then the others in one or two waves."""
         if len(names) < FEW_BALANCERS:
             waves = [names[:1], names[1:]]
         else:
@@ -112,20 +112,20 @@
         )
 
     def agent_states(self) -> list[AgentState]:
-        """Return what each agent has saved."""
+        """Return the saved state of each agent."""
         return [host.agent_state() for host in self._hosts.values()]
 
     def nobody_is_out(self, body: dict[str, Any]) -> bool:
-        """Return whether the fleet's answer to the call `release` says so."""
+        """Return whether the fleet's answer to the call `release` counts no balancer as out."""
         return not body["away"] and not body["seen_out"]
 
     async def return_drained(self) -> None:
-        """End drains by operators."""
+        """End all drains by operators."""
         for name in sorted(self._drained):
             await self.set_drained(name, False)
 
     async def set_drained(self, name: str, drained: bool) -> None:
-        """Drain a balancer, or end its drain, by an operator's call at it."""
+        """Start or end a balancer's drain by an operator's call to that balancer."""
         call = "drain-on" if drained else "drain-off"
         answer = await self._admin_call(name, call)
         now = time.monotonic_ns()
@@ -142,7 +142,7 @@
         self._outages.set_planned(name, DRAINED, drained, now)
 
     def departures(self) -> list[Departure]:
-        """Return who was told to go out when, in order of time."""
+        """Return when each balancer was ordered to leave, in order of time."""
         by_agents = [
             Departure(event.at, name, "release")
             for name, host in self._hosts.items()
@@ -151,7 +151,7 @@
         return sorted(by_agents + self._drains)
 
     def excuse_crashes(self) -> None:
-        """Count balancers that ended by themselves, by their build's fault, as disrupted."""
+        """Record a disruption for each balancer process that crashed because of its build."""
         for host in self._hosts.values():
             for event in host.logged_events("ended_by_itself"):
                 host.disruptions.append((event.at - RESTART_BY_AGENT, event.at + SECOND))
@@ -168,7 +168,7 @@
         )
 
     async def _admin_call(self, name: str, line: str) -> str:
-        """Return the first line of a balancer's answer, or why there is none."""
+        """Return the first line of a balancer's answer, or the reason why there is none."""
         host, _, port = self._hosts[name].agent_state().admin.rpartition(":")
         writer = None
         try:
--- a/cypresswalk/lab/cluster/testbed/bed.py
+++ b/cypresswalk/lab/cluster/testbed/bed.py
@@ -1,4 +1,4 @@
-"""The test bed: all parts of one cluster, their start and their end."""
+"""The testbed, which creates, starts and stops all parts of one cluster."""
 
 import asyncio
 import shutil
@@ -37,50 +37,52 @@
 from cypresswalk.lab.units import SECOND
 
 SERVERS_ANSWER_TIMEOUT_S = 30.0
-MAX_STAY_S = 3.0  # of a client at a server that is a process
+MAX_STAY_S = 3.0  # longest time that a client keeps its flow open at a server process
 POLL_INTERVAL_S = 0.1
-SLACK = SECOND // 4  # of each limit, beyond the measured lateness of the event loop
+SLACK = SECOND // 4  # tolerance of each limit, added to the measured lateness of the event loop
 RECORDING_FILE = "history.jsonl"
 OUTAGES_FILE = "out.jsonl"
 
 
 class ClusterTestBed:
-    """One cluster, over one run.
+    """One cluster during one run.
 
     Attributes:
-        plan: of the cluster.
-        folder: of the run; what is in it is lost.
-        names: of all balancers.
-        balancers: their hosts by name, once it has started.
-        launch: how balancers are started.
-        recording: what all parts did and observed.
-        tasks: of the event loop.
-        lateness: of the event loop.
-        chance: of everything that is random.
-        lists: the endpoint lists.
-        links: between balancers.
-        calls: to the fleet.
-        convergence: waits for the fleet.
-        operators: calls on servers and settings.
-        clients: the load.
-        outages: who was out when, where there are agents.
-        balancer_members: agents of balancers, if the plan has them.
-        server_members: agents of servers, if the plan has them.
-        server_events: what those servers wrote.
-        releases: by either of these.
-        player: of the plan's steps.
+        plan: plan of the cluster.
+        folder: folder of the run; `start` deletes its content.
+        in_fleet: whether balancers form a fleet.
+        names: names of all balancers.
+        balancers: hosts of balancers by name, filled by `start`.
+        launch: parameters with which balancers are started.
+        recording: events and observations of all parts.
+        tasks: background tasks of the event loop.
+        lateness: measurement of the event loop's lateness.
+        addresses: allocator of loopback addresses.
+        chance: source of all randomness.
+        lists: stand-ins for discovery's endpoint lists.
+        links: links between balancers.
+        calls: calls to the fleet.
+        convergence: waits for the fleet to converge.
+        operators: operators' calls on servers and settings.
+        clients: clients that generate the load.
+        outages: unavailability of members that have agents.
+        balancer_members: balancers that agents start, if the plan has such agents.
+        server_members: servers that agents start, if the plan has such agents.
+        server_events: reader of the events that server processes write.
+        releases: releases of balancers or servers, if the plan has agents.
+        player: executor of the plan's steps.
     """
 
     def __init__(self, plan: Plan, folder: Path, tree: Path | None = None, in_fleet: bool = True):
-        """Nothing is made and nothing runs yet.
+        """Create all parts; `start` makes the folder and starts them.
 
         Args:
-            plan: of the cluster.
-            folder: of the run.
-            tree: the folder of the program's files, this checkout's if None.
+            plan: plan of the cluster.
+            folder: folder of the run.
+            tree: root folder of the program's source files; this checkout if None.
             in_fleet: whether balancers form a fleet; else their operator files are empty.
         """
-        # Over 40 lines since it makes one part a line.
+        # Longer than 40 lines because it creates one part after another.
         self.plan = plan
         self.folder = folder
         self.in_fleet = in_fleet
@@ -122,7 +124,7 @@
         )
 
     async def start(self) -> None:
-        """Start all parts; the balancers are not ready yet."""
+        """Start all parts, without waiting until the balancers are ready."""
         shutil.rmtree(self.folder, ignore_errors=True)
         self.folder.mkdir(parents=True)
         if self.balancer_members is not None:
@@ -143,7 +145,10 @@
             self.tasks.spawn(self.server_events.follow())
 
     async def agree_on_bounds(self, status: dict[str, Any]) -> None:
-        """Agree on the plan's bounds once the fleet, whose status this is, has converged.
+        """Have the fleet agree on the plan's bounds.
+
+        Args:
+            status: status of the converged fleet.
 
         Raises:
             CommandError: the bounds were not agreed.
@@ -153,7 +158,7 @@
         await self.operators.begin(status)
 
     async def stop(self) -> None:
-        """End all that runs, and save the recording."""
+        """Stop all tasks and processes, and save the recording."""
         self.tasks.cancel()
         if self.server_members is not None:
             self.server_members.stop()
@@ -171,22 +176,22 @@
         self.recording.save(self.folder / RECORDING_FILE)
 
     def heal(self) -> None:
-        """End all faults, and start all balancers that do not run."""
+        """End all faults, and start all balancers that are not running."""
         self.lists.heal()
         self.links.heal()
         for host in self.balancers.values():
             host.heal()
 
     def slack(self) -> int:
-        """Return nanoseconds granted beyond each limit: what this machine itself is late."""
+        """Return each limit's tolerance in nanoseconds, which allows for this machine's delays."""
         return SLACK + self.lateness.worst
 
     def disruptions(self) -> dict[str, list[tuple[int, int]]]:
-        """Return, by balancer, from when until when the test bed disrupted it."""
+        """Return begin and end of each disruption by the testbed, by balancer."""
         return {name: host.disruptions for name, host in self.balancers.items()}
 
     def _add_members(self) -> None:
-        """Add servers, and the agents that the plan has."""
+        """Create the servers, and the members that the plan's agents start."""
         if self.plan.server_agents:
             self.server_members = ServerMembers(
                 self.plan,
@@ -267,7 +272,7 @@
 
 
 def _launch(plan: Plan, folder: Path, tree: Path) -> Launch:
-    """Return how a plan's balancers are started."""
+    """Return the parameters with which a plan's balancers are started."""
     has_inner_faults = bool(plan.clock_drift) or any(
         step.action in DISK_ACTIONS for step in plan.steps
     )
--- a/cypresswalk/lab/cluster/testbed/builds.py
+++ b/cypresswalk/lab/cluster/testbed/builds.py
@@ -1,4 +1,4 @@
-"""Versions of a program for releases: sound, or bad in one way."""
+"""Versions of a program for releases, each good or with one defect."""
 
 import shutil
 from pathlib import Path
@@ -14,7 +14,7 @@
 from cypresswalk.net.ports import Extensions
 from cypresswalk.net.session import BUSY_REPLY, ERROR_REPLY
 """
-# What is added to the balancer's own code to make a bad build.
+# Code that is appended to the balancer's own to make a defective build.
 PATCHES = {
     Build.REJECTS: """
 Core.place = lambda self, now, session: self.end_session(now, session, BUSY_REPLY)
@@ -51,10 +51,10 @@
     """Make a version of the balancer.
 
     Args:
-        root: the folder of all versions.
-        tree: the folder of the program's files.
-        version: the name of the new folder in `root`.
-        build: what it is to be.
+        root: folder of all versions.
+        tree: root folder of the program's source files.
+        version: name of the new folder in `root`.
+        build: good, or the defect of the version.
     """
     folder = root / version
     if build == Build.GOOD:
@@ -70,6 +70,6 @@
 
 
 def make_server_build(root: Path, version: str, build: Build) -> None:
-    """Make a version of the servers' process, which reads what it is to be."""
+    """Make a version of the server process, which reads its defect from a file."""
     (root / version).mkdir()
     (root / version / BUILD_FILE).write_text(build)
--- a/cypresswalk/lab/cluster/testbed/clients.py
+++ b/cypresswalk/lab/cluster/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Clients: a load of flows at random balancers."""
+"""Clients, which open flows at random balancers."""
 
 import asyncio
 import time
@@ -15,15 +15,20 @@
 from cypresswalk.lab.cluster.testbed.tasks import BackgroundTasks
 from cypresswalk.lab.units import MILLISECOND
 
-BOOK_INTERVAL = 5  # one flow in so many is a booking
+BOOK_INTERVAL = 5  # every fifth flow is a booking
 REPEAT_DELAYS_S = (0, 0, 0.05, 0.5, 2, 5)
-LATE_ANSWER_S = 1.0  # that a client waits beyond its deadline
-ANSWER_KINDS = {"UP": "up", "BUSY": "busy"}  # others are failures
+LATE_ANSWER_S = 1.0  # time for which a client waits beyond its deadline
+ANSWER_KINDS = {"UP": "up", "BUSY": "busy"}  # any other answer is a failure
 
 
 @dataclass(slots=True)
 class _Outcome:
-    """How a flow ended: the first word of its answer, or what came instead; when."""
+    """The outcome of a flow.
+
+    Attributes:
+        answer: first word of the answer, or what happened instead.
+        answered_at: nanoseconds of the monotonic clock; 0 while there is no answer.
+    """
 
     answer: str = "none"
     answered_at: int = 0
@@ -33,9 +38,9 @@
     """All clients of a cluster.
 
     Attributes:
-        flows: that have ended.
-        repeated: ids that were sent twice, which the lab's checker, made for one answer a flow,
-            does not fit.
+        flows: flows that have ended.
+        repeated: ids that were sent twice; the lab's checker can't check them, since it expects
+            one answer for each flow.
     """
 
     def __init__(
@@ -47,16 +52,16 @@
         chance: Random,
         max_stay_s: float = 0.0,
     ):
-        """Nobody comes yet.
+        """Store the parameters; `start` begins the load.
 
         Args:
-            plan: says how many come, and how many send an id twice.
-            balancers: where they come to.
-            recording: of what they do.
-            tasks: runs each flow.
-            chance: of when who comes where.
-            max_stay_s: for which a client stays once its flow is established; each stays for a
-                random part of it.
+            plan: plan of the cluster, with the rate of flows and the probability of a repeat.
+            balancers: hosts of the balancers that clients connect to.
+            recording: recording of what clients send and receive.
+            tasks: runner of each flow.
+            chance: source of the random times, balancers and repeats.
+            max_stay_s: longest time in seconds for which a client keeps an established flow open;
+                each client chooses a random time up to it.
         """
         self.flows: list[ClientFlow] = []
         self.repeated: set[str] = set()
@@ -69,20 +74,20 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Begin the plan's load, if it has any."""
+        """Start the plan's load, if it has any."""
         if self._plan.flows_per_s:
             self._tasks.spawn(self._run(self._plan.flows_per_s))
 
     def stop(self) -> None:
-        """Let nobody come any more; flows under way go on."""
+        """Open no more flows; open flows continue."""
         self._stopped = True
 
     def answer_counts(self) -> dict[str, int]:
-        """Return how many flows got each answer."""
+        """Return the number of flows by their answer."""
         return dict(sorted(Counter(flow.answer for flow in self.flows).items()))
 
     async def flow(self, flow_id: str, balancer: str, type_name: str) -> None:
-        """Send a flow and wait for its end."""
+        """Open a flow and wait until it ends."""
         sent_at = time.monotonic_ns()
         outcome = _Outcome()
         try:
@@ -132,10 +137,10 @@
     async def _connect(
         self, flow_id: str, balancer: str, type_name: str, outcome: _Outcome
     ) -> None:
-        """Connect, get an answer, and stay for a while.
+        """Connect, read the answer, and keep an established flow open for a while.
 
         Raises:
-            OSError: the connection could not be made in time, or broke; a TimeoutError too.
+            OSError: the connection could not be made in time or broke; includes TimeoutError.
         """
         writer = None
         try:
@@ -156,7 +161,7 @@
                 writer.close()
 
     def _on_answer(self, flow_id: str, balancer: str, answer: str, outcome: _Outcome) -> None:
-        """Note an answer's line; it is empty where the connection ended without one."""
+        """Record an answer line, which is empty if the connection ended without an answer."""
         outcome.answered_at = time.monotonic_ns()
         outcome.answer = answer.split(" ")[0] or "end"
         if answer:
@@ -164,7 +169,7 @@
             self._recording.observe("answer", flow_id, balancer, kind=kind, line=answer)
 
     async def _stay(self, reader: asyncio.StreamReader) -> None:
-        """Stay until told to migrate, the connection's end, or a random time."""
+        """Keep a flow open for a random time, or until it is to migrate or its connection ends."""
         if not self._max_stay_s:
             return
         try:
--- a/cypresswalk/lab/cluster/testbed/convergence.py
+++ b/cypresswalk/lab/cluster/testbed/convergence.py
@@ -1,4 +1,4 @@
-"""Waits until a cluster has converged: all balancers act on the newest version, replicas agree."""
+"""Waits until a cluster has converged: balancers act on the newest version, replicas agree."""
 
 import asyncio
 import time
@@ -9,24 +9,29 @@
 from cypresswalk.lab.cluster.testbed.fleet_calls import SHORT_CALL_TIMEOUT_S, FleetCalls
 
 CONVERGENCE_TIMEOUT_S = 30.0
-CONVERGENCE_TIMEOUT_PER_BALANCER_S = 1.0  # fifty interpreters start on a few cores
+CONVERGENCE_TIMEOUT_PER_BALANCER_S = 1.0  # up to fifty interpreters start on a few cores
 STATUS_INTERVAL_S = 0.1
 REPLICAS_TIMEOUT_S = 30.0
 REPLICAS_INTERVAL_S = 0.2
 
 
 class ReplicasStatus(NamedTuple):
-    """What the leader says of replicas, and whether each partition is complete at all of them."""
+    """The leader's report on replicas.
+
+    Attributes:
+        body: the leader's answer.
+        complete: whether each partition is complete and equal at as many replicas as planned.
+    """
 
     body: Any
     complete: bool
 
 
 class Convergence:
-    """Waits on one cluster."""
+    """Waits for one cluster to converge."""
 
     def __init__(self, plan: Plan, calls: FleetCalls):
-        """See the module."""
+        """Store the cluster's plan and the calls by which its state is read."""
         self._names = plan.balancer_names()
         self._replicas = min(plan.replicas, plan.balancers)
         self._calls = calls
@@ -35,10 +40,10 @@
         """Wait until balancers are members that act on the newest version under a lease.
 
         Args:
-            names: of those balancers; all if None.
+            names: names of those balancers; all balancers if None.
 
         Returns:
-            The fleet's status; None if it takes too long.
+            The fleet's status; None on timeout.
         """
         wanted = names or self._names
         timeout_s = CONVERGENCE_TIMEOUT_S + CONVERGENCE_TIMEOUT_PER_BALANCER_S * len(self._names)
@@ -51,9 +56,9 @@
         return None
 
     async def wait_for_replicas(self) -> ReplicasStatus:
-        """Wait until each partition is complete and alike at as many replicas as asked for.
+        """Wait until each partition is complete and equal at as many replicas as planned.
 
-        Clients must have stopped: replicas are compared at different moments.
+        Clients must have stopped, since replicas are read at different times.
         """
         until = time.monotonic() + REPLICAS_TIMEOUT_S
         body: Any = None
@@ -73,10 +78,10 @@
         return ReplicasStatus(body, False)
 
     async def wait_for_replicas_at_rest(self) -> bool:
-        """Wait until no replica is missing, away or being moved; clients may go on.
+        """Wait until no replica is missing, absent or being moved; clients may keep running.
 
         Returns:
-            Whether that came; False if it takes too long.
+            True on success, False on timeout.
         """
         until = time.monotonic() + REPLICAS_TIMEOUT_S
         while time.monotonic() < until:
@@ -89,7 +94,7 @@
         return False
 
     async def _status(self, names: list[str]) -> dict[str, Any] | None:
-        """Return the status by the first balancer that knows it."""
+        """Return the fleet's status from the first balancer that answers."""
         for name in names:
             answer = await self._calls.call(name, "status", timeout_s=SHORT_CALL_TIMEOUT_S)
             if answer.ok:
@@ -113,7 +118,7 @@
 
 
 def is_converged(status: dict[str, Any], names: list[str]) -> bool:
-    """Return whether a fleet's status says that balancers are members that act on its version."""
+    """Return whether a fleet's status shows balancers as members that act on its version."""
     members = status["members"]
     acting = {
         member["name"]
@@ -130,7 +135,7 @@
 
 
 def _is_at_rest(replicas: dict[str, Any]) -> bool:
-    """Return whether nothing is missing, away or being moved."""
+    """Return whether no replica is missing, absent or being moved."""
     return bool(
         replicas["parts"]
         and not replicas["lacking"]
--- a/cypresswalk/lab/cluster/testbed/endpoint_lists.py
+++ b/cypresswalk/lab/cluster/testbed/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Stand-ins for discovery: an endpoint list for each balancer, which can lag behind or lie."""
+"""Stand-ins for discovery: an endpoint list for each balancer, which can be outdated or false."""
 
 import asyncio
 import json
@@ -14,14 +14,20 @@
 IN_SERVICE = "in_service"
 TERMINATING = "terminating"
 POLL_INTERVAL_S = 0.05
-HEARTBEAT_AFTER_POLLS = 40  # without a change
+HEARTBEAT_AFTER_POLLS = 40  # polls without a change
 HEARTBEAT = b"\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """A server's new state in the list; `started_ms` is wall time."""
+    """A server's new state in the list.
+
+    Attributes:
+        server: name of the server.
+        state: IN_SERVICE or TERMINATING.
+        started_ms: start of the server in milliseconds of the wall clock; 0 if not published.
+    """
 
     server: str
     state: str
@@ -29,16 +35,17 @@
 
 
 class EndpointLists:
-    """A list service with an address for each balancer. Versions count its changes.
+    """A list service with an address for each balancer; its version is the number of changes.
 
     Attributes:
-        drained_at: servers that the list took out of service, and when, in nanoseconds.
+        drained_at: servers that the list took out of service, each with the time in nanoseconds of
+            the monotonic clock.
     """
 
     def __init__(
         self, host: str, balancers: list[str], servers: ServerAddresses, recording: Recording
     ):
-        """All servers are in service; it does not listen yet."""
+        """Create lists in which all servers are in service; `start` listens."""
         self.drained_at: list[tuple[str, int]] = []
         self._host = host
         self._balancers = balancers
@@ -46,11 +53,11 @@
         self._recording = recording
         self._listeners: dict[str, asyncio.Server] = {}
         self._changes: list[ListChange] = []
-        self._lagging: dict[str, int] = {}  # by balancer: the version at which its list stands
+        self._lagging: dict[str, int] = {}  # by balancer: the version that its list is held at
         self._lying: set[str] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen for balancers."""
         for balancer in self._balancers:
             self._listeners[balancer] = await asyncio.start_server(
                 partial(self._serve, balancer), self._host, 0
@@ -62,35 +69,35 @@
             listener.close()
 
     def address(self, balancer: str) -> Address:
-        """Return where a balancer finds its list."""
+        """Return the address of a balancer's list."""
         return self._host, self._listeners[balancer].sockets[0].getsockname()[1]
 
     def restarted(self, server: str, started_ms: int) -> None:
-        """Publish that a server has started again."""
+        """Publish a server's restart."""
         self._changes.append(ListChange(server, IN_SERVICE, started_ms))
 
     def drain(self, server: str) -> None:
-        """Take a server out of service, if it is in."""
+        """Take a server out of service, unless it is out already."""
         latest = self._latest(len(self._changes)).get(server)
         if latest is None or latest.state == IN_SERVICE:
             self._changes.append(ListChange(server, TERMINATING, 0))
             self.drained_at.append((server, time.monotonic_ns()))
 
     def lag(self, balancer: str) -> None:
-        """Let a balancer's list learn of no more changes."""
+        """Hide all further changes from a balancer's list."""
         self._lagging[balancer] = self._version(balancer)
 
     def lie(self, balancer: str) -> None:
-        """Let a balancer's list say of each changed server that it is in service."""
+        """Make a balancer's list report each changed server as in service."""
         self._lying.add(balancer)
 
     def heal(self) -> None:
-        """End lagging and lying."""
+        """Make all lists current and correct again."""
         self._lagging.clear()
         self._lying.clear()
 
     def _version(self, balancer: str) -> int:
-        """Return how many changes a balancer's list has learned of."""
+        """Return the number of changes that a balancer's list shows."""
         return self._lagging.get(balancer, len(self._changes))
 
     def _latest(self, version: int) -> dict[str, ListChange]:
@@ -104,12 +111,12 @@
             writer.write(RESPONSE_HEAD)
             await self._send_changes(balancer, writer)
         except HANDLER_ENDS:
-            pass  # the balancer is gone, or the run is over
+            pass  # the balancer has disconnected, or the run is over
         finally:
             writer.close()
 
     async def _send_changes(self, balancer: str, writer: asyncio.StreamWriter) -> None:
-        """Send the complete list, then changes as they come, for ever."""
+        """Send the complete list, then each change, until cancelled."""
         version = self._version(balancer)
         data = self._message(balancer, version, self._servers.names, complete=True)
         quiet_polls = 0
@@ -139,7 +146,7 @@
         return json.dumps(message).encode() + b"\n"
 
     def _entry(self, balancer: str, server: str, state: str, started_ms: int) -> dict[str, Any]:
-        """Return a server's entry in the platform's form."""
+        """Return a server's entry in the platform's format."""
         return {
             "instanceId": server,
             "hostPort": self._servers.text(server, balancer),
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -1,9 +1,9 @@
-"""The balancer on a host that is at fault; the test bed starts it in the program's place.
+"""The balancer with injected disk and clock faults; the testbed starts it in the program's place.
 
-Its part in the fleet has a disk that fills up or fails and a clock that runs fast or slow; the
-program itself knows nothing of it. `FAULTY_BALANCER_DISK` names a file that says which fault the
-disk has now, none if there is no file; `FAULTY_BALANCER_CLOCK_DRIFT` is the part by which the clock
-runs fast.
+The faults affect the balancer's fleet member: its disk fills up, fails or is slow, and its clock
+runs fast or slow. The program's own code is unchanged. `FAULTY_BALANCER_DISK` names a file that
+contains the disk's current fault; without the file there is none. `FAULTY_BALANCER_CLOCK_DRIFT` is
+the fraction by which the clock runs fast.
 """
 
 import errno
@@ -20,25 +20,25 @@
 from cypresswalk.state.disk import DiskFolder
 
 DISK_FULL = "disk_full"
-DISK_SLOW = "disk_slow"  # any other text: it fails
+DISK_SLOW = "disk_slow"  # any other text means input/output errors
 SLOW_WRITE_S = 2.0
 
 
 class FaultyDisk(DiskFolder):
-    """A disk that fails for a while.
+    """A disk that fails, is full or is slow while its fault file says so.
 
-    A flush that fails leaves on disk a random part of what it covered, and the next one succeeds
+    After a failed flush a random part of the unflushed data is on disk, and the next flush succeeds
     without the rest.
     """
 
     def __init__(self, path: str, fault_file: Path):
-        """Open a folder; the file says which fault it has."""
+        """Open a folder, with the file that contains its current fault."""
         super().__init__(path)
         self._fault_file = fault_file
         self._chance = Random(os.getpid())
 
     def put(self, name: str, data: bytes, how: int) -> None:
-        """Write a file, or fail; what is appended may be written in part."""
+        """Write a file, or fail; a failed append may write a part of the data."""
         if error := self._fault():
             if how & os.O_APPEND:
                 super().put(name, data[: self._chance.randrange(len(data) + 1)], how)
@@ -52,13 +52,13 @@
         super().rename(name, to)
 
     def flush(self) -> None:
-        """Flush all that was written, or fail."""
+        """Flush all written data, or fail."""
         if error := self._fault():
             raise error
         super().flush()
 
     def _fault(self) -> OSError | None:
-        """Return the error that the next operation has; on a slow disk wait first."""
+        """Return the error of the current operation, if any; on a slow disk, wait instead."""
         try:
             fault = self._fault_file.read_text()
         except OSError:
@@ -72,18 +72,18 @@
 
 
 class FaultyBalancer(Program):
-    """The balancer with such a disk and clock."""
+    """The balancer with a faulty disk and clock."""
 
     def join_fleet(self, table: FleetTable, config: Config) -> None:
-        """Bind the core to the fleet, then replace the disk and the clock of its part in it."""
+        """Bind the core to the fleet, then replace the disk and the clock of its fleet member."""
         super().join_fleet(table, config)
-        assert self.binding is not None  # it was made just now
+        assert self.binding is not None  # set by the call above
         fleet = self.binding.fleet
         drift = float(os.environ["FAULTY_BALANCER_CLOCK_DRIFT"])
         began = driver.boottime_ns()
 
         def drifting_clock() -> int:
-            """Return the boot time in nanoseconds, with the drift accumulated since the start."""
+            """Return the boot time in nanoseconds plus the drift accumulated since the start."""
             now = driver.boottime_ns()
             return now + int((now - began) * drift)
 
@@ -91,7 +91,7 @@
         fleet.folder.disk = disk
         fleet.now = drifting_clock
         if fleet.replication is not None:
-            # Its wall time follows the fleet's clock by itself.
+            # Replication's wall time is derived from `fleet.now` and needs no change.
             fleet.replication.files = disk
             fleet.replication.now = drifting_clock
 
--- a/cypresswalk/lab/cluster/testbed/fleet_calls.py
+++ b/cypresswalk/lab/cluster/testbed/fleet_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the fleet, made by threads so that the event loop goes on meanwhile."""
+"""Calls to the fleet, made by threads so that they don't block the event loop."""
 
 import asyncio
 import time
@@ -15,8 +15,8 @@
 from cypresswalk.lab.units import MILLISECOND
 from cypresswalk.refusal import CommandError
 
-FLEET_NAME = "rig"  # of all test beds
-AUTHOR = "rig"  # of all the test bed's commands, in the fleet's record
+FLEET_NAME = "rig"  # the fleet's name in all testbeds
+AUTHOR = "rig"  # the author of the testbed's commands in the fleet's history
 CALL_TIMEOUT_S = 4.0
 SHORT_CALL_TIMEOUT_S = 1.0
 FIND_LEADER_TIMEOUT_S = 0.5
@@ -24,22 +24,27 @@
 
 
 class FleetAnswer(NamedTuple):
-    """An answer of the fleet and its body, whose keys the operators' page names."""
+    """An answer of the fleet.
+
+    Attributes:
+        outcome: YES, NO or UNSURE.
+        body: content of the answer; the operators' page documents its keys.
+    """
 
     outcome: CallOutcome
     body: Any
 
     @property
     def ok(self) -> bool:
-        """Whether it is a yes."""
+        """Whether the outcome is YES."""
         return self.outcome == CallOutcome.YES
 
     def shown_body(self) -> str:
-        """Return the body as text of bounded length."""
+        """Return the body as text, truncated for the recording."""
         return str(self.body)[:200]
 
     def version(self) -> int | None:
-        """Return the version that a command made, None if it did not say or is no yes."""
+        """Return the version that a command created, None if it failed or the answer has none."""
         text = str(self.body.get("why", "")).removeprefix("version ") if self.ok else ""
         return int(text) if text.isdecimal() else None
 
@@ -48,13 +53,13 @@
     """Calls to the balancers of a cluster."""
 
     def __init__(self, balancers: Mapping[str, BalancerHost]):
-        """The hosts may be added later."""
+        """Store the mapping of hosts, to which hosts may be added later."""
         self._balancers = balancers
         self._threads = ThreadPoolExecutor(MAX_CONCURRENT_CALLS)
         self._idents = count(1)
 
     def close(self) -> None:
-        """Make no more calls."""
+        """Cancel waiting calls and accept no more."""
         self._threads.shutdown(wait=False, cancel_futures=True)
 
     async def call(
@@ -64,11 +69,11 @@
         args: dict[str, Any] | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> FleetAnswer:
-        """Make a call at a balancer."""
+        """Make a call to a balancer."""
         address = address_text(self._balancers[balancer].fleet)
 
         def make_call() -> FleetAnswer:
-            """Make the call, blocking, and return its answer; errors become NO or UNSURE."""
+            """Make the blocking call and return its answer; errors become NO or UNSURE."""
             try:
                 ok, body = client.call([address], FLEET_NAME, name, args, timeout_s)
                 return FleetAnswer(CallOutcome.YES if ok else CallOutcome.NO, body)
@@ -80,7 +85,7 @@
         return await asyncio.get_running_loop().run_in_executor(self._threads, make_call)
 
     async def command(self, balancer: str, name: str, **args: Any) -> FleetAnswer:
-        """Make a call that changes what is agreed: with an id, its author and the wall clock."""
+        """Make a call that changes agreed state, with a command id, an author and the wall time."""
         head = {
             "ident": f"rig:{next(self._idents)}",
             "by": AUTHOR,
@@ -89,7 +94,7 @@
         return await self.call(balancer, name, head | args)
 
     async def leader(self) -> str:
-        """Return the balancer that leads, the first one if none is known to."""
+        """Return the leader's name; the first balancer if no leader is known."""
         for name in self._balancers:
             outcome, body = await self.call(name, "local", timeout_s=FIND_LEADER_TIMEOUT_S)
             if outcome == CallOutcome.YES and body["leader"]:
@@ -97,5 +102,5 @@
         return next(iter(self._balancers))
 
     async def local_status(self, names: list[str]) -> list[FleetAnswer]:
-        """Return what each balancer says of itself."""
+        """Return each balancer's status of itself."""
         return [await self.call(name, "local", timeout_s=SHORT_CALL_TIMEOUT_S) for name in names]
--- a/cypresswalk/lab/cluster/testbed/host.py
+++ b/cypresswalk/lab/cluster/testbed/host.py
@@ -1,4 +1,4 @@
-"""A host of the test bed: the process that is started there, and what an agent has started."""
+"""A host of the testbed: the process that is started on it, and the processes of its agent."""
 
 import contextlib
 import json
@@ -16,25 +16,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
-    """A line of an agent's log: nanoseconds of the monotonic clock, and the event's name."""
+    """An event in an agent's log.
+
+    Attributes:
+        at: nanoseconds of the monotonic clock.
+        name: name of the event.
+    """
 
     at: int
     name: str
 
 
 class Host:
-    """A host with a folder; its process is an agent or a program itself.
+    """A host with a folder of its own, on which an agent or a program runs.
 
     Attributes:
-        name: of the balancer or server on it.
-        folder: its own.
-        log: where its process writes.
-        agent_folder: the agent's, if there is one.
-        process: the last one started; None once it is known to have ended.
+        name: name of the balancer or server on the host.
+        folder: folder of the host.
+        log: file to which the process writes its output.
+        agent_folder: folder of the agent, if there is one.
+        process: the process last started; None once it is known to have ended.
     """
 
     def __init__(self, name: str, folder: Path):
-        """Nothing runs yet."""
+        """Create a host on which nothing runs yet."""
         self.name = name
         self.folder = folder
         self.log = folder / "log"
@@ -43,12 +48,12 @@
         self._wall_offset_s = time.time() - time.monotonic()
 
     def launch(self, command: list[str], tree: Path, environment: dict[str, str]) -> None:
-        """Start a process, which dies with the test bed's own.
+        """Start a process that is killed when the testbed's process ends.
 
         Args:
-            command: of the process.
-            tree: the folder of the program's files.
-            environment: the whole of it.
+            command: command line of the process.
+            tree: root folder of the program's source files, the process's working directory.
+            environment: complete environment of the process.
         """
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
@@ -63,22 +68,22 @@
             )
 
     def is_running(self) -> bool:
-        """Return whether its process runs."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def exit_code(self) -> int | None:
-        """Return the code with which its process ended by itself, None if it did not."""
+        """Return the exit code of a process that ended by itself, None if it did not."""
         return None if self.process is None else self.process.poll()
 
     def kill_process(self) -> None:
-        """Kill its process alone, and wait for its end."""
+        """Kill the process without the agent's processes, and wait until it has ended."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
         self.process = None
 
     def agent_state(self) -> AgentState:
-        """Return what the agent has saved, the state of a new agent if nothing readable."""
+        """Return the agent's saved state; a new agent's state if there is none or it is invalid."""
         try:
             data = json.loads((self.agent_folder / "agent.json").read_text())
             return AgentState.from_json(data)
@@ -86,7 +91,7 @@
             return AgentState()
 
     def child_pids(self) -> list[int]:
-        """Return the agent's processes, one it has started and not saved yet included."""
+        """Return the pids of the agent's processes, including one not yet saved in its state."""
         state = self.agent_state()
         pids = [state.pid, state.new_pid]
         with contextlib.suppress(OSError, ValueError):
@@ -100,12 +105,12 @@
                 os.kill(pid, number)
 
     def kill_all(self) -> None:
-        """Kill the process, which could start another one, and then the agent's processes."""
+        """Kill the process first, since an agent could start others, then the agent's processes."""
         self.kill_process()
         self.signal_children(signal.SIGKILL)
 
     def logged_events(self, *names: str) -> list[LoggedEvent]:
-        """Return those events of the agent's log that have one of the names."""
+        """Return the events in the agent's log that have one of the names."""
         try:
             lines = self.log.read_text(errors="replace").splitlines()
         except OSError:
@@ -119,7 +124,7 @@
         ]
 
     def logs_with_traceback(self) -> list[str]:
-        """Return the names of its logs that hold a traceback."""
+        """Return the names of the host's log files that contain a traceback."""
         return [
             str(log.relative_to(self.folder))
             for log in (self.log, self.agent_folder / "balancer.log")
@@ -131,7 +136,10 @@
         return int((wall_s - self._wall_offset_s) * SECOND)
 
     def _is_own(self, pid: int) -> bool:
-        """Return whether a process names this host's folder: its number may be another's by now."""
+        """Return whether a pid belongs to a process of this host; the system reuses pids.
+
+        A process of this host has the host's folder in its command line or environment.
+        """
         mark = f"{self.folder}/".encode()
         try:
             return any(
--- a/cypresswalk/lab/cluster/testbed/links.py
+++ b/cypresswalk/lab/cluster/testbed/links.py
@@ -1,4 +1,4 @@
-"""The links between balancers: a fault proxy in each direction of each pair."""
+"""The links between balancers: a fault proxy for each direction between two balancers."""
 
 import time
 from collections.abc import Iterator, Mapping
@@ -14,13 +14,13 @@
 
 
 class Links:
-    """The link from each balancer to each other one.
+    """The links from each balancer to the others.
 
-    Two balancers that do not vote say nothing to each other, and have no link.
+    Two balancers that are not voters don't communicate and have no link.
     """
 
     def __init__(self, host: str, seed: int, chance: Random):
-        """There are no links yet; the proxies will listen at `host`."""
+        """Store the parameters; `start` starts proxies that listen on `host`."""
         self._host = host
         self._seed = seed
         self._chance = chance
@@ -47,7 +47,7 @@
             await proxy.stop()
 
     def addresses_from(self, source: str) -> dict[str, Address]:
-        """Return where a balancer reaches each other one."""
+        """Return the addresses by which a balancer reaches the others."""
         return {
             target: proxy.address
             for (begin, target), proxy in self._proxies.items()
@@ -55,22 +55,22 @@
         }
 
     def cut(self, source: str, target: str) -> None:
-        """Lose all that goes either way between two balancers."""
+        """Drop all data between two balancers in both directions."""
         for proxy in [*self._link(source, target), *self._link(target, source)]:
             proxy.inject(Kind.BLACK_HOLE, "both")
 
     def cut_one_way(self, source: str, target: str) -> None:
-        """Lose what goes one way on a link."""
+        """Drop the data that the source sends on a link."""
         for proxy in self._link(source, target):
             proxy.inject(Kind.BLACK_HOLE, "up")
 
     def delay(self, source: str, target: str, delay_ms: int) -> None:
-        """Delay what goes one way on a link."""
+        """Delay the data that the source sends on a link."""
         for proxy in self._link(source, target):
             proxy.inject(Kind.LATENCY, "up", ms=delay_ms)
 
     def garble(self, source: str, target: str) -> None:
-        """Change bytes that go one way on a link."""
+        """Corrupt bytes that the source sends on a link."""
         for proxy in self._link(source, target):
             mask = self._chance.randrange(1, 1 << 32)
             proxy.inject(Kind.GARBLE, "up", size=GARBLED_BYTES, mask=mask)
@@ -81,7 +81,7 @@
             proxy.inject(Kind.HALF_CLOSE, "up")
 
     def isolate(self, balancer: str) -> None:
-        """Lose all that goes to and from a balancer."""
+        """Drop all data to and from a balancer."""
         for pair, proxy in self._proxies.items():
             if balancer in pair:
                 proxy.inject(Kind.BLACK_HOLE, "both")
@@ -92,7 +92,7 @@
             proxy.remove_injected()
 
     def _link(self, source: str, target: str) -> Iterator[Proxy]:
-        """Yield the link's proxy, if there is one."""
+        """Yield the proxy of a link, if there is one."""
         proxy = self._proxies.get((source, target))
         if proxy is not None:
             yield proxy
--- a/cypresswalk/lab/cluster/testbed/operator_calls.py
+++ b/cypresswalk/lab/cluster/testbed/operator_calls.py
@@ -1,4 +1,4 @@
-"""What operators do with servers and settings, and what they were told."""
+"""Operators' calls on servers and settings, and the answers to them."""
 
 import time
 from dataclasses import dataclass, replace
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgreedRemoval:
-    """A removal and the version that it made."""
+    """A removal of a server from rotation, and the version that it created."""
 
     removal: Removal
     version: int
@@ -34,7 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnCall:
-    """A call that returns a server to rotation; `version` is None where none is known."""
+    """A call that returns a server to rotation.
+
+    Attributes:
+        server: name of the server.
+        requested_at: nanoseconds of the monotonic clock.
+        version: version that the call created, None if unknown.
+        outcome: outcome of the call.
+    """
 
     server: str
     requested_at: int
@@ -42,10 +49,10 @@
     outcome: CallOutcome
 
     def may_end(self, agreed: AgreedRemoval) -> bool:
-        """Return whether it may have ended a removal.
+        """Return whether the call may have ended a removal.
 
-        One whose outcome is not known may have come into force or not; from then on nobody knows
-        whether the server is out.
+        A call with an unknown outcome may have taken effect; from then on it is unknown whether
+        the server is out of rotation.
         """
         if self.server != agreed.removal.server:
             return False
@@ -55,15 +62,15 @@
 
 
 class OperatorCalls:
-    """Calls of operators.
+    """The calls that operators make on servers and settings.
 
     Attributes:
-        settings_calls: in the order of their returns.
-        initial_settings: before the first of them.
+        settings_calls: calls on settings, in the order in which they returned.
+        initial_settings: settings before the first of these calls.
     """
 
     def __init__(self, plan: Plan, calls: FleetCalls, recording: Recording, chance: Random):
-        """No call was made yet."""
+        """Store the parameters; no call has been made yet."""
         self.settings_calls: list[SettingsCall] = []
         self.initial_settings = SettingsState(0, 0)
         self._plan = plan
@@ -75,14 +82,14 @@
 
     @property
     def removals_agreed(self) -> int:
-        """How many servers were taken out of rotation."""
+        """The number of agreed removals of servers from rotation."""
         return len(self._removals)
 
     def removals(self) -> list[Removal]:
-        """Return the agreed removals, each with when its end was asked for.
+        """Return the agreed removals, each with the time at which its end was requested.
 
-        A removal lasts until the next return of that server in the order of versions. A yes can be
-        read long after it was agreed.
+        A removal lasts until the next return of that server in the order of versions, not of
+        answers: an answer can arrive long after the command was agreed.
         """
         return [
             replace(agreed.removal, returned_at=self._returned_at(agreed))
@@ -90,7 +97,7 @@
         ]
 
     async def remove_server(self, balancer: str, server: str, settle: bool) -> None:
-        """Take a server out of rotation; with `settle`, wait until no balancer sends there."""
+        """Take a server out of rotation; with `settle`, wait until no balancer sends to it."""
         requested_at = time.monotonic_ns()
         answer = await self._calls.command(balancer, "out", server=server)
         agreed_at = time.monotonic_ns()
@@ -120,7 +127,7 @@
         self._returns.append(ReturnCall(server, requested_at, answer.version(), answer.outcome))
 
     async def offer_settings(self, balancer: str) -> None:
-        """Offer settings with another value of the register, on the version that a balancer has."""
+        """Offer settings with a new register value, based on the version that a balancer shows."""
         shown = await self._calls.call(balancer, "show", timeout_s=SHOW_TIMEOUT_S)
         if not shown.ok:
             return
@@ -145,7 +152,7 @@
         self._record("offer", answer, at_balancer=balancer, base=base)
 
     async def show_settings(self, balancer: str) -> None:
-        """Read the settings."""
+        """Read the settings, and record the register's value."""
         called_at = time.monotonic_ns()
         answer = await self._calls.call(balancer, "show", timeout_s=SHOW_TIMEOUT_S)
         if answer.ok:
@@ -161,7 +168,10 @@
             )
 
     async def begin(self, status: dict[str, Any]) -> None:
-        """Agree on the plan's bounds before the first call, by the status of a converged fleet.
+        """Have the fleet agree on the plan's bounds, before any other call.
+
+        Args:
+            status: status of the converged fleet.
 
         Raises:
             CommandError: the bounds were not agreed.
@@ -179,7 +189,7 @@
             )
             agreed = answer.version()
             if agreed is None:
-                raise CommandError(f"the bound was not agreed: {answer.body}")
+                raise CommandError(f"the fleet did not agree on the bounds: {answer.body}")
             version = agreed
         self.initial_settings = SettingsState(version, 0)
 
--- a/cypresswalk/lab/cluster/testbed/outages.py
+++ b/cypresswalk/lab/cluster/testbed/outages.py
@@ -1,4 +1,4 @@
-"""Who was out when, as agents' files and looks at members' ports show it."""
+"""Outages of members, as seen in agents' state files and by health checks."""
 
 import asyncio
 import json
@@ -21,17 +21,21 @@
 
 
 class OutageLog:
-    """Outages by the program's own doing, and spans in which a member answered nobody."""
+    """The outages of members.
+
+    An outage is planned if the program itself caused it, by a release or a drain. A member is lost
+    while it answers no health checks, whatever the reason.
+    """
 
     def __init__(self) -> None:
-        """Nobody is out."""
+        """Create a log without outages."""
         self._planned: list[Outage] = []
         self._open_planned: dict[tuple[str, str], int] = {}
         self._lost: list[Outage] = []
         self._open_lost: dict[str, int] = {}
 
     def set_planned(self, name: str, cause: str, out: bool, at: int) -> None:
-        """Note whether a member is out for a cause; the same twice is once."""
+        """Record whether a member is out for a cause; repeated calls have no effect."""
         if out:
             self._open_planned.setdefault((name, cause), at)
         elif (name, cause) in self._open_planned:
@@ -39,32 +43,32 @@
             self._planned.append(Outage(name, begin, at, cause))
 
     def set_lost(self, name: str, lost: bool, at: int) -> None:
-        """Note whether a member answers nobody."""
+        """Record whether a member fails to answer health checks."""
         if lost:
             self._open_lost[name] = at
         elif name in self._open_lost:
             self._lost.append(Outage(name, self._open_lost.pop(name), at, LOST))
 
     def any_lost(self) -> bool:
-        """Return whether a member answers nobody now."""
+        """Return whether any member fails to answer health checks now."""
         return bool(self._open_lost)
 
     def planned(self) -> list[Outage]:
-        """Return outages by the program's own doing, those that last included."""
+        """Return the outages that the program itself caused, including ongoing ones."""
         now = time.monotonic_ns()
         return self._planned + [
             Outage(name, begin, now, cause) for (name, cause), begin in self._open_planned.items()
         ]
 
     def lost(self) -> list[Outage]:
-        """Return spans in which a member answered nobody, those that last included."""
+        """Return outages in which a member answered no health checks, including ongoing ones."""
         now = time.monotonic_ns()
         return self._lost + [
             Outage(name, begin, now, LOST) for name, begin in self._open_lost.items()
         ]
 
     def save(self, path: Path) -> None:
-        """Write those that have ended to a file, one a line."""
+        """Write the outages that have ended to a file, one per line."""
         with open(path, "w", encoding="utf-8") as file:
             for outage in [*self._planned, *self._lost]:
                 line = [outage.name, outage.begin, outage.end, outage.cause]
@@ -77,13 +81,13 @@
     outages: OutageLog,
     recording: Recording,
 ) -> None:
-    """Note for ever which members their agents are changing.
+    """Record which members are being changed by their agents, until cancelled.
 
     Args:
-        hosts: by member.
+        hosts: host by member.
         steps_out: steps of an agent at which its member counts as out.
-        outages: to note it in.
-        recording: gets each agent's steps.
+        outages: log that receives the outages.
+        recording: recording that receives each agent's steps.
     """
     seen = dict.fromkeys(hosts, AgentStep.IDLE)
     while True:
@@ -105,7 +109,16 @@
     outages: OutageLog,
     recording: Recording,
 ) -> None:
-    """Note for ever whether a member answers at its address; `event_kind` is recorded."""
+    """Record whether a member answers health checks, until cancelled.
+
+    Args:
+        name: name of the member.
+        address: address that is checked.
+        interval_s: seconds between two checks.
+        event_kind: kind of the event that is recorded on each change.
+        outages: log that receives the outages.
+        recording: recording that receives the changes.
+    """
     answered: bool | None = None
     while True:
         began = time.monotonic_ns()
@@ -125,7 +138,7 @@
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"PING\r\n")
             return await reader.readline() == b"PONG\r\n"
-    except OSError:  # a TimeoutError too
+    except OSError:  # includes TimeoutError
         return False
     finally:
         if writer is not None:
--- a/cypresswalk/lab/cluster/testbed/player.py
+++ b/cypresswalk/lab/cluster/testbed/player.py
@@ -1,4 +1,4 @@
-"""Plays a plan: does each of its steps at its time."""
+"""The player of a plan, which executes each step at its time."""
 
 import asyncio
 import time
@@ -17,12 +17,12 @@
 from cypresswalk.lab.cluster.testbed.fleet_calls import FleetCalls
 from cypresswalk.lab.cluster.testbed.recording import Recording
 
-# What does a step whose names are resolved; what takes long it does in a task.
+# Executes a step whose names are resolved. A handler runs long operations in a task.
 StepHandler: TypeAlias = Callable[[Step], None]
 
 
 class Player:
-    """Does steps."""
+    """Executes the steps of a plan."""
 
     def __init__(
         self,
@@ -32,14 +32,15 @@
         recording: Recording,
         wait_for_replicas: Callable[[], Awaitable[object]],
     ):
-        """Nothing is done yet.
+        """Store the parameters; `play` executes the steps.
 
         Args:
-            plan: of the cluster.
-            handlers: of all actions that the plan may have.
-            calls: tell who leads.
-            recording: gets each step.
-            wait_for_replicas: returns once all replicas are at rest, or after a while.
+            plan: plan of the cluster.
+            handlers: handlers of all actions that the plan may have.
+            calls: calls by which the leader is determined.
+            recording: recording that receives each step.
+            wait_for_replicas: returns once no replica is missing, absent or being moved, or after
+                a timeout.
         """
         self._plan = plan
         self._handlers = handlers
@@ -49,11 +50,11 @@
 
     @property
     def actions(self) -> set[Action]:
-        """What can be done on this test bed."""
+        """The actions that this testbed supports."""
         return set(self._handlers)
 
     async def play(self) -> None:
-        """Do all steps, and wait for the plan's end."""
+        """Execute all steps at their times, and wait until the plan ends."""
         began = time.monotonic()
         for step in self._plan.steps:
             await asyncio.sleep(max(began + step.at_s - time.monotonic(), 0))
@@ -65,7 +66,7 @@
         await asyncio.sleep(max(began + self._plan.duration_s - time.monotonic(), 0))
 
     async def do(self, step: Step) -> None:
-        """Do a step now."""
+        """Execute a step now."""
         step = await self._resolve(step)
         fields: dict[str, object] = {"do": step.action, "who": step.balancer}
         if step.action in LINK_ACTIONS:
@@ -76,7 +77,7 @@
         self._handlers[step.action](step)
 
     async def _resolve(self, step: Step) -> Step:
-        """Replace LEADER by its name, and a peer that is the same balancer by the next one."""
+        """Replace LEADER by the leader's name, and a peer equal to the balancer by the next one."""
         balancer = step.balancer
         if balancer == LEADER:
             balancer = await self._calls.leader()
--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -1,4 +1,4 @@
-"""The result of a run's releases: bounds and halts, held against who was out when."""
+"""The result of a run's releases: whether bounds and halts were respected."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseResult:
-    """What came of releases.
+    """The result of a run's releases.
 
     Attributes:
-        end: of the last one.
-        unavailability: who was out at once.
-        bound: on that.
-        departures: how many members were told to go out.
-        halts: how many were agreed.
-        halt: what followed them.
-        violations: a line for each, those of the attributes above included.
+        end: end of the last release.
+        unavailability: report on how many members were out at once.
+        bound: maximum number of members that may be out at once.
+        departures: number of times that a member was ordered to leave.
+        halts: number of agreed halts.
+        halt: report on departures after halts.
+        violations: one line per violation, including those of the two reports.
     """
 
     end: ReleaseEnd
@@ -38,7 +38,7 @@
     violations: list[str]
 
     def to_json(self) -> dict[str, Any]:
-        """Return its part of the report."""
+        """Return the releases' part of the report."""
         return self.end.to_json() | {
             "most_out": self.unavailability.max_planned,
             "most_out_and_lost": self.unavailability.max_total,
@@ -50,7 +50,7 @@
 
 
 def check_release(bed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
-    """Check a run with agents, once its last release has come to an end."""
+    """Check a run with agents, once its last release has ended."""
     releases = bed.releases
     members = bed.balancer_members or bed.server_members
     assert releases is not None and members is not None  # there are agents
@@ -70,7 +70,7 @@
     if bed.server_members is not None:
         violations += _attempts_during_change(bed, planned, slack)
     if end.stuck_body:
-        violations.append(f"not home: {end.to_json()}")
+        violations.append(f"the release did not finish: {end.to_json()}")
     violations += _agent_violations(bed)
     return ReleaseResult(
         end=end,
@@ -84,7 +84,7 @@
 
 
 def _not_explained(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
-    """Return spans in which a server answered nobody while it was not being changed."""
+    """Return the outages in which a server answered no health checks while it was not changed."""
     return [
         outage
         for outage in lost
@@ -115,7 +115,7 @@
 
 
 def _agent_violations(bed: ClusterTestBed) -> list[str]:
-    """Return tracebacks in logs of hosts with agents, and flows that a change cut off."""
+    """Return violations for tracebacks in logs of hosts with agents and for flows cut off."""
     if bed.server_members is None or bed.server_events is None:
         return [
             f"{name}: a traceback in its {log}"
@@ -129,5 +129,5 @@
             violations.append(f"{name}: a traceback in its {shown}")
     cut_off = bed.server_events.cut_off_flows
     if cut_off:
-        violations.append(f"{cut_off} flows stood at servers that were told to end")
+        violations.append(f"{cut_off} flows were open at servers that were stopped")
     return violations
--- a/cypresswalk/lab/cluster/testbed/releases.py
+++ b/cypresswalk/lab/cluster/testbed/releases.py
@@ -1,4 +1,4 @@
-"""What operators do with releases, of balancers or of servers, until each has come to its end."""
+"""Operators' calls on releases of balancers or servers, until each release has ended."""
 
 import asyncio
 import time
@@ -24,18 +24,19 @@
 MAX_HOLD_PERIODS = 10.0
 MAX_EXCESS_FAILURE_SHARE = 0.05
 CHANGE_TIMEOUT_S = 60.0
-FINISH_TIMEOUT_S = 90.0  # once all faults have ended, and more for each member
-MAX_SHOWN = 1500  # characters of a body
+FINISH_TIMEOUT_S = 90.0  # after all faults have ended; extended for each member
+MAX_SHOWN = 1500  # characters of an answer's body in the report
 
 
 class ReleaseMembers(Protocol):
-    """The balancers or servers that are released, and their agents.
+    """The balancers or servers that a release changes, and their agents.
 
     Attributes:
-        names: of all.
-        first_balancer: where calls are made.
-        bound: how many may be out at once.
-        finish_timeout_per_member_s: for a release to come to its end.
+        names: names of all members.
+        first_balancer: balancer that receives the calls.
+        bound: maximum number of members that may be out at once.
+        finish_timeout_per_member_s: seconds by which each member extends the time for a release to
+            finish.
     """
 
     names: list[str]
@@ -44,24 +45,24 @@
     finish_timeout_per_member_s: float
 
     def make_build(self, version: str, build: Build) -> None:
-        """Make a version for agents to start."""
+        """Make a version that agents can start."""
 
     def release_plan(
         self, name: str, from_version: str, to_version: str, names: list[str], step: Step
     ) -> ReleasePlan:
-        """Return the plan of a release that changes members in an order."""
+        """Return the plan of a release that changes members in the order of `names`."""
 
     def agent_states(self) -> list[AgentState]:
-        """Return what each agent has saved."""
+        """Return the saved state of each agent."""
 
     def nobody_is_out(self, body: dict[str, Any]) -> bool:
-        """Return whether the fleet's answer to the call `release` says so."""
+        """Return whether the fleet's answer to the call `release` counts no member as out."""
 
     async def return_drained(self) -> None:
-        """End drains by operators."""
+        """End all drains by operators."""
 
     def departures(self) -> list[Departure]:
-        """Return who was told to go out when, in order of time."""
+        """Return when each member was ordered to leave, in order of time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,12 +70,12 @@
     """The fleet's answer to the call `release`.
 
     Attributes:
-        body: the whole.
+        body: complete body of the answer.
         halted: whether the fleet is halted.
-        name: of the release; empty if there was none.
-        from_version: before it.
-        to_version: after it.
-        phase: a Phase, or empty.
+        name: name of the release; empty if there was none.
+        from_version: version before the release.
+        to_version: version that is released.
+        phase: phase of the release, a Phase; empty if there was no release.
     """
 
     body: dict[str, Any]
@@ -86,7 +87,7 @@
 
     @classmethod
     def from_body(cls, body: dict[str, Any]) -> "ReleaseStatus":
-        """Read the answer's body."""
+        """Return the status that an answer's body contains."""
         halted = bool(body["halted"])
         release = body["release"]
         if not release:
@@ -101,7 +102,7 @@
 
     @property
     def version(self) -> str:
-        """The version that runs once it is over."""
+        """The version that runs after the release is over."""
         return self.to_version if self.phase == Phase.DONE else self.from_version
 
 
@@ -110,10 +111,10 @@
     """How the last release ended.
 
     Attributes:
-        took_s: seconds, after all faults had ended.
-        phase: a Phase, or "none".
-        stuck_body: what the fleet said last, if it did not come to its end.
-        agent_states: in that case.
+        took_s: seconds from the end of all faults to the end of the release.
+        phase: last phase, a Phase, or "none".
+        stuck_body: fleet's last answer if the release did not finish in time, else empty.
+        agent_states: agents' saved states if the release did not finish in time.
     """
 
     took_s: float
@@ -122,7 +123,7 @@
     agent_states: tuple[AgentState, ...] = ()
 
     def to_json(self) -> dict[str, Any]:
-        """Return its part of the report."""
+        """Return this end's part of the report."""
         if self.stuck_body:
             states = [state.to_json() for state in self.agent_states]
             return {"not_home": self.stuck_body, "doing": states}
@@ -130,19 +131,19 @@
 
 
 class Releases:
-    """Releases of one cluster.
+    """The releases of one cluster, with all calls on them.
 
     Attributes:
-        current_version: that runs where no release is under way.
-        halts: that were agreed.
-        resumes: when each was asked for, nanoseconds.
-        rollbacks: when each was asked for, nanoseconds.
+        current_version: version that runs while no release is under way.
+        halts: agreed halts.
+        resumes: times at which resumes were requested, in nanoseconds of the monotonic clock.
+        rollbacks: times at which rollbacks were requested, in nanoseconds of the monotonic clock.
     """
 
     def __init__(
         self, members: ReleaseMembers, calls: FleetCalls, recording: Recording, chance: Random
     ):
-        """No release was begun yet."""
+        """Store the parameters; no release has begun yet."""
         self.current_version = FIRST_VERSION
         self.halts: list[Halt] = []
         self.resumes: list[int] = []
@@ -160,7 +161,7 @@
         return f"r{self._count}"
 
     async def begin(self, step: Step) -> CallOutcome:
-        """Make a build and begin to release it."""
+        """Make a build and begin its release."""
         members = self._members
         self._count += 1
         version = f"v{self._count}"
@@ -185,11 +186,11 @@
         self._record("release_back", answer)
 
     async def set_paused(self, balancer: str, paused: bool) -> None:
-        """Pause the last release, or let it go on."""
+        """Pause or continue the last release."""
         await self._calls.command(balancer, "release_pause", release=self.last_name, on=paused)
 
     async def halt(self, balancer: str) -> None:
-        """Halt the fleet: nobody goes out any more."""
+        """Halt the fleet, so that no more members leave."""
         requested_at = time.monotonic_ns()
         answer = await self._calls.command(balancer, "halt", why="by the rig")
         self._record("halt", answer)
@@ -197,7 +198,7 @@
             self.halts.append(Halt(requested_at, time.monotonic_ns()))
 
     async def resume(self, balancer: str) -> None:
-        """End the halts that the balancer knows of."""
+        """End the halts that a balancer reports."""
         status = await self._calls.call(balancer, "status")
         if status.ok:
             self.resumes.append(time.monotonic_ns())
@@ -205,7 +206,7 @@
             self._record("resume", answer)
 
     async def finish(self) -> ReleaseEnd:
-        """Bring the last release to its end, or back where its build is bad; nobody stays out.
+        """Finish the last release, or roll it back if its build is bad, until no member is out.
 
         All faults must have ended.
         """
@@ -231,7 +232,7 @@
         )
 
     async def _finish_step(self, status: ReleaseStatus) -> bool:
-        """Do what an operator would do next; return whether all has come to its end."""
+        """Make the call that an operator would make next; return whether all is finished."""
         balancer = self._members.first_balancer
         if status.is_over:
             if status.phase:
--- a/cypresswalk/lab/cluster/testbed/result.py
+++ b/cypresswalk/lab/cluster/testbed/result.py
@@ -1,4 +1,4 @@
-"""The result of a run: what the checkers find in the recording of a cluster, and its figures."""
+"""The result of a run: the violations that checkers find in its recording, and measurements."""
 
 import json
 from dataclasses import dataclass
@@ -23,24 +23,25 @@
 from cypresswalk.lab.cluster.testbed.settings import checker_rules
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-MAX_SHOWN = 1500  # characters of a status
-LIST_DETECTION_TIME = SECOND  # until most voters have told the leader of a new list
+MAX_SHOWN = 1500  # characters of a status in a violation
+LIST_DETECTION_TIME = SECOND  # time until most voters have reported a new list to the leader
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterResult:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
-        violations: a line for each; empty if all rules held.
-        longest_contradiction: nanoseconds from an agreed removal to an attempt at that server.
-        max_contradiction_s: allowed for that.
-        answers: flows by the answer that their clients got.
-        offers: of settings.
-        agreed_offers: that got a yes.
-        removals: of servers that got a yes.
-        lateness: of the test bed's own event loop, nanoseconds.
-        release: where there are agents.
+        violations: one line per violation; empty if all rules held.
+        longest_contradiction: longest time from an agreed removal of a server to an attempt at that
+            server, in nanoseconds.
+        max_contradiction_s: limit for that time, in seconds.
+        answers: number of flows by the answer that their clients got.
+        offers: number of offers of settings.
+        agreed_offers: number of offers that were accepted.
+        removals: number of removals of servers that were accepted.
+        lateness: largest lateness of the testbed's own event loop, in nanoseconds.
+        release: result of releases; None without agents.
     """
 
     violations: list[str]
@@ -54,7 +55,7 @@
     release: ReleaseResult | None
 
     def to_json(self) -> dict[str, Any]:
-        """Return the report that commands print; the operators' page names its keys."""
+        """Return the report that commands print; the operators' page documents its keys."""
         report = {
             "broken": self.violations,
             "longest_contradiction_s": round(self.longest_contradiction / SECOND, 3),
@@ -71,10 +72,10 @@
 
 
 async def conclude(bed: ClusterTestBed) -> ClusterResult:
-    """Bring a run to its end and check it.
+    """Finish a run and check it.
 
-    Where there are agents, all faults are ended first and the last release is brought to its end.
-    Without agents the plan itself must end its faults, by `heal`: the fleet is to converge here.
+    With agents, end all faults first and finish the last release. Without agents the plan itself
+    must end its faults by `heal`, because the fleet must be able to converge here.
     """
     end = None
     if bed.releases is not None:
@@ -82,11 +83,11 @@
         end = await bed.releases.finish()
         await _end_of_load(bed)
     violations = await _convergence_violations(bed)
-    bed.recording.observe("day_ended")  # what is under way now is not waited for
+    bed.recording.observe("day_ended")  # the checker expects no answers for flows open now
     contradiction = _check_contradictions(bed)
     violations += contradiction.violations
     violations += _check_recording(bed)
-    violations += [f"the rig: {failure}" for failure in bed.tasks.failures]
+    violations += [f"a task of the testbed failed: {failure}" for failure in bed.tasks.failures]
     violations += _crashes(bed)
     if bed.plan.replicas:
         violations += await _replica_violations(bed)
@@ -114,9 +115,9 @@
 
 
 async def _end_of_load(bed: ClusterTestBed) -> None:
-    """Stop the load, excuse balancers that crashed, and read what servers have written by then.
+    """Stop the load, count crashes of balancers as disruptions, and read the servers' last events.
 
-    A build may be made to crash: a balancer that ended by itself counts as disrupted then.
+    A crash is no violation, since a build may be made to crash.
     """
     bed.clients.stop()
     if bed.balancer_members is not None:
@@ -131,7 +132,7 @@
         answers = await bed.calls.local_status(bed.names)
         shown = [(name, answer.body) for name, answer in zip(bed.names, answers, strict=True)]
         return [
-            "the fleet is not whole again though all faults were lifted: "
+            "the fleet did not converge after all faults had ended: "
             + json.dumps(shown, default=str)[:MAX_SHOWN]
         ]
     answer = await bed.calls.call(bed.names[0], "show")
@@ -140,10 +141,10 @@
 
 
 def _check_contradictions(bed: ClusterTestBed) -> ContradictionReport:
-    """Check removals by the fleet's agreement, and those by the endpoint list.
+    """Check removals by the fleet's agreement, and removals by the endpoint list.
 
-    Most voters' lists learn of the latter within a moment; the fleet then binds balancers whose
-    lists lag.
+    The lists of most voters show the latter within LIST_DETECTION_TIME; from then on the fleet's
+    agreement also binds balancers whose lists lag.
     """
     attempts = bed.recording.attempts()
     limit = int(bed.plan.max_contradiction_s * SECOND)
@@ -156,7 +157,7 @@
     )
     return ContradictionReport(
         agreed.longest,
-        agreed.violations + [f"the list took it out: {line}" for line in listed.violations],
+        agreed.violations + [f"removed by the endpoint list: {line}" for line in listed.violations],
     )
 
 
@@ -182,11 +183,11 @@
 
 def _crashes(bed: ClusterTestBed) -> list[str]:
     codes = {name: host.exit_code() for name, host in bed.balancers.items()}
-    return [f"{name} ended by itself, code {code}" for name, code in codes.items() if code]
+    return [f"{name} ended unexpectedly, exit code {code}" for name, code in codes.items() if code]
 
 
 async def _replica_violations(bed: ClusterTestBed) -> list[str]:
-    """Wait until replicas are complete; save what each balancer says of its own."""
+    """Wait until replicas are complete, and save each balancer's report on its own replicas."""
     bed.clients.stop()
     status = await bed.convergence.wait_for_replicas()
     local = [
@@ -197,4 +198,4 @@
     (bed.folder / "copies.json").write_text(json.dumps(bodies, default=str))
     if status.complete:
         return []
-    return [f"copies are not whole again: {json.dumps(status.body, default=str)[:MAX_SHOWN]}"]
+    return [f"replicas did not become complete: {json.dumps(status.body, default=str)[:MAX_SHOWN]}"]
--- a/cypresswalk/lab/cluster/testbed/run.py
+++ b/cypresswalk/lab/cluster/testbed/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan with real processes and returns the report that commands print."""
+"""Runs a plan with real processes and returns the report that commands print."""
 
 import json
 import time
@@ -14,14 +14,14 @@
 
 
 async def run_plan(plan: Plan, folder: Path) -> dict[str, Any]:
-    """Play a plan and check the run.
+    """Run a plan and check the run.
 
     Args:
-        plan: of the cluster.
-        folder: gets recording, logs and report; what is in it is lost.
+        plan: plan of the cluster.
+        folder: folder for recording, logs and report; its previous content is deleted.
 
     Returns:
-        The report; `broken` lists what broke a rule.
+        The report, whose key `broken` lists the violations of rules.
     """
     bed = ClusterTestBed(plan, folder)
     try:
@@ -29,7 +29,7 @@
         began = time.monotonic()
         status = await bed.convergence.wait()
         if status is None:
-            return {"broken": [f"the fleet never began: see the logs in {folder}"]}
+            return {"broken": [f"the fleet did not start: see the logs in {folder}"]}
         took_s = time.monotonic() - began
         await bed.agree_on_bounds(status)
         bed.clients.start()
@@ -43,5 +43,5 @@
 
 
 def run_timeline(folder: Path) -> list[str]:
-    """Return lines for people on a run: faults, calls and their answers, in order."""
+    """Return human-readable lines on a run: faults, calls and their answers, in order."""
     return timeline(folder / RECORDING_FILE)
--- a/cypresswalk/lab/cluster/testbed/server_events.py
+++ b/cypresswalk/lab/cluster/testbed/server_events.py
@@ -1,4 +1,4 @@
-"""Brings what servers' processes write into the test bed's recording."""
+"""Copies the events that server processes write to files into the testbed's recording."""
 
 import asyncio
 import json
@@ -13,14 +13,14 @@
 
 
 class ServerEvents:
-    """Follows the files of all servers.
+    """A reader of the event files of all servers.
 
     Attributes:
-        cut_off_flows: that were established at servers when they were told to end.
+        cut_off_flows: number of flows that were established at servers when these were stopped.
     """
 
     def __init__(self, members: ServerMembers, lists: EndpointLists, recording: Recording):
-        """Nothing is read yet; the endpoint lists learn of servers' starts."""
+        """Store the parameters; restarts of servers will be published in the endpoint lists."""
         self.cut_off_flows = 0
         self._members = members
         self._lists = lists
@@ -29,13 +29,13 @@
         self._started_once: set[str] = set()
 
     async def follow(self) -> None:
-        """Read for ever what comes."""
+        """Read new events repeatedly, until cancelled."""
         while True:
             await asyncio.sleep(READ_INTERVAL_S)
             self.read()
 
     def read(self) -> None:
-        """Read what has come."""
+        """Read all complete lines that were added since the last call."""
         for name, host in self._members.hosts.items():
             try:
                 with open(host.events_file, encoding="utf-8") as file:
@@ -47,7 +47,7 @@
                 pass  # the server has not started yet
 
     async def read_last(self) -> None:
-        """Read what comes within a moment, once no more flows come."""
+        """Read the last events, a short time after the load has stopped."""
         await asyncio.sleep(LAST_EVENTS_S)
         self.read()
 
@@ -73,7 +73,10 @@
         self._observe(event, "attempt", balancer=balancer, load=1.0)
 
     def _on_started(self, event: Event) -> None:
-        """The first start was long ago, as far as anybody is told."""
+        """Record a start, and publish it unless it is the server's first.
+
+        Until its first restart a server has start time 0 in the endpoint lists: it is warm.
+        """
         server = event.fields["server"]
         self._recording.events.append(event)
         if server in self._started_once:
@@ -82,7 +85,7 @@
         self._started_once.add(server)
 
     def _observe(self, event: Event, kind: str, /, **fields: object) -> None:
-        """Observe something about a flow."""
+        """Record an observation about a flow."""
         flow, server = event.fields["flow"], event.fields["server"]
         observed = fields | {"number": event.fields["number"]}
         self._recording.observations.append(Observation(event.at, kind, flow, server, observed))
--- a/cypresswalk/lab/cluster/testbed/server_members.py
+++ b/cypresswalk/lab/cluster/testbed/server_members.py
@@ -1,4 +1,4 @@
-"""Servers that are processes, started and changed by agents: what a release of them needs."""
+"""Servers that run as processes, which agents start and change, and their releases."""
 
 import os
 import signal
@@ -34,19 +34,19 @@
 
 
 class ServerHost(Host):
-    """A server's host; its process is the agent."""
+    """A server's host, on which the agent is started."""
 
     @property
     def events_file(self) -> Path:
-        """What the server itself writes."""
+        """The file to which the server process writes its events."""
         return self.folder / "said.jsonl"
 
 
 class ServerMembers:
-    """All servers; see `releases.ReleaseMembers`.
+    """All servers as members of a release; implements `releases.ReleaseMembers`.
 
     Attributes:
-        hosts: by server.
+        hosts: host by server.
     """
 
     finish_timeout_per_member_s = 10.0
@@ -60,15 +60,15 @@
         outages: OutageLog,
         recording: Recording,
     ):
-        """Nothing is made and nothing runs yet.
+        """Store the parameters; `prepare` makes the folders and `start` starts the agents.
 
         Args:
-            plan: of the cluster.
-            addresses: of servers; `prepare` adds the ports.
-            folder: of the run.
-            tree: the folder of the program's files.
-            outages: gets who is out when.
-            recording: gets what was seen.
+            plan: plan of the cluster.
+            addresses: addresses of servers, to which `prepare` adds the ports.
+            folder: folder of the run.
+            tree: root folder of the program's source files.
+            outages: log that receives the outages of servers.
+            recording: recording that receives kills and changes of agents and servers.
         """
         self.names = plan.server_names()
         self.balancers = plan.balancer_names()
@@ -83,7 +83,7 @@
         self._fleet: Mapping[str, Address] = {}
 
     def prepare(self, addresses: Addresses) -> None:
-        """Make folders and the first version; choose a port of each server for each balancer."""
+        """Make folders and the first version; choose each server's port for each balancer."""
         for host in self.hosts.values():
             host.folder.mkdir(parents=True)
         self._root.mkdir()
@@ -94,11 +94,11 @@
                 self._addresses.ports[name, balancer] = port
 
     def start(self, fleet: Mapping[str, Address], tasks: BackgroundTasks) -> None:
-        """Start all agents, which start the servers, and watch who is out.
+        """Start all agents, which start the servers, and record which servers are unavailable.
 
         Args:
-            fleet: where agents reach each balancer.
-            tasks: runs the watching.
+            fleet: fleet address of each balancer, for the agents.
+            tasks: runner of the tasks that check servers and agents.
         """
         self._fleet = fleet
         for name in self.names:
@@ -118,7 +118,7 @@
             )
 
     def stop(self) -> None:
-        """Kill all agents, then all servers."""
+        """Kill all agents, then all server processes."""
         for host in self.hosts.values():
             host.kill_process()
         for host in self.hosts.values():
@@ -136,18 +136,18 @@
                 self.start_agent(name)
 
     def kill_server(self, name: str) -> None:
-        """Kill a server; its agent starts it again."""
+        """Kill a server process, which its agent then restarts."""
         self._recording.observe("server_down", "", name)
         self.hosts[name].signal_children(signal.SIGKILL)
 
     def make_build(self, version: str, build: Build) -> None:
-        """Make a version for agents to start."""
+        """Make a version that agents can start."""
         make_server_build(self._root, version, build)
 
     def release_plan(
         self, name: str, from_version: str, to_version: str, names: list[str], step: Step
     ) -> ReleasePlan:
-        """Return the plan of a release: a canary, then the others."""
+        """Return the plan of a release: a canary wave, then the others."""
         return ReleasePlan(
             name=name,
             from_version=from_version,
@@ -164,18 +164,18 @@
         )
 
     def agent_states(self) -> list[AgentState]:
-        """Return what each agent has saved."""
+        """Return the saved state of each agent."""
         return [host.agent_state() for host in self.hosts.values()]
 
     def nobody_is_out(self, body: dict[str, Any]) -> bool:
-        """Return whether the fleet's answer to the call `release` says so."""
+        """Return whether the fleet's answer to the call `release` counts no server as out."""
         return not body["coming"] and not body["servers_bad"]
 
     async def return_drained(self) -> None:
-        """Nothing: operators drain balancers alone."""
+        """Do nothing: operators drain only balancers."""
 
     def departures(self) -> list[Departure]:
-        """Return who was told to go out when, in order of time."""
+        """Return when each server was ordered to leave, in order of time."""
         return sorted(
             Departure(event.at, name, "release")
             for name, host in self.hosts.items()
--- a/cypresswalk/lab/cluster/testbed/server_process.py
+++ b/cypresswalk/lab/cluster/testbed/server_process.py
@@ -2,9 +2,9 @@
 
     python -m cypresswalk.lab.cluster.testbed.server_process NAME HOST PORT[,PORT...] FILE
 
-It has a port for each balancer, so that it is known who sent; the agent checks the first. What it
-does is appended to FILE, one JSON object a line. A file `build` in the folder in which it is
-started says in which way this version is bad.
+It listens on a separate port for each balancer, which identifies the balancer that connects; the
+agent's health checks use the first port. The server appends its events to FILE, one JSON object per
+line. A file `build` in the working directory contains the defect of this version, if any.
 """
 
 import asyncio
@@ -21,25 +21,26 @@
 from cypresswalk.lab.units import MILLISECOND
 
 BUILD_FILE = "build"
-# Values of `plan.Build`, which is not imported: that would make each start slower.
+# Values of `plan.Build`, which is not imported because that would slow down each start.
 GOOD = "good"
 ABORTS = "aborts"
 SLOW = "slow"
 CRASHES = "falls"
 NEVER_READY = "never_ready"
-ABORTED_FLOWS = 4  # one in so many
+ABORTED_FLOWS = 4  # every fourth flow is aborted
 SLOW_ANSWER_S = 0.05
 CRASH_AFTER_S = 4
 
 
 @dataclass(slots=True)
 class _Connection:
-    """A balancer's connection.
+    """A connection of a balancer.
 
     Attributes:
-        balancer: its number.
-        flow: empty before the first line.
-        number: of the attempt.
+        balancer: index of the balancer.
+        writer: stream to the balancer.
+        flow: id of the flow; empty before the first line.
+        number: identifier of the attempt; empty before the first line.
         established: whether the flow was accepted.
     """
 
@@ -51,10 +52,10 @@
 
 
 class ServerProcess:
-    """The server."""
+    """A server, which accepts flows and echoes their lines unless its build has a defect."""
 
     def __init__(self, name: str, host: str, ports: list[int], file: str, build: str):
-        """Open the file; it does not listen yet."""
+        """Open the file for events; `run` listens."""
         self.name = name
         self.host = host
         self.ports = ports
@@ -86,7 +87,7 @@
                 if not await self._answer(connection, line):
                     break
         except (OSError, ValueError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # the connection is over, or the server: asyncio would print a traceback for it
+            pass  # the connection or the server has ended; asyncio would print a traceback
         finally:
             self.established -= connection.established
             if connection.flow:
@@ -94,7 +95,7 @@
             writer.close()
 
     async def _answer(self, connection: _Connection, line: bytes) -> bool:
-        """Answer a line; return whether the connection goes on."""
+        """Answer a line; return whether the connection stays open."""
         words = line.decode(errors="replace").split()
         if words[:1] == ["PING"]:
             connection.writer.write(b"PONG\r\n")
--- a/cypresswalk/lab/cluster/testbed/server_stand_ins.py
+++ b/cypresswalk/lab/cluster/testbed/server_stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for servers, in the test bed's process: they accept each flow and echo its lines."""
+"""Stand-ins for servers in the testbed's process, which accept all flows and echo their lines."""
 
 import asyncio
 import time
@@ -12,12 +12,12 @@
 from cypresswalk.lab.cluster.testbed.recording import FLOW_OPENED, Recording
 from cypresswalk.lab.units import MILLISECOND
 
-RESTART_S = 0.3  # for which a server is down
+RESTART_S = 0.3  # time for which a restarting server is down
 
 
 @dataclass(slots=True)
 class _Connection:
-    """A balancer's connection at a server; `flow` is empty before the first line."""
+    """A connection of a balancer to a server; `flow` is empty before the first line."""
 
     server: str
     balancer: str
@@ -27,7 +27,7 @@
 
 
 class ServerStandIns:
-    """All servers."""
+    """The stand-ins for all servers."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         lists: EndpointLists,
         recording: Recording,
     ):
-        """Servers do not listen yet; `start` puts their ports into the addresses."""
+        """Store the parameters; `start` listens and adds the ports to the addresses."""
         self._addresses = addresses
         self._balancers = balancers
         self._lists = lists
@@ -47,7 +47,7 @@
         self._down: set[str] = set()
 
     async def start(self) -> None:
-        """Listen, at a port for each balancer."""
+        """Listen on a separate port for each server and balancer."""
         for name in self._addresses.names:
             for balancer in self._balancers:
                 listener = await asyncio.start_server(
@@ -63,9 +63,9 @@
             listener.close()
 
     async def restart(self, name: str) -> None:
-        """End all connections of a server; a moment later it is up again and warming up.
+        """Abort all connections of a server and bring it up again after RESTART_S.
 
-        Endpoint lists tell balancers when it started.
+        Endpoint lists then publish its new start time, so that balancers treat it as warming up.
         """
         self._down.add(name)
         self._recording.observe("server_down", "", name)
@@ -85,7 +85,7 @@
             while name not in self._down and (line := await reader.readline()):
                 self._answer(connection, line)
         except HANDLER_ENDS:
-            pass  # the balancer is gone, or the run is over
+            pass  # the balancer has disconnected, or the run is over
         finally:
             self._on_end(connection)
             self._open[name].discard(writer)
--- a/cypresswalk/lab/cluster/testbed/settings.py
+++ b/cypresswalk/lab/cluster/testbed/settings.py
@@ -1,4 +1,4 @@
-"""The settings that all balancers of a cluster begin with, and the checker's rules for them."""
+"""The initial settings of all balancers of a cluster, and the checker's rules for them."""
 
 from typing import Any
 
@@ -13,15 +13,16 @@
 from cypresswalk.lab.rules import Rules, ServerRule, TypeRule
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-ZONE = "a"  # of all servers
+ZONE = "a"  # zone of all servers
 MAX_ATTEMPTS = 3
 OVERLOAD_FACTOR = 3.0
 OVERLOAD_WINDOW_S = 2.0
 WARM_UP_S = 5.0
 WARM_UP_INITIAL_FRACTION = 0.2
-TURNOVER = 1.0  # loads that one place of load serves a second
+TURNOVER = 1.0  # loads per second that a server serves per unit of capacity
 MIN_SERVER_CAPACITY = 1.0
-# The price of a health check stands for the value of a register: PRICE_UNIT x (value + 1).
+# The price of a health check encodes the value of the register that the linearizability checker
+# examines: PRICE_UNIT x (value + 1).
 PRICE_UNIT = 0.001
 
 SERVICE_TYPES = [
@@ -36,12 +37,12 @@
 
 
 def balancer_settings(number: int, balancers: int, value: int = 0) -> dict[str, Any]:
-    """Return a balancer's settings, in the platform's form.
+    """Return a balancer's settings in the platform's format.
 
     Args:
-        number: of the balancer.
-        balancers: how many there are.
-        value: of the register that stands in the settings.
+        number: index of the balancer.
+        balancers: number of balancers.
+        value: value of the register that the settings encode.
     """
     return {
         "me": number,
@@ -73,16 +74,20 @@
 
 
 def register_value(settings: dict[str, Any]) -> int:
-    """Return the value of the register that stands in agreed settings."""
+    """Return the value of the register that agreed settings encode."""
     price = settings.get("deductions", {}).get("probe", 0)
     return round(price / PRICE_UNIT) - 1
 
 
 def checker_rules(plan: Plan, slack: int) -> Rules:
-    """Return the limits that the checker holds a cluster to, with slack in nanoseconds.
+    """Return the limits that the checker applies to a cluster.
 
-    A server bears what its share of the plan's flows is: the least that its slow-start budget can
-    be computed from.
+    A server's capacity is its share of the plan's flows, the smallest value from which its
+    slow-start budget can be computed.
+
+    Args:
+        plan: plan of the cluster.
+        slack: tolerance of each limit, in nanoseconds.
     """
     capacity = max(plan.flows_per_s / plan.servers, MIN_SERVER_CAPACITY)
     types = {
--- a/cypresswalk/lab/cluster/testbed/steps.py
+++ b/cypresswalk/lab/cluster/testbed/steps.py
@@ -1,4 +1,4 @@
-"""What does each action of a plan, on one test bed."""
+"""The handlers of a plan's actions on one testbed."""
 
 from collections.abc import Coroutine
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def link_steps(links: Links) -> Handlers:
-    """Faults of links between balancers."""
+    """Return the handlers of faults of links between balancers."""
     return {
         Action.CUT: lambda step: links.cut(step.balancer, step.peer),
         Action.CUT_ONE_WAY: lambda step: links.cut_one_way(step.balancer, step.peer),
@@ -32,16 +32,16 @@
 
 
 def process_steps(hosts: Hosts, tasks: BackgroundTasks, with_agents: bool) -> Handlers:
-    """Faults of balancers' processes, with their agents if there are any."""
+    """Return the handlers of faults of balancer processes and their agents, if any."""
 
     def freeze(step: Step) -> None:
-        """Freeze the balancer's process for the step's duration in ms, if it runs unfrozen."""
+        """Freeze the balancer's host for the step's duration, unless it is down or frozen."""
         host = hosts[step.balancer]
         if host.process is not None and not host.frozen:
             tasks.spawn(host.freeze_for(step.duration_ms))
 
     def stop(step: Step) -> None:
-        """Stop the balancers under an agent, or a balancer without one unless it is frozen."""
+        """Stop an agent's balancers, or a balancer without an agent unless it is frozen."""
         host = hosts[step.balancer]
         if with_agents:
             host.stop_balancers()
@@ -58,10 +58,10 @@
 
 
 def disk_steps(hosts: Hosts) -> Handlers:
-    """Faults of balancers' disks, and what happens to their folders."""
+    """Return the handlers of disk faults, and of deleting, saving and restoring fleet state."""
 
     def fail(step: Step) -> None:
-        """Set the step's disk fault on the balancer's host."""
+        """Set the disk fault that the action names on the balancer's host."""
         hosts[step.balancer].set_disk_fault(step.action)
 
     return {
@@ -75,16 +75,16 @@
 
 
 def operator_steps(operators: OperatorCalls, tasks: BackgroundTasks) -> Handlers:
-    """Calls on servers and settings."""
+    """Return the handlers of operators' calls on servers and settings."""
 
     def remove(step: Step) -> None:
-        """Take the server out of rotation; wait until it is settled if the action says so."""
+        """Take a server out of rotation; wait until it gets no attempts if the action says so."""
         settle = step.action == Action.REMOVE_SERVER_SETTLED
         server = server_name(step.server)
         tasks.spawn(operators.remove_server(step.balancer, server, settle))
 
     def return_server(step: Step) -> None:
-        """Return the server to rotation by a call."""
+        """Return a server to rotation."""
         tasks.spawn(operators.return_server(step.balancer, server_name(step.server)))
 
     return {
@@ -97,7 +97,7 @@
 
 
 def list_steps(lists: EndpointLists) -> Handlers:
-    """Faults of endpoint lists, and what they say of servers."""
+    """Return the handlers of faults of endpoint lists, and of drains that lists publish."""
     return {
         Action.LIST_LAGS: lambda step: lists.lag(step.balancer),
         Action.LIST_LIES: lambda step: lists.lie(step.balancer),
@@ -106,27 +106,27 @@
 
 
 def stand_in_steps(servers: ServerStandIns, tasks: BackgroundTasks) -> Handlers:
-    """Faults of servers that are stand-ins."""
+    """Return the handlers of faults of server stand-ins."""
     return {
         Action.RESTART_SERVER: lambda step: _spawn(tasks, servers.restart(server_name(step.server)))
     }
 
 
 def server_host_steps(members: ServerMembers) -> Handlers:
-    """Faults of servers that are processes, and of their agents."""
+    """Return the handlers of faults of server processes and their agents."""
 
     def start_agent(step: Step) -> None:
-        """Start the server's agent, if it has no process."""
+        """Start a server's agent if it was killed."""
         name = server_name(step.server)
         if members.hosts[name].process is None:
             members.start_agent(name)
 
     def kill_server(step: Step) -> None:
-        """Kill the server's process; its agent starts it again."""
+        """Kill a server process, which its agent then restarts."""
         members.kill_server(server_name(step.server))
 
     return {
-        Action.RESTART_SERVER: kill_server,  # its agent starts it again
+        Action.RESTART_SERVER: kill_server,  # the agent restarts it
         Action.KILL_SERVER: kill_server,
         Action.KILL_SERVER_AGENT: lambda step: members.hosts[
             server_name(step.server)
@@ -136,10 +136,10 @@
 
 
 def agent_steps(hosts: Hosts, members: BalancerMembers, tasks: BackgroundTasks) -> Handlers:
-    """Faults of balancers' agents, and drains by operators."""
+    """Return the handlers of faults of balancers' agents, and of drains by operators."""
 
     def drain(step: Step) -> None:
-        """Drain the balancer or end its drain, as the action says."""
+        """Start or end a balancer's drain, depending on the action."""
         drained = step.action == Action.DRAIN
         tasks.spawn(members.set_drained(step.balancer, drained))
 
@@ -153,10 +153,10 @@
 
 
 def release_steps(releases: Releases, tasks: BackgroundTasks) -> Handlers:
-    """Releases and halts by operators."""
+    """Return the handlers of operators' calls on releases and halts."""
 
     def set_paused(step: Step) -> None:
-        """Pause the release or let it go on, as the action says."""
+        """Pause or continue the last release, depending on the action."""
         tasks.spawn(releases.set_paused(step.balancer, step.action == Action.PAUSE))
 
     return {
--- a/cypresswalk/lab/cluster/testbed/tasks.py
+++ b/cypresswalk/lab/cluster/testbed/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of a test bed's event loop, and how late the loop is."""
+"""The background tasks of a testbed's event loop, and a measurement of the loop's lateness."""
 
 import asyncio
 import time
@@ -12,27 +12,29 @@
 
 
 class BackgroundTasks:
-    """Runs tasks until the end; a run in which one fails says nothing.
+    """The background tasks of a run.
+
+    A failed task makes the run's result invalid; each failure is reported as a violation.
 
     Attributes:
-        failures: of tasks.
+        failures: exceptions of failed tasks, as text.
     """
 
     def __init__(self, recording: Recording):
-        """No task runs yet; failures are recorded too."""
+        """Create a set without tasks; failures are also written to the recording."""
         self.failures: list[str] = []
         self._recording = recording
         self._tasks: set[asyncio.Task] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run a task."""
+        """Start a task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     def cancel(self) -> None:
-        """Cancel those that still run."""
+        """Cancel all tasks that are still running."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -47,18 +49,18 @@
 
 
 class LatenessMonitor:
-    """Measures how late the event loop is.
+    """A measurement of how late the event loop runs its timers.
 
     Attributes:
-        worst: nanoseconds.
+        worst: largest lateness so far, in nanoseconds.
     """
 
     def __init__(self) -> None:
-        """Nothing is measured yet."""
+        """Create a measurement without samples."""
         self.worst = 0
 
     async def run(self) -> None:
-        """Measure for ever."""
+        """Measure repeatedly, until cancelled."""
         while True:
             due = time.monotonic_ns() + LATENESS_CHECK_INTERVAL
             await asyncio.sleep(LATENESS_CHECK_INTERVAL / SECOND)
