--- a/cypresswalk/lab/cluster/testbed/addresses.py
+++ b/cypresswalk/lab/cluster/testbed/addresses.py
@@ -9,7 +9,7 @@
 Address = tuple[str, int]
 # Errors that a stand-in's connection handler catches. At the end of a run the event loop cancels
 # all handlers; asyncio's streams would print a traceback for each cancellation that is not caught.
-HANDLER_ENDS = (*CONNECTION_ENDS, asyncio.CancelledError)
+HANDLER_END_ERRORS = (*CONNECTION_ENDS, asyncio.CancelledError)
 
 
 class Addresses:
--- a/cypresswalk/lab/cluster/testbed/balancer_host.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_host.py
@@ -92,8 +92,8 @@
         self.disruptions: list[tuple[int, int]] = []
         self._launch = launch
         self._recording = recording
-        self._leaving = False
-        self._start_when_left = False
+        self._is_stopping = False
+        self._start_after_exit = False
 
     @property
     def config_file(self) -> Path:
@@ -120,7 +120,7 @@
         """The file that names the current fault of the balancer's disk."""
         return self.folder / "disk"
 
-    def disrupted(self, duration: int = 0) -> None:
+    def record_disruption(self, duration: int = 0) -> None:
         """Record a disruption that begins now and lasts `duration` nanoseconds."""
         now = time.monotonic_ns()
         self.disruptions.append((now, now + duration))
@@ -133,13 +133,13 @@
             self.signal_children(signal.SIGCONT)  # the new agent takes them over
         self.launch(self._command(), self._launch.tree, self._environment() | environment)
         self.frozen = False
-        self._leaving = self._start_when_left = False
+        self._is_stopping = self._start_after_exit = False
         self._recording.record("start", who=self.name)
 
     def kill(self) -> None:
         """Kill all processes on the host."""
         self.kill_all()
-        self.disrupted()
+        self.record_disruption()
         self._recording.observe("balancer_down", "", self.name)
         self._recording.record("kill", who=self.name)
 
@@ -152,7 +152,7 @@
         """Kill the agent's current balancer, which the agent then restarts."""
         pid = self.agent_state().pid
         if pid in self.child_pids():
-            self.disrupted(RESTART_BY_AGENT)
+            self.record_disruption(RESTART_BY_AGENT)
             self._recording.observe("balancer_down", "", self.name)
             os.kill(pid, signal.SIGKILL)
 
@@ -162,7 +162,7 @@
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
         self.frozen = True
-        self.disrupted(duration_ms * MILLISECOND)
+        self.record_disruption(duration_ms * MILLISECOND)
 
     def resume(self) -> None:
         """Let frozen processes continue."""
@@ -170,7 +170,7 @@
             self.signal_children(signal.SIGCONT)
             if self.process is not None:
                 self.process.send_signal(signal.SIGCONT)
-                self.disrupted()
+                self.record_disruption()
                 self._recording.record("thaw", who=self.name)
         self.frozen = False
 
@@ -184,7 +184,7 @@
 
     def stop_balancers(self) -> None:
         """Send SIGTERM to an agent's balancers; they drain and exit, the agent restarts them."""
-        self.disrupted(RESTART_BY_AGENT)
+        self.record_disruption(RESTART_BY_AGENT)
         self.signal_children(signal.SIGTERM)
 
     async def stop(self) -> None:
@@ -192,19 +192,19 @@
         process = self.process
         if process is None:
             return
-        self.disrupted()
-        self._leaving = True
+        self.record_disruption()
+        self._is_stopping = True
         process.send_signal(signal.SIGTERM)
         until = time.monotonic() + EXIT_TIMEOUT_S
         while process.poll() is None and time.monotonic() < until:
             await asyncio.sleep(EXIT_POLL_S)
         if process.poll() is None:
             process.kill()
-        self.disrupted()
+        self.record_disruption()
         if self.process is process:
             self.process = None
         self._recording.record("left", who=self.name)
-        if self._start_when_left and self.process is None:
+        if self._start_after_exit and self.process is None:
             self.start()
 
     def heal(self) -> None:
@@ -213,8 +213,8 @@
         self.resume()
         if self.process is None:
             self.start()
-        elif self._leaving:
-            self._start_when_left = True
+        elif self._is_stopping:
+            self._start_after_exit = True
 
     # Folders and disks.
 
--- a/cypresswalk/lab/cluster/testbed/balancer_members.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_members.py
@@ -15,7 +15,7 @@
     DRAINED,
     OutageLog,
     watch_agents,
-    watch_answers,
+    watch_health,
 )
 from cypresswalk.lab.cluster.testbed.recording import Recording
 from cypresswalk.lab.cluster.testbed.releases import (
@@ -29,12 +29,12 @@
 from cypresswalk.rollout.bounds import max_unavailable
 from cypresswalk.rollout.release import Plan as ReleasePlan
 
-ANSWER_CHECK_INTERVAL_S = 0.3
+HEALTH_CHECK_INTERVAL_S = 0.3
 CLIENT_ADDRESS_EVENT = "front"  # recorded when a client address starts or stops answering
 ADMIN_TIMEOUT_S = 2.0
 MAX_SETUP_RATIO = 4.0
 FEW_BALANCERS = 8  # with fewer balancers a release has two waves, else three
-STEPS_OUT = (AgentStep.STARTING_NEW, AgentStep.STOPPING_OLD)
+STEPS_WHILE_OUT = (AgentStep.STARTING_NEW, AgentStep.STOPPING_OLD)
 
 
 class BalancerMembers:
@@ -81,9 +81,9 @@
 
     def watch(self, tasks: BackgroundTasks, chance: Random) -> None:
         """Start tasks that record which balancers are unavailable."""
-        tasks.spawn(watch_agents(self._hosts, STEPS_OUT, self._outages, self._recording))
+        tasks.spawn(watch_agents(self._hosts, STEPS_WHILE_OUT, self._outages, self._recording))
         for host in self._hosts.values():
-            tasks.spawn(self._watch_answers(host, chance.random() * ANSWER_CHECK_INTERVAL_S))
+            tasks.spawn(self._watch_health(host, chance.random() * HEALTH_CHECK_INTERVAL_S))
 
     def make_build(self, version: str, build: Build) -> None:
         """Make a version that agents can start."""
@@ -115,11 +115,11 @@
         """Return the saved state of each agent."""
         return [host.agent_state() for host in self._hosts.values()]
 
-    def nobody_is_out(self, body: dict[str, Any]) -> bool:
+    def no_member_is_out(self, body: dict[str, Any]) -> bool:
         """Return whether the fleet's answer to the call `release` counts no balancer as out."""
         return not body["away"] and not body["seen_out"]
 
-    async def return_drained(self) -> None:
+    async def end_drains(self) -> None:
         """End all drains by operators."""
         for name in sorted(self._drained):
             await self.set_drained(name, False)
@@ -139,7 +139,7 @@
         else:
             self._drained.add(name)
             self._drains.append(Departure(now, name, "drain"))
-        self._outages.set_planned(name, DRAINED, drained, now)
+        self._outages.set_planned_outage(name, DRAINED, drained, now)
 
     def departures(self) -> list[Departure]:
         """Return when each balancer was ordered to leave, in order of time."""
@@ -150,18 +150,18 @@
         ]
         return sorted(by_agents + self._drains)
 
-    def excuse_crashes(self) -> None:
+    def count_crashes_as_disruptions(self) -> None:
         """Record a disruption for each balancer process that crashed because of its build."""
         for host in self._hosts.values():
             for event in host.logged_events("ended_by_itself"):
                 host.disruptions.append((event.at - RESTART_BY_AGENT, event.at + SECOND))
 
-    async def _watch_answers(self, host: BalancerHost, delay_s: float) -> None:
+    async def _watch_health(self, host: BalancerHost, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
-        await watch_answers(
+        await watch_health(
             host.name,
             host.listen,
-            ANSWER_CHECK_INTERVAL_S,
+            HEALTH_CHECK_INTERVAL_S,
             CLIENT_ADDRESS_EVENT,
             self._outages,
             self._recording,
--- a/cypresswalk/lab/cluster/testbed/bed.py
+++ b/cypresswalk/lab/cluster/testbed/bed.py
@@ -37,7 +37,7 @@
 from cypresswalk.lab.units import SECOND
 
 SERVERS_ANSWER_TIMEOUT_S = 30.0
-MAX_STAY_S = 3.0  # longest time that a client keeps its flow open at a server process
+MAX_FLOW_DURATION_S = 3.0  # longest time that a client keeps its flow open at a server process
 POLL_INTERVAL_S = 0.1
 SLACK = SECOND // 4  # tolerance of each limit, added to the measured lateness of the event loop
 RECORDING_FILE = "history.jsonl"
@@ -105,9 +105,9 @@
         self.calls = FleetCalls(self.balancers)
         self.convergence = Convergence(plan, self.calls)
         self.operators = OperatorCalls(plan, self.calls, self.recording, self.chance)
-        stay_s = MAX_STAY_S if plan.server_agents else 0.0
+        max_flow_duration_s = MAX_FLOW_DURATION_S if plan.server_agents else 0.0
         self.clients = Clients(
-            plan, self.balancers, self.recording, self.tasks, self.chance, stay_s
+            plan, self.balancers, self.recording, self.tasks, self.chance, max_flow_duration_s
         )
         self.balancer_members: BalancerMembers | None = None
         self.server_members: ServerMembers | None = None
@@ -120,7 +120,7 @@
             self._step_handlers(),
             self.calls,
             self.recording,
-            self.convergence.wait_for_replicas_at_rest,
+            self.convergence.wait_for_stable_replicas,
         )
 
     async def start(self) -> None:
@@ -155,7 +155,7 @@
         """
         if self.server_members is not None:
             await self._wait_until_servers_answer()
-        await self.operators.begin(status)
+        await self.operators.agree_on_bounds(status)
 
     async def stop(self) -> None:
         """Stop all tasks and processes, and save the recording."""
@@ -273,12 +273,12 @@
 
 def _launch(plan: Plan, folder: Path, tree: Path) -> Launch:
     """Return the parameters with which a plan's balancers are started."""
-    has_inner_faults = bool(plan.clock_drift) or any(
+    needs_faulty_program = bool(plan.clock_drift) or any(
         step.action in DISK_ACTIONS for step in plan.steps
     )
     return Launch(
         tree=tree,
-        program=FAULTY_PROGRAM if has_inner_faults else PROGRAM,
+        program=FAULTY_PROGRAM if needs_faulty_program else PROGRAM,
         agent_root=folder / "versions" if plan.balancer_agents else None,
         clock_drift=plan.clock_drift,
     )
--- a/cypresswalk/lab/cluster/testbed/clients.py
+++ b/cypresswalk/lab/cluster/testbed/clients.py
@@ -50,7 +50,7 @@
         recording: Recording,
         tasks: BackgroundTasks,
         chance: Random,
-        max_stay_s: float = 0.0,
+        max_flow_duration_s: float = 0.0,
     ):
         """Store the parameters; `start` begins the load.
 
@@ -60,8 +60,8 @@
             recording: recording of what clients send and receive.
             tasks: runner of each flow.
             chance: source of the random times, balancers and repeats.
-            max_stay_s: longest time in seconds for which a client keeps an established flow open;
-                each client chooses a random time up to it.
+            max_flow_duration_s: longest time in seconds for which a client keeps an established
+                flow open; each client chooses a random time up to it.
         """
         self.flows: list[ClientFlow] = []
         self.repeated: set[str] = set()
@@ -70,7 +70,7 @@
         self._recording = recording
         self._tasks = tasks
         self._chance = chance
-        self._max_stay_s = max_stay_s
+        self._max_flow_duration_s = max_flow_duration_s
         self._stopped = False
 
     def start(self) -> None:
@@ -155,7 +155,7 @@
                 answer = (await reader.readline()).decode().rstrip("\r\n")
             self._on_answer(flow_id, balancer, answer, outcome)
             if outcome.answer == "UP":
-                await self._stay(reader)
+                await self._keep_open(reader)
         finally:
             if writer is not None:
                 writer.close()
@@ -168,12 +168,12 @@
             kind = ANSWER_KINDS.get(outcome.answer, "failed")
             self._recording.observe("answer", flow_id, balancer, kind=kind, line=answer)
 
-    async def _stay(self, reader: asyncio.StreamReader) -> None:
+    async def _keep_open(self, reader: asyncio.StreamReader) -> None:
         """Keep a flow open for a random time, or until it is to migrate or its connection ends."""
-        if not self._max_stay_s:
+        if not self._max_flow_duration_s:
             return
         try:
-            async with asyncio.timeout(self._chance.uniform(0, self._max_stay_s)):
+            async with asyncio.timeout(self._chance.uniform(0, self._max_flow_duration_s)):
                 await reader.readline()
         except TimeoutError:
             pass
--- a/cypresswalk/lab/cluster/testbed/convergence.py
+++ b/cypresswalk/lab/cluster/testbed/convergence.py
@@ -67,7 +67,7 @@
                 await self._calls.leader(), "copies", timeout_s=SHORT_CALL_TIMEOUT_S
             )
             body = answer.body
-            if answer.ok and _is_at_rest(body):
+            if answer.ok and _is_stable(body):
                 differing = await self._differing_replicas(body["parts"])
                 if not differing and all(
                     len(replicas) == self._replicas for _, _, replicas in body["parts"]
@@ -77,7 +77,7 @@
             await asyncio.sleep(REPLICAS_INTERVAL_S)
         return ReplicasStatus(body, False)
 
-    async def wait_for_replicas_at_rest(self) -> bool:
+    async def wait_for_stable_replicas(self) -> bool:
         """Wait until no replica is missing, absent or being moved; clients may keep running.
 
         Returns:
@@ -88,7 +88,7 @@
             answer = await self._calls.call(
                 await self._calls.leader(), "copies", timeout_s=SHORT_CALL_TIMEOUT_S
             )
-            if answer.ok and _is_at_rest(answer.body):
+            if answer.ok and _is_stable(answer.body):
                 return True
             await asyncio.sleep(REPLICAS_INTERVAL_S)
         return False
@@ -134,7 +134,7 @@
     )
 
 
-def _is_at_rest(replicas: dict[str, Any]) -> bool:
+def _is_stable(replicas: dict[str, Any]) -> bool:
     """Return whether no replica is missing, absent or being moved."""
     return bool(
         replicas["parts"]
--- a/cypresswalk/lab/cluster/testbed/endpoint_lists.py
+++ b/cypresswalk/lab/cluster/testbed/endpoint_lists.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Any
 
-from cypresswalk.lab.cluster.testbed.addresses import HANDLER_ENDS, Address, ServerAddresses
+from cypresswalk.lab.cluster.testbed.addresses import HANDLER_END_ERRORS, Address, ServerAddresses
 from cypresswalk.lab.cluster.testbed.recording import Recording
 from cypresswalk.lab.cluster.testbed.settings import ZONE
 
@@ -72,7 +72,7 @@
         """Return the address of a balancer's list."""
         return self._host, self._listeners[balancer].sockets[0].getsockname()[1]
 
-    def restarted(self, server: str, started_ms: int) -> None:
+    def publish_restart(self, server: str, started_ms: int) -> None:
         """Publish a server's restart."""
         self._changes.append(ListChange(server, IN_SERVICE, started_ms))
 
@@ -110,7 +110,7 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(RESPONSE_HEAD)
             await self._send_changes(balancer, writer)
-        except HANDLER_ENDS:
+        except HANDLER_END_ERRORS:
             pass  # the balancer has disconnected, or the run is over
         finally:
             writer.close()
--- a/cypresswalk/lab/cluster/testbed/fleet_calls.py
+++ b/cypresswalk/lab/cluster/testbed/fleet_calls.py
@@ -56,7 +56,7 @@
         """Store the mapping of hosts, to which hosts may be added later."""
         self._balancers = balancers
         self._threads = ThreadPoolExecutor(MAX_CONCURRENT_CALLS)
-        self._idents = count(1)
+        self._command_numbers = count(1)
 
     def close(self) -> None:
         """Cancel waiting calls and accept no more."""
@@ -87,7 +87,7 @@
     async def command(self, balancer: str, name: str, **args: Any) -> FleetAnswer:
         """Make a call that changes agreed state, with a command id, an author and the wall time."""
         head = {
-            "ident": f"rig:{next(self._idents)}",
+            "ident": f"rig:{next(self._command_numbers)}",
             "by": AUTHOR,
             "at": time.time_ns() // MILLISECOND,
         }
--- a/cypresswalk/lab/cluster/testbed/host.py
+++ b/cypresswalk/lab/cluster/testbed/host.py
@@ -96,7 +96,7 @@
         pids = [state.pid, state.new_pid]
         with contextlib.suppress(OSError, ValueError):
             pids.append(int((self.agent_folder / "started").read_text() or 0))
-        return [pid for pid in dict.fromkeys(pids) if pid and self._is_own(pid)]
+        return [pid for pid in dict.fromkeys(pids) if pid and self._is_process_of_host(pid)]
 
     def signal_children(self, number: int) -> None:
         """Send a signal to the agent's processes."""
@@ -135,15 +135,16 @@
         wall_s = float(line.removeprefix("ts=").split()[0])
         return int((wall_s - self._wall_offset_s) * SECOND)
 
-    def _is_own(self, pid: int) -> bool:
+    def _is_process_of_host(self, pid: int) -> bool:
         """Return whether a pid belongs to a process of this host; the system reuses pids.
 
         A process of this host has the host's folder in its command line or environment.
         """
-        mark = f"{self.folder}/".encode()
+        folder_prefix = f"{self.folder}/".encode()
         try:
             return any(
-                mark in Path(f"/proc/{pid}/{file}").read_bytes() for file in ("cmdline", "environ")
+                folder_prefix in Path(f"/proc/{pid}/{file}").read_bytes()
+                for file in ("cmdline", "environ")
             )
         except OSError:
             return False
--- a/cypresswalk/lab/cluster/testbed/operator_calls.py
+++ b/cypresswalk/lab/cluster/testbed/operator_calls.py
@@ -81,7 +81,7 @@
         self._returns: list[ReturnCall] = []
 
     @property
-    def removals_agreed(self) -> int:
+    def agreed_removal_count(self) -> int:
         """The number of agreed removals of servers from rotation."""
         return len(self._removals)
 
@@ -167,7 +167,7 @@
                 )
             )
 
-    async def begin(self, status: dict[str, Any]) -> None:
+    async def agree_on_bounds(self, status: dict[str, Any]) -> None:
         """Have the fleet agree on the plan's bounds, before any other call.
 
         Args:
--- a/cypresswalk/lab/cluster/testbed/outages.py
+++ b/cypresswalk/lab/cluster/testbed/outages.py
@@ -1,4 +1,4 @@
-"""Outages of members, as seen in agents' state files and by health checks."""
+"""Outages of members, as recorded in agents' state files and found by health checks."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
         self._lost: list[Outage] = []
         self._open_lost: dict[str, int] = {}
 
-    def set_planned(self, name: str, cause: str, out: bool, at: int) -> None:
+    def set_planned_outage(self, name: str, cause: str, out: bool, at: int) -> None:
         """Record whether a member is out for a cause; repeated calls have no effect."""
         if out:
             self._open_planned.setdefault((name, cause), at)
@@ -77,7 +77,7 @@
 
 async def watch_agents(
     hosts: Mapping[str, Host],
-    steps_out: Collection[AgentStep],
+    steps_while_out: Collection[AgentStep],
     outages: OutageLog,
     recording: Recording,
 ) -> None:
@@ -85,23 +85,23 @@
 
     Args:
         hosts: host by member.
-        steps_out: steps of an agent at which its member counts as out.
+        steps_while_out: steps of an agent at which its member counts as out.
         outages: log that receives the outages.
         recording: recording that receives each agent's steps.
     """
-    seen = dict.fromkeys(hosts, AgentStep.IDLE)
+    last_steps = dict.fromkeys(hosts, AgentStep.IDLE)
     while True:
         await asyncio.sleep(AGENT_POLL_INTERVAL / SECOND)
         now = time.monotonic_ns()
         for name, host in hosts.items():
             step = host.agent_state().step
-            if step != seen[name]:
-                seen[name] = step
+            if step != last_steps[name]:
+                last_steps[name] = step
                 recording.record("agent", who=name, step=step)
-                outages.set_planned(name, CHANGED, step in steps_out, now)
+                outages.set_planned_outage(name, CHANGED, step in steps_while_out, now)
 
 
-async def watch_answers(
+async def watch_health(
     name: str,
     address: Address,
     interval_s: float,
--- a/cypresswalk/lab/cluster/testbed/recording.py
+++ b/cypresswalk/lab/cluster/testbed/recording.py
@@ -13,7 +13,7 @@
 
 FLOW_OPENED = "open"  # a server received a flow; fields: server, balancer, flow, effect
 FLOW_ANSWERED = "answer"  # a client's flow ended
-EVENTS_OF_FLOWS = (FLOW_OPENED, FLOW_ANSWERED)
+FLOW_EVENTS = (FLOW_OPENED, FLOW_ANSWERED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,4 +94,4 @@
     lines = path.read_text(encoding="utf-8").splitlines()
     events = [Event.from_json(json.loads(line)) for line in lines]
     begin = events[0].at if events else 0
-    return [event.line(begin) for event in events if event.kind not in EVENTS_OF_FLOWS]
+    return [event.line(begin) for event in events if event.kind not in FLOW_EVENTS]
--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -49,17 +49,17 @@
         }
 
 
-def check_release(bed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
+def check_release(testbed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
     """Check a run with agents, once its last release has ended."""
-    releases = bed.releases
-    members = bed.balancer_members or bed.server_members
+    releases = testbed.releases
+    members = testbed.balancer_members or testbed.server_members
     assert releases is not None and members is not None  # there are agents
-    slack = bed.slack() + AGENT_POLL_INTERVAL
-    halt_slack = MAX_HALT_DELAY + bed.slack()
-    planned = bed.outages.planned()
-    lost = bed.outages.lost()
-    if bed.server_members is not None:
-        lost = _not_explained(lost, planned, slack)
+    slack = testbed.slack() + AGENT_POLL_INTERVAL
+    halt_slack = MAX_HALT_DELAY + testbed.slack()
+    planned = testbed.outages.planned()
+    lost = testbed.outages.lost()
+    if testbed.server_members is not None:
+        lost = _unexplained_outages(lost, planned, slack)
         halt_slack += AGENT_POLL_INTERVAL
     departures = members.departures()
     unavailability = check_unavailability(
@@ -67,11 +67,11 @@
     )
     halt = check_halts(departures, releases.halts, releases.resumes, releases.rollbacks, halt_slack)
     violations = [*unavailability.violations, *halt.violations]
-    if bed.server_members is not None:
-        violations += _attempts_during_change(bed, planned, slack)
-    if end.stuck_body:
+    if testbed.server_members is not None:
+        violations += _attempts_during_change(testbed, planned, slack)
+    if end.unfinished_body:
         violations.append(f"the release did not finish: {end.to_json()}")
-    violations += _agent_violations(bed)
+    violations += _agent_violations(testbed)
     return ReleaseResult(
         end=end,
         unavailability=unavailability,
@@ -83,7 +83,7 @@
     )
 
 
-def _not_explained(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
+def _unexplained_outages(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
     """Return the outages in which a server answered no health checks while it was not changed."""
     return [
         outage
@@ -97,9 +97,11 @@
     ]
 
 
-def _attempts_during_change(bed: ClusterTestBed, planned: list[Outage], slack: int) -> list[str]:
+def _attempts_during_change(
+    testbed: ClusterTestBed, planned: list[Outage], slack: int
+) -> list[str]:
     violations = []
-    attempts = bed.recording.attempts()
+    attempts = testbed.recording.attempts()
     for change in planned:
         sent = [
             attempt
@@ -114,20 +116,20 @@
     return violations
 
 
-def _agent_violations(bed: ClusterTestBed) -> list[str]:
+def _agent_violations(testbed: ClusterTestBed) -> list[str]:
     """Return violations for tracebacks in logs of hosts with agents and for flows cut off."""
-    if bed.server_members is None or bed.server_events is None:
+    if testbed.server_members is None or testbed.server_events is None:
         return [
             f"{name}: a traceback in its {log}"
-            for name, host in bed.balancers.items()
+            for name, host in testbed.balancers.items()
             for log in host.logs_with_traceback()
         ]
     violations = []
-    for name, host in bed.server_members.hosts.items():
+    for name, host in testbed.server_members.hosts.items():
         for log in host.logs_with_traceback():
             shown = "agent's log" if log == host.log.name else log
             violations.append(f"{name}: a traceback in its {shown}")
-    cut_off = bed.server_events.cut_off_flows
+    cut_off = testbed.server_events.cut_off_flows
     if cut_off:
         violations.append(f"{cut_off} flows were open at servers that were stopped")
     return violations
--- a/cypresswalk/lab/cluster/testbed/releases.py
+++ b/cypresswalk/lab/cluster/testbed/releases.py
@@ -55,10 +55,10 @@
     def agent_states(self) -> list[AgentState]:
         """Return the saved state of each agent."""
 
-    def nobody_is_out(self, body: dict[str, Any]) -> bool:
+    def no_member_is_out(self, body: dict[str, Any]) -> bool:
         """Return whether the fleet's answer to the call `release` counts no member as out."""
 
-    async def return_drained(self) -> None:
+    async def end_drains(self) -> None:
         """End all drains by operators."""
 
     def departures(self) -> list[Departure]:
@@ -113,20 +113,20 @@
     Attributes:
         took_s: seconds from the end of all faults to the end of the release.
         phase: last phase, a Phase, or "none".
-        stuck_body: fleet's last answer if the release did not finish in time, else empty.
+        unfinished_body: fleet's last answer if the release did not finish in time, else empty.
         agent_states: agents' saved states if the release did not finish in time.
     """
 
     took_s: float
     phase: str = "none"
-    stuck_body: str = ""
+    unfinished_body: str = ""
     agent_states: tuple[AgentState, ...] = ()
 
     def to_json(self) -> dict[str, Any]:
         """Return this end's part of the report."""
-        if self.stuck_body:
+        if self.unfinished_body:
             states = [state.to_json() for state in self.agent_states]
-            return {"not_home": self.stuck_body, "doing": states}
+            return {"not_home": self.unfinished_body, "doing": states}
         return {"home_in_s": round(self.took_s, 1), "ended": self.phase}
 
 
@@ -215,7 +215,7 @@
         timeout_s = FINISH_TIMEOUT_S + members.finish_timeout_per_member_s * len(members.names)
         body: Any = {}
         while time.monotonic() - began < timeout_s:
-            await members.return_drained()
+            await members.end_drains()
             answer = await self._calls.call(
                 await self._calls.leader(), "release", timeout_s=STATUS_TIMEOUT_S
             )
@@ -227,7 +227,7 @@
             await asyncio.sleep(STATUS_INTERVAL_S)
         return ReleaseEnd(
             time.monotonic() - began,
-            stuck_body=str(body)[:MAX_SHOWN],
+            unfinished_body=str(body)[:MAX_SHOWN],
             agent_states=tuple(members.agent_states()),
         )
 
@@ -250,7 +250,7 @@
         return False
 
     def _is_finished(self, status: ReleaseStatus) -> bool:
-        return self._members.nobody_is_out(status.body) and all(
+        return self._members.no_member_is_out(status.body) and all(
             state.version == self.current_version and not state.step
             for state in self._members.agent_states()
         )
--- a/cypresswalk/lab/cluster/testbed/result.py
+++ b/cypresswalk/lab/cluster/testbed/result.py
@@ -71,89 +71,89 @@
         return report | (self.release.to_json() if self.release is not None else {})
 
 
-async def conclude(bed: ClusterTestBed) -> ClusterResult:
+async def conclude(testbed: ClusterTestBed) -> ClusterResult:
     """Finish a run and check it.
 
     With agents, end all faults first and finish the last release. Without agents the plan itself
     must end its faults by `heal`, because the fleet must be able to converge here.
     """
     end = None
-    if bed.releases is not None:
-        _heal_all(bed)
-        end = await bed.releases.finish()
-        await _end_of_load(bed)
-    violations = await _convergence_violations(bed)
-    bed.recording.observe("day_ended")  # the checker expects no answers for flows open now
-    contradiction = _check_contradictions(bed)
+    if testbed.releases is not None:
+        _heal_all(testbed)
+        end = await testbed.releases.finish()
+        await _stop_load(testbed)
+    violations = await _convergence_violations(testbed)
+    testbed.recording.observe("day_ended")  # the checker expects no answers for flows open now
+    contradiction = _check_contradictions(testbed)
     violations += contradiction.violations
-    violations += _check_recording(bed)
-    violations += [f"a task of the testbed failed: {failure}" for failure in bed.tasks.failures]
-    violations += _crashes(bed)
-    if bed.plan.replicas:
-        violations += await _replica_violations(bed)
-    release = check_release(bed, end) if end is not None else None
+    violations += _check_recording(testbed)
+    violations += [f"a task of the testbed failed: {failure}" for failure in testbed.tasks.failures]
+    violations += _crashes(testbed)
+    if testbed.plan.replicas:
+        violations += await _replica_violations(testbed)
+    release = check_release(testbed, end) if end is not None else None
     if release is not None:
         violations += release.violations
-    offers = [call for call in bed.operators.settings_calls if call.kind == CallKind.OFFER]
+    offers = [call for call in testbed.operators.settings_calls if call.kind == CallKind.OFFER]
     return ClusterResult(
         violations=violations,
         longest_contradiction=contradiction.longest,
-        max_contradiction_s=bed.plan.max_contradiction_s,
-        answers=bed.clients.answer_counts(),
+        max_contradiction_s=testbed.plan.max_contradiction_s,
+        answers=testbed.clients.answer_counts(),
         offers=len(offers),
         agreed_offers=sum(offer.outcome == CallOutcome.YES for offer in offers),
-        removals=bed.operators.removals_agreed,
-        lateness=bed.lateness.worst,
+        removals=testbed.operators.agreed_removal_count,
+        lateness=testbed.lateness.worst,
         release=release,
     )
 
 
-def _heal_all(bed: ClusterTestBed) -> None:
-    bed.heal()
-    if bed.server_members is not None:
-        bed.server_members.start_missing_agents()
+def _heal_all(testbed: ClusterTestBed) -> None:
+    testbed.heal()
+    if testbed.server_members is not None:
+        testbed.server_members.start_missing_agents()
 
 
-async def _end_of_load(bed: ClusterTestBed) -> None:
+async def _stop_load(testbed: ClusterTestBed) -> None:
     """Stop the load, count crashes of balancers as disruptions, and read the servers' last events.
 
     A crash is no violation, since a build may be made to crash.
     """
-    bed.clients.stop()
-    if bed.balancer_members is not None:
-        bed.balancer_members.excuse_crashes()
-    if bed.server_events is not None:
-        await bed.server_events.read_last()
+    testbed.clients.stop()
+    if testbed.balancer_members is not None:
+        testbed.balancer_members.count_crashes_as_disruptions()
+    if testbed.server_events is not None:
+        await testbed.server_events.read_last()
 
 
-async def _convergence_violations(bed: ClusterTestBed) -> list[str]:
-    status = await bed.convergence.wait()
+async def _convergence_violations(testbed: ClusterTestBed) -> list[str]:
+    status = await testbed.convergence.wait()
     if status is None:
-        answers = await bed.calls.local_status(bed.names)
-        shown = [(name, answer.body) for name, answer in zip(bed.names, answers, strict=True)]
+        answers = await testbed.calls.local_status(testbed.names)
+        shown = [(name, answer.body) for name, answer in zip(testbed.names, answers, strict=True)]
         return [
             "the fleet did not converge after all faults had ended: "
             + json.dumps(shown, default=str)[:MAX_SHOWN]
         ]
-    answer = await bed.calls.call(bed.names[0], "show")
+    answer = await testbed.calls.call(testbed.names[0], "show")
     out_of_rotation = set(answer.body["out"]) if answer.ok else set()
-    return lost_removals(bed.operators.removals(), out_of_rotation)
+    return lost_removals(testbed.operators.removals(), out_of_rotation)
 
 
-def _check_contradictions(bed: ClusterTestBed) -> ContradictionReport:
+def _check_contradictions(testbed: ClusterTestBed) -> ContradictionReport:
     """Check removals by the fleet's agreement, and removals by the endpoint list.
 
     The lists of most voters show the latter within LIST_DETECTION_TIME; from then on the fleet's
     agreement also binds balancers whose lists lag.
     """
-    attempts = bed.recording.attempts()
-    limit = int(bed.plan.max_contradiction_s * SECOND)
-    agreed = contradictions(bed.operators.removals(), attempts, limit, bed.slack())
+    attempts = testbed.recording.attempts()
+    limit = int(testbed.plan.max_contradiction_s * SECOND)
+    agreed = contradictions(testbed.operators.removals(), attempts, limit, testbed.slack())
     listed = contradictions(
-        [Removal(server, at, at) for server, at in bed.lists.drained_at],
+        [Removal(server, at, at) for server, at in testbed.lists.drained_at],
         attempts,
         limit,
-        bed.slack() + LIST_DETECTION_TIME,
+        testbed.slack() + LIST_DETECTION_TIME,
     )
     return ContradictionReport(
         agreed.longest,
@@ -161,41 +161,43 @@
     )
 
 
-def _check_recording(bed: ClusterTestBed) -> list[str]:
-    flows = bed.clients.flows
-    disruptions = bed.disruptions()
-    slack = bed.slack()
+def _check_recording(testbed: ClusterTestBed) -> list[str]:
+    flows = testbed.clients.flows
+    disruptions = testbed.disruptions()
+    slack = testbed.slack()
     observations = [
         observation
-        for observation in bed.recording.observations
-        if observation.flow not in bed.clients.repeated
+        for observation in testbed.recording.observations
+        if observation.flow not in testbed.clients.repeated
     ]
     unordered = linearizability_violation(
-        bed.operators.settings_calls, bed.operators.initial_settings
+        testbed.operators.settings_calls, testbed.operators.initial_settings
     )
     return [
         *([unordered] if unordered else []),
         *missing_or_late_answers(flows, disruptions, slack),
-        *repeated_executions(bed.recording.executions()),
-        *rule_violations(observations, checker_rules(bed.plan, slack), flows, disruptions, slack),
+        *repeated_executions(testbed.recording.executions()),
+        *rule_violations(
+            observations, checker_rules(testbed.plan, slack), flows, disruptions, slack
+        ),
     ]
 
 
-def _crashes(bed: ClusterTestBed) -> list[str]:
-    codes = {name: host.exit_code() for name, host in bed.balancers.items()}
+def _crashes(testbed: ClusterTestBed) -> list[str]:
+    codes = {name: host.exit_code() for name, host in testbed.balancers.items()}
     return [f"{name} ended unexpectedly, exit code {code}" for name, code in codes.items() if code]
 
 
-async def _replica_violations(bed: ClusterTestBed) -> list[str]:
+async def _replica_violations(testbed: ClusterTestBed) -> list[str]:
     """Wait until replicas are complete, and save each balancer's report on its own replicas."""
-    bed.clients.stop()
-    status = await bed.convergence.wait_for_replicas()
+    testbed.clients.stop()
+    status = await testbed.convergence.wait_for_replicas()
     local = [
-        await bed.calls.call(name, "copies_local", timeout_s=SHORT_CALL_TIMEOUT_S)
-        for name in bed.names
+        await testbed.calls.call(name, "copies_local", timeout_s=SHORT_CALL_TIMEOUT_S)
+        for name in testbed.names
     ]
     bodies = [answer.body for answer in local]
-    (bed.folder / "copies.json").write_text(json.dumps(bodies, default=str))
+    (testbed.folder / "copies.json").write_text(json.dumps(bodies, default=str))
     if status.complete:
         return []
     return [f"replicas did not become complete: {json.dumps(status.body, default=str)[:MAX_SHOWN]}"]
--- a/cypresswalk/lab/cluster/testbed/run.py
+++ b/cypresswalk/lab/cluster/testbed/run.py
@@ -23,23 +23,23 @@
     Returns:
         The report, whose key `broken` lists the violations of rules.
     """
-    bed = ClusterTestBed(plan, folder)
+    testbed = ClusterTestBed(plan, folder)
     try:
-        await bed.start()
+        await testbed.start()
         began = time.monotonic()
-        status = await bed.convergence.wait()
+        status = await testbed.convergence.wait()
         if status is None:
             return {"broken": [f"the fleet did not start: see the logs in {folder}"]}
         took_s = time.monotonic() - began
-        await bed.agree_on_bounds(status)
-        bed.clients.start()
-        await bed.player.play()
-        result = await conclude(bed)
+        await testbed.agree_on_bounds(status)
+        testbed.clients.start()
+        await testbed.player.play()
+        result = await conclude(testbed)
         report = result.to_json() | {"began_in_s": round(took_s, 2)}
         (folder / REPORT_FILE).write_text(json.dumps(report, indent=1))
         return report
     finally:
-        await bed.stop()
+        await testbed.stop()
 
 
 def run_timeline(folder: Path) -> list[str]:
--- a/cypresswalk/lab/cluster/testbed/server_events.py
+++ b/cypresswalk/lab/cluster/testbed/server_events.py
@@ -81,7 +81,7 @@
         self._recording.events.append(event)
         if server in self._started_once:
             self._observe_server(event, "server_up")
-            self._lists.restarted(server, event.fields["wall_ms"])
+            self._lists.publish_restart(server, event.fields["wall_ms"])
         self._started_once.add(server)
 
     def _observe(self, event: Event, kind: str, /, **fields: object) -> None:
--- a/cypresswalk/lab/cluster/testbed/server_members.py
+++ b/cypresswalk/lab/cluster/testbed/server_members.py
@@ -14,7 +14,7 @@
 from cypresswalk.lab.cluster.testbed.builds import FIRST_VERSION, make_server_build
 from cypresswalk.lab.cluster.testbed.fleet_calls import FLEET_NAME
 from cypresswalk.lab.cluster.testbed.host import Host
-from cypresswalk.lab.cluster.testbed.outages import OutageLog, watch_agents, watch_answers
+from cypresswalk.lab.cluster.testbed.outages import OutageLog, watch_agents, watch_health
 from cypresswalk.lab.cluster.testbed.recording import Recording
 from cypresswalk.lab.cluster.testbed.releases import (
     CHANGE_TIMEOUT_S,
@@ -27,10 +27,10 @@
 from cypresswalk.rollout.release import Plan as ReleasePlan
 
 SERVER_MODULE = "cypresswalk.lab.cluster.testbed.server_process"
-ANSWER_CHECK_INTERVAL_S = 0.2
+HEALTH_CHECK_INTERVAL_S = 0.2
 MAX_SETUP_RATIO = 6.0
 DRAIN_TIMEOUT_S = 10.0
-STEPS_OUT = (AgentStep.DRAINING, AgentStep.REPLACING, AgentStep.RESTORING)
+STEPS_WHILE_OUT = (AgentStep.DRAINING, AgentStep.REPLACING, AgentStep.RESTORING)
 
 
 class ServerHost(Host):
@@ -103,14 +103,14 @@
         self._fleet = fleet
         for name in self.names:
             self.start_agent(name)
-        tasks.spawn(watch_agents(self.hosts, STEPS_OUT, self._outages, self._recording))
+        tasks.spawn(watch_agents(self.hosts, STEPS_WHILE_OUT, self._outages, self._recording))
         for name in self.names:
             address = self._addresses.address(name, self.first_balancer)
             tasks.spawn(
-                watch_answers(
+                watch_health(
                     name,
                     address,
-                    ANSWER_CHECK_INTERVAL_S,
+                    HEALTH_CHECK_INTERVAL_S,
                     "server",
                     self._outages,
                     self._recording,
@@ -167,11 +167,11 @@
         """Return the saved state of each agent."""
         return [host.agent_state() for host in self.hosts.values()]
 
-    def nobody_is_out(self, body: dict[str, Any]) -> bool:
+    def no_member_is_out(self, body: dict[str, Any]) -> bool:
         """Return whether the fleet's answer to the call `release` counts no server as out."""
         return not body["coming"] and not body["servers_bad"]
 
-    async def return_drained(self) -> None:
+    async def end_drains(self) -> None:
         """Do nothing: operators drain only balancers."""
 
     def departures(self) -> list[Departure]:
--- a/cypresswalk/lab/cluster/testbed/server_stand_ins.py
+++ b/cypresswalk/lab/cluster/testbed/server_stand_ins.py
@@ -6,7 +6,7 @@
 from functools import partial
 from itertools import count
 
-from cypresswalk.lab.cluster.testbed.addresses import HANDLER_ENDS, ServerAddresses
+from cypresswalk.lab.cluster.testbed.addresses import HANDLER_END_ERRORS, ServerAddresses
 from cypresswalk.lab.cluster.testbed.endpoint_lists import EndpointLists
 from cypresswalk.lab.cluster.testbed.flow_types import effect_of
 from cypresswalk.lab.cluster.testbed.recording import FLOW_OPENED, Recording
@@ -74,7 +74,7 @@
         await asyncio.sleep(RESTART_S)
         self._down.discard(name)
         self._recording.observe("server_up", "", name)
-        self._lists.restarted(name, time.time_ns() // MILLISECOND)
+        self._lists.publish_restart(name, time.time_ns() // MILLISECOND)
 
     async def _serve(
         self, name: str, balancer: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -84,7 +84,7 @@
         try:
             while name not in self._down and (line := await reader.readline()):
                 self._answer(connection, line)
-        except HANDLER_ENDS:
+        except HANDLER_END_ERRORS:
             pass  # the balancer has disconnected, or the run is over
         finally:
             self._on_end(connection)
--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -1,4 +1,4 @@
-"""A cluster of real balancer processes on loopback, and the calls that are made at them."""
+"""Helpers for tests with a cluster of real balancer processes on loopback."""
 
 import asyncio
 import socket
@@ -20,37 +20,37 @@
 
 
 def send_line(address: Address, text: str) -> str:
-    """Send one line on a connection of its own; the first line of the answer."""
+    """Send one line on a new connection, and return the first line of the answer."""
     with socket.create_connection(address, timeout=ANSWER_TIMEOUT_S) as sock:
         sock.sendall(text.encode() + b"\r\n")
         return sock.makefile("rb").readline().decode().strip()
 
 
-async def ask(address: Address, text: str) -> str:
-    """`send_line` in a thread, so that the event loop goes on."""
+async def send_line_async(address: Address, text: str) -> str:
+    """Call `send_line` in a thread, so that the event loop is not blocked."""
     return await asyncio.to_thread(send_line, address, text)
 
 
 def with_cluster(
     tmp_path: Path, test: Callable[[ClusterTestBed], Awaitable[None]], **plan: Any
 ) -> None:
-    """Run a test with a cluster that has converged; end its processes whatever happens.
+    """Run a test with a converged cluster, and end the cluster's processes in any case.
 
     Args:
-        tmp_path: The cluster's folder is made in it.
-        test: Is given the test bed.
-        plan: Fields of the cluster's plan.
+        tmp_path: folder in which the cluster's folder is made.
+        test: function that receives the testbed.
+        plan: fields of the cluster's plan.
     """
 
     async def run() -> None:
-        bed = ClusterTestBed(Plan(**plan), tmp_path / "rig")
+        testbed = ClusterTestBed(Plan(**plan), tmp_path / "rig")
         try:
-            await bed.start()
-            assert await bed.convergence.wait() is not None
-            await test(bed)
-            assert not bed.tasks.failures
+            await testbed.start()
+            assert await testbed.convergence.wait() is not None
+            await test(testbed)
+            assert not testbed.tasks.failures
         finally:
-            await bed.stop()
+            await testbed.stop()
 
     asyncio.run(run())
 
@@ -61,7 +61,7 @@
     seconds: float,
     pause_s: float = POLL_PAUSE_S,
 ) -> Value:
-    """Read a value until it is as wanted or the time is over; the last value."""
+    """Read a value until it meets a condition or the time is over; return the last value."""
     end = time.monotonic() + seconds
     while not is_met(value := await read()) and time.monotonic() < end:
         await asyncio.sleep(pause_s)
@@ -69,44 +69,44 @@
 
 
 class Operator:
-    """A person who calls the balancers of a cluster."""
+    """An operator who makes calls to the balancers of a cluster."""
 
-    def __init__(self, bed: ClusterTestBed) -> None:
-        """Call the balancers of `bed`."""
-        self.bed = bed
+    def __init__(self, testbed: ClusterTestBed) -> None:
+        """Create an operator of the cluster of `testbed`."""
+        self.testbed = testbed
 
     async def call(self, name: str, line: str) -> str:
-        """Make an admin call at one balancer."""
-        return await ask(self.bed.balancers[name].admin, line)
+        """Make an admin call to one balancer."""
+        return await send_line_async(self.testbed.balancers[name].admin, line)
 
     async def ping(self, name: str) -> str:
-        """Ask one balancer, as a load balancer before it does, whether it takes clients."""
-        return await ask(self.bed.balancers[name].listen, "PING")
+        """Send one balancer a health check, as a load balancer in front of it does."""
+        return await send_line_async(self.testbed.balancers[name].listen, "PING")
 
     async def set_bounds(self, bounds: dict[str, Any]) -> None:
-        """Put bounds into the shared settings, and wait until all act on them."""
-        shown = (await self.bed.calls.call("n0", "show")).body
+        """Put bounds into the shared settings, and wait until all balancers act on them."""
+        shown = (await self.testbed.calls.call("n0", "show")).body
         settings = shown["settings"] | {"bounds": bounds}
         base = shown["settings_version"]
-        answer = await self.bed.calls.command("n0", "offer", base=base, settings=settings)
+        answer = await self.testbed.calls.command("n0", "offer", base=base, settings=settings)
         assert answer.ok, answer.body
-        assert await self.bed.convergence.wait() is not None
+        assert await self.testbed.convergence.wait() is not None
 
     async def wait_until_nobody_is_out(self) -> None:
-        """Wait until the leader counts nobody as out."""
-        calls = self.bed.calls
+        """Wait until the leader counts no member as out."""
+        calls = self.testbed.calls
 
         async def status() -> FleetAnswer:
             return await calls.call(await calls.leader(), "status", timeout_s=1.0)
 
-        def nobody_is_out(answer: FleetAnswer) -> bool:
+        def no_member_is_out(answer: FleetAnswer) -> bool:
             return answer.ok and not answer.body["seen_out"] and not answer.body["away"]
 
-        answer = await poll(status, nobody_is_out, READY_TIMEOUT_S)
-        assert nobody_is_out(answer), answer
+        answer = await poll(status, no_member_is_out, READY_TIMEOUT_S)
+        assert no_member_is_out(answer), answer
 
     async def heal(self) -> None:
-        """End all faults, start who was killed, and wait until all are ready."""
-        await self.bed.player.do(Step(at_s=0, action=Action.HEAL))
-        assert await self.bed.convergence.wait() is not None
+        """End all faults, start killed balancers, and wait until all balancers are ready."""
+        await self.testbed.player.do(Step(at_s=0, action=Action.HEAL))
+        assert await self.testbed.convergence.wait() is not None
         await self.wait_until_nobody_is_out()
--- a/tests/lab/test_cluster_player.py
+++ b/tests/lab/test_cluster_player.py
@@ -1,4 +1,4 @@
-"""The player of a cluster's plan."""
+"""Tests of the player of a cluster's plan."""
 
 import asyncio
 import time
@@ -6,19 +6,19 @@
 from cypresswalk.lab.cluster.plan import Action, Plan, Step
 from cypresswalk.lab.cluster.testbed.player import Player
 
-REPLICAS_TAKE_S = 0.3
+REPLICAS_WAIT_S = 0.3
 
 
 class RecordingDouble:
-    """Takes no notice."""
+    """A recording that discards events."""
 
     def record(self, kind: str, **fields: object) -> None:
-        """A step was done."""
+        """Discard an event."""
 
 
 def test_step_that_waits_for_replicas_begins_once_they_are_at_rest_and_shifts_later_ones():
-    # Seen under load: a plan wiped the two replicas that were left by the clock, before the third
-    # was made up, so the keys were lost that the plan was to show kept.
+    # Guards against a failure under load: a plan wiped the two remaining replicas at fixed times,
+    # before the third one was complete again, and lost the keys that it was meant to show as kept.
     done: list[tuple[int, float]] = []
     began = time.monotonic()
     steps = [
@@ -27,11 +27,11 @@
     ]
 
     async def wait_for_replicas() -> None:
-        """They take a while."""
-        await asyncio.sleep(REPLICAS_TAKE_S)
+        """Simulate replicas that take a while."""
+        await asyncio.sleep(REPLICAS_WAIT_S)
 
     def wipe(step: Step) -> None:
-        """Notes when it is done."""
+        """Record the balancer's number and the time."""
         done.append((int(step.balancer[1:]), time.monotonic() - began))
 
     plan = Plan(duration_s=1, steps=steps)
@@ -39,5 +39,5 @@
     asyncio.run(player.play())
     (first, first_at), (second, second_at) = done
     assert (first, second) == (0, 1)
-    assert first_at >= REPLICAS_TAKE_S
+    assert first_at >= REPLICAS_WAIT_S
     assert second_at - first_at >= 0.09
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -1,4 +1,4 @@
-"""Several balancer processes that agree, with faults between them, on loopback."""
+"""Tests of clusters of balancer processes on loopback, with injected faults."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from random import Random
 
 import pytest
-from cluster_helpers import ANSWER_TIMEOUT_S, ask, with_cluster
+from cluster_helpers import ANSWER_TIMEOUT_S, send_line_async, with_cluster
 from paths import ROOT
 
 from cypresswalk import operator
@@ -43,13 +43,13 @@
 HEAL = Step(at_s=0, action=Action.HEAL)
 
 
-async def ask_for_vars(address) -> dict:
-    """Return the counters that a balancer tells operators."""
-    return json.loads(await ask(address, "vars"))
+async def read_counters(address) -> dict:
+    """Return the counters that a balancer reports to operators."""
+    return json.loads(await send_line_async(address, "vars"))
 
 
 async def wait_until(is_met: Callable[[], Awaitable[bool]], timeout_s: float) -> bool:
-    """Wait until a condition holds; return whether it came to hold in time."""
+    """Wait until a condition holds; return False on timeout."""
     until = time.monotonic() + timeout_s
     while not await is_met():
         if time.monotonic() > until:
@@ -73,12 +73,12 @@
 )
 def test_every_action_that_a_plan_may_have_can_be_done(plan, not_possible, tmp_path):
     """A step without a handler would fail in the middle of a run."""
-    bed = ClusterTestBed(plan, tmp_path / "rig")
-    assert bed.player.actions == set(Action) - not_possible
+    testbed = ClusterTestBed(plan, tmp_path / "rig")
+    assert testbed.player.actions == set(Action) - not_possible
 
 
 def test_modules_of_the_test_bed_import_in_one_direction_and_checkers_none_of_them():
-    """No circle, also not by an import inside a function."""
+    """Imports contain no cycle, including imports inside functions."""
     folder = ROOT / "cypresswalk/lab/cluster"
     statement = re.compile(
         r"^\s*from cypresswalk\.lab\.cluster\.testbed(?:\.| import )(\w+)", re.MULTILINE
@@ -98,7 +98,7 @@
 
 
 def test_faults_plan_breaks_no_rule_and_agrees_on_settings_and_removals(tmp_path):
-    """Five processes under each kind of fault: the plan that the operators' page names."""
+    """Five processes under each kind of fault; the operators' page names this plan."""
     report = run_to_report(read_plan(PLANS / "faults.toml"), tmp_path)
     assert not report["broken"], report
     assert report["longest_contradiction_s"] <= 5.5
@@ -107,8 +107,8 @@
     assert report["calls"]["taken_out"] >= 2, report
 
 
-def test_each_holder_loses_its_disk_in_turn_and_pairs_and_no_claim_is_lost(tmp_path):
-    """Flows that are sent again under an id that is reserved are rejected."""
+def test_no_reservation_is_lost_as_replicas_lose_disks_one_by_one_and_in_pairs(tmp_path):
+    """Flows that are sent again with a reserved id are rejected."""
     report = run_to_report(read_plan(PLANS / "copies.toml"), tmp_path)
     assert not report["broken"], report
     assert report["answers"]["UP"] > 700, report
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
 def test_no_key_runs_twice_under_random_faults(seed, tmp_path):
-    """Random faults, disks that are lost among them, with three replicas of each key."""
+    """Random faults, including lost disks, with three replicas of each key."""
     report = run_to_report(random_plan(seed, duration_s=12, faults=6, replicas=3), tmp_path)
     assert not report["broken"], (seed, report)
     assert report["answers"]["UP"] > 150, report
@@ -125,64 +125,64 @@
 
 
 def test_without_replicas_repeated_once_only_flows_run_twice(tmp_path):
-    """Otherwise the runs above would show nothing."""
+    """Without this effect the tests above would pass whether replicas work or not."""
     plan = read_plan(PLANS / "copies.toml")
     without_replicas = {"replicas": 0, "duration_s": 6.0, "steps": plan.steps[:1]}
     report = run_to_report(plan.model_copy(update=without_replicas), tmp_path)
     assert any("once-only flow" in line and "ran at" in line for line in report["broken"]), report
 
 
-async def set_down_everywhere(bed: ClusterTestBed, balancer: str, server: str) -> None:
-    """Take a server out of rotation by an operator's call, which binds the whole fleet."""
-    assert await ask(bed.balancers[balancer].admin, f"set-down {server}") == "OK"
-    for host in bed.balancers.values():
+async def set_down_everywhere(testbed: ClusterTestBed, balancer: str, server: str) -> None:
+    """Take a server out of rotation at all balancers of the fleet by one operator's call."""
+    assert await send_line_async(testbed.balancers[balancer].admin, f"set-down {server}") == "OK"
+    for host in testbed.balancers.values():
 
         async def is_out(admin=host.admin) -> bool:
-            return (await ask_for_vars(admin))["out_of_rotation"] >= 1
+            return (await read_counters(admin))["out_of_rotation"] >= 1
 
         assert await wait_until(is_out, timeout_s=5)
 
 
-async def history_has(bed: ClusterTestBed, balancer: str, text: str) -> bool:
-    """Return whether the fleet's history has a record with a text."""
-    _, body = await bed.calls.call(balancer, "history")
+async def history_contains(testbed: ClusterTestBed, balancer: str, text: str) -> bool:
+    """Return whether a record of the fleet's history contains a text."""
+    _, body = await testbed.calls.call(balancer, "history")
     return any(text in record[3] for record in body["history"])
 
 
-def test_a_balancer_that_is_cut_off_takes_nothing_once_its_lease_is_over_and_comes_back(tmp_path):
-    """Until then nothing that needs the fleet is carried out there, but by force."""
+def test_an_isolated_balancer_rejects_flows_once_its_lease_is_over_and_rejoins(tmp_path):
+    """While isolated it refuses calls that need the fleet, unless they are forced."""
 
-    async def test(bed):
-        isolated = bed.balancers["n2"]
-        await set_down_everywhere(bed, "n2", "s-0")
-        assert (await ask(isolated.admin, "set-down nobody")).startswith("ERR no list")
-        await bed.player.do(Step(at_s=0, action=Action.ISOLATE, balancer="n2"))
-        assert (await ask(isolated.admin, "set-down s-1")).startswith("ERR not agreed")
+    async def test(testbed):
+        isolated = testbed.balancers["n2"]
+        await set_down_everywhere(testbed, "n2", "s-0")
+        assert (await send_line_async(isolated.admin, "set-down nobody")).startswith("ERR no list")
+        await testbed.player.do(Step(at_s=0, action=Action.ISOLATE, balancer="n2"))
+        assert (await send_line_async(isolated.admin, "set-down s-1")).startswith("ERR not agreed")
 
         async def is_not_ready() -> bool:
-            return await ask(isolated.listen, "PING") != "PONG"
+            return await send_line_async(isolated.listen, "PING") != "PONG"
 
         await wait_until(is_not_ready, timeout_s=8)
-        assert await ask(isolated.listen, "PING") == "ERR"
-        assert (await ask(isolated.admin, "check")).endswith("no lease of the fleet's")
-        # A reject that tells when to come back: nothing has run.
-        assert await ask(isolated.listen, "OPEN late1 77 c=book,d=900") == "BUSY 300"
-        sound = bed.balancers["n0"]
-        assert await ask(sound.listen, "OPEN sound1 77 c=book,d=900") == "UP rsound1"
-        # By force, at this one alone; said so and recorded once it can be.
-        assert await ask(isolated.admin, "set-down-here s-1") == "OK"
-        await bed.player.do(HEAL)
-        assert await bed.convergence.wait() is not None
-        assert await ask(isolated.listen, "PING") == "PONG"
+        assert await send_line_async(isolated.listen, "PING") == "ERR"
+        assert (await send_line_async(isolated.admin, "check")).endswith("no lease of the fleet's")
+        # A reject that contains the time after which to retry: the flow has not run.
+        assert await send_line_async(isolated.listen, "OPEN late1 77 c=book,d=900") == "BUSY 300"
+        healthy = testbed.balancers["n0"]
+        assert await send_line_async(healthy.listen, "OPEN sound1 77 c=book,d=900") == "UP rsound1"
+        # Forced at this balancer alone; recorded in the fleet's history once it is reachable.
+        assert await send_line_async(isolated.admin, "set-down-here s-1") == "OK"
+        await testbed.player.do(HEAL)
+        assert await testbed.convergence.wait() is not None
+        assert await send_line_async(isolated.listen, "PING") == "PONG"
 
         async def is_recorded() -> bool:
-            return await history_has(bed, "n0", "set-down-here s-1 at n2 alone")
+            return await history_contains(testbed, "n0", "set-down-here s-1 at n2 alone")
 
         assert await wait_until(is_recorded, timeout_s=5)
-        _, body = await bed.calls.call("n0", "show")
+        _, body = await testbed.calls.call("n0", "show")
         assert set(body["out"]) <= {"s-0", "s-1"}
         assert "s-0" in body["out"]
-        assert await ask(isolated.admin, "set-up-here s-1") in (
+        assert await send_line_async(isolated.admin, "set-up-here s-1") in (
             "OK",
             "ERR out by the fleet still: `set-up` ends that",
         )
@@ -190,89 +190,95 @@
     with_cluster(tmp_path, test, balancers=3, max_contradiction_s=2)
 
 
-async def start_successor(bed: ClusterTestBed, name: str) -> tuple[str, int]:
+async def start_successor(testbed: ClusterTestBed, name: str) -> tuple[str, int]:
     """Start a second process beside a running one; return its admin address once it is ready.
 
-    As docs/on-call.md has it: both have one $TMPDIR.
+    Both processes share one $TMPDIR, as docs/on-call.md describes.
     """
-    admin = bed.addresses.balancer_host, free_port(bed.addresses.balancer_host)
-    bed.balancers[name].start(PROXY_ADMIN_ADDR=address_text(admin))
+    admin = testbed.addresses.balancer_host, free_port(testbed.addresses.balancer_host)
+    testbed.balancers[name].start(PROXY_ADMIN_ADDR=address_text(admin))
 
     async def is_ready() -> bool:
         try:
-            return await ask(admin, "check") == "OK"
+            return await send_line_async(admin, "check") == "OK"
         except OSError:
-            return False  # it does not listen yet
+            return False  # the process does not listen yet
 
     await wait_until(is_ready, timeout_s=10)
     return admin
 
 
-async def run_copies_command(bed: ClusterTestBed, *arguments: str) -> subprocess.CompletedProcess:
+async def run_copies_command(
+    testbed: ClusterTestBed, *arguments: str
+) -> subprocess.CompletedProcess:
     """Run `cypresswalk fleet copies` with arguments."""
-    at = address_text(bed.balancers["n0"].fleet)
+    at = address_text(testbed.balancers["n0"].fleet)
     command = [*CLI, "--at", at, "--fleet", "rig", "copies", *arguments]
     return await asyncio.to_thread(
         subprocess.run, command, cwd=ROOT, capture_output=True, text=True, timeout=30
     )
 
 
-async def check_copies_commands(bed: ClusterTestBed) -> None:
-    """The commands show complete replicas, and throw nothing away that is there."""
-    shown = await run_copies_command(bed)
+async def check_copies_commands(testbed: ClusterTestBed) -> None:
+    """Check that the commands show complete replicas and refuse to discard existing ones."""
+    shown = await run_copies_command(testbed)
     assert shown.returncode == 0, shown
     assert shown.stdout.startswith("64 parts, 3 copies asked for, 2 needed; 0 lack copies"), shown
     assert "part 63" in shown.stdout, shown
-    checked = await run_copies_command(bed, "check")
+    checked = await run_copies_command(testbed, "check")
     assert checked.returncode == 0, checked
     assert "alike" in checked.stdout, checked
-    renewed = await run_copies_command(bed, "renew", "5", "--yes")
+    renewed = await run_copies_command(testbed, "renew", "5", "--yes")
     assert renewed.returncode == 2, renewed
     assert "parts [5] have copies" in renewed.stderr, renewed
 
 
 def test_an_upgrade_beside_a_running_process_keeps_one_identity_and_serves_throughout(tmp_path):
-    """Reservations rest while the replica goes from process to process; each flow is answered."""
+    """Reservations pause while the replica is handed over; each flow is answered."""
 
-    async def test(bed):
-        host = bed.balancers["n1"]
-        before = (await bed.calls.call("n1", "local")).body
+    async def test(testbed):
+        host = testbed.balancers["n1"]
+        before = (await testbed.calls.call("n1", "local")).body
         predecessor = host.process
-        successor_admin = await start_successor(bed, "n1")
-        assert (await ask(successor_admin, "set-down s-0")).startswith(
+        successor_admin = await start_successor(testbed, "n1")
+        assert (await send_line_async(successor_admin, "set-down s-0")).startswith(
             "ERR this process has no part in the fleet yet"
         )
         predecessor.send_signal(signal.SIGTERM)
         viewed, booked = [], []
         until = time.monotonic() + 6
         while (predecessor.poll() is None or len(viewed) < 120) and time.monotonic() < until:
-            viewed.append(await ask(host.listen, f"OPEN up{len(viewed)} 5 c=view,d=900"))
-            booked.append(await ask(host.listen, f"OPEN cl{len(viewed)} 5 c=book,d=900"))
+            viewed.append(
+                await send_line_async(host.listen, f"OPEN up{len(viewed)} 5 c=view,d=900")
+            )
+            booked.append(
+                await send_line_async(host.listen, f"OPEN cl{len(viewed)} 5 c=book,d=900")
+            )
             await asyncio.sleep(0.02)
         assert predecessor.poll() == 0
-        assert await bed.convergence.wait() is not None
-        after = (await bed.calls.call("n1", "local")).body
+        assert await testbed.convergence.wait() is not None
+        after = (await testbed.calls.call("n1", "local")).body
         assert after["id"] == before["id"]
         assert after["boot"] == before["boot"] + 1
         assert all(answer.startswith("UP ") for answer in viewed), viewed
         assert all(answer.startswith(("UP ", "BUSY ")) for answer in booked), booked
         assert sum(answer.startswith("UP ") for answer in booked) > 0.8 * len(booked)
-        assert (await bed.convergence.wait_for_replicas()).complete
-        await check_copies_commands(bed)
+        assert (await testbed.convergence.wait_for_replicas()).complete
+        await check_copies_commands(testbed)
 
     with_cluster(tmp_path, test, balancers=3, max_contradiction_s=8, replicas=3)
 
 
 def test_recover_begins_a_new_group_from_one_survivor(tmp_path):
-    """A voter is left, and a follower of the old group, which is now fenced off."""
+    """One voter and one follower of the old group survive; the old group is fenced off."""
 
-    async def test(bed):
-        assert (await bed.calls.command("n3", "out", server="s-0")).ok
-        survivor = await bed.calls.leader()
+    async def test(testbed):
+        assert (await testbed.calls.command("n3", "out", server="s-0")).ok
+        survivor = await testbed.calls.leader()
         for name in ("n0", "n1", "n2"):
             if name != survivor:
-                bed.balancers[name].kill()
-        host = bed.balancers[survivor]
+                testbed.balancers[name].kill()
+        host = testbed.balancers[survivor]
         host.process.kill()
         host.process.wait()
         command = [*CLI, "recover", str(host.fleet_folder)]
@@ -286,17 +292,17 @@
         assert recovered.returncode == 0, recovered
         assert json.loads(recovered.stdout)["out"] == ["s-0"], recovered
         host.start()
-        assert await bed.convergence.wait(names=[survivor, "n3"]) is not None
-        _, body = await bed.calls.call("n3", "show")
+        assert await testbed.convergence.wait(names=[survivor, "n3"]) is not None
+        _, body = await testbed.calls.call("n3", "show")
         assert body["version"] > 1000
         assert list(body["out"]) == ["s-0"]
-        assert (await bed.calls.command("n3", "out", server="s-1")).ok
+        assert (await testbed.calls.command("n3", "out", server="s-1")).ok
 
     with_cluster(tmp_path, test, balancers=4, max_contradiction_s=2)
 
 
-def wrong_frames() -> list[bytes]:
-    """What nobody of the fleet would send."""
+def invalid_frames() -> list[bytes]:
+    """Return frames that no member of the fleet would send."""
     chance = Random(3)
     peer = "127.0.0.1:9"
     hello = Hello(PROTOCOL, "rig", "member", "", "n9#1", 1, 1, peer, "")
@@ -315,27 +321,27 @@
     ]
 
 
-def test_strangers_at_the_fleets_port_are_counted_and_change_nothing(tmp_path):
-    """Neither the term nor what is agreed."""
+def test_invalid_frames_at_the_fleet_port_are_counted_and_change_nothing(tmp_path):
+    """Invalid frames change neither the term nor the agreed state."""
 
-    async def test(bed):
+    async def test(testbed):
         socks = []
-        for data in wrong_frames() * 5:
-            sock = socket.create_connection(bed.balancers["n0"].fleet, timeout=ANSWER_TIMEOUT_S)
+        for data in invalid_frames() * 5:
+            sock = socket.create_connection(testbed.balancers["n0"].fleet, timeout=ANSWER_TIMEOUT_S)
             sock.sendall(data)
             socks.append(sock)
 
         async def are_counted() -> bool:
-            counts = (await bed.calls.call("n0", "local")).body["counts"]
+            counts = (await testbed.calls.call("n0", "local")).body["counts"]
             return (
                 counts.get("frames_odd", 0) >= 15
                 and counts.get("hellos_refused", 0) >= 10
                 and counts.get("words_of_other_groups", 0) >= 5
             )
 
-        assert await wait_until(are_counted, timeout_s=8), await bed.calls.call("n0", "local")
-        assert (await bed.calls.call("n0", "local")).body["term"] < 1000
-        assert (await bed.calls.command("n0", "out", server="s-0")).ok
+        assert await wait_until(are_counted, timeout_s=8), await testbed.calls.call("n0", "local")
+        assert (await testbed.calls.call("n0", "local")).body["term"] < 1000
+        assert (await testbed.calls.command("n0", "out", server="s-0")).ok
         for sock in socks:
             sock.close()
 
@@ -343,7 +349,7 @@
 
 
 def test_a_wrong_fleet_table_ends_the_start_with_a_line_for_each_field(tmp_path):
-    """Of the operator file."""
+    """The table is read from the operator file."""
     file = tmp_path / "operator.toml"
     file.write_text(
         '[fleet]\nfleet = "a b"\nname = "n0"\naddress = "nowhere"\nfolder = "here"\n'
@@ -358,7 +364,7 @@
 
 
 def test_without_the_fleet_table_nothing_of_the_fleet_is_imported():
-    """The plain program needs the standard library alone."""
+    """Without a fleet the program needs only the standard library."""
     program = (
         "import sys; from cypresswalk.service import program;"
         "print([m for m in sys.modules if 'fleet' in m or 'agreement' in m or 'msgspec' in m])"
@@ -370,9 +376,9 @@
 
 
 def test_machines_plan_breaks_no_rule_and_a_member_restarts_after_a_disk_error(tmp_path):
-    """Five processes: full and failing disks, clocks that drift, servers that restart.
+    """Five processes with full and failing disks, drifting clocks and restarting servers.
 
-    The plan that the operators' page names.
+    The operators' page names this plan.
     """
     report = run_to_report(read_plan(PLANS / "machines.toml"), tmp_path)
     assert not report["broken"], report
@@ -384,7 +390,7 @@
 
 
 def observed_flow(number: int, at: int, balancer: str) -> list[Observation]:
-    """What is observed of a flow that a server accepted."""
+    """Return the observations of a flow that a server accepted."""
     flow = f"f{number}"
     attempt = {"balancer": balancer, "number": number, "load": 1.0}
     reply = {"number": number, "kind": "up", "receipt": "UP r"}
@@ -396,8 +402,8 @@
     ]
 
 
-def test_the_checker_sees_what_all_balancers_did_to_a_cold_server_and_what_they_were_told():
-    """Each of four balancers sends ten flows: few for one, too many for a server that starts."""
+def test_the_checker_sums_up_all_balancers_at_a_cold_server_and_respects_endpoint_lists():
+    """Four balancers send ten flows each, which together are too many for a starting server."""
     flows = []
     observations = [Observation(0, "server_up", subject="s-0")]
     for number in range(40):
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -1,4 +1,4 @@
-"""Folders that tests read from or run commands in."""
+"""Paths of folders that tests read from or run commands in."""
 
 from pathlib import Path
 
