--- a/cypresswalk/fleet/leader_membership.py
+++ b/cypresswalk/fleet/leader_membership.py
@@ -11,7 +11,7 @@
 
 
 class MembershipDuty:
-    """Adds balancers and changes the voters, one step at a time (Raft dissertation, 4.1)."""
+    """Duty to change members and voters, one step at a time (Raft dissertation, 4.1)."""
 
     def __init__(self, context: MemberContext):
         """Begin without join requests."""
@@ -34,7 +34,7 @@
                 member.name == name
                 and peer is not None
                 and peer.acknowledged_round
-                and now - peer.heard_at < MAX_MESSAGE_AGE
+                and now - peer.last_response_at < MAX_MESSAGE_AGE
             ):
                 return "a balancer with that name is still in contact with the leader"
         self._joining[name] = now, request
@@ -147,7 +147,7 @@
         return (
             peer is not None
             and peer.matched_round is not None
-            and now - peer.heard_at < MAX_MESSAGE_AGE
+            and now - peer.last_response_at < MAX_MESSAGE_AGE
             and peer.match_index >= node.commit_index - MAX_LAG
         )
 
--- a/cypresswalk/fleet/member_context.py
+++ b/cypresswalk/fleet/member_context.py
@@ -99,6 +99,9 @@
 class MemberIdentity:
     """The incarnation of a balancer that a member runs as.
 
+    A balancer gets a new incarnation if its folder holds no log, or if the identity stored there
+    must be given up.
+
     Attributes:
         id: name#incarnation.
         group: group that it belongs to, or an empty string.
@@ -197,7 +200,7 @@
         peer = self.raft.peers.get(member_id)
         if peer is None:
             return False
-        return now - peer.heard_at < (
+        return now - peer.last_response_at < (
             MAX_MESSAGE_AGE // 2 if member_id in self.raft.voters else MAX_MESSAGE_AGE
         )
 
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -14,7 +14,7 @@
 
 
 class MemberFolder:
-    """Reads and writes one member's log; used by the fleet's thread alone."""
+    """Lock and log of one member in its folder; used by the fleet's thread alone."""
 
     def __init__(self, path: str, fleet: str, name: str):
         """Use the folder at `path` for the balancer `name` of the fleet."""
@@ -29,7 +29,7 @@
 
         The lock keeps two processes from voting as one member.
         """
-        if self.disk.held is not None:
+        if self.disk.lock_descriptor is not None:
             return True  # the fleet's thread was restarted; this process still holds the lock
         logged = ""
         while not stopping.is_set():
@@ -73,12 +73,12 @@
         before = self.store.identity
         assert before is not None, "a log that was loaded has an identity"
         identity = LogIdentity(before.fleet, before.group, before.member, before.boot + 1)
-        self.store.begin(identity, persisted)
+        self.store.begin_file(identity, persisted)
         return identity, persisted
 
     def begin_log(self, group: str, member_id: str, boot: int, persisted: PersistentState) -> None:
         """Create the log of a member that has found its group; raises OSError."""
-        self.store.begin(LogIdentity(self.fleet, group, member_id, boot), persisted)
+        self.store.begin_file(LogIdentity(self.fleet, group, member_id, boot), persisted)
 
     def write(self, ready: Ready) -> None:
         """Write and flush the Raft node's output; raises OSError."""
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -40,10 +40,12 @@
     def put(self, name: str, data: bytes, how: int) -> None:
         """Write a file, or fail; a failed append may write a part of the data."""
         if error := self._fault():
-            if how & os.O_APPEND:
-                super().put(name, data[: self._chance.randrange(len(data) + 1)], how)
+            if open_flags & os.O_APPEND:
+                super().write_with_flags(
+                    name, data[: self._chance.randrange(len(data) + 1)], open_flags
+                )
             raise error
-        super().put(name, data, how)
+        super().write_with_flags(name, data, open_flags)
 
     def rename(self, name: str, to: str) -> None:
         """Rename a file, or fail."""
--- a/cypresswalk/net/lifecycle.py
+++ b/cypresswalk/net/lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from cypresswalk.model import SECOND, Flow
-from cypresswalk.net.endpoints import EndpointBook
+from cypresswalk.net.endpoints import EndpointTable
 from cypresswalk.net.limits import Limits
 from cypresswalk.net.logs import event
 from cypresswalk.net.ports import Drivers, Extensions
@@ -24,7 +24,7 @@
     LEAVING = "leaving"  # graceful shutdown: still answers requests until the process ends
 
 
-class RequestHandler(Protocol):
+class DrainingCore(Protocol):
     """The methods of the core that draining uses."""
 
     def migrate(self, now: int, flow: Flow) -> None:
@@ -46,9 +46,9 @@
         timers: Timers,
         drivers: Drivers,
         extensions: Extensions,
-        endpoints: EndpointBook,
+        endpoints: EndpointTable,
         sessions: dict[Flow, Session],
-        requests: RequestHandler,
+        core: DrainingCore,
     ):
         """Start in the phase `SERVING`; `sessions` is the core's own map of its flows."""
         self.limits = limits
@@ -57,7 +57,7 @@
         self.extensions = extensions
         self.endpoints = endpoints
         self.sessions = sessions
-        self.requests = requests
+        self.core = core
         self.phase = Phase.SERVING
         # Whether flows can be placed, apart from the lease (`Extensions.may_place_flows`); read by
         # clients' threads too.
@@ -71,7 +71,7 @@
 
     def update_readiness(self) -> None:
         """Recompute `ready`; must be called after each change of what it depends on."""
-        # During a hand-over the predecessor goes on answering PING, so that there is no gap.
+        # During a handover the predecessor goes on answering PING, so that there is no gap.
         accepting = (
             self.phase is Phase.SERVING
             or self.phase is Phase.LEAVING
@@ -140,7 +140,7 @@
             if not session.established and flow.deadline > deadline:
                 flow.deadline = deadline
                 if session.attempt is not None:
-                    on_timeout = self.requests.on_attempt_timeout
+                    on_timeout = self.core.on_attempt_timeout
                     self.timers.schedule(flow.deadline, on_timeout, session.attempt)
         self.timers.schedule(now + delay, self._migrate_next, self.round, deadline)
         return deadline
@@ -153,12 +153,12 @@
         established = [flow for flow, session in self.sessions.items() if session.established]
         if now >= deadline:
             for flow in established:
-                self.requests.migrate(now, flow)
+                self.core.migrate(now, flow)
             if self.phase is Phase.LEAVING:
                 self.stopped = not self.sessions and not self._awaits_reservations()
             due = now + self.limits.shutdown_poll_interval
         elif established:
-            self.requests.migrate(now, established[0])
+            self.core.migrate(now, established[0])
             due = now + (deadline - now) // len(established)
         else:
             due = min(now + self.limits.shutdown_poll_interval, deadline)
--- a/cypresswalk/net/resumption.py
+++ b/cypresswalk/net/resumption.py
@@ -1,4 +1,4 @@
-"""Connections that stood at a server before this balancer started, and go back to that server."""
+"""Resumed flows: established at a server before this balancer started, and sent there again."""
 
 from typing import Protocol
 
@@ -11,20 +11,20 @@
 from cypresswalk.net.timers import Timers
 
 
-class RequestHandler(Protocol):
-    """What resuming asks of the core."""
+class ResumingCore(Protocol):
+    """The core's methods that resuming a flow needs."""
 
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
     ) -> None:
-        """Connects the session to the server."""
+        """Connect the session to the server."""
 
     def on_resume_failed(self, now: int, session: Session) -> None:
-        """The session did not come up at its server in time."""
+        """Handle a session that was not established at its server in time."""
 
 
 class Resumption:
-    """Retries each resumed connection at its server: many come at once, and some fail."""
+    """Connects resumed sessions to their servers; retries, as many arrive at once and some fail."""
 
     def __init__(
         self,
@@ -32,29 +32,27 @@
         limits: Limits,
         timers: Timers,
         extensions: Extensions,
-        requests: RequestHandler,
+        core: ResumingCore,
     ):
-        """`requests` is the core."""
+        """Create the handler of resumed sessions."""
         self.balancer = balancer
         self.limits = limits
         self.timers = timers
         self.extensions = extensions
-        self.requests = requests
+        self.core = core
 
     def begin(self, now: int, session: Session) -> None:
-        """Takes a session whose first line names its server by `at=`."""
-        self.timers.schedule(now + self.limits.first_line_timeout, self.on_list_due, session)
-        self.timers.schedule(
-            now + self.limits.resume_timeout, self.requests.on_resume_failed, session
-        )
+        """Start resuming a session whose first line names its server by `at=`."""
+        self.timers.schedule(now + self.limits.first_line_timeout, self.fail_if_unlisted, session)
+        self.timers.schedule(now + self.limits.resume_timeout, self.core.on_resume_failed, session)
         self.attempt(now, session)
 
     def retry_later(self, now: int, session: Session) -> None:
-        """Schedules another attempt."""
+        """Schedule another attempt."""
         self.timers.schedule(now + self.limits.resume_retry_interval, self.attempt, session)
 
     def attempt(self, now: int, session: Session) -> None:
-        """Connects the session to its server, if that may get connections now."""
+        """Connect the session to its server, or retry later if the server may not get flows now."""
         if session.finished or session.attempt is not None:
             return
         server = self.balancer.servers.get(server_number(session.request.values["at"]))
@@ -66,9 +64,9 @@
         ):
             self.retry_later(now, session)
             return
-        self.requests.start_attempt(now, session, server, 0, now + self.limits.resume_timeout)
+        self.core.start_attempt(now, session, server, 0, now + self.limits.resume_timeout)
 
-    def on_list_due(self, now: int, session: Session) -> None:
-        """The list would have named the server by now: a name that is made up fails here."""
+    def fail_if_unlisted(self, now: int, session: Session) -> None:
+        """Fail a session whose server the endpoint list has not named: the name may be made up."""
         if server_number(session.request.values["at"]) not in self.balancer.servers:
-            self.requests.on_resume_failed(now, session)
+            self.core.on_resume_failed(now, session)
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -76,7 +76,7 @@
         self.core = core(config, self, self.counters, self.clock(), policy)
         decoder = EndpointListDecoder(config.zones)
         try:
-            _, entries = decoder.decode(config.known)
+            _, entries = decoder.decode(config.initial_list)
         except ProtocolError as error:
             raise ConfigError(f"known: {error}") from None
         self.core.on_endpoints(self.clock(), EndpointUpdate.CACHED, entries)
@@ -166,7 +166,7 @@
         self.watch.min_version = self.snapshot_writer.previous_list_version
 
     def join_fleet(self, table: "FleetTable", config: Config) -> None:
-        """Bind the core to the state that a fleet agrees on; imports its modules only here, too."""
+        """Bind the core to the state that a fleet agrees on; its modules are imported only here."""
         from cypresswalk.fleet.core_binding import CoreBinding
 
         self.binding = CoreBinding(
@@ -309,7 +309,7 @@
         """Log the counters, on SIGUSR1."""
         log.info(f"event=counters {self.counters.line()}")
 
-    # Called by the hand-over between two processes of one balancer.
+    # Called by the handover between two processes of one balancer.
 
     def accept(self) -> None:
         """Accept clients and gossip, and let a successor process find this one."""
@@ -319,7 +319,7 @@
             self.gossip_socket.receiving = True
             start_thread(self.gossip_socket.run, self.limits.fault_pause)
         if self.handover_socket is not None and self.handover is not None:
-            self.handover_socket.wait_for_successor(self.handover)
+            self.handover_socket.listen_for_successor(self.handover)
 
     def stop_accepting(self) -> None:
         """Leave clients, gossip, health checks and the fleet to the successor from now on."""
--- a/tests/lab/test_lab_endpoint_list.py
+++ b/tests/lab/test_lab_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The lab's endpoint list, its agents, and the edge load balancer, without sockets."""
+"""Tests of the lab's endpoint list, list agents and edge load balancer, without sockets."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def endpoint_list() -> EndpointList:
-    """A list of two servers, of which one drains and then ends."""
+    """Return a list of two servers, one of which drains and then terminates."""
     changes = EndpointList()
     changes.add("s-0", ServerState.IN_SERVICE, 0)
     changes.add("s-1", ServerState.IN_SERVICE, 0)
@@ -23,19 +23,19 @@
 
 @pytest.fixture
 def agent(endpoint_list: EndpointList) -> ListAgent:
-    """An agent that has both servers, and has not heard yet that one drains."""
+    """Return an agent that has both servers, but not yet the drain of one."""
     return ListAgent(endpoint_list, small_experiment(), Random(1), 2)
 
 
-def test_an_agent_takes_changes_in_any_order(agent):
-    assert not agent.learn(2)
-    assert agent.learn(4)
-    assert not agent.learn(3)
+def test_an_agent_accepts_versions_in_any_order(agent):
+    assert not agent.receive(2)
+    assert agent.receive(4)
+    assert not agent.receive(3)
 
 
 def test_an_agent_answers_with_the_changes_since_a_version(agent):
     assert agent.answer(2) == (False, [], 2)
-    agent.learn(4)
+    agent.receive(4)
     is_full, entries, version = agent.answer(2)
     assert not is_full
     assert [entry.state for entry in entries] == [ServerState.TERMINATED]
@@ -43,7 +43,7 @@
 
 
 def test_an_agent_answers_with_the_full_list_of_servers_that_run(agent):
-    agent.learn(4)
+    agent.receive(4)
     assert [entry.server for entry in agent.answer(0)[1]] == ["s-1"]
     assert agent.answer(9)[0]
 
