--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -28,8 +28,8 @@
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases
 from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
 from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, OLD_VERSION
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.builds import make_balancer_build
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.releases import Releases
 from cypresswalk.lab.cluster.testbed.result import conclude
 from cypresswalk.rollout.plan import PlanFile, waves_by_zone
--- a/cypresswalk/lab/cluster/testbed/__init__.py
+++ b/cypresswalk/lab/cluster/testbed/__init__.py
@@ -1,6 +1,6 @@
 """A cluster of real balancer processes on loopback, with injected faults.
 
-`run.run_plan` runs a plan. `bed.ClusterTestBed` creates and owns these parts:
+`run.run_plan` runs a plan. `cluster_testbed.ClusterTestBed` creates and owns these parts:
 
 - `balancer_host`: the balancer processes and their agents
 - `links`: the fault proxies between balancers
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -27,8 +27,8 @@
 class FaultyDisk(DiskFolder):
     """A disk that fails, is full or is slow while its fault file says so.
 
-    After a failed flush a random part of the unflushed data is on disk, and the next flush succeeds
-    without the rest.
+    A failed append leaves a random part of its data on disk, and later writes succeed without the
+    rest.
     """
 
     def __init__(self, path: str, fault_file: Path):
@@ -37,7 +37,7 @@
         self._fault_file = fault_file
         self._chance = Random(os.getpid())
 
-    def put(self, name: str, data: bytes, how: int) -> None:
+    def write_with_flags(self, name: str, data: bytes, open_flags: int) -> None:
         """Write a file, or fail; a failed append may write a part of the data."""
         if error := self._fault():
             if open_flags & os.O_APPEND:
@@ -54,7 +54,7 @@
         super().rename(name, to)
 
     def flush(self) -> None:
-        """Flush all written data, or fail."""
+        """Flush the folder's entries, or fail."""
         if error := self._fault():
             raise error
         super().flush()
--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -9,7 +9,7 @@
     UnavailabilityReport,
     check_unavailability,
 )
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.outages import AGENT_POLL_INTERVAL
 from cypresswalk.lab.cluster.testbed.releases import ReleaseEnd
 from cypresswalk.lab.units import SECOND
--- a/cypresswalk/lab/cluster/testbed/result.py
+++ b/cypresswalk/lab/cluster/testbed/result.py
@@ -17,7 +17,7 @@
     CallOutcome,
     linearizability_violation,
 )
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.fleet_calls import SHORT_CALL_TIMEOUT_S
 from cypresswalk.lab.cluster.testbed.release_result import ReleaseResult, check_release
 from cypresswalk.lab.cluster.testbed.settings import checker_rules
--- a/cypresswalk/lab/cluster/testbed/run.py
+++ b/cypresswalk/lab/cluster/testbed/run.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.testbed.bed import RECORDING_FILE, ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import RECORDING_FILE, ClusterTestBed
 from cypresswalk.lab.cluster.testbed.recording import timeline
 from cypresswalk.lab.cluster.testbed.result import conclude
 
--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from cypresswalk.lab.cluster.plan import Action, Plan, Step
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.fleet_calls import FleetAnswer
 
 Address = tuple[str, int]
@@ -92,7 +92,7 @@
         assert answer.ok, answer.body
         assert await self.testbed.convergence.wait() is not None
 
-    async def wait_until_nobody_is_out(self) -> None:
+    async def wait_until_no_member_is_out(self) -> None:
         """Wait until the leader counts no member as out."""
         calls = self.testbed.calls
 
@@ -109,4 +109,4 @@
         """End all faults, start killed balancers, and wait until all balancers are ready."""
         await self.testbed.player.do(Step(at_s=0, action=Action.HEAL))
         assert await self.testbed.convergence.wait() is not None
-        await self.wait_until_nobody_is_out()
+        await self.wait_until_no_member_is_out()
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -31,7 +31,7 @@
     read_plan,
 )
 from cypresswalk.lab.cluster.random_plans import random_plan
-from cypresswalk.lab.cluster.testbed.bed import SLACK, ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import SLACK, ClusterTestBed
 from cypresswalk.lab.cluster.testbed.run import run_plan
 from cypresswalk.lab.cluster.testbed.settings import checker_rules
 from cypresswalk.lab.observations import Observation
--- a/tests/lab/test_server_processes.py
+++ b/tests/lab/test_server_processes.py
@@ -5,7 +5,7 @@
 
 from cypresswalk.lab.cluster.checkers.linearizability import CallOutcome
 from cypresswalk.lab.cluster.plan import Action, Build, Plan, Step
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.result import conclude
 from cypresswalk.rollout.release import Phase
 
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -15,7 +15,7 @@
 from cypresswalk.lab.cluster.checkers.linearizability import CallOutcome
 from cypresswalk.lab.cluster.plan import Action, Build, Step
 from cypresswalk.lab.cluster.plan import Plan as ClusterPlan
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.result import conclude
 
 BALANCERS = 5
@@ -36,7 +36,7 @@
     async def test(testbed: ClusterTestBed) -> None:
         operator = Operator(testbed)
         await operator.set_bounds(ONE_OUT)
-        await operator.wait_until_nobody_is_out()
+        await operator.wait_until_no_member_is_out()
         await check(operator, testbed)
 
     with_cluster(tmp_path, test, balancers=BALANCERS, flows_per_s=0)
@@ -70,7 +70,7 @@
         assert await operator.ping(drained) == "ERR"
         assert (await operator.call("n1", "drain-on")).startswith("ERR not granted")
         assert await operator.call(drained, "drain-off") == "OK"
-        await operator.wait_until_nobody_is_out()
+        await operator.wait_until_no_member_is_out()
 
     with_bounded_cluster(tmp_path, check)
 
