--- a/cypresswalk/lab/cluster/testbed/release_result.py
+++ b/cypresswalk/lab/cluster/testbed/release_result.py
@@ -1,4 +1,4 @@
-"""The result of a run's releases: bounds and halts, held against who was out when."""
+"""The result of a run's releases: whether bounds and halts were respected."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
     UnavailabilityReport,
     check_unavailability,
 )
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.outages import AGENT_POLL_INTERVAL
 from cypresswalk.lab.cluster.testbed.releases import ReleaseEnd
 from cypresswalk.lab.units import SECOND
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseResult:
-    """What came of releases.
+    """The result of a run's releases.
 
     Attributes:
-        end: of the last one.
-        unavailability: who was out at once.
-        bound: on that.
-        departures: how many members were told to go out.
-        halts: how many were agreed.
-        halt: what followed them.
-        violations: a line for each, those of the attributes above included.
+        end: end of the last release.
+        unavailability: report on how many members were out at once.
+        bound: maximum number of members that may be out at once.
+        departures: number of times that a member was ordered to leave.
+        halts: number of agreed halts.
+        halt: report on departures after halts.
+        violations: one line per violation, including those of the two reports.
     """
 
     end: ReleaseEnd
@@ -38,7 +38,7 @@
     violations: list[str]
 
     def to_json(self) -> dict[str, Any]:
-        """Return its part of the report."""
+        """Return the releases' part of the report."""
         return self.end.to_json() | {
             "most_out": self.unavailability.max_planned,
             "most_out_and_lost": self.unavailability.max_total,
@@ -49,17 +49,17 @@
         }
 
 
-def check_release(bed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
-    """Check a run with agents, once its last release has come to an end."""
-    releases = bed.releases
-    members = bed.balancer_members or bed.server_members
+def check_release(testbed: ClusterTestBed, end: ReleaseEnd) -> ReleaseResult:
+    """Check a run with agents, once its last release has ended."""
+    releases = testbed.releases
+    members = testbed.balancer_members or testbed.server_members
     assert releases is not None and members is not None  # there are agents
-    slack = bed.slack() + AGENT_POLL_INTERVAL
-    halt_slack = MAX_HALT_DELAY + bed.slack()
-    planned = bed.outages.planned()
-    lost = bed.outages.lost()
-    if bed.server_members is not None:
-        lost = _not_explained(lost, planned, slack)
+    slack = testbed.slack() + AGENT_POLL_INTERVAL
+    halt_slack = MAX_HALT_DELAY + testbed.slack()
+    planned = testbed.outages.planned()
+    lost = testbed.outages.lost()
+    if testbed.server_members is not None:
+        lost = _unexplained_outages(lost, planned, slack)
         halt_slack += AGENT_POLL_INTERVAL
     departures = members.departures()
     unavailability = check_unavailability(
@@ -67,11 +67,11 @@
     )
     halt = check_halts(departures, releases.halts, releases.resumes, releases.rollbacks, halt_slack)
     violations = [*unavailability.violations, *halt.violations]
-    if bed.server_members is not None:
-        violations += _attempts_during_change(bed, planned, slack)
-    if end.stuck_body:
-        violations.append(f"not home: {end.to_json()}")
-    violations += _agent_violations(bed)
+    if testbed.server_members is not None:
+        violations += _attempts_during_change(testbed, planned, slack)
+    if end.unfinished_body:
+        violations.append(f"the release did not finish: {end.to_json()}")
+    violations += _agent_violations(testbed)
     return ReleaseResult(
         end=end,
         unavailability=unavailability,
@@ -83,8 +83,8 @@
     )
 
 
-def _not_explained(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
-    """Return spans in which a server answered nobody while it was not being changed."""
+def _unexplained_outages(lost: list[Outage], planned: list[Outage], slack: int) -> list[Outage]:
+    """Return the outages in which a server answered no health checks while it was not changed."""
     return [
         outage
         for outage in lost
@@ -97,9 +97,11 @@
     ]
 
 
-def _attempts_during_change(bed: ClusterTestBed, planned: list[Outage], slack: int) -> list[str]:
+def _attempts_during_change(
+    testbed: ClusterTestBed, planned: list[Outage], slack: int
+) -> list[str]:
     violations = []
-    attempts = bed.recording.attempts()
+    attempts = testbed.recording.attempts()
     for change in planned:
         sent = [
             attempt
@@ -114,20 +116,20 @@
     return violations
 
 
-def _agent_violations(bed: ClusterTestBed) -> list[str]:
-    """Return tracebacks in logs of hosts with agents, and flows that a change cut off."""
-    if bed.server_members is None or bed.server_events is None:
+def _agent_violations(testbed: ClusterTestBed) -> list[str]:
+    """Return violations for tracebacks in logs of hosts with agents and for flows cut off."""
+    if testbed.server_members is None or testbed.server_events is None:
         return [
             f"{name}: a traceback in its {log}"
-            for name, host in bed.balancers.items()
+            for name, host in testbed.balancers.items()
             for log in host.logs_with_traceback()
         ]
     violations = []
-    for name, host in bed.server_members.hosts.items():
+    for name, host in testbed.server_members.hosts.items():
         for log in host.logs_with_traceback():
             shown = "agent's log" if log == host.log.name else log
             violations.append(f"{name}: a traceback in its {shown}")
-    cut_off = bed.server_events.cut_off_flows
+    cut_off = testbed.server_events.cut_off_flows
     if cut_off:
-        violations.append(f"{cut_off} flows stood at servers that were told to end")
+        violations.append(f"{cut_off} flows were open at servers that were stopped")
     return violations
--- a/cypresswalk/lab/cluster/testbed/result.py
+++ b/cypresswalk/lab/cluster/testbed/result.py
@@ -1,4 +1,4 @@
-"""The result of a run: what the checkers find in the recording of a cluster, and its figures."""
+"""The result of a run: the violations that checkers find in its recording, and measurements."""
 
 import json
 from dataclasses import dataclass
@@ -17,30 +17,31 @@
     CallOutcome,
     linearizability_violation,
 )
-from cypresswalk.lab.cluster.testbed.bed import ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
 from cypresswalk.lab.cluster.testbed.fleet_calls import SHORT_CALL_TIMEOUT_S
 from cypresswalk.lab.cluster.testbed.release_result import ReleaseResult, check_release
 from cypresswalk.lab.cluster.testbed.settings import checker_rules
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-MAX_SHOWN = 1500  # characters of a status
-LIST_DETECTION_TIME = SECOND  # until most voters have told the leader of a new list
+MAX_SHOWN = 1500  # characters of a status in a violation
+LIST_DETECTION_TIME = SECOND  # time until most voters have reported a new list to the leader
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterResult:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
-        violations: a line for each; empty if all rules held.
-        longest_contradiction: nanoseconds from an agreed removal to an attempt at that server.
-        max_contradiction_s: allowed for that.
-        answers: flows by the answer that their clients got.
-        offers: of settings.
-        agreed_offers: that got a yes.
-        removals: of servers that got a yes.
-        lateness: of the test bed's own event loop, nanoseconds.
-        release: where there are agents.
+        violations: one line per violation; empty if all rules held.
+        longest_contradiction: longest time from an agreed removal of a server to an attempt at that
+            server, in nanoseconds.
+        max_contradiction_s: limit for that time, in seconds.
+        answers: number of flows by the answer that their clients got.
+        offers: number of offers of settings.
+        agreed_offers: number of offers that were accepted.
+        removals: number of removals of servers that were accepted.
+        lateness: largest lateness of the testbed's own event loop, in nanoseconds.
+        release: result of releases; None without agents.
     """
 
     violations: list[str]
@@ -54,7 +55,7 @@
     release: ReleaseResult | None
 
     def to_json(self) -> dict[str, Any]:
-        """Return the report that commands print; the operators' page names its keys."""
+        """Return the report that commands print; the operators' page documents its keys."""
         report = {
             "broken": self.violations,
             "longest_contradiction_s": round(self.longest_contradiction / SECOND, 3),
@@ -70,131 +71,133 @@
         return report | (self.release.to_json() if self.release is not None else {})
 
 
-async def conclude(bed: ClusterTestBed) -> ClusterResult:
-    """Bring a run to its end and check it.
+async def conclude(testbed: ClusterTestBed) -> ClusterResult:
+    """Finish a run and check it.
 
-    Where there are agents, all faults are ended first and the last release is brought to its end.
-    Without agents the plan itself must end its faults, by `heal`: the fleet is to converge here.
+    With agents, end all faults first and finish the last release. Without agents the plan itself
+    must end its faults by `heal`, because the fleet must be able to converge here.
     """
     end = None
-    if bed.releases is not None:
-        _heal_all(bed)
-        end = await bed.releases.finish()
-        await _end_of_load(bed)
-    violations = await _convergence_violations(bed)
-    bed.recording.observe("day_ended")  # what is under way now is not waited for
-    contradiction = _check_contradictions(bed)
+    if testbed.releases is not None:
+        _heal_all(testbed)
+        end = await testbed.releases.finish()
+        await _stop_load(testbed)
+    violations = await _convergence_violations(testbed)
+    testbed.recording.observe("day_ended")  # the checker expects no answers for flows open now
+    contradiction = _check_contradictions(testbed)
     violations += contradiction.violations
-    violations += _check_recording(bed)
-    violations += [f"the rig: {failure}" for failure in bed.tasks.failures]
-    violations += _crashes(bed)
-    if bed.plan.replicas:
-        violations += await _replica_violations(bed)
-    release = check_release(bed, end) if end is not None else None
+    violations += _check_recording(testbed)
+    violations += [f"a task of the testbed failed: {failure}" for failure in testbed.tasks.failures]
+    violations += _crashes(testbed)
+    if testbed.plan.replicas:
+        violations += await _replica_violations(testbed)
+    release = check_release(testbed, end) if end is not None else None
     if release is not None:
         violations += release.violations
-    offers = [call for call in bed.operators.settings_calls if call.kind == CallKind.OFFER]
+    offers = [call for call in testbed.operators.settings_calls if call.kind == CallKind.OFFER]
     return ClusterResult(
         violations=violations,
         longest_contradiction=contradiction.longest,
-        max_contradiction_s=bed.plan.max_contradiction_s,
-        answers=bed.clients.answer_counts(),
+        max_contradiction_s=testbed.plan.max_contradiction_s,
+        answers=testbed.clients.answer_counts(),
         offers=len(offers),
         agreed_offers=sum(offer.outcome == CallOutcome.YES for offer in offers),
-        removals=bed.operators.removals_agreed,
-        lateness=bed.lateness.worst,
+        removals=testbed.operators.agreed_removal_count,
+        lateness=testbed.lateness.worst,
         release=release,
     )
 
 
-def _heal_all(bed: ClusterTestBed) -> None:
-    bed.heal()
-    if bed.server_members is not None:
-        bed.server_members.start_missing_agents()
+def _heal_all(testbed: ClusterTestBed) -> None:
+    testbed.heal()
+    if testbed.server_members is not None:
+        testbed.server_members.start_missing_agents()
 
 
-async def _end_of_load(bed: ClusterTestBed) -> None:
-    """Stop the load, excuse balancers that crashed, and read what servers have written by then.
+async def _stop_load(testbed: ClusterTestBed) -> None:
+    """Stop the load, count crashes of balancers as disruptions, and read the servers' last events.
 
-    A build may be made to crash: a balancer that ended by itself counts as disrupted then.
+    A crash is no violation, since a build may be made to crash.
     """
-    bed.clients.stop()
-    if bed.balancer_members is not None:
-        bed.balancer_members.excuse_crashes()
-    if bed.server_events is not None:
-        await bed.server_events.read_last()
+    testbed.clients.stop()
+    if testbed.balancer_members is not None:
+        testbed.balancer_members.count_crashes_as_disruptions()
+    if testbed.server_events is not None:
+        await testbed.server_events.read_last()
 
 
-async def _convergence_violations(bed: ClusterTestBed) -> list[str]:
-    status = await bed.convergence.wait()
+async def _convergence_violations(testbed: ClusterTestBed) -> list[str]:
+    status = await testbed.convergence.wait()
     if status is None:
-        answers = await bed.calls.local_status(bed.names)
-        shown = [(name, answer.body) for name, answer in zip(bed.names, answers, strict=True)]
+        answers = await testbed.calls.local_status(testbed.names)
+        shown = [(name, answer.body) for name, answer in zip(testbed.names, answers, strict=True)]
         return [
-            "the fleet is not whole again though all faults were lifted: "
+            "the fleet did not converge after all faults had ended: "
             + json.dumps(shown, default=str)[:MAX_SHOWN]
         ]
-    answer = await bed.calls.call(bed.names[0], "show")
+    answer = await testbed.calls.call(testbed.names[0], "show")
     out_of_rotation = set(answer.body["out"]) if answer.ok else set()
-    return lost_removals(bed.operators.removals(), out_of_rotation)
+    return lost_removals(testbed.operators.removals(), out_of_rotation)
 
 
-def _check_contradictions(bed: ClusterTestBed) -> ContradictionReport:
-    """Check removals by the fleet's agreement, and those by the endpoint list.
+def _check_contradictions(testbed: ClusterTestBed) -> ContradictionReport:
+    """Check removals by the fleet's agreement, and removals by the endpoint list.
 
-    Most voters' lists learn of the latter within a moment; the fleet then binds balancers whose
-    lists lag.
+    The lists of most voters show the latter within LIST_DETECTION_TIME; from then on the fleet's
+    agreement also binds balancers whose lists lag.
     """
-    attempts = bed.recording.attempts()
-    limit = int(bed.plan.max_contradiction_s * SECOND)
-    agreed = contradictions(bed.operators.removals(), attempts, limit, bed.slack())
+    attempts = testbed.recording.attempts()
+    limit = int(testbed.plan.max_contradiction_s * SECOND)
+    agreed = contradictions(testbed.operators.removals(), attempts, limit, testbed.slack())
     listed = contradictions(
-        [Removal(server, at, at) for server, at in bed.lists.drained_at],
+        [Removal(server, at, at) for server, at in testbed.lists.drained_at],
         attempts,
         limit,
-        bed.slack() + LIST_DETECTION_TIME,
+        testbed.slack() + LIST_DETECTION_TIME,
     )
     return ContradictionReport(
         agreed.longest,
-        agreed.violations + [f"the list took it out: {line}" for line in listed.violations],
+        agreed.violations + [f"removed by the endpoint list: {line}" for line in listed.violations],
     )
 
 
-def _check_recording(bed: ClusterTestBed) -> list[str]:
-    flows = bed.clients.flows
-    disruptions = bed.disruptions()
-    slack = bed.slack()
+def _check_recording(testbed: ClusterTestBed) -> list[str]:
+    flows = testbed.clients.flows
+    disruptions = testbed.disruptions()
+    slack = testbed.slack()
     observations = [
         observation
-        for observation in bed.recording.observations
-        if observation.flow not in bed.clients.repeated
+        for observation in testbed.recording.observations
+        if observation.flow not in testbed.clients.repeated
     ]
     unordered = linearizability_violation(
-        bed.operators.settings_calls, bed.operators.initial_settings
+        testbed.operators.settings_calls, testbed.operators.initial_settings
     )
     return [
         *([unordered] if unordered else []),
         *missing_or_late_answers(flows, disruptions, slack),
-        *repeated_executions(bed.recording.executions()),
-        *rule_violations(observations, checker_rules(bed.plan, slack), flows, disruptions, slack),
+        *repeated_executions(testbed.recording.executions()),
+        *rule_violations(
+            observations, checker_rules(testbed.plan, slack), flows, disruptions, slack
+        ),
     ]
 
 
-def _crashes(bed: ClusterTestBed) -> list[str]:
-    codes = {name: host.exit_code() for name, host in bed.balancers.items()}
-    return [f"{name} ended by itself, code {code}" for name, code in codes.items() if code]
+def _crashes(testbed: ClusterTestBed) -> list[str]:
+    codes = {name: host.exit_code() for name, host in testbed.balancers.items()}
+    return [f"{name} ended unexpectedly, exit code {code}" for name, code in codes.items() if code]
 
 
-async def _replica_violations(bed: ClusterTestBed) -> list[str]:
-    """Wait until replicas are complete; save what each balancer says of its own."""
-    bed.clients.stop()
-    status = await bed.convergence.wait_for_replicas()
+async def _replica_violations(testbed: ClusterTestBed) -> list[str]:
+    """Wait until replicas are complete, and save each balancer's report on its own replicas."""
+    testbed.clients.stop()
+    status = await testbed.convergence.wait_for_replicas()
     local = [
-        await bed.calls.call(name, "copies_local", timeout_s=SHORT_CALL_TIMEOUT_S)
-        for name in bed.names
+        await testbed.calls.call(name, "copies_local", timeout_s=SHORT_CALL_TIMEOUT_S)
+        for name in testbed.names
     ]
     bodies = [answer.body for answer in local]
-    (bed.folder / "copies.json").write_text(json.dumps(bodies, default=str))
+    (testbed.folder / "copies.json").write_text(json.dumps(bodies, default=str))
     if status.complete:
         return []
-    return [f"copies are not whole again: {json.dumps(status.body, default=str)[:MAX_SHOWN]}"]
+    return [f"replicas did not become complete: {json.dumps(status.body, default=str)[:MAX_SHOWN]}"]
--- a/cypresswalk/lab/cluster/testbed/run.py
+++ b/cypresswalk/lab/cluster/testbed/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan with real processes and returns the report that commands print."""
+"""Runs a plan with real processes and returns the report that commands print."""
 
 import json
 import time
@@ -6,7 +6,7 @@
 from typing import Any
 
 from cypresswalk.lab.cluster.plan import Plan
-from cypresswalk.lab.cluster.testbed.bed import RECORDING_FILE, ClusterTestBed
+from cypresswalk.lab.cluster.testbed.cluster_testbed import RECORDING_FILE, ClusterTestBed
 from cypresswalk.lab.cluster.testbed.recording import timeline
 from cypresswalk.lab.cluster.testbed.result import conclude
 
@@ -14,34 +14,34 @@
 
 
 async def run_plan(plan: Plan, folder: Path) -> dict[str, Any]:
-    """Play a plan and check the run.
+    """Run a plan and check the run.
 
     Args:
-        plan: of the cluster.
-        folder: gets recording, logs and report; what is in it is lost.
+        plan: plan of the cluster.
+        folder: folder for recording, logs and report; its previous content is deleted.
 
     Returns:
-        The report; `broken` lists what broke a rule.
+        The report, whose key `broken` lists the violations of rules.
     """
-    bed = ClusterTestBed(plan, folder)
+    testbed = ClusterTestBed(plan, folder)
     try:
-        await bed.start()
+        await testbed.start()
         began = time.monotonic()
-        status = await bed.convergence.wait()
+        status = await testbed.convergence.wait()
         if status is None:
-            return {"broken": [f"the fleet never began: see the logs in {folder}"]}
+            return {"broken": [f"the fleet did not start: see the logs in {folder}"]}
         took_s = time.monotonic() - began
-        await bed.agree_on_bounds(status)
-        bed.clients.start()
-        await bed.player.play()
-        result = await conclude(bed)
+        await testbed.agree_on_bounds(status)
+        testbed.clients.start()
+        await testbed.player.play()
+        result = await conclude(testbed)
         report = result.to_json() | {"began_in_s": round(took_s, 2)}
         (folder / REPORT_FILE).write_text(json.dumps(report, indent=1))
         return report
     finally:
-        await bed.stop()
+        await testbed.stop()
 
 
 def run_timeline(folder: Path) -> list[str]:
-    """Return lines for people on a run: faults, calls and their answers, in order."""
+    """Return human-readable lines on a run: faults, calls and their answers, in order."""
     return timeline(folder / RECORDING_FILE)
