--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -75,7 +75,10 @@
 
 
 class FillableReplicationThread(ReplicationThread):
-    """A replication thread that can store keys in bulk, as if they had been reserved."""
+    """A replication thread that can store keys in bulk, as if they had been reserved.
+
+    Each member stores its keys by itself, without messages to the others.
+    """
 
     def on_event(self, now: int, event: Event | FillRequested) -> None:
         """Handle an event of the base class, or FillRequested."""
@@ -107,7 +110,7 @@
 
 
 class Claimer:
-    """Keeps a constant number of claims pending at a member for some seconds."""
+    """A load that keeps a constant number of claims pending at a member for some seconds."""
 
     def __init__(self, fleet: FleetThread, pending: int, seconds: float, key: str):
         """Create a claimer.
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -342,7 +342,7 @@
         await self.releases.roll_back(self.names[0])
 
     async def finish_release(self) -> dict[str, Any]:
-        """Bring the release to its end, or back if the build is bad; return a report of it."""
+        """Complete the release, or roll it back if the build is bad; return a report of it."""
         return (await self.releases.finish()).to_json()
 
     async def verdict(self) -> dict[str, Any]:
@@ -484,7 +484,10 @@
         )
 
     def vary_load(self, rng: Random) -> None:
-        """Set a random load: 1.5 times the flows with probability 0.2; 20 % fail with 0.1."""
+        """Set a random load.
+
+        With probability 0.2 there are 1.5 times the flows; with probability 0.1, 20 % of them fail.
+        """
         busy = rng.random() < 0.2
         self._simulation.traffic.flows_per_s = self.flow_rate * 3 // 2 if busy else self.flow_rate
         self._simulation.traffic.failure_share = 0.2 if rng.random() < 0.1 else 0.0
--- a/benchmarks/release_cost.py
+++ b/benchmarks/release_cost.py
@@ -39,6 +39,7 @@
 LENGTH_MIN_FLOWS = 20
 LARGEST = 200  # balancers
 
+# Releases of good and bad builds, whose members are compared by the evidence.
 JUDGED_HOLD_S = 30.0
 JUDGED_MIN_FLOWS = 200
 BAD_BUILDS = ("aborts", "slow", "falls", "never_ready")
@@ -100,7 +101,7 @@
         "waves",
         "s of the release",
         "most out at once",
-        "words a second",
+        "messages a second",
         "while idle",
     )
     report(table_head(*titles))
--- a/cypresswalk/cli/fleet/caller.py
+++ b/cypresswalk/cli/fleet/caller.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class FleetCaller:
-    """Calls the balancers of one fleet.
+    """A client of the balancers of one fleet.
 
     Attributes:
         addresses: HOST:PORT of balancers; the first that answers forwards the call to the leader.
--- a/cypresswalk/cli/fleet/releases.py
+++ b/cypresswalk/cli/fleet/releases.py
@@ -107,7 +107,10 @@
 @release.command()
 @pass_caller
 def back(caller: FleetCaller) -> None:
-    """Roll back every changed member, within the bounds, the worst first; also while halted."""
+    """Roll back every changed member, within the bounds; also while halted.
+
+    Failed members come first, then those with the largest share of failed flows.
+    """
     caller.command_and_print("release_back", release=current_name(caller))
 
 
@@ -115,7 +118,7 @@
 @click.argument("why")
 @pass_caller
 def halt(caller: FleetCaller, why: str) -> None:
-    """Take nothing more out of rotation, by any call at any balancer, until `resume`."""
+    """Take nothing more out of rotation, by any call at any balancer, until `fleet resume`."""
     caller.command_and_print("halt", why=why)
 
 
--- a/cypresswalk/cli/fleet/settings.py
+++ b/cypresswalk/cli/fleet/settings.py
@@ -96,7 +96,10 @@
 )
 @pass_caller
 def offer(caller: FleetCaller, file: str, base: int | None) -> None:
-    """Propose settings; in force if the base still is, and every balancer can use them."""
+    """Propose settings.
+
+    They come into force if their base version is still in force and every balancer can use them.
+    """
     values = read_settings(file)
     if base is None:
         base, _ = agreed_settings(caller)
--- a/cypresswalk/cli/lab/experiments.py
+++ b/cypresswalk/cli/lab/experiments.py
@@ -23,10 +23,10 @@
 CAPACITY_COLUMNS = (
     "clients a second",
     "flows a second",
-    "standing at most",
+    "open flows at most",
     "echoes a second",
     "p99 late, ms",
-    "most late, ms",
+    "max late, ms",
     "set-up p50, ms",
     "verdict",
 )
--- a/cypresswalk/cli/lab/fleets.py
+++ b/cypresswalk/cli/lab/fleets.py
@@ -16,7 +16,7 @@
 
 SECONDS_PER_FAULT = 2.5  # in a random plan
 HISTORY_LINES = 80  # the last lines shown of a run that broke a rule
-MAX_CONTRADICTION_S = 5  # seconds; the configuration of the virtual fleet
+MAX_CONTRADICTION_S = 5  # seconds on contradicting versions that the virtual fleet allows
 ACTIONS_PER_SEED = 100
 DEFAULT_VOTERS, DEFAULT_FOLLOWERS = 3, 1
 
--- a/cypresswalk/cli/main.py
+++ b/cypresswalk/cli/main.py
@@ -23,8 +23,8 @@
     """Run the command that the arguments name.
 
     Returns:
-        The exit code: 0 done, 1 a rule was broken, 2 unusable input, 3 a scenario run without a
-        valid result.
+        The exit code: 0 done, 1 a rule was broken or the output was closed early, 2 unusable input,
+        3 a scenario run without a valid result, 4 no answer from a fleet, 130 aborted.
     """
     from cypresswalk.cli import faults, state
     from cypresswalk.cli.fleet import fleet
--- a/cypresswalk/cli/state.py
+++ b/cypresswalk/cli/state.py
@@ -14,7 +14,7 @@
     from cypresswalk.state.file_format import Snapshot
 
 NANOSECONDS = 1e9  # in a second
-MAX_CLOCK_DIFFERENCE = 2 * 10**9  # nanoseconds; times later than that are shown as in the future
+MAX_CLOCK_DIFFERENCE = 2 * 10**9  # nanoseconds; a time further ahead is shown as in the future
 COMPARED_FIELDS = (
     "state",
     "health",
--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -66,8 +66,9 @@
     Attributes:
         copies: number of replicas of each partition, spread over as many zones as there are.
         least: minimum number of replicas; with fewer, no key of the partition is reserved.
-        most_ids: number of keys stored here above which new ones are refused; each takes 250 bytes
-            of memory. As a backup it stores up to twice as many, as the primaries may store fewer.
+        most_ids: number of keys stored here at which this balancer, as a primary, refuses new
+            ones; each takes 250 bytes of memory. As a backup it stores up to twice as many, since
+            primaries that store fewer keys themselves still accept new ones.
         share: fraction of a flow's setup latency objective for which it waits for its reservation.
     """
 
@@ -85,7 +86,9 @@
 
 
 class FleetTable(toml.Table):
-    """`[fleet]`: balancers that agree on settings, list and releases (docs/operators/fleet.md).
+    """`[fleet]`: balancers that agree on settings, endpoint list and releases.
+
+    See docs/operators/fleet.md.
 
     Attributes:
         fleet: name of the fleet, the same at all its balancers.
--- a/cypresswalk/rollout/agent_host.py
+++ b/cypresswalk/rollout/agent_host.py
@@ -99,10 +99,10 @@
 
 
 class VersionProcesses:
-    """Starts and stops the processes of one member and checks whether they run."""
+    """The processes of one member, with methods to start, find, check and stop them."""
 
     def __init__(self, root: Path, folder: Path, command: list[str]):
-        """Start no process yet.
+        """Prepare to start processes.
 
         Args:
             root: the folder that contains a folder for each version.
@@ -168,7 +168,7 @@
 
 
 class AgentHost:
-    """Runs one agent until `stopped` is set."""
+    """The host of one agent, which runs it until `stopped` is set."""
 
     def __init__(
         self,
--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -28,7 +28,7 @@
 
 
 class BalancerAgent(ChangeAgent):
-    """Runs a balancer; during a change, its old and new process run at the same time."""
+    """The agent of a balancer, whose old and new process run at the same time during a change."""
 
     first_step = AgentStep.STARTING_NEW
 
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -1,10 +1,10 @@
 """Base class of the agents of balancers and of servers. No I/O, no clock.
 
 An agent is a generator that yields actions and is sent their results (`actions`). It keeps one
-version running. Once a release grants its member a turn, it asks the fleet to agree that the change
-starts, makes the change in the steps of its subclass, and reports the version that runs. Each step
-is saved before it is taken, so that a restarted agent continues where the last one stopped. Member
-processes keep running when their agent ends.
+version running. Once a release grants its member a turn, which permits it to be changed now, the
+agent asks the fleet to agree that the change starts, makes the change in the steps of its subclass,
+and reports the version that runs. Each step is saved before it is taken, so that a restarted agent
+continues where the last one stopped. Member processes keep running when their agent ends.
 """
 
 import logging
@@ -36,12 +36,12 @@
 READY_TIMEOUT = 20.0  # for a new process to become ready, and for the fleet to confirm a stop
 STEADY_TIME = 1.0  # for which a new process must stay ready
 STOP_TIMEOUT = 15.0  # for an old process to end
-MAX_GRANT_AGE = 2.0  # the fleet's agreement is used within this time after the request, or not
+MAX_GRANT_AGE = 2.0  # after the request; a later answer of the fleet does not permit the change
 RESTART_DELAY = 2.0  # before a process that ended by itself is restarted
 
 
 class ChangeAgent:
-    """Keeps one version of a member running, and changes it when it is the member's turn.
+    """An agent that keeps one version running, and changes it when it is the member's turn.
 
     Attributes:
         member: name of the balancer, or id of the server.
--- a/cypresswalk/rollout/evidence.py
+++ b/cypresswalk/rollout/evidence.py
@@ -1,8 +1,9 @@
 """Compares changed members with the others over the same time. No I/O, no clock.
 
 Each member reports about every second how many flows it has answered since its process started.
-The growth between two observations is added to the sums of the member's status at that time, so
-that a changed member is compared with what the others answered since its change. For example, a
+The growth between two observations is added to the sums for unchanged members or to those of the
+changed member, by its status at that time, so that a changed member is compared with what the
+others answered since its change. For example, a
 server that is lost for a moment affects all members alike; with sums over different times it would
 count against those that were changed just before.
 """
@@ -233,10 +234,10 @@
     def baseline(self, window: ObservationWindow) -> ServedCounts:
         """Return the counts that a changed member is compared with.
 
-        These are the counts of the unchanged members since the member's change. If they served much
-        less than the member, as in the last wave, members of passed waves are included. If all of
-        these served too few flows, all counts of unchanged members are used, including those from
-        before the change.
+        These are the counts of the unchanged members since the member's change. If they served less
+        than half as many flows as the member, as in the last wave, members of passed waves are
+        included. If all of these served too few flows, all counts of unchanged members are used,
+        including those from before the change.
         """
         unchanged = self.unchanged - window.unchanged_before
         passed = self.passed - window.passed_before - window.own_in_passed
--- a/cypresswalk/rollout/plan.py
+++ b/cypresswalk/rollout/plan.py
@@ -46,7 +46,7 @@
     def check_waves_or_zones(self) -> "PlanFile":
         """Raise ValueError if both waves and zones are given."""
         if self.waves is not None and self.zones:
-            raise ValueError("waves, zones: one of them")
+            raise ValueError("waves, zones: give one of them, not both")
         return self
 
 
--- a/cypresswalk/rollout/release.py
+++ b/cypresswalk/rollout/release.py
@@ -4,7 +4,8 @@
 the replicated log, so that the next leader continues where the last one stopped. Replicas compute
 the texts of this module while they apply a command, so two versions must produce the same text.
 
-    old -> out (its turn is granted) -> changing (its agent has started) -> new, or failed
+    old -> out (its turn is granted) -> changing (its agent has started) -> new
+    changing -> old if the change failed and the old version runs, failed if neither version runs
     rolling back: new, failed -> out -> changing -> old
 
 Invariants (numbered as in docs/design/rollout.md): R7 an agent starts only a change that is agreed,
--- a/cypresswalk/rollout/server_agent.py
+++ b/cypresswalk/rollout/server_agent.py
@@ -33,7 +33,7 @@
 
 
 class ServerAgent(ChangeAgent):
-    """Runs a server, which is out of rotation during a change."""
+    """The agent of a server, which is out of rotation during a change."""
 
     first_step = AgentStep.DRAINING
 
--- a/tests/rollout/release_model.py
+++ b/tests/rollout/release_model.py
@@ -163,7 +163,7 @@
             if name not in self.dead:
                 self._serve(name, version)
         unavailable = self._unavailable()
-        self._lead(unavailable)
+        self._run_leader(unavailable)
         for name, status in list(self.release.members.items()):
             if name not in self.dead:
                 self._run_agent(name, status, unavailable)
@@ -192,7 +192,7 @@
         unheard = dict.fromkeys(self.unheard, "has not said that it is ready")
         return unheard | dict.fromkeys(self.dead, "not heard")
 
-    def _lead(self, unavailable: dict[str, str]) -> None:
+    def _run_leader(self, unavailable: dict[str, str]) -> None:
         counts = {name: s.counts() for name, s in self.served.items() if name not in self.dead}
         situation = ReleaseSituation(
             release=self.release,
--- a/tests/rollout/release_mutants.py
+++ b/tests/rollout/release_mutants.py
@@ -16,11 +16,11 @@
 from cypresswalk.rollout.bounds import violation_reason
 from cypresswalk.rollout.release import Release
 
-FREED_PROBABILITY = 0.05
+GRANT_END_PROBABILITY = 0.05
 
 
-def free_slots_while_agents_work(patch: pytest.MonkeyPatch) -> None:
-    """Free a slot that seems unused although the agent of its balancer is at work."""
+def end_grants_while_agents_work(patch: pytest.MonkeyPatch) -> None:
+    """End a leave grant that seems unused although the agent of its balancer is at work."""
     end_unused_turn, step = release.end_unused_turn, ModelFleet.step
 
     def end_any_turn(current: Release, name: str) -> None:
@@ -28,14 +28,14 @@
         if current.members.get(name) == "changing":
             current.members[name] = "old"
 
-    def step_after_freeing(self: ModelFleet) -> None:
+    def step_after_ending_grants(self: ModelFleet) -> None:
         for name in sorted(self.machine.state.leave_grants):
-            if self.random.random() < FREED_PROBABILITY:
+            if self.random.random() < GRANT_END_PROBABILITY:
                 self.return_balancer(name)
         step(self)
 
     patch.setattr(release, "end_unused_turn", end_any_turn)
-    patch.setattr(ModelFleet, "step", step_after_freeing)
+    patch.setattr(ModelFleet, "step", step_after_ending_grants)
 
 
 def ignore_lost_balancers(patch: pytest.MonkeyPatch) -> None:
--- a/tests/rollout/test_release_model.py
+++ b/tests/rollout/test_release_model.py
@@ -11,7 +11,7 @@
 )
 from release_mutants import (
     count_unheard_balancers_as_out,
-    free_slots_while_agents_work,
+    end_grants_while_agents_work,
     ignore_halts,
     ignore_lost_balancers,
     skip_wave_observation,
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(
     "mutate",
     [
-        free_slots_while_agents_work,
+        end_grants_while_agents_work,
         ignore_lost_balancers,
         ignore_halts,
         count_unheard_balancers_as_out,
--- a/tests/rollout/test_server_release_commands.py
+++ b/tests/rollout/test_server_release_commands.py
@@ -86,8 +86,7 @@
 
 
 def test_server_can_be_removed_by_force_while_halted():
-    # Found by reading the code: the fleet rejects this, though each balancer alone accepts it
-    # (set-down-here).
+    # The fleet rejects this, though each balancer alone accepts it (set-down-here).
     machine = Machine()
     assert machine.accepts(commands.Halt, "a bad release")
     assert not machine.accepts(commands.RemoveFromRotation, "s0", False, {})
