--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -282,9 +282,8 @@
             await cluster.start()
             await release_good_build(cluster)
             await release_rejecting_build(cluster)
-            report = (
-                await conclude(cluster.testbed)
-            ).to_json()  # rolls the release back, as an operator would
+            # `conclude` rolls the release back, as an operator would.
+            report = (await conclude(cluster.testbed)).to_json()
             assert not report["broken"], report
             assert report["ended"] == "backed", report
             assert cluster.versions() == ["v1"] * 4
