--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -22,9 +22,9 @@
 
 MAGIC = b"CWSTATE\n"
 VERSION = 1
-FIXED = struct.Struct("<8sHQ")
+FIXED = struct.Struct("<8sHQ")  # the file header without its checksum
 DIGEST = 16  # bytes of the checksum
-PART = struct.Struct("<cI")
+PART = struct.Struct("<cI")  # a chunk's kind and length
 # A hundred thousand ids and servers take a tenth of this size.
 MAX_BODY_BYTES = 64 << 20
 STATES = {state.value for state in ServerState}
--- a/cypresswalk/state/recovery.py
+++ b/cypresswalk/state/recovery.py
@@ -23,10 +23,12 @@
 MAX_ID_AGE = 300 * SECOND
 # The sums decay by themselves; after ten minutes all of them are close to zero.
 MAX_SUMS_AGE = 600 * SECOND
-MAX_CLOCK_SKEW = 2 * SECOND  # between two readings of wall time; a time beyond is in the future
+MAX_CLOCK_SKEW = 2 * SECOND  # between two readings of wall time; a time further ahead is future
 MAX_EJECTED_FRACTION = 0.5  # if beliefs would eject more of the servers, all are ignored
 MIN_WEIGHT = 0.01  # beliefs with less weight are not restored
-COUNTS = ("drains", "beliefs", "aside", "restarted", "unknown")  # names of the counts in the log
+# Names of the counts in the log: servers whose drain was restored, whose beliefs were restored, and
+# which the restored beliefs eject; records ignored since their server restarted or is not listed.
+COUNTS = ("drains", "beliefs", "aside", "restarted", "unknown")
 
 
 def belief_weight(age: int, half_life: int) -> float:
@@ -35,7 +37,10 @@
 
 
 def age_of(learned: int, now: int) -> int | None:
-    """Return the age, or None in the future: the clock was set back or the file is foreign."""
+    """Return the age of what was learned at that time, or None if the time is in the future.
+
+    In that case the clock was set back, or the file is from another machine.
+    """
     return None if learned > now + MAX_CLOCK_SKEW else max(now - learned, 0)
 
 
@@ -80,7 +85,7 @@
         now: current time, in nanoseconds.
         list_version: version of the list that the balancer was started with.
         list_address: address that this list came from.
-        counts: how much was restored, by `COUNTS`.
+        counts: how much was restored or ignored, by the names in `COUNTS`.
         learned: by server, its observations and the time at which they were learned.
     """
 
--- a/cypresswalk/state/snapshot.py
+++ b/cypresswalk/state/snapshot.py
@@ -65,7 +65,15 @@
 
 
 class SumsRecord(Struct, forbid_unknown_fields=True):
-    """The balancer's own decaying sums, each as its total and the time of that total."""
+    """The balancer's own decaying sums, each as its total and the time of that total.
+
+    Attributes:
+        carried: established flows that ended successfully.
+        arrivals: flows that arrived for the first time.
+        hints: gossip messages sent.
+        setup_time: duration of attempts, in nanoseconds.
+        setups: number of attempts in `setup_time`.
+    """
 
     carried: tuple[float, int]
     arrivals: tuple[float, int]
@@ -79,10 +87,10 @@
 
     balancer: str  # name of the balancer that took the snapshot
     taken: int  # time at which the snapshot was taken
-    started: int  # start of the sums
-    list_version: int
-    list_address: str
-    again: float  # fraction of accepted flows whose clients were returning
+    started: int  # time from which on the sums count
+    list_version: int  # version of the balancer's endpoint list
+    list_address: str  # address that this list came from
+    again: float  # fraction of accepted flows whose clients reconnected after a break or migration
     sums: SumsRecord
 
 
--- a/cypresswalk/state/snapshot_writer.py
+++ b/cypresswalk/state/snapshot_writer.py
@@ -1,7 +1,8 @@
 """Persists a running balancer's state: recovers it at the start, then copies and writes it.
 
-The deciding thread only copies, in slices of well under a millisecond; the writer's thread encodes
-and writes. An error of the folder or a file is logged once, until it changes, and the balancer goes
+The state is written in generations, which are numbered snapshot files. The deciding thread, which
+runs the core, only copies, in slices of well under a millisecond; the writer's thread encodes and
+writes. An error of the folder or a file is logged once, until it changes, and the balancer goes
 on without persisted state.
 """
 
@@ -36,9 +37,10 @@
 MAX_IDS = 100_000  # in the file: three hundred flows per second for five minutes
 IDS_INTERVAL = SECOND  # between two copies of new ids: at most one slice of them arrives meanwhile
 SLICE_PAUSE = 0.001  # seconds between two slices, for the deciding thread's waiting events
-# Stack of the writer's thread: the serializer and the file layer need more than the drivers do.
+# Stack of the writer's thread: the serializer and the file layer need more than the threads of the
+# drivers in cypresswalk/net.
 STACK_BYTES = 512 * 1024
-SLICE_TIMEOUT = 10  # seconds for the deciding thread to run a slice; if exceeded, it is ending
+SLICE_TIMEOUT = 10  # seconds for the deciding thread to run a slice; after that it counts as ended
 
 
 class SnapshotWriter:
--- a/tests/state/test_crash_safety.py
+++ b/tests/state/test_crash_safety.py
@@ -45,7 +45,10 @@
         self.flushed: dict[str, bool] = {}
 
     def fail_at(self, operation: int, byte: int | None = None) -> None:
-        """Let the power fail so many operations from now, after `byte` bytes if it is a write."""
+        """Let the power fail in a later operation, after `byte` bytes if it is a write.
+
+        `operation` is the number of that operation, counted from 1 for the next one.
+        """
         self.failing_operation = self.operations + operation
         self.failing_byte = byte
 
@@ -160,7 +163,7 @@
 
 
 def test_generation_is_lost_without_a_flush_before_the_rename():
-    """Shows that the simulated failures detect a missing flush, so the test above can fail."""
+    """Show that the simulated failures detect a missing flush, so the test above can fail."""
     disk = DiskWithoutFileFlush("zeros")
     store.save(disk, file_format.encode(snapshot(1)), 1)
     assert load(disk.after_failure(renamed=True)) is None
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -45,7 +45,10 @@
 def recover(
     content: Snapshot, now: int, version: int = 5, address: str = "a:1", **changes: object
 ) -> Recovered:
-    """Restore a snapshot into a balancer of four servers; `version` and `address` of its list."""
+    """Restore a snapshot into a balancer of four servers.
+
+    `version` and `address` are those of the balancer's endpoint list.
+    """
     balancer = balancer_of(4, now, **changes)
     recovery = Recovery(content, now, version, address)
     return Recovered(balancer, recovery.apply(balancer), recovery)
