--- a/cypresswalk/faults/connection.py
+++ b/cypresswalk/faults/connection.py
@@ -33,7 +33,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its proxy."""
+    """The interface of a proxy that its connections use."""
 
     plan: FaultPlan
     seed: int
--- a/cypresswalk/faults/datagram_stream.py
+++ b/cypresswalk/faults/datagram_stream.py
@@ -14,7 +14,7 @@
         """Create a stream whose first datagram has the number 0.
 
         Args:
-            faults: function that returns the faults of the datagram with a number.
+            faults: function that returns the faults of a datagram, given its number.
             on_injected: function that is called with each injected fault.
         """
         self.faults = faults
--- a/cypresswalk/faults/plan.py
+++ b/cypresswalk/faults/plan.py
@@ -129,7 +129,10 @@
 
 
 class RandomDatagramFaults(RandomFaults):
-    """`[[random_datagram]]`: one fault per datagram, with that probability; `within` is ignored."""
+    """`[[random_datagram]]`: one fault per datagram, with a probability of `chance`.
+
+    `within` is ignored.
+    """
 
     required: ClassVar[dict[Kind, set[str]]] = DATAGRAM_PARAMETERS
 
--- a/cypresswalk/faults/proxy.py
+++ b/cypresswalk/faults/proxy.py
@@ -30,21 +30,31 @@
         """Return the plan without any added faults."""
         return self.plan.original_plan() if isinstance(self.plan, InjectedPlan) else self.plan
 
-    def fault_at(self, connection: int, way: str, offset: int) -> Fault:
-        """Return the added fault for one direction (`way`) of one connection."""
+    def fault_at(self, connection: int, single_direction: str, offset: int) -> Fault:
+        """Return the added fault for one direction of one connection."""
         fault = self.fault
         return Fault(
-            connection, way, offset, fault.kind, fault.size, fault.ms, fault.rate, fault.mask
+            connection,
+            single_direction,
+            offset,
+            fault.kind,
+            fault.size,
+            fault.ms,
+            fault.rate,
+            fault.mask,
         )
 
     def for_connection(self, number: int, seed: int) -> list[Fault]:
         """Return the faults of a new connection, with the added one at its first byte."""
-        added = [self.fault_at(number, way, 0) for way in single_directions(self.direction)]
+        added = [
+            self.fault_at(number, single_direction, 0)
+            for single_direction in single_directions(self.direction)
+        ]
         return [*self.plan.for_connection(number, seed), *added]
 
-    def for_datagram(self, peer: int, way: str, number: int, seed: int) -> list[Fault]:
+    def for_datagram(self, peer: int, single_direction: str, number: int, seed: int) -> list[Fault]:
         """Return the plan's faults: none can be added for UDP."""
-        return self.plan.for_datagram(peer, way, number, seed)
+        return self.plan.for_datagram(peer, single_direction, number, seed)
 
     def placed_faults(self) -> Sequence[PlacedFault | Fault]:
         """Return the plan's faults at stated places."""
@@ -87,16 +97,18 @@
     ) -> None:
         """Inject a fault into each connection at its present offset, and into each new connection.
 
-        This is for faults at a time, which a plan of byte offsets can't state.
+        This is for faults at a point in time, which a plan of byte offsets can't state.
         """
         injected = InjectedPlan(
             self.plan, Fault(0, direction, 0, kind, size, ms, rate, mask), direction
         )
         self.plan = injected
         for connection in list(self.open_connections):
-            for way in single_directions(direction):
-                target = connection.up if way == "up" else connection.down
-                target.inject(injected.fault_at(connection.number, way, target.stream.offset))
+            for single_direction in single_directions(direction):
+                target = connection.up if single_direction == "up" else connection.down
+                target.inject(
+                    injected.fault_at(connection.number, single_direction, target.stream.offset)
+                )
 
     def remove_injected(self) -> None:
         """Remove all faults that `inject` added.
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -66,7 +66,7 @@
                     continue  # "all"
                 place = f"{spec.kind.value} at {spec.at} not injected into connection {number}:"
                 if number > connections:
-                    lines.append(f"{place} only connections up to {connections} came")
+                    lines.append(f"{place} only connections up to {connections} were opened")
                 elif (number, spec.kind, spec.at) not in injected:
                     lines.append(f"{place} its data did not reach that place")
         return lines
--- a/tests/faults/test_faults_command.py
+++ b/tests/faults/test_faults_command.py
@@ -68,7 +68,9 @@
     printed, errors = faults_command.process.communicate(timeout=END_TIMEOUT_S)
     assert printed == RECORD_OF_CUT
     assert faults_command.record.read_text() == RECORD_OF_CUT
-    assert errors == "cut at 4 not injected into connection 9: only connections up to 1 came\n"
+    assert (
+        errors == "cut at 4 not injected into connection 9: only connections up to 1 were opened\n"
+    )
     assert faults_command.process.returncode == 0
 
 
