--- a/cypresswalk/lab/cluster/checkers/answers.py
+++ b/cypresswalk/lab/cluster/checkers/answers.py
@@ -38,7 +38,10 @@
 def missing_or_late_answers(
     flows: Iterable[ClientFlow], disruptions: Disruptions, slack: int
 ) -> list[str]:
-    """Check rule 1 from the clients' side, except for flows that a disruption excuses."""
+    """Check rule 1 from the clients' side, except for flows that a disruption excuses.
+
+    `slack` is the tolerance added to deadlines and disruptions, nanoseconds.
+    """
     violations = []
     for flow in flows:
         if is_excused(flow, disruptions, slack):
--- a/cypresswalk/lab/cluster/checkers/linearizability.py
+++ b/cypresswalk/lab/cluster/checkers/linearizability.py
@@ -125,6 +125,9 @@
                     yield SettingsState(version, call.value)
 
     def _possible_versions(self, after: int) -> list[int]:
-        """Return the versions that an unsure offer may have created: later known ones, the next."""
+        """Return the versions that an unsure offer may have created.
+
+        They are the later versions that any call names, and the next version.
+        """
         known = {call.version for call in self.calls} | {call.base_version for call in self.calls}
         return sorted({version for version in known if version > after} | {after + 1})
--- a/cypresswalk/lab/cluster/checkers/unavailability.py
+++ b/cypresswalk/lab/cluster/checkers/unavailability.py
@@ -77,7 +77,8 @@
         max_total = max(max_total, len(out | _names_out(lost, at, slack)))
         if len(out) > bound:
             violations.append(
-                f"{', '.join(sorted(out))} are out at once by releases or drains, {bound} may be"
+                f"{', '.join(sorted(out))} are out at once by releases or drains, "
+                f"at most {bound} may be out"
             )
     for departure in [Departure(*departure) for departure in departures]:
         lost_others = _known_lost_others(lost, departure, slack)
@@ -87,7 +88,7 @@
         if len(others | {departure.name}) > bound:
             violations.append(
                 f"{departure.name} went out ({departure.cause}) while {', '.join(sorted(others))} "
-                f"were out or lost, {bound} may be"
+                f"were out or lost, at most {bound} may be out"
             )
     return UnavailabilityReport(max_planned, max_total, list(dict.fromkeys(violations)))
 
--- a/cypresswalk/lab/cluster/plan.py
+++ b/cypresswalk/lab/cluster/plan.py
@@ -13,7 +13,7 @@
 from cypresswalk import toml
 
 LEADER = "leader"  # in place of a balancer's name: the leader when the step begins
-MAX_CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02  # as a share of the clock's rate
 
 
 class Action(StrEnum):
@@ -38,8 +38,8 @@
     OFFER_SETTINGS = "offer"
     SHOW_SETTINGS = "show"
     REMOVE_SERVER_SETTLED = "server_down"  # removes, and waits until no balancer sends there
-    LIST_LAGS = "lag"
-    LIST_LIES = "lie"
+    LIST_LAGS = "lag"  # a balancer's endpoint list gets no more changes, until HEAL
+    LIST_LIES = "lie"  # it gives every changed server as in service, until HEAL
     LIST_DRAINS_SERVER = "list_drain"
     HALF_CLOSE = "half_close"
     DISK_FULL = "disk_full"
@@ -197,7 +197,7 @@
     @model_validator(mode="after")
     def _check_consistency(self) -> "Plan":
         if self.balancer_agents and self.server_agents:
-            raise ValueError("agents, server_agents: one of them")
+            raise ValueError("agents, server_agents: only one of them can be true")
         if self.voters > self.balancers:
             raise ValueError("voters: more than balancers")
         self._check_clocks()
@@ -222,8 +222,8 @@
         for name, drift in self.clock_drift.items():
             if name not in self.balancer_names() or abs(drift) > MAX_CLOCK_DRIFT:
                 raise ValueError(
-                    f"clocks.{name}: none of n0 to n{self.balancers - 1}, "
-                    f"or not within {MAX_CLOCK_DRIFT}"
+                    f"clocks.{name}: the name is none of n0 to n{self.balancers - 1}, "
+                    f"or the drift exceeds {MAX_CLOCK_DRIFT}"
                 )
 
     def _check_names(self, index: int, step: Step) -> None:
@@ -234,7 +234,7 @@
                     f"step[{index}].{key}: {name!r} is none of n0 to n{self.balancers - 1}, leader"
                 )
         if step.server >= self.servers:
-            raise ValueError(f"step[{index}].server: there are {self.servers}")
+            raise ValueError(f"step[{index}].server: the number of servers is {self.servers}")
 
     def _check_agents(self, index: int, step: Step) -> None:
         field = f"step[{index}].do: {step.action}"
@@ -247,7 +247,7 @@
             raise ValueError(f"{field} needs server_agents = true")
         if self.server_agents and step.build not in SERVER_BUILDS:
             raise ValueError(
-                f"step[{index}].build: {step.build}: of servers there are "
+                f"step[{index}].build: {step.build}: with server agents it must be one of "
                 f"{', '.join(sorted(SERVER_BUILDS))}"
             )
 
--- a/cypresswalk/lab/cluster/random_plans.py
+++ b/cypresswalk/lab/cluster/random_plans.py
@@ -123,7 +123,7 @@
 
 @dataclass
 class _FaultPlanner:
-    """Draws the faults of a plan in the order of time.
+    """A planner that draws the faults of a plan in the order of time.
 
     Attributes:
         taken_down: balancers that have been killed or stopped.
@@ -207,7 +207,7 @@
 
 
 class _ReleaseFaultPlanner:
-    """Draws the faults and calls of a release plan in the order of time."""
+    """A planner that draws the faults and calls of a release plan in the order of time."""
 
     def __init__(self, random: Random, names: list[str], build: Build):
         self.random = random
--- a/cypresswalk/lab/cluster/simulation/agent_runner.py
+++ b/cypresswalk/lab/cluster/simulation/agent_runner.py
@@ -26,8 +26,8 @@
 from cypresswalk.rollout.agent_state import AgentState
 from cypresswalk.rollout.change_agent import ChangeAgent
 
-CALL_SPAN = 4 * SECOND
-CALL_TIMEOUT = 5 * SECOND
+CALL_SPAN = 4 * SECOND  # within which the fleet must answer an agent's call
+CALL_TIMEOUT = 5 * SECOND  # after which the agent stops waiting for the answer
 CALL_LATENCY = MILLISECOND  # so that no answer arrives while the call is still being made
 
 
@@ -73,7 +73,7 @@
 
 
 class AgentRunner:
-    """Starts, runs and kills the agent of one host.
+    """The runner of one host's agent, which can be started and killed.
 
     Attributes:
         saved: the state that the agent saved last.
--- a/cypresswalk/lab/cluster/simulation/balancer_hosts.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_hosts.py
@@ -33,8 +33,8 @@
     "never_ready": Build(becomes_ready=False),
 }
 SETUP_SPREAD = (0.5, 1.5)  # bounds of the random factor on a set-up time
-DRAIN_SPAN = SECOND * 7 // 10
-CALL_BACK_SPAN = 600 * SECOND
+DRAIN_SPAN = SECOND * 7 // 10  # within which the fleet must answer a call to drain
+CALL_BACK_SPAN = 600 * SECOND  # within which it must answer a call to end a drain
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
 
     @property
     def counts_against_bound(self) -> bool:
-        """Return whether it was drained, or an agent's change is shutting a process down."""
+        """Return whether the balancer is drained, or a change by its agent shuts a process down."""
         is_shutting_down = any(process.is_shutting_down for process in self.running.values())
         return self.removed or (self.is_being_changed and is_shutting_down)
 
--- a/cypresswalk/lab/cluster/simulation/balancer_releases.py
+++ b/cypresswalk/lab/cluster/simulation/balancer_releases.py
@@ -25,7 +25,7 @@
 from cypresswalk.rollout.bounds import Bound
 from cypresswalk.rollout.release import MemberKind
 
-MAX_RELEASE_TIME = 600 * SECOND  # until it ends, once all faults are cleared
+MAX_RELEASE_TIME = 600 * SECOND  # for a release to end once all faults are cleared
 MAX_ACTIONS_UNTIL_CRASH = 12  # bound on an agent's actions before an injected crash
 # Relative frequency of each kind of fault or call.
 WEIGHTS = {
@@ -51,7 +51,7 @@
     "hand_over": 4,
     "kill_leader": 3,
 }
-# Drawn for each run.
+# One value of each is drawn for each run.
 BUILDS = ("good", "good", "good", "aborts", "slow", "falls", "never_ready")
 FOLLOWERS = (0, 2, 3, 4)
 BOUNDS: tuple[Bound, ...] = (1, 1, 2, {"share": 0.4, "least": 1})
@@ -104,7 +104,10 @@
         return since is None or self.now - since < MAX_DETECTION_TIME
 
     def is_halt_binding(self, host: BalancerHost, reason: Reason) -> bool:
-        """Return whether a halt forbids it: drains and releases, no rollbacks, if it serves."""
+        """Return whether a halt forbids taking this balancer out.
+
+        A halt forbids drains and releases of balancers that serve, but no rollbacks.
+        """
         is_forbidden = reason is Reason.DRAIN or self.rollback_requested_at is None
         return is_forbidden and host.is_serving()
 
--- a/cypresswalk/lab/cluster/simulation/data_losses.py
+++ b/cypresswalk/lab/cluster/simulation/data_losses.py
@@ -5,7 +5,7 @@
 
 
 class DataLosses:
-    """Decides whether a balancer's disk may be lost: one at a time, all others being intact.
+    """The disks lost so far: one may be lost at a time, and only while all others are intact.
 
     The fleet's guarantees cover only this case. Losing more disks at once stops the fleet; a
     separate test shows that nothing worse happens.
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -30,7 +30,7 @@
 
     Attributes:
         files: the files by name.
-        held: the folder's lock; always None, since only one process uses the folder.
+        lock_descriptor: always None, since only one process uses the folder and needs no lock.
         operations_until_kill: number of operations that succeed before the process is killed in
             the middle of the next one; None for never.
         failing: whether every writing operation fails.
--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -32,8 +32,8 @@
 RECOVERY_TIME = 40 * SECOND
 LINK_DELAYS_S = (0.3, 1, 2, 4)
 MAX_OPERATIONS_UNTIL_KILL = 6
-UNREADABLE_MARK_COUNT = 5
-# Drawn for each run.
+UNREADABLE_MARK_COUNT = 5  # only settings with marks below this are made unreadable
+# One value of each is drawn for each run.
 LOSSES = (0.0, 0.02, 0.2)
 DUPLICATIONS = (0.0, 0.1)
 MAX_DELAYS_MS = (2, 20, 300)
@@ -66,7 +66,7 @@
 
 
 class Explorer:
-    """Executes a schedule of faults and calls in a simulation."""
+    """An executor of a schedule of faults and calls in a simulation."""
 
     def __init__(self, simulation: FleetSimulation):
         """Create an explorer of the given simulation."""
--- a/cypresswalk/lab/cluster/simulation/fingerprint.py
+++ b/cypresswalk/lab/cluster/simulation/fingerprint.py
@@ -11,7 +11,10 @@
 
 
 def fingerprint(processes: Collection[Process], network: Network) -> bytes:
-    """Return a digest of each process's state and of the cut links; terms count relatively."""
+    """Return a digest of each process's state and of the cut links.
+
+    Terms enter it as differences from the highest term.
+    """
     highest_term = max((node.term for node in map(_node, processes) if node is not None), default=0)
     summaries = [_summarize_process(process, highest_term) for process in processes]
     text = repr((summaries, sorted(network.cuts)))
--- a/cypresswalk/lab/cluster/simulation/fleet_simulation.py
+++ b/cypresswalk/lab/cluster/simulation/fleet_simulation.py
@@ -79,7 +79,6 @@
             delay: bounds of a message's delay.
             zones: number of zones that the balancers are spread over; 0 for none.
         """
-        # Longer than 40 lines because it documents many arguments.
         self.seed = seed
         self.random = Random(f"{seed}/world")
         self.now = 0
@@ -233,7 +232,7 @@
             check: whether to check the invariants after every step.
 
         Raises:
-            ViolationError: an invariant is broken, or events never stop while time stands still.
+            ViolationError: an invariant is broken, or the many steps indicate a livelock.
         """
         started_at = self.now
         end = started_at + duration
--- a/cypresswalk/lab/cluster/simulation/hosts.py
+++ b/cypresswalk/lab/cluster/simulation/hosts.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class FlowCounter:
-    """Counts flows by outcome; `setup_time` is the sum of set-up times, nanoseconds."""
+    """Counts of flows by outcome; `setup_time` is the sum of set-up times, nanoseconds."""
 
     established: int = 0
     rejected: int = 0
--- a/cypresswalk/lab/cluster/simulation/invariants.py
+++ b/cypresswalk/lab/cluster/simulation/invariants.py
@@ -14,7 +14,7 @@
 
 
 class Invariants:
-    """Records observed facts that must never change, and checks them.
+    """Observed facts that must never change, and checks of new observations against them.
 
     Attributes:
         newest_version: the latest version of the agreed state.
--- a/cypresswalk/lab/cluster/simulation/network.py
+++ b/cypresswalk/lab/cluster/simulation/network.py
@@ -112,7 +112,7 @@
                 self.cut(name, other)
 
     def slow_down(self, source: str, target: str, delay: int) -> None:
-        """Delay all messages from one process to the other by so many more nanoseconds."""
+        """Add `delay` nanoseconds to the delay of all messages from one process to the other."""
         self.extra_delays[source, target] = delay
 
     def heal(self) -> None:
--- a/cypresswalk/lab/cluster/simulation/operators.py
+++ b/cypresswalk/lab/cluster/simulation/operators.py
@@ -12,10 +12,10 @@
 from cypresswalk.lab.cluster.simulation.process import Process
 from cypresswalk.lab.units import MILLISECOND, SECOND
 
-CALL_SPAN = 6 * SECOND
-SETTLED_SPAN_S = 12
+CALL_SPAN = 6 * SECOND  # within which the fleet must answer
+SETTLED_SPAN_S = 12  # seconds within which it must answer `settled`
 SERVERS = ("s0", "s1", "s2", "s3")
-MARK_COUNT = 50  # of different settings
+MARK_COUNT = 50  # number of different settings to offer; they differ in their mark
 
 
 class ConfirmedCommand(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class Operators:
-    """Calls the fleet as operators do, and checks its answers.
+    """Operators' calls to the fleet, with checks of its answers.
 
     Attributes:
         confirmed_commands: the commands that were confirmed, by ident.
@@ -103,5 +103,6 @@
         behind = [p.name for p in processes if p.may_act and p.applied_version < version]
         if ok and behind:
             raise ViolationError(
-                f"L3: answered that nobody acts on less than {version}, but {', '.join(behind)} do"
+                f"L3: answered that no balancer acts on a version below {version}, "
+                f"but {', '.join(behind)} do"
             )
--- a/cypresswalk/lab/cluster/simulation/process.py
+++ b/cypresswalk/lab/cluster/simulation/process.py
@@ -18,7 +18,7 @@
 from cypresswalk.operator import FleetTable
 
 EPOCH = 1_800_000_000 * SECOND  # the wall clock of all processes when virtual time begins
-MAX_CLOCK_BASE = 10**15  # nanoseconds
+MAX_CLOCK_BASE = 10**15  # nanoseconds; bound on a clock's reading when virtual time begins
 CLOCK_RATES = (0.99, 1.01)  # bounds; the fleet tolerates this drift
 DISK_RETRY_DELAY = SECOND  # from a disk failure to the member's restart
 NEVER = 1 << 62  # later than any moment of virtual time
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -61,7 +61,7 @@
 
 
 class ReleaseRun:
-    """Runs one release in a simulation, and starts the simulation."""
+    """The run of one release in a simulation, from the start of the simulation on."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         weights: Mapping[str, float],
         max_release_time: int,
     ):
-        """Draw the rates of the balancers' clocks.
+        """Draw the rates of the balancers' clocks, and silence the logs below critical.
 
         Args:
             simulation: the simulation, not started yet.
--- a/cypresswalk/lab/cluster/simulation/release_simulation.py
+++ b/cypresswalk/lab/cluster/simulation/release_simulation.py
@@ -6,7 +6,7 @@
 - B1: no more members are out than the bound allows, however many are lost.
 - B2: no member is taken out if the members already out and those lost for longer than
   MAX_DETECTION_TIME use up the bound.
-- H: no member is taken out later than 2 s after a halt was confirmed.
+- H: no member is taken out later than MAX_HALT_DELAY (2 s and a margin) after a halt was confirmed.
 """
 
 from abc import ABC, abstractmethod
@@ -31,8 +31,8 @@
 # Time after which any leader must know that a member is lost: the age of its last report, a link's
 # delay and a read's age.
 MAX_DETECTION_TIME = 8 * SECOND
-CALL_SPAN = 6 * SECOND
-BEGIN_SPAN = 20 * SECOND
+CALL_SPAN = 6 * SECOND  # within which the fleet must answer an operator's call
+BEGIN_SPAN = 20 * SECOND  # within which it must answer the call that begins a release
 
 
 class Reason(StrEnum):
@@ -128,7 +128,7 @@
         self.hosts: dict[str, HostT] = {}  # filled by the subclass
         self.max_unavailable = max_unavailable(bound, member_count)
         self._ident_count = 0
-        self._halted_since: int | None = None  # confirmation of the earliest halt in force
+        self._halted_since: int | None = None  # when the earliest halt in force was confirmed
         self._resumed_at = -1
 
     # What differs between balancers and servers.
@@ -196,7 +196,8 @@
         if len(out) > self.max_unavailable:
             names = ", ".join(out)
             raise ViolationError(
-                f"B1: {names} are out by a release or a call, {self.max_unavailable} may be"
+                f"B1: {names} are out by a release or a call, "
+                f"at most {self.max_unavailable} may be out"
             )
 
     def on_taken_out(self, host: HostT, reason: Reason) -> None:
@@ -216,7 +217,7 @@
         if len(out | lost | {host.name}) > self.max_unavailable:
             raise ViolationError(
                 f"B2: {host.name} goes out ({reason}), {', '.join(sorted(out))} are out "
-                f"and {', '.join(sorted(lost))} lost; {self.max_unavailable} may be"
+                f"and {', '.join(sorted(lost))} lost; at most {self.max_unavailable} may be out"
             )
 
     def _is_known_lost(self, host: HostT) -> bool:
--- a/cypresswalk/lab/cluster/simulation/schedule.py
+++ b/cypresswalk/lab/cluster/simulation/schedule.py
@@ -6,7 +6,7 @@
 
 from cypresswalk.lab.cluster.simulation.faults import draw_pause
 
-# Relative frequency of each kind of fault or call.
+# Relative frequency of each kind of fault or call; `explorer` and `operators` have their handlers.
 WEIGHTS = {
     "cut": 6,
     "cut_one_way": 6,
--- a/cypresswalk/lab/cluster/simulation/server_releases.py
+++ b/cypresswalk/lab/cluster/simulation/server_releases.py
@@ -29,7 +29,7 @@
 from cypresswalk.rollout.release import MemberKind
 
 ZONES = 2
-MAX_RELEASE_TIME = 900 * SECOND  # until it ends, once all faults are cleared
+MAX_RELEASE_TIME = 900 * SECOND  # for a release to end once all faults are cleared
 MAX_ACTIONS_UNTIL_CRASH = 16  # bound on an agent's actions before an injected crash
 RETURN_SERVER = "in"  # name of the call in the history and in counts
 # Relative frequency of each kind of fault or call.
@@ -56,8 +56,8 @@
     RETURN_SERVER: 6,
     "hand_over": 4,
 }
-AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # for the history
-# Drawn for each run.
+AIMED_AT_BALANCERS = ("cut", "cut_one_way", "isolate", "kill", "freeze")  # not at a server
+# One value of each is drawn for each run.
 BUILDS = ("good", "good", "good", "aborts", "falls", "never_ready")
 SERVER_COUNTS = (2, 4, 6)
 FOLLOWERS = (0, 1, 2)
@@ -70,7 +70,7 @@
 
     Attributes:
         balancers: the balancers' health checks and flows, by name of the balancer.
-        drains: how fast open flows leave servers that are out.
+        drains: the speed at which open flows leave servers that are out.
     """
 
     kind = MemberKind.SERVERS
@@ -128,7 +128,8 @@
         name = balancer.process.name
         if host.name not in balancer.out:
             raise ViolationError(f"S: {host.name} is asked to shut down, but {name} may send to it")
-        # A balancer that resumed only just now had no lease when the fleet asked for open flows.
+        # A balancer that could not act until just now had no lease when the fleet asked for open
+        # flows.
         acts_for_long = self.now - balancer.last_inactive_at > MAX_HALT_DELAY
         open_flows = balancer.open_flows.get(host.name)
         if acts_for_long and open_flows:
@@ -141,7 +142,10 @@
         return self.rollback_requested_at is not None
 
     def is_halt_binding(self, host: ServerHost, reason: Reason) -> bool:
-        """Return whether a halt forbids it: releases, but no rollbacks or operators' calls."""
+        """Return whether a halt forbids taking this server out.
+
+        A halt forbids releases, but no rollbacks and no calls by operators.
+        """
         return reason is Reason.RELEASE and self.rollback_requested_at is None
 
     def recover_processes(self) -> None:
--- a/cypresswalk/lab/cluster/simulation/serving_balancers.py
+++ b/cypresswalk/lab/cluster/simulation/serving_balancers.py
@@ -17,8 +17,8 @@
 from cypresswalk.lab.units import MILLISECOND, SECOND
 from cypresswalk.model import ServerState
 
-HEALTH_CHECK_SHARE = 0.2  # of the steps, for each server
-FLOWS_PER_TURN = 2  # new flows at each server in each step
+HEALTH_CHECK_SHARE = 0.2  # probability that a balancer checks a server in a step
+FLOWS_PER_STEP = 2  # new flows at each server in each step
 MAX_OPEN_FLOWS = 20  # at each server, of one balancer
 DRAIN_TIME_S = (0.1, 2)  # bounds of a drain's duration
 SLOW_DRAIN_TIME_S = (2, 20)  # bounds of a slow drain's duration
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Drains:
-    """How fast open flows leave servers that are out of rotation.
+    """The speed at which open flows leave servers that are out of rotation.
 
     Attributes:
         slow_share: share of slow drains, in which no other server can take over the flows.
@@ -138,7 +138,7 @@
         build = server.build_of(server.running_version())
         failure_share = build.failure_share if is_up else 1.0
         flows = self._flow_counters.setdefault(name, FlowCounter())
-        for _ in range(FLOWS_PER_TURN):
+        for _ in range(FLOWS_PER_STEP):
             if self._random.random() < failure_share + BASE_FAILURE_SHARE:
                 flows.failed += 1
             else:
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -99,7 +99,7 @@
 def members_without_a_report_count_as_ready(patch):
     """Break a rule: a new leader counts members without a report as ready."""
 
-    def unavailable(self, now, members, departed, unheard, lapsed):
+    def unavailable(self, now, members, departed, unreachable, lapsed):
         return {
             member.name: "not ready"
             for member in members
@@ -191,7 +191,10 @@
     """Otherwise two processes listen, and the one that is no fleet member rejects flows."""
 
     def fleet_calls(readiness_error: str, asked_at: float) -> list[str]:
-        """Return the calls until the agent waits or begins a change, asked at a given time."""
+        """Return the calls until the agent sleeps or begins a change.
+
+        Its clock shows 0 until its first call, and `asked_at` seconds from then on.
+        """
         calls = []
         turn = {"status": "out", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
         results = {
--- a/tests/lab/test_cluster_checkers.py
+++ b/tests/lab/test_cluster_checkers.py
@@ -92,7 +92,7 @@
 def test_more_out_at_once_than_the_bound_is_a_violation():
     assert check_unavailability([OUT_N0, OUT_N1], [], [], 2, [], 0) == (2, 2, [])
     violations = check_unavailability([OUT_N0, OUT_N1], [], [], 1, [], 0)[2]
-    assert violations == ["n0, n1 are out at once by releases or drains, 1 may be"]
+    assert violations == ["n0, n1 are out at once by releases or drains, at most 1 may be out"]
 
 
 def test_going_out_beside_a_lost_balancer_beyond_the_bound_is_a_violation():
@@ -101,7 +101,7 @@
     assert "n1 went out (release) while n2 were out or lost" in violations[0]
 
 
-def test_going_out_beside_a_balancer_that_nobody_knows_to_be_lost_is_no_violation():
+def test_going_out_beside_a_balancer_not_yet_known_to_be_lost_is_no_violation():
     just_lost = Outage("n2", 14 * SECOND, 40 * SECOND, "lost")
     assert check_unavailability([OUT_N1], [just_lost], N1_GOES_OUT, 1, [], 0)[2] == []
 
--- a/tests/lab/test_server_releases.py
+++ b/tests/lab/test_server_releases.py
@@ -52,10 +52,10 @@
     """Break a rule: a ready server counts as unchanged although its agent is changing it."""
     end_unused_turn = releases.end_unused_turn
 
-    def end_turn_of_changing_server(now, name):
-        end_unused_turn(now, name)
-        if now.members.get(name) == "changing":
-            now.members[name] = "old"
+    def end_turn_of_changing_server(release, name):
+        end_unused_turn(release, name)
+        if release.members.get(name) == "changing":
+            release.members[name] = "old"
 
     patch.setattr(releases, "end_unused_turn", end_turn_of_changing_server)
 
