--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -86,7 +86,6 @@
 
     def __init__(self, settings: Settings, seed: int, now: int):
         """Create the rules, each with its own state and the other rules that it reads."""
-        # Longer than 40 lines because each line creates one rule.
         self.settings = settings
         self.seed = seed
         self.servers: dict[int, Server] = {}
--- a/cypresswalk/fleet/core_binding.py
+++ b/cypresswalk/fleet/core_binding.py
@@ -33,7 +33,7 @@
 class CoreBinding:
     """Connection of one balancer's fleet member with its core.
 
-    The core and the hand-over between processes call only the methods of `net.ports.FleetBinding`.
+    The core and the handover between processes call only the methods of `net.ports.FleetBinding`.
 
     Attributes:
         fleet: driver of the balancer's member.
--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -111,7 +111,7 @@
             self.fleet.on_list_received(registry.version, digest, servers)
 
     def list_for_successor(self) -> list[list[Any]] | None:
-        """Return the agreed list in the format of the hand-over to a successor process."""
+        """Return the agreed list in the format of the handover to a successor process."""
         if self.agreed is None:
             return None
         return [[number, state.value, since] for number, (state, since) in self.agreed.items()]
--- a/cypresswalk/lab/cluster/simulation/fleet_simulation.py
+++ b/cypresswalk/lab/cluster/simulation/fleet_simulation.py
@@ -79,7 +79,6 @@
             delay: bounds of a message's delay.
             zones: number of zones that the balancers are spread over; 0 for none.
         """
-        # Longer than 40 lines because it documents many arguments.
         self.seed = seed
         self.random = Random(f"{seed}/world")
         self.now = 0
--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -67,7 +67,6 @@
             ConfigError: The configuration's list of servers is invalid.
             OSError: The program cannot listen at an address.
         """
-        # Over 40 lines long, because it creates one part per line.
         self.limits = config.limits
         self.path = config.path
         self.clock = Clock()
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -141,7 +141,7 @@
         self.step()
 
     def step(self) -> None:
-        """Do what the decision thread does in one iteration."""
+        """Do what the deciding thread does in one iteration."""
         self.core.timers.run_due(self.now)
         self.core.carry_out_decisions(self.now)
 
