--- a/cypresswalk/lab/cluster/testbed/balancer_config.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_config.py
@@ -10,7 +10,7 @@
 from cypresswalk.lab.cluster.testbed.fleet_calls import FLEET_NAME
 from cypresswalk.lab.cluster.testbed.settings import balancer_settings
 
-MAX_MIN_REPLICAS = 2  # replicas that must store a reservation before it is granted
+MAX_MIN_REPLICAS = 2  # at most this many replicas must store a reservation before its grant
 
 
 def write_config(host: BalancerHost, number: int, plan: Plan, list_address: Address) -> None:
--- a/cypresswalk/lab/cluster/testbed/balancer_host.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_host.py
@@ -157,7 +157,7 @@
             os.kill(pid, signal.SIGKILL)
 
     def freeze(self, duration_ms: int) -> None:
-        """Stop all processes on the host by SIGSTOP."""
+        """Stop all processes by SIGSTOP; record a disruption that lasts `duration_ms`."""
         self.signal_children(signal.SIGSTOP)
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
@@ -188,7 +188,10 @@
         self.signal_children(signal.SIGTERM)
 
     async def stop(self) -> None:
-        """Send SIGTERM to a balancer without an agent, and wait until it has drained and exited."""
+        """Send SIGTERM to a balancer without an agent, and wait until it has drained and exited.
+
+        Kill it after EXIT_TIMEOUT_S.
+        """
         process = self.process
         if process is None:
             return
@@ -208,7 +211,7 @@
             self.start()
 
     def heal(self) -> None:
-        """End a freeze and a disk fault, and restart a process that has ended or is stopping."""
+        """End a freeze and a disk fault, and restart what the testbed has killed or is stopping."""
         self.clear_disk_fault()
         self.resume()
         if self.process is None:
--- a/cypresswalk/lab/cluster/testbed/balancer_members.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_members.py
@@ -33,7 +33,7 @@
 CLIENT_ADDRESS_EVENT = "front"  # recorded when a client address starts or stops answering
 ADMIN_TIMEOUT_S = 2.0
 MAX_SETUP_RATIO = 4.0
-FEW_BALANCERS = 8  # with fewer balancers a release has two waves, else three
+FEW_BALANCERS = 8  # with fewer balancers a release has two waves, else up to three
 STEPS_WHILE_OUT = (AgentStep.STARTING_NEW, AgentStep.STOPPING_OLD)
 
 
@@ -151,7 +151,10 @@
         return sorted(by_agents + self._drains)
 
     def count_crashes_as_disruptions(self) -> None:
-        """Record a disruption for each balancer process that crashed because of its build."""
+        """Record a disruption for each balancer process that ended by itself.
+
+        A defective build may make it crash.
+        """
         for host in self._hosts.values():
             for event in host.logged_events("ended_by_itself"):
                 host.disruptions.append((event.at - RESTART_BY_AGENT, event.at + SECOND))
--- a/cypresswalk/lab/cluster/testbed/cluster_testbed.py
+++ b/cypresswalk/lab/cluster/testbed/cluster_testbed.py
@@ -82,7 +82,6 @@
             tree: root folder of the program's source files; this checkout if None.
             in_fleet: whether balancers form a fleet; else their operator files are empty.
         """
-        # Longer than 40 lines because it creates one part after another.
         self.plan = plan
         self.folder = folder
         self.in_fleet = in_fleet
@@ -176,7 +175,7 @@
         self.recording.save(self.folder / RECORDING_FILE)
 
     def heal(self) -> None:
-        """End all faults, and start all balancers that are not running."""
+        """End all faults, and restart all balancers that the testbed has killed or stopped."""
         self.lists.heal()
         self.links.heal()
         for host in self.balancers.values():
--- a/cypresswalk/lab/cluster/testbed/convergence.py
+++ b/cypresswalk/lab/cluster/testbed/convergence.py
@@ -78,7 +78,9 @@
         return ReplicasStatus(body, False)
 
     async def wait_for_stable_replicas(self) -> bool:
-        """Wait until no replica is missing, absent or being moved; clients may keep running.
+        """Wait until no partition lacks replicas, is unreachable or is changing replicas.
+
+        Clients may keep running.
 
         Returns:
             True on success, False on timeout.
@@ -135,7 +137,7 @@
 
 
 def _is_stable(replicas: dict[str, Any]) -> bool:
-    """Return whether no replica is missing, absent or being moved."""
+    """Return whether no partition lacks replicas, is unreachable or is changing replicas."""
     return bool(
         replicas["parts"]
         and not replicas["lacking"]
--- a/cypresswalk/lab/cluster/testbed/host.py
+++ b/cypresswalk/lab/cluster/testbed/host.py
@@ -35,7 +35,7 @@
         folder: folder of the host.
         log: file to which the process writes its output.
         agent_folder: folder of the agent, if there is one.
-        process: the process last started; None once it is known to have ended.
+        process: the process last started; None once the testbed has killed or stopped it.
     """
 
     def __init__(self, name: str, folder: Path):
--- a/cypresswalk/lab/cluster/testbed/player.py
+++ b/cypresswalk/lab/cluster/testbed/player.py
@@ -22,7 +22,7 @@
 
 
 class Player:
-    """Executes the steps of a plan."""
+    """The executor of a plan's steps."""
 
     def __init__(
         self,
@@ -39,8 +39,8 @@
             handlers: handlers of all actions that the plan may have.
             calls: calls by which the leader is determined.
             recording: recording that receives each step.
-            wait_for_replicas: returns once no replica is missing, absent or being moved, or after
-                a timeout.
+            wait_for_replicas: returns once no partition lacks replicas, is unreachable or is
+                changing replicas, or after a timeout.
         """
         self._plan = plan
         self._handlers = handlers
--- a/cypresswalk/lab/cluster/testbed/releases.py
+++ b/cypresswalk/lab/cluster/testbed/releases.py
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseEnd:
-    """How the last release ended.
+    """The end of the last release.
 
     Attributes:
         took_s: seconds from the end of all faults to the end of the release.
--- a/cypresswalk/lab/cluster/testbed/settings.py
+++ b/cypresswalk/lab/cluster/testbed/settings.py
@@ -19,7 +19,7 @@
 OVERLOAD_WINDOW_S = 2.0
 WARM_UP_S = 5.0
 WARM_UP_INITIAL_FRACTION = 0.2
-TURNOVER = 1.0  # loads per second that a server serves per unit of capacity
+TURNOVER = 1.0  # load that one unit of a server's capacity serves per second
 MIN_SERVER_CAPACITY = 1.0
 # The price of a health check encodes the value of the register that the linearizability checker
 # examines: PRICE_UNIT x (value + 1).
--- a/tests/program_helpers.py
+++ b/tests/program_helpers.py
@@ -139,7 +139,7 @@
         return lines
 
     def assert_only_answer(self, answer: str) -> None:
-        """Assert rule one: the client gets this one line and then the end."""
+        """Assert rule one of `rule_assertions`: the client gets this one line and then the end."""
         assert self.read_to_end() == [answer, END]
 
     def close(self) -> None:
@@ -178,7 +178,7 @@
 
 
 class ServerMode(StrEnum):
-    """How a `ServerDouble` answers `OPEN`."""
+    """The ways in which a `ServerDouble` answers `OPEN`."""
 
     UP = "up"
     BUSY = "busy"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that files named in pages and deploy files exist and decisions import without cycles."""
+"""Tests of files and links named in pages, of deploy files, and of imports among decisions."""
 
 import re
 import tomllib
