--- a/cypresswalk/lab/cluster/testbed/links.py
+++ b/cypresswalk/lab/cluster/testbed/links.py
@@ -50,8 +50,8 @@
         """Return the addresses by which a balancer reaches the others."""
         return {
             target: proxy.address
-            for (begin, target), proxy in self._proxies.items()
-            if begin == source
+            for (link_source, target), proxy in self._proxies.items()
+            if link_source == source
         }
 
     def cut(self, source: str, target: str) -> None:
--- a/cypresswalk/lab/cluster/testbed/server_members.py
+++ b/cypresswalk/lab/cluster/testbed/server_members.py
@@ -187,7 +187,7 @@
         ports = [str(self._addresses.ports[name, balancer]) for balancer in self.balancers]
         return [
             *PROGRAM,
-            *("fleet", "--at", ",".join(address_text(place) for place in self._fleet.values())),
+            *("fleet", "--at", ",".join(address_text(address) for address in self._fleet.values())),
             *("--fleet", FLEET_NAME),
             *("agent", "--server", name),
             *("--answers", self._addresses.text(name, self.first_balancer)),
--- a/cypresswalk/lab/cluster/testbed/steps.py
+++ b/cypresswalk/lab/cluster/testbed/steps.py
@@ -60,14 +60,14 @@
 def disk_steps(hosts: Hosts) -> Handlers:
     """Return the handlers of disk faults, and of deleting, saving and restoring fleet state."""
 
-    def fail(step: Step) -> None:
+    def set_fault(step: Step) -> None:
         """Set the disk fault that the action names on the balancer's host."""
         hosts[step.balancer].set_disk_fault(step.action)
 
     return {
-        Action.DISK_FULL: fail,
-        Action.DISK_FAILS: fail,
-        Action.DISK_SLOW: fail,
+        Action.DISK_FULL: set_fault,
+        Action.DISK_FAILS: set_fault,
+        Action.DISK_SLOW: set_fault,
         Action.WIPE: lambda step: hosts[step.balancer].wipe(),
         Action.BACK_UP: lambda step: hosts[step.balancer].back_up(),
         Action.RESTORE_BACKUP: lambda step: hosts[step.balancer].restore_backup(),
--- a/tests/lab/test_cluster_player.py
+++ b/tests/lab/test_cluster_player.py
@@ -16,7 +16,7 @@
         """Discard an event."""
 
 
-def test_step_that_waits_for_replicas_begins_once_they_are_at_rest_and_shifts_later_ones():
+def test_step_that_waits_for_replicas_begins_once_they_are_stable_and_shifts_later_ones():
     # Guards against a failure under load: a plan wiped the two remaining replicas at fixed times,
     # before the third one was complete again, and lost the keys that it was meant to show as kept.
     done: list[tuple[int, float]] = []
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -59,7 +59,7 @@
 
 
 def run_to_report(plan: Plan, tmp_path) -> dict:
-    """Play a plan and return the report."""
+    """Run a plan and return the report."""
     return asyncio.run(run_plan(plan, tmp_path / "rig"))
 
 
@@ -77,7 +77,7 @@
     assert testbed.player.actions == set(Action) - not_possible
 
 
-def test_modules_of_the_test_bed_import_in_one_direction_and_checkers_none_of_them():
+def test_modules_of_the_testbed_import_in_one_direction_and_checkers_none_of_them():
     """Imports contain no cycle, including imports inside functions."""
     folder = ROOT / "cypresswalk/lab/cluster"
     statement = re.compile(
