--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -86,7 +86,6 @@
 
     def __init__(self, settings: Settings, seed: int, now: int):
         """Create the rules, each with its own state and the other rules that it reads."""
-        # Longer than 40 lines because each line creates one rule.
         self.settings = settings
         self.seed = seed
         self.servers: dict[int, Server] = {}
@@ -455,7 +454,10 @@
         return not may_retry(now, flow)
 
     def _request_checks(self, now: int, flow: Flow) -> None:
-        """Check the flow's preference list first, if checks report load and the last is old."""
+        """Request checks of the servers on the flow's preference list whose known load is old.
+
+        Do nothing if checks don't report load.
+        """
         if self.settings.load_index < 0 or not self.settings.health_checks:
             return
         for server in self.placement.preference_list(flow.key):
--- a/cypresswalk/fleet/member_folder.py
+++ b/cypresswalk/fleet/member_folder.py
@@ -14,7 +14,7 @@
 
 
 class MemberFolder:
-    """Reads and writes one member's log; used by the fleet's thread alone."""
+    """Lock and log of one member in its folder; used by the fleet's thread alone."""
 
     def __init__(self, path: str, fleet: str, name: str):
         """Use the folder at `path` for the balancer `name` of the fleet."""
@@ -29,7 +29,7 @@
 
         The lock keeps two processes from voting as one member.
         """
-        if self.disk.held is not None:
+        if self.disk.lock_descriptor is not None:
             return True  # the fleet's thread was restarted; this process still holds the lock
         logged = ""
         while not stopping.is_set():
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -1,4 +1,4 @@
-"""Real balancer processes: configuration, start, signals, and what they cost."""
+"""Real balancer processes: configuration, start, signals and resource usage."""
 
 import ctypes
 import json
@@ -22,7 +22,11 @@
 )
 
 ROOT = Path(__file__).parents[2]
-EFFECTS = {"repeatable": "idempotent", "referenced": "deduplicated", "once-only": "at_most_once"}
+SEMANTICS_BY_EFFECT = {
+    "repeatable": "idempotent",
+    "referenced": "deduplicated",
+    "once-only": "at_most_once",
+}
 SET_DEATH_SIGNAL = 1  # of prctl(2)
 POLL_WITHIN_MS = 10_000.0
 GOSSIP_PRICE = 0.01
@@ -30,12 +34,12 @@
 
 
 def die_with_parent() -> None:
-    """Let the kernel kill this child process when the lab's process dies."""
+    """Make the kernel kill this child process when the lab's process dies."""
     ctypes.CDLL(None).prctl(SET_DEATH_SIGNAL, signal.SIGKILL)
 
 
-def params(experiment: Experiment, settings: Settings, number: int) -> dict:
-    """Return the settings of the balancer with a number, in the platform's form."""
+def encode_settings(experiment: Experiment, settings: Settings, number: int) -> dict:
+    """Return the settings of the balancer with index `number`, in the platform's format."""
     groups = experiment.balancer_groups()
     return {
         "me": number,
@@ -52,7 +56,7 @@
             "dialTimeout": settings.dial_timeout_ms,
             "peerMessages": settings.gossip,
         },
-        "rules": rules_of(experiment, settings),
+        "rules": encode_rules(experiment, settings),
         "deductions": {
             "crossZone": settings.zone_crossing_price,
             "moves": settings.migration_price,
@@ -66,7 +70,7 @@
             "groups": bool(experiment.clients.groups),
             "tellsDelay": True,
             "messageAim": [t.message_latency_objective_ms for t in experiment.types],
-            "tenantQuotaConnections": quotas_of(experiment),
+            "tenantQuotaConnections": tenant_quotas(experiment),
         },
         "overagePayoff": OVERAGE_WEIGHT,
         "tenants": [{"name": tenant.name} for tenant in experiment.tenants],
@@ -74,8 +78,8 @@
     }
 
 
-def rules_of(experiment: Experiment, settings: Settings) -> dict:
-    """Return the platform's rules on cold servers and polls."""
+def encode_rules(experiment: Experiment, settings: Settings) -> dict:
+    """Return the rules on cold servers and list polling, in the platform's format."""
     return {
         "askWithin": POLL_WITHIN_MS,
         "cold": max(group.warm_up_s for group in experiment.servers) * 1000,
@@ -85,7 +89,7 @@
     }
 
 
-def quotas_of(experiment: Experiment) -> list[float]:
+def tenant_quotas(experiment: Experiment) -> list[float]:
     """Return each tenant's quota: its share of the capacity of all servers."""
     shares = sum(tenant.share for tenant in experiment.tenants)
     capacity = sum(
@@ -95,10 +99,10 @@
 
 
 def encode_type(flow_type: ServiceType) -> dict:
-    """Return a type of flow in the platform's form."""
+    """Return a type of flow in the platform's format."""
     return {
         "name": flow_type.name,
-        "semantics": EFFECTS[flow_type.effect],
+        "semantics": SEMANTICS_BY_EFFECT[flow_type.effect],
         "group": flow_type.scope,
         "window": flow_type.window_ms,
         "setupTarget": flow_type.setup_latency_objective_ms,
@@ -107,24 +111,24 @@
 
 
 def own_host() -> str:
-    """Return a loopback address of this process alone.
+    """Return a loopback address that only this process uses.
 
-    Two labs side by side, or a client's own port, could else take the port of a balancer between
-    its choice and its start, or while it is away.
+    On a shared address, another lab process or the local port of a client could take a balancer's
+    port between its choice and the balancer's start, or while the balancer is down.
     """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16) % 128}.{pid >> 8 & 255}.{pid & 255}"
 
 
 def free_port(host: str, kind: int = socket.SOCK_STREAM) -> int:
-    """Return a port of an address that is free now."""
+    """Return a port that is currently free at an address, for a type of socket."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((host, 0))
         return sock.getsockname()[1]
 
 
-class Balancer:
-    """One balancer's process, over its starts in a scenario."""
+class BalancerProcess:
+    """One balancer's process and its restarts in a scenario."""
 
     def __init__(
         self,
@@ -133,51 +137,52 @@
         group: BalancerGroup,
         experiment: Experiment,
         variant: Variant,
-        tree: Path,
+        source_folder: Path,
         folder: Path,
-        relay: tuple[str, int],
+        relay_address: tuple[str, int],
         command: list[str] | None = None,
     ):
-        """Choose its addresses and files; it does not run yet.
+        """Choose its addresses and files; the process does not run yet.
 
         Args:
             name: The balancer's name.
-            number: Its place among all balancers.
-            group: What it may use.
+            number: The balancer's index among all balancers.
+            group: The balancer group, with its resource limits.
             experiment: The experiment.
-            variant: What runs.
-            tree: The folder of the program's files.
-            folder: Where its configuration, log and state go.
-            relay: Where it sends gossip.
-            command: Runs instead of the program, if not None.
+            variant: The variant that runs.
+            source_folder: The folder of the program's source.
+            folder: The folder for configuration, log and state.
+            relay_address: The address to which the balancer sends gossip.
+            command: The command to run instead of the program; None runs the program.
         """
-        # Over 40 lines since it sets one attribute a line.
         self.name = name
         self.number = number
         self.group = group
         self.variant = variant
-        self.tree = tree
+        self.source_folder = source_folder
         self.settings = variant.settings or experiment.settings
-        self.params = params(experiment, self.settings, number)
+        self.encoded_settings = encode_settings(experiment, self.settings, number)
         host = own_host()
         self.address = (host, free_port(host))
-        self.peer = (host, free_port(host, socket.SOCK_DGRAM))
-        self.relay = relay
-        self.starts = 0
+        self.gossip_address = (host, free_port(host, socket.SOCK_DGRAM))
+        self.relay_address = relay_address
+        self.start_count = 0
         module = ["cypresswalk"]
         if variant.policy != "product":
             module = ["cypresswalk.lab.baselines", variant.policy]
         self.command = command or [sys.executable, "-B", "-m", *module]
         self.folder = folder
-        self.operator = folder / f"{name}.operator.toml"
-        self.config = folder / f"{name}.json"
-        self.log = folder / f"{name}.log"
+        self.operator_file = folder / f"{name}.operator.toml"
+        self.config_file = folder / f"{name}.json"
+        self.log_file = folder / f"{name}.log"
         self.process: subprocess.Popen | None = None
-        self.usage: psutil.Process | None = None
+        self.process_info: psutil.Process | None = None
         self.expected_end = False
 
-    def write(self, discovery: tuple[str, int], known: dict, seed: int) -> None:
-        """Write its configuration: the list service, the list it starts with, its seed."""
+    def write_configuration(
+        self, discovery: tuple[str, int], initial_list: dict, seed: int
+    ) -> None:
+        """Write its configuration: list service address, initial endpoint list, seed."""
         data = {
             "name": self.name,
             "listen": address_text(self.address),
@@ -188,45 +193,45 @@
                 "memory_mb": self.group.memory_mb,
                 "sockets": self.group.sockets,
             },
-            "known": known,
-            "settings": self.params,
+            "known": initial_list,
+            "settings": self.encoded_settings,
         }
         if self.settings.gossip:
             data |= {
-                "peer_listen": address_text(self.peer),
-                "peers_all": address_text(self.relay),
+                "peer_listen": address_text(self.gossip_address),
+                "peers_all": address_text(self.relay_address),
                 "peers": [],
             }
-        new = self.config.with_suffix(".new")
+        new = self.config_file.with_suffix(".new")
         new.write_text(json.dumps(data))
-        os.replace(new, self.config)
+        os.replace(new, self.config_file)
 
     def environment(self) -> dict[str, str]:
-        """Return its environment: of the platform's variables only what the lab sets.
+        """Return its environment, with only those platform variables that the lab sets.
 
-        Where the settings ask for persisted state, an operator file is written for it.
+        If the settings enable persisted state, write an operator file that configures it.
         """
-        plain = {
+        variables = {
             k: v for k, v in os.environ.items() if not k.startswith("PROXY_") and k != "PYTHONPATH"
         }
-        plain["PROXY_CONFIG"] = str(self.config.absolute())
+        variables["PROXY_CONFIG"] = str(self.config_file.absolute())
         if self.settings.state:
             state = (self.folder / f"{self.name}.state").absolute()
-            if not self.starts:
-                shutil.rmtree(state, ignore_errors=True)  # a scenario begins without a past
+            if not self.start_count:
+                shutil.rmtree(state, ignore_errors=True)  # a scenario starts without state
             state.mkdir(exist_ok=True)
-            self.operator.write_text(
+            self.operator_file.write_text(
                 f'[state]\nfolder = "{state}"\nevery_s = {self.settings.state_every_s}\n'
             )
-            plain["PROXY_OPERATOR"] = str(self.operator.absolute())
-        return plain
+            variables["PROXY_OPERATOR"] = str(self.operator_file.absolute())
+        return variables
 
     def start(self) -> None:
-        """Start it; its log goes on after the first start."""
-        with open(self.log, "ab" if self.starts else "wb") as log:
+        """Start the process; restarts append to its log."""
+        with open(self.log_file, "ab" if self.start_count else "wb") as log:
             self.process = subprocess.Popen(
                 self.command,
-                cwd=self.tree,
+                cwd=self.source_folder,
                 stderr=log,
                 stdout=log,
                 stdin=subprocess.DEVNULL,
@@ -234,53 +239,53 @@
                 preexec_fn=die_with_parent,
                 start_new_session=True,
             )
-        self.usage = psutil.Process(self.process.pid)
+        self.process_info = psutil.Process(self.process.pid)
         self.expected_end = False
-        self.starts += 1
+        self.start_count += 1
 
-    def send(self, number: int) -> None:
-        """Send it a signal if it runs."""
+    def send_signal(self, number: int) -> None:
+        """Send it a signal if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it if it runs, and wait for its end."""
+        """Kill it if it is running, and wait until it has exited."""
         self.expected_end = True
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
 
-    def running(self) -> bool:
-        """Return whether its process runs."""
+    def is_running(self) -> bool:
+        """Return whether its process is running."""
         return self.process is not None and self.process.poll() is None
 
-    def crashed(self) -> int | None:
-        """Return the exit code of an end that nobody asked for."""
+    def crash_exit_code(self) -> int | None:
+        """Return the exit code of an unexpected exit; None if there was none."""
         if self.process is None or self.expected_end:
             return None
         return self.process.poll()
 
-    def cost(self) -> tuple[int, int, float] | None:
-        """Return resident bytes, descriptors and seconds of processor time since its start.
+    def resource_usage(self) -> tuple[int, int, float] | None:
+        """Return resident bytes, file descriptors and CPU seconds since its start.
 
-        None while it does not run.
+        Return None while it is not running.
         """
-        if self.usage is None:
+        if self.process_info is None:
             return None
         try:
-            with self.usage.oneshot():
-                times = self.usage.cpu_times()
-                memory = self.usage.memory_info().rss
-                return memory, self.usage.num_fds(), times.user + times.system
+            with self.process_info.oneshot():
+                times = self.process_info.cpu_times()
+                memory = self.process_info.memory_info().rss
+                return memory, self.process_info.num_fds(), times.user + times.system
         except (psutil.Error, AttributeError):
             return None
 
     def counters(self) -> dict[str, int]:
-        """Return the sums of the counters that its runs logged, at their ends or when asked."""
+        """Return the counters that its runs logged, at exit or on SIGUSR1, summed over all runs."""
         total: dict[str, int] = {}
         run: dict[str, int] = {}
         try:
-            lines = self.log.read_text(errors="replace").splitlines()
+            lines = self.log_file.read_text(errors="replace").splitlines()
         except OSError:
             return total
         for line in lines:
@@ -301,6 +306,6 @@
     return f"{host}:{port}"
 
 
-def known(agent: ListAgent, entries: list[dict]) -> dict:
-    """Return the list that a balancer starts with, in the platform's form."""
+def encode_initial_list(agent: ListAgent, entries: list[dict]) -> dict:
+    """Return the initial endpoint list of a balancer, in the platform's format."""
     return {"generation": agent.version, "reset": True, "instances": entries}
--- a/cypresswalk/lab/cluster/simulation/disk.py
+++ b/cypresswalk/lab/cluster/simulation/disk.py
@@ -30,7 +30,7 @@
 
     Attributes:
         files: the files by name.
-        held: the folder's lock; always None, since only one process uses the folder.
+        lock_descriptor: always None, since only one process uses the folder and needs no lock.
         operations_until_kill: number of operations that succeed before the process is killed in
             the middle of the next one; None for never.
         failing: whether every writing operation fails.
@@ -40,7 +40,7 @@
     def __init__(self, random: Random):
         """Create an empty folder; `random` draws what is left after a crash."""
         self.files: dict[str, StoredFile] = {}
-        self.held = None
+        self.lock_descriptor = None
         self.operations_until_kill: int | None = None
         self.failing = False
         self.full = False
--- a/cypresswalk/lab/testbed/gossip_relay.py
+++ b/cypresswalk/lab/testbed/gossip_relay.py
@@ -5,29 +5,29 @@
 from typing import cast
 
 from cypresswalk.lab.clients import draw_ms
-from cypresswalk.lab.testbed.bed import Address, Bed
+from cypresswalk.lab.testbed.bed import Address, ScenarioTestBed
 from cypresswalk.lab.units import SECOND
 
 
 class GossipRelay(asyncio.DatagramProtocol):
-    """Passes what one balancer sends to all others, late or not at all."""
+    """A relay that passes each balancer's messages to all others, with delay and loss."""
 
-    def __init__(self, bed: Bed):
-        """Start without members."""
-        self.bed = bed
-        self.random = Random(f"{bed.seed}/peers")
+    def __init__(self, testbed: ScenarioTestBed):
+        """Start without member addresses."""
+        self.testbed = testbed
+        self.random = Random(f"{testbed.seed}/peers")
         self.members: list[Address] = []
         self.passed = 0
         self.lost = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket; called by asyncio."""
-        # Of a datagram endpoint; Python 3.11's own class does not derive from DatagramTransport.
+        """Store the transport; called by asyncio."""
+        # Python 3.11's transport of a datagram endpoint does not derive from DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        """Pass a message on; called by asyncio."""
-        network = self.bed.experiment.network
+        """Pass a message to all other members; called by asyncio."""
+        network = self.testbed.experiment.network
         for member in self.members:
             if member == sender[:2]:
                 continue
