--- a/cypresswalk/service/program.py
+++ b/cypresswalk/service/program.py
@@ -1,6 +1,6 @@
-"""Creates the parts of the balancer, runs the decision thread, and handles signals.
+"""Creates the parts of the balancer, runs the deciding thread, and handles signals.
 
-Threads: the main thread is the decision thread and the only one that calls the core. The client
+Threads: the main thread is the deciding thread and the only one that calls the core. The client
 listener, the endpoint list watch, the gossip socket and the admin listener have a thread each.
 `Program.run` or `Program.accept` starts it, and it runs until its part is stopped or the process
 ends. Each connection has its own thread.
@@ -53,7 +53,7 @@
 
 
 class Program:
-    """The core's socket drivers and the decision thread, the only one that calls the core."""
+    """The core's socket drivers and the deciding thread, the only one that calls the core."""
 
     def __init__(
         self,
@@ -173,7 +173,7 @@
         )
 
     def run(self) -> None:
-        """Start all threads and run the decision thread until the process may exit."""
+        """Start all threads and run the deciding thread until the process may exit."""
         self._start_threads()
         core = self.core
         last = self.clock()
@@ -418,7 +418,7 @@
 
 
 def handle_signals(program: Program) -> None:
-    """Post signals to the decision thread."""
+    """Post signals to the deciding thread."""
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: program.inbox.post(program.stop))
     signal.signal(signal.SIGHUP, lambda *_: program.inbox.post(program.reload))
