--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -56,7 +56,7 @@
 
 
 def test_timed_out_attempts_do_not_count_as_established_among_errors():
-    # Seen on cardiff-live: an overloaded store causes both, and each time-out admitted a retry.
+    # In one deployment, an overloaded store caused both, and each time-out admitted a retry.
     host = SimulatedHost(6, max_attempts=6)
     settle(host)
     for outcome in (Outcome.TIMEOUT, Outcome.ERROR):
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -122,9 +122,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_store_overloaded_by_a_burst_recovers_and_all_clients_are_established(seed):
-    # Seen on cardiff-live after a burst of one second: attempts that timed out counted as
-    # accepted, and one flow in four was attempted regardless of errors. So 100 attempts per second
-    # kept a store that can answer some 30 per second down for 25 s.
+    # In one deployment, after a burst of one second, attempts that timed out counted as accepted,
+    # and one flow in four was attempted regardless of errors. So 100 attempts per second kept a
+    # store that can answer some 30 per second down for 25 s.
     totals = Storm(seed, clients=200, store_capacity=25).run(25)
     assert totals[-1] == 200, totals
 
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -80,7 +80,7 @@
 
 
 def test_checks_are_no_more_frequent_than_own_flows_can_pay_for():
-    # Seen at full size: a hundred checks per flow cost up to 0.4 of all service.
+    # With many balancers, a hundred checks per flow cost up to 0.4 of all service.
     for price, at_most in ((0.004, 15), (0.0, 2000)):
         host = SimulatedHost(40, health_check_price=price)
         sent = 0
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -65,10 +65,10 @@
 
 
 def test_zone_whose_servers_fail_one_after_another_is_skipped_except_for_trials():
-    # Seen on lagos-main when the network between its data centres became slow: each of sixteen
-    # balancers lost two attempts at each of thirty servers of the other zone (498 of 890 in five
-    # seconds), while the servers of its own zone answered. Here six servers are in zone 0, the
-    # balancer's own, and six in zone 1.
+    # In one deployment, the network between the data centres became slow: each of sixteen balancers
+    # lost two attempts at each of thirty servers of the other zone (498 of 890 in five seconds),
+    # while the servers of its own zone answered. Here six servers are in zone 0, the balancer's
+    # own, and six in zone 1.
     host = SimulatedHost(servers=12, zone_crossing_price=0.0)
     settle(host)
 
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -15,7 +15,7 @@
 
 
 def test_group_stays_on_three_servers_while_servers_are_overloaded_in_turn():
-    # Seen at full size: groups were on most servers, and each copy costs the group's own work.
+    # With many balancers, groups were on most servers, and each copy costs the group's own work.
     host = SimulatedHost(12)
     settle(host)
     servers = list(host.balancer.servers.values())
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -101,8 +101,9 @@
 
 @pytest.mark.parametrize("age", [0, 2, 5, 9, 14, 19])
 def test_overloaded_server_that_warms_up_is_no_last_resort(age):
-    # Seen on herd+mass: balancers had learned a second before that the warming owner of a group's
-    # slot was overloaded, but sent it one flow each of the group, and it collapsed.
+    # After most balancers were killed at once, balancers had learned a second before that the
+    # warming owner of a group's slot was overloaded, but sent it one flow each of the group, and it
+    # collapsed.
     attempted = []
     for number in range(20):
         host, key = host_with_overloaded_owner(number, age * SECOND)
@@ -113,8 +114,8 @@
 
 
 def test_flow_is_not_sent_to_a_server_that_warms_up_twice():
-    # Seen on herd+mass: a flow whose attempt at a warming server had timed out was sent there
-    # again, up to four times, although the budget had admitted it once.
+    # After most balancers were killed at once, a flow whose attempt at a warming server had timed
+    # out was sent there again, up to four times, although the budget had admitted it once.
     sent = 0
     for number in range(20):
         host, key = host_with_overloaded_owner(number, 9 * SECOND)
@@ -239,8 +240,8 @@
 
 
 def test_flows_of_other_keys_get_a_share_of_the_budget_when_the_owners_of_their_slots_are_full():
-    # Seen on lagos-main: after a mass restart all flows of three balancers went on to one server
-    # three seconds old. Each was admitted with the probability meant for keys whose slots the
+    # In one deployment, after a mass restart, all flows of three balancers went to one server that
+    # was three seconds old. Each was admitted with the probability meant for keys whose slots the
     # server owns. The server got 10.2 times the load that it could serve, and collapsed.
     host = SimulatedHost(servers=6)
     settle(host)
