--- a/cypresswalk/agreement/member_state.py
+++ b/cypresswalk/agreement/member_state.py
@@ -87,8 +87,8 @@
         return self.id in self.voters
 
     @property
-    def is_vote_flushed(self) -> bool:
-        """Return whether the owner has already taken the latest term and vote to write them."""
+    def is_vote_taken(self) -> bool:
+        """Return whether the owner has taken the latest term and vote in order to write them."""
         return not self.vote_changed and self.ready.vote is None
 
     @property
--- a/cypresswalk/lab/cluster/simulation/invariants.py
+++ b/cypresswalk/lab/cluster/simulation/invariants.py
@@ -58,7 +58,7 @@
             raise ViolationError(f"A1: {before} and {member_id} both lead term {state.term}")
 
     def _check_vote(self, member_id: str, state: MemberState) -> None:
-        if not state.voted_for or not state.is_vote_flushed:
+        if not state.voted_for or not state.is_vote_taken:
             return
         before = self._votes.setdefault((member_id, state.term), state.voted_for)
         if before != state.voted_for:
