--- a/cypresswalk/fleet/endpoint_merge.py
+++ b/cypresswalk/fleet/endpoint_merge.py
@@ -55,13 +55,13 @@
         self.core.on_endpoints(now, EndpointUpdate.DELTA, [])
 
     def merge_endpoints(
-        self, now: int, form: EndpointUpdate, entries: list[tuple[Server, Address]]
+        self, now: int, update: EndpointUpdate, entries: list[tuple[Server, Address]]
     ) -> tuple[EndpointUpdate, list[tuple[Server, Address]]]:
         """Merge an update of this balancer's own list with the agreed list.
 
         Args:
             now: current time, nanoseconds.
-            form: whether `entries` are changes or the whole list.
+            update: whether `entries` are changes or the whole list.
             entries: listed servers with their addresses.
 
         Returns:
@@ -69,7 +69,7 @@
         """
         for server, address in entries:
             self.own[server.id] = copy_listed_fields(server), address
-        if form is not EndpointUpdate.DELTA:
+        if update is not EndpointUpdate.DELTA:
             named = {server.id for server, _ in entries}
             for number, (server, _) in self.own.items():
                 if number not in named:
--- a/cypresswalk/net/ports.py
+++ b/cypresswalk/net/ports.py
@@ -82,7 +82,7 @@
         """Handle the end of an attempt or of an established connection, with any outcome."""
 
     def merge_endpoints(
-        self, now: int, form: EndpointUpdate, entries: list[Endpoint]
+        self, now: int, update: EndpointUpdate, entries: list[Endpoint]
     ) -> tuple[EndpointUpdate, list[Endpoint]]:
         """Return the update to apply, given an update of this balancer's own endpoint list."""
 
