--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -335,7 +335,7 @@
 
     async def halt_at_random_balancer(self) -> None:
         """Send a halt to a random balancer."""
-        await self.releases.halt(self.testbed.chance.choice(self.names))
+        await self.releases.halt(self.testbed.rng.choice(self.names))
 
     async def roll_back(self) -> None:
         """Start rolling the release back."""
--- a/cypresswalk/lab/cluster/testbed/balancer_members.py
+++ b/cypresswalk/lab/cluster/testbed/balancer_members.py
@@ -79,11 +79,11 @@
         self._root.mkdir()
         self.make_build(FIRST_VERSION, Build.GOOD)
 
-    def watch(self, tasks: BackgroundTasks, chance: Random) -> None:
+    def watch(self, tasks: BackgroundTasks, rng: Random) -> None:
         """Start tasks that record which balancers are unavailable."""
         tasks.spawn(watch_agents(self._hosts, STEPS_WHILE_OUT, self._outages, self._recording))
         for host in self._hosts.values():
-            tasks.spawn(self._watch_health(host, chance.random() * HEALTH_CHECK_INTERVAL_S))
+            tasks.spawn(self._watch_health(host, rng.random() * HEALTH_CHECK_INTERVAL_S))
 
     def make_build(self, version: str, build: Build) -> None:
         """Make a version that agents can start."""
--- a/cypresswalk/lab/cluster/testbed/clients.py
+++ b/cypresswalk/lab/cluster/testbed/clients.py
@@ -49,7 +49,7 @@
         balancers: Mapping[str, BalancerHost],
         recording: Recording,
         tasks: BackgroundTasks,
-        chance: Random,
+        rng: Random,
         max_flow_duration_s: float = 0.0,
     ):
         """Store the parameters; `start` begins the load.
@@ -59,7 +59,7 @@
             balancers: hosts of the balancers that clients connect to.
             recording: recording of what clients send and receive.
             tasks: runner of each flow.
-            chance: source of the random times, balancers and repeats.
+            rng: source of the random times, balancers and repeats.
             max_flow_duration_s: longest time in seconds for which a client keeps an established
                 flow open; each client chooses a random time up to it.
         """
@@ -69,7 +69,7 @@
         self._balancers = balancers
         self._recording = recording
         self._tasks = tasks
-        self._chance = chance
+        self._rng = rng
         self._max_flow_duration_s = max_flow_duration_s
         self._stopped = False
 
@@ -115,18 +115,18 @@
         )
 
     async def _run(self, flows_per_s: float) -> None:
-        chance = self._chance
+        rng = self._rng
         names = list(self._balancers)
         number = 0
         while not self._stopped:
-            await asyncio.sleep(chance.expovariate(flows_per_s))
+            await asyncio.sleep(rng.expovariate(flows_per_s))
             number += 1
             flow_id = f"f{number}"
-            balancer = chance.choice(names)
+            balancer = rng.choice(names)
             type_name = BOOK if number % BOOK_INTERVAL == 0 else VIEW
-            if type_name == BOOK and chance.random() < self._plan.repeat_probability:
+            if type_name == BOOK and rng.random() < self._plan.repeat_probability:
                 self.repeated.add(flow_id)
-                repeat = self._repeat(flow_id, chance.choice(names), chance.choice(REPEAT_DELAYS_S))
+                repeat = self._repeat(flow_id, rng.choice(names), rng.choice(REPEAT_DELAYS_S))
                 self._tasks.spawn(repeat)
             self._tasks.spawn(self.flow(flow_id, balancer, type_name))
 
@@ -173,7 +173,7 @@
         if not self._max_flow_duration_s:
             return
         try:
-            async with asyncio.timeout(self._chance.uniform(0, self._max_flow_duration_s)):
+            async with asyncio.timeout(self._rng.uniform(0, self._max_flow_duration_s)):
                 await reader.readline()
         except TimeoutError:
             pass
--- a/cypresswalk/lab/cluster/testbed/cluster_testbed.py
+++ b/cypresswalk/lab/cluster/testbed/cluster_testbed.py
@@ -58,7 +58,7 @@
         tasks: background tasks of the event loop.
         lateness: measurement of the event loop's lateness.
         addresses: allocator of loopback addresses.
-        chance: source of all randomness.
+        rng: source of all randomness.
         lists: stand-ins for discovery's endpoint lists.
         links: links between balancers.
         calls: calls to the fleet.
@@ -91,7 +91,7 @@
         self.tasks = BackgroundTasks(self.recording)
         self.lateness = LatenessMonitor()
         self.addresses = Addresses()
-        self.chance = Random(f"{plan.seed}/rig")
+        self.rng = Random(f"{plan.seed}/rig")
         self.outages = OutageLog()
         self.launch = _launch(plan, folder, tree or ROOT)
         stand_in_host = self.addresses.stand_in_host
@@ -100,13 +100,13 @@
         self.lists = EndpointLists(
             stand_in_host, self.names, self._server_addresses, self.recording
         )
-        self.links = Links(stand_in_host, plan.seed, self.chance)
+        self.links = Links(stand_in_host, plan.seed, self.rng)
         self.calls = FleetCalls(self.balancers)
         self.convergence = Convergence(plan, self.calls)
-        self.operators = OperatorCalls(plan, self.calls, self.recording, self.chance)
+        self.operators = OperatorCalls(plan, self.calls, self.recording, self.rng)
         max_flow_duration_s = MAX_FLOW_DURATION_S if plan.server_agents else 0.0
         self.clients = Clients(
-            plan, self.balancers, self.recording, self.tasks, self.chance, max_flow_duration_s
+            plan, self.balancers, self.recording, self.tasks, self.rng, max_flow_duration_s
         )
         self.balancer_members: BalancerMembers | None = None
         self.server_members: ServerMembers | None = None
@@ -136,7 +136,7 @@
         await self._start_balancers()
         self.tasks.spawn(self.lateness.run())
         if self.balancer_members is not None:
-            self.balancer_members.watch(self.tasks, self.chance)
+            self.balancer_members.watch(self.tasks, self.rng)
         if self.server_members is not None:
             fleet = {name: host.fleet for name, host in self.balancers.items()}
             self.server_members.start(fleet, self.tasks)
@@ -216,7 +216,7 @@
             )
         members = self.balancer_members or self.server_members
         if members is not None:
-            self.releases = Releases(members, self.calls, self.recording, self.chance)
+            self.releases = Releases(members, self.calls, self.recording, self.rng)
 
     def _step_handlers(self) -> steps.Handlers:
         with_agents = self.balancer_members is not None
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -35,14 +35,14 @@
         """Open a folder, with the file that contains its current fault."""
         super().__init__(path)
         self._fault_file = fault_file
-        self._chance = Random(os.getpid())
+        self._rng = Random(os.getpid())
 
     def write_with_flags(self, name: str, data: bytes, open_flags: int) -> None:
         """Write a file, or fail; a failed append may write a part of the data."""
         if error := self._fault():
             if open_flags & os.O_APPEND:
                 super().write_with_flags(
-                    name, data[: self._chance.randrange(len(data) + 1)], open_flags
+                    name, data[: self._rng.randrange(len(data) + 1)], open_flags
                 )
             raise error
         super().write_with_flags(name, data, open_flags)
--- a/cypresswalk/lab/cluster/testbed/links.py
+++ b/cypresswalk/lab/cluster/testbed/links.py
@@ -19,11 +19,11 @@
     Two balancers that are not voters don't communicate and have no link.
     """
 
-    def __init__(self, host: str, seed: int, chance: Random):
+    def __init__(self, host: str, seed: int, rng: Random):
         """Store the parameters; `start` starts proxies that listen on `host`."""
         self._host = host
         self._seed = seed
-        self._chance = chance
+        self._rng = rng
         self._proxies: dict[tuple[str, str], Proxy] = {}
 
     async def start(self, balancers: Mapping[str, BalancerHost], voters: list[str]) -> None:
@@ -72,7 +72,7 @@
     def garble(self, source: str, target: str) -> None:
         """Corrupt bytes that the source sends on a link."""
         for proxy in self._link(source, target):
-            mask = self._chance.randrange(1, 1 << 32)
+            mask = self._rng.randrange(1, 1 << 32)
             proxy.inject(Kind.GARBLE, "up", size=GARBLED_BYTES, mask=mask)
 
     def half_close(self, source: str, target: str) -> None:
--- a/cypresswalk/lab/cluster/testbed/operator_calls.py
+++ b/cypresswalk/lab/cluster/testbed/operator_calls.py
@@ -69,14 +69,14 @@
         initial_settings: settings before the first of these calls.
     """
 
-    def __init__(self, plan: Plan, calls: FleetCalls, recording: Recording, chance: Random):
+    def __init__(self, plan: Plan, calls: FleetCalls, recording: Recording, rng: Random):
         """Store the parameters; no call has been made yet."""
         self.settings_calls: list[SettingsCall] = []
         self.initial_settings = SettingsState(0, 0)
         self._plan = plan
         self._calls = calls
         self._recording = recording
-        self._chance = chance
+        self._rng = rng
         self._removals: list[AgreedRemoval] = []
         self._returns: list[ReturnCall] = []
 
@@ -132,7 +132,7 @@
         if not shown.ok:
             return
         base = shown.body["settings_version"]
-        value = self._chance.randrange(MAX_REGISTER_VALUE)
+        value = self._rng.randrange(MAX_REGISTER_VALUE)
         offered = balancer_settings(0, self._plan.balancers, value)
         settings = {key: offered[key] for key in offered if key in shown.body["settings"]}
         called_at = time.monotonic_ns()
--- a/cypresswalk/lab/cluster/testbed/releases.py
+++ b/cypresswalk/lab/cluster/testbed/releases.py
@@ -141,7 +141,7 @@
     """
 
     def __init__(
-        self, members: ReleaseMembers, calls: FleetCalls, recording: Recording, chance: Random
+        self, members: ReleaseMembers, calls: FleetCalls, recording: Recording, rng: Random
     ):
         """Store the parameters; no release has begun yet."""
         self.current_version = FIRST_VERSION
@@ -151,7 +151,7 @@
         self._members = members
         self._calls = calls
         self._recording = recording
-        self._chance = chance
+        self._rng = rng
         self._builds = {FIRST_VERSION: Build.GOOD}
         self._count = 0
 
@@ -169,7 +169,7 @@
         self._builds[version] = step.build
         names = members.names
         if step.shuffled:
-            names = self._chance.sample(names, len(names))
+            names = self._rng.sample(names, len(names))
         plan = members.release_plan(self.last_name, self.current_version, version, names, step)
         answer = await self._calls.command(
             step.balancer or members.first_balancer,
