--- a/cypresswalk/cli/state.py
+++ b/cypresswalk/cli/state.py
@@ -104,7 +104,7 @@
     from cypresswalk.state import file_format
 
     file, snapshot = read_snapshot(path)
-    version = file_format.FIXED.unpack_from(file.read_bytes())[1]
+    version = file_format.FILE_HEADER_FIELDS.unpack_from(file.read_bytes())[1]
     click.echo(
         f"{file}: version {version}, {len(snapshot.servers)} servers, {len(snapshot.ids)} ids"
     )
--- a/cypresswalk/state/file_format.py
+++ b/cypresswalk/state/file_format.py
@@ -22,9 +22,9 @@
 
 MAGIC = b"CWSTATE\n"
 VERSION = 1
-FIXED = struct.Struct("<8sHQ")  # the file header without its checksum
-DIGEST = 16  # bytes of the checksum
-PART = struct.Struct("<cI")  # a chunk's kind and length
+FILE_HEADER_FIELDS = struct.Struct("<8sHQ")  # the file header without its checksum
+CHECKSUM_BYTES = 16
+CHUNK_HEADER = struct.Struct("<cI")  # a chunk's kind and length
 # A hundred thousand ids and servers take a tenth of this size.
 MAX_BODY_BYTES = 64 << 20
 STATES = {state.value for state in ServerState}
@@ -51,7 +51,7 @@
 def encode_chunk(kind: bytes, value: object) -> bytes:
     """Return a value encoded as a chunk of that kind."""
     data = encoder.encode(value)
-    return PART.pack(kind, len(data)) + data
+    return CHUNK_HEADER.pack(kind, len(data)) + data
 
 
 def encode_file(chunks: Iterable[bytes]) -> bytes:
@@ -59,13 +59,13 @@
     body = b"".join(chunks) + encode_chunk(b"e", None)
     if len(body) > MAX_BODY_BYTES:
         raise FormatError(f"{len(body)} bytes, more than {MAX_BODY_BYTES}")
-    fixed = FIXED.pack(MAGIC, VERSION, len(body))
-    return fixed + compute_checksum(fixed, body) + body
+    header_fields = FILE_HEADER_FIELDS.pack(MAGIC, VERSION, len(body))
+    return header_fields + compute_checksum(header_fields, body) + body
 
 
-def compute_checksum(fixed: bytes, body: bytes) -> bytes:
+def compute_checksum(header_fields: bytes, body: bytes) -> bytes:
     """Return the checksum of the file header's other fields and the chunks."""
-    checksum = blake2b(fixed, digest_size=DIGEST)
+    checksum = blake2b(header_fields, digest_size=CHECKSUM_BYTES)
     checksum.update(body)
     return checksum.digest()
 
@@ -82,15 +82,18 @@
 
 def decode(data: bytes) -> Snapshot:
     """Return a file's snapshot. Raise FormatError if it is invalid; check the checksum first."""
-    if len(data) < FIXED.size + DIGEST:
+    if len(data) < FILE_HEADER_FIELDS.size + CHECKSUM_BYTES:
         raise FormatError(f"{len(data)} bytes, shorter than the file header")
-    magic, version, length = FIXED.unpack_from(data)
+    magic, version, length = FILE_HEADER_FIELDS.unpack_from(data)
     if magic != MAGIC:
         raise FormatError("not a state file")
-    body = data[FIXED.size + DIGEST :]
+    body = data[FILE_HEADER_FIELDS.size + CHECKSUM_BYTES :]
     if length != len(body):
         raise FormatError(f"{len(body)} bytes follow the file header, {length} are stated there")
-    if compute_checksum(data[: FIXED.size], body) != data[FIXED.size : FIXED.size + DIGEST]:
+    if (
+        compute_checksum(data[: FILE_HEADER_FIELDS.size], body)
+        != data[FILE_HEADER_FIELDS.size : FILE_HEADER_FIELDS.size + CHECKSUM_BYTES]
+    ):
         raise FormatError("the checksum does not match")
     if version > VERSION:
         raise FormatError(f"version {version}, this program reads up to {VERSION}", newer=True)
@@ -106,8 +109,8 @@
     """Yield each chunk's kind and data. Raise ValueError or struct.error if one is truncated."""
     offset = 0
     while offset < len(body):
-        kind, length = PART.unpack_from(body, offset)
-        offset += PART.size
+        kind, length = CHUNK_HEADER.unpack_from(body, offset)
+        offset += CHUNK_HEADER.size
         if offset + length > len(body):
             raise ValueError("a chunk is truncated")
         yield kind, body[offset : offset + length]
--- a/cypresswalk/state/store.py
+++ b/cypresswalk/state/store.py
@@ -17,7 +17,9 @@
 NEXT = "next"
 PREFIX = "state."
 KEPT_GENERATIONS = 2
-MAX_FILE_BYTES = file_format.MAX_BODY_BYTES + file_format.FIXED.size + file_format.DIGEST
+MAX_FILE_BYTES = (
+    file_format.MAX_BODY_BYTES + file_format.FILE_HEADER_FIELDS.size + file_format.CHECKSUM_BYTES
+)
 
 
 class Files(Protocol):
--- a/tests/state/test_snapshot_writer.py
+++ b/tests/state/test_snapshot_writer.py
@@ -51,10 +51,12 @@
 
 def newer_version(data: bytes) -> bytes:
     """Return the file with the next version's number and a valid checksum."""
-    fields_end = file_format.FIXED.size
-    body = data[fields_end + file_format.DIGEST :]
-    fixed = file_format.FIXED.pack(file_format.MAGIC, file_format.VERSION + 1, len(body))
-    return fixed + file_format.compute_checksum(fixed, body) + body
+    fields_end = file_format.FILE_HEADER_FIELDS.size
+    body = data[fields_end + file_format.CHECKSUM_BYTES :]
+    header_fields = file_format.FILE_HEADER_FIELDS.pack(
+        file_format.MAGIC, file_format.VERSION + 1, len(body)
+    )
+    return header_fields + file_format.compute_checksum(header_fields, body) + body
 
 
 def test_restarted_balancer_recovers_state_and_flow_ids(tmp_path, caplog):
