--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -194,3 +194,21 @@
     assert primary.effects[-1] == answer("t6", "held", "n1", "ran")
     assert isinstance(primary.partition(PARTITION), Partition)
     assert pair.backup.partition(PARTITION).records["x"].outcome == "ran"
+
+
+def test_requests_during_the_replication_of_an_outcome_are_answered_once_the_backup_has_it(pair):
+    # An answer before that could be contradicted by the next primary, which lacks the outcome.
+    primary = pair.primary
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
+    pair.replicate()
+    primary.effects.clear()
+    primary.end_reservation(PARTITION, "x", "n1", "never", "t2")
+    effects_of_first = list(primary.effects)
+    primary.end_reservation(PARTITION, "x", "n1", "never", "t3")
+    primary.end_reservation(PARTITION, "x", "n1", "unknown", "t4")
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t5")
+    primary.reserve(0, PARTITION, "x", "n2", 10, "t6")
+    assert primary.effects == effects_of_first
+    pair.replicate()
+    waiting = ("t2", "t3", "t4", "t5", "t6")
+    assert primary.effects == [answer(token, "held", "n1", "never") for token in waiting]
