--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -198,6 +198,22 @@
     assert second.accepting
 
 
+def test_each_successor_is_sent_the_number_of_its_predecessors_sessions():
+    # The second successor would count none, and both together could exceed the limit of one.
+    predecessor = HandoverProcess()
+    predecessor.establish(5)
+    first = HandoverProcess(predecessor)
+    first.exchange_all()
+    predecessor.stop()
+    first.exchange_all()
+    assert first.handover.peer_sessions == 5
+    predecessor.lose_peer()
+    second = HandoverProcess(predecessor)
+    second.exchange_all()
+    assert predecessor.handover.replaced
+    assert second.handover.peer_sessions == 5
+
+
 def test_third_process_is_refused_by_both():
     predecessor = HandoverProcess()
     successor = HandoverProcess(predecessor)
