--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -4,6 +4,7 @@
 """
 
 import copy
+import math
 import time
 from threading import Event
 
@@ -86,6 +87,11 @@
         ({"instances": 0}, "above 0"),
         ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"giveUp": 0}]}, "giveUp must be above 0"),
         ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"semantics": "perhaps"}]}, "perhaps"),
+        ({"serviceTypes": [PARAMS["serviceTypes"][0] | {"giveUp": math.nan}]}, "giveUp"),
+        ({"limits": PARAMS["limits"] | {"maxConnects": math.inf}}, "limits.maxConnects"),
+        ({"rules": PARAMS["rules"] | {"overloadFactor": math.nan}}, "rules.overloadFactor"),
+        ({"rules": PARAMS["rules"] | {"cold": -1}}, "rules.cold"),
+        ({"instances": math.nan}, "instances"),
     ],
 )
 def test_settings_that_a_balancer_cannot_act_on_are_objected_to(change, message):
