--- a/cypresswalk/net/handover_state.py
+++ b/cypresswalk/net/handover_state.py
@@ -250,7 +250,9 @@
         for field in SERVER_FIELDS
         if field.kind in (FieldKind.COUNT, FieldKind.AMOUNT)
     ]
-    if min(amounts) < 0 or math.isnan(values.get("limit", 0)) or not 0 < server.weight < math.inf:
+    # A comparison with NaN is false, so that NaN is out of range too.
+    in_range = all(amount >= 0 for amount in amounts) and 0 < server.weight < math.inf
+    if not in_range:
         raise ValueError(f"{encoded['name']}: a value is out of its range")
     sums = {key: decode_sum(encoded[key]) for key in SERVER_SUMS if key in encoded}
     address = parse_address(encoded["address"], "address")
