--- a/cypresswalk/fleet/shared_settings.py
+++ b/cypresswalk/fleet/shared_settings.py
@@ -1,6 +1,8 @@
 """Settings that the fleet agrees on, and checks whether a balancer can act on them."""
 
 import copy
+import math
+from collections.abc import Iterator
 from typing import Any
 
 from cypresswalk.hosting import SettingsError, decode_settings
@@ -51,8 +53,15 @@
     params = merged(own, settings)
     try:
         decoded = decode_settings(params)
-        error = names_error(params)
-    except (SettingsError, KeyError, TypeError, ValueError, AttributeError) as invalid:
+        error = names_error(params) or numbers_error(settings)
+    except (
+        SettingsError,
+        KeyError,
+        TypeError,
+        ValueError,
+        AttributeError,
+        OverflowError,
+    ) as invalid:
         return str(invalid) or type(invalid).__name__
     if error:
         return error
@@ -67,6 +76,28 @@
     return start_only_error(own, params)
 
 
+def numbers_error(settings: dict[str, Any]) -> str:
+    """Return an error for the first number that is not finite, or below 0 in the rules, or ""."""
+    for name, number in named_numbers("", settings):
+        if not math.isfinite(number):
+            return f"{name}: {number} is not a finite number"
+        if number < 0 and name.startswith("rules."):
+            return f"{name}: {number} is below 0"
+    return ""
+
+
+def named_numbers(name: str, value: object) -> Iterator[tuple[str, float]]:
+    """Yield all numbers in a value of the settings, each with its keys joined by dots."""
+    if isinstance(value, dict):
+        for key, part in value.items():
+            yield from named_numbers(f"{name}.{key}" if name else str(key), part)
+    elif isinstance(value, list):
+        for number, part in enumerate(value):
+            yield from named_numbers(f"{name}.{number}", part)
+    elif isinstance(value, int | float):
+        yield name, value
+
+
 def names_error(params: dict[str, Any]) -> str:
     """Return the error in names or in `giveUp` of service types and tenants, or an empty string.
 
