--- a/cypresswalk/net/handover.py
+++ b/cypresswalk/net/handover.py
@@ -76,7 +76,7 @@
         self.state_received = False  # a complete state has been received
         self.replaced = False  # the other process accepts clients instead of this one
         self.peer_sessions = 0  # held by the other process; they count toward the common limit
-        self.reported_sessions = -1
+        self.reported_sessions = -1  # the last number sent to this successor; -1 if none was sent
         self.unconfirmed: dict[int, UnconfirmedCommand] = {}
         self.last_command_number = 0
 
@@ -95,6 +95,7 @@
             return
         self.peer = peer
         self.replaced = False
+        self.reported_sessions = -1
         peer.send({"welcome": VERSION}, self.drivers.listening_sockets())
         self.send_state(now, peer)
         if self.core.lifecycle.phase is Phase.LEAVING:
