--- a/cypresswalk/copies/partition.py
+++ b/cypresswalk/copies/partition.py
@@ -6,6 +6,7 @@
 
 from cypresswalk.copies.messages import ReservationRecord, encoder
 
+MAX_PENDING_TOKENS = 64  # requests that wait for the same record; more get no answer
 DIGEST_BUCKET_BITS = 34  # 2^34 ns: records that expire within the same 17 s share a digest
 
 
@@ -30,6 +31,11 @@
     tokens: list[object]
     sent_at: int
 
+    def add_token(self, token: object) -> None:
+        """Let a request wait for the confirmations, unless too many wait already."""
+        if len(self.tokens) < MAX_PENDING_TOKENS:
+            self.tokens.append(token)
+
 
 @dataclass(slots=True)
 class PartitionFetch:
@@ -76,6 +82,10 @@
         """Return whether a member is the primary of the view."""
         return self.replicas[:1] == (member_id,)
 
+    def pending_record(self, key: str) -> PendingRecord | None:
+        """Return the latest record of a key that is being replicated, or None."""
+        return self.pending.get(self.pending_keys.get(key, -1))
+
     def begin_view(self, view: int, replicas: tuple[str, ...], complete: bool) -> None:
         """Enter a view; if this replica is not complete in it, drop all records."""
         if not complete and self.fetched_view <= view:
--- a/cypresswalk/copies/primary.py
+++ b/cypresswalk/copies/primary.py
@@ -21,7 +21,6 @@
 )
 
 MAX_PENDING_RECORDS = 4_096  # unconfirmed records per partition
-MAX_PENDING_TOKENS = 64  # requests of one owner that wait for the same key; more get no answer
 NO_TIME_LIMIT = 1 << 62
 
 NOT_PRIMARY = ReservationAnswer(RETRY, reason="not the acting primary of the partition")
@@ -82,16 +81,17 @@
     ) -> None:
         """Answer a request for a key that has a record.
 
-        While the grant is being replicated, a request of its owner waits for the confirmations.
+        While the record is being replicated, a request waits for the confirmations: the next
+        primary might not have the record. Only another owner's request during the replication of
+        a grant is answered at once: it is held, whether or not the grant is confirmed.
         """
-        pending = partition.pending.get(partition.pending_keys.get(known.key, -1))
+        pending = partition.pending_record(known.key)
         is_same_owner = known.owner == owner
-        if pending is not None and pending.record.outcome == PENDING:
-            if owner != pending.record.owner:
-                answer = ReservationAnswer(HELD, pending.record.owner, PENDING)
-                self.state.answer(token, answer)
-            elif len(pending.tokens) < MAX_PENDING_TOKENS:
-                pending.tokens.append(token)
+        if pending is not None:
+            if pending.record.outcome == PENDING and not is_same_owner:
+                self.state.answer(token, ReservationAnswer(HELD, known.owner, PENDING))
+            else:
+                pending.add_token(token)
         elif is_same_owner and known.outcome == PENDING and known.key not in partition.confirmed:
             # This primary or its predecessor may have crashed before all replicas had the record.
             self.replicate_record(number, partition, known, [token], now)
@@ -109,7 +109,11 @@
         elif known is None or known.owner != owner:
             self.state.answer(token, NOT_THE_OWNER)
         elif known.outcome == outcome or known.outcome not in (PENDING, UNKNOWN):
-            self.state.answer(token, ReservationAnswer(HELD, known.owner, known.outcome))
+            pending = partition.pending_record(key)
+            if pending is not None:
+                pending.add_token(token)
+            else:
+                self.state.answer(token, ReservationAnswer(HELD, known.owner, known.outcome))
         else:
             record = ReservationRecord(key, owner, known.held_until, outcome)
             self.replicate_record(number, partition, record, [token], now)
