--- a/tests/faults/test_fault_proxy.py
+++ b/tests/faults/test_fault_proxy.py
@@ -1,5 +1,6 @@
 """The fault proxy on sockets: it forwards ends and resets, and a seed repeats its faults."""
 
+import asyncio
 import json
 import socket
 import time
@@ -18,12 +19,14 @@
 )
 
 from cypresswalk import toml
+from cypresswalk.faults.connection import LINGER_ZERO, Connection
 from cypresswalk.faults.kinds import Fault, Kind
 from cypresswalk.faults.plan import Plan, Replay
 from cypresswalk.faults.proxy_thread import ProxyThread
 
 SEEDS = 50
 REPLAYED_SEEDS = 5
+LATE_CONNECT_S = 0.1
 CONNECTIONS = 3
 RANDOM_FAULTS = [
     {
@@ -84,6 +87,43 @@
         assert read_to_end(connect(proxy.address)) == (b"", "reset")
 
 
+@pytest.fixture
+def slow_connects(monkeypatch) -> None:
+    """Have each connection wait before it connects to its target."""
+    connect_to_target = Connection.connect
+
+    async def connect_late(self: Connection) -> None:
+        await asyncio.sleep(LATE_CONNECT_S)
+        await connect_to_target(self)
+
+    monkeypatch.setattr(Connection, "connect", connect_late)
+
+
+@pytest.mark.parametrize("reset_by", ["client", "proxy"])
+@pytest.mark.usefixtures("slow_connects")
+def test_a_reset_before_the_target_is_connected_reaches_the_target(reset_by):
+    with (
+        socket.create_server(("127.0.0.1", 0)) as listener,
+        ProxyThread(listener.getsockname()) as proxy,
+    ):
+        listener.settimeout(SOCKET_TIMEOUT_S)
+        client = connect(proxy.address)
+        while not proxy.open_connections:
+            time.sleep(0.001)
+        if reset_by == "client":
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+            client.close()
+        else:
+            (connection,) = proxy.open_connections
+            proxy.loop.call_soon_threadsafe(connection.reset)
+        server, _ = listener.accept()
+        assert read_to_end(server) == (b"", "reset")
+        end = time.monotonic() + SOCKET_TIMEOUT_S
+        while proxy.open_connections and time.monotonic() < end:
+            time.sleep(0.001)
+        assert not proxy.open_connections
+
+
 def test_an_answer_before_a_reset_is_forwarded_even_if_a_write_fails_first():
     """A write that fails because of a reset must not discard bytes that are still unread."""
     late = fault_plan({"kind": "latency", "direction": "up", "ms": 150})
