--- a/cypresswalk/faults/kinds.py
+++ b/cypresswalk/faults/kinds.py
@@ -28,6 +28,7 @@
 
 
 TERMINAL_KINDS = frozenset({Kind.CUT, Kind.TRUNCATE, Kind.HALF_CLOSE, Kind.BLACK_HOLE})
+CONNECTION_ENDING_KINDS = frozenset({Kind.CUT, Kind.TRUNCATE})  # both directions of a connection
 DATAGRAM_KINDS = frozenset(
     {Kind.DROP, Kind.DELAY, Kind.DUPLICATE, Kind.GARBLE, Kind.TRUNCATE, Kind.SWAP}
 )
--- a/cypresswalk/faults/record.py
+++ b/cypresswalk/faults/record.py
@@ -7,8 +7,13 @@
 import os
 from pathlib import Path
 
-from cypresswalk.faults.kinds import Fault
-from cypresswalk.faults.plan import FaultPlan
+from cypresswalk.faults.kinds import CONNECTION_ENDING_KINDS, Fault, Kind
+from cypresswalk.faults.plan import (
+    FaultPlan,
+    PlacedDatagramFault,
+    PlacedFault,
+    single_directions,
+)
 
 MAX_FAULTS = 1_000_000
 
@@ -57,7 +62,7 @@
             plan: plan that the proxy used.
             connections: number of connections that were accepted.
         """
-        injected = {(fault.connection, fault.kind, fault.at) for fault in self.faults}
+        injected = {(f.connection, f.direction, f.kind, f.at) for f in self.faults}
         lines = []
         for spec in plan.placed_faults():
             numbers = spec.connection if isinstance(spec.connection, list) else [spec.connection]
@@ -67,6 +72,29 @@
                 place = f"{spec.kind.value} at {spec.at} not injected into connection {number}:"
                 if number > connections:
                     lines.append(f"{place} only connections up to {connections} were opened")
-                elif (number, spec.kind, spec.at) not in injected:
-                    lines.append(f"{place} its data did not reach that place")
+                else:
+                    lines += [
+                        f"{place} its data did not reach that place ({direction})"
+                        for direction in missed_directions(spec, number, injected)
+                    ]
         return lines
+
+
+def missed_directions(
+    spec: PlacedFault | Fault, connection: int, injected: set[tuple[int, str, Kind, int]]
+) -> list[str]:
+    """Return the directions of a connection into which a fault was not injected.
+
+    `injected` has the connection, direction, kind and offset of each injected fault.
+    """
+    directions = single_directions(spec.direction)
+    missed = [name for name in directions if (connection, name, spec.kind, spec.at) not in injected]
+    if len(missed) < len(directions) and ends_connection(spec):
+        return []
+    return missed
+
+
+def ends_connection(spec: PlacedFault | Fault) -> bool:
+    """Return whether a fault in one direction ends both."""
+    is_datagram = isinstance(spec, PlacedDatagramFault)
+    return spec.kind in CONNECTION_ENDING_KINDS and not is_datagram
