--- a/tests/agreement/test_raft_node.py
+++ b/tests/agreement/test_raft_node.py
@@ -44,6 +44,28 @@
         node.change_membership(0, members)
 
 
+def test_rejects_a_membership_change_before_an_entry_of_its_term_is_committed():
+    """Otherwise two leaders could change the members, each with a majority of its own."""
+
+    def without_entries(source: str, target: str, message: Message) -> bool:
+        return not isinstance(message, AppendEntries) or not message.entries
+
+    group = FiveNodes()
+    group.elect("a", "abcde", without_entries)
+    leader = group.nodes["a"]
+    assert leader.role is Role.LEADER
+    members = (*leader.log.members, Member("f", False))
+    with pytest.raises(BusyError, match="has not committed an entry of its term"):
+        leader.change_membership(group.now, members)
+    for _ in range(8):
+        group.now += SECOND // 5
+        leader.tick(group.now)
+        group.run_until_idle("abcde")
+    index, _ = leader.change_membership(group.now, members)
+    group.run_until_idle("abcde")
+    assert leader.commit_index >= index
+
+
 @dataclass(frozen=True)
 class OlderEntry:
     """The outcome for an entry of an older term that a majority of the voters has.
