--- a/tests/service/test_upgrade.py
+++ b/tests/service/test_upgrade.py
@@ -263,8 +263,8 @@
     assert search.is_alive()
     handover = SimpleNamespace(
         on_hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
-        heard=None,
-        parted=lambda now, other: None,
+        on_message=lambda now, other, message: None,
+        on_disconnected=lambda now, other: None,
     )
     first.listen_for_successor(handover)
     call, args = inboxes[0].urgent.get(timeout=3)
