--- a/benchmarks/state_cost.py
+++ b/benchmarks/state_cost.py
@@ -222,7 +222,7 @@
         "most, ms",
         "generation, s",
         "bytes",
-        "MB a minute at 5 s",
+        "MiB a minute at 5 s",
     )
     report(head)
     for case in CASES:
