--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -4,12 +4,16 @@
 import socket
 import subprocess
 import sys
+from pathlib import Path
 from typing import Any, cast
 
 import pytest
 from lab_helpers import small_experiment
 from paths import ROOT
 
+from cypresswalk.lab import balancer_control
+from cypresswalk.lab.balancer_control import BalancerControl
+from cypresswalk.lab.balancers import BalancerProcess
 from cypresswalk.lab.clients import ClientPopulation
 from cypresswalk.lab.testbed.bed import ScenarioTestBed
 from cypresswalk.lab.testbed.client_driver import ClientConnection, ClientDriver
@@ -71,6 +75,48 @@
     assert asyncio.run(receive_after_end(*lines)) == ("own", heard)
 
 
+class HangingBalancer:
+    """A balancer process that runs and never answers."""
+
+    address = ("127.0.0.1", 1)
+    start_count = 1
+    log_file = Path("/nonexistent")
+
+    def crash_exit_code(self) -> None:
+        """Return None: it runs."""
+
+
+class BegunTestBed(RecordingTestBed):
+    """A testbed whose scenario has begun; its clock advances at each reading."""
+
+    seed = 1
+    began = 1
+
+    def __init__(self) -> None:
+        """Start at one second."""
+        super().__init__()
+        self.time = SECOND
+
+    def now(self) -> int:
+        """Return a time 10 s after the last one."""
+        self.time += 10 * SECOND
+        return self.time
+
+
+def test_restarted_balancer_that_never_answers_breaks_a_rule(monkeypatch):
+    async def no_answer(balancer: object) -> bool:
+        return False
+
+    monkeypatch.setattr(balancer_control, "answers_ping", no_answer)
+    testbed = cast(ScenarioTestBed, BegunTestBed())
+    variant = testbed.experiment.variants[0]
+    control = BalancerControl(testbed, variant, Path("."), ROOT, None)
+    control.balancers["b0"] = cast(BalancerProcess, HangingBalancer())
+    asyncio.run(control.wait_until_ready("b0"))
+    assert [violation.rule for violation in control.violations] == ["not ready"]
+    assert control.violations[0].message == "b0 did not answer PING within 30 s of its start"
+
+
 def test_a_port_taken_by_another_process_is_a_failure_of_the_lab():
     async def listen_at_taken_port() -> list[str]:
         testbed = ScenarioTestBed(small_experiment(), 1)
