--- a/cypresswalk/lab/balancer_control.py
+++ b/cypresswalk/lab/balancer_control.py
@@ -35,6 +35,10 @@
     "USR1": signal.SIGUSR1,
 }
 
+# Names of rules beside those of the checker.
+CRASH = "crash"
+NOT_READY = "not ready"
+
 Sample = tuple[float, str, int, int, float]
 
 
@@ -45,7 +49,8 @@
         balancers: The processes by balancer name.
         agents: The current list agent by balancer name.
         random: The source of random numbers, also used by the fault injector.
-        crashes: One violation for each unexpected exit of a balancer.
+        violations: One violation for each unexpected exit of a balancer, and for each start after
+            which it did not answer.
         samples: The balancers' resource usage; see `ScenarioResult.samples`.
     """
 
@@ -75,7 +80,7 @@
         self.agents: dict[str, ListAgentDriver] = {}
         self.random = Random(f"{testbed.seed}/troubles")
         self.balancer_seeds = Random(f"{testbed.seed}/balancers")
-        self.crashes: list[Violation] = []
+        self.violations: list[Violation] = []
         self.samples: list[Sample] = []
 
     async def start_all(self) -> None:
@@ -140,10 +145,13 @@
     async def wait_until_ready(self, name: str) -> None:
         """Wait until a balancer answers PING, then mark it up at its edge load balancer.
 
+        A balancer that runs and does not answer is a violation once the scenario has begun.
+
         Raises:
             CommandError: The balancer does not answer, and the scenario has not begun yet.
         """
         testbed = self.testbed
+        start_count = self.balancers[name].start_count
         until = testbed.now() + READY_TIMEOUT
         while testbed.now() < until and self.balancers[name].crash_exit_code() is None:
             if await answers_ping(self.balancers[name]):
@@ -155,6 +163,13 @@
             log = self.balancers[name].log_file.read_text(errors="replace").strip().splitlines()
             last = log[-1] if log else "nothing logged"
             raise CommandError(f"balancer {name} does not serve ({self.variant.name}): {last}")
+        # A crash is a violation of its own; after a further start another call waits.
+        balancer = self.balancers[name]
+        hangs = balancer.is_running() and not balancer.expected_end
+        if hangs and balancer.start_count == start_count:
+            timeout_s = READY_TIMEOUT // SECOND
+            message = f"{name} did not answer PING within {timeout_s} s of its start"
+            self.violations.append(Violation(NOT_READY, "", testbed.now(), message, []))
 
     async def watch(self) -> None:
         """Sample the balancers' resource usage and restart crashed ones, until cancelled."""
@@ -171,7 +186,7 @@
     def _on_crash(self, name: str, code: int) -> None:
         observation = self.testbed.observe("balancer_down", "", name, code=code)
         message = f"{name} ended with exit code {code}"
-        self.crashes.append(Violation("crash", "", observation.at, message, [observation]))
+        self.violations.append(Violation(CRASH, "", observation.at, message, [observation]))
         self.balancers[name].expected_end = True
         self.testbed.spawn(self._mark_down_after_delay(name))
         self.start(name)
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -127,7 +127,7 @@
         result = self.result
         result.events = self.testbed.observations
         result.samples = self.control.samples
-        violations = self.control.crashes + check(
+        violations = self.control.violations + check(
             result.events, Rules.from_experiment(self.experiment)
         )
         for observation in result.events:
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -12,7 +12,7 @@
 from random import Random
 
 import pytest
-from cluster_helpers import ANSWER_TIMEOUT_S, send_line_async, with_cluster
+from cluster_helpers import ANSWER_TIMEOUT_S, history_contains, send_line_async, with_cluster
 from paths import ROOT
 
 from cypresswalk import operator
@@ -143,12 +143,6 @@
         assert await wait_until(is_out, timeout_s=5)
 
 
-async def history_contains(testbed: ClusterTestBed, balancer: str, text: str) -> bool:
-    """Return whether a record of the fleet's history contains a text."""
-    _, body = await testbed.calls.call(balancer, "history")
-    return any(text in record[3] for record in body["history"])
-
-
 def test_an_isolated_balancer_rejects_flows_once_its_lease_is_over_and_rejoins(tmp_path):
     """While isolated it refuses calls that need the fleet, unless they are forced."""
 
--- a/tests/lab/test_testbed.py
+++ b/tests/lab/test_testbed.py
@@ -80,11 +80,15 @@
 
     address = ("127.0.0.1", 1)
     start_count = 1
-    log_file = Path("/nonexistent")
+    expected_end = False
 
     def crash_exit_code(self) -> None:
         """Return None: it runs."""
 
+    def is_running(self) -> bool:
+        """Return True."""
+        return True
+
 
 class BegunTestBed(RecordingTestBed):
     """A testbed whose scenario has begun; its clock advances at each reading."""
