--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -68,6 +68,12 @@
     return value
 
 
+async def history_contains(testbed: ClusterTestBed, balancer: str, *texts: str) -> bool:
+    """Return whether one record of the fleet's history contains all texts."""
+    _, body = await testbed.calls.call(balancer, "history")
+    return any(all(text in record[3] for text in texts) for record in body["history"])
+
+
 class Operator:
     """An operator who makes calls to the balancers of a cluster."""
 
--- a/tests/rollout/test_rollout_processes.py
+++ b/tests/rollout/test_rollout_processes.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from cluster_helpers import Operator, poll, with_cluster
+from cluster_helpers import Operator, history_contains, poll, with_cluster
 from paths import ROOT
 
 from cypresswalk.lab.cluster.checkers.linearizability import CallOutcome
@@ -84,9 +84,12 @@
         assert "n4 (not heard)" in rejection
         assert await operator.call("n3", "drain-on-here") == "OK"
         assert await operator.ping("n3") == "ERR"
-        history = (await testbed.calls.call("n0", "history")).body["history"]
-        notes = [record[3] for record in history]
-        assert any("by force" in note and "n3" in note for note in notes)
+
+        # The balancer answers before the fleet has recorded the drain, which it may do later.
+        async def is_recorded() -> bool:
+            return await history_contains(testbed, "n0", "by force", "n3")
+
+        assert await poll(is_recorded, bool, CALL_TIMEOUT_S)
         assert await operator.call("n3", "drain-off") == "OK"
 
     with_bounded_cluster(tmp_path, check)
