--- a/benchmarks/copies_cost.py
+++ b/benchmarks/copies_cost.py
@@ -20,7 +20,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from queue import SimpleQueue
+from typing import Any, cast
 
 from harness import (
     SECOND,
@@ -161,6 +162,7 @@
 
         deadline = self.fleet.now() + SECOND
         event = ReservationRequested(self._key(number), SECOND, deadline, on_answer)
+        assert self.fleet.replication is not None  # its table has replicas
         self.fleet.replication.put(event)
 
     def _key(self, number: int) -> str:
@@ -190,12 +192,14 @@
         lambda: None,
     )
     # The fleet's thread creates its own replication thread; this class handles one more event.
+    assert fleet.replication is not None  # the table has replicas
     fleet.replication.__class__ = FillableReplicationThread
+    queue = cast("SimpleQueue[Any]", fleet.replication.queue)
     fleet.start()
     for line in sys.stdin:
         command, *words = line.split()
         if command == "fill":
-            fleet.replication.queue.put(FillRequested(int(words[0])))
+            queue.put(FillRequested(int(words[0])))
         elif command == "claim":
             key = words[2] if len(words) > 2 else ""
             Claimer(fleet, int(words[0]), float(words[1]), key).run()
--- a/cypresswalk/fleet/driver.py
+++ b/cypresswalk/fleet/driver.py
@@ -11,7 +11,7 @@
 from queue import Empty, SimpleQueue
 from random import Random
 from threading import Event as Flag
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -56,6 +56,9 @@
 from cypresswalk.net.threads import start_thread
 from cypresswalk.operator import FleetTable
 
+if TYPE_CHECKING:  # not loaded by a balancer without replicas
+    from cypresswalk.copies.driver import ReplicationThread
+
 log = logging.getLogger(__name__)
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
@@ -148,11 +151,10 @@
             self.group,
         )
 
-    def _make_replication_thread(self) -> Any:
+    def _make_replication_thread(self) -> "ReplicationThread | None":
         copies = self.table.copies
         if copies is None:
             return None
-        # Imported only here, so that a balancer without replicas does not load the module.
         from cypresswalk.copies.driver import ReplicationThread
 
         return ReplicationThread(
--- a/cypresswalk/fleet/message_router.py
+++ b/cypresswalk/fleet/message_router.py
@@ -1,6 +1,6 @@
 """Routing of messages between the member, the replication thread and other members."""
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 from cypresswalk.copies.events import MessagesReceived
 from cypresswalk.copies.messages import AnyMessage as ReplicationMessage
@@ -13,6 +13,9 @@
 from cypresswalk.fleet.transport import Transport
 from cypresswalk.operator import FleetTable
 
+if TYPE_CHECKING:  # not loaded by a balancer without replicas
+    from cypresswalk.copies.driver import ReplicationThread
+
 # Messages from replicas to the leader; all others go between replicas and their clients.
 TO_LEADER = PartitionSealed | PartitionFetched | ReplicaSlow
 
@@ -20,7 +23,9 @@
 class MessageRouter:
     """Router that passes each message to its receiver; no method blocks."""
 
-    def __init__(self, table: FleetTable, transport: Transport, replication: Any):
+    def __init__(
+        self, table: FleetTable, transport: Transport, replication: "ReplicationThread | None"
+    ):
         """Store the receivers, and read addresses from the operator's table.
 
         Args:
@@ -36,7 +41,8 @@
         """Send to a member's id or to an address; drop messages to unknown receivers."""
         if isinstance(message, ReplicationMessageBase):
             if to == member.id:
-                self.replication.put(MessagesReceived(to, [message]))
+                if self.replication is not None:
+                    self.replication.put(MessagesReceived(to, [message]))
                 return
             message = MessageBatch([message])
         address, member_id = self.addresses.resolve(member, to)
@@ -50,15 +56,22 @@
         if not isinstance(event.frame, MessageBatch):
             member.on_frame(now, source, event.frame)
         elif self.replication is not None:
-            self._on_batch(now, member, source, event.frame)
+            self._on_batch(now, member, source, event.frame, self.replication)
 
-    def _on_batch(self, now: int, member: Member, source: str, batch: MessageBatch) -> None:
+    def _on_batch(
+        self,
+        now: int,
+        member: Member,
+        source: str,
+        batch: MessageBatch,
+        replication: "ReplicationThread",
+    ) -> None:
         for_leader = [message for message in batch.messages if isinstance(message, TO_LEADER)]
         if for_leader:
             member.on_replica_messages(now, source, for_leader)
         if len(for_leader) < len(batch.messages):
             others = [message for message in batch.messages if not isinstance(message, TO_LEADER)]
-            self.replication.put(MessagesReceived(source, others))
+            replication.put(MessagesReceived(source, others))
 
     def send_to_leader(self, now: int, member: Member, messages: list[ReplicationMessage]) -> None:
         """Send the replication thread's messages to the leader; drop them if there is none."""
--- a/cypresswalk/fleet/reservation_gate.py
+++ b/cypresswalk/fleet/reservation_gate.py
@@ -36,8 +36,10 @@
             post: makes the deciding thread call a function with the time and further arguments.
             share: part of the setup latency objective for which a flow waits, 0.0 to 1.0.
         """
+        assert fleet.replication is not None
         self.core = core
         self.fleet = fleet
+        self.replication = fleet.replication
         self.post = post
         self.share = share
         self.waiting: dict[Session, None] = {}
@@ -67,7 +69,7 @@
 
         deadline = self.fleet.now() + timeout
         event = ReservationRequested(flow_key(flow), lifetime, deadline, reply)
-        self.fleet.replication.put(event)
+        self.replication.put(event)
 
     def on_answer(self, now: int, session: Session, answer: ReservationAnswer, owner: str) -> None:
         """Place the flow if its key was reserved for it; otherwise reject it.
@@ -113,7 +115,7 @@
         """End the flow's reservation, if any; `how` is "ran", "never" or "unknown"."""
         owner = self.granted.pop(flow, None)
         if owner is not None:
-            self.fleet.replication.put(ReservationEnded(flow_key(flow), owner, how))
+            self.replication.put(ReservationEnded(flow_key(flow), owner, how))
 
 
 def flow_of(session: Session) -> Flow:
--- a/cypresswalk/lab/cluster/testbed/faulty_balancer.py
+++ b/cypresswalk/lab/cluster/testbed/faulty_balancer.py
@@ -93,8 +93,9 @@
         fleet.folder.disk = disk
         fleet.now = drifting_clock
         if fleet.replication is not None:
-            # Replication's wall time is derived from `fleet.now` and needs no change.
-            fleet.replication.files = disk
+            # Replication's wall time is derived from `fleet.now` and needs no change. It opens its
+            # log in this folder once it has started.
+            fleet.replication.folder = disk
             fleet.replication.now = drifting_clock
 
 
