--- a/tests/lab/mutant_balancer.py
+++ b/tests/lab/mutant_balancer.py
@@ -7,6 +7,7 @@
 import asyncio
 import json
 import os
+import signal
 import sys
 from dataclasses import dataclass
 from enum import StrEnum
@@ -60,6 +61,10 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
+    def has_left(self) -> bool:
+        """Return whether the other side has ended or reset the connection."""
+        return self.reader.at_eof() or self.reader.exception() is not None
+
 
 @dataclass(frozen=True)
 class Attempt:
@@ -194,6 +199,8 @@
         # References keep the connections open.
         concurrent_attempts: list[asyncio.Task[Attempt]] = []
         for turn in range(ATTEMPTS):
+            if client.has_left():
+                return
             if self.mutation is Mutation.TWO_ATTEMPTS_AT_ONCE:
                 other = servers[(number + 1) % len(servers)]
                 concurrent_attempts.append(asyncio.create_task(attempt(other, line)))
@@ -244,6 +251,8 @@
 
 def main() -> None:
     """Run the balancer with the mutation and configuration given."""
+    # The real balancer logs its counters on this signal, which the lab sends at the end.
+    signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     config = json.loads(Path(os.environ["PROXY_CONFIG"]).read_text())
     asyncio.run(MutantBalancer(config, Mutation(sys.argv[1])).serve())
 
