--- a/tests/decisions/test_fleet_displaced_group.py
+++ b/tests/decisions/test_fleet_displaced_group.py
@@ -81,3 +81,12 @@
     # Found by the model: each of two hundred balancers may admit one flow of a group, and after a
     # mass kill none of them can see that the group is large.
     run_displaced_group(seed, BALANCERS, age * SECOND, since_kill * SECOND)
+
+
+@pytest.mark.parametrize("age, since_kill, seed", [(9, 3, 2), (9, 8, 2), (14, 8, 2)])
+def test_clients_that_return_after_a_mass_kill_keep_a_warming_server_within_its_budget(
+    age, since_kill, seed
+):
+    # Found by the model: the balancers that restart together each spend a whole flow's budget at
+    # once, though a window has not passed yet; a group has no part in it.
+    run_displaced_group(seed, BALANCERS, age * SECOND, since_kill * SECOND)
