--- a/cypresswalk/decisions/balancer.py
+++ b/cypresswalk/decisions/balancer.py
@@ -185,13 +185,13 @@
         if update is not EndpointUpdate.CACHED:
             self.list_polling.on_answered()
         self._endpoints.update(now, update, entries)
-        self.placement.stale = True
+        self.placement.mark_stale(now)
         self.reviews.next_at = now
 
     def remove_from_rotation(self, now: int, server: Server) -> None:
         """Take a server out of rotation for an operator, whatever the list says of it."""
         if self._endpoints.remove_from_rotation(now, server):
-            self.placement.stale = True
+            self.placement.mark_stale(now)
             self.reviews.request(now, server)
 
     def return_to_rotation(self, now: int, server: Server) -> None:
@@ -200,7 +200,7 @@
         The server counts as restarted; whether it warms up depends on its listed start time.
         """
         if self._endpoints.return_to_rotation(now, server):
-            self.placement.stale = True
+            self.placement.mark_stale(now)
             self.reviews.next_at = now
 
     def on_predecessor_lost(self, now: int) -> None:
@@ -342,7 +342,7 @@
             self.overload.on_utilization(now, server, utilization)
         self.health_checks.schedule_next(now, server)
         if changed:
-            self.placement.stale = True
+            self.placement.mark_stale(now)
         self.reviews.request(now, server)
 
     def on_message_delay(self, now: int, server: Server, delay: int) -> None:
@@ -433,7 +433,7 @@
         self.slow_start.sample_occupancy(now)
         if not flow.await_checks_until:
             flow.await_checks_until = now + flow.service_type.setup_latency_objective // 10
-            self.slow_start.admit(now, flow, self.placement.slot_owners)
+            self.slow_start.admit(now, flow, self.placement)
             self._request_checks(now, flow)
         if now < flow.await_checks_until and any(
             server.check_in_flight for server in flow.awaited_checks
--- a/cypresswalk/decisions/placement.py
+++ b/cypresswalk/decisions/placement.py
@@ -58,7 +58,8 @@
     ):
         """Start without pools; the first use builds them."""
         self.settings = settings
-        self.stale = True  # the list of servers, or which of them are up, may have changed
+        self._stale = True  # the list of servers, or which of them are up, may have changed
+        self._changed_at = 0  # time of that change
         self._servers = servers
         self._admission = admission
         self._warm_up = warm_up
@@ -66,6 +67,12 @@
         self._pools: list[Pool] = []
         self._members: list[tuple[int, int, float]] = []
         self._walk_cache = WalkCache()
+        self._displaced_at: dict[int, int] = {}
+
+    def mark_stale(self, now: int) -> None:
+        """Rebuild the pools at their next use: the list, or which servers are up, has changed."""
+        self._stale = True
+        self._changed_at = now
 
     def pools(self) -> list[Pool]:
         """Return the pools, the nearest first.
@@ -73,8 +80,8 @@
         If no server is up, the pools hold all ready servers of the list: the table must not become
         empty when all health checks time out.
         """
-        if self.stale:
-            self.stale = False
+        if self._stale:
+            self._stale = False
             self._rebuild()
         return self._pools
 
@@ -96,8 +103,29 @@
             groups = [
                 [server for server in up if (server.zone == zone) is near] for near in (True, False)
             ]
+        former = self._pools
         self._pools = [Pool(build_table(group), group) for group in groups if group]
         self._walk_cache.clear()
+        self._record_displaced_slots(former)
+
+    def _record_displaced_slots(self, former: list[Pool]) -> None:
+        """Record the slots of the nearest pool whose owner was lost.
+
+        A server that drains or was taken out of rotation does not count as lost, because its flows
+        leave it one after another.
+        """
+        remaining = {server for pool in self._pools for server in pool.servers}
+        for pool in former[:1]:
+            lost = {
+                owner
+                for owner in pool.servers
+                if owner not in remaining
+                and owner.state is not ServerState.DRAINING
+                and not owner.out_of_rotation
+            }
+            for slot, owner in enumerate(pool.table):
+                if owner in lost:
+                    self._displaced_at[slot] = self._changed_at
 
     def walk(self, pool: Pool, key: int) -> Iterator[Server]:
         """Yield the pool's servers in the order of its table, starting at the key's slot."""
@@ -127,6 +155,11 @@
         """Return the server that owns the key's slot, for each pool."""
         return [pool.table[slot_of(key)] for pool in self.pools()]
 
+    def displaced_at(self, key: int) -> int | None:
+        """Return when the owner of the key's slot was last lost; None if it never was."""
+        self.pools()
+        return self._displaced_at.get(slot_of(key))
+
     def pick(self, now: int, flow: Flow) -> Server | None:
         """Return the server for the flow, or None if none has capacity.
 
--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -7,7 +7,8 @@
 """
 
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
+from typing import Protocol
 
 from cypresswalk.decisions.admission import MAX_PENDING_ATTEMPTS
 from cypresswalk.decisions.balance import mean_occupancy
@@ -32,6 +33,16 @@
 OCCUPANCY_SAMPLE_INTERVAL = 1 * SECOND
 
 
+class SlotTable(Protocol):
+    """The owners of the keys' slots."""
+
+    def slot_owners(self, key: int) -> list[Server]:
+        """Return the owners of a key's slot, one for each pool."""
+
+    def displaced_at(self, key: int) -> int | None:
+        """Return when the owner of the key's slot was last lost; None if it never was."""
+
+
 class SlowStart:
     """The budgets of this balancer for servers that warm up.
 
@@ -88,19 +99,20 @@
 
     # Arriving flows.
 
-    def admit(self, now: int, flow: Flow, slot_owners: Callable[[int], list[Server]]) -> None:
+    def admit(self, now: int, flow: Flow, slots: SlotTable) -> None:
         """Draw the warming servers that a flow may go to.
 
         Args:
             now: the current time in nanoseconds.
             flow: the flow; the drawn servers are added to its `slow_start_admitted`.
-            slot_owners: a function that returns the owners of a key's slot, one for each pool.
+            slots: the owners of the keys' slots.
         """
         warming = self._warming_servers(now)
         if not warming or now < self._suspended_until:
             return
-        owners = slot_owners(flow.key)
+        owners = slots.slot_owners(flow.key)
         flows_per_window = self._flows_per_window(now)
+        displaced_fraction = self._displaced_fraction(now, flow, slots, flows_per_window)
         fleet_weight = sum(server.weight for server in self._servers.values() if is_up(server))
         key_share = self._key_share(flow)
         for server in warming:
@@ -119,7 +131,9 @@
             )
             # A key whose share of this balancer's flows exceeds the server's share of the fleet
             # is admitted less often.
-            probability = 1.0 if is_first_flow else allowance * share / max(share, key_share)
+            probability = allowance * displaced_fraction * share / max(share, key_share)
+            if is_first_flow:
+                probability = 1.0
             if unit_interval(hash_number(flow.id ^ server.id)) < probability:
                 flow.slow_start_admitted.append(server)
 
@@ -148,6 +162,19 @@
             return 0.0
         return (self._flows.by_key[flow.key] - 1) / len(self._flows)
 
+    def _displaced_fraction(
+        self, now: int, flow: Flow, slots: SlotTable, flows_per_window: float
+    ) -> float:
+        """Return by which fraction flows of a group are admitted whose server was lost, else 1.
+
+        All flows of the group return at once, to one server, through many balancers. The budget
+        expects only as many of them as complete per window.
+        """
+        displaced_at = slots.displaced_at(flow.key) if flow.grouped else None
+        if displaced_at is None or now - displaced_at >= 2 * self.settings.slow_start_window:
+            return 1.0
+        return min(flows_per_window / len(self._flows), 1.0)
+
     def _draw_from_budget(self, now: int, server: Server, flows_per_window: float) -> float:
         """Take up to one flow from a server's budget, whether or not it is used; return how much.
 
