--- a/tests/copies/test_replica.py
+++ b/tests/copies/test_replica.py
@@ -212,3 +212,20 @@
     pair.replicate()
     waiting = ("t2", "t3", "t4", "t5", "t6")
     assert primary.effects == [answer(token, "held", "n1", "never") for token in waiting]
+
+
+def test_outcome_that_only_the_new_primary_has_is_replicated_before_it_is_answered(pair):
+    # The primary before it ended while the outcome was being replicated.
+    primary, backup = pair.primary, pair.backup
+    primary.reserve(0, PARTITION, "x", "n1", 10, "t1")
+    pair.replicate()
+    primary.end_reservation(PARTITION, "x", "n1", "never", "t2")
+    for replica in (primary, backup):
+        replica.begin_view(PARTITION, 2, ("a", "b"))
+        replica.effects.clear()
+    primary.end_reservation(PARTITION, "x", "n1", "never", "t3")
+    primary.reserve(0, PARTITION, "x", "n2", 10, "t4")
+    assert not results(primary.effects)
+    pair.replicate()
+    assert primary.effects == [answer(token, "held", "n1", "never") for token in ("t3", "t4")]
+    assert backup.partition(PARTITION).records["x"].outcome == "never"
