--- a/cypresswalk/copies/primary.py
+++ b/cypresswalk/copies/primary.py
@@ -92,7 +92,7 @@
                 self.state.answer(token, ReservationAnswer(HELD, known.owner, PENDING))
             else:
                 pending.add_token(token)
-        elif is_same_owner and known.outcome == PENDING and known.key not in partition.confirmed:
+        elif known.key not in partition.confirmed and (is_same_owner or known.outcome != PENDING):
             # This primary or its predecessor may have crashed before all replicas had the record.
             self.replicate_record(number, partition, known, [token], now)
         else:
@@ -112,6 +112,8 @@
             pending = partition.pending_record(key)
             if pending is not None:
                 pending.add_token(token)
+            elif key not in partition.confirmed:
+                self.replicate_record(number, partition, known, [token], now)
             else:
                 self.state.answer(token, ReservationAnswer(HELD, known.owner, known.outcome))
         else:
