--- a/cypresswalk/decisions/slow_start.py
+++ b/cypresswalk/decisions/slow_start.py
@@ -27,6 +27,7 @@
 
 MIN_FLOWS_PER_WINDOW = 1.0  # a budget below one flow can't be spent
 OTHER_KEYS_ALLOWANCE = 0.33  # flows per window, for flows of slots that other servers own
+DISPLACED_WINDOWS = 2  # after the loss of a server, in which the clients of its groups return
 MIN_FRACTION_SEEN = 0.05  # of a sum's steady value
 MORE_THAN_ANY_BUDGET = 1e9  # flows; takes longer to decay than a replaced process keeps running
 OCCUPANCY_TIME_CONSTANT = 10 * SECOND  # three times as long as a full server takes to report it
@@ -171,7 +172,8 @@
         expects only as many of them as complete per window.
         """
         displaced_at = slots.displaced_at(flow.key) if flow.grouped else None
-        if displaced_at is None or now - displaced_at >= 2 * self.settings.slow_start_window:
+        span = DISPLACED_WINDOWS * self.settings.slow_start_window
+        if displaced_at is None or now - displaced_at >= span:
             return 1.0
         return min(flows_per_window / len(self._flows), 1.0)
 
