--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -1,5 +1,6 @@
 """Tests of simulated releases and drains of a fleet of balancers, and of the balancer's agent."""
 
+import contextlib
 import json
 import os
 import subprocess
@@ -218,6 +219,29 @@
     assert fleet_calls("ERR starting", 30.0) == ["turn", "release_began"]
 
 
+def test_an_agent_logs_that_the_old_process_ended_by_itself_while_the_new_one_starts(caplog):
+    """Otherwise the lab takes the flows that were lost with it for flows without an answer."""
+    state = AgentState(
+        OLD_VERSION,
+        7,
+        "a",
+        target_version=NEW_VERSION,
+        new_pid=8,
+        change_id="d1",
+        step=AgentStep.STARTING_NEW,
+    )
+    agent = BalancerAgent("n0", OLD_VERSION, ("a", "b"), state)
+    work = agent.start_new()
+    action = next(work)
+    with contextlib.suppress(StopIteration):
+        while True:
+            is_old = isinstance(action, actions.IsRunning) and action.pid == 7
+            result = not is_old if isinstance(action, actions.IsRunning) else ""
+            action = work.send(result)
+    assert state.step is AgentStep.STOPPING_OLD
+    assert "event=ended_by_itself version=v0 pid=7" in caplog.text
+
+
 def test_an_agent_that_died_before_it_saved_an_agreed_change_reports_it_as_failed():
     """The fleet counts the change as begun; the report ends it and halts the release."""
     turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
