--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -73,8 +73,10 @@
             error = yield from self.wait_until_ready(self.other_admin(), state.new_pid)
         if error:
             yield from self.give_up(error)
-        else:
-            yield from self.enter_step(AgentStep.STOPPING_OLD)
+            return
+        if not (yield IsRunning(state.pid)):
+            self.log_unexpected_end()  # nobody has asked it to shut down yet
+        yield from self.enter_step(AgentStep.STOPPING_OLD)
 
     def give_up(self, reason: str) -> ActionGenerator[None]:
         """Kill the new process and keep the old one running."""
--- a/cypresswalk/rollout/change_agent.py
+++ b/cypresswalk/rollout/change_agent.py
@@ -113,7 +113,7 @@
         if (yield IsRunning(state.pid)):
             return
         if state.pid:
-            log.warning("event=ended_by_itself version=%s pid=%d", state.version, state.pid)
+            self.log_unexpected_end()
             yield Sleep(RESTART_DELAY)
         state.version = state.version or self.initial_version
         state.admin = state.admin or self.admin_addresses[0]
@@ -125,6 +125,10 @@
                 log.error("event=process_not_started version=%s error=%s", state.version, error)
         yield SaveState()
 
+    def log_unexpected_end(self) -> None:
+        """Log that the process has ended without having been asked to."""
+        log.warning("event=ended_by_itself version=%s pid=%d", self.state.version, self.state.pid)
+
     def query_turn(self) -> ActionGenerator[Turn | None]:
         """Query the fleet for the member's turn; return None if the call fails."""
         result: CallResult = yield CallFleet("turn", {"member": self.member})
--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -230,16 +230,18 @@
         change_id="d1",
         step=AgentStep.STARTING_NEW,
     )
-    agent = BalancerAgent("n0", OLD_VERSION, ("a", "b"), state)
-    work = agent.start_new()
+    work = BalancerAgent("n0", OLD_VERSION, ("a", "b"), state).start_new()
+    results: dict[type, Any] = {actions.ReadClock: 0.0, actions.CheckReady: ""}
     action = next(work)
     with contextlib.suppress(StopIteration):
         while True:
-            is_old = isinstance(action, actions.IsRunning) and action.pid == 7
-            result = not is_old if isinstance(action, actions.IsRunning) else ""
-            action = work.send(result)
+            if isinstance(action, actions.IsRunning):
+                results[actions.IsRunning] = action.pid == state.new_pid
+            if isinstance(action, actions.Sleep):
+                results[actions.ReadClock] += action.seconds
+            action = work.send(results.get(type(action)))
     assert state.step is AgentStep.STOPPING_OLD
-    assert "event=ended_by_itself version=v0 pid=7" in caplog.text
+    assert f"event=ended_by_itself version={OLD_VERSION} pid=7" in caplog.text
 
 
 def test_an_agent_that_died_before_it_saved_an_agreed_change_reports_it_as_failed():
