--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -2,6 +2,7 @@
 
 import contextlib
 import json
+import logging
 import os
 import subprocess
 import sys
@@ -14,6 +15,7 @@
 
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.fleet.unavailability import UnavailabilityTracker
+from cypresswalk.lab.cluster.simulation import explorer
 from cypresswalk.lab.cluster.simulation.balancer_releases import BalancerReleases, run_seed
 from cypresswalk.lab.cluster.simulation.release_simulation import NEW_VERSION, OLD_VERSION
 from cypresswalk.lab.units import SECOND
@@ -188,6 +190,15 @@
         action = work.send(results.get(type(action)))
 
 
+def test_runs_of_a_seed_leave_the_log_levels_as_they_were():
+    """A later test in the same process saw no warning of an agent, and failed in CI."""
+    loggers = [logging.getLogger(f"cypresswalk.{name}") for name in ("fleet", "rollout")]
+    levels = [logger.level for logger in loggers]
+    run_seed(1, action_count=0)
+    explorer.run_seed(1, action_count=0)
+    assert [logger.level for logger in loggers] == levels
+
+
 def test_an_agent_changes_nothing_while_its_balancer_is_starting():
     """Otherwise two processes listen, and the one that is no fleet member rejects flows."""
 
