--- a/cypresswalk/lab/cluster/simulation/explorer.py
+++ b/cypresswalk/lab/cluster/simulation/explorer.py
@@ -4,7 +4,6 @@
 converge and still have all confirmed commands.
 """
 
-import logging
 from collections import Counter
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -15,6 +14,7 @@
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import CommonFaults, Picker, Target, ValueT
 from cypresswalk.lab.cluster.simulation.fleet_simulation import FleetSimulation
+from cypresswalk.lab.cluster.simulation.log_levels import only_critical
 from cypresswalk.lab.cluster.simulation.network import MIN_DELAY
 from cypresswalk.lab.cluster.simulation.operators import Operators
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES, Process
@@ -244,20 +244,20 @@
         followers: number of further balancers.
         schedule: faults and calls to execute in place of drawn ones.
     """
-    logging.getLogger("cypresswalk.fleet").setLevel(logging.CRITICAL)
     simulation = _draw_simulation(seed, voters, followers)
     if schedule is None:
         schedule = draw_schedule(seed, list(simulation.processes), action_count)
     outcome = Outcome(seed)
     explorer = Explorer(simulation)
     try:
-        simulation.start()
-        simulation.run(STARTUP_TIME)
-        for action in schedule:
-            explorer.execute(action)
-            simulation.run(action.pause)
-            outcome.states.add(simulation.fingerprint())
-        explorer.finish()
+        with only_critical("cypresswalk.fleet"):
+            simulation.start()
+            simulation.run(STARTUP_TIME)
+            for action in schedule:
+                explorer.execute(action)
+                simulation.run(action.pause)
+                outcome.states.add(simulation.fingerprint())
+            explorer.finish()
     except ViolationError as error:
         outcome.violation = f"seed {seed}, at {simulation.now / SECOND:.3f} s: {error}"
     outcome.steps = simulation.steps
--- a/cypresswalk/lab/cluster/simulation/release_runs.py
+++ b/cypresswalk/lab/cluster/simulation/release_runs.py
@@ -1,6 +1,5 @@
 """Runs a release under random faults, then without faults until it ends."""
 
-import logging
 from collections import Counter
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -10,6 +9,7 @@
 from cypresswalk.fleet.records import FleetState
 from cypresswalk.lab.cluster.simulation.errors import ViolationError
 from cypresswalk.lab.cluster.simulation.faults import draw_pause
+from cypresswalk.lab.cluster.simulation.log_levels import only_critical
 from cypresswalk.lab.cluster.simulation.process import CLOCK_RATES
 from cypresswalk.lab.cluster.simulation.release_simulation import (
     NEW_VERSION,
@@ -71,7 +71,7 @@
         weights: Mapping[str, float],
         max_release_time: int,
     ):
-        """Draw the rates of the balancers' clocks, and silence the logs below critical.
+        """Draw the rates of the balancers' clocks.
 
         Args:
             simulation: the simulation, not started yet.
@@ -80,8 +80,6 @@
             weights: relative frequency of each kind.
             max_release_time: time for the release to end once all faults are cleared, nanoseconds.
         """
-        for logger in LOGGERS:
-            logging.getLogger(logger).setLevel(logging.CRITICAL)
         self._simulation = simulation
         self._random = random
         self._inject = inject
@@ -95,15 +93,8 @@
         simulation = self._simulation
         outcome = Outcome(simulation.seed)
         try:
-            simulation.start()
-            simulation.run(STARTUP_TIME)
-            began_at = simulation.now
-            simulation.begin_release(self._random)
-            for _ in range(action_count):
-                self._inject(self._draw_kind())
-                simulation.run(draw_pause(self._random))
-            outcome.end = self._finish()
-            outcome.duration = simulation.now - began_at
+            with only_critical(*LOGGERS):
+                self._run_release(action_count, outcome)
         except ViolationError as error:
             outcome.violation = (
                 f"seed {simulation.seed} ({simulation.build}, "
@@ -118,6 +109,18 @@
         outcome.max_members_out = simulation.max_members_out
         return outcome
 
+    def _run_release(self, action_count: int, outcome: Outcome) -> None:
+        simulation = self._simulation
+        simulation.start()
+        simulation.run(STARTUP_TIME)
+        began_at = simulation.now
+        simulation.begin_release(self._random)
+        for _ in range(action_count):
+            self._inject(self._draw_kind())
+            simulation.run(draw_pause(self._random))
+        outcome.end = self._finish()
+        outcome.duration = simulation.now - began_at
+
     def _draw_kind(self) -> str:
         return self._random.choices(list(self._weights), list(self._weights.values()))[0]
 
