--- a/cypresswalk/copies/driver.py
+++ b/cypresswalk/copies/driver.py
@@ -13,6 +13,7 @@
 from typing import Any, NamedTuple
 
 from cypresswalk.copies.client import ReservationClient
+from cypresswalk.copies.compaction import Compaction
 from cypresswalk.copies.effects import AnswerRequest, Effect, SendMessage, SendToLeader, WriteChange
 from cypresswalk.copies.errors import DataLostError
 from cypresswalk.copies.events import (
@@ -60,6 +61,7 @@
 # Until a replica that doesn't confirm, or a partition that stays sealed, is reported to the leader.
 REPORT_DELAY = 700 * MILLISECOND
 EXPIRY_INTERVAL = SECOND
+COMPACTION_INTERVAL = SECOND  # between two steps
 PING_INTERVAL = 2 * SECOND  # shorter than the silence after which links reopen a connection
 COMPARE_INTERVAL = 5 * SECOND  # between two comparisons of a partition's replicas
 DISK_RETRY_DELAY = SECOND  # until a folder that failed is read again
@@ -132,6 +134,8 @@
         self.queue: SimpleQueue[Event] = SimpleQueue()
         self.log = RecordLog(folder)
         self.replica = Replica("")
+        self.compaction = Compaction(self.log, self.replica)
+        self.compact_at = 0
         self.client = ReservationClient()
         self.identity: Identity | None = None
         self.healthy = False
@@ -188,6 +192,9 @@
             self.tick(now)
         try:
             self._carry_out_effects(now)
+            if self.healthy and now >= self.compact_at:
+                self.compact_at = now + COMPACTION_INTERVAL
+                self.compaction.step()
         except OSError as error:
             self._on_disk_failure(now, error)
 
@@ -365,6 +372,7 @@
         if self.disk_error:
             log.info("event=copies_disk_recovered")
             self.disk_error = ""
+        self.compaction = Compaction(self.log, self.replica)
         self.healthy = True
         for number, agreed in self.views.items():
             self.replica.begin_view(number, agreed.view, agreed.replicas)
--- a/cypresswalk/copies/store.py
+++ b/cypresswalk/copies/store.py
@@ -3,8 +3,8 @@
 A file contains a header and batches, as a chain of sealed records (storage/record_chain.py). A torn
 tail was never acknowledged and is cut off; after any other damage the replica's data counts as
 lost. The header names the member that wrote the file and the number of its process start, and
-contains the state of the partitions. A file is removed once all keys in it have expired, so nothing
-is ever rewritten.
+contains the state of the partitions. A file is removed once all keys in it and in all older files
+have expired, or after a compaction (copies/compaction.py).
 
 If the newest file of a folder is from another member, or not from one of the starts just before
 this one, the folder was restored from a copy or is left from a failed start, and its data counts as
@@ -85,14 +85,19 @@
         self.broken = False
         self.file_number = 0
         self.chain_key = b""
-        self.file_size = 0
         self.member = ""
         self.boot = 0
         # By file number: the wall time in nanoseconds at which the last key in the file expires.
         self.expiry_times: dict[int, int] = {}
+        self.file_sizes: dict[int, int] = {}  # bytes, by file number
         # The number of the file whose tail was found torn, and the offset of the cut in bytes.
         self.cut_file: tuple[int, int] = (0, 0)
 
+    @property
+    def total_bytes(self) -> int:
+        """Return the size of all files."""
+        return sum(self.file_sizes.values())
+
     def file_numbers(self) -> list[int]:
         """Return the numbers of all files in ascending order."""
         prefix_length = len(FILE_PREFIX)
@@ -121,9 +126,11 @@
         numbers = self.file_numbers()
         self.file_number = max(numbers, default=0)
         self.expiry_times = {}
+        self.file_sizes = {}
         self.cut_file = (0, 0)
         for number in numbers:
             content = self._read(number)
+            self.file_sizes[number] = content.end + content.torn_bytes
             # A torn tail stays in its file, and the header of the next file refers to it. Without
             # such a reference the tail was once intact, so data was lost.
             if self.cut_file != (0, 0) and content.head.cut_file != self.cut_file:
@@ -177,6 +184,7 @@
                 self.folder.remove(f"{FILE_PREFIX}{number}")
             self.folder.flush()
             self.expiry_times = {}
+            self.file_sizes = {}
             self.cut_file = (0, 0)
 
     def begin_file(self, member: str, boot: int, partitions: list[PartitionStatus]) -> None:
@@ -190,12 +198,16 @@
             self.folder.flush()
         self.file_number = number
         self.chain_key = key
-        self.file_size = len(data)
+        self.file_sizes[number] = len(MAGIC) + len(data)
         self.member = member
         self.boot = boot
         self.expiry_times[number] = 0
         self.cut_file = (0, 0)
 
+    def begin_next_file(self, partitions: list[PartitionStatus]) -> None:
+        """Begin a new file of the same member and start."""
+        self.begin_file(self.member, self.boot, partitions)
+
     def write(
         self, changes: list[StoredChange], partitions: Callable[[], list[PartitionStatus]]
     ) -> None:
@@ -211,11 +223,11 @@
         with broken_on_failure(self):
             self.folder.append(f"{FILE_PREFIX}{self.file_number}", data)
         self.chain_key = key
-        self.file_size += len(data)
+        self.file_sizes[self.file_number] += len(data)
         latest = max(_latest_expiry(change) for change in changes)
         self.expiry_times[self.file_number] = max(self.expiry_times[self.file_number], latest)
-        if self.file_size > SEGMENT_BYTES:
-            self.begin_file(self.member, self.boot, partitions())
+        if self.file_sizes[self.file_number] > SEGMENT_BYTES:
+            self.begin_next_file(partitions())
 
     def remove_expired_files(self, now: int) -> None:
         """Remove old files, from the oldest up to the first with a key that has not expired.
@@ -225,9 +237,22 @@
         for number in sorted(self.expiry_times):
             if number == self.file_number or self.expiry_times[number] >= now:
                 return
-            with broken_on_failure(self):
-                self.folder.remove(f"{FILE_PREFIX}{number}")
-            del self.expiry_times[number]
+            self._remove(number)
+
+    def remove_files_before(self, first: int) -> None:
+        """Remove all files before the one with this number, the oldest first."""
+        for number in sorted(self.expiry_times):
+            if number >= first:
+                return
+            self._remove(number)
+
+    def _remove(self, number: int) -> None:
+        with broken_on_failure(self):
+            self.folder.remove(f"{FILE_PREFIX}{number}")
+            # Otherwise a crash could leave an older file without a later one.
+            self.folder.flush()
+        del self.expiry_times[number]
+        del self.file_sizes[number]
 
 
 def _check_owner(number: int, head: FileHead, member: str, boots: tuple[int, ...]) -> None:
