--- a/tests/lab/test_balancer_releases.py
+++ b/tests/lab/test_balancer_releases.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import pytest
+from helpers import present
 from paths import ROOT
 
 from cypresswalk.fleet.records import FleetState
@@ -74,29 +75,29 @@
         agreed = run_until_over(BalancerReleases(seed, 3, 3, 2, build))
         assert agreed.halted, seed
         assert why in agreed.halted[2], (seed, agreed.halted)
-        changed = [s for s in agreed.release.members.values() if s in ("new", "failed")]
+        changed = [s for s in present(agreed.release).members.values() if s in ("new", "failed")]
         assert len(changed) <= 1
-        assert agreed.release.wave == 0
+        assert present(agreed.release).wave == 0
 
 
 def test_good_builds_are_never_halted():
     """The release completes, whatever the bound."""
     for seed in range(6):
         agreed = run_until_over(BalancerReleases(seed, 3, 3, 1 + seed % 3))
-        assert agreed.release.phase == Phase.DONE, (seed, agreed.release)
+        assert present(agreed.release).phase == Phase.DONE, (seed, agreed.release)
         assert agreed.halted is None, (seed, agreed.halted)
 
 
 def test_a_fleet_of_one_is_changed_if_the_bound_allows_one_to_be_out():
     """A bound of zero stops the release."""
     simulation = BalancerReleases(1, 1, 0, {"share": 0.5, "least": 1})
-    assert run_until_over(simulation).release.phase == Phase.DONE
+    assert present(run_until_over(simulation).release).phase == Phase.DONE
     assert simulation.hosts["n0"].agent.saved.version == NEW_VERSION
     simulation = BalancerReleases(1, 1, 0, {"share": 0.5})  # half of one is none
     with pytest.raises(AssertionError):
         run_until_over(simulation, 30)
     assert simulation.hosts["n0"].agent.saved.version == OLD_VERSION
-    assert "1 are out" not in simulation.agreed_state().history[-1].what
+    assert "1 are out" not in present(simulation.agreed_state()).history[-1].what
 
 
 def members_without_a_report_count_as_ready(patch):
@@ -255,6 +256,35 @@
     assert f"event=ended_by_itself version={OLD_VERSION} pid=7" in caplog.text
 
 
+@pytest.mark.parametrize("running", [(False,), (True, False)])
+def test_an_agent_logs_that_the_old_process_ended_before_it_was_asked_to(running, caplog):
+    # Found by reading: it may end after the agent has last seen it run.
+    state = AgentState(OLD_VERSION, 7, "a", target_version=NEW_VERSION, new_pid=8)
+    agent = BalancerAgent("n0", OLD_VERSION, ("a", "b"), state)
+    agent.expects_old_to_run = True
+    turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
+    answers = iter(running)
+    actions_done = []
+    work = agent.stop_old()
+    action = next(work)
+    for _ in range(20):
+        actions_done.append(action)
+        result: Any = None
+        if isinstance(action, actions.IsRunning):
+            result = action.pid == state.new_pid or next(answers, False)
+        elif isinstance(action, actions.CheckReady):
+            result = ""
+        elif isinstance(action, actions.ReadClock):
+            result = 0.0
+        elif isinstance(action, actions.CallFleet):
+            result = actions.CallResult(True, turn)
+        if caplog.text:
+            break
+        action = work.send(result)
+    assert f"event=ended_by_itself version={OLD_VERSION} pid=7" in caplog.text
+    assert not any(isinstance(action, actions.StopProcess) for action in actions_done)
+
+
 def test_an_agent_that_died_before_it_saved_an_agreed_change_reports_it_as_failed():
     """The fleet counts the change as begun; the report ends it and halts the release."""
     turn = {"status": "changing", "since": OLD_VERSION, "to": NEW_VERSION, "phase": "running"}
@@ -270,8 +300,10 @@
         assert len(done) < 30, done
         if isinstance(action, actions.CallFleet) and action.name != "turn":
             break
-    assert done[-1].name == "release_came"
-    assert done[-1].args["why"] == "its agent restarted"
+    last = done[-1]
+    assert isinstance(last, actions.CallFleet)
+    assert last.name == "release_came"
+    assert last.args["why"] == "its agent restarted"
     changes = actions.StartProcess | actions.StopProcess
     assert not any(isinstance(action, changes) for action in done)
 
