--- a/cypresswalk/rollout/balancer_agent.py
+++ b/cypresswalk/rollout/balancer_agent.py
@@ -37,6 +37,8 @@
     ):
         """Create an agent; `admin_addresses` are the addresses of the two processes."""
         super().__init__(member, initial_version, admin_addresses, state)
+        # Whether this agent has seen the old process run and has not asked it to shut down yet.
+        self.expects_old_to_run = False
         self.steps[AgentStep.STARTING_NEW] = self.start_new
         self.steps[AgentStep.STOPPING_OLD] = self.stop_old
 
@@ -74,7 +76,8 @@
         if error:
             yield from self.give_up(error)
             return
-        if not (yield IsRunning(state.pid)):
+        self.expects_old_to_run = yield IsRunning(state.pid)
+        if not self.expects_old_to_run:
             self.log_unexpected_end()  # nobody has asked it to shut down yet
         yield from self.enter_step(AgentStep.STOPPING_OLD)
 
@@ -95,8 +98,15 @@
                 if reason:
                     yield from self.give_up(reason)
                     return
-                log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
-                yield StopProcess(state.pid, False)
+                # The call to the fleet may have taken some time.
+                if (yield IsRunning(state.pid)):
+                    log.info("event=told_to_leave version=%s pid=%d", state.version, state.pid)
+                    yield StopProcess(state.pid, False)
+                else:
+                    self.log_unexpected_end()
+        elif self.expects_old_to_run:
+            self.log_unexpected_end()
+        self.expects_old_to_run = False
         yield from self.wait_until_ended(state.pid)
         admin = self.other_admin()
         error = yield from self.wait_until_ready(admin, state.new_pid)
