--- a/cypresswalk/operator.py
+++ b/cypresswalk/operator.py
@@ -109,9 +109,9 @@
     name: Name
     address: Address
     folder: Folder
-    zone: str = Field("", max_length=63)
+    zone: str = Field(default="", max_length=63)
     first: dict[Name, Address]
-    stated_s: float = Field(5, ge=1, le=60)
+    stated_s: float = Field(default=5, ge=1, le=60)
     without_lease: Literal["refuse", "hold"] = "refuse"
     listen: Address | None = None
     copies: CopiesTable | None = None
--- a/tests/agreement/agreement_mutants.py
+++ b/tests/agreement/agreement_mutants.py
@@ -49,7 +49,7 @@
                 step.messages = []
             return step
 
-        member.take = take_after_sending
+        member.take = take_after_sending  # type: ignore[method-assign]
         try:
             carry_out(self, member)
         finally:
--- a/tests/decisions/fleet_model.py
+++ b/tests/decisions/fleet_model.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from helpers import START, SimulatedHost
+from helpers import START, SimulatedHost, present
 from rule_assertions import assert_within_slow_start_budget, slow_start_limit
 
 from cypresswalk.decisions.balancer import Balancer
@@ -100,7 +100,7 @@
     def end(self, flow: Flow, outcome: Outcome) -> None:
         """End a flow; record migrated ones, because their clients return."""
         if outcome is Outcome.CANCELLED:
-            self.migrated.append((flow, flow.server.id))
+            self.migrated.append((flow, present(flow.server).id))
         super().end(flow, outcome)
 
     def take_new_attempts(self) -> list[Flow]:
@@ -160,9 +160,8 @@
         self.events: list[tuple[int, float, Callable[..., None], tuple]] = []
         self.last_flow_id = 0
         self.attempts_at_warming_servers = 0
-        self.balancers: list[ModelBalancer | None] = []
+        self.balancers: list[ModelBalancer] = []
         for number in range(balancers):
-            self.balancers.append(None)
             self.start_balancer(number)
 
     # Time.
@@ -197,15 +196,17 @@
         """Start a balancer that knows only the endpoint list."""
         seed = number + self.rng.randrange(1 << 30)
         listed = [self.entry(server) for server in self.servers.values()]
-        self.balancers[number] = ModelBalancer(self.size, seed, self.now, listed)
-        self.process_decisions(self.balancers[number])
+        host = ModelBalancer(self.size, seed, self.now, listed)
+        self.balancers[number : number + 1] = [host]  # replaces, or appends the next one
+        self.process_decisions(host)
 
     def restart_balancer(self, number: int) -> None:
         """Kill and restart a balancer; the clients of its flows return to any balancer."""
         flows = self.balancers[number].balancer.flows.values()
         for flow in [flow for flow in flows if flow.established]:
-            if flow.server.id in self.servers:
-                self.servers[flow.server.id].held -= 1
+            server_id = present(flow.server).id
+            if server_id in self.servers:
+                self.servers[server_id].held -= 1
             self.schedule(
                 self.delay(50, 1500), self.return_client, self.returning_client(flow), True
             )
@@ -269,7 +270,9 @@
 
     def attempt(self, host: ModelBalancer, flow: Flow) -> None:
         """Deliver an attempt to its server, which may be gone without the balancer's knowledge."""
-        server = self.servers.get(flow.server.id) or ModelServer(flow.server.id, 0)
+        server = self.servers.get(present(flow.server).id) or ModelServer(
+            present(flow.server).id, 0
+        )
         if server.started_at:
             self.attempts_at_warming_servers += 1
             server.on_attempt(self.now)
@@ -322,7 +325,9 @@
     def break_flows(self, host: ModelBalancer, ident: int) -> None:
         """Break all flows that the balancer has at the server; their clients return."""
         flows = host.balancer.flows.values()
-        at_server = [flow for flow in flows if flow.established and flow.server.id == ident]
+        at_server = [
+            flow for flow in flows if flow.established and present(flow.server).id == ident
+        ]
         for flow in at_server:
             if flow.id in host.balancer.flows:  # it was not migrated in the meantime
                 host.end(flow, Outcome.RESET)
--- a/tests/decisions/test_fleet_storm.py
+++ b/tests/decisions/test_fleet_storm.py
@@ -9,7 +9,7 @@
 
 import pytest
 from decision_helpers import settle
-from helpers import SimulatedHost
+from helpers import SimulatedHost, present
 
 from cypresswalk.model import SECOND, Flow, Outcome
 
@@ -136,8 +136,9 @@
     for _ in range(count):
         flow = host.arrive()
         host.accept(flow)
-        if flow.server.zone == 0:
-            flow.server.established_flows.pop(flow)
+        server = present(flow.server)
+        if server.zone == 0:
+            server.established_flows.pop(flow)
             far.established_flows[flow] = None
             flow.server = far
 
--- a/tests/decisions/test_flow_queue.py
+++ b/tests/decisions/test_flow_queue.py
@@ -1,6 +1,6 @@
 """Queued flows and their deadlines."""
 
-from helpers import SimulatedHost
+from helpers import SimulatedHost, present
 
 from cypresswalk.net.limits import MILLISECOND
 
@@ -15,8 +15,9 @@
     assert flow.id in host.open
     flow.deadline = host.now + 50 * MILLISECOND
     host.carry_out_decisions()
-    assert host.wakeup_at <= flow.deadline
-    host.now = host.wakeup_at
+    wakeup_at = present(host.wakeup_at)
+    assert wakeup_at <= flow.deadline
+    host.now = wakeup_at
     host.balancer.on_wakeup(host.now)
     host.carry_out_decisions()
     assert host.answers[flow.id] == "reject"
--- a/tests/decisions/test_maglev.py
+++ b/tests/decisions/test_maglev.py
@@ -1,6 +1,6 @@
 """Maglev tables."""
 
-from helpers import SimulatedHost, entries
+from helpers import SimulatedHost, entries, present
 
 from cypresswalk.decisions.maglev import TABLE_SIZE, build_table
 
@@ -19,6 +19,6 @@
     hosts = [SimulatedHost(6, instances=3) for _ in range(3)]
     for key in range(1, 40):
         flows = [host.arrive(key=key) for host in hosts]
-        assert len({flow.server.id for flow in flows}) == 1
+        assert len({present(flow.server).id for flow in flows}) == 1
         for host, flow in zip(hosts, flows, strict=True):
             host.accept(flow)
--- a/tests/decisions/test_migration.py
+++ b/tests/decisions/test_migration.py
@@ -1,7 +1,7 @@
 """Migration of established flows."""
 
 from decision_helpers import settle
-from helpers import SimulatedHost
+from helpers import SimulatedHost, present
 
 from cypresswalk.model import SECOND, Outcome
 
@@ -32,7 +32,7 @@
     settle(host)
     flow = host.arrive()
     host.accept(flow)
-    server = flow.server
+    server = present(flow.server)
     host.balancer.on_silence(host.now, flow, False)
     host.carry_out_decisions()
     assert flow.id not in host.balancer.flows
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,7 +1,7 @@
 """Outlier ejection."""
 
 from decision_helpers import establish_flows, settle
-from helpers import SimulatedHost
+from helpers import SimulatedHost, present
 
 from cypresswalk.model import SECOND, Outcome
 
@@ -28,7 +28,7 @@
         flow = host.arrive()
         if flow.id in host.open:
             host.accept(flow)
-            if flow.server.id == 7:
+            if present(flow.server).id == 7:
                 host.end(flow, Outcome.RESET)
     # The network may have caused the first drop; after the second, the server counts as full.
     assert sum(server.id == 7 for _, server in host.attempts) == 2
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import SimulatedHost, service, settings
+from helpers import SimulatedHost, present, service, settings
 
 from cypresswalk.model import SECOND, Effect, Flow, Outcome
 
@@ -88,7 +88,7 @@
             scenario.assert_budget_kept()
             scenario.pass_time()
         # The balancer's own records don't grow.
-        counts = scenario.host.balancer.retry_budget._counts
+        counts = present(scenario.host.balancer.retry_budget._counts)
         assert len(counts.retries.counts) == len(counts.flows.counts) == 33
         retries += len(scenario.retries())
     assert retries > 20 if base or ratio else not retries
--- a/tests/faults/test_fault_proxy.py
+++ b/tests/faults/test_fault_proxy.py
@@ -22,6 +22,7 @@
 from cypresswalk.faults.connection import LINGER_ZERO, Connection
 from cypresswalk.faults.kinds import Fault, Kind
 from cypresswalk.faults.plan import Plan, Replay
+from cypresswalk.faults.proxy import Proxy
 from cypresswalk.faults.proxy_thread import ProxyThread
 
 SEEDS = 50
@@ -106,6 +107,7 @@
         socket.create_server(("127.0.0.1", 0)) as listener,
         ProxyThread(listener.getsockname()) as proxy,
     ):
+        assert isinstance(proxy, Proxy)
         listener.settimeout(SOCKET_TIMEOUT_S)
         client = connect(proxy.address)
         while not proxy.open_connections:
--- a/tests/fleet/test_core_binding.py
+++ b/tests/fleet/test_core_binding.py
@@ -10,7 +10,7 @@
 
 import pytest
 from binding_helpers import BindingHarness, agreed_entry
-from helpers import PARAMS, endpoint_entry
+from helpers import PARAMS, endpoint_entry, present
 
 from cypresswalk.fleet import driver
 from cypresswalk.fleet.messages import ServerReport
@@ -57,8 +57,9 @@
         {"name": "chat", "semantics": "idempotent", "setupTarget": 200.0, "giveUp": 800.0}
     ]
     params["tenants"] = [{"name": "south"}, {"name": "north"}, {"name": "west"}]
-    applied = []
-    harness.binding.fleet.on_version_applied = applied.append
+    applied: list[int] = []
+    fleet = harness.binding.fleet
+    fleet.on_version_applied = applied.append  # type: ignore[assignment, method-assign]
     harness.apply_view(4, settings_version=4, settings=params)
     assert applied == [4]
     assert list(harness.core.service_types) == ["chat"]
@@ -155,9 +156,9 @@
         process_events(events)
 
     def leads_again() -> bool:
-        return failed.is_set() and fleet.boot >= 2 and fleet.member.is_leader
+        return failed.is_set() and fleet.boot >= 2 and present(fleet.member).is_leader
 
-    fleet.process_events = fail_once
+    fleet.process_events = fail_once  # type: ignore[method-assign]
     fleet.start()
     deadline = time.monotonic() + 15
     while time.monotonic() < deadline and not leads_again():
@@ -165,7 +166,7 @@
     assert leads_again()
     agreed = Event()
     arguments = {"ident": "1", "by": "test", "at": 0, "server": "s"}
-    fleet.call("out", arguments, lambda ok, body: ok and agreed.set(), 5)
+    fleet.call("out", arguments, lambda ok, body: agreed.set() if ok else None, 5)
     assert agreed.wait(6)
     fleet.stop()
     assert fleet.ended.wait(5)
@@ -241,10 +242,10 @@
             continue
         if number % 4:
             at = harness.now + 2 * MILLISECOND
-            harness.core.on_established(at, session.attempt)
+            harness.core.on_established(at, present(session.attempt))
         else:
             time_outs += 1
-            harness.end_attempt(session.attempt, Outcome.TIMEOUT)
+            harness.end_attempt(present(session.attempt), Outcome.TIMEOUT)
     counts = harness.server_report().flow_counts
     established = sum(session.established for session in sessions)
     assert set(counts) <= {"s-1", "s-2"}
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -103,7 +103,7 @@
 
 def test_second_hello_ends_the_connection_and_is_not_processed():
     # Guards against a second Hello being posted like a message, which ended the fleet thread.
-    posted = []
+    posted: list[object] = []
     transport = Transport(
         ("127.0.0.1", 0),
         "f",
--- a/tests/fleet/test_reservation_gate.py
+++ b/tests/fleet/test_reservation_gate.py
@@ -4,7 +4,7 @@
 
 import pytest
 from binding_helpers import BindingHarness
-from helpers import endpoint_entry
+from helpers import endpoint_entry, present
 
 from cypresswalk.copies.events import ReservationEnded, ReservationRequested
 from cypresswalk.copies.reservations import ReservationAnswer
@@ -22,12 +22,15 @@
         """Start with one listed server."""
         super().__init__(folder, endpoint_entry("s-1"), copies={})
         self.events: list[ReservationRequested | ReservationEnded] = []
-        self.binding.fleet.replication.put = self.events.append
+        replication = present(self.binding.fleet.replication)
+        replication.put = self.events.append  # type: ignore[assignment, method-assign]
 
     def answer(self, kind: str, outcome: str = "", request: int = 0) -> None:
         """Answer the request at index `request` of the events, as the replicas do."""
         answer = ReservationAnswer(kind, "n9#1/1.1", outcome)
-        self.events[request].reply(answer, OWNER)
+        event = self.events[request]
+        assert isinstance(event, ReservationRequested)
+        event.reply(answer, OWNER)
         self.process_posted()
         self.core.carry_out_decisions(self.now)
 
@@ -39,7 +42,7 @@
 
     def waiting(self) -> int:
         """Return the number of flows that wait for their reservation."""
-        return len(self.core.extensions.reservations.waiting)
+        return len(present(self.core.extensions.reservations).waiting)
 
 
 @pytest.fixture
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """A simulated host, settings and configurations that many tests use."""
 
-from typing import Any
+from typing import Any, TypeVar
 
 from rule_assertions import (
     AttemptRecord,
@@ -37,6 +37,14 @@
 SETUP_TIME = SECOND // 100  # set-up time of every attempt in a simulated host
 MAX_DECISIONS = 10_000  # that may follow one event
 
+ValueT = TypeVar("ValueT")
+
+
+def present(value: ValueT | None) -> ValueT:
+    """Return a value that must not be None."""
+    assert value is not None
+    return value
+
 
 def service(effect: Effect = Effect.IDEMPOTENT, scope: Scope = Scope.ALL) -> ServiceType:
     """Return a service type with objectives of 500 ms for set-ups and 100 ms for messages."""
--- a/tests/lab/test_cluster_player.py
+++ b/tests/lab/test_cluster_player.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import time
+from typing import Any, cast
 
 from cypresswalk.lab.cluster.plan import Action, Plan, Step
 from cypresswalk.lab.cluster.testbed.player import Player
@@ -35,7 +36,9 @@
         done.append((int(step.balancer[1:]), time.monotonic() - began))
 
     plan = Plan(duration_s=1, steps=steps)
-    player = Player(plan, {Action.WIPE: wipe}, None, RecordingDouble(), wait_for_replicas)
+    player = Player(
+        plan, {Action.WIPE: wipe}, cast(Any, None), cast(Any, RecordingDouble()), wait_for_replicas
+    )
     asyncio.run(player.play())
     (first, first_at), (second, second_at) = done
     assert (first, second) == (0, 1)
--- a/tests/lab/test_cluster_processes.py
+++ b/tests/lab/test_cluster_processes.py
@@ -239,7 +239,8 @@
             "ERR this process has no part in the fleet yet"
         )
         predecessor.send_signal(signal.SIGTERM)
-        viewed, booked = [], []
+        viewed: list[str] = []
+        booked: list[str] = []
         until = time.monotonic() + 6
         while (predecessor.poll() is None or len(viewed) < 120) and time.monotonic() < until:
             viewed.append(
--- a/tests/lab/test_faulty_balancer.py
+++ b/tests/lab/test_faulty_balancer.py
@@ -1,7 +1,7 @@
 """The balancer with injected disk faults: the faults reach its log and its replicas."""
 
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 import pytest
 from binding_helpers import BindingHarness
@@ -30,7 +30,7 @@
     monkeypatch.setenv("FAULTY_BALANCER_CLOCK_DRIFT", "0")
     (tmp_path / "kept").mkdir()
     balancer = FaultyBalancer.__new__(FaultyBalancer)  # without opening sockets
-    balancer.join_fleet(harness.binding.fleet.table, SimpleNamespace())
+    balancer.join_fleet(harness.binding.fleet.table, cast(Any, SimpleNamespace()))
     return balancer
 
 
--- a/tests/lab/test_server_processes.py
+++ b/tests/lab/test_server_processes.py
@@ -3,6 +3,8 @@
 import asyncio
 import time
 
+from helpers import present
+
 from cypresswalk.lab.cluster.checkers.linearizability import CallOutcome
 from cypresswalk.lab.cluster.plan import Action, Build, Plan, Step
 from cypresswalk.lab.cluster.testbed.cluster_testbed import ClusterTestBed
@@ -36,7 +38,7 @@
 
 def running_versions(testbed: ClusterTestBed) -> list[str]:
     """Return the version that each server runs according to its agent."""
-    return [state.version for state in testbed.server_members.agent_states()]
+    return [state.version for state in present(testbed.server_members).agent_states()]
 
 
 async def release_while_an_agent_dies(testbed: ClusterTestBed) -> None:
@@ -45,16 +47,16 @@
     The agent continues or rolls its server back. If that halts the release, resume it.
     """
     step = Step(at_s=0, action=Action.RELEASE, hold_s=1, min_flows=5)
-    assert await testbed.releases.begin(step) == CallOutcome.YES
+    assert await present(testbed.releases).begin(step) == CallOutcome.YES
     await wait_for_release(testbed, lambda body: body["release"][5]["s-0"] == "changing")
-    testbed.server_members.hosts["s-0"].kill_process()
-    testbed.server_members.start_agent("s-0")
+    present(testbed.server_members).hosts["s-0"].kill_process()
+    present(testbed.server_members).start_agent("s-0")
     body = await wait_for_release(testbed, lambda body: body["halted"] or is_done(body))
     if body["halted"]:
-        await testbed.releases.resume("n1")
+        await present(testbed.releases).resume("n1")
         await wait_for_release(testbed, is_done)
     assert running_versions(testbed) == ["v1"] * 3
-    testbed.releases.current_version = "v1"
+    present(testbed.releases).current_version = "v1"
 
 
 def test_release_changes_real_servers_and_a_bad_build_is_rolled_back(tmp_path):
@@ -71,11 +73,11 @@
         testbed = ClusterTestBed(plan, tmp_path / "rig")
         try:
             await testbed.start()
-            await testbed.agree_on_bounds(await testbed.convergence.wait())
+            await testbed.agree_on_bounds(present(await testbed.convergence.wait()))
             testbed.clients.start()
             await release_while_an_agent_dies(testbed)
             step = Step(at_s=0, action=Action.RELEASE, build=Build.ABORTS, hold_s=30, min_flows=5)
-            assert await testbed.releases.begin(step) == CallOutcome.YES
+            assert await present(testbed.releases).begin(step) == CallOutcome.YES
             body = await wait_for_release(testbed, lambda body: body["halted"])
             assert "s-0 failed or rejected" in body["halted"][2], body["halted"]
             report = (await conclude(testbed)).to_json()  # also rolls the release back
--- a/tests/lab/test_server_releases.py
+++ b/tests/lab/test_server_releases.py
@@ -3,6 +3,7 @@
 from random import Random
 
 import pytest
+from helpers import present
 
 from cypresswalk.fleet.leader import LeaderDuties
 from cypresswalk.fleet.server_observations import ServerObservations
@@ -94,10 +95,10 @@
         agreed = simulation.agreed_state()
         if agreed is not None and agreed.halted:
             break
-    agreed = simulation.agreed_state()
+    agreed = present(simulation.agreed_state())
     assert agreed.halted
     assert why in agreed.halted[2], agreed.halted
-    assert agreed.release.wave == 0
+    assert present(agreed.release).wave == 0
     unchanged = [host for host in simulation.hosts.values() if host.running_version() == "v1"]
     assert len(unchanged) >= 5
 
@@ -106,9 +107,9 @@
     simulation = ServerReleases(1, 4, 2, voters=3, followers=2)
     simulation.start()
     simulation.run(8 * SECOND)
-    leader = simulation.leader()
+    leader = present(simulation.leader())
     # Simulate a leader that was elected just now and has no reports yet.
-    leader.fleet.member.duties.servers.observations.reports.clear()
+    present(present(leader.fleet).member).duties.servers.observations.reports.clear()
     answers: list[tuple[str, bool]] = []
 
     def take_out(label: str, timeout: int, **args) -> None:
@@ -120,7 +121,7 @@
     take_out("forced", SECOND, forced=True)
     simulation.run(SECOND // 2)
     assert answers == [("forced", True)]
-    assert "server s0 out" in simulation.agreed_state().history[-1].what
+    assert "server s0 out" in present(simulation.agreed_state()).history[-1].what
     simulation.run(4 * SECOND)  # the balancers report meanwhile
     assert answers[1:] == [("asked", True)]
-    assert set(simulation.agreed_state().removed_servers) == {"s0", "s1"}
+    assert set(present(simulation.agreed_state()).removed_servers) == {"s0", "s1"}
--- a/tests/net/parsers/test_endpoint_list.py
+++ b/tests/net/parsers/test_endpoint_list.py
@@ -36,6 +36,7 @@
     assert first.id < 1 << 32
     assert address == ("127.0.0.1", 9)
     assert decoder.version == 9
-    for broken in (7, [], {"instances": 7}):
+    not_lists: list[object] = [7, [], {"instances": 7}]
+    for broken in not_lists:
         with pytest.raises(ProtocolError):
             decoder.decode(broken)
--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -1,8 +1,10 @@
 """Tests of the core without sockets: flows from their OPEN request to their end."""
 
+from typing import Any
+
 import pytest
 from core_helpers import UP, CoreHarness
-from helpers import endpoint_entry
+from helpers import endpoint_entry, present
 
 from cypresswalk.model import SECOND, Outcome, ServerState
 
@@ -123,9 +125,9 @@
     harness = CoreHarness()
     answered, silent = (attempt.session for attempt in harness.establish(2, first=1))
     harness.pass_time(2 * SECOND)
-    silent.attempt.unanswered_since = harness.now
+    present(silent.attempt).unanswered_since = harness.now
     for _ in range(9):
-        answered.attempt.unanswered_since = harness.now
+        present(answered.attempt).unanswered_since = harness.now
         harness.pass_time(SECOND // 2)
     assert harness.drivers.migrated == {silent}
 
@@ -135,13 +137,15 @@
     # leave a healthy server.
     harness = CoreHarness(servers=1)
     answered, silent = (attempt.session for attempt in harness.establish(2, first=1))
-    silent.attempt.unanswered_since = harness.now
+    present(silent.attempt).unanswered_since = harness.now
     harness.pass_time(SECOND // 2)
-    silent.attempt.delay_gauge.latest_answered = harness.now  # for a line of the other client
+    present(
+        silent.attempt
+    ).delay_gauge.latest_answered = harness.now  # for a line of the other client
     harness.pass_time(SECOND)
     assert harness.drivers.migrated == {silent}
-    assert answered.attempt.server is silent.attempt.server
-    assert answered.attempt.server.consecutive_failures == 0
+    assert present(answered.attempt).server is present(silent.attempt).server
+    assert present(answered.attempt).server.consecutive_failures == 0
 
 
 def test_delay_that_a_server_reports_becomes_its_load():
@@ -158,7 +162,7 @@
     # Otherwise new flows would go to a server that the previous address listed as draining.
     harness = CoreHarness(servers=2)
 
-    def state_after(lifecycle: str, older: bool, **entry: object) -> ServerState:
+    def state_after(lifecycle: str, older: bool, **entry: Any) -> ServerState:
         harness.update_endpoints(
             endpoint_entry("s-0", lifecycle=lifecycle, **entry), older=older, generation=9
         )
--- a/tests/net/test_core_races.py
+++ b/tests/net/test_core_races.py
@@ -5,6 +5,7 @@
 
 import random
 from collections.abc import Callable
+from functools import partial
 
 import pytest
 from core_helpers import UP, CoreHarness
@@ -50,17 +51,17 @@
 
     def draw(self) -> list[Callable[[], None]]:
         """Return events for all sessions with a pending attempt, in random order."""
-        events = []
+        events: list[Callable[[], None]] = []
         for session, attempt in list(self.harness.drivers.pending.items()):
-            choices = [
-                lambda attempt=attempt: self.establish(attempt),
-                lambda attempt=attempt: self.end(attempt),
-                lambda session=session: self.leave(session),
+            choices: list[Callable[[], None]] = [
+                partial(self.establish, attempt),
+                partial(self.end, attempt),
+                partial(self.leave, session),
                 lambda: None,
             ]
             events.append(self.rng.choice(choices))
             if self.rng.random() < 0.5:
-                events.append(lambda session=session: self.leave(session))
+                events.append(partial(self.leave, session))
         self.rng.shuffle(events)
         return events
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -5,6 +5,7 @@
 import time
 from contextlib import suppress
 from threading import Event, Thread
+from typing import Any, cast
 
 import pytest
 from core_helpers import DRIVER_LIMITS
@@ -175,7 +176,7 @@
         self.inbox = Inbox(Clock())
         data = config_data([endpoint_entry("s-0")])
         config = build({}, data)
-        self.core = Core(config, None, Counters(), self.inbox.clock())
+        self.core = Core(config, cast(Any, None), Counters(), self.inbox.clock())
         self.decoder = EndpointListDecoder(config.zones)
         self.core.on_endpoints(self.inbox.clock(), *self.decoder.decode(data["known"]))
         self.watch = EndpointWatch(
@@ -257,7 +258,7 @@
         sock.connect_ex(full.getsockname())
     harness = WatchHarness(address_of(full))
     failed = Event()
-    harness.watch.on_failure = lambda now: failed.set()
+    harness.watch.on_failure = lambda now: failed.set()  # type: ignore[method-assign]
     began = time.monotonic()
     harness.start()
 
--- a/tests/net/test_handover_rules.py
+++ b/tests/net/test_handover_rules.py
@@ -5,6 +5,7 @@
 
 from core_helpers import SEEDED
 from handover_helpers import HandoverProcess
+from helpers import present
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
@@ -43,14 +44,15 @@
     @rule(count=st.integers(1, 9), to_first=st.booleans())
     def deliver(self, count, to_first):
         """Deliver up to `count` messages in one direction."""
-        channel = self.second.channel if to_first else self.second.channel.reverse
+        channel = present(self.second).channel
+        channel = channel if to_first else channel.reverse
         channel.deliver(count)
 
     @precondition(lambda self: self.second)
     @rule()
     def stop(self):
         """Stop the first process if the second is ready, as an operator does."""
-        if self.second.run_command("check") == "OK":
+        if present(self.second).run_command("check") == "OK":
             self.first.stop()
 
     @rule(kind=st.sampled_from(["view", "book"]))
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -4,6 +4,7 @@
 from collections.abc import Iterator
 from threading import Event, Thread
 from types import SimpleNamespace
+from typing import Any, cast
 
 import pytest
 from core_helpers import LIMITS
@@ -39,20 +40,21 @@
 def test_idle_clients_can_be_dismissed_while_others_come_and_go(frequent_thread_switches):
     # In a soak run with many clients, "dictionary changed size during iteration" ended the thread
     # that accepts clients, which was restarted 20 ms later.
-    listener = ClientListener(("127.0.0.1", 0), SimpleNamespace(), Inbox(Clock()), LIMITS)
+    core = cast(Any, SimpleNamespace())
+    listener = ClientListener(("127.0.0.1", 0), core, Inbox(Clock()), LIMITS)
     ended = Event()
 
     def add_and_remove_clients() -> None:
         """Change the listener's clients as their threads do."""
         while not ended.is_set():
-            clients = [BusyClient() for _ in range(CLIENTS)]
+            clients = [cast(Any, BusyClient()) for _ in range(CLIENTS)]
             for client in clients:
                 listener.unopened[client] = None
             for client in clients:
                 del listener.unopened[client]
 
     for _ in range(CLIENTS):
-        listener.unopened[BusyClient()] = None
+        listener.unopened[cast(Any, BusyClient())] = None
     thread = Thread(target=add_and_remove_clients, daemon=True)
     thread.start()
     try:
--- a/tests/net/test_server_connection.py
+++ b/tests/net/test_server_connection.py
@@ -10,6 +10,7 @@
 from contextlib import suppress
 from dataclasses import replace
 from threading import Event, Semaphore, Thread
+from typing import Any, cast
 
 import pytest
 from core_helpers import DRIVER_LIMITS
@@ -53,7 +54,7 @@
         """Create an attempt for a client without starting it."""
         self.inbox = Inbox(Clock())
         config = build({}, config_data([endpoint_entry("s-0")]))
-        self.core = Core(config, None, Counters(), self.inbox.clock())
+        self.core = Core(config, cast(Any, None), Counters(), self.inbox.clock())
         accepted, self.client_socket = connected_pair()
         self.client = ClientConnection(accepted, self.core, self.inbox, DRIVER_LIMITS, {})
         self.server = socket.create_server((LOOPBACK, 0))
--- a/tests/rollout/test_server_release_commands.py
+++ b/tests/rollout/test_server_release_commands.py
@@ -1,5 +1,7 @@
 """Commands of a release of servers, applied by the replicated state machine."""
 
+from helpers import present
+
 from cypresswalk.fleet import commands
 from cypresswalk.fleet.state_machine import StateMachine
 from cypresswalk.rollout.release import Plan
@@ -50,7 +52,7 @@
 def test_granted_turn_takes_the_server_out_and_records_the_state_version():
     machine = machine_with_s0_out()
     assert machine.state.servers_out() == {"s0"}
-    assert machine.state.release.out_since_version["s0"] == machine.state.version
+    assert present(machine.state.release).out_since_version["s0"] == machine.state.version
 
 
 def test_server_out_for_two_reasons_returns_once_both_have_ended():
--- a/tests/service/test_operator_calls.py
+++ b/tests/service/test_operator_calls.py
@@ -88,7 +88,7 @@
 def test_call_is_answered_within_a_second_during_a_burst_of_clients(start_with_admin):
     program, operator = start_with_admin(ServerDouble(), ServerDouble(), sockets=1024)
     burst = ClientBurst(program, 300)
-    waits = []
+    waits: list[float] = []
     while burst.thread.is_alive() or len(waits) < 5:
         started = time.monotonic()
         metrics, end = operator.call("vars")
--- a/tests/service/test_saturation.py
+++ b/tests/service/test_saturation.py
@@ -52,7 +52,7 @@
         sockets=SOCKETS,
         command=("/bin/sh", "-c", f"ulimit -n {SOCKETS}; exec {sys.executable} -m cypresswalk"),
     )
-    established = []
+    established: list[LineConnection] = []
     while (flow := program.open(f"d{len(established)}")).read_line().startswith("UP"):
         established.append(flow)
     assert len(established) == 96
--- a/tests/service/test_sockets.py
+++ b/tests/service/test_sockets.py
@@ -208,7 +208,7 @@
     started = time.monotonic()
     assert client.read_line() == "UP rk1"
     client.send_line("HANG")
-    replies = []
+    replies: list[str] = []
     while not replies or replies[-1] not in ("MOVE", END, RESET):
         client.send_line("M 1")
         replies.append(client.read_line())
@@ -340,7 +340,7 @@
     program = start_program(ServerDouble(), sockets=64)
     slow = program.connect()
     time.sleep(0.15)  # longer than `Limits.idle_grace`: its slot may be taken from it
-    others = []
+    others: list[LineConnection] = []
     while len(others) < 24 and not is_readable(slow.sock, 0.01):
         others.append(program.connect())  # one by one: the listener looks for idle clients at each
     assert slow.read_line() == "BUSY"
--- a/tests/service/test_stop.py
+++ b/tests/service/test_stop.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from helpers import config_data, endpoint_entry
+from helpers import config_data, endpoint_entry, present
 from program_helpers import (
     END,
     LOOPBACK,
@@ -103,7 +103,7 @@
         self.reached = Event()
         self.may_go_on = Event()
         self.admit = program.listener.admit
-        program.listener.admit = self.wait_and_admit
+        program.listener.admit = self.wait_and_admit  # type: ignore[method-assign]
 
     def wait_and_admit(self, sock: socket.socket) -> None:
         """Wait for `may_go_on`, then call the listener's `admit`."""
@@ -161,7 +161,7 @@
         self.clients = clients
         self.halves_sent = 0
         self.dismiss = program.listener.dismiss_unopened
-        program.listener.dismiss_unopened = self.send_and_dismiss
+        program.listener.dismiss_unopened = self.send_and_dismiss  # type: ignore[method-assign]
 
     def send_and_dismiss(self) -> None:
         """Send the requests around the first dismissal; later ones only dismiss."""
@@ -246,7 +246,7 @@
             assert process.poll() is None
             return None
 
-    client = wait_until(connect)
+    client = present(wait_until(connect))
     client.send_line(open_line("t1"))
     process.stdin.write(b"x")  # lets the start continue
     process.stdin.flush()
--- a/tests/service/test_upgrade.py
+++ b/tests/service/test_upgrade.py
@@ -10,10 +10,11 @@
 from pathlib import Path
 from threading import Event, Thread
 from types import SimpleNamespace
-from typing import NamedTuple
+from typing import Any, NamedTuple, cast
 
 import pytest
 from core_helpers import LIMITS
+from helpers import present
 from program_helpers import (
     PROGRAM,
     ROOT,
@@ -284,11 +285,13 @@
     search.join(0.3)
     assert search.is_alive()
     handover = SimpleNamespace(
-        on_hello=lambda now, other: other.send({"welcome": VERSION}, (first.sock.fileno(),)),
+        on_hello=lambda now, other: other.send(
+            {"welcome": VERSION}, (present(first.sock).fileno(),)
+        ),
         on_message=lambda now, other, message: None,
         on_disconnected=lambda now, other: None,
     )
-    first.listen_for_successor(handover)
+    first.listen_for_successor(cast(Any, handover))
     call, args = inboxes[0].urgent.get(timeout=3)
     call(clock(), *args)
     search.join(3)
--- a/tests/state/test_crash_safety.py
+++ b/tests/state/test_crash_safety.py
@@ -135,7 +135,7 @@
 
 def test_power_failure_at_any_operation_and_byte_leaves_a_complete_generation():
     old, new = file_format.encode(snapshot(1)), file_format.encode(snapshot(2))
-    failures = [(operation, None) for operation in range(1, 8)]
+    failures: list[tuple[int, int | None]] = [(operation, None) for operation in range(1, 8)]
     failures += [(1, byte) for byte in range(len(new))]
     seen = set()
     for failure, leftover, renamed in itertools.product(failures, LEFTOVERS, (False, True)):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -9,6 +9,7 @@
 import json
 import pkgutil
 from collections.abc import Iterator
+from typing import Any, cast
 
 import msgspec
 import pytest
@@ -75,7 +76,7 @@
 @pytest.mark.parametrize("name", FILES)
 def test_every_message_and_record_is_read_and_written_byte_for_byte(name):
     for label, data, value in decoded(name):
-        again = messages.encode_frame(value) if name == "fleet_frames" else encode(value)
+        again = messages.encode_frame(cast(Any, value)) if name == "fleet_frames" else encode(value)
         assert again == data, label
 
 
