--- a/cypresswalk/lab/traced.py
+++ b/cypresswalk/lab/traced.py
@@ -70,7 +70,7 @@
 
     now = 0  # nanoseconds; the time at which decisions were last carried out
 
-    def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
+    def on_open(self, now: int, session: Session, request: OpenRequest, waited: int = 0) -> None:
         """Write `open`: id, service type, timeout, group, first or again, previous server."""
         values = request.values
         write_line(
@@ -83,7 +83,7 @@
             "again" if values.get("again") or values.get("r") else "first",
             values.get("at", ""),
         )
-        super().on_open(now, session, request)
+        super().on_open(now, session, request, waited)
 
     def start_attempt(
         self, now: int, session: Session, server: Server, number: int, deadline: int
--- a/cypresswalk/net/clients.py
+++ b/cypresswalk/net/clients.py
@@ -69,7 +69,8 @@
         try:
             request = self._receive_open_request()
             if request is not None:
-                self.inbox.post(self.core.on_open, self.session, request)
+                waited = self.link.time_since_data()
+                self.inbox.post(self.core.on_open, self.session, request, waited)
                 self._forward_lines()
         except ProtocolError as error:
             log.warning(event("client_invalid", reason=error))
@@ -174,6 +175,7 @@
         duration = self.limits.idle_grace if self._dismissed else self.limits.linger_timeout
         deadline = self.inbox.clock() + duration
         remaining_bytes = self.limits.max_discarded_bytes
+        pause = self.limits.dismissed_poll_interval
         try:
             while (wait := deadline - self.inbox.clock()) > 0:
                 self.link.set_read_timeout(max(wait, MILLISECOND))
@@ -185,8 +187,10 @@
                     remaining_bytes -= len(data)
                 elif self._dismissed and not self.link.peer_closed():
                     # After `dismiss` a read returns an end at once, even if the client has not
-                    # ended.
-                    time.sleep(self.limits.dismissed_poll_interval / SECOND)
+                    # ended. Pauses get longer: in a crowd many clients are dismissed at once, and
+                    # their threads would take most of the processor.
+                    time.sleep(min(pause, wait) / SECOND)
+                    pause *= 2
                 else:
                     return
         except OSError:
--- a/cypresswalk/net/connection.py
+++ b/cypresswalk/net/connection.py
@@ -8,12 +8,13 @@
 
 from cypresswalk.model import SECOND
 from cypresswalk.net.config import Address
-from cypresswalk.net.limits import Limits
+from cypresswalk.net.limits import MILLISECOND, Limits
 from cypresswalk.net.parsers.lines import LineParser
 
 # Linux's numbers of the TCP states after the peer has closed its side:
 # TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK and CLOSING.
 PEER_CLOSED_STATES = frozenset((6, 7, 8, 9, 11))
+LAST_DATA_RECEIVED_OFFSET = 52  # in Linux's `struct tcp_info`: milliseconds since then, 32 bits
 LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes closing send a reset
 
 
@@ -157,6 +158,18 @@
         state = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
         return state in PEER_CLOSED_STATES
 
+    def time_since_data(self) -> int:
+        """Return how long ago the latest data arrived, in nanoseconds; 0 if that is not known.
+
+        Its thread may read it later, when many threads run.
+        """
+        size = LAST_DATA_RECEIVED_OFFSET + 4
+        try:
+            info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, size)
+        except OSError:
+            return 0
+        return struct.unpack_from("=I", info, LAST_DATA_RECEIVED_OFFSET)[0] * MILLISECOND
+
     def shutdown(self, how: int) -> None:
         """Shut down one or both directions, such as `socket.SHUT_WR`."""
         with self._close_lock, suppress(OSError):
--- a/cypresswalk/net/core.py
+++ b/cypresswalk/net/core.py
@@ -110,8 +110,8 @@
 
     # Accepting, admitting and placing a request.
 
-    def on_open(self, now: int, session: Session, request: OpenRequest) -> None:
-        """Handle a client's OPEN request."""
+    def on_open(self, now: int, session: Session, request: OpenRequest, waited: int = 0) -> None:
+        """Handle a client's OPEN request, which arrived `waited` nanoseconds before it was read."""
         timeout = nanoseconds(float(request.values.get("d", 0)), "d")
         if not self._is_acceptable(request, timeout):
             self._refuse(now, session, "request_invalid", line=request.encode(0)[:200])
@@ -125,7 +125,7 @@
         if len(self.seen_ids) > self.limits.max_remembered_flows:
             self.seen_ids.popitem(last=False)
         session.request = request
-        session.flow = flow = self._make_flow(now, request, flow_id, timeout)
+        session.flow = flow = self._make_flow(now, request, flow_id, timeout - waited)
         if "at" in request.values:
             self.counters.add("flows_handed_over")  # resumed at the server that the client names
             self.resumption.begin(now, session)
--- a/cypresswalk/net/limits.py
+++ b/cypresswalk/net/limits.py
@@ -77,7 +77,8 @@
     # Most bytes to read and discard after the final reply; reading them costs as much as reading
     # other clients' data.
     max_discarded_bytes: int = 256 * KIB
-    # Interval of checks for the end of a dismissed client, whose reading side is shut down.
+    # Pause before the second check for the end of a dismissed client, whose reading side is shut
+    # down; it doubles with each check.
     dismissed_poll_interval: int = 5 * MILLISECOND
     # A peer that accepts no data for so long is considered gone.
     write_timeout: int = 5 * SECOND
