--- a/cypresswalk/lab/balancer_control.py
+++ b/cypresswalk/lab/balancer_control.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from random import Random
 
-from cypresswalk.lab.balancers import BalancerProcess, encode_initial_list
+from cypresswalk.lab.balancers import BalancerProcess, UsageAtRest, encode_initial_list
 from cypresswalk.lab.endpoint_list import ListAgent
 from cypresswalk.lab.experiment import SignalName, Variant
 from cypresswalk.lab.rules import Violation
@@ -29,6 +29,9 @@
 EXIT_CHECK_INTERVAL_S = 0.02
 MAX_PLANNED_DOWN_S = 1.0
 MAX_SIGNAL_PAUSE_S = 0.05
+# Descriptors and threads of a balancer without clients, beyond those before its first client and
+# one of each for the health checks of each server: a second watch, and calls that are ending.
+MAX_MORE_AT_REST = 6
 SIGNALS: dict[SignalName, signal.Signals] = {
     "HUP": signal.SIGHUP,
     "TERM": signal.SIGTERM,
@@ -82,6 +85,7 @@
         self.balancer_seeds = Random(f"{testbed.seed}/balancers")
         self.violations: list[Violation] = []
         self.samples: list[Sample] = []
+        self.first_usage: dict[str, UsageAtRest] = {}  # by balancer, before the first client
 
     async def start_all(self) -> None:
         """Start all balancers and wait until they serve.
@@ -114,6 +118,23 @@
             await self._new_agent(name, len(testbed.endpoint_list.changes))
             self.start(name)
         await asyncio.gather(*(self.wait_until_ready(name) for name in self.balancers))
+        for name, balancer in self.balancers.items():
+            if (usage := balancer.usage_at_rest()) is not None:
+                self.first_usage[name] = usage
+
+    def leaks(self) -> list[str]:
+        """Return a line for each running balancer that holds too much for one without clients."""
+        more = len(self.testbed.servers) + MAX_MORE_AT_REST
+        found = []
+        for name, first in self.first_usage.items():
+            usage = self.balancers[name].usage_at_rest()
+            if usage is not None and (
+                usage.descriptors > first.descriptors + more
+                or usage.threads > first.threads + more
+                or usage.children > first.children
+            ):
+                found.append(f"{name} holds {usage} without clients, {first} before the first one")
+        return found
 
     def matching_balancers(self, names: list[str]) -> list[str]:
         """Return the balancers that are selected by balancer names, zone names or `all`."""
@@ -238,7 +259,7 @@
         """Send signals to a balancer at short intervals, while its listening socket exists."""
         for signal_name in names:
             if await listens(self.balancers[name]):
-                self.balancers[name].send_signal(SIGNALS[signal_name])
+                self._send_signal(name, signal_name)
             await asyncio.sleep(self.random.uniform(0, MAX_SIGNAL_PAUSE_S))
 
     async def reload(self, name: str) -> None:
@@ -249,9 +270,13 @@
         self._write_configuration(name)
         # A balancer that does not listen yet reads the new file when it starts.
         if await listens(self.balancers[name]):
-            self.balancers[name].send_signal(signal.SIGHUP)
+            self._send_signal(name, "HUP")
         await old.retire()
 
+    def _send_signal(self, name: str, signal_name: SignalName) -> None:
+        self.testbed.observe("signal", "", name, sent=signal_name)
+        self.balancers[name].send_signal(SIGNALS[signal_name])
+
     async def _new_agent(self, name: str, version: int) -> None:
         testbed = self.testbed
         random = Random(f"{testbed.seed}/agent/{name}/{version}")
--- a/cypresswalk/lab/balancers.py
+++ b/cypresswalk/lab/balancers.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import psutil
 
@@ -127,6 +128,20 @@
         return sock.getsockname()[1]
 
 
+class UsageAtRest(NamedTuple):
+    """What a balancer process holds while it has no clients.
+
+    Attributes:
+        descriptors: The number of its open file descriptors.
+        threads: The number of its threads.
+        children: The number of its child processes.
+    """
+
+    descriptors: int
+    threads: int
+    children: int
+
+
 class BalancerProcess:
     """One balancer's process and its restarts in a scenario."""
 
@@ -280,6 +295,17 @@
         except (psutil.Error, AttributeError):
             return None
 
+    def usage_at_rest(self) -> UsageAtRest | None:
+        """Return its descriptors, threads and children; None while it is not running."""
+        if self.process_info is None or not self.is_running():
+            return None
+        try:
+            children = self.process_info.children()
+            usage = self.process_info.num_fds(), self.process_info.num_threads()
+        except psutil.Error:
+            return None
+        return UsageAtRest(*usage, len(children))
+
     def counters(self) -> dict[str, int]:
         """Return the counters that its runs logged, at exit or on SIGUSR1, summed over all runs."""
         total: dict[str, int] = {}
--- a/cypresswalk/lab/experiment.py
+++ b/cypresswalk/lab/experiment.py
@@ -222,6 +222,7 @@
     "grow",
     "release",
     "list_outage",
+    "list_stall",
     "balancer_kill",
     "balancer_stop",
     "reload",
--- a/cypresswalk/lab/fault_injector.py
+++ b/cypresswalk/lab/fault_injector.py
@@ -61,6 +61,9 @@
                 await self._return_to_service(self.servers[name])
         elif fault.kind == "list_outage":
             await self._list_outage(span_s)
+        elif fault.kind == "list_stall":
+            for agent in self.control.agents.values():
+                agent.stall_watches()
         elif fault.kind == "cut_clients":
             self.clients.cut_connections(fault.amount)
         else:
--- a/cypresswalk/lab/observations.py
+++ b/cypresswalk/lab/observations.py
@@ -57,6 +57,8 @@
     " it sent), heard (what it received), number",
     "told": "a list agent sent an entry to the balancer: server, life (its state), version (of the"
     " list)",
+    "list_received": "a list agent got a version of the list, which it may send on: version",
+    "signal": "a signal is sent to the balancer, which listens: sent (HUP, TERM or USR1)",
     "balancer_up": "the balancer answers PING",
     "balancer_down": "the balancer ended: code (after a crash), planned",
     "server_up": "the server started, cold",
--- a/cypresswalk/lab/play.py
+++ b/cypresswalk/lab/play.py
@@ -27,6 +27,8 @@
 HEAD_START = 100 * MILLISECOND  # between the balancers' readiness and the first clients
 PROGRESS_INTERVAL_S = 0.25
 COUNTERS_WAIT_S = 0.15  # for balancers to log their counters
+REST_TIMEOUT_S = 6.0  # for balancers to release what their clients used, once all have left
+REST_CHECK_INTERVAL_S = 0.1
 MAX_SHOWN_VIOLATIONS = 50
 
 ProgressCallback = Callable[[float], None]
@@ -43,8 +45,16 @@
         folder: Path,
         source_folder: Path,
         command: list[str] | None = None,
+        checks_leaks: bool = False,
     ):
-        """Create all parts; nothing runs yet. See `BalancerControl` for the arguments."""
+        """Create all parts; nothing runs yet.
+
+        See `BalancerControl` for the arguments. With `checks_leaks`, the balancers run for a while
+        without clients at the end, and what they still hold is checked.
+        """
+        self.checks_leaks = checks_leaks
+        self.client_tasks: list[asyncio.Task] = []
+        self.event_count = 0  # at the end of the scenario
         self.experiment = experiment
         self.testbed = ScenarioTestBed(experiment, seed)
         self.result = ScenarioResult(experiment.name, variant.name, seed)
@@ -67,6 +77,9 @@
             await self.control.start_all()
             testbed.spawn(testbed.watch_lateness())
             await self._play(on_progress)
+            self.event_count = len(testbed.observations)
+            if self.checks_leaks:
+                await self._check_leaks()
         finally:
             # Ends all child processes and tasks, also after Ctrl-C or a failure of the lab.
             for balancer in self.control.balancers.values():
@@ -96,13 +109,13 @@
         testbed.began = began
         self.result.began = began
         for client in testbed.population.all():
-            testbed.spawn(self.clients.run(client, began))
+            self._spawn_client(self.clients.run(client, began))
         resting = RestingClients(testbed, self.clients)
         for name in testbed.balancers:
-            testbed.spawn(resting.run(name, began))
+            self._spawn_client(resting.run(name, began))
         for number, (at, misbehaviour, zone) in enumerate(testbed.population.misbehaving()):
             work = misbehave(testbed, self.clients, misbehaviour, zone, number)
-            testbed.spawn(self._run_at(began + at, work))
+            self._spawn_client(self._run_at(began + at, work))
         for fault in self.experiment.faults:
             work = self.faults.inject(fault)
             testbed.spawn(self._run_at(began + int(fault.at_s * SECOND), work))
@@ -116,6 +129,19 @@
             balancer.send_signal(signal.SIGUSR1)
         await asyncio.sleep(COUNTERS_WAIT_S)
 
+    def _spawn_client(self, work: Coroutine) -> None:
+        self.client_tasks.append(self.testbed.spawn(work))
+
+    async def _check_leaks(self) -> None:
+        """End all clients, and wait until the balancers have released what these used."""
+        for task in self.client_tasks:
+            task.cancel()
+        await asyncio.gather(*self.client_tasks, return_exceptions=True)
+        until = self.testbed.now() + int(REST_TIMEOUT_S * SECOND)
+        while (leaks := self.control.leaks()) and self.testbed.now() < until:
+            await asyncio.sleep(REST_CHECK_INTERVAL_S)
+        self.result.leaks = leaks
+
     async def _run_at(self, at: int, work: Coroutine) -> None:
         try:
             await self.testbed.sleep_until(at)
@@ -125,7 +151,7 @@
 
     def _check_rules(self) -> None:
         result = self.result
-        result.events = self.testbed.observations
+        result.events = self.testbed.observations[: self.event_count]
         result.samples = self.control.samples
         violations = self.control.violations + check(
             result.events, Rules.from_experiment(self.experiment)
@@ -172,17 +198,19 @@
     folder: Path,
     on_progress: ProgressCallback = ignore_progress,
     command: list[str] | None = None,
+    checks_leaks: bool = False,
 ) -> ScenarioResult:
     """Play a scenario and write observations, result and logs to a folder.
 
-    `command` runs another program instead of the balancers; it follows the same platform rules.
+    `command` runs another program instead of the balancers; it follows the same platform rules. See
+    `Scenario` for `checks_leaks`.
 
     Raises:
         CommandError: The scenario can't begin.
     """
     folder.mkdir(parents=True, exist_ok=True)
     with source_tree(variant) as source_folder:
-        scenario = Scenario(experiment, variant, seed, folder, source_folder, command)
+        scenario = Scenario(experiment, variant, seed, folder, source_folder, command, checks_leaks)
         result = asyncio.run(scenario.run(on_progress))
     result.save(folder)
     return result
--- a/cypresswalk/lab/result.py
+++ b/cypresswalk/lab/result.py
@@ -21,6 +21,7 @@
         samples: Tuples of second, balancer, resident bytes, file descriptors and CPU seconds.
         counters: Each balancer's counters.
         lateness_ms: Statistics of the lab's own lateness, in milliseconds.
+        leaks: What balancers still held some time after the last client, as text, if checked.
         events: All observations.
     """
 
@@ -35,6 +36,7 @@
     samples: list[tuple[float, str, int, int, float]] = field(default_factory=list)
     counters: dict[str, dict[str, int]] = field(default_factory=dict)
     lateness_ms: dict[str, float] = field(default_factory=dict)
+    leaks: list[str] = field(default_factory=list)
     events: list[Observation] = field(default_factory=list)
 
     def save(self, folder: Path) -> None:
--- a/cypresswalk/lab/soak_plan.py
+++ b/cypresswalk/lab/soak_plan.py
@@ -11,9 +11,21 @@
 LAST_FAULT_S = 10.0  # leaves time for the fault's effects before the scenario ends
 MAX_STOP_S = 6.0  # maximum time from SIGTERM until the balancer serves again
 MAX_OUTAGE_S = 4.0
+LAST_STALL_S = 6.0  # leaves time for a change of the list to be read late
+FAULT_S = (1.0, 5.0)
+DRAIN_S = (4.0, 9.0)  # most outlast the delays of the list and the grace period
 CROWD_PROBABILITY = 0.3
 GOSSIP_PROBABILITY = 0.5
 POLLED_PROBABILITY = 0.3
+STALL_PROBABILITY = 0.3
+TIGHT_PROBABILITY = 0.4
+# Of a tight fleet: each server's connections per core, and the share of the fleet's capacity that
+# its clients use.
+TIGHT_PER_CORE = 4
+TIGHT_USE = (0.6, 1.0)
+CORES = 2
+MEAN_LIFETIME_S = 3.0
+BURST_CLIENTS = (10, 40)
 # Possible starts of a series of signals, in seconds relative to SIGTERM.
 SERIES_OFFSETS_S = (-0.05, 0.0, 0.01, 0.2, 1.0)
 SIGNAL_SERIES = (["HUP"], ["HUP", "HUP", "HUP"], ["USR1", "HUP"])
@@ -34,7 +46,8 @@
     random = Random(f"soak/{seed}")
     zones = ["north", "south"][: random.randint(1, 2)]
     servers = random.randint(2, 4)
-    balancers = random.randint(1, 2)
+    balancers = random.randint(1, 3)
+    tight = random.random() < TIGHT_PROBABILITY
     crowded = random.random() < CROWD_PROBABILITY
     sockets = random.choice((128, 256, 512))
     names = [f"b{number}" for number in range(balancers * len(zones))]
@@ -43,22 +56,35 @@
         "about": "drawn from a seed",
         "seconds": SECONDS,
         "zones": zones,
-        "servers": [{"name": zone, "zone": zone, "count": servers} for zone in zones],
+        "servers": [
+            {"name": zone, "zone": zone, "count": servers, "cores": CORES}
+            | ({"per_core": TIGHT_PER_CORE} if tight else {})
+            for zone in zones
+        ],
         "balancers": [{"zone": zone, "count": balancers, "sockets": sockets} for zone in zones],
         "types": draw_types(random),
-        "load": {"course": [[0, random.uniform(4, 9)], [8, random.uniform(6, 16)]]},
+        "load": draw_load(random, servers * len(zones), tight),
         "clients": {
             "bad_per_s": random.choice((0, 5, 15)),
-            "leaves": random.choice((0.0, 0.05)),
+            "leaves": random.choice((0.0, 0.05, 0.3)),
             "resting": random.randint(4, 12),
             "crowd": sockets if crowded else 0,
         },
         "list_service": {"asked": random.random() < POLLED_PROBABILITY},
         "settings": {"peers": random.random() < GOSSIP_PROBABILITY},
-        "trouble": draw_faults(random, zones, servers, names),
+        "trouble": draw_faults(random, zones, servers, names, tight),
     }
 
 
+def draw_load(random: Random, servers: int, tight: bool) -> Table:
+    """Draw the course of the load; in a tight fleet, most of what its servers can carry."""
+    if not tight:
+        return {"course": [[0, random.uniform(4, 9)], [8, random.uniform(6, 16)]]}
+    capacity = servers * CORES * TIGHT_PER_CORE
+    rate = capacity / MEAN_LIFETIME_S * random.uniform(*TIGHT_USE)
+    return {"course": [[0, rate / 2], [FIRST_FAULT_S, rate]]}
+
+
 def draw_types(random: Random) -> list[Table]:
     """Draw the types of flows: a repeatable one, and a once-only or referenced one."""
     return [
@@ -76,7 +102,7 @@
 
 
 def draw_faults(
-    random: Random, zones: list[str], servers: int, balancers: list[str]
+    random: Random, zones: list[str], servers: int, balancers: list[str], tight: bool
 ) -> list[Table]:
     """Draw the faults: stops with signals, reloads, faults of servers and of the endpoint list."""
     faults: list[Table] = []
@@ -87,7 +113,19 @@
     names = [f"{zone}-{number}" for zone in zones for number in range(servers)]
     # At least one server has no fault.
     for name in random.sample(names, random.randint(1, len(names) - 1)):
-        faults.append(draw_server_fault(random, name))
+        faults.append(draw_server_fault(random, name, "restart" if tight else ""))
+    if tight:
+        faults.append(
+            {
+                "kind": "burst",
+                "at_s": draw_start_s(random),
+                "amount": random.randint(*BURST_CLIENTS),
+            }
+        )
+    if random.random() < STALL_PROBABILITY:
+        faults.append(
+            {"kind": "list_stall", "at_s": round(random.uniform(FIRST_FAULT_S, LAST_STALL_S), 2)}
+        )
     if random.random() < 0.4:
         span_s = round(random.uniform(1, MAX_OUTAGE_S), 2)
         faults.append({"kind": "list_outage", "at_s": draw_start_s(random), "for_s": span_s})
@@ -113,13 +151,13 @@
     return faults
 
 
-def draw_server_fault(random: Random, server: str) -> Table:
-    """Draw a fault of one server."""
-    kind = random.choice(SERVER_FAULTS)
+def draw_server_fault(random: Random, server: str, kind: str) -> Table:
+    """Draw a fault of one server; its kind too if none is given."""
+    kind = kind or random.choice(SERVER_FAULTS)
     fault: Table = {
         "kind": kind,
         "at_s": draw_start_s(random),
-        "for_s": round(random.uniform(1, 5), 2),
+        "for_s": round(random.uniform(*(DRAIN_S if kind == "drain" else FAULT_S)), 2),
         "servers": [server],
     }
     if kind in AMOUNTS:
--- a/cypresswalk/lab/testbed/list_driver.py
+++ b/cypresswalk/lab/testbed/list_driver.py
@@ -29,6 +29,7 @@
         self.agent = agent
         self.changed = asyncio.Event()
         self.writers: set[asyncio.StreamWriter] = set()
+        self.stalled: set[asyncio.StreamWriter] = set()
         self.address: Address = (LOOPBACK, 0)
 
     async def listen(self) -> None:
@@ -52,6 +53,7 @@
             pass
         finally:
             self.writers.discard(writer)
+            self.stalled.discard(writer)
             writer.close()
 
     async def _send_changes(
@@ -64,7 +66,7 @@
         """Send the changes after a version, once or continuously (`follow`)."""
         while True:
             newer = since < self.agent.version or since == 0
-            if newer and not self.agent.silent:
+            if newer and not self._is_silent(writer):
                 since = self._send(writer, since)
                 if not follow:
                     writer.write(LAST_CHUNK)
@@ -73,11 +75,14 @@
             try:
                 await asyncio.wait_for(self.changed.wait(), HEARTBEAT_S)
             except TimeoutError:
-                if not self.agent.silent:
+                if not self._is_silent(writer):
                     writer.write(HEARTBEAT_CHUNK)
             if writer.transport.is_closing() or reader.at_eof():
                 return
 
+    def _is_silent(self, writer: asyncio.StreamWriter) -> bool:
+        return self.agent.silent or writer in self.stalled
+
     def _send(self, writer: asyncio.StreamWriter, since: int) -> int:
         """Send the changes after a version as one line; return the version sent."""
         answer = self.agent.answer(since)
@@ -106,12 +111,17 @@
         """Deliver a version to this agent after a delay."""
         await asyncio.sleep(self.agent.next_delay() / SECOND)
         if self.agent.receive(version):
+            self.testbed.observe("list_received", "", self.balancer, version=version)
             self.changed.set()
 
     def notify_watches(self) -> None:
         """Make all watches check for changes."""
         self.changed.set()
 
+    def stall_watches(self) -> None:
+        """Send nothing more on the open watches, and keep them open; later ones are served."""
+        self.stalled |= self.writers
+
     async def retire(self) -> None:
         """Accept no more connections, and close the open ones after RETIREMENT_S."""
         self.listener.close()
--- a/cypresswalk/lab/testbed/resting_clients.py
+++ b/cypresswalk/lab/testbed/resting_clients.py
@@ -84,7 +84,10 @@
                 await asyncio.sleep(random.uniform(*RECONNECT_S))
                 continue
             # A balancer resets idle connections to make room for others.
-            with contextlib.suppress(*CONNECTION_ENDS):
+            try:
                 await reader.read()
-            writer.close()
+            except CONNECTION_ENDS:
+                pass
+            finally:
+                writer.close()
             await asyncio.sleep(random.uniform(*RECONNECT_S))
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -12,11 +12,13 @@
 
 from cypresswalk.cli.lab.soak import parse_seeds, prepare_folder
 from cypresswalk.lab.observations import Observation
-from cypresswalk.lab.soak import (
+from cypresswalk.lab.soak import play_seed
+from cypresswalk.lab.soak_findings import (
     attempts_after_client_left,
     concerns_flow,
+    late_list_updates,
     logged_faults,
-    play_seed,
+    lost_reloads,
     repeated_ids,
     unanswered_at_stops,
 )
@@ -41,6 +43,7 @@
     experiments = [soak_experiment(seed) for seed in range(PLANS)]
     kinds = {fault.kind for experiment in experiments for fault in experiment.faults}
     assert {"balancer_stop", "signals", "reload", "list_outage", "hang", "drain"} <= kinds
+    assert {"list_stall", "restart", "burst"} <= kinds
     assert any(experiment.clients.crowd for experiment in experiments)
 
 
@@ -92,6 +95,33 @@
     )
 
 
+def test_list_version_that_a_balancer_reads_late_is_found():
+    experiment = next(
+        drawn for drawn in map(soak_experiment, range(PLANS)) if not drawn.list_service.polled
+    )
+    received = [observed(2, "list_received", "", "b0", version=7)]
+    end = [observed(16, "day_ended")]
+    assert len(late_list_updates([*received, *end], experiment)) == 1
+    late = [observed(8.1, "told", "", "b0", version=7)]
+    assert len(late_list_updates([*received, *late, *end], experiment)) == 1
+    in_time = [observed(8, "told", "", "b0", version=8)]
+    assert late_list_updates([*received, *in_time, *end], experiment) == []
+    ended = [observed(5, "balancer_down", "", "b0")]
+    assert late_list_updates([*received, *ended, *end], experiment) == []
+    assert late_list_updates([*received, observed(8, "day_ended")], experiment) == []
+
+
+def test_sighup_after_which_no_file_is_read_is_found(tmp_path: Path):
+    log = tmp_path / "b0.log"
+    log.write_text("ts=2.500 level=info balancer=b0 event=reload discovery=a:1 before=a:1\n")
+    end = [observed(16, "day_ended")]
+    assert lost_reloads([observed(2.5004, "signal", "", "b0", sent="HUP"), *end], tmp_path) == []
+    assert lost_reloads([observed(2.6, "signal", "", "b0", sent="TERM"), *end], tmp_path) == []
+    later = observed(2.6, "signal", "", "b0", sent="HUP")
+    assert len(lost_reloads([later, *end], tmp_path)) == 1
+    assert lost_reloads([later, observed(3.5, "balancer_down", "", "b0"), *end], tmp_path) == []
+
+
 def test_violation_of_a_repeated_id_is_no_finding():
     events = [observed(1, "sent", "f1", "b0"), observed(4, "said_again", "f1", "b0")]
     assert repeated_ids(events) == {"f1"}
