--- a/benchmarks/planted_mistakes.py
+++ b/benchmarks/planted_mistakes.py
@@ -109,7 +109,7 @@
         Replacement(
             "cypresswalk/net/servers.py",
             "            link.reader_done.set()\n            link.close()\n",
-            "            link.reader_done.set()\n            link.sock.shutdown(socket.SHUT_RDWR)\n"
+            "            link.reader_done.set()\n            link.shutdown(socket.SHUT_RDWR)\n"
             "            LEAKED.append(link)\n",
         ),
         Replacement(
--- a/cypresswalk/lab/soak_plan.py
+++ b/cypresswalk/lab/soak_plan.py
@@ -11,6 +11,7 @@
 LAST_FAULT_S = 10.0  # leaves time for the fault's effects before the scenario ends
 MAX_STOP_S = 6.0  # maximum time from SIGTERM until the balancer serves again
 MAX_OUTAGE_S = 4.0
+STALL_LIST_DELAY_MS = [10, 60]
 LAST_STALL_S = 6.0  # leaves time for a change of the list to be read late
 FAULT_S = (1.0, 5.0)
 DRAIN_S = (4.0, 9.0)  # most outlast the delays of the list and the grace period
@@ -23,6 +24,7 @@
 # its clients use.
 TIGHT_PER_CORE = 4
 TIGHT_USE = (0.6, 1.0)
+TIGHT_OVERLOAD_FACTOR = (1.5, 2.5)
 CORES = 2
 MEAN_LIFETIME_S = 3.0
 BURST_CLIENTS = (10, 40)
@@ -51,6 +53,7 @@
     crowded = random.random() < CROWD_PROBABILITY
     sockets = random.choice((128, 256, 512))
     names = [f"b{number}" for number in range(balancers * len(zones))]
+    stalls = random.random() < STALL_PROBABILITY
     return {
         "name": f"soak-{seed}",
         "about": "drawn from a seed",
@@ -70,9 +73,12 @@
             "resting": random.randint(4, 12),
             "crowd": sockets if crowded else 0,
         },
-        "list_service": {"asked": random.random() < POLLED_PROBABILITY},
-        "settings": {"peers": random.random() < GOSSIP_PROBABILITY},
-        "trouble": draw_faults(random, zones, servers, names, tight),
+        "list_service": {"asked": random.random() < POLLED_PROBABILITY}
+        | ({"late_ms": STALL_LIST_DELAY_MS} if stalls else {}),
+        "settings": {"peers": random.random() < GOSSIP_PROBABILITY}
+        | ({"overload_factor": random.uniform(*TIGHT_OVERLOAD_FACTOR)} if tight else {}),
+        "trouble": draw_faults(random, zones, servers, names, tight)
+        + (draw_stall(random, zones, servers) if stalls else []),
     }
 
 
@@ -122,16 +128,23 @@
                 "amount": random.randint(*BURST_CLIENTS),
             }
         )
-    if random.random() < STALL_PROBABILITY:
-        faults.append(
-            {"kind": "list_stall", "at_s": round(random.uniform(FIRST_FAULT_S, LAST_STALL_S), 2)}
-        )
     if random.random() < 0.4:
         span_s = round(random.uniform(1, MAX_OUTAGE_S), 2)
         faults.append({"kind": "list_outage", "at_s": draw_start_s(random), "for_s": span_s})
     return faults
 
 
+def draw_stall(random: Random, zones: list[str], servers: int) -> list[Table]:
+    """Draw the time at which the watches of the list go silent, between two changes of the list.
+
+    The first one is read just before, so that a balancer notices the silence as late as it can.
+    """
+    at_s = round(random.uniform(FIRST_FAULT_S, LAST_STALL_S), 2)
+    server = f"{random.choice(zones)}-{random.randrange(servers)}"
+    restart = {"kind": "restart", "at_s": round(at_s - 0.2, 2), "for_s": 0.3, "servers": [server]}
+    return [{"kind": "list_stall", "at_s": at_s}, restart]
+
+
 def draw_start_s(random: Random) -> float:
     """Draw the time at which a fault begins, in seconds."""
     return round(random.uniform(FIRST_FAULT_S, LAST_FAULT_S), 2)
