--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -3,10 +3,12 @@
 from typing import Any
 
 import pytest
-from core_helpers import UP, CoreHarness
+from core_helpers import CLIENT_TIMEOUT, NO_CLIENT, UP, CoreHarness
 from helpers import endpoint_entry, present
 
 from cypresswalk.model import SECOND, Outcome, ServerState
+from cypresswalk.net.parsers.lines import parse_open_request
+from cypresswalk.net.session import Session
 
 BUSY = b"BUSY\r\n"
 ERROR = b"ERR\r\n"
@@ -148,6 +150,17 @@
     assert present(answered.attempt).server.consecutive_failures == 0
 
 
+def test_time_that_a_request_waited_to_be_read_is_taken_off_its_flows_time():
+    # In a crowd, answers at the deadline came too late by the time that the request had waited.
+    harness = CoreHarness()
+    on_time = harness.open(1)
+    late = Session(NO_CLIENT)
+    harness.deadlines[late] = harness.now + CLIENT_TIMEOUT
+    request = parse_open_request(b"OPEN 2 5 c=view,t=north,d=900")
+    harness.deliver(harness.core.on_open, late, request, SECOND // 4)
+    assert on_time.flow.deadline - late.flow.deadline == SECOND // 4
+
+
 def test_delay_that_a_server_reports_becomes_its_load():
     harness = CoreHarness(extra={"messageAim": [100.0, 100.0], "tellsDelay": True})
     server = harness.server("s-0")
